--- a/soak/checks.go
+++ b/soak/checks.go
@@ -11,54 +11,54 @@
 	fakes "wigeondale/fakes/hosted"
 )
 
-// checks holds what was seen, and the promises that were broken.
+// checks collects the results of requests and the violations found in them.
 type checks struct {
-	timed bool // when answers come is judged too
+	checkTimes bool // Config.Timed
 
-	mu       sync.Mutex
-	requests int
-	outcomes map[string]int
-	refused  map[string]int    // status of a refusal, by request that may run once
-	denied   map[string]denial // the first, by key and lifetime
-	broke    []Violation
-	bookings bookings
+	mu         sync.Mutex
+	requests   int
+	outcomes   map[string]int
+	refused    map[string]int    // status, by id of a non-idempotent request whose refusal means that it did not run
+	denied     map[string]denial // the first, by router incarnation and API key or account
+	violations []Violation
+	bookings   bookings
 }
 
-// denial is an answer that a key is not known.
+// denial is a response that rejects an API key as unknown.
 type denial struct {
 	request string
 	at      time.Time
 }
 
 func newChecks(timed bool) *checks {
-	return &checks{timed: timed, outcomes: map[string]int{}, refused: map[string]int{}, denied: map[string]denial{}, bookings: bookings{told: map[string]toldBooking{}}}
+	return &checks{checkTimes: timed, outcomes: map[string]int{}, refused: map[string]int{}, denied: map[string]denial{}, bookings: bookings{outcomes: map[string]bookingOutcome{}}}
 }
 
-func (c *checks) broken(promise, request, detail string) {
+func (c *checks) violated(promise, request, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broke = append(c.broke, Violation{promise, request, detail})
+	c.violations = append(c.violations, Violation{promise, request, detail})
 }
 
-// take judges one answer by itself.
-func (c *checks) take(r result) {
-	c.count(r.kind, r.outcome())
+// checkResult counts one response and checks it.
+func (c *checks) checkResult(r result) {
+	c.countOutcome(r.kind, r.outcome())
 	c.mu.Lock()
-	if r.kind == "book" && promisesNotRun(r.status) {
+	if r.kind == "book" && meansNotRun(r.status) {
 		c.refused[r.id] = r.status
 	}
 	c.mu.Unlock()
-	if r.status == http.StatusInternalServerError && r.body == heldBack {
-		c.broken("no other request is held back as one that crashes its replicas", r.id, r.kind)
+	if r.status == http.StatusInternalServerError && r.body == quarantinedBody {
+		c.violated("no other request is held back as one that crashes its replicas", r.id, r.kind)
 	}
-	if v := r.judge(); v != "" {
-		c.broken(v, r.id, fmt.Sprintf("%s: status %d, cut %v, body %.80q", r.kind, r.status, r.cut, r.body))
+	if promise := r.brokenPromise(); promise != "" {
+		c.violated(promise, r.id, fmt.Sprintf("%s: status %d, cut %v, body %.80q", r.kind, r.status, r.err, r.body))
 	}
-	c.judgeTime(r.id, r.took, answerBound)
-	c.judgeKey(r)
+	c.checkDuration(r.id, r.duration, maxAnswerTime)
+	c.checkKey(r)
 }
 
-func promisesNotRun(status int) bool {
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -68,25 +68,25 @@
 
 func (r *result) outcome() string {
 	switch {
-	case r.left:
+	case r.abandoned:
 		return "left"
-	case r.cut != nil && r.status == 0:
+	case r.err != nil && r.status == 0:
 		return "no answer"
-	case r.cut != nil:
+	case r.err != nil:
 		return "cut"
 	}
 	return strconv.Itoa(r.status)
 }
 
-// judge names the promise that an answer breaks, if any.
-func (r *result) judge() string {
+// brokenPromise returns the promise that a response breaks, or "".
+func (r *result) brokenPromise() string {
 	if r.status != http.StatusOK {
 		return ""
 	}
 	want := fakes.Whole(r.id)
 	if r.kind == "draft" {
 		var b strings.Builder
-		for n := 1; n <= pieces; n++ {
+		for n := 1; n <= chunkCount; n++ {
 			b.WriteString(fakes.Piece(r.id, n))
 		}
 		want = b.String()
@@ -94,69 +94,71 @@
 	if !strings.HasPrefix(want, r.body) {
 		return "no piece is missing, repeated, or another answer's"
 	}
-	if r.cut == nil && !r.left && r.body != want {
+	if r.err == nil && !r.abandoned && r.body != want {
 		return "an answer that ends early does not look whole"
 	}
 	return ""
 }
 
-// judgeKey finds a process that goes back to an older configuration: keys are only
-// ever taken away.
-func (c *checks) judgeKey(r result) {
-	if r.lifetime == "" || r.cut != nil {
+// checkKey finds a router that returns to an older configuration. During a run API keys are only
+// removed, so a router that has rejected a key must not accept it again.
+func (c *checks) checkKey(r result) {
+	if r.incarnation == "" || r.err != nil {
 		return
 	}
-	at := r.lifetime + " " + r.key
+	at := r.incarnation + " " + r.key
 	switch r.status {
 	case http.StatusUnauthorized:
-		c.deny(at, r.id)
+		c.recordDenied(at, r.id)
 	case http.StatusOK:
-		c.accept(at, r.id, r.began)
+		c.checkAccepted(at, r.id, r.startedAt)
 	}
 }
 
-// judgeTime finds a request that was held beyond its time.
-func (c *checks) judgeTime(request string, took, bound time.Duration) {
-	if c.timed && took >= bound {
-		c.broken("every request has its final answer soon after its time is over", request, took.String())
+// checkDuration finds a request whose response ended after the bound.
+func (c *checks) checkDuration(request string, took, bound time.Duration) {
+	if c.checkTimes && took >= bound {
+		c.violated("every request has its final answer soon after its time is over", request, took.String())
 	}
 }
 
-// deny notes that a key was denied by one lifetime of a router.
-func (c *checks) deny(at, request string) {
+// recordDenied records that one incarnation of a router rejected a key or account. at names both.
+func (c *checks) recordDenied(at, request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, was := c.denied[at]; !was {
+	if _, known := c.denied[at]; !known {
 		c.denied[at] = denial{request, time.Now()}
 	}
 }
 
-// accept finds a lifetime that denied the key before. A request that began earlier
-// may end well: it is served by what was in force then.
-func (c *checks) accept(at, request string, began time.Time) {
+// checkAccepted finds an accepted request whose key or account the same incarnation rejected
+// before. A request that started before the rejection may succeed: it is served with the
+// configuration that was in force when it started.
+func (c *checks) checkAccepted(at, request string, startedAt time.Time) {
 	c.mu.Lock()
-	first, was := c.denied[at]
+	first, rejected := c.denied[at]
 	c.mu.Unlock()
-	if was && began.After(first.at) {
-		c.broken("no process goes back to an older configuration", request, fmt.Sprintf("%s was denied by %s", at, first.request))
+	if rejected && startedAt.After(first.at) {
+		c.violated("no process goes back to an older configuration", request, fmt.Sprintf("%s was denied by %s", at, first.request))
 	}
 }
 
-// count notes the outcome of one request.
-func (c *checks) count(kind, outcome string) {
+// countOutcome counts a request under its kind and outcome.
+func (c *checks) countOutcome(kind, outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests++
 	c.outcomes[kind+" "+outcome]++
 }
 
-// workEnds is how long replicas may take to notice that nobody waits any more.
-const workEnds = 5 * time.Second
+// workEndTime is how long backend servers may go on with work after its client has left or has its
+// response.
+const workEndTime = 5 * time.Second
 
-// finalChecks compare the replicas' own record with what clients were told.
+// finalChecks compares the replicas' records of what ran with the responses that clients got.
 func (r *platformRun) finalChecks() {
 	r.mu.Lock()
-	all := append([]*fakes.Replica(nil), r.gone...)
+	all := append([]*fakes.Replica(nil), r.formerReplicas...)
 	for _, reps := range r.services {
 		all = append(all, reps...)
 	}
@@ -169,10 +171,10 @@
 			}
 			ran[a.ID]++
 			if name, gotKey := a.Account(); gotKey || name != account {
-				r.checks.broken("keys stay here and accounts are named", a.ID, "replica "+rep.ID)
+				r.checks.violated("keys stay here and accounts are named", a.ID, "replica "+rep.ID)
 			}
 			if strings.HasPrefix(a.Target, "/book/") && ran[a.ID] > 1 {
-				r.checks.broken("a request that may run once runs at most once", a.ID, "last at "+rep.ID)
+				r.checks.violated("a request that may run once runs at most once", a.ID, "last at "+rep.ID)
 			}
 		}
 	}
@@ -181,22 +183,22 @@
 	r.checks.mu.Unlock()
 	for id, status := range refused {
 		if ran[id] > 0 {
-			r.checks.broken("a refusal that says that nothing ran is true", id, fmt.Sprintf("status %d", status))
+			r.checks.violated("a refusal that says that nothing ran is true", id, fmt.Sprintf("status %d", status))
 		}
 	}
-	r.checks.judgeCrashers(crasherArrivals(all))
+	r.checks.checkCrashing(crashingArrivals(all))
 	r.checkIdle(all)
 }
 
-// checkIdle finds work that goes on for nobody.
+// checkIdle finds replicas that go on with requests although no client waits any more.
 func (r *platformRun) checkIdle(all []*fakes.Replica) {
-	end := time.Now().Add(workEnds)
+	end := time.Now().Add(workEndTime)
 	for _, rep := range all {
 		for rep.Open() > 0 && time.Now().Before(end) {
 			time.Sleep(20 * time.Millisecond)
 		}
 		if n := rep.Open(); n > 0 {
-			r.checks.broken("work ends when nobody waits for it", "", fmt.Sprintf("%d requests at %s", n, rep.ID))
+			r.checks.violated("work ends when nobody waits for it", "", fmt.Sprintf("%d requests at %s", n, rep.ID))
 		}
 	}
 }
@@ -204,5 +206,5 @@
 func (c *checks) report(seed uint64, faults []string) *Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return &Report{Seed: seed, Requests: c.requests, Outcomes: c.outcomes, Faults: faults, Violations: c.broke}
+	return &Report{Seed: seed, Requests: c.requests, Outcomes: c.outcomes, Faults: faults, Violations: c.violations}
 }
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -15,41 +15,41 @@
 	"wigeondale/fleet"
 )
 
-// whole is the answer to a draft, as replicas give it.
-func whole(id string) string {
+// completeDraft returns the complete response of replicas to a generation.
+func completeDraft(id string) string {
 	var b strings.Builder
-	for n := 1; n <= pieces; n++ {
+	for n := 1; n <= chunkCount; n++ {
 		b.WriteString(fakes.Piece(id, n))
 	}
 	return b.String()
 }
 
-// Each check is seen red for what it is to find, and stays quiet for what is allowed.
+// Each check fails for what it must find, and passes for what is allowed.
 func TestAnswersAreJudged(t *testing.T) {
 	const id = "c1-1"
-	good := whole(id)
-	two := fakes.Piece(id, 1) + fakes.Piece(id, 2)
+	complete := completeDraft(id)
+	firstTwo := fakes.Piece(id, 1) + fakes.Piece(id, 2)
 	cut := errors.New("connection reset")
 	for name, c := range map[string]struct {
 		result result
 		broken string // part of the promise
 	}{
-		"whole":                    {result{kind: "draft", status: 200, body: good}, ""},
-		"cut, as a failure shows":  {result{kind: "draft", status: 200, body: two, cut: cut}, ""},
-		"left by its client":       {result{kind: "draft", status: 200, body: two, left: true}, ""},
-		"refused":                  {result{kind: "draft", status: 503}, ""},
-		"cut, but looks whole":     {result{kind: "draft", status: 200, body: two}, "look whole"},
-		"a piece is missing":       {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece(id, 3), cut: cut}, "missing"},
-		"a piece is repeated":      {result{kind: "draft", status: 200, body: two + fakes.Piece(id, 2), cut: cut}, "repeated"},
-		"pieces of another answer": {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece("c2-9", 2), cut: cut}, "another answer"},
-		"a joined tail":            {result{kind: "draft", status: 200, body: good + two}, "repeated"},
-		"another's plain answer":   {result{kind: "look", status: 200, body: fakes.Whole("c2-9")}, "another answer"},
+		"whole":                       {result{kind: "draft", status: 200, body: complete}, ""},
+		"cut, as in a failure":        {result{kind: "draft", status: 200, body: firstTwo, err: cut}, ""},
+		"client disconnected":         {result{kind: "draft", status: 200, body: firstTwo, abandoned: true}, ""},
+		"refused":                     {result{kind: "draft", status: 503}, ""},
+		"cut, but looks complete":     {result{kind: "draft", status: 200, body: firstTwo}, "look whole"},
+		"a chunk is missing":          {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece(id, 3), err: cut}, "missing"},
+		"a chunk is repeated":         {result{kind: "draft", status: 200, body: firstTwo + fakes.Piece(id, 2), err: cut}, "repeated"},
+		"chunks of another response":  {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece("c2-9", 2), err: cut}, "another answer"},
+		"chunks after the end":        {result{kind: "draft", status: 200, body: complete + firstTwo}, "repeated"},
+		"response to another request": {result{kind: "look", status: 200, body: fakes.Whole("c2-9")}, "another answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.result.id = id
-			got := c.result.judge()
+			got := c.result.brokenPromise()
 			if (got == "") != (c.broken == "") || !strings.Contains(got, c.broken) {
-				t.Errorf("judged %q, want one with %q", got, c.broken)
+				t.Errorf("brokenPromise() = %q, want it to contain %q", got, c.broken)
 			}
 		})
 	}
@@ -58,39 +58,40 @@
 func TestLateAnswersAreFound(t *testing.T) {
 	for _, timed := range []bool{true, false} {
 		c := newChecks(timed)
-		c.take(result{id: "c1-1", kind: "look", status: http.StatusServiceUnavailable, took: answerBound - 1})
-		if len(c.broke) != 0 {
-			t.Fatalf("false alarm: %v", c.broke)
+		c.checkResult(result{id: "c1-1", kind: "look", status: http.StatusServiceUnavailable, duration: maxAnswerTime - 1})
+		if len(c.violations) != 0 {
+			t.Fatalf("false alarm: %v", c.violations)
 		}
-		c.take(result{id: "c1-1", kind: "look", status: http.StatusServiceUnavailable, took: answerBound})
-		if found := len(c.broke) == 1; found != timed {
-			t.Errorf("timed %v: found %v", timed, c.broke)
+		c.checkResult(result{id: "c1-1", kind: "look", status: http.StatusServiceUnavailable, duration: maxAnswerTime})
+		if found := len(c.violations) == 1; found != timed {
+			t.Errorf("timed %v: found %v", timed, c.violations)
 		}
 	}
 }
 
 func TestOlderConfigurationIsFound(t *testing.T) {
-	answer := func(status int, life string, began time.Time) result {
-		return result{id: "c1-1", kind: "look", key: "k", status: status, lifetime: life, began: began, body: fakes.Whole("c1-1")}
+	answer := func(status int, incarnation string, startedAt time.Time) result {
+		return result{id: "c1-1", kind: "look", key: "k", status: status, incarnation: incarnation, startedAt: startedAt, body: fakes.Whole("c1-1")}
 	}
 	c := newChecks(true)
 	early := time.Now()
-	c.take(answer(http.StatusOK, "n0/1", early))
-	c.take(answer(http.StatusUnauthorized, "n0/1", early))
-	c.take(answer(http.StatusOK, "n0/1", early))                      // began before the denial
-	c.take(answer(http.StatusOK, "n0/2", time.Now()))                 // another lifetime
-	c.take(answer(http.StatusServiceUnavailable, "n0/1", time.Now())) // says nothing of the key
-	if len(c.broke) != 0 {
-		t.Fatalf("false alarm: %v", c.broke)
-	}
-	c.take(answer(http.StatusOK, "n0/1", time.Now().Add(time.Millisecond)))
-	if len(c.broke) != 1 || !strings.Contains(c.broke[0].Promise, "older configuration") {
-		t.Errorf("found %v", c.broke)
+	c.checkResult(answer(http.StatusOK, "n0/1", early))
+	c.checkResult(answer(http.StatusUnauthorized, "n0/1", early))
+	c.checkResult(answer(http.StatusOK, "n0/1", early))                      // started before the key was rejected
+	c.checkResult(answer(http.StatusOK, "n0/2", time.Now()))                 // another incarnation
+	c.checkResult(answer(http.StatusServiceUnavailable, "n0/1", time.Now())) // neither accepts nor rejects the key
+	if len(c.violations) != 0 {
+		t.Fatalf("false alarm: %v", c.violations)
+	}
+	c.checkResult(answer(http.StatusOK, "n0/1", time.Now().Add(time.Millisecond)))
+	if len(c.violations) != 1 || !strings.Contains(c.violations[0].Promise, "older configuration") {
+		t.Errorf("found %v", c.violations)
 	}
 }
 
-// Work for nobody, requests that ran twice and refusals that lie show in the
-// replicas' own record.
+// finalChecks finds three faults in the replicas' records: a request that goes on although no client
+// waits for it, a non-idempotent request that ran twice, and a request that ran although its refusal
+// says that it did not.
 func TestRecordOfReplicasIsJudged(t *testing.T) {
 	r := newPlatformRun(Config{})
 	defer r.stop()
@@ -100,7 +101,7 @@
 		}
 	}
 	draft, app := r.services["llm"][0], r.services["app"][0]
-	ask := func(rep *fakes.Replica, path, id string) *http.Request {
+	request := func(rep *fakes.Replica, path, id string) *http.Request {
 		req, err := fakes.Ask{Addr: rep.Addr(), Path: path, ID: id, Key: "", Budget: time.Minute, Prompt: "aa:40"}.Request()
 		if err != nil {
 			t.Fatal(err)
@@ -109,51 +110,50 @@
 		return req
 	}
 	for range 2 {
-		resp, err := http.DefaultClient.Do(ask(app, "/book/x", "twice"))
+		resp, err := http.DefaultClient.Do(request(app, "/book/x", "twice"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		resp.Body.Close()
 	}
-	r.checks.take(result{id: "twice", kind: "book", status: http.StatusServiceUnavailable})
+	r.checks.checkResult(result{id: "twice", kind: "book", status: http.StatusServiceUnavailable})
 	ctx, leave := context.WithCancel(t.Context())
 	defer leave()
-	resp, err := http.DefaultClient.Do(ask(draft, "/draft/x", "open").WithContext(ctx))
+	resp, err := http.DefaultClient.Do(request(draft, "/draft/x", "open").WithContext(ctx))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	draft.Freeze() // so that the work is not over before the check has waited
+	draft.Freeze() // so that the generation does not end before the check has waited for it
 	defer draft.Thaw()
 	r.finalChecks()
 	for _, promise := range []string{"at most once", "nothing ran is true", "nobody waits"} {
 		found := false
-		for _, v := range r.checks.broke {
+		for _, v := range r.checks.violations {
 			found = found || strings.Contains(v.Promise, promise)
 		}
 		if !found {
-			t.Errorf("not found: %s; found %v", promise, r.checks.broke)
+			t.Errorf("not found: %s; found %v", promise, r.checks.violations)
 		}
 	}
 }
 
-// What callers of the product's own interface were told is compared with what ran.
+// checkBookings compares the outcomes that clients got with what ran.
 func TestBookingsAreJudged(t *testing.T) {
 	c := newChecks(true)
-	c.booked("a", "c1-1", fleet.NotRun)
-	c.booked("b", "c1-2", fleet.Unknown)
-	c.booked("c", "c1-3", fleet.Complete)
-	c.booked("d", "c1-4", fleet.Complete)
-	c.judgeBookings(map[string]int{"a": 1, "b": 2, "d": 1})
-	if len(c.broke) != 3 {
-		t.Fatalf("found %v, want that a ran, that b ran twice and that c did not run", c.broke)
+	c.recordBooking("a", "c1-1", fleet.NotRun)
+	c.recordBooking("b", "c1-2", fleet.Unknown)
+	c.recordBooking("c", "c1-3", fleet.Complete)
+	c.recordBooking("d", "c1-4", fleet.Complete)
+	c.checkBookings(map[string]int{"a": 1, "b": 2, "d": 1})
+	if len(c.violations) != 3 {
+		t.Fatalf("found %v, want that a ran, that b ran twice and that c did not run", c.violations)
 	}
 }
 
-// Symptom: a run of the soak ends with "a process that is told to end ends well: signal:
-// terminated". Sequence: a killed router is launched again, and is told to end within the
-// same millisecond. Cause: its program had not run yet, so that the signal had its usual
-// effect. One that had started must end well.
+// A router that gets SIGTERM within a millisecond of its start is killed by the signal, since its
+// program has not installed a handler yet. This must not count as a violation ("a process that is
+// told to end ends well: signal: terminated"). After its start it must exit without an error.
 func TestEndBeforeTheStartIsNoViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		says   string
@@ -169,7 +169,7 @@
 				t.Fatal(err)
 			}
 			p := &process{id: "n0", cfg: &Config{Wigeond: program, Dir: dir}, checks: newChecks(true)}
-			if err := p.launch(); err != nil {
+			if err := p.start(); err != nil {
 				t.Fatal(err)
 			}
 			for c.broken > 0 && !p.hasStarted() {
@@ -180,14 +180,14 @@
 			p.mu.Unlock()
 			p.signal(syscall.SIGTERM)
 			<-done
-			if got := len(p.checks.broke); got != c.broken {
-				t.Errorf("%d violations, want %d: %v", got, c.broken, p.checks.broke)
+			if got := len(p.checks.violations); got != c.broken {
+				t.Errorf("%d violations, want %d: %v", got, c.broken, p.checks.violations)
 			}
 		})
 	}
 }
 
-// A process that ends by itself, or badly, is a violation.
+// A process that exits without a signal, with or without an error, is a violation.
 func TestEndsOfProcessesAreJudged(t *testing.T) {
 	for name, c := range map[string]struct {
 		program string
@@ -198,22 +198,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &process{id: "n0", cfg: &Config{Wigeond: c.program, Dir: t.TempDir()}, checks: newChecks(true)}
-			if err := p.launch(); err != nil {
+			if err := p.start(); err != nil {
 				t.Fatal(err)
 			}
 			p.mu.Lock()
 			done := p.done
 			p.mu.Unlock()
 			<-done
-			if got := len(p.checks.broke); got != c.broken {
-				t.Errorf("%d violations, want %d: %v", got, c.broken, p.checks.broke)
+			if got := len(p.checks.violations); got != c.broken {
+				t.Errorf("%d violations, want %d: %v", got, c.broken, p.checks.violations)
 			}
 		})
 	}
 }
 
-// The check of requests that crash their replicas is seen red, and stays quiet for what is
-// allowed.
+// checkCrashing fails when a crashing request goes on reaching replicas, and passes for what is
+// allowed. checkResult fails for any other request that is quarantined.
 func TestCrashersAreJudged(t *testing.T) {
 	at := func(ran bool, seconds ...float64) []fakes.Arrival {
 		var out []fakes.Arrival
@@ -225,27 +225,27 @@
 	crashes := at(true, 1, 2, 3)
 	for name, c := range map[string]struct {
 		arrivals []fakes.Arrival
-		red      bool
+		fails    bool
 	}{
-		"three crashes, and no more":       {crashes, false},
-		"many while others learn of it":    {append(crashes, at(true, 3.1, 3.2, 3.3, 4, 5)...), false},
-		"three more later":                 {append(crashes, at(false, 7, 8, 9)...), false},
-		"four more later":                  {append(crashes, at(true, 7, 8, 9, 10)...), true},
-		"four more that were turned away":  {append(crashes, at(false, 7, 8, 9, 10)...), true},
-		"many, but only two of them crash": {append(at(true, 1, 2), at(false, 7, 8, 9, 10)...), false},
+		"three crashes, and no more":          {crashes, false},
+		"many while the routers are notified": {append(crashes, at(true, 3.1, 3.2, 3.3, 4, 5)...), false},
+		"three more later":                    {append(crashes, at(false, 7, 8, 9)...), false},
+		"four more later":                     {append(crashes, at(true, 7, 8, 9, 10)...), true},
+		"four more that were refused":         {append(crashes, at(false, 7, 8, 9, 10)...), true},
+		"many, but only two of them crash":    {append(at(true, 1, 2), at(false, 7, 8, 9, 10)...), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newChecks(false)
-			k.judgeCrashers(map[string][]fakes.Arrival{"body": c.arrivals})
-			if red := len(k.broke) > 0; red != c.red {
-				t.Errorf("red %v, want %v", red, c.red)
+			k.checkCrashing(map[string][]fakes.Arrival{"body": c.arrivals})
+			if fails := len(k.violations) > 0; fails != c.fails {
+				t.Errorf("fails %v, want %v", fails, c.fails)
 			}
 		})
 	}
 	k := newChecks(false)
-	k.take(result{id: "q1", kind: "draft", status: http.StatusInternalServerError, body: heldBack})
-	k.take(result{id: "q2", kind: "look", status: http.StatusInternalServerError, body: "failed"})
-	if len(k.broke) != 1 {
-		t.Errorf("%d found, want the one request that is held back", len(k.broke))
+	k.checkResult(result{id: "q1", kind: "draft", status: http.StatusInternalServerError, body: quarantinedBody})
+	k.checkResult(result{id: "q2", kind: "look", status: http.StatusInternalServerError, body: "failed"})
+	if len(k.violations) != 1 {
+		t.Errorf("%d found, want the one request that is held back", len(k.violations))
 	}
 }
--- a/soak/command.go
+++ b/soak/command.go
@@ -21,7 +21,7 @@
 // Exit codes of wigeonsoak.
 const (
 	exitOK      = 0
-	exitFailure = 1 // a promise was broken, or a run could not be played
+	exitFailure = 1 // a promise was broken, or a run could not be executed
 	exitUsage   = 2
 )
 
@@ -41,12 +41,12 @@
 	Keep      string        `arg:"--keep" help:"folder for settings and logs; kept only after a failure if not given"`
 }
 
-// Description is shown by --help.
+// Description returns the text that go-arg prints for --help.
 func (arguments) Description() string {
 	return "wigeonsoak runs real routers against stand-ins and injects faults from outside."
 }
 
-// Main plays the seeds that the command line asks for.
+// Main runs the seeds that the command line selects and returns the exit code.
 func Main(argv []string, stdout, stderr io.Writer) int {
 	var args arguments
 	parser, err := arg.NewParser(arg.Config{Program: "wigeonsoak"}, &args)
@@ -61,60 +61,60 @@
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	if !slices.Contains(sides, args.Side) {
-		fmt.Fprintf(stderr, "wigeonsoak: --interface is one of %v\n", sides)
+	if !slices.Contains(interfaceNames, args.Side) {
+		fmt.Fprintf(stderr, "wigeonsoak: --interface is one of %v\n", interfaceNames)
 		return exitUsage
 	}
-	// An interrupt ends the run, which then ends its processes.
+	// A signal cancels the run, which then ends its processes.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	code, broken := exitOK, []uint64{}
+	code, failed := exitOK, []uint64{}
 	for seed := args.Seed; seed < args.Seed+uint64(args.Seeds) && ctx.Err() == nil; seed++ {
-		ok, err := playSides(ctx, args, seed, stdout)
+		ok, err := runInterfaces(ctx, args, seed, stdout)
 		if err != nil {
 			fmt.Fprintln(stderr, err)
 			return exitFailure
 		}
 		if !ok {
-			code, broken = exitFailure, append(broken, seed)
+			code, failed = exitFailure, append(failed, seed)
 		}
 	}
 	if args.Seeds > 1 {
-		fmt.Fprintf(stdout, "%d seeds from %d, broken: %v\n", args.Seeds, args.Seed, broken)
+		fmt.Fprintf(stdout, "%d seeds from %d, broken: %v\n", args.Seeds, args.Seed, failed)
 	}
 	return code
 }
 
-// Interfaces that are played.
+// Values of --interface.
 const (
-	platformSide = "platform"
-	productSide  = "product"
-	bothSides    = "both"
+	platformInterface = "platform"
+	productInterface  = "product"
+	bothInterfaces    = "both"
 )
 
-var sides = []string{platformSide, productSide, bothSides}
+var interfaceNames = []string{platformInterface, productInterface, bothInterfaces}
 
-// playSides plays one seed on each interface that was asked for.
-func playSides(ctx context.Context, args arguments, seed uint64, out io.Writer) (bool, error) {
-	all := true
-	for _, side := range []struct {
+// runInterfaces runs one seed on each interface that --interface selects.
+func runInterfaces(ctx context.Context, args arguments, seed uint64, out io.Writer) (bool, error) {
+	passed := true
+	for _, entry := range []struct {
 		name string
 		run  func(context.Context, Config) (*Report, error)
-	}{{platformSide, Run}, {productSide, RunProduct}} {
-		if args.Side != bothSides && args.Side != side.name {
+	}{{platformInterface, Run}, {productInterface, RunProduct}} {
+		if args.Side != bothInterfaces && args.Side != entry.name {
 			continue
 		}
-		fmt.Fprintf(out, "%s ", side.name)
-		ok, err := playOne(ctx, args, seed, side.run, out)
+		fmt.Fprintf(out, "%s ", entry.name)
+		ok, err := runSeed(ctx, args, seed, entry.run, out)
 		if err != nil {
 			return false, err
 		}
-		all = all && ok
+		passed = passed && ok
 	}
-	return all, nil
+	return passed, nil
 }
 
-func playOne(ctx context.Context, args arguments, seed uint64, run func(context.Context, Config) (*Report, error), out io.Writer) (bool, error) {
+func runSeed(ctx context.Context, args arguments, seed uint64, run func(context.Context, Config) (*Report, error), out io.Writer) (bool, error) {
 	dir := args.Keep
 	if dir == "" {
 		tmp, err := os.MkdirTemp("", "soak")
@@ -138,10 +138,11 @@
 	return ok, nil
 }
 
-// maxShown bounds the violations that are printed with their requests' ways.
-const maxShown = 5
+// maxPrinted bounds the violations that are printed with their requests' log lines.
+const maxPrinted = 5
 
-// Print writes the report; of each violation also the request's way through the logs.
+// Print writes the report. For each violation it adds the lines of all logs in dir that name the
+// request.
 func (r *Report) Print(w io.Writer, dir string) {
 	fmt.Fprintf(w, "seed %d: %d requests, %d faults, %d promises broken\n", r.Seed, r.Requests, len(r.Faults), len(r.Violations))
 	for _, k := range slices.Sorted(maps.Keys(r.Outcomes)) {
@@ -154,19 +155,19 @@
 	for _, f := range r.Faults {
 		fmt.Fprintln(w, " ", f)
 	}
-	for _, v := range r.Violations[:min(len(r.Violations), maxShown)] {
+	for _, v := range r.Violations[:min(len(r.Violations), maxPrinted)] {
 		fmt.Fprintf(w, "BROKEN %s: request %q, %s\n", v.Promise, v.Request, v.Detail)
 		if v.Request == "" {
 			continue
 		}
-		for _, line := range way(dir, v.Request) {
+		for _, line := range logLines(dir, v.Request) {
 			fmt.Fprintln(w, "   ", line)
 		}
 	}
 }
 
-// way returns the lines of all logs that name the request.
-func way(dir, request string) []string {
+// logLines returns the lines of all logs in dir that name the request.
+func logLines(dir, request string) []string {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return []string{err.Error()}
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -7,46 +7,46 @@
 	"time"
 )
 
-// fault is one kind of trouble. It returns what ends it, or nil; the end is due
-// after a random time, and other faults come meanwhile.
+// fault is one kind of fault. inject starts it and returns the function that ends it, or nil. end
+// is called after a random time, during which other faults are injected.
 type fault struct {
-	name string
-	do   func() (end func())
+	name   string
+	inject func() (end func())
 }
 
 const (
 	// faultGap is the mean time between two faults.
 	faultGap = 250 * time.Millisecond
-	// faultLife bounds how long one lasts.
-	faultLife = 3 * time.Second
-	// slowBy is what a slow link adds to each read and write.
-	slowBy   = 150 * time.Millisecond
-	slowLink = `{"ms": 150}`
-	fastLink = `{"ms": 0}`
-	// minReplicas of a service stay up, so that requests have somewhere to go.
+	// maxFaultTime bounds how long a fault lasts.
+	maxFaultTime = 3 * time.Second
+	// slowDelay is the delay that a slow link adds to each read and write.
+	slowDelay = 150 * time.Millisecond
+	slowLink  = `{"ms": 150}`
+	fastLink  = `{"ms": 0}`
+	// minReplicas is how many replicas of a service stay up, so that some can serve requests.
 	minReplicas = 2
 )
 
-// processFaults are those of one router's process, drawn by any.
-func processFaults(any func() *process) []fault {
+// processFaults returns the faults of a router's process. random draws the process.
+func processFaults(random func() *process) []fault {
 	return []fault{
 		{"kill and restart", func() func() {
-			p := any()
+			p := random()
 			p.kill()
 			return p.restart
 		}},
 		{"terminate and restart", func() func() {
-			p := any()
+			p := random()
 			p.signal(syscall.SIGTERM)
 			return p.restart
 		}},
 		{"pause", func() func() {
-			p := any()
+			p := random()
 			p.signal(syscall.SIGSTOP)
 			return func() { p.signal(syscall.SIGCONT) }
 		}},
 		{"reload", func() func() {
-			if p := any(); p.hasStarted() {
+			if p := random(); p.hasStarted() {
 				p.signal(syscall.SIGHUP)
 			}
 			return nil
@@ -54,32 +54,32 @@
 	}
 }
 
-// injectFaults draws faults until the time is over, and ends them all.
-func injectFaults(ctx context.Context, rng *rand.Rand, length time.Duration, all []fault, note func(string)) {
-	type due struct {
-		at  time.Time
-		end func()
+// injectFaults injects random faults for the given length, then ends those that are still active.
+func injectFaults(ctx context.Context, rng *rand.Rand, length time.Duration, all []fault, record func(string)) {
+	type activeFault struct {
+		endAt time.Time
+		end   func()
 	}
-	var open []due
-	for over := time.Now().Add(length); time.Now().Before(over) && ctx.Err() == nil; {
+	var active []activeFault
+	for deadline := time.Now().Add(length); time.Now().Before(deadline) && ctx.Err() == nil; {
 		f := all[rng.IntN(len(all))]
-		note(f.name)
-		if end := f.do(); end != nil {
-			life := time.Duration(rng.Int64N(int64(faultLife)))
-			open = append(open, due{time.Now().Add(life), end})
+		record(f.name)
+		if end := f.inject(); end != nil {
+			duration := time.Duration(rng.Int64N(int64(maxFaultTime)))
+			active = append(active, activeFault{time.Now().Add(duration), end})
 		}
 		time.Sleep(time.Duration(rng.Int64N(2 * int64(faultGap))))
-		still := open[:0]
-		for _, d := range open {
-			if time.Now().Before(d.at) {
+		still := active[:0]
+		for _, d := range active {
+			if time.Now().Before(d.endAt) {
 				still = append(still, d)
 				continue
 			}
 			d.end()
 		}
-		open = still
+		active = still
 	}
-	for _, d := range open {
+	for _, d := range active {
 		d.end()
 	}
 }
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -11,34 +11,34 @@
 	fakes "wigeondale/fakes/hosted"
 )
 
-// platformRun is the state of one run on the users' platform.
+// platformRun holds the state of one run on the users' platform.
 type platformRun struct {
 	run
 	store *fakes.Store
 	nodes []*node
 
-	mu       sync.Mutex
-	replicas map[string]*fakes.Replica // by address
-	services map[string][]*fakes.Replica
-	gone     []*fakes.Replica // crashed or left; their record still counts
-	started  int              // replicas so far
-	version  int
-	keys     []string // in force; only ever removed
-
-	versions int // ordered so far
-	rolling  map[string]*rolledOut
-	// badVersions are the faults of the versions that are bad.
+	mu              sync.Mutex
+	replicas        map[string]*fakes.Replica // by address
+	services        map[string][]*fakes.Replica
+	formerReplicas  []*fakes.Replica // crashed or drained; finalChecks still reads their records
+	startedReplicas int              // number of replicas started so far
+	configVersion   int
+	keys            []string // API keys in force; they are only removed during a run
+
+	orderedVersions int // number of versions ordered so far
+	rollouts        map[string]*rolloutOrder
+	// badVersions holds the faults that replicas of each bad version have.
 	badVersions map[string]fakes.Faults
-	rollMu      sync.Mutex
+	rolloutMu   sync.Mutex
 	watchers    sync.WaitGroup
 	stopped     atomic.Bool
-	calmed      atomic.Bool // all faults are over
+	faultsEnded atomic.Bool // all faults have ended
 }
 
-// Run plays one seed on the users' platform.
+// Run runs one seed on the users' platform.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	r := newPlatformRun(cfg)
-	return r.play(ctx, r)
+	return r.execute(ctx, r)
 }
 
 func newPlatformRun(cfg Config) *platformRun {
@@ -47,17 +47,17 @@
 		store:    fakes.NewStore(),
 		replicas: map[string]*fakes.Replica{},
 		services: map[string][]*fakes.Replica{},
-		rolling:  map[string]*rolledOut{},
+		rollouts: map[string]*rolloutOrder{},
 
 		badVersions: map[string]fakes.Faults{},
 	}
 }
 
-func (r *platformRun) client(i int) looper {
+func (r *platformRun) newClient(i int) trafficClient {
 	if r.cfg.Crashers && i == 0 {
-		return &crasher{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, crasherStream))}
+		return &crashingClient{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, crashingStream))}
 	}
-	return &caller{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, uint64(100+i))), name: fmt.Sprintf("c%d", i)}
+	return &platformClient{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, uint64(100+i))), name: fmt.Sprintf("c%d", i)}
 }
 
 func (r *platformRun) start(ctx context.Context) error {
@@ -81,7 +81,7 @@
 			return err
 		}
 		r.nodes = append(r.nodes, n)
-		if err := n.launch(); err != nil {
+		if err := n.start(); err != nil {
 			return err
 		}
 	}
@@ -96,13 +96,13 @@
 	return nil
 }
 
-// pieces and pieceGap make a draft last half a second.
+// chunkCount and chunkGap make a generation last half a second.
 const (
-	pieces    = 40
-	pieceGap  = 12 * time.Millisecond
-	firstKeys = 40
-	account   = "acc"
-	// routeTimeout is when a request must have its final answer.
+	chunkCount = 40
+	chunkGap   = 12 * time.Millisecond
+	firstKeys  = 40
+	account    = "acc"
+	// routeTimeout is the time limit of each route.
 	routeTimeout = 8 * time.Second
 )
 
@@ -111,14 +111,14 @@
 	return err
 }
 
-// startReplica starts a replica of a version, empty for the first.
+// startReplica starts and registers a replica of a version, which is empty for the first one.
 func (r *platformRun) startReplica(service string, domain int, engine bool, version string) (*fakes.Replica, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.started++
+	r.startedReplicas++
 	rep := &fakes.Replica{
-		ID: fmt.Sprintf("i-%d", r.started), Service: service, Domain: fmt.Sprintf("d%d", domain), Version: version,
-		Engine: engine, Pieces: pieces, Gap: pieceGap, OnCrash: r.crashedUnder,
+		ID: fmt.Sprintf("i-%d", r.startedReplicas), Service: service, Domain: fmt.Sprintf("d%d", domain), Version: version,
+		Engine: engine, Pieces: chunkCount, Gap: chunkGap, OnCrash: r.replaceLater,
 	}
 	if r.cfg.Lifetimes {
 		rep.Born = time.Now().UnixMilli()
@@ -139,21 +139,21 @@
 	return r.replicas[addr]
 }
 
-// configure writes the next version, with the keys in force.
+// configure writes the next version of the operator's configuration, with the keys in force.
 func (r *platformRun) configure() {
-	r.version++
+	r.configVersion++
 	route := func(name, kind, service string, attempts int) fakes.Route {
 		return fakes.Route{Name: name, Kind: kind, Service: service, Attempts: attempts, Timeout: routeTimeout}
 	}
 	r.store.PutConfig(fakes.Config{
-		Version: r.version, Account: account, Keys: r.keys, Engines: "llm", Plain: "app",
+		Version: r.configVersion, Account: account, Keys: r.keys, Engines: "llm", Plain: "app",
 		Routes: []fakes.Route{
 			route("draft", "streaming", "llm", 5), route("book", "non_idempotent", "app", 2), route("look", "idempotent", "app", 2),
 		},
 	})
 }
 
-// stop ends every process and stand-in that the run has started.
+// stop ends every process and fake that the run has started.
 func (r *platformRun) stop() {
 	r.stopped.Store(true)
 	r.watchers.Wait()
--- a/soak/platform_client.go
+++ b/soak/platform_client.go
@@ -13,52 +13,52 @@
 )
 
 const (
-	// budget is how long a client waits, and answerBound when it must have its
-	// final answer at the latest; the routes' time is 8 s.
-	budget      = 9 * time.Second
-	answerBound = 14 * time.Second
-	// leaveShare of the clients go away in the middle of a draft, one in so many.
-	leaveShare = 12
+	// budget is the deadline that a client states. maxAnswerTime is when it must have its final
+	// response at the latest. Routes have a timeout of 8 s.
+	budget        = 9 * time.Second
+	maxAnswerTime = 14 * time.Second
+	// One in abandonEvery generations is abandoned: its client disconnects before the end.
+	abandonEvery = 12
 )
 
-// maxIdle bounds the connections that a client keeps, since hundreds of clients and
-// routers share the descriptors of one process.
+// maxIdle bounds the idle connections of a client, since hundreds of clients share the file
+// descriptors of one process with their connections to the routers.
 const maxIdle = 16
 
 func newTransport() *http.Transport {
 	return &http.Transport{MaxIdleConnsPerHost: 2, MaxIdleConns: maxIdle}
 }
 
-// caller sends one request after the other, over connections that it keeps.
-type caller struct {
+// platformClient sends one request after the other, over keep-alive connections.
+type platformClient struct {
 	run  *platformRun
 	rng  *rand.Rand
 	name string
 	sent int
 }
 
-// result is what a client saw of one request.
+// result holds what a client observed of one request.
 type result struct {
 	id, kind, key string
-	lifetime      string // of the node that it was sent to
+	incarnation   string // of the router that it was sent to; empty if that restarted meanwhile
 	status        int
 	body          string
-	cut           error // the connection ended before the answer did
-	left          bool  // the client went away
-	began         time.Time
-	took          time.Duration
+	err           error // the connection failed before the response was complete
+	abandoned     bool  // the client disconnected before the end
+	startedAt     time.Time
+	duration      time.Duration
 }
 
-func (c *caller) loop(ctx context.Context) {
+func (c *platformClient) loop(ctx context.Context) {
 	transport := newTransport()
 	defer transport.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.run.checks.take(c.one(transport))
+		c.run.checks.checkResult(c.sendOne(transport))
 		time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
 	}
 }
 
-func (c *caller) one(transport *http.Transport) result {
+func (c *platformClient) sendOne(transport *http.Transport) result {
 	c.sent++
 	n := c.run.nodes[c.rng.IntN(len(c.run.nodes))]
 	res := result{
@@ -66,21 +66,21 @@
 		kind: []string{"draft", "book", "look"}[c.rng.IntN(3)],
 		key:  fmt.Sprintf("key-%d", c.rng.IntN(firstKeys)),
 	}
-	res.lifetime = n.lifetime()
-	ctx, stop := context.WithTimeout(context.Background(), answerBound)
+	res.incarnation = n.incarnation()
+	ctx, stop := context.WithTimeout(context.Background(), maxAnswerTime)
 	defer stop()
-	res.began = time.Now()
-	res.status, res.body, res.left, res.cut = c.send(ctx, transport, n, &res)
-	res.took = time.Since(res.began)
-	if n.lifetime() != res.lifetime {
-		res.lifetime = "" // another process may have answered
+	res.startedAt = time.Now()
+	res.status, res.body, res.abandoned, res.err = c.send(ctx, transport, n, &res)
+	res.duration = time.Since(res.startedAt)
+	if n.incarnation() != res.incarnation {
+		res.incarnation = "" // the router has restarted: another process may have responded
 	}
 	return res
 }
 
-func (c *caller) send(ctx context.Context, t *http.Transport, n *node, res *result) (status int, body string, left bool, err error) {
-	ask := fakes.Ask{Addr: n.front, Path: "/" + res.kind + "/x", ID: res.id, Key: res.key, Budget: budget, Prompt: "aa:40," + res.id + ":60"}
-	req, err := ask.Request()
+func (c *platformClient) send(ctx context.Context, t *http.Transport, n *node, res *result) (status int, body string, abandoned bool, err error) {
+	request := fakes.Ask{Addr: n.front, Path: "/" + res.kind + "/x", ID: res.id, Key: res.key, Budget: budget, Prompt: "aa:40," + res.id + ":60"}
+	req, err := request.Request()
 	if err != nil {
 		return 0, "", false, err
 	}
@@ -90,11 +90,11 @@
 		return 0, "", false, err
 	}
 	defer resp.Body.Close()
-	if res.kind == "draft" && resp.StatusCode == http.StatusOK && c.rng.IntN(leaveShare) == 0 {
+	if res.kind == "draft" && resp.StatusCode == http.StatusOK && c.rng.IntN(abandonEvery) == 0 {
 		part, err := io.ReadAll(io.LimitReader(resp.Body, int64(len(fakes.Piece(res.id, 1)))))
 		return resp.StatusCode, string(part), true, err
 	}
-	var got bytes.Buffer
-	_, err = io.Copy(&got, resp.Body)
-	return resp.StatusCode, got.String(), false, err
+	var received bytes.Buffer
+	_, err = io.Copy(&received, resp.Body)
+	return resp.StatusCode, received.String(), false, err
 }
--- a/soak/platform_faults.go
+++ b/soak/platform_faults.go
@@ -7,43 +7,43 @@
 	fakes "wigeondale/fakes/hosted"
 )
 
-// faults lists all kinds of trouble of the users' platform.
+// faults lists all faults on the users' platform.
 func (r *platformRun) faults() []fault {
-	all := append(processFaults(func() *process { return &r.anyNode().process }),
+	all := append(processFaults(func() *process { return &r.randomNode().process }),
 		fault{"store down", func() func() { r.store.Down(true); return func() { r.store.Down(false) } }},
 		fault{"store silent", func() func() { r.store.Silent(true); return func() { r.store.Silent(false) } }},
 		fault{"store forgets", func() func() { r.store.Compact(); return nil }},
-		fault{"node cut from the store", func() func() { return r.toggled(r.anyNode(), "cut", "heal") }},
-		fault{"connections to the store reset", func() func() { return r.toggled(r.anyNode(), "kill", "start") }},
-		fault{"node's links to the store reset", func() func() { r.toggle(r.anyNode(), "reset", ""); return nil }},
-		fault{"node hears nothing from the store", func() func() { return r.toggled(r.anyNode(), "cut-out", "heal") }},
-		fault{"store hears nothing from a node", func() func() { return r.toggled(r.anyNode(), "cut-in", "heal") }},
+		fault{"node cut from the store", func() func() { return r.linkFault(r.randomNode(), "cut", "heal") }},
+		fault{"connections to the store reset", func() func() { return r.linkFault(r.randomNode(), "kill", "start") }},
+		fault{"node's links to the store reset", func() func() { r.setLinkFault(r.randomNode(), "reset", ""); return nil }},
+		fault{"node hears nothing from the store", func() func() { return r.linkFault(r.randomNode(), "cut-out", "heal") }},
+		fault{"store hears nothing from a node", func() func() { return r.linkFault(r.randomNode(), "cut-in", "heal") }},
 		fault{"node's links to the store are slow", func() func() {
-			n := r.anyNode()
-			r.toggle(n, "delay", slowLink)
-			return func() { r.toggle(n, "delay", fastLink) }
+			n := r.randomNode()
+			r.setLinkFault(n, "delay", slowLink)
+			return func() { r.setLinkFault(n, "delay", fastLink) }
 		}},
-		fault{"links to a replica reset", func() func() { r.anyReplica().Link().Reset(); return nil }},
-		fault{"links to a replica pass nothing back", func() func() { l := r.anyReplica().Link(); l.CutOut(); return l.Heal }},
-		fault{"links to a replica pass nothing on", func() func() { l := r.anyReplica().Link(); l.CutIn(); return l.Heal }},
+		fault{"links to a replica reset", func() func() { r.randomReplica().Link().Reset(); return nil }},
+		fault{"links to a replica pass nothing back", func() func() { l := r.randomReplica().Link(); l.CutOut(); return l.Heal }},
+		fault{"links to a replica pass nothing on", func() func() { l := r.randomReplica().Link(); l.CutIn(); return l.Heal }},
 		fault{"links to a replica are slow", func() func() {
-			l := r.anyReplica().Link()
-			l.Delay(slowBy)
+			l := r.randomReplica().Link()
+			l.Delay(slowDelay)
 			return func() { l.Delay(0) }
 		}},
-		fault{"replica crashes", func() func() { return r.crash(r.anyReplica()) }},
+		fault{"replica crashes", func() func() { return r.crash(r.randomReplica()) }},
 		fault{"failure domain crashes", r.crashDomain},
-		fault{"replica freezes", func() func() { rep := r.anyReplica(); rep.Freeze(); return rep.Thaw }},
+		fault{"replica freezes", func() func() { rep := r.randomReplica(); rep.Freeze(); return rep.Thaw }},
 		fault{"replica misbehaves", func() func() {
-			rep := r.anyReplica()
+			rep := r.randomReplica()
 			rep.Set(misbehaviours[r.rng.IntN(len(misbehaviours))])
-			return func() { r.behave(rep) }
+			return func() { r.clearMisbehaviour(rep) }
 		}},
-		fault{"replica leaves", func() func() { return r.leave(r.anyReplica()) }},
-		fault{"a key is taken away", func() func() { r.revoke(); return nil }},
+		fault{"replica leaves", func() func() { return r.drain(r.randomReplica()) }},
+		fault{"a key is taken away", func() func() { r.revokeKey(); return nil }},
 		fault{"new version", func() func() { r.configure(); return nil }},
 	)
-	all = append(all, r.lifetimeFaults()...)
+	all = append(all, r.restartFaults()...)
 	return append(all, r.rolloutFaults()...)
 }
 
@@ -51,17 +51,17 @@
 	{Refuse: true}, {FailStatus: 500}, {WrongID: true}, {NoSeal: true}, {Torn: true}, {Unframed: true}, {Silent: true}, {Repeat: true},
 }
 
-// behave ends what a replica does wrong, except what its version does.
-func (r *platformRun) behave(rep *fakes.Replica) {
+// clearMisbehaviour clears the faults of a replica, except those of its version.
+func (r *platformRun) clearMisbehaviour(rep *fakes.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rep.Set(r.badVersions[rep.Version])
 }
 
-// crashDomain crashes all engines of one failure domain at the same moment.
+// crashDomain crashes all engines of one failure domain at once.
 func (r *platformRun) crashDomain() func() {
 	var ends []func()
-	for _, rep := range r.domain("llm", r.rng.IntN(2)) {
+	for _, rep := range r.replicasInDomain("llm", r.rng.IntN(2)) {
 		ends = append(ends, r.crash(rep))
 	}
 	return func() {
@@ -71,37 +71,39 @@
 	}
 }
 
-// calm brings every node and link back, and waits until all are ready.
-func (r *platformRun) calm() {
-	r.history.note("calm")
+// endFaults resumes every router and link, waits until all routers are ready, and then until all
+// roll-outs have ended.
+func (r *platformRun) endFaults() {
+	r.history.add("calm")
 	r.store.Down(false)
 	r.store.Silent(false)
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGCONT)
-		r.toggle(n, "heal", "")
-		r.toggle(n, "start", "")
-		r.toggle(n, "delay", fastLink)
-		n.recovers()
+		r.setLinkFault(n, "heal", "")
+		r.setLinkFault(n, "start", "")
+		r.setLinkFault(n, "delay", fastLink)
+		n.awaitRecovery()
 	}
-	r.calmed.Store(true)
+	r.faultsEnded.Store(true)
 	r.awaitRollouts()
 }
 
-func (r *platformRun) anyNode() *node { return r.nodes[r.rng.IntN(len(r.nodes))] }
+func (r *platformRun) randomNode() *node { return r.nodes[r.rng.IntN(len(r.nodes))] }
 
-func (r *platformRun) toggle(n *node, name, args string) {
+func (r *platformRun) setLinkFault(n *node, name, args string) {
 	if err := n.link.Fault(name, json.RawMessage(args)); err != nil {
-		r.checks.broken("the soak's own relay works", "", n.id+": "+err.Error())
+		r.checks.violated("the soak's own relay works", "", n.id+": "+err.Error())
 	}
 }
 
-// toggled turns a switch of the node's link to the store, and back at the end.
-func (r *platformRun) toggled(n *node, name, back string) func() {
-	r.toggle(n, name, "")
-	return func() { r.toggle(n, back, "") }
+// linkFault turns a switch of the router's link to the store, and returns the function that turns it
+// back.
+func (r *platformRun) linkFault(n *node, name, back string) func() {
+	r.setLinkFault(n, name, "")
+	return func() { r.setLinkFault(n, back, "") }
 }
 
-func (r *platformRun) anyReplica() *fakes.Replica {
+func (r *platformRun) randomReplica() *fakes.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	service := []string{"llm", "app"}[r.rng.IntN(2)]
@@ -109,7 +111,7 @@
 	return all[r.rng.IntN(len(all))]
 }
 
-func (r *platformRun) domain(service string, number int) []*fakes.Replica {
+func (r *platformRun) replicasInDomain(service string, number int) []*fakes.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []*fakes.Replica
@@ -121,38 +123,39 @@
 	return out
 }
 
-// take removes a replica from those that serve, if enough stay of its version.
-func (r *platformRun) take(rep *fakes.Replica) bool {
+// removeIfOthersServe removes a replica from the serving ones if at least minReplicas of its version
+// remain. It reports whether it did.
+func (r *platformRun) removeIfOthersServe(rep *fakes.Replica) bool {
 	r.mu.Lock()
-	like := 0
-	for _, one := range r.services[rep.Service] {
-		if one.Version == rep.Version {
-			like++
+	sameVersion := 0
+	for _, other := range r.services[rep.Service] {
+		if other.Version == rep.Version {
+			sameVersion++
 		}
 	}
 	r.mu.Unlock()
-	return like > minReplicas && r.takeAny(rep)
+	return sameVersion > minReplicas && r.remove(rep)
 }
 
-// takeAny removes a replica from those that serve.
-func (r *platformRun) takeAny(rep *fakes.Replica) bool {
+// remove removes a replica from the serving ones. It reports whether it was one of them.
+func (r *platformRun) remove(rep *fakes.Replica) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := r.services[rep.Service]
-	for i, one := range all {
-		if one == rep {
+	for i, other := range all {
+		if other == rep {
 			r.services[rep.Service] = append(append([]*fakes.Replica(nil), all[:i]...), all[i+1:]...)
-			r.gone = append(r.gone, rep)
+			r.formerReplicas = append(r.formerReplicas, rep)
 			return true
 		}
 	}
 	return false
 }
 
-// crash ends a replica; a new lifetime registers at the fault's end, and the old
-// entry lapses then.
+// crash crashes a replica. When the fault ends, its entry in the store is removed and a new replica
+// registers.
 func (r *platformRun) crash(rep *fakes.Replica) func() {
-	if !r.take(rep) {
+	if !r.removeIfOthersServe(rep) {
 		return func() {}
 	}
 	rep.Thaw()
@@ -160,9 +163,9 @@
 	return func() { r.replace(rep) }
 }
 
-// leave announces that a replica goes, and lets it go at the fault's end.
-func (r *platformRun) leave(rep *fakes.Replica) func() {
-	if !r.take(rep) {
+// drain registers a replica as draining, and replaces it when the fault ends.
+func (r *platformRun) drain(rep *fakes.Replica) func() {
+	if !r.removeIfOthersServe(rep) {
 		return func() {}
 	}
 	r.store.Register(rep, true)
@@ -173,12 +176,12 @@
 	r.store.Lapse(rep)
 	domain := int(rep.Domain[1] - '0')
 	if _, err := r.startReplica(rep.Service, domain, rep.Engine, rep.Version); err != nil {
-		r.checks.broken("the soak's own replica starts", "", err.Error())
+		r.checks.violated("the soak's own replica starts", "", err.Error())
 	}
 }
 
-// revoke takes a key away for good.
-func (r *platformRun) revoke() {
+// revokeKey removes an API key for good.
+func (r *platformRun) revokeKey() {
 	r.mu.Lock()
 	if len(r.keys) > 1 {
 		r.keys = append([]string(nil), r.keys[1:]...)
--- a/soak/platform_node.go
+++ b/soak/platform_node.go
@@ -7,8 +7,8 @@
 	"wigeondale/fakes/relay"
 )
 
-// node is a wigeond on the users' platform, which reaches the store through a
-// relay of its own.
+// node is a router on the users' platform. It reaches the store through a relay of its own, which
+// faults can cut.
 type node struct {
 	process
 	front string
@@ -18,7 +18,7 @@
 func newNode(r *platformRun, i int) (*node, error) {
 	id := fmt.Sprintf("n%d", i)
 	var front, ready, stats, peer string
-	if err := claimAddrs(&front, &ready, &stats, &peer); err != nil {
+	if err := reserveAddrs(&front, &ready, &stats, &peer); err != nil {
 		return nil, err
 	}
 	n := &node{
--- /dev/null
+++ b/soak/platform_restarts.go
@@ -0,0 +1,91 @@
+package soak
+
+import (
+	"fmt"
+	"time"
+
+	fakes "wigeondale/fakes/hosted"
+)
+
+// restartFaults returns faults of replicas that restart under the same id, and of other programs
+// that write to the store. They are optional, since a longer list of faults changes which faults
+// the kept seeds draw.
+func (r *platformRun) restartFaults() []fault {
+	if !r.cfg.Lifetimes {
+		return nil
+	}
+	return []fault{
+		{"replica starts again under its name", func() func() { return r.restartReplica(r.randomReplica(), 0) }},
+		{"replica starts again with its clock set back", func() func() { return r.restartReplica(r.randomReplica(), -time.Hour) }},
+		{"another program writes an entry", r.addForeignEntry},
+		{"another program writes over an entry", func() func() { return r.overwriteEntry(r.randomReplica()) }},
+	}
+}
+
+// restartReplica crashes a replica and restarts it under the same id when the fault ends. Its entry
+// stays in the store meanwhile. clockOffset is the error of its clock after the restart.
+func (r *platformRun) restartReplica(rep *fakes.Replica, clockOffset time.Duration) func() {
+	if !r.removeIfOthersServe(rep) {
+		return func() {}
+	}
+	rep.Thaw()
+	rep.Crash()
+	return func() {
+		again, err := rep.Reborn(time.Now().Add(clockOffset).UnixMilli())
+		if err != nil {
+			r.replace(rep) // its port is in use by another listener
+			return
+		}
+		r.mu.Lock()
+		r.replicas[again.Addr()] = again
+		r.services[again.Service] = append(r.services[again.Service], again)
+		r.mu.Unlock()
+		r.store.Register(again, false)
+	}
+}
+
+// addForeignEntry writes an entry as another program would, with a replica's address and another key.
+func (r *platformRun) addForeignEntry() func() {
+	rep := r.randomReplica()
+	key := fmt.Sprintf("servers/x-%d", r.rng.IntN(4))
+	r.store.Put(key, foreignBytes(rep, r.rng.IntN(foreignKinds)))
+	return func() { r.store.Delete(key) }
+}
+
+// overwriteEntry overwrites a replica's entry as another program would. When the fault ends, the
+// replica writes its entry again.
+func (r *platformRun) overwriteEntry(rep *fakes.Replica) func() {
+	r.store.Put("servers/"+rep.ID, foreignBytes(rep, r.rng.IntN(foreignKinds)))
+	return func() {
+		if r.isServing(rep) {
+			r.store.Register(rep, false)
+		}
+	}
+}
+
+// isServing reports whether a replica has neither crashed nor been drained.
+func (r *platformRun) isServing(rep *fakes.Replica) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, other := range r.services[rep.Service] {
+		if other == rep {
+			return true
+		}
+	}
+	return false
+}
+
+// foreignKinds is the number of kinds of value that foreignBytes returns.
+const foreignKinds = 5
+
+// foreignBytes returns a value that a router must not accept as an entry of a replica in use, although
+// most kinds contain the address of rep.
+func foreignBytes(rep *fakes.Replica, kind int) []byte {
+	return []byte([foreignKinds]string{
+		"\xff\xfe not JSON",
+		`[]`,
+		fmt.Sprintf(`{"service": 7, "address": %q, "zone": "d0", "state": "ready"}`, rep.Addr()),
+		fmt.Sprintf(`{"service": "elsewhere", "address": %q, "zone": "d0", "version": "v1", "slots": 8, "state": "ready", "cold_left_ms": 0, "sequence": 1}`, rep.Addr()),
+		fmt.Sprintf(`{"service": %q, "address": %q, "zone": "d0", "version": "v1", "slots": 8, "state": "warming", "cold_left_ms": 0, "sequence": 1}`, rep.Service, rep.Addr()),
+	}[kind])
+}
--- a/soak/platform_rollouts.go
+++ b/soak/platform_rollouts.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// rolloutTime is what an order gives a roll-out.
+	// rolloutTime is the duration that an order sets for a roll-out.
 	rolloutTime = 5 * time.Second
-	// rolloutEnds is how much later one must have ended, once all faults are over.
-	rolloutEnds = 15 * time.Second
-	// exposureShare and exposureBurst bound the requests that reach a bad version.
+	// rolloutGrace is how much longer a roll-out may take after all faults have ended.
+	rolloutGrace = 15 * time.Second
+	// exposureShare and exposureBurst bound the requests that reach a bad version: a share of the
+	// service's requests since the order, plus a number.
 	exposureShare = 0.1
 	exposureBurst = 50
-	// stopWithin is how long after the word that a version was taken back, or after its
-	// fiftieth bad answer, requests may reach it.
-	stopWithin = 5 * time.Second
+	// rollbackTime is how long requests may still reach a version after the report that it was rolled
+	// back, or after its fiftieth bad response.
+	rollbackTime = 5 * time.Second
 )
 
-// versionFaults are the ways of a bad version.
+// versionFaults lists the faults that a bad version can have.
 var versionFaults = []fakes.Faults{
 	{FailStatus: 500, FailShare: 0.7}, {FailStatus: 500}, {FailStatus: 500, FailShare: 0.6, FailFrom: 1500 * time.Millisecond},
 }
 
-// rolledOut is one roll-out of a run.
-type rolledOut struct {
+// rolloutOrder is one roll-out that a run has ordered.
+type rolloutOrder struct {
 	service, version string
 	bad              bool
-	before           int // requests that had arrived at the service
+	requestsBefore   int // requests that the service had run before the order
 	ended            bool
 }
 
-// rolloutFaults order new versions, good and bad ones by turns.
+// rolloutFaults returns the faults that order roll-outs of good and bad versions.
 func (r *platformRun) rolloutFaults() []fault {
 	if !r.cfg.Rollouts {
 		return nil
 	}
 	order := func(bad bool) func() func() {
-		return func() func() { return r.rollOut([]string{"llm", "app"}[r.rng.IntN(2)], bad) }
+		return func() func() { return r.orderRollout([]string{"llm", "app"}[r.rng.IntN(2)], bad) }
 	}
 	return []fault{
 		{"a good version is rolled out", order(false)},
@@ -47,26 +48,27 @@
 	}
 }
 
-// rollOut orders a version of a service, if none is under way there.
-func (r *platformRun) rollOut(service string, bad bool) func() {
-	r.freeRollouts()
-	if r.rolling[service] != nil {
+// orderRollout orders a new version of a service and starts its replicas, unless a roll-out of the
+// service is in progress.
+func (r *platformRun) orderRollout(service string, bad bool) func() {
+	r.dropEndedRollouts()
+	if r.rollouts[service] != nil {
 		return nil
 	}
-	r.versions++
-	o := &rolledOut{service: service, version: fmt.Sprint("v", r.versions+1), bad: bad}
-	old, _ := r.ofVersion(o)
+	r.orderedVersions++
+	o := &rolloutOrder{service: service, version: fmt.Sprint("v", r.orderedVersions+1), bad: bad}
+	old, _ := r.servingByVersion(o)
 	if bad {
 		r.mu.Lock()
-		r.badVersions[o.version] = versionFaults[r.versions%len(versionFaults)]
+		r.badVersions[o.version] = versionFaults[r.orderedVersions%len(versionFaults)]
 		r.mu.Unlock()
 	}
-	o.before = fakes.Ran(r.everAt(service))
+	o.requestsBefore = fakes.Ran(r.allOfService(service))
 	r.store.OrderRollout(service, o.version, rolloutTime)
-	r.rolling[service] = o
-	for _, like := range old {
-		if _, err := r.startReplica(service, int(like.Domain[1]-'0'), like.Engine, o.version); err != nil {
-			r.checks.broken("the soak's own replica starts", "", err.Error())
+	r.rollouts[service] = o
+	for _, rep := range old {
+		if _, err := r.startReplica(service, int(rep.Domain[1]-'0'), rep.Engine, o.version); err != nil {
+			r.checks.violated("the soak's own replica starts", "", err.Error())
 			return nil
 		}
 	}
@@ -74,24 +76,24 @@
 	return nil
 }
 
-// ofVersion returns the replicas of the service that serve, those of other versions and
-// those of the new one.
-func (r *platformRun) ofVersion(o *rolledOut) (old, fresh []*fakes.Replica) {
+// servingByVersion returns the serving replicas of the roll-out's service: those of other versions
+// and those of the new one.
+func (r *platformRun) servingByVersion(o *rolloutOrder) (old, newReplicas []*fakes.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rep := range r.services[o.service] {
 		if rep.Version == o.version {
-			fresh = append(fresh, rep)
+			newReplicas = append(newReplicas, rep)
 		} else {
 			old = append(old, rep)
 		}
 	}
-	return old, fresh
+	return old, newReplicas
 }
 
-// everOf returns all replicas that the new version has had.
-func (r *platformRun) everOf(o *rolledOut) (out []*fakes.Replica) {
-	for _, rep := range r.everAt(o.service) {
+// allOfVersion returns all replicas that have ever run the new version.
+func (r *platformRun) allOfVersion(o *rolloutOrder) (out []*fakes.Replica) {
+	for _, rep := range r.allOfService(o.service) {
 		if rep.Version == o.version {
 			out = append(out, rep)
 		}
@@ -99,32 +101,33 @@
 	return out
 }
 
-// watchRollout does what follows the system's word, as the platform does it.
-func (r *platformRun) watchRollout(o *rolledOut) {
+// watchRollout waits for the router's report that a roll-out has ended, and then does what the
+// platform does: it stops the old replicas, or drains the new ones.
+func (r *platformRun) watchRollout(o *rolloutOrder) {
 	for !r.stopped.Load() {
 		time.Sleep(5 * time.Millisecond)
 		state, version := r.store.RolloutState(o.service)
 		if version != o.version || state == "in_progress" {
 			continue
 		}
-		r.history.note(o.service + " " + o.version + " " + state)
+		r.history.add(o.service + " " + o.version + " " + state)
 		if state == "completed" {
-			r.completed(o)
+			r.finishCompleted(o)
 		} else {
-			r.rolledBack(o)
+			r.finishRolledBack(o)
 		}
 		return
 	}
 }
 
-// completed stops the old replicas at once; their entries lapse a little later.
-func (r *platformRun) completed(o *rolledOut) {
+// finishCompleted crashes the old replicas at once and then removes their entries from the store.
+func (r *platformRun) finishCompleted(o *rolloutOrder) {
 	if o.bad {
-		r.checks.broken("a bad version does not complete", "", o.service+" "+o.version)
+		r.checks.violated("a bad version does not complete", "", o.service+" "+o.version)
 	}
-	old, _ := r.ofVersion(o)
+	old, _ := r.servingByVersion(o)
 	for _, rep := range old {
-		if r.takeAny(rep) {
+		if r.remove(rep) {
 			rep.Thaw()
 			rep.Crash()
 			r.store.Lapse(rep)
@@ -133,52 +136,54 @@
 	r.endRollout(o)
 }
 
-// rolledBack drains the new replicas, which go on serving for a while.
-func (r *platformRun) rolledBack(o *rolledOut) {
-	time.Sleep(stopWithin)
-	before := fakes.Ran(r.everOf(o))
-	_, fresh := r.ofVersion(o)
-	for _, rep := range fresh {
+// finishRolledBack drains the new replicas and removes their entries later. It checks that no requests
+// reach them after rollbackTime.
+func (r *platformRun) finishRolledBack(o *rolloutOrder) {
+	time.Sleep(rollbackTime)
+	before := fakes.Ran(r.allOfVersion(o))
+	_, newReplicas := r.servingByVersion(o)
+	for _, rep := range newReplicas {
 		r.store.Register(rep, true)
-		r.takeAny(rep)
+		r.remove(rep)
 	}
-	time.Sleep(stopWithin / 5)
-	if after := fakes.Ran(r.everOf(o)); after > before && !r.calmed.Load() {
-		r.history.note(fmt.Sprintf("%d requests reached %s after it was taken back, beside faults", after-before, o.version))
+	time.Sleep(rollbackTime / 5)
+	if after := fakes.Ran(r.allOfVersion(o)); after > before && !r.faultsEnded.Load() {
+		r.history.add(fmt.Sprintf("%d requests reached %s after it was taken back, beside faults", after-before, o.version))
 	} else if after > before {
-		r.checks.broken("a version that was taken back gets nothing", "", fmt.Sprintf("%d requests at %s", after-before, o.version))
+		r.checks.violated("a version that was taken back gets nothing", "", fmt.Sprintf("%d requests at %s", after-before, o.version))
 	}
-	r.judgeExposure(o)
-	for _, rep := range fresh {
+	r.checkExposure(o)
+	for _, rep := range newReplicas {
 		r.store.Lapse(rep)
 	}
 	r.endRollout(o)
 }
 
-// judgeExposure holds a bad version to the bound on requests that reach it.
-func (r *platformRun) judgeExposure(o *rolledOut) {
+// checkExposure checks the bound on the requests that reached a bad version.
+func (r *platformRun) checkExposure(o *rolloutOrder) {
 	if !o.bad {
 		return
 	}
-	reached, all := fakes.Ran(r.everOf(o)), fakes.Ran(r.everAt(o.service))-o.before
-	if most := exposureShare*float64(all) + exposureBurst; float64(reached) > most {
-		r.checks.broken("few requests reach a bad version", "", fmt.Sprintf("%d of %d at %s", reached, all, o.version))
+	reached, all := fakes.Ran(r.allOfVersion(o)), fakes.Ran(r.allOfService(o.service))-o.requestsBefore
+	if limit := exposureShare*float64(all) + exposureBurst; float64(reached) > limit {
+		r.checks.violated("few requests reach a bad version", "", fmt.Sprintf("%d of %d at %s", reached, all, o.version))
 	}
 }
 
-func (r *platformRun) endRollout(o *rolledOut) {
-	r.rollMu.Lock()
-	defer r.rollMu.Unlock()
+func (r *platformRun) endRollout(o *rolloutOrder) {
+	r.rolloutMu.Lock()
+	defer r.rolloutMu.Unlock()
 	o.ended = true
 }
 
-// freeRollouts lets services be rolled out again whose last roll-out has ended.
-func (r *platformRun) freeRollouts() (open int) {
-	r.rollMu.Lock()
-	defer r.rollMu.Unlock()
-	for service, o := range r.rolling {
+// dropEndedRollouts forgets roll-outs that have ended, so that their services can be rolled out again.
+// It returns the number of the others.
+func (r *platformRun) dropEndedRollouts() (open int) {
+	r.rolloutMu.Lock()
+	defer r.rolloutMu.Unlock()
+	for service, o := range r.rollouts {
 		if o.ended {
-			delete(r.rolling, service)
+			delete(r.rollouts, service)
 			continue
 		}
 		open++
@@ -186,28 +191,28 @@
 	return open
 }
 
-// awaitRollouts finds orders that nobody ends.
+// awaitRollouts waits for all roll-outs to end, and records a violation for each that does not.
 func (r *platformRun) awaitRollouts() {
-	end := time.Now().Add(rolloutTime + rolloutEnds)
-	for r.freeRollouts() > 0 && time.Now().Before(end) {
+	deadline := time.Now().Add(rolloutTime + rolloutGrace)
+	for r.dropEndedRollouts() > 0 && time.Now().Before(deadline) {
 		time.Sleep(20 * time.Millisecond)
 	}
-	r.rollMu.Lock()
-	defer r.rollMu.Unlock()
-	for service, o := range r.rolling {
+	r.rolloutMu.Lock()
+	defer r.rolloutMu.Unlock()
+	for service, o := range r.rollouts {
 		if !o.ended {
 			state, version := r.store.RolloutState(service)
-			r.checks.broken("each roll-out ends", "", fmt.Sprintf("%s %s: %s %s", service, o.version, version, state))
+			r.checks.violated("each roll-out ends", "", fmt.Sprintf("%s %s: %s %s", service, o.version, version, state))
 		}
 	}
 }
 
-// everAt returns all replicas that a service has had.
-func (r *platformRun) everAt(service string) []*fakes.Replica {
+// allOfService returns all replicas that a service has ever had.
+func (r *platformRun) allOfService(service string) []*fakes.Replica {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := append([]*fakes.Replica(nil), r.services[service]...)
-	for _, rep := range r.gone {
+	for _, rep := range r.formerReplicas {
 		if rep.Service == service {
 			out = append(out, rep)
 		}
--- a/soak/process.go
+++ b/soak/process.go
@@ -16,24 +16,24 @@
 	"wigeondale/fakes/ports"
 )
 
-// process is one wigeond, over several lives.
+// process is one router: a series of wigeond processes with the same id and settings.
 type process struct {
 	id     string
 	cfg    *Config
-	ready  string // URL that answers 200 while it takes requests
+	ready  string // URL that returns 200 while the router accepts requests
 	checks *checks
 
-	mu      sync.Mutex
-	cmd     *exec.Cmd
-	done    chan struct{}  // closed when the process has ended
-	life    int            // counts its processes
-	told    syscall.Signal // by which it was told to end; 0 if it was not
-	early   bool           // it was told before it had started
-	logFrom int64          // size of the log when it was launched
+	mu               sync.Mutex
+	cmd              *exec.Cmd
+	done             chan struct{}  // closed when the current process has exited
+	launches         int            // number of processes started so far
+	endSignal        syscall.Signal // signal that was sent to end the current process; 0 if none was
+	endedBeforeStart bool           // endSignal was sent before the process had logged its start
+	logStart         int64          // size of the log file when the current process was started
 }
 
-// claimAddrs fills in addresses that are told to processes before they start.
-func claimAddrs(addrs ...*string) error {
+// reserveAddrs fills in free addresses, for processes that need them in their settings.
+func reserveAddrs(addrs ...*string) error {
 	for _, addr := range addrs {
 		a, err := ports.FreeAddr()
 		if err != nil {
@@ -44,26 +44,27 @@
 	return nil
 }
 
-// readyWithin bounds one question for readiness.
-const readyWithin = 300 * time.Millisecond
+// readyTimeout bounds one readiness probe.
+const readyTimeout = 300 * time.Millisecond
 
 func (p *process) settingsPath() string { return filepath.Join(p.cfg.Dir, p.id+".json") }
 func (p *process) logPath() string      { return filepath.Join(p.cfg.Dir, p.id+".log") }
 
-// tailBytes of a log are shown with a failure.
-const tailBytes = 4 << 10
+// logTailBytes is how much of a log is shown with a failure.
+const logTailBytes = 4 << 10
 
-// logTail is the end of the log; the log itself may be gone with the test's folder.
+// logTail returns the end of the log. Failures include it since the log file may be deleted with the
+// test's folder.
 func (p *process) logTail() string {
 	data, err := os.ReadFile(p.logPath())
 	if err != nil {
 		return err.Error()
 	}
-	return string(data[max(0, len(data)-tailBytes):])
+	return string(data[max(0, len(data)-logTailBytes):])
 }
 
-// launch starts a process unless one runs.
-func (p *process) launch() error {
+// start starts a process unless one is running.
+func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
@@ -84,80 +85,80 @@
 	if err := cmd.Start(); err != nil {
 		return Error.Wrap(err)
 	}
-	p.cmd, p.done, p.told, p.logFrom = cmd, make(chan struct{}), 0, before.Size()
-	p.life++
+	p.cmd, p.done, p.endSignal, p.logStart = cmd, make(chan struct{}), 0, before.Size()
+	p.launches++
 	go p.reap(cmd, p.done)
 	return nil
 }
 
-// restart launches a process at a fault's end.
+// restart starts a process when a fault ends.
 func (p *process) restart() {
-	if err := p.launch(); err != nil {
-		p.checks.broken("a process starts", "", p.id+": "+err.Error())
+	if err := p.start(); err != nil {
+		p.checks.violated("a process starts", "", p.id+": "+err.Error())
 	}
 }
 
-// recovers waits until the process is ready, once all faults are over.
-func (p *process) recovers() {
+// awaitRecovery waits until the process is ready, after all faults have ended.
+func (p *process) awaitRecovery() {
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if p.isReady(context.Background()) {
 			return
 		}
-		p.restart() // one that was told to end may just have gone
+		p.restart() // a process that was sent an end signal may have exited only now
 	}
-	p.checks.broken("routers recover from any series of faults", "",
+	p.checks.violated("routers recover from any series of faults", "",
 		fmt.Sprintf("%s is not ready after %v; its log ends with:\n%s", p.id, settleTime, p.logTail()))
 }
 
-// reap waits for the end of one process, and finds one that nobody ended, or that
-// ended badly after it was told to.
+// reap waits for one process to exit. It records a violation if no signal asked for the exit, or
+// if the process failed after SIGTERM.
 func (p *process) reap(cmd *exec.Cmd, done chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
-	told, early := p.told, p.early
+	endSignal, beforeStart := p.endSignal, p.endedBeforeStart
 	p.cmd = nil
 	p.mu.Unlock()
 	switch {
-	case told == 0:
-		p.checks.broken("a process ends only when it is told to", "", fmt.Sprintf("%s: %v; its log ends with:\n%s", p.id, err, p.logTail()))
-	case told == syscall.SIGTERM && early && endedBy(err, syscall.SIGTERM):
-		// It held nothing yet, and its program may not have run a single step.
-	case told == syscall.SIGTERM && err != nil:
-		p.checks.broken("a process that is told to end ends well", "", fmt.Sprintf("%s: %v", p.id, err))
+	case endSignal == 0:
+		p.checks.violated("a process ends only when it is told to", "", fmt.Sprintf("%s: %v; its log ends with:\n%s", p.id, err, p.logTail()))
+	case endSignal == syscall.SIGTERM && beforeStart && terminatedBy(err, syscall.SIGTERM):
+		// The program had no requests yet, and may not have run a single instruction.
+	case endSignal == syscall.SIGTERM && err != nil:
+		p.checks.violated("a process that is told to end ends well", "", fmt.Sprintf("%s: %v", p.id, err))
 	}
 	close(done)
 }
 
-// signal reaches the process, if one runs, by its own id.
+// signal sends a signal to the current process, if one is running.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return
 	}
-	if s == syscall.SIGKILL || (s == syscall.SIGTERM && p.told == 0) {
-		p.told, p.early = s, !p.started()
+	if s == syscall.SIGKILL || (s == syscall.SIGTERM && p.endSignal == 0) {
+		p.endSignal, p.endedBeforeStart = s, !p.startedLocked()
 	}
-	// The process may just have ended; reap tells.
+	// An error means that the process has just exited, which reap handles.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// hasStarted tells whether the process has said so. Before, it can't have taken the
-// signals over whose usual effect is its end.
+// hasStarted reports whether the process has logged its start. Before that it may not have
+// installed its handlers, so a signal such as SIGHUP or SIGTERM could kill it by default.
 func (p *process) hasStarted() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.started()
+	return p.startedLocked()
 }
 
-// started is hasStarted under p.mu.
-func (p *process) started() bool {
+// startedLocked is hasStarted for callers that hold p.mu.
+func (p *process) startedLocked() bool {
 	data, err := os.ReadFile(p.logPath())
-	return err == nil && p.cmd != nil && bytes.Contains(data[min(p.logFrom, int64(len(data))):], []byte(`"started"`))
+	return err == nil && p.cmd != nil && bytes.Contains(data[min(p.logStart, int64(len(data))):], []byte(`"started"`))
 }
 
-// endedBy tells whether the end of a process was the usual effect of a signal.
-func endedBy(err error, s syscall.Signal) bool {
+// terminatedBy reports whether a process was killed by the default action of a signal.
+func terminatedBy(err error, s syscall.Signal) bool {
 	exit, ok := errors.AsType[*exec.ExitError](err)
 	if !ok {
 		return false
@@ -166,26 +167,26 @@
 	return ok && status.Signaled() && status.Signal() == s
 }
 
-// kill ends the process and waits for it.
+// kill sends SIGKILL to the process and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	p.mu.Lock()
-	done, runs := p.done, p.cmd != nil
+	done, running := p.done, p.cmd != nil
 	p.mu.Unlock()
-	if runs {
+	if running {
 		<-done
 	}
 }
 
-// lifetime names the process that runs now.
-func (p *process) lifetime() string {
+// incarnation names the current process: the router's id and the number of its starts.
+func (p *process) incarnation() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return fmt.Sprintf("%s/%d", p.id, p.life)
+	return fmt.Sprintf("%s/%d", p.id, p.launches)
 }
 
 func (p *process) isReady(ctx context.Context) bool {
-	ctx, stop := context.WithTimeout(ctx, readyWithin)
+	ctx, stop := context.WithTimeout(ctx, readyTimeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, p.ready, nil)
 	if err != nil {
@@ -199,7 +200,7 @@
 	return resp.StatusCode < http.StatusMultipleChoices
 }
 
-// awaitReady waits for the first readiness of a process.
+// awaitReady waits until a newly started process is ready.
 func (p *process) awaitReady(ctx context.Context) error {
 	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if p.isReady(ctx) {
--- a/soak/product_client.go
+++ b/soak/product_client.go
@@ -16,26 +16,25 @@
 )
 
 const (
-	ownTokens = 60 // of a draft; 0.3 s
-	// ownBudget is how long a client waits, ownBound when it must have its final
-	// answer at the latest.
-	ownBudget = 8 * time.Second
-	ownBound  = 13 * time.Second
-	ownIdle   = 2 * time.Second
+	productTokens = 60 // length of a generation, which takes 0.3 s
+	// productBudget is the time limit that a client sets for a request. productMaxAnswerTime is when
+	// it must have its final response at the latest.
+	productBudget        = 8 * time.Second
+	productMaxAnswerTime = 13 * time.Second
+	productIdleTimeout   = 2 * time.Second
 )
 
-// productClient sends one request after the other through any router, and goes on
-// at another one as package client does.
+// productClient sends one request after the other through a random router. Package client
+// continues a request at another router if one fails.
 type productClient struct {
 	run  *productRun
 	rng  *rand.Rand
 	name string
 	sent int
 	http *http.Client
-	// lives are the lifetimes of the routers, by endpoint, when the latest request
-	// began.
-	lives map[string]string
-	began time.Time
+	// incarnations holds the routers' incarnations at the start of the latest request, by endpoint.
+	incarnations map[string]string
+	startedAt    time.Time
 }
 
 func newProductClient(r *productRun, i int) *productClient {
@@ -50,74 +49,74 @@
 	for ctx.Err() == nil {
 		c.sent++
 		id := fmt.Sprintf("%s-%d", c.name, c.sent)
-		ask := []func(string) string{c.draft, c.draft, c.book, c.look}[c.rng.IntN(4)]
-		request := ask(id)
-		c.run.checks.judgeTime(request, time.Since(c.began), ownBound)
+		send := []func(string) string{c.generate, c.generate, c.book, c.lookUp}[c.rng.IntN(4)]
+		request := send(id)
+		c.run.checks.checkDuration(request, time.Since(c.startedAt), productMaxAnswerTime)
 		time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
 	}
 }
 
-// through returns a client of all routers, beginning with any, the account, and the
-// name that the routers' logs give to the request with a key.
-func (c *productClient) through(key string) (cl *client.Client, account int, request string) {
-	c.began, c.lives = time.Now(), map[string]string{}
-	for _, one := range c.run.routers {
-		c.lives["http://"+one.caller] = one.lifetime()
+// prepare returns a client that starts with a random router, the number of a random account, and
+// the id that the routers' logs give to the request with this idempotency key.
+func (c *productClient) prepare(key string) (cl *client.Client, account int, request string) {
+	c.startedAt, c.incarnations = time.Now(), map[string]string{}
+	for _, rt := range c.run.routers {
+		c.incarnations["http://"+rt.caller] = rt.incarnation()
 	}
 	var endpoints []string
 	first := c.rng.IntN(len(c.run.routers))
 	for i := range c.run.routers {
 		endpoints = append(endpoints, "http://"+c.run.routers[(first+i)%len(c.run.routers)].caller)
 	}
-	account = c.rng.IntN(ownAccounts)
+	account = c.rng.IntN(productAccounts)
 	name, apiKey := accountOf(account)
-	cl = client.New(endpoints, apiKey, client.Options{HTTP: c.http, IdleTimeout: ownIdle})
+	cl = client.New(endpoints, apiKey, client.Options{HTTP: c.http, IdleTimeout: productIdleTimeout})
 	return cl, account, load.RequestID(name, key)
 }
 
-// draft, book and look send one request each and return its name in the logs.
-func (c *productClient) draft(id string) string {
-	cl, account, request := c.through(id)
+// generate, book and lookUp send one request each and return its id in the logs.
+func (c *productClient) generate(id string) string {
+	cl, account, request := c.prepare(id)
 	prompt := "Summarise the release notes of " + id
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	leaves := c.rng.IntN(leaveShare) == 0
-	res, err := cl.Generate(ctx, client.Request{Model: ownModel, Prompt: prompt, MaxTokens: ownTokens, Key: id, Timeout: ownBudget}, func(string) {
-		if leaves {
+	abandons := c.rng.IntN(abandonEvery) == 0
+	res, err := cl.Generate(ctx, client.Request{Model: productModel, Prompt: prompt, MaxTokens: productTokens, Key: id, Timeout: productBudget}, func(string) {
+		if abandons {
 			stop()
 		}
 	})
-	c.run.checks.count("draft", outcomeOf(res.Outcome, err))
-	if report := load.Check(prompt, ownTokens, res); !report.OK {
-		c.run.checks.broken("no piece is missing, repeated, or another answer's, and a whole answer is whole", request, fmt.Sprintf("%+v, outcome %s", report, res.Outcome))
+	c.run.checks.countOutcome("draft", outcomeOf(res.Outcome, err))
+	if report := load.Check(prompt, productTokens, res); !report.OK {
+		c.run.checks.violated("no piece is missing, repeated, or another answer's, and a whole answer is whole", request, fmt.Sprintf("%+v, outcome %s", report, res.Outcome))
 	}
-	c.judgeKey(request, account, res.Endpoint, err)
+	c.checkKey(request, account, res.Endpoint, err)
 	return request
 }
 
 func (c *productClient) book(id string) string {
-	cl, account, request := c.through(id)
+	cl, account, request := c.prepare(id)
 	body := []byte("book " + id)
-	res, err := cl.Call(context.Background(), client.CallRequest{Service: ownService, Method: http.MethodPost, Path: "/book", Body: body, Key: id, Timeout: ownBudget})
-	c.run.checks.count("book", outcomeOf(res.Outcome, err))
-	c.run.checks.booked(service.Digest(body), request, res.Outcome)
+	res, err := cl.Call(context.Background(), client.CallRequest{Service: productService, Method: http.MethodPost, Path: "/book", Body: body, Key: id, Timeout: productBudget})
+	c.run.checks.countOutcome("book", outcomeOf(res.Outcome, err))
+	c.run.checks.recordBooking(service.Digest(body), request, res.Outcome)
 	var a service.Answer
 	if err == nil && (json.Unmarshal(res.Body, &a) != nil || a.Body != service.Digest(body)) {
-		c.run.checks.broken("every caller gets its own answer", request, string(res.Body))
+		c.run.checks.violated("every caller gets its own answer", request, string(res.Body))
 	}
-	c.judgeKey(request, account, res.Endpoint, err)
+	c.checkKey(request, account, res.Endpoint, err)
 	return request
 }
 
-func (c *productClient) look(id string) string {
-	cl, account, request := c.through(id)
-	res, err := cl.Call(context.Background(), client.CallRequest{Service: ownService, Path: "/lookup/" + id, Key: id, Timeout: ownBudget})
-	c.run.checks.count("look", outcomeOf(res.Outcome, err))
+func (c *productClient) lookUp(id string) string {
+	cl, account, request := c.prepare(id)
+	res, err := cl.Call(context.Background(), client.CallRequest{Service: productService, Path: "/lookup/" + id, Key: id, Timeout: productBudget})
+	c.run.checks.countOutcome("look", outcomeOf(res.Outcome, err))
 	var a service.Answer
 	if err == nil && (json.Unmarshal(res.Body, &a) != nil || a.Key != id || a.Value != service.Digest([]byte(id))) {
-		c.run.checks.broken("every caller gets its own answer", request, string(res.Body))
+		c.run.checks.violated("every caller gets its own answer", request, string(res.Body))
 	}
-	c.judgeKey(request, account, res.Endpoint, err)
+	c.checkKey(request, account, res.Endpoint, err)
 	return request
 }
 
@@ -128,21 +127,21 @@
 	return string(o)
 }
 
-// judgeKey finds a router that goes back to an older configuration: accounts are
-// only ever taken away.
-func (c *productClient) judgeKey(request string, account int, endpoint string, err error) {
-	life := c.lives[endpoint]
-	for _, one := range c.run.routers {
-		if endpoint == "http://"+one.caller && one.lifetime() != life {
-			return // another process may have answered
+// checkKey finds a router that returns to an older configuration. During a run accounts are only
+// removed, so a router that has rejected one must not accept it again.
+func (c *productClient) checkKey(request string, account int, endpoint string, err error) {
+	incarnation := c.incarnations[endpoint]
+	for _, rt := range c.run.routers {
+		if endpoint == "http://"+rt.caller && rt.incarnation() != incarnation {
+			return // the router has restarted: another process may have responded
 		}
 	}
-	at := fmt.Sprintf("%s account %d", life, account)
-	ref, refused := errors.AsType[*client.Refusal](err)
+	at := fmt.Sprintf("%s account %d", incarnation, account)
+	ref, rejected := errors.AsType[*client.Refusal](err)
 	switch {
-	case refused && ref.Status == http.StatusUnauthorized:
-		c.run.checks.deny(at, request)
+	case rejected && ref.Status == http.StatusUnauthorized:
+		c.run.checks.recordDenied(at, request)
 	case err == nil:
-		c.run.checks.accept(at, request, c.began)
+		c.run.checks.checkAccepted(at, request, c.startedAt)
 	}
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -1,11 +1,11 @@
-// Package soak runs real wigeond processes against stand-ins, on the users' platform
-// (Run) and on the product's own interface (RunProduct), injects faults from outside
-// them, and checks what callers and backend servers see.
+// Package soak runs real wigeond processes against fakes of everything around them, on
+// the users' platform (Run) and on the product's own interface (RunProduct). It injects
+// faults from outside the processes and checks what clients and backend servers observe.
 //
-// It finds failures of combinations: signals, restarts, cuts and changes that come
-// in series and overlap. A run is a function of its seed as far as its faults and
-// requests go; how processes interleave is not, so a seed that failed is kept and
-// played again, and a single failure counts.
+// It finds failures that only a combination causes: signals, restarts, network cuts and
+// configuration changes that follow each other or overlap. The seed determines the faults
+// and requests of a run, but not how the processes interleave. A seed that failed is
+// therefore kept and run again, and a single failure counts.
 package soak
 
 import (
@@ -26,37 +26,37 @@
 // Config of one run.
 type Config struct {
 	Seed     uint64
-	Wigeond  string   // program to start
-	Env      []string // added to its environment
+	Wigeond  string   // path of the wigeond program to start
+	Env      []string // added to the environment of each wigeond process
 	Nodes    int
-	Engines  int // in two failure domains
+	Engines  int // model engines: in two failure domains on the platform, in three on the product's interface
 	Services int
 	Clients  int
-	Length   time.Duration // of the part with faults
-	Dir      string        // for settings and logs
+	Length   time.Duration // of the phase in which faults are injected
+	Dir      string        // for settings and log files
 	Out      io.Writer
-	// Timed also judges when answers come. It is off in CI, whose verdict must not
-	// depend on how busy the machine is.
+	// Timed also checks that each response ends in time. It is off in CI, where the result
+	// must not depend on how busy the machine is.
 	Timed bool
-	// Lifetimes adds replicas that start again under their names, and entries of other
-	// programs, on the users' platform.
+	// Lifetimes adds faults of the users' platform: replicas that restart under the same id,
+	// and store entries written by other programs.
 	Lifetimes bool
-	// Rollouts has new versions of the services ordered, good and bad ones, on the users'
+	// Rollouts orders roll-outs of good and bad versions of the services on the users'
 	// platform.
 	Rollouts bool
-	// Crashers has requests sent, again and again, that make each backend server crash that
-	// runs them.
+	// Crashers repeatedly sends requests that crash every backend server that runs them, on
+	// the users' platform.
 	Crashers bool
 }
 
-// Violation is one promise that was broken.
+// Violation is one observation that breaks a promise of the product.
 type Violation struct {
 	Promise string
-	Request string // id, if it is about one
+	Request string // id of the request; empty if the violation concerns none
 	Detail  string
 }
 
-// Report is the outcome of a run.
+// Report holds the results of a run.
 type Report struct {
 	Seed       uint64
 	Requests   int
@@ -65,16 +65,16 @@
 	Violations []Violation
 }
 
-// history lists the faults of a run with their times.
+// history records the injected faults and other steps of a run with their times.
 type history struct {
-	began time.Time
+	startedAt time.Time
 
 	mu    sync.Mutex
 	lines []string
 }
 
-func (h *history) note(name string) {
-	line := fmt.Sprintf("%7.3f %s", time.Since(h.began).Seconds(), name)
+func (h *history) add(name string) {
+	line := fmt.Sprintf("%7.3f %s", time.Since(h.startedAt).Seconds(), name)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lines = append(h.lines, line)
@@ -86,16 +86,17 @@
 	return slices.Clone(h.lines)
 }
 
-// Streams of random numbers, so that the two interfaces don't get the same faults.
+// Second seed values of the random generators: with one seed the two interfaces get different
+// faults.
 const (
 	platformStream = 1
 	productStream  = 2
 )
 
-// run is what the runs on both interfaces have.
+// run holds the state that runs on both interfaces share.
 type run struct {
 	cfg     Config
-	rng     *rand.Rand // of the faults; not shared
+	rng     *rand.Rand // draws the faults; used by one goroutine only
 	history *history
 	checks  *checks
 }
@@ -104,48 +105,50 @@
 	return run{
 		cfg:     cfg,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, stream)),
-		history: &history{began: time.Now()},
+		history: &history{startedAt: time.Now()},
 		checks:  newChecks(cfg.Timed),
 	}
 }
 
-// side is one interface with its routers, stand-ins and clients.
-type side interface {
+// testbed is one interface with its routers, fakes and clients.
+type testbed interface {
 	start(ctx context.Context) error
-	client(i int) looper
+	newClient(i int) trafficClient
 	faults() []fault
-	// calm ends all faults and waits until every router is ready.
-	calm()
+	// endFaults ends all faults and waits until every router is ready.
+	endFaults()
 	finalChecks()
-	// stop ends every process and stand-in that was started.
+	// stop ends every process and fake that was started.
 	stop()
 }
 
-// looper sends requests until its context ends, and finishes the last one.
-type looper interface {
+// trafficClient sends requests until its context ends, then waits for the response to the last
+// one.
+type trafficClient interface {
 	loop(ctx context.Context)
 }
 
-// play injects faults while clients send requests, and judges what was seen.
-func (r *run) play(ctx context.Context, s side) (*Report, error) {
-	defer s.stop()
-	if err := s.start(ctx); err != nil {
+// execute injects faults while clients send requests, and checks what was observed.
+func (r *run) execute(ctx context.Context, bed testbed) (*Report, error) {
+	defer bed.stop()
+	if err := bed.start(ctx); err != nil {
 		return nil, err
 	}
 	clientCtx, stopClients := context.WithCancel(ctx)
 	defer stopClients()
 	var clients sync.WaitGroup
 	for i := range r.cfg.Clients {
-		c := s.client(i)
+		c := bed.newClient(i)
 		clients.Go(func() { c.loop(clientCtx) })
 	}
-	injectFaults(ctx, r.rng, r.cfg.Length, s.faults(), r.history.note)
-	s.calm()
+	injectFaults(ctx, r.rng, r.cfg.Length, bed.faults(), r.history.add)
+	bed.endFaults()
 	stopClients()
 	clients.Wait()
-	s.finalChecks()
+	bed.finalChecks()
 	return r.checks.report(r.cfg.Seed, r.history.list()), nil
 }
 
-// settleTime is how long the fleet may take to come to rest after the last fault.
+// settleTime is how long the routers may take to become ready at their start and after the last
+// fault.
 const settleTime = 20 * time.Second
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,69 +19,69 @@
 	os.Exit(m.Run())
 }
 
-// seeds are played on each run of CI: a few that cover every kind of fault, and
-// those that ever failed, each with a line on its cause.
+// seeds run in CI: a few that cover every kind of fault, and those that once failed, each with a
+// line on the cause.
 var (
 	seeds        = []uint64{1, 7}
 	productSeeds = []uint64{1}
 )
 
-// What is checked here depends on no clock's figure: answers are whole or surely
-// not, requests run as often as they may, refusals are true, no process goes back
-// to an older configuration, and work ends when nobody waits.
+// Runs on the users' platform. The checks don't depend on timing: a response is complete or
+// recognizably not, requests run at most as often as allowed, refusals are true, no router returns
+// to an older configuration, and work ends when no client waits for it.
 func TestSeeds(t *testing.T) {
 	for _, seed := range seeds {
-		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second})
 	}
 }
 
-// The same with replicas that start again under their names, and with entries of other
-// programs in the store.
+// As TestSeeds, with replicas that restart under the same id, and with entries of other programs in
+// the store.
 func TestLifetimeSeeds(t *testing.T) {
 	for _, seed := range []uint64{3} {
-		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second, Lifetimes: true})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second, Lifetimes: true})
 	}
 }
 
-// The same with new versions, good and bad ones, that are ordered beside the faults. Seeds
-// that failed once:
+// As TestSeeds, with roll-outs of good and bad versions in addition to the faults. These seeds once
+// failed:
 //
-// 8002: a router that had heard of no answer ended the trial of a bad version, which got all
-// requests then.
+// 8002: a router that had received no report of a response ended the trial of a bad version, which
+// then got all requests.
 //
-// 8003: a trial began late and ended before the version turned bad.
+// 8003: a trial started late and ended before the version turned bad.
 func TestRolloutSeeds(t *testing.T) {
 	for seed, length := range map[uint64]time.Duration{8002: 20 * time.Second, 8003: 15 * time.Second} {
-		play(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: length, Rollouts: true})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: length, Rollouts: true})
 	}
 }
 
-// The same with requests that make each replica crash that runs them.
+// As TestSeeds, with requests that crash every replica that runs them.
 func TestCrasherSeeds(t *testing.T) {
-	play(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, Length: 8 * time.Second, Crashers: true})
+	checkSeed(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, Length: 8 * time.Second, Crashers: true})
 }
 
-// The same on the product's own interface.
+// Runs on the product's own interface.
 func TestProductSeeds(t *testing.T) {
 	for _, seed := range productSeeds {
-		play(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, Length: 5 * time.Second})
+		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, Length: 5 * time.Second})
 	}
 }
 
-// Seeds that failed once, played as they were.
+// Seeds on the product's own interface that once failed, with the configuration that failed.
 //
-// 5002: a killed router was told to end in the millisecond of its next launch, which
-// counted as a bad end.
+// 5002: a router that had been killed got SIGTERM within a millisecond of its next start, and its
+// death by the signal counted as a violation.
 func TestSeedsThatFailedOnTheProductsInterface(t *testing.T) {
 	for _, seed := range []uint64{5002} {
-		play(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: 8 * time.Second})
+		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: 8 * time.Second})
 	}
 }
 
-func play(t *testing.T, run func(context.Context, Config) (*Report, error), cfg Config) {
+func checkSeed(t *testing.T, run func(context.Context, Config) (*Report, error), cfg Config) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("plays some seconds of faults")
+		t.Skip("injects faults for some seconds")
 	}
 	self, err := os.Executable()
 	if err != nil {
