--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxEvents bounds the cache events kept for readers.
-const maxEvents = 8192
+// maxCacheEvents bounds the events that a cache keeps for GET /v1/cache-events.
+const maxCacheEvents = 8192
 
-// CacheEvent tells that a prefix block entered or left the cache.
+// CacheEvent reports that a prefix block was added to or removed from the cache.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Type  string `json:"type"` // "stored" or "removed"
@@ -18,8 +18,8 @@
 	at    time.Time
 }
 
-// cache is a least-recently-used set of prefix blocks. Its events have gaps: a
-// dropped event uses up a sequence number.
+// cache is a least-recently-used set of prefix blocks. It drops a share of its events on
+// purpose. A dropped event uses up a sequence number, so readers see a gap.
 type cache struct {
 	limit       int
 	dropPercent int
@@ -40,8 +40,8 @@
 	}
 }
 
-// use stores the blocks and returns how many leading ones were there already.
-func (c *cache) use(blocks []uint64, now time.Time) int {
+// lookUpAndStore stores the blocks and returns how many leading ones were cached before.
+func (c *cache) lookUpAndStore(blocks []uint64, now time.Time) int {
 	hits := 0
 	for i, b := range blocks {
 		e, ok := c.blocks[b]
@@ -59,28 +59,28 @@
 
 func (c *cache) store(b uint64, now time.Time) {
 	if c.order.Len() >= c.limit {
-		last := c.order.Back()
-		old := c.order.Remove(last).(uint64)
-		delete(c.blocks, old)
-		c.emit("removed", old, now)
+		oldest := c.order.Back()
+		block := c.order.Remove(oldest).(uint64)
+		delete(c.blocks, block)
+		c.addEvent("removed", block, now)
 	}
 	c.blocks[b] = c.order.PushFront(b)
-	c.emit("stored", b, now)
+	c.addEvent("stored", b, now)
 }
 
-func (c *cache) emit(kind string, b uint64, now time.Time) {
+func (c *cache) addEvent(kind string, b uint64, now time.Time) {
 	c.seq++
 	if c.rng.IntN(100) < c.dropPercent {
 		return
 	}
 	c.events = append(c.events, CacheEvent{c.seq, kind, fmt.Sprintf("%016x", b), now})
-	if len(c.events) > maxEvents {
-		c.events = c.events[len(c.events)-maxEvents/2:]
+	if len(c.events) > maxCacheEvents {
+		c.events = c.events[len(c.events)-maxCacheEvents/2:]
 	}
 }
 
-// after lists the events past seq that happened no later than until.
-func (c *cache) after(seq uint64, until time.Time) []CacheEvent {
+// eventsAfter returns the events with a sequence number above seq that happened at until or before.
+func (c *cache) eventsAfter(seq uint64, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
 		if e.Seq > seq && !e.at.After(until) {
--- a/fakes/engine/config.go
+++ b/fakes/engine/config.go
@@ -1,7 +1,7 @@
-// Package engine is a stand-in for a model engine with continuous batching: all
-// running streams of one engine advance by one token in each decode step. It
-// samples afresh for each generation, continues any text that it is given, and
-// records what it generated, so that a test can count work done for nobody.
+// Package engine is a fake model engine with continuous batching: all running streams of
+// an engine advance by one token in each decode step. Each generation is sampled with new
+// random numbers and can continue any given text. The engine records what it generated,
+// so that tests can count the work that no client received.
 package engine
 
 import (
@@ -18,27 +18,27 @@
 var Error = errs.Class("fake engine")
 
 const (
-	defaultStep       = 15 * time.Millisecond
-	defaultRunning    = 64
-	defaultCache      = 4096
-	minStep           = 100 * time.Microsecond
-	idleStep          = 20 * time.Millisecond
-	waitingPerRunning = 4
+	defaultStepTime    = 15 * time.Millisecond
+	defaultMaxRunning  = 64
+	defaultCacheBlocks = 4096
+	minStep            = 100 * time.Microsecond
+	idleInterval       = 20 * time.Millisecond
+	waitingPerRunning  = 4
 )
 
-// Loader draws a model's weights; it returns when they have been read.
+// Loader reads a model's weights. Load returns when they have been read.
 type Loader interface {
 	Load(ctx context.Context, ref fleet.ModelRef) error
 }
 
-// Config describes one engine. Zero values of the numbers mean a default,
-// except the lags and the drop rate, whose zero means none.
+// Config describes one engine. A zero number means the default, except for the lags and
+// the drop rate, where it means none.
 type Config struct {
 	ID                string           `json:"id"`
 	VM                string           `json:"vm"`
 	FailureDomain     string           `json:"failure_domain"`
 	Addr              string           `json:"addr"`
-	Advertise         string           `json:"advertise"` // address in the VM list, if not the engine's own
+	Advertise         string           `json:"advertise"` // address in the VM list, if it differs from the engine's own
 	Serves            []fleet.ModelRef `json:"serves"`
 	StepMS            float64          `json:"step_ms"`
 	PrefillUSPerBlock float64          `json:"prefill_us_per_block"`
@@ -51,7 +51,7 @@
 	EventsDropPercent int              `json:"events_drop_percent"`
 }
 
-// Check reports numbers that make no sense.
+// Check returns an error if a number is out of range.
 func (c Config) Check() error {
 	for name, v := range map[string]float64{
 		"step_ms":              c.StepMS,
@@ -75,16 +75,16 @@
 
 func (c Config) withDefaults() Config {
 	if c.StepMS == 0 {
-		c.StepMS = float64(defaultStep / time.Millisecond)
+		c.StepMS = float64(defaultStepTime / time.Millisecond)
 	}
 	if c.MaxRunning == 0 {
-		c.MaxRunning = defaultRunning
+		c.MaxRunning = defaultMaxRunning
 	}
 	if c.MaxWaiting == 0 {
 		c.MaxWaiting = waitingPerRunning * c.MaxRunning
 	}
 	if c.CacheBlocks == 0 {
-		c.CacheBlocks = defaultCache
+		c.CacheBlocks = defaultCacheBlocks
 	}
 	return c
 }
--- a/fakes/engine/engine.go
+++ b/fakes/engine/engine.go
@@ -13,42 +13,42 @@
 	"wigeondale/fleet"
 )
 
-// rememberFor is how long an ended stream can still be attached to or cancelled.
-const rememberFor = 15 * time.Second
+// retention is how long clients can still attach to or cancel a stream that has ended.
+const retention = 15 * time.Second
 
-// bytesPerToken converts prompt bytes into prefilled tokens for the record.
+// bytesPerToken converts prompt bytes into the number of prefilled tokens in records.
 const bytesPerToken = 4
 
-// Engine is one stand-in engine.
+// Engine is one fake engine.
 type Engine struct {
-	cfg    Config
-	loader Loader
-	server *fault.Server
-	shots  shots
-	slow   atomic.Int64 // additional nanoseconds per step
-	clock  atomic.Int64 // milliseconds by which its clock is ahead
+	cfg         Config
+	loader      Loader
+	server      *fault.Server
+	chunkFaults chunkFaults
+	extraStep   atomic.Int64 // nanoseconds added to each step
+	clockOffset atomic.Int64 // milliseconds by which the engine's clock is ahead; negative if behind
 
 	mu          sync.Mutex
 	rng         *rand.Rand
-	stop        context.CancelFunc // ends the present incarnation
+	cancel      context.CancelFunc // cancels ctx, which ends the current incarnation
 	ctx         context.Context
-	frozen      chan struct{} // non-nil while frozen; closed by thaw
-	wake        chan struct{} // tells an idle step loop of new work
+	frozen      chan struct{} // non-nil while frozen; Thaw closes it
+	wake        chan struct{} // signals new work to an idle step loop
 	incarnation string
 	streams     map[key]*stream
 	waiting     []*stream
 	running     []*stream
 	arrivals    int
-	prefillEnd  time.Time // until when earlier prefills keep the engine busy
+	prefillEnd  time.Time // when the prefills admitted so far end
 	cache       *cache
 	order       order
-	samples     []fleet.LoadReport
-	past        []StreamRecord // streams that are no longer remembered
-	refused     int            // requests refused since the engine leaves
-	fences      []uint64       // of the orders followed
+	loadReports []fleet.LoadReport
+	expired     []StreamRecord // records of streams that clients can no longer attach to
+	refused     int            // requests refused because the engine is leaving
+	fences      []uint64       // fencing numbers of the orders that were followed
 }
 
-// New prepares an engine; loader may be nil, which makes loads instant.
+// New prepares an engine. With a nil loader, models load instantly.
 func New(cfg Config, loader Loader) *Engine {
 	e := &Engine{
 		cfg:    cfg.withDefaults(),
@@ -60,32 +60,32 @@
 	return e
 }
 
-// ID is the backend id.
+// ID returns the backend id.
 func (e *Engine) ID() string { return e.cfg.ID }
 
-// Addr is the engine's own address.
+// Addr returns the address on which the engine listens.
 func (e *Engine) Addr() string { return e.server.Addr() }
 
 // Config returns the engine's configuration with its defaults filled in.
 func (e *Engine) Config() Config { return e.cfg }
 
-// Start begins a new incarnation, which knows nothing of earlier ones.
+// Start starts a new incarnation, which has no state of earlier ones except the records.
 func (e *Engine) Start() error {
 	e.Kill()
 	e.mu.Lock()
 	ctx, stop := context.WithCancel(context.Background())
-	e.ctx, e.stop = ctx, stop
+	e.ctx, e.cancel = ctx, stop
 	e.incarnation = fmt.Sprintf("%s-%08x", e.cfg.ID, e.rng.Uint32())
 	e.streams = make(map[key]*stream)
 	e.waiting, e.running = nil, nil
 	e.prefillEnd = time.Time{}
 	e.cache = newCache(e.cfg.CacheBlocks, e.cfg.EventsDropPercent, e.rng)
 	e.order = newOrder(e.cfg.Serves)
-	e.samples = nil
-	e.sample(time.Now())
+	e.loadReports = nil
+	e.recordLoad(time.Now())
 	decode := e.cfg.step()
 	e.mu.Unlock()
-	e.slow.Store(0)
+	e.extraStep.Store(0)
 	if err := e.server.Start(); err != nil {
 		stop()
 		return Error.Wrap(err)
@@ -94,26 +94,26 @@
 	return nil
 }
 
-// Kill resets all connections, refuses new ones and forgets all streams.
+// Kill resets all connections, refuses new ones and cancels all streams.
 func (e *Engine) Kill() {
 	e.Thaw()
 	e.server.Kill()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.stop != nil {
-		e.stop()
+	if e.cancel != nil {
+		e.cancel()
 	}
 	now := time.Now()
 	for k, s := range e.streams {
 		s.cancel("killed", now)
-		e.past = append(e.past, e.recordOf(s))
+		e.expired = append(e.expired, e.recordOf(s))
 		delete(e.streams, k)
 	}
 	e.waiting, e.running = nil, nil
 }
 
-// Freeze pauses the engine as a stopped process would be: the kernel goes on
-// accepting connections, but nothing answers and no step runs.
+// Freeze pauses the engine like a stopped process: connections are still accepted and stay
+// open, but nothing is answered and no step runs.
 func (e *Engine) Freeze() {
 	e.server.Listener.Cut()
 	e.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 }
 
-// Thaw lets a frozen engine go on as if nothing had happened.
+// Thaw lets a frozen engine continue where it stopped.
 func (e *Engine) Thaw() {
 	e.mu.Lock()
 	if e.frozen != nil {
@@ -134,8 +134,8 @@
 	e.server.Listener.Heal()
 }
 
-// loop runs the decode steps of one incarnation. It keeps their rhythm exact
-// over time, and slows down while there is no work.
+// loop runs the decode steps of one incarnation. Each step is scheduled relative to the
+// previous one, so that delays don't add up. While there is no work it runs less often.
 func (e *Engine) loop(ctx context.Context, decode time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -152,11 +152,11 @@
 			timer.Reset(next.Sub(now))
 			continue
 		}
-		step := decode + time.Duration(e.slow.Load())
+		step := decode + time.Duration(e.extraStep.Load())
 		if now.Sub(next) > step {
-			next = now // after idling or overload, lost steps are not made up for
+			next = now // steps missed while idle or overloaded are not made up for
 		}
-		busy, frozen := e.step(ctx, now)
+		busy, frozen := e.runStep(ctx, now)
 		if frozen != nil {
 			select {
 			case <-frozen:
@@ -167,14 +167,15 @@
 		next = next.Add(step)
 		wait := time.Until(next)
 		if !busy {
-			wait = max(wait, idleStep)
+			wait = max(wait, idleInterval)
 		}
 		timer.Reset(wait)
 	}
 }
 
-// step advances every running stream by one token.
-func (e *Engine) step(ctx context.Context, now time.Time) (busy bool, frozen <-chan struct{}) {
+// runStep advances every running stream by one token. It reports whether there is work, and
+// while the engine is frozen returns the channel that Thaw closes.
+func (e *Engine) runStep(ctx context.Context, now time.Time) (busy bool, frozen <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.frozen != nil {
@@ -183,7 +184,7 @@
 	if ctx.Err() != nil {
 		return false, nil
 	}
-	e.dropAbandoned(now)
+	e.cancelAbandoned(now)
 	e.admit(now)
 	e.running = slices.DeleteFunc(e.running, func(s *stream) bool {
 		if s.stalled || now.Before(s.readyAt) {
@@ -191,17 +192,18 @@
 		}
 		return s.advance(uint16(e.rng.Uint32()), now)
 	})
-	e.sample(now)
+	e.recordLoad(now)
 	return len(e.running)+len(e.waiting) > 0, nil
 }
 
-// admit moves waiting streams into the batch: by priority, then by arrival.
+// admit moves waiting streams into the batch, in the order of the queue, and adds the time of
+// their prefills.
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.MaxRunning {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		hits := e.cache.use(s.blocks, now)
-		cost := s.pieces - hits
+		hits := e.cache.lookUpAndStore(s.blocks, now)
+		cost := s.blockCount - hits
 		s.prefilled = cost * fleet.BlockBytes / bytesPerToken
 		if e.prefillEnd.Before(now) {
 			e.prefillEnd = now
@@ -212,7 +214,7 @@
 	}
 }
 
-// enqueue keeps the waiting queue in its order.
+// enqueue inserts a stream into the waiting queue: by priority, then by arrival.
 func (e *Engine) enqueue(s *stream) {
 	e.arrivals++
 	s.arrival = e.arrivals
@@ -232,40 +234,42 @@
 	return a.arrival - b.arrival
 }
 
-func (e *Engine) dropAbandoned(now time.Time) {
+func (e *Engine) cancelAbandoned(now time.Time) {
 	for _, s := range slices.Concat(e.running, e.waiting) {
 		if s.abandoned(now) {
-			e.end(s, "linger", now)
+			e.cancelStream(s, "linger", now)
 		}
 	}
 }
 
-// end cancels a stream and takes it out of the batch and the queue.
-func (e *Engine) end(s *stream, reason string, now time.Time) int {
-	same := func(other *stream) bool { return other == s }
-	e.running = slices.DeleteFunc(e.running, same)
-	e.waiting = slices.DeleteFunc(e.waiting, same)
+// cancelStream cancels a stream and removes it from the batch and the queue. It returns how many
+// tokens the stream generated.
+func (e *Engine) cancelStream(s *stream, reason string, now time.Time) int {
+	isStream := func(other *stream) bool { return other == s }
+	e.running = slices.DeleteFunc(e.running, isStream)
+	e.waiting = slices.DeleteFunc(e.waiting, isStream)
 	return s.cancel(reason, now)
 }
 
-// sample takes a load report and forgets what is older than any reader needs.
-func (e *Engine) sample(now time.Time) {
+// recordLoad adds a load report, unless the latest one is recent, and drops reports that are older
+// than the report lag. It also expires ended streams.
+func (e *Engine) recordLoad(now time.Time) {
 	lag := fault.Millis(e.cfg.ReportLagMS)
-	if n := len(e.samples); n > 0 && now.Sub(e.samples[n-1].AsOf()) < max(lag/4, idleStep) {
+	if n := len(e.loadReports); n > 0 && now.Sub(e.loadReports[n-1].AsOf()) < max(lag/4, idleInterval) {
 		return
 	}
-	e.samples = append(e.samples, e.report(now))
-	for len(e.samples) > 1 && now.Sub(e.samples[1].AsOf()) >= lag {
-		e.samples = e.samples[1:]
+	e.loadReports = append(e.loadReports, e.report(now))
+	for len(e.loadReports) > 1 && now.Sub(e.loadReports[1].AsOf()) >= lag {
+		e.loadReports = e.loadReports[1:]
 	}
-	e.expire(now)
+	e.expireStreams(now)
 }
 
-// expire moves long ended streams from memory into the record.
-func (e *Engine) expire(now time.Time) {
+// expireStreams moves streams that ended longer than retention ago into the records.
+func (e *Engine) expireStreams(now time.Time) {
 	for k, s := range e.streams {
 		if s.expired(now) {
-			e.past = append(e.past, e.recordOf(s))
+			e.expired = append(e.expired, e.recordOf(s))
 			delete(e.streams, k)
 		}
 	}
--- a/fakes/engine/fault.go
+++ b/fakes/engine/fault.go
@@ -11,35 +11,35 @@
 
 // One-shot faults of a single chunk.
 const (
-	shotCross  = "cross"
-	shotRepeat = "repeat"
-	shotSkip   = "skip"
+	faultCross  = "cross"
+	faultRepeat = "repeat"
+	faultSkip   = "skip"
 )
 
-// shots holds the armed one-shot faults.
-type shots struct {
-	armed atomic.Int64 // lets the usual case pass without the lock
+// chunkFaults holds the one-shot faults that are armed.
+type chunkFaults struct {
+	count atomic.Int64 // length of list; lets take return without the lock if no fault is armed
 	mu    sync.Mutex
-	list  []shot
+	list  []chunkFault
 }
 
-type shot struct {
+type chunkFault struct {
 	name    string
 	request string // empty means any
 }
 
-func (s *shots) arm(name, request string, times int) {
+func (s *chunkFaults) arm(name, request string, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range times {
-		s.list = append(s.list, shot{name, request})
+		s.list = append(s.list, chunkFault{name, request})
 	}
-	s.armed.Store(int64(len(s.list)))
+	s.count.Store(int64(len(s.list)))
 }
 
-// take uses up the first fault armed for the request and returns its name.
-func (s *shots) take(request string) string {
-	if s.armed.Load() == 0 {
+// take removes the first fault that is armed for the request and returns its name, or "".
+func (s *chunkFaults) take(request string) string {
+	if s.count.Load() == 0 {
 		return ""
 	}
 	s.mu.Lock()
@@ -47,16 +47,23 @@
 	for i, f := range s.list {
 		if f.request == "" || f.request == request {
 			s.list = append(s.list[:i], s.list[i+1:]...)
-			s.armed.Store(int64(len(s.list)))
+			s.count.Store(int64(len(s.list)))
 			return f.name
 		}
 	}
 	return ""
 }
 
-// Fault turns a switch: kill, start, freeze, thaw, cut, heal, slow {ms} (longer
-// steps), clock {ms} (ahead, or behind if below 0), stall {request,on}, late {request,ms} (a stall that ends by itself),
-// leave {on}, lag {ms} of load reports and cache events, and the one-shot cross, repeat and skip {request,n}.
+// Fault turns a switch:
+//   - kill, start, freeze, thaw, cut, heal
+//   - slow {ms}: adds ms to each step
+//   - clock {ms}: sets the clock ahead, or behind if ms is negative
+//   - stall {request,on}: stops the request's streams
+//   - late {request,ms}: a stall that ends after ms
+//   - leave {on}: the engine refuses new requests since it is leaving
+//   - lag {ms}: the lag of load reports and cache events
+//   - cross, repeat, skip {request,n}: spoil the next n chunks: one has the id of another
+//     request, is sent twice or is left out
 func (e *Engine) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
@@ -74,32 +81,32 @@
 	case "cut", "heal":
 		return e.server.Apply(name, args)
 	case "slow":
-		e.slow.Store(int64(args.Duration()))
+		e.extraStep.Store(int64(args.Duration()))
 	case "clock":
-		e.clock.Store(args.Duration().Milliseconds())
+		e.clockOffset.Store(args.Duration().Milliseconds())
 	case "stall":
-		e.stall(args.Request, args.Enabled())
+		e.setStalled(args.Request, args.Enabled())
 	case "late":
-		e.stall(args.Request, true)
-		time.AfterFunc(args.Duration(), func() { e.stall(args.Request, false) })
+		e.setStalled(args.Request, true)
+		time.AfterFunc(args.Duration(), func() { e.setStalled(args.Request, false) })
 	case "leave":
-		e.leave(args.Enabled())
+		e.setLeaving(args.Enabled())
 	case "lag":
-		e.lag(args.MS)
-	case shotCross, shotRepeat, shotSkip:
-		e.shots.arm(name, args.Request, args.Times())
+		e.setLag(args.MS)
+	case faultCross, faultRepeat, faultSkip:
+		e.chunkFaults.arm(name, args.Request, args.Times())
 	default:
 		return fault.ErrUnknown
 	}
 	return nil
 }
 
-// Close ends the engine for good.
+// Close kills the engine.
 func (e *Engine) Close() { e.Kill() }
 
-// stall silences one request's streams while the others go on; an empty
-// request means all that are there now.
-func (e *Engine) stall(request string, on bool) {
+// setStalled stops or resumes the streams of one request; the others go on. An empty
+// request means all current streams.
+func (e *Engine) setStalled(request string, on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.streams {
@@ -109,13 +116,13 @@
 	}
 }
 
-func (e *Engine) lag(ms float64) {
+func (e *Engine) setLag(ms float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cfg.ReportLagMS, e.cfg.EventsLagMS = ms, ms
 }
 
-func (e *Engine) leave(on bool) {
+func (e *Engine) setLeaving(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.order.leaving = on
--- a/fakes/engine/follow.go
+++ b/fakes/engine/follow.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-const chunkSize = 256 // bytes, about one rendered chunk
+const typicalChunkBytes = 256 // about one rendered chunk
 
-// follow writes the stream to one reader from its n-th token on. All tokens
-// that are ready go out with a single flush.
-func (e *Engine) follow(w http.ResponseWriter, r *http.Request, s *stream, rd *reader, incarnation string, n int) {
+// serveStream writes the stream to one reader, starting with its n-th token. All tokens that
+// are ready are written with a single flush.
+func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, rd *reader, incarnation string, n int) {
 	defer func() { s.detach(rd, time.Now()) }()
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
@@ -18,12 +18,12 @@
 	if flusher.Flush() != nil {
 		return
 	}
-	buf := make([]byte, 0, 4*chunkSize)
+	buf := make([]byte, 0, 4*typicalChunkBytes)
 	for {
 		select {
 		case <-rd.wake:
-		case <-rd.gone:
-			panic(http.ErrAbortHandler) // closes the connection of the reader taken over from
+		case <-rd.replaced:
+			panic(http.ErrAbortHandler) // another reader has taken over: closes this reader's connection
 		case <-r.Context().Done():
 			return
 		}
@@ -39,35 +39,35 @@
 		if _, err := w.Write(buf); err != nil || flusher.Flush() != nil {
 			return
 		}
-		s.wrote(n)
+		s.recordDelivered(n)
 		if last {
 			return
 		}
 		if v.ended {
-			panic(http.ErrAbortHandler) // a cancelled stream ends without [DONE]
+			panic(http.ErrAbortHandler) // a cancelled stream's connection closes without [DONE]
 		}
 	}
 }
 
-// appendToken renders the n-th token, spoilt if a one-shot fault is armed.
+// appendToken renders the n-th token, and applies a one-shot fault if one is armed.
 func (e *Engine) appendToken(buf []byte, s *stream, v view, n int) []byte {
 	finish := ""
 	if v.finish != "" && n == len(v.ends)-1 {
 		finish = v.finish
 	}
 	head := s.head
-	switch e.shots.take(s.key.request) {
-	case shotSkip:
+	switch e.chunkFaults.take(s.key.request) {
+	case faultSkip:
 		return buf
-	case shotCross:
-		head = chunkHead(e.otherRequest(s.key), s.key.attempt, s.ref)
-	case shotRepeat:
-		buf = appendChunk(buf, head, s.base+n, v.token(n), finish)
+	case faultCross:
+		head = renderChunkHead(e.otherRequest(s.key), s.key.attempt, s.ref)
+	case faultRepeat:
+		buf = appendChunk(buf, head, s.firstToken+n, v.token(n), finish)
 	}
-	return appendChunk(buf, head, s.base+n, v.token(n), finish)
+	return appendChunk(buf, head, s.firstToken+n, v.token(n), finish)
 }
 
-// otherRequest names another live request if there is one.
+// otherRequest returns the id of another current request, or an invented one if there is none.
 func (e *Engine) otherRequest(k key) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -45,7 +45,7 @@
 	Code    string `json:"code"`
 }
 
-type errorAnswer struct {
+type errorResponse struct {
 	Error errorBody `json:"error"`
 }
 
@@ -54,17 +54,17 @@
 	Fence uint64    `json:"fence"`
 }
 
-type cancelAnswer struct {
+type cancelResponse struct {
 	Cancelled bool `json:"cancelled"`
 	Generated int  `json:"generated"`
 }
 
-type eventsAnswer struct {
+type eventsResponse struct {
 	Incarnation string       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
 }
 
-// refusal is an answer given before any work has been done.
+// refusal is an error response that is sent before any work was done.
 type refusal struct {
 	status  int
 	code    string
@@ -89,35 +89,35 @@
 		refuse(w, refusal{http.StatusBadRequest, "bad_request", err.Error()})
 		return
 	}
-	if msg := req.problem(); msg != "" {
+	if msg := req.validate(); msg != "" {
 		refuse(w, refusal{http.StatusBadRequest, "bad_request", msg})
 		return
 	}
 	rd := newReader()
 	s := newStream(req)
 	s.attach(rd)
-	incarnation, no := e.accept(s)
-	if no != nil {
-		refuse(w, *no)
+	incarnation, refused := e.accept(s)
+	if refused != nil {
+		refuse(w, *refused)
 		return
 	}
 	if strings.Contains(req.Prompt, fault.CrashMark) {
 		e.crash()
 	}
-	e.follow(w, r, s, rd, incarnation, 0)
+	e.serveStream(w, r, s, rd, incarnation, 0)
 }
 
-// crash ends the engine for a while.
+// crash kills the engine and starts it again after fault.CrashTime.
 func (e *Engine) crash() {
 	e.Kill()
 	time.AfterFunc(fault.CrashTime, func() {
 		if err := e.Start(); err != nil {
-			panic(err) // the stand-in's own address is taken
+			panic(err) // the fake's own address is in use
 		}
 	})
 }
 
-func (r CompletionRequest) problem() string {
+func (r CompletionRequest) validate() string {
 	switch {
 	case !r.Stream:
 		return "stream must be true"
@@ -134,26 +134,26 @@
 }
 
 func newStream(req CompletionRequest) *stream {
-	x := req.Ext
-	ref := fleet.ModelRef{Model: req.Model, Version: x.Version, Adapter: x.Adapter}
-	input := req.Prompt + x.ResumeText
+	ext := req.Ext
+	ref := fleet.ModelRef{Model: req.Model, Version: ext.Version, Adapter: ext.Adapter}
+	input := req.Prompt + ext.ResumeText
 	pieces := (len(input) + fleet.BlockBytes - 1) / fleet.BlockBytes
 	return &stream{
-		key:      key{x.RequestID, x.Attempt},
-		ref:      ref,
-		priority: req.Priority,
-		max:      req.MaxTokens,
-		base:     x.ResumeTokens,
-		linger:   time.Duration(x.LingerMS) * time.Millisecond,
-		blocks:   fleet.PrefixBlocks(input, pieces),
-		pieces:   pieces,
-		head:     chunkHead(x.RequestID, x.Attempt, ref),
-		chain:    check.NewChain(req.Prompt, x.ResumeText, x.ResumeTokens),
+		key:        key{ext.RequestID, ext.Attempt},
+		ref:        ref,
+		priority:   req.Priority,
+		maxTokens:  req.MaxTokens,
+		firstToken: ext.ResumeTokens,
+		linger:     time.Duration(ext.LingerMS) * time.Millisecond,
+		blocks:     fleet.PrefixBlocks(input, pieces),
+		blockCount: pieces,
+		head:       renderChunkHead(ext.RequestID, ext.Attempt, ref),
+		chain:      check.NewChain(req.Prompt, ext.ResumeText, ext.ResumeTokens),
 	}
 }
 
-// accept queues the stream or says why not.
-func (e *Engine) accept(s *stream) (incarnation string, no *refusal) {
+// accept queues the stream, or returns why it is refused.
+func (e *Engine) accept(s *stream) (incarnation string, refused *refusal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
@@ -172,37 +172,37 @@
 }
 
 func (e *Engine) getStream(w http.ResponseWriter, r *http.Request) {
-	s, incarnation := e.find(r)
+	s, incarnation := e.findStream(r)
 	if s == nil {
 		refuse(w, refusal{http.StatusNotFound, "no_stream", "no such stream"})
 		return
 	}
 	from, err := strconv.Atoi(r.FormValue("from"))
 	if r.FormValue("from") == "" {
-		from, err = s.base, nil
+		from, err = s.firstToken, nil
 	}
-	if err != nil || from < s.base || from > s.max {
-		refuse(w, refusal{http.StatusBadRequest, "bad_request", fmt.Sprintf("from must be in %d..%d", s.base, s.max)})
+	if err != nil || from < s.firstToken || from > s.maxTokens {
+		refuse(w, refusal{http.StatusBadRequest, "bad_request", fmt.Sprintf("from must be in %d..%d", s.firstToken, s.maxTokens)})
 		return
 	}
 	rd := newReader()
 	s.attach(rd)
-	e.follow(w, r, s, rd, incarnation, from-s.base)
+	e.serveStream(w, r, s, rd, incarnation, from-s.firstToken)
 }
 
 func (e *Engine) deleteStream(w http.ResponseWriter, r *http.Request) {
-	s, _ := e.find(r)
+	s, _ := e.findStream(r)
 	if s == nil {
 		refuse(w, refusal{http.StatusNotFound, "no_stream", "no such stream"})
 		return
 	}
 	e.mu.Lock()
-	n := e.end(s, "cancelled", time.Now())
+	n := e.cancelStream(s, "cancelled", time.Now())
 	e.mu.Unlock()
-	writeJSON(w, http.StatusOK, cancelAnswer{true, n})
+	writeJSON(w, http.StatusOK, cancelResponse{true, n})
 }
 
-func (e *Engine) find(r *http.Request) (*stream, string) {
+func (e *Engine) findStream(r *http.Request) (*stream, string) {
 	attempt, err := strconv.Atoi(r.PathValue("attempt"))
 	if err != nil {
 		return nil, ""
@@ -214,9 +214,9 @@
 
 func (e *Engine) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	report := e.samples[0]
+	report := e.loadReports[0]
 	e.mu.Unlock()
-	report.AsOfUnixMS += e.clock.Load()
+	report.AsOfUnixMS += e.clockOffset.Load()
 	writeJSON(w, http.StatusOK, report)
 }
 
@@ -232,7 +232,7 @@
 	}
 	e.mu.Lock()
 	until := time.Now().Add(-fault.Millis(e.cfg.EventsLagMS))
-	answer := eventsAnswer{e.incarnation, e.cache.after(after, until)}
+	answer := eventsResponse{e.incarnation, e.cache.eventsAfter(after, until)}
 	e.mu.Unlock()
 	writeJSON(w, http.StatusOK, answer)
 }
@@ -247,9 +247,9 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, no refusal) {
-	if no.status == http.StatusTooManyRequests || no.status == http.StatusServiceUnavailable {
+func refuse(w http.ResponseWriter, ref refusal) {
+	if ref.status == http.StatusTooManyRequests || ref.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	writeJSON(w, no.status, errorAnswer{errorBody{no.message, no.code}})
+	writeJSON(w, ref.status, errorResponse{errorBody{ref.message, ref.code}})
 }
--- a/fakes/engine/order.go
+++ b/fakes/engine/order.go
@@ -10,7 +10,8 @@
 
 const defaultRole = "both"
 
-// OrderRequest is the absolute state that an operator's plan wants.
+// OrderRequest is the body of PUT /v1/orders: the complete state that an operator's plan wants
+// the engine to reach.
 type OrderRequest struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
@@ -19,7 +20,7 @@
 	Leaving bool             `json:"leaving"`
 }
 
-// OrderState is the engine's answer to an order.
+// OrderState is the response to an order: the latest order and how far the engine has followed it.
 type OrderState struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
@@ -56,15 +57,14 @@
 	}
 }
 
-// cloneRefs copies refs, so that an empty list is [] and not null in JSON.
+// cloneRefs copies refs. An empty list becomes [] and not null in JSON.
 func cloneRefs(refs []fleet.ModelRef) []fleet.ModelRef {
 	return append([]fleet.ModelRef{}, refs...)
 }
 
-// apply takes an order; it reports false if its fencing number is stale. An
-// engine that does not check the number follows any order, as some of the
-// deployments' engines do.
-func (e *Engine) apply(req OrderRequest) (OrderState, bool) {
+// applyOrder follows an order, or reports false if its fencing number is stale. An engine
+// without ChecksFence follows any order, like some engines in deployments.
+func (e *Engine) applyOrder(req OrderRequest) (OrderState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	o := &e.order
@@ -127,7 +127,7 @@
 		refuse(w, refusal{http.StatusBadRequest, "bad_request", "role must be both, prefill or decode"})
 		return
 	}
-	state, ok := e.apply(req)
+	state, ok := e.applyOrder(req)
 	if !ok {
 		writeJSON(w, http.StatusConflict, staleFence{errorBody{Code: "stale_fence"}, state.Fence})
 		return
--- a/fakes/engine/record.go
+++ b/fakes/engine/record.go
@@ -6,7 +6,7 @@
 	"wigeondale/fleet"
 )
 
-// StreamRecord tells what became of one dispatch of one request.
+// StreamRecord describes one stream: one dispatch of one request and what became of it.
 type StreamRecord struct {
 	Request     string         `json:"request"`
 	Attempt     int            `json:"attempt"`
@@ -20,22 +20,22 @@
 	Cancelled   string         `json:"cancelled,omitempty"` // "cancelled", "linger" or "killed"
 }
 
-// Record is all that one engine did since its first start.
+// Record describes all that one engine did since its first start.
 type Record struct {
 	Engine    string         `json:"engine"`
 	Prefilled int            `json:"prefilled"`
 	Generated int            `json:"generated"`
 	Delivered int            `json:"delivered"`
 	Streams   []StreamRecord `json:"streams"`
-	Refused   int            `json:"refused"` // requests refused since it leaves
-	Fences    []uint64       `json:"fences"`  // of the orders that it followed
+	Refused   int            `json:"refused"` // requests refused because the engine is leaving
+	Fences    []uint64       `json:"fences"`  // fencing numbers of the orders that it followed
 }
 
 // Record returns the streams of all incarnations and their totals.
 func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := Record{Engine: e.cfg.ID, Streams: append([]StreamRecord{}, e.past...), Refused: e.refused, Fences: slices.Clone(e.fences)}
+	r := Record{Engine: e.cfg.ID, Streams: append([]StreamRecord{}, e.expired...), Refused: e.refused, Fences: slices.Clone(e.fences)}
 	for _, s := range e.streams {
 		r.Streams = append(r.Streams, e.recordOf(s))
 	}
@@ -56,7 +56,7 @@
 		Ref:         s.ref,
 		Incarnation: e.incarnation,
 		Prefilled:   s.prefilled,
-		ResumedAt:   s.base,
+		ResumedAt:   s.firstToken,
 		Generated:   len(s.ends),
 		Delivered:   s.delivered,
 		Finished:    s.finish != "",
--- a/fakes/engine/schedule_test.go
+++ b/fakes/engine/schedule_test.go
@@ -9,18 +9,17 @@
 	"wigeondale/fleet"
 )
 
-// Symptom: a stream that another router follows is cancelled.
-// Sequence: a second reader takes over, then the first one's connection ends.
-// Cause: the linger time was started by a reader that no longer counts.
+// When a second reader has taken a stream over and the connection of the first one ends, the linger
+// time must not start: otherwise a stream that another router reads is cancelled.
 func TestLingerStartsWithTheLastReader(t *testing.T) {
 	req := request("r", 1, 10)
 	req.Ext.LingerMS = 100
 	s := newStream(req)
-	first, t0 := attached(s), time.Now()
-	second := attached(s)
+	first, t0 := attachReader(s), time.Now()
+	second := attachReader(s)
 	s.detach(first, t0)
 	if s.abandoned(t0.Add(time.Hour)) {
-		t.Fatal("abandoned with a reader attached")
+		t.Fatal("abandoned although a reader is attached")
 	}
 	s.detach(second, t0)
 	if s.abandoned(t0.Add(99*time.Millisecond)) || !s.abandoned(t0.Add(100*time.Millisecond)) {
@@ -31,17 +30,17 @@
 func TestCacheEvictsLeastRecentlyUsed(t *testing.T) {
 	now := time.Now()
 	c := newCache(2, 0, rand.New(rand.NewPCG(1, 1)))
-	c.use([]uint64{1, 2}, now)
-	if hits := c.use([]uint64{1, 3}, now); hits != 1 {
+	c.lookUpAndStore([]uint64{1, 2}, now)
+	if hits := c.lookUpAndStore([]uint64{1, 3}, now); hits != 1 {
 		t.Fatalf("%d hits", hits)
 	}
-	if hits := c.use([]uint64{1, 2}, now); hits != 1 {
+	if hits := c.lookUpAndStore([]uint64{1, 2}, now); hits != 1 {
 		t.Fatalf("%d hits: block 2 should have been evicted", hits)
 	}
-	if len(c.after(0, now.Add(-time.Second))) != 0 {
-		t.Fatal("events are not late")
+	if len(c.eventsAfter(0, now.Add(-time.Second))) != 0 {
+		t.Fatal("eventsAfter returned events that happened after until")
 	}
-	if last := c.after(5, now); len(last) != 1 || last[0].Type != "stored" || last[0].Block != "0000000000000002" {
+	if last := c.eventsAfter(5, now); len(last) != 1 || last[0].Type != "stored" || last[0].Block != "0000000000000002" {
 		t.Fatalf("%+v", last)
 	}
 }
@@ -64,15 +63,14 @@
 	}
 }
 
-// Symptom: an old holder's order undoes a newer one.
-// Sequence: an order with fence 5, then one with fence 4.
-// Cause: the old holder was paused while its lease lapsed.
+// An order with an older fencing number must not undo a newer one. It comes from a router that was
+// paused until its lease on orders expired. Engines that don't check the number follow it.
 func TestStaleFence(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e := start(t, func(c *Config) { c.ChecksFence = checks })
-		e.apply(OrderRequest{Fence: 5, Desired: []fleet.ModelRef{v1}})
-		if _, ok := e.apply(OrderRequest{Fence: 4, Leaving: true}); ok == checks {
-			t.Errorf("checks %v: stale order taken: %v", checks, ok)
+		e.applyOrder(OrderRequest{Fence: 5, Desired: []fleet.ModelRef{v1}})
+		if _, ok := e.applyOrder(OrderRequest{Fence: 4, Leaving: true}); ok == checks {
+			t.Errorf("checks %v: stale order followed: %v", checks, ok)
 		}
 	}
 }
--- a/fakes/engine/stream.go
+++ b/fakes/engine/stream.go
@@ -10,51 +10,51 @@
 	"wigeondale/fleet"
 )
 
-// key names one dispatch of one request.
+// key identifies one dispatch of one request.
 type key struct {
 	request string
 	attempt int
 }
 
-// stream is one generation. The step loop owns the scheduling fields under the
-// engine's lock; the text and its reader have a lock of their own, so that
-// readers do not hold up the step loop.
+// stream is one generation. The engine's lock guards the scheduling fields, which the step
+// loop uses. The text and its reader have a lock of their own, so that readers don't block
+// the step loop.
 type stream struct {
-	key      key
-	ref      fleet.ModelRef
-	priority int
-	arrival  int
-	max      int // tokens of the whole answer
-	base     int // index of the first token generated here
-	linger   time.Duration
-	blocks   []uint64
-	pieces   int // cache blocks of the text to prefill, a last partial one included
-	readyAt  time.Time
-	stalled  bool
-	head     []byte // the part of a chunk before the token's index
-
-	mu        sync.Mutex
-	chain     check.Chain
-	text      []byte
-	ends      []int
-	ended     bool   // no further token will come
-	finish    string // reason, if ended by itself
-	cancelled string // reason, if ended by something else
-	endedAt   time.Time
-	reader    *reader
-	orphanAt  time.Time // since when there has been no reader
-	delivered int       // highest token written to a reader, counted from base
-	prefilled int
+	key        key
+	ref        fleet.ModelRef
+	priority   int
+	arrival    int
+	maxTokens  int // of the complete answer, including resumed text
+	firstToken int // index of the first token generated here
+	linger     time.Duration
+	blocks     []uint64
+	blockCount int // cache blocks of the text to prefill, including a partial last one
+	readyAt    time.Time
+	stalled    bool
+	head       []byte // the part of a chunk before the token's index
+
+	mu           sync.Mutex
+	chain        check.Chain
+	text         []byte
+	ends         []int
+	ended        bool   // no more tokens will be generated
+	finish       string // finish reason, if the generation ended normally
+	cancelled    string // reason, if the stream was cancelled
+	endedAt      time.Time
+	reader       *reader
+	readerLostAt time.Time // when the last reader detached
+	delivered    int       // highest token written to a reader, counted from firstToken
+	prefilled    int
 }
 
 // reader is one connection that follows a stream.
 type reader struct {
-	wake chan struct{} // holds one element once there may be something new
-	gone chan struct{} // closed when another reader takes over
+	wake     chan struct{} // has one element when the stream may have changed
+	replaced chan struct{} // closed when another reader has attached
 }
 
 func newReader() *reader {
-	return &reader{wake: make(chan struct{}, 1), gone: make(chan struct{})}
+	return &reader{wake: make(chan struct{}, 1), replaced: make(chan struct{})}
 }
 
 func (r *reader) notify() {
@@ -64,24 +64,24 @@
 	}
 }
 
-// attach makes r the only reader of the stream.
+// attach makes r the only reader of the stream and disconnects the one before.
 func (s *stream) attach(r *reader) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reader != nil {
-		close(s.reader.gone)
+		close(s.reader.replaced)
 	}
 	s.reader = r
 	r.notify()
 }
 
-// detach starts the linger time, unless another reader has taken over.
+// detach starts the linger time, unless another reader has attached.
 func (s *stream) detach(r *reader, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reader == r {
 		s.reader = nil
-		s.orphanAt = now
+		s.readerLostAt = now
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	s.text = s.chain.Append(s.text, rnd)
 	s.ends = append(s.ends, len(s.text))
-	if s.chain.Next() >= s.max {
+	if s.chain.Next() >= s.maxTokens {
 		s.ended = true
 		s.finish = "length"
 		s.endedAt = now
@@ -122,21 +122,21 @@
 	}
 }
 
-// abandoned reports whether nobody has read the stream for its linger time.
+// abandoned reports whether the stream has had no reader for its linger time.
 func (s *stream) abandoned(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reader == nil && now.Sub(s.orphanAt) >= s.linger
+	return s.reader == nil && now.Sub(s.readerLostAt) >= s.linger
 }
 
-// expired reports whether an ended stream need no longer be remembered.
+// expired reports whether the stream ended longer than retention ago and has no reader.
 func (s *stream) expired(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended && s.reader == nil && now.Sub(s.endedAt) >= rememberFor
+	return s.ended && s.reader == nil && now.Sub(s.endedAt) >= retention
 }
 
-// view is the text generated so far. Its slices are never overwritten.
+// view is a snapshot of a stream. Its slices are only appended to, never overwritten.
 type view struct {
 	text      []byte
 	ends      []int
@@ -151,7 +151,7 @@
 	return view{s.text, s.ends, s.ended, s.finish, s.cancelled != ""}
 }
 
-// token is the text of the n-th token generated here.
+// token returns the text of the n-th token that this stream generated.
 func (v view) token(n int) []byte {
 	start := 0
 	if n > 0 {
@@ -160,14 +160,14 @@
 	return v.text[start:v.ends[n]]
 }
 
-func (s *stream) wrote(n int) {
+func (s *stream) recordDelivered(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delivered = max(s.delivered, n)
 }
 
-// chunkHead renders what is the same in all chunks of a stream.
-func chunkHead(request string, attempt int, ref fleet.ModelRef) []byte {
+// renderChunkHead renders the part that all chunks of a stream have in common.
+func renderChunkHead(request string, attempt int, ref fleet.ModelRef) []byte {
 	b := append([]byte(`data: {"id":`), quote(request)...)
 	b = append(b, `,"attempt":`...)
 	b = strconv.AppendInt(b, int64(attempt), 10)
@@ -188,7 +188,7 @@
 	return b
 }
 
-// appendChunk renders one event. Token texts need no escaping.
+// appendChunk renders one chunk as a server-sent event. Token texts need no escaping.
 func appendChunk(dst, head []byte, index int, text []byte, finish string) []byte {
 	dst = append(dst, head...)
 	dst = strconv.AppendInt(dst, int64(index), 10)
