--- a/fakes/fault/args.go
+++ b/fakes/fault/args.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// ErrUnknown is returned for a fault that the component does not have.
+// ErrUnknown is returned for a fault that the fake does not have.
 var ErrUnknown = Error.New("no such fault")
 
-// ErrArgs is returned for arguments that cannot be understood.
+// ErrArgs is returned for invalid arguments.
 var ErrArgs = Error.New("bad arguments")
 
-// Args are the arguments of a fault switch; each switch names those it reads.
+// Args holds the arguments of a fault switch. The documentation of each switch lists those that it
+// reads.
 type Args struct {
 	MS      float64 `json:"ms"`      // milliseconds
-	N       int     `json:"n"`       // how many times; 0 means once
-	On      *bool   `json:"on"`      // absent means on
+	N       int     `json:"n"`       // how often the fault applies; 0 means once
+	On      *bool   `json:"on"`      // whether to turn the switch on; absent means on
 	Request string  `json:"request"` // only this request; empty means any
 	Prefix  string  `json:"prefix"`  // only keys with this prefix
 	VM      string  `json:"vm"`
 }
 
-// Duration is MS as a duration.
+// Duration returns MS as a duration.
 func (a Args) Duration() time.Duration { return Millis(a.MS) }
 
-// Enabled reports whether the switch is to be turned on.
+// Enabled reports whether to turn the switch on.
 func (a Args) Enabled() bool { return a.On == nil || *a.On }
 
-// Times is N, at least 1.
+// Times returns N, but at least 1.
 func (a Args) Times() int { return max(a.N, 1) }
 
-// Millis turns a number of milliseconds into a duration.
+// Millis converts a number of milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Decode reads strict JSON: an unknown field or trailing data is an error. No
-// data at all leaves v as it is.
+// Decode decodes strict JSON: an unknown field or trailing data is an error. Empty data
+// leaves v unchanged.
 func Decode(data []byte, v any) error {
 	if len(bytes.TrimSpace(data)) == 0 {
 		return nil
--- a/fakes/fault/crash.go
+++ b/fakes/fault/crash.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// CrashMark in the body of a request makes each backend server crash that begins to run it.
+// CrashMark in the body of a request makes every fake backend server crash that starts to run it.
 const CrashMark = "crashes its backend server"
 
-// CrashTime is how long after such a crash a backend server is back.
+// CrashTime is how long after such a crash the backend server starts again.
 const CrashTime = 2 * time.Second
--- a/fakes/fault/fault_test.go
+++ b/fakes/fault/fault_test.go
@@ -28,10 +28,8 @@
 	return c
 }
 
-// Symptom: a stand-in that was killed and started refuses connections.
-// Sequence: kill, start, and only then does the server of the first start
-// close its listener.
-// Cause: an HTTP server closes its listener whenever it notices the kill.
+// An HTTP server closes its listener when it notices a kill, which may be after the next Start. That
+// must not close the new socket: otherwise a fake that was killed and started refuses connections.
 func TestLateCloseSparesTheNextStart(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	defer l.Kill()
@@ -42,9 +40,8 @@
 	dial(t, l)
 }
 
-// Symptom: neither side of a connection hears the other, and it stays open.
-// Sequence: cut; bytes sent from either side do not arrive; heal; they do.
-// Cause: a network partition.
+// A cut acts like a network partition: the connection stays open and bytes from either side don't
+// arrive until Heal.
 func TestCutHoldsBothDirections(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	defer l.Kill()
@@ -76,10 +73,9 @@
 	<-arrived
 }
 
-// Symptom: a stand-in that was killed can't be started again, "address already in
-// use", and the router behind it is never ready. Sequence: it listens on a port that
-// the kernel chose; it is killed; an outgoing connection of any process gets the
-// port. Cause: the port was from the range of outgoing connections.
+// A listener must not use a port from the kernel's range for outgoing connections: while it is
+// killed, a connection of any process can get the port. The next Start then fails with "address
+// already in use", and the router that uses the fake is never ready.
 func TestPortIsKeptOverAKill(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	if _, err := l.Start(); err != nil {
@@ -91,7 +87,7 @@
 		t.Fatal(err)
 	}
 	if port, err := strconv.Atoi(text); err != nil || !ports.InRange(port) {
-		t.Errorf("listens on %s, which the kernel may give to a connection", first)
+		t.Errorf("listens on %s, which the kernel may assign to an outgoing connection", first)
 	}
 	l.Kill()
 	if _, err := l.Start(); err != nil || l.Address() != first {
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -1,6 +1,5 @@
-// Package fault gives the stand-ins their common fault switches: a listener
-// whose connections can be reset, refused or made to pass no byte, and an HTTP
-// server on top of it.
+// Package fault provides the fault switches that all fakes share: a listener whose
+// connections can be reset, refused, delayed or cut, and an HTTP server on top of it.
 package fault
 
 import (
@@ -18,9 +17,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("fault")
 
-// Listener accepts TCP connections at one address, over several starts and
-// kills. While it is cut, connections are still accepted and stay open, but no
-// byte passes in the directions that are cut.
+// Listener accepts TCP connections at one address and can be killed and started again.
+// While it is cut, connections are still accepted and stay open, but no bytes pass in the
+// directions that are cut.
 type Listener struct {
 	delay atomic.Int64 // of each read and write, in nanoseconds
 
@@ -28,10 +27,10 @@
 	addr    string
 	ln      net.Listener
 	conns   map[*conn]struct{}
-	in, out gate // bytes from and to those who dial
+	in, out gate // for bytes from and to the clients
 }
 
-// gate is closed while bytes may pass.
+// gate is a channel that is closed while bytes may pass.
 type gate chan struct{}
 
 func openGate() gate {
@@ -49,20 +48,20 @@
 	}
 }
 
-// NewListener prepares a listener at addr. Port 0 is replaced at the first Start by
-// a port that the program has claimed, and kept from then on.
+// NewListener prepares a listener at addr. Port 0 is replaced at the first Start by a port
+// from package ports, which the listener then keeps.
 //
-// What goes wrong with a port of the kernel's choice: while the listener is killed,
-// the kernel gives the port to some outgoing connection, and the next Start fails. It
-// showed as a router that never reached its store again.
+// A port that the kernel chooses does not work: while the listener is killed, the kernel can
+// assign it to an outgoing connection, and the next Start fails. A router then never reached
+// its store again.
 func NewListener(addr string) *Listener {
 	return &Listener{addr: addr, conns: make(map[*conn]struct{}), in: openGate(), out: openGate()}
 }
 
-// Start opens the socket and heals any cut. It returns the connections of this
-// start, or nil if the socket is open already. Their Close closes this start's
-// socket only: an HTTP server closes its listener when it notices a kill, which
-// may be after the next start and must not end that one too.
+// Start opens the socket and heals any cut. It returns a listener for the connections of
+// this start, or nil if the socket is open already. Its Close closes the socket of this
+// start only: an HTTP server closes its listener when it notices a kill, which may be after
+// the next Start.
 func (l *Listener) Start() (net.Listener, error) {
 	l.Heal()
 	l.mu.Lock()
@@ -70,7 +69,7 @@
 	if l.ln != nil {
 		return nil, nil
 	}
-	addr, err := claimed(l.addr)
+	addr, err := resolvePort(l.addr)
 	if err != nil {
 		return nil, err
 	}
@@ -80,20 +79,19 @@
 	}
 	l.ln = ln
 	l.addr = ln.Addr().String()
-	return &session{Listener: ln, owner: l}, nil
+	return &startedListener{Listener: ln, owner: l}, nil
 }
 
-// claimed replaces port 0.
-func claimed(addr string) (string, error) {
+// resolvePort replaces port 0 by a free port from package ports.
+func resolvePort(addr string) (string, error) {
 	if _, port, err := net.SplitHostPort(addr); err != nil || port != "0" {
-		return addr, nil // net.Listen tells what is wrong with it
+		return addr, nil // if addr is invalid, net.Listen returns the error
 	}
 	free, err := ports.FreeAddr()
 	return free, Error.Wrap(err)
 }
 
-// Kill resets every connection and closes the socket, so that further
-// connects are refused.
+// Kill resets every connection and closes the socket, so that new connections are refused.
 func (l *Listener) Kill() {
 	l.Cut()
 	l.mu.Lock()
@@ -106,13 +104,13 @@
 	l.Reset()
 }
 
-// Cut stops all bytes until Heal.
+// Cut stops the bytes of both directions until Heal.
 func (l *Listener) Cut() {
 	l.CutIn()
 	l.CutOut()
 }
 
-// CutIn stops what those send who dial, until Heal.
+// CutIn stops the bytes from the clients until Heal.
 func (l *Listener) CutIn() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +119,7 @@
 	}
 }
 
-// CutOut stops what they are sent, until Heal.
+// CutOut stops the bytes to the clients until Heal.
 func (l *Listener) CutOut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,7 +128,7 @@
 	}
 }
 
-// Heal lets bytes pass again, those held back included.
+// Heal lets bytes pass again, including those that were stopped.
 func (l *Listener) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -141,10 +139,10 @@
 	}
 }
 
-// Delay holds each read and write back for d.
+// Delay delays each read and write by d.
 func (l *Listener) Delay(d time.Duration) { l.delay.Store(int64(d)) }
 
-// Reset resets every connection; further ones are accepted.
+// Reset resets every connection. New ones are accepted.
 func (l *Listener) Reset() {
 	l.mu.Lock()
 	conns := l.conns
@@ -155,43 +153,43 @@
 	}
 }
 
-// Address is the host:port that clients dial.
+// Address returns the host:port that clients connect to.
 func (l *Listener) Address() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// Wait blocks while the listener is cut or killed.
+// Wait blocks while bytes from the clients are stopped, by a cut or a kill, or until ctx ends.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
-	case <-l.inward():
+	case <-l.inGate():
 		return nil
 	case <-ctx.Done():
 		return Error.Wrap(ctx.Err())
 	}
 }
 
-func (l *Listener) inward() gate {
+func (l *Listener) inGate() gate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.in
 }
 
-func (l *Listener) outward() gate {
+func (l *Listener) outGate() gate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.out
 }
 
-func (l *Listener) forget(c *conn) {
+func (l *Listener) removeConn(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-// adopt takes up a connection of ln, unless ln has been killed meanwhile.
-func (l *Listener) adopt(ln net.Listener, c *conn) bool {
+// addConn records a connection that ln accepted, unless ln has been killed meanwhile.
+func (l *Listener) addConn(ln net.Listener, c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ln != ln {
@@ -201,26 +199,26 @@
 	return true
 }
 
-// session is the socket of one start.
-type session struct {
+// startedListener accepts connections on the socket of one start.
+type startedListener struct {
 	net.Listener
 	owner *Listener
 }
 
-func (s *session) Accept() (net.Conn, error) {
+func (s *startedListener) Accept() (net.Conn, error) {
 	raw, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	c := &conn{Conn: raw, owner: s.owner, closed: make(chan struct{})}
-	if !s.owner.adopt(s.Listener, c) {
+	if !s.owner.addConn(s.Listener, c) {
 		c.reset()
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
 
-// conn holds its bytes back while its listener is cut.
+// conn delays its bytes, and stops them while its listener is cut.
 type conn struct {
 	net.Conn
 	owner  *Listener
@@ -228,8 +226,8 @@
 	closed chan struct{}
 }
 
-// wait holds bytes back for the listener's delay, and until the gate is open.
-func (c *conn) wait(way func() gate) error {
+// wait waits for the listener's delay, and then until the gate is open.
+func (c *conn) wait(direction func() gate) error {
 	if d := time.Duration(c.owner.delay.Load()); d > 0 {
 		select {
 		case <-time.After(d):
@@ -237,24 +235,24 @@
 		}
 	}
 	select {
-	case <-way():
+	case <-direction():
 		return nil
 	case <-c.closed:
 		return net.ErrClosed
 	}
 }
 
-// Read waits after the bytes have arrived: a cut may begin while it blocks.
+// Read waits after the bytes have arrived, since a cut may start while it blocks.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if waitErr := c.wait(c.owner.inward); waitErr != nil {
+	if waitErr := c.wait(c.owner.inGate); waitErr != nil {
 		return 0, waitErr
 	}
 	return n, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	if err := c.wait(c.owner.outward); err != nil {
+	if err := c.wait(c.owner.outGate); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(b)
@@ -262,11 +260,11 @@
 
 func (c *conn) Close() error {
 	c.once.Do(func() { close(c.closed) })
-	c.owner.forget(c)
+	c.owner.removeConn(c)
 	return c.Conn.Close()
 }
 
-// reset closes with a TCP reset in place of an orderly end.
+// reset closes the connection with a TCP reset instead of an orderly shutdown.
 func (c *conn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/fakes/fault/server.go
+++ b/fakes/fault/server.go
@@ -15,12 +15,12 @@
 	delayNS  atomic.Int64
 }
 
-// NewServer prepares a server of handler at addr.
+// NewServer prepares a server at addr that serves handler.
 func NewServer(addr string, handler http.Handler) *Server {
 	return &Server{Listener: NewListener(addr), handler: handler}
 }
 
-// Start begins to serve, again after a Kill; a server that runs is only healed.
+// Start starts the server, also after a Kill. If it is running, only its cuts are healed.
 func (s *Server) Start() error {
 	ln, err := s.Listener.Start()
 	if err != nil || ln == nil {
@@ -34,10 +34,10 @@
 // Kill resets all connections and refuses new ones until Start.
 func (s *Server) Kill() { s.Listener.Kill() }
 
-// Addr is the host:port that clients dial.
+// Addr returns the host:port that clients connect to.
 func (s *Server) Addr() string { return s.Listener.Address() }
 
-// ServeHTTP implements http.Handler, after the delay of the switch slow.
+// ServeHTTP serves a request after the delay that the switch slow sets.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d := time.Duration(s.delayNS.Load()); d > 0 {
 		Sleep(r, d)
@@ -45,7 +45,7 @@
 	s.handler.ServeHTTP(w, r)
 }
 
-// Sleep waits for d or for the end of the request.
+// Sleep waits for d, or until the request's context ends.
 func Sleep(r *http.Request, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -55,9 +55,9 @@
 	}
 }
 
-// Apply handles the faults that every HTTP stand-in shares: kill, start, cut,
-// heal, freeze, thaw, slow {ms} and outage {on}. An outage resets and refuses
-// connections as kill does, but the stand-in keeps its state.
+// Apply turns a switch that all HTTP fakes share: kill, start, cut, heal, freeze, thaw,
+// slow {ms} and outage {on}. An outage resets and refuses connections like kill, but the
+// fake keeps its state.
 func (s *Server) Apply(name string, args Args) error {
 	switch name {
 	case "kill":
