--- a/fakes/hosted/operator.go
+++ b/fakes/hosted/operator.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// ConfigKey is where the operator's configuration lies in the store.
+// ConfigKey is the key of the operator's configuration in the store.
 const ConfigKey = "op/config"
 
 // Host is the host of all routes of a Config.
 const Host = "h.example"
 
-// Route is one route of a Config: its prefix is its name.
+// Route is one route of a Config. Its path prefix is "/" + Name + "/".
 type Route struct {
 	Name     string
 	Kind     string // streaming, idempotent or non_idempotent
@@ -25,13 +25,13 @@
 	Timeout  time.Duration
 }
 
-// Config is the operator's configuration, with one account that has all keys.
+// Config is the operator's configuration. Its single account has all API keys.
 type Config struct {
 	Version int
 	Account string
 	Keys    []string
-	Engines string // service whose replicas keep copies of each other's runs
-	Plain   string // service of the other replicas
+	Engines string // service of the model engines, which keep copies of each other's runs
+	Plain   string // service of the replicas that are not model engines
 	Routes  []Route
 }
 
@@ -55,30 +55,31 @@
 	})
 }
 
-// OrderRollout orders that a service moves to a version within some time.
+// OrderRollout orders a roll-out that moves a service to a version within the given time.
 func (s *Store) OrderRollout(service, version string, within time.Duration) {
-	s.PutJSON(rolloutOrder+service, map[string]any{"service": service, "target": version, "duration_s": within.Seconds()})
+	s.PutJSON(rolloutOrderPrefix+service, map[string]any{"service": service, "target": version, "duration_s": within.Seconds()})
 }
 
-// WithdrawRollout takes the order back.
-func (s *Store) WithdrawRollout(service string) { s.Delete(rolloutOrder + service) }
+// WithdrawRollout deletes the order of a roll-out.
+func (s *Store) WithdrawRollout(service string) { s.Delete(rolloutOrderPrefix + service) }
 
-// RolloutState is what the operator is told of a roll-out, empty before the first word.
+// RolloutState returns the state and target version that the routers have published for a roll-out.
+// Both are empty before the first report.
 func (s *Store) RolloutState(service string) (state, version string) {
 	item, ok := s.Get("status/rollout/" + service)
 	if !ok {
 		return "", ""
 	}
-	var told struct{ State, Target string }
-	if err := json.Unmarshal(item.Value, &told); err != nil {
+	var status struct{ State, Target string }
+	if err := json.Unmarshal(item.Value, &status); err != nil {
 		return err.Error(), ""
 	}
-	return told.State, told.Target
+	return status.State, status.Target
 }
 
-const rolloutOrder = "op/rollout/"
+const rolloutOrderPrefix = "op/rollout/"
 
-// Register writes the entry of a replica that serves, or leaves.
+// Register writes the entry of a replica: as draining if it is leaving, else as ready.
 func (s *Store) Register(r *Replica, leaving bool) {
 	state := "ready"
 	if leaving {
@@ -87,22 +88,22 @@
 	s.PutJSON("servers/"+r.ID, r.Entry(state))
 }
 
-// Lapse removes the entry of a replica.
+// Lapse removes the entry of a replica, as if its lease had expired.
 func (s *Store) Lapse(r *Replica) { s.Delete("servers/" + r.ID) }
 
-// Ask is one request as a client of the platform sends it.
+// Ask describes one request as a client of the platform sends it.
 type Ask struct {
-	Addr   string // of the node's front
+	Addr   string // of the router's front listener
 	Path   string
 	ID     string
 	Key    string
 	Budget time.Duration
-	After  int // number of the last piece that the client has; 0 for none
+	After  int // number of the last chunk that the client has received; 0 for none
 	Prompt string
-	Body   string // empty for the usual one
+	Body   string // empty for a default body
 }
 
-// Request makes the HTTP request, in a form that net/http never sends twice.
+// Request builds the HTTP request. Its body can't be read again, so that net/http never retries it.
 func (a Ask) Request() (*http.Request, error) {
 	body := cmp.Or(a.Body, "q")
 	req, err := http.NewRequest(http.MethodPost, "http://"+a.Addr+a.Path, io.NopCloser(strings.NewReader(body)))
@@ -122,13 +123,13 @@
 	return req, nil
 }
 
-// Account is what a replica was told of the client's account, and whether it was
-// also given a key.
+// Account returns the account name in the request that the replica received, and whether
+// the request also contained an API key.
 func (a *Arrival) Account() (name string, gotKey bool) {
 	return a.Header.Get("X-Tenant-Id"), a.Header.Get("X-Api-Key") != ""
 }
 
-// Ran counts the requests that ran at some replicas.
+// Ran counts the requests that ran at the given replicas.
 func Ran(replicas []*Replica) (n int) {
 	for _, r := range replicas {
 		for _, a := range r.Arrivals() {
@@ -140,5 +141,5 @@
 	return n
 }
 
-// FromCopy tells whether the run went on from a copy.
+// FromCopy reports whether the run continued from a copy of an earlier run.
 func (a *Arrival) FromCopy() bool { return a.Header.Get("Kv-From") != "" }
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -16,17 +16,17 @@
 	"wigeondale/fakes/fault"
 )
 
-// CheckPath is where replicas say that they are healthy, and Memory is how many tokens
-// an engine holds.
+// CheckPath is the path of the replicas' health check. Memory is the capacity of an engine's
+// KV cache in tokens.
 const (
 	CheckPath = "/healthz"
 	Memory    = 55000
 )
 
-// CrashMark in a body makes each replica crash that begins to run the request.
+// CrashMark in the body of a request makes every replica crash that starts to run it.
 const CrashMark = fault.CrashMark
 
-// Arrival is one request as a replica saw it.
+// Arrival is one request as a replica received it.
 type Arrival struct {
 	At     time.Time
 	ID     string
@@ -35,56 +35,55 @@
 	Header http.Header
 	Body   string
 	Ran    bool
-	// Ended is set when the run ended by itself; a run that was cut stays false.
+	// Ended is set when the run has completed. It stays false for a run that was cut off.
 	Ended bool
 }
 
-// Replica is a stand-in for one replica, as a model engine or a plain service.
-// Its answers are a function of the request's id, so that two runs of a request
-// give the same bytes.
+// Replica is a fake replica of a model engine or of another service. Its responses are a
+// function of the request's id, so that two runs of a request produce the same bytes.
 type Replica struct {
 	ID      string
-	Born    int64 // Unix milliseconds of its start; 0 for a replica that doesn't say
+	Born    int64 // Unix milliseconds of its start; 0 if the replica does not publish it
 	Service string
 	Domain  string
-	Version string // of its software; empty for v1
+	Version string // of the service; empty for v1
 	Engine  bool
-	Listen  string        // address; empty for any
-	Pieces  int           // of a stream
-	Gap     time.Duration // between them
-	// OnCrash, if set, is told that a request made the replica crash.
+	Listen  string        // address to listen on; empty for any
+	Pieces  int           // number of chunks in a stream
+	Gap     time.Duration // time between two chunks
+	// OnCrash, if set, is called after a request has made the replica crash.
 	OnCrash func(r *Replica)
 
 	server *http.Server
 	ln     net.Listener
 	link   *fault.Listener
 
-	mu       sync.Mutex
-	arrivals []*Arrival
-	copies   map[string]bool // ids of runs of which a copy lies here
-	faults   Faults
-	set      time.Time     // when they were
-	open     int           // requests under way
-	frozen   chan struct{} // closed when the replica goes on
-	peers    func(addr string) *Replica
+	mu           sync.Mutex
+	arrivals     []*Arrival
+	copies       map[string]bool // ids of the runs of which this replica has a copy
+	faults       Faults
+	faultsSetAt  time.Time     // when faults were set
+	openRequests int           // requests in progress
+	frozen       chan struct{} // non-nil while frozen; Thaw closes it
+	replicaAt    func(addr string) *Replica
 }
 
-// Faults are the switches of a replica. Each holds until it is set anew.
+// Faults holds the fault switches of a replica. They stay set until the next call of Set.
 type Faults struct {
-	Refuse     bool          // 503, not executed
-	FailStatus int           // its own failure, after the run
-	FailShare  float64       // of the requests; 0 for all
-	FailFrom   time.Duration // since the fault was set; 0 for at once
-	WrongID    bool          // echoes another request's id
+	Refuse     bool          // responds with 503, marked as not executed
+	FailStatus int           // status of its own responses after the run; 0 for success
+	FailShare  float64       // share of the requests that get FailStatus; 0 for all
+	FailFrom   time.Duration // FailStatus applies this long after Set; 0 for at once
+	WrongID    bool          // responds with another request's id
 	NoSeal     bool
 	Encoded    bool
-	Torn       bool // ends within the answer
-	Unframed   bool // no length: the answer ends with its connection
-	Silent     bool // takes requests and says nothing
-	Repeat     bool // sends each piece of a stream twice
+	Torn       bool // closes the connection in the middle of the response
+	Unframed   bool // no Content-Length: the end of the connection ends the response
+	Silent     bool // reads requests and never responds
+	Repeat     bool // sends each chunk of a stream twice
 }
 
-// Start begins to listen. peers finds the replica at an address, for copies.
+// Start starts the replica. peers returns the replica at an address, which receives copies of runs.
 func (r *Replica) Start(peers func(addr string) *Replica) error {
 	if r.Listen == "" {
 		r.Listen = "127.0.0.1:0"
@@ -94,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	r.ln, r.peers, r.copies = ln, peers, map[string]bool{}
+	r.ln, r.replicaAt, r.copies = ln, peers, map[string]bool{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv-list", r.serveList)
 	mux.HandleFunc("POST /kv-move", r.serveMove)
@@ -107,23 +106,23 @@
 	return nil
 }
 
-// Addr is where the replica listens.
+// Addr returns the address on which the replica listens.
 func (r *Replica) Addr() string { return r.ln.Addr().String() }
 
-// Link is where the replica's connections can be cut, delayed and reset.
+// Link returns the listener, which can cut, delay and reset the replica's connections.
 func (r *Replica) Link() *fault.Listener { return r.link }
 
-// Crash cuts every connection and ends the replica.
+// Crash closes all connections and ends the replica.
 func (r *Replica) Crash() { r.server.Close() }
 
-// Freeze leaves everything as it is, without a sign, until Thaw.
+// Freeze stops all streams until Thaw. Their connections stay open without any activity.
 func (r *Replica) Freeze() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.frozen = make(chan struct{})
 }
 
-// Thaw ends Freeze.
+// Thaw lets a frozen replica continue.
 func (r *Replica) Thaw() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,17 +132,18 @@
 	}
 }
 
-// Set sets the faults.
+// Set replaces the faults.
 func (r *Replica) Set(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults, r.set = f, time.Now()
+	r.faults, r.faultsSetAt = f, time.Now()
 }
 
-// fails tells whether a request is among those that the replica fails.
-func (r *Replica) fails(f Faults, id string) bool {
+// failsRequest reports whether the replica responds to a request with FailStatus. A share of the
+// requests is selected by a hash of the id.
+func (r *Replica) failsRequest(f Faults, id string) bool {
 	r.mu.Lock()
-	since := time.Since(r.set)
+	since := time.Since(r.faultsSetAt)
 	r.mu.Unlock()
 	if f.FailStatus == 0 || since < f.FailFrom {
 		return false
@@ -151,34 +151,34 @@
 	return f.FailShare == 0 || float64(xxhash.Sum64String(id)%1000) < 1000*f.FailShare
 }
 
-// Entry is the replica's item in the store.
+// Entry returns the value of the replica's entry in the store.
 func (r *Replica) Entry(state string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Addr(), "zone": r.Domain, "version": cmp.Or(r.Version, "v1"),
 		"slots": 8, "state": state, "cold_left_ms": 0, "sequence": 1,
 	}
-	return r.withBorn(entry)
+	return r.withStartTime(entry)
 }
 
-// withBorn adds the time of birth to what the replica says of itself.
-func (r *Replica) withBorn(said map[string]any) map[string]any {
+// withStartTime adds the replica's start time to an entry or a report, unless it is not published.
+func (r *Replica) withStartTime(values map[string]any) map[string]any {
 	if r.Born != 0 {
-		said["born"] = r.Born
+		values["born"] = r.Born
 	}
-	return said
+	return values
 }
 
-// Reborn starts a later lifetime of a replica that crashed, under its id and at its
-// address, with nothing of before.
+// Reborn starts a new incarnation of a replica that has crashed, with its id and address but
+// none of its state. born is the start time in Unix milliseconds.
 func (r *Replica) Reborn(born int64) (*Replica, error) {
-	again := &Replica{
+	restarted := &Replica{
 		ID: r.ID, Born: born, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
 		Listen: r.Addr(), Pieces: r.Pieces, Gap: r.Gap, OnCrash: r.OnCrash,
 	}
-	return again, again.Start(r.peers)
+	return restarted, restarted.Start(r.replicaAt)
 }
 
-// Arrivals returns the requests seen so far.
+// Arrivals returns the requests received so far.
 func (r *Replica) Arrivals() []Arrival {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,30 +189,30 @@
 	return out
 }
 
-// Open is the number of requests under way.
+// Open returns the number of requests in progress.
 func (r *Replica) Open() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.open
+	return r.openRequests
 }
 
-func (r *Replica) count(n int) {
+func (r *Replica) addOpen(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open += n
+	r.openRequests += n
 }
 
-// Piece is event n of the answer to the request with id.
+// Piece returns chunk n of the stream that responds to a request, as a server-sent event.
 func Piece(id string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n)
 }
 
-// Whole is the whole answer of a plain service to the request with id.
+// Whole returns the complete response to a request from a service that is not a model engine.
 func Whole(id string) string { return "answer to " + id }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
-	r.count(1)
-	defer r.count(-1)
+	r.addOpen(1)
+	defer r.addOpen(-1)
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return
@@ -221,7 +221,7 @@
 		At: time.Now(), ID: req.Header.Get("X-Attempt-Id"), Method: req.Method, Target: req.RequestURI,
 		Header: req.Header.Clone(), Body: string(body),
 	}
-	f, refuse := r.arrive(a)
+	f, refuse := r.receive(a)
 	h := w.Header()
 	h.Set("X-Attempt-Id", a.ID)
 	h.Set("X-Replica-Load", "1,0,8")
@@ -235,23 +235,24 @@
 		return
 	}
 	if strings.Contains(a.Body, CrashMark) {
-		r.crashUnder(w)
+		r.crashDuring(w)
 	}
-	r.dress(h, f)
-	if r.fails(f, a.ID) {
+	r.setHeaders(h, f)
+	if r.failsRequest(f, a.ID) {
 		w.WriteHeader(f.FailStatus)
 		io.WriteString(w, "failed")
 		return
 	}
 	if r.Engine {
-		r.stream(w, req, a, f)
+		r.serveStream(w, req, a, f)
 		return
 	}
-	r.whole(w, a, f)
+	r.serveComplete(w, a, f)
 }
 
-// crashUnder ends the replica in the middle of the answer that w would take.
-func (r *Replica) crashUnder(w http.ResponseWriter) {
+// crashDuring crashes the replica while it runs a request: an engine after it has sent the response
+// header.
+func (r *Replica) crashDuring(w http.ResponseWriter) {
 	if r.Engine {
 		w.WriteHeader(http.StatusOK)
 		w.(http.Flusher).Flush()
@@ -263,8 +264,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// dress sets the headers of an answer, with their faults.
-func (r *Replica) dress(h http.Header, f Faults) {
+// setHeaders sets the headers of a response, as changed by the faults.
+func (r *Replica) setHeaders(h http.Header, f Faults) {
 	if f.WrongID {
 		h.Set("X-Attempt-Id", "another")
 	}
@@ -276,18 +277,18 @@
 	}
 }
 
-// arrive notes the request and says whether the replica refuses it. The copy is put at
-// the other replica without a lock held here: two that keep each other's copies would
-// wait for each other for ever.
-func (r *Replica) arrive(a *Arrival) (f Faults, refuse int) {
-	f, refuse = r.note(a)
+// receive records a request and returns the faults in force and the status of a refusal, or 0.
+// If the request asks for a backup, it is copied to the other replica without a lock held here:
+// two replicas that keep each other's copies would deadlock.
+func (r *Replica) receive(a *Arrival) (f Faults, refuse int) {
+	f, refuse = r.recordArrival(a)
 	if standby := a.Header.Get("X-Kv-Backup"); refuse == 0 && standby != "" {
 		r.copyTo(standby, a.ID)
 	}
 	return f, refuse
 }
 
-func (r *Replica) note(a *Arrival) (f Faults, refuse int) {
+func (r *Replica) recordArrival(a *Arrival) (f Faults, refuse int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.arrivals = append(r.arrivals, a)
@@ -304,7 +305,7 @@
 	return r.faults, 0
 }
 
-func (r *Replica) whole(w http.ResponseWriter, a *Arrival, f Faults) {
+func (r *Replica) serveComplete(w http.ResponseWriter, a *Arrival, f Faults) {
 	text := Whole(a.ID)
 	switch {
 	case f.Unframed:
@@ -322,34 +323,35 @@
 	default:
 		io.WriteString(w, text)
 	}
-	r.ended(a)
+	r.markEnded(a)
 }
 
-func (r *Replica) stream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
+func (r *Replica) serveStream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
 	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := from + 1; n <= r.Pieces; n++ {
-		if !r.wait(req) {
+		if !r.waitForChunk(req) {
 			return
 		}
-		piece := Piece(a.ID, n)
+		chunk := Piece(a.ID, n)
 		if f.Torn && n == r.Pieces/2 {
-			io.WriteString(w, piece[:len(piece)/2])
+			io.WriteString(w, chunk[:len(chunk)/2])
 			panic(http.ErrAbortHandler)
 		}
-		if _, err := io.WriteString(w, piece); err != nil {
+		if _, err := io.WriteString(w, chunk); err != nil {
 			return
 		}
 		if f.Repeat {
-			io.WriteString(w, piece)
+			io.WriteString(w, chunk)
 		}
 		w.(http.Flusher).Flush()
 	}
-	r.ended(a)
+	r.markEnded(a)
 }
 
-// wait passes the time to the next piece, or longer while the replica is frozen.
-func (r *Replica) wait(req *http.Request) bool {
+// waitForChunk waits until the next chunk is due and the replica is not frozen. It returns false if
+// the request ends before.
+func (r *Replica) waitForChunk(req *http.Request) bool {
 	t := time.NewTimer(r.Gap)
 	defer t.Stop()
 	select {
@@ -371,7 +373,7 @@
 	}
 }
 
-func (r *Replica) ended(a *Arrival) {
+func (r *Replica) markEnded(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a.Ended = true
--- a/fakes/hosted/state.go
+++ b/fakes/hosted/state.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// serveList lists the prompts of the runs that the replica has seen.
+// serveList lists the prompts that the replica has cached: those of all runs.
 func (r *Replica) serveList(w http.ResponseWriter, _ *http.Request) {
-	held := [][]any{}
+	cached := [][]any{}
 	for _, a := range r.Arrivals() {
 		if !a.Ran {
 			continue
@@ -18,13 +18,13 @@
 		for part := range strings.SplitSeq(a.Header.Get("X-Prompt-Prefix"), ",") {
 			id, tokens, _ := strings.Cut(part, ":")
 			n, _ := strconv.Atoi(tokens)
-			held = append(held, []any{"", id, n, "m"})
+			cached = append(cached, []any{"", id, n, "m"})
 		}
 	}
-	answer(w, map[string]any{"epoch": 1, "next": 1, "held": held})
+	writeJSON(w, map[string]any{"epoch": 1, "next": 1, "held": cached})
 }
 
-// serveMove copies a run on demand.
+// serveMove copies a run to another replica.
 func (r *Replica) serveMove(w http.ResponseWriter, req *http.Request) {
 	var move struct{ ID, Target string }
 	if err := decode(req.Body, &move); err != nil {
@@ -35,12 +35,12 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	answer(w, map[string]any{"kv_handle": "handle-of-" + move.ID, "created": 1})
+	writeJSON(w, map[string]any{"kv_handle": "handle-of-" + move.ID, "created": 1})
 }
 
 func decode(r io.Reader, v any) error { return json.NewDecoder(r).Decode(v) }
 
-// serveReport tells of the runs under way.
+// serveReport reports the replica's load and the runs in progress.
 func (r *Replica) serveReport(w http.ResponseWriter, _ *http.Request) {
 	runs := [][]any{}
 	for _, a := range r.Arrivals() {
@@ -48,15 +48,16 @@
 			runs = append(runs, []any{a.ID, 1, 1, 5})
 		}
 	}
-	answer(w, r.withBorn(map[string]any{"stage": "unified", "queued": 0, "active": len(runs), "runs": runs, "kv_total": Memory}))
+	writeJSON(w, r.withStartTime(map[string]any{"stage": "unified", "queued": 0, "active": len(runs), "runs": runs, "kv_total": Memory}))
 }
 
-// copyTo puts a copy of a run at the replica with an address.
+// copyTo stores a copy of a run at the replica with the given address. It returns false if no other
+// replica has that address.
 func (r *Replica) copyTo(addr, id string) bool {
-	if r.peers == nil {
+	if r.replicaAt == nil {
 		return false
 	}
-	other := r.peers(addr)
+	other := r.replicaAt(addr)
 	if other == nil || other == r {
 		return false
 	}
--- a/fakes/hosted/store.go
+++ b/fakes/hosted/store.go
@@ -1,5 +1,5 @@
-// Package hosted is a stand-in for the users' platform: its store and its
-// replicas, as far as tests and the soak need them, with switches for faults.
+// Package hosted is a fake of the users' platform: its store and its replicas, as far as
+// tests and the soak need them, with fault switches.
 package hosted
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Item is one item of the store, or the news that it was deleted.
+// Item is one item of the store, or the event of its deletion.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -24,20 +24,20 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// Store is a stand-in for the platform's store.
+// Store is a fake of the platform's store.
 type Store struct {
 	*httptest.Server
 
-	mu        sync.Mutex
-	revision  int64
-	items     map[string]Item
-	history   []Item
-	compacted int64         // changes up to this revision are dropped
-	changed   chan struct{} // closed and replaced at each change
-	down      bool          // every call gets 503
-	silent    bool          // no call is answered
-	calls     int
-	leases    int64
+	mu           sync.Mutex
+	revision     int64
+	items        map[string]Item
+	history      []Item
+	compacted    int64         // changes up to this revision have been dropped from history
+	changed      chan struct{} // closed and replaced at each change
+	failing      bool          // every call fails with 503
+	unresponsive bool          // no call gets a response
+	calls        int
+	leases       int64
 }
 
 // NewStore starts a store on loopback.
@@ -48,9 +48,9 @@
 	mux.HandleFunc("GET /kv-watch", s.serveWatch)
 	mux.HandleFunc("POST /kv-txn", s.serveTxn)
 	mux.HandleFunc("POST /kv-lease", s.serveLease)
-	mux.HandleFunc("POST /kv-keep/{lease}", func(w http.ResponseWriter, _ *http.Request) { answer(w, map[string]any{"ttl_ms": 1}) })
+	mux.HandleFunc("POST /kv-keep/{lease}", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, map[string]any{"ttl_ms": 1}) })
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.refuses(r) {
+		if s.awaitAndRefuse(r) {
 			http.Error(w, `{"error":"down"}`, http.StatusServiceUnavailable)
 			return
 		}
@@ -59,20 +59,20 @@
 	return s
 }
 
-// Addr is the address without a scheme.
+// Addr returns the address without a scheme.
 func (s *Store) Addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Door is one more address of the store, which can be shut without the others.
+// Door is an additional address of the store, which can be closed on its own.
 type Door struct {
 	*httptest.Server
-	shut atomic.Bool
+	closed atomic.Bool
 }
 
-// NewDoor opens one more address of the same store.
+// NewDoor opens an additional address of the store.
 func (s *Store) NewDoor() *Door {
 	d := &Door{}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.shut.Load() {
+		if d.closed.Load() {
 			http.Error(w, `{"error":"not you"}`, http.StatusServiceUnavailable)
 			return
 		}
@@ -81,42 +81,42 @@
 	return d
 }
 
-// Addr is the address without a scheme.
+// Addr returns the address without a scheme.
 func (d *Door) Addr() string { return strings.TrimPrefix(d.URL, "http://") }
 
-// Shut turns whoever comes through this address away, and cuts those that wait.
+// Shut makes calls at this address fail with 503 and closes the connections of those in progress.
 func (d *Door) Shut() {
-	d.shut.Store(true)
+	d.closed.Store(true)
 	d.CloseClientConnections()
 }
 
-// Down makes every call fail with 503, or ends that.
+// Down sets whether every call fails with 503.
 func (s *Store) Down(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = down
-	s.wake()
+	s.failing = down
+	s.notifyChanged()
 }
 
-// Silent leaves every call without an answer, or ends that.
+// Silent sets whether calls wait without a response.
 func (s *Store) Silent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
-	s.wake()
+	s.unresponsive = silent
+	s.notifyChanged()
 }
 
-// Compact drops the history, so that watches from before get 410.
+// Compact drops the history, so that watches from an earlier revision fail with 410.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history = nil
 	s.revision++
 	s.compacted = s.revision
-	s.wake()
+	s.notifyChanged()
 }
 
-// Calls is the number of calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,19 +127,19 @@
 func (s *Store) Put(key string, value []byte) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.put(key, value, 0)
+	return s.putLocked(key, value, 0)
 }
 
 // PutJSON writes an item whose value is v as JSON.
 func (s *Store) PutJSON(key string, v any) int64 {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // a test's own value that can't be encoded
+		panic(err) // the test passed a value that can't be encoded
 	}
 	return s.Put(key, data)
 }
 
-func (s *Store) put(key string, value []byte, lease int64) int64 {
+func (s *Store) putLocked(key string, value []byte, lease int64) int64 {
 	s.revision++
 	created := s.revision
 	if old, ok := s.items[key]; ok {
@@ -148,7 +148,7 @@
 	i := Item{Key: key, Value: value, Revision: s.revision, Created: created, Lease: lease}
 	s.items[key] = i
 	s.history = append(s.history, i)
-	s.wake()
+	s.notifyChanged()
 	return s.revision
 }
 
@@ -156,17 +156,17 @@
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(key)
+	s.deleteLocked(key)
 }
 
-func (s *Store) drop(key string) {
+func (s *Store) deleteLocked(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
 	}
 	s.revision++
 	delete(s.items, key)
 	s.history = append(s.history, Item{Key: key, Revision: s.revision, Deleted: true})
-	s.wake()
+	s.notifyChanged()
 }
 
 // Get returns an item.
@@ -177,17 +177,18 @@
 	return i, ok
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyChanged() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// refuses counts the call and holds it while the store is silent.
-func (s *Store) refuses(r *http.Request) bool {
+// awaitAndRefuse counts a call, blocks while the store is unresponsive, and reports whether the call
+// fails.
+func (s *Store) awaitAndRefuse(r *http.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	for s.silent {
+	for s.unresponsive {
 		changed := s.changed
 		s.mu.Unlock()
 		select {
@@ -199,7 +200,7 @@
 			return true
 		}
 	}
-	return s.down
+	return s.failing
 }
 
 func (s *Store) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -215,7 +216,7 @@
 	sort.Slice(items, func(a, b int) bool { return items[a].Key < items[b].Key })
 	const page = 50
 	more := len(items) > page
-	answer(w, map[string]any{"items": items[:min(len(items), page)], "has_more": more, "at": s.revision})
+	writeJSON(w, map[string]any{"items": items[:min(len(items), page)], "has_more": more, "at": s.revision})
 }
 
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
@@ -224,19 +225,19 @@
 	wait, _ := strconv.Atoi(q.Get("wait_ms"))
 	end := time.After(time.Duration(wait) * time.Millisecond)
 	for {
-		events, changed, state := s.since(q.Get("prefix"), after)
+		events, changed, state := s.eventsSince(q.Get("prefix"), after)
 		if state != http.StatusOK {
 			http.Error(w, `{"error":"cut"}`, state)
 			return
 		}
 		if len(events) > 0 {
-			answer(w, map[string]any{"events": events, "at": events[len(events)-1].Revision})
+			writeJSON(w, map[string]any{"events": events, "at": events[len(events)-1].Revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-end:
-			answer(w, map[string]any{"events": []Item{}, "at": after})
+			writeJSON(w, map[string]any{"events": []Item{}, "at": after})
 			return
 		case <-r.Context().Done():
 			return
@@ -244,10 +245,10 @@
 	}
 }
 
-func (s *Store) since(prefix string, after int64) ([]Item, chan struct{}, int) {
+func (s *Store) eventsSince(prefix string, after int64) ([]Item, chan struct{}, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down || s.silent {
+	if s.failing || s.unresponsive {
 		return nil, nil, http.StatusServiceUnavailable
 	}
 	if after < s.compacted {
@@ -277,29 +278,29 @@
 	for _, p := range t.Precondition {
 		if s.items[p.Key].Revision != p.Revision {
 			w.WriteHeader(http.StatusPreconditionFailed)
-			answer(w, map[string]any{"items": []Item{s.items[p.Key]}})
+			writeJSON(w, map[string]any{"items": []Item{s.items[p.Key]}})
 			return
 		}
 	}
 	for _, i := range t.Writes {
-		s.put(i.Key, i.Value, i.Lease)
+		s.putLocked(i.Key, i.Value, i.Lease)
 	}
 	for _, key := range t.Deletes {
-		s.drop(key)
+		s.deleteLocked(key)
 	}
-	answer(w, map[string]any{"revision": s.revision})
+	writeJSON(w, map[string]any{"revision": s.revision})
 }
 
-// serveLease grants leases that never end.
+// serveLease grants leases that never expire.
 func (s *Store) serveLease(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leases++
-	answer(w, map[string]any{"lease": s.leases, "ttl_ms": 1})
+	writeJSON(w, map[string]any{"lease": s.leases, "ttl_ms": 1})
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A client that is gone needs no answer.
+	// An error means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
