--- a/fakes/kv/kv_test.go
+++ b/fakes/kv/kv_test.go
@@ -17,7 +17,7 @@
 	return s
 }
 
-// call posts a request; it reports false if no answer came.
+// call posts a request. It returns false if there was no response.
 func call(t *testing.T, s *Server, path string, req, resp any) bool {
 	t.Helper()
 	body, err := json.Marshal(req)
@@ -43,10 +43,9 @@
 	}
 }
 
-// Symptom: a writer whose answer was lost cannot tell whether it has written.
-// Sequence: the first create is applied and its connection closed; the same
-// create again fails its compare and reads the first value back.
-// Cause: the service died, or the network broke, after the write.
+// If the response to a write is lost, the writer doesn't know whether it was applied: the service
+// crashed or the network failed after the write. With lose-answers a create is applied and its
+// connection closed; the next create of the key fails its compare and returns the first value.
 func TestLostAnswerIsApplied(t *testing.T) {
 	s := start(t)
 	if err := s.Fault("lose-answers", json.RawMessage(`{"n":1,"prefix":"log/"}`)); err != nil {
@@ -54,14 +53,14 @@
 	}
 	var resp txnResponse
 	if !call(t, s, "/v3/kv/txn", create("other", "x"), &resp) || !resp.Succeeded {
-		t.Fatal("a key outside of the prefix lost its answer")
+		t.Fatal("the response for a key outside of the prefix was lost")
 	}
 	if call(t, s, "/v3/kv/txn", create("log/1", "first"), &resp) {
-		t.Fatal("the answer was not lost")
+		t.Fatal("the response was not lost")
 	}
 	resp = txnResponse{}
 	if !call(t, s, "/v3/kv/txn", create("log/1", "second"), &resp) {
-		t.Fatal("only one answer was to be lost")
+		t.Fatal("more than one response was lost")
 	}
 	if resp.Succeeded || string(resp.Responses[0].Range.Kvs[0].Value) != "first" {
 		t.Fatalf("the lost write was not applied: %+v", resp)
@@ -99,10 +98,8 @@
 	}
 }
 
-// Symptom: a holder goes on believing in a lease that has lapsed.
-// Sequence: a key bound to a lease of one second is written and never kept
-// alive; a watch shows that it was deleted, and a keepalive finds nothing.
-// Cause: the holder was paused for longer than the time to live.
+// When the owner of a lease is paused for longer than its time to live, the lease expires: its keys
+// are deleted, watches report that, and a later keepalive finds no lease.
 func TestLapsedLeaseDeletesItsKeys(t *testing.T) {
 	s := start(t)
 	var lease leaseResponse
@@ -135,6 +132,6 @@
 	var alive keepAliveResponse
 	call(t, s, "/v3/lease/keepalive", leaseRequest{lease.ID}, &alive)
 	if alive.Result.TTL != 0 {
-		t.Fatal("the lapsed lease was kept alive")
+		t.Fatal("the expired lease was kept alive")
 	}
 }
--- a/fakes/kv/lease.go
+++ b/fakes/kv/lease.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// lease deletes its keys once it has not been kept alive for its time to live.
+// lease deletes its keys when it has not been kept alive for its time to live.
 type lease struct {
 	id    int64
 	ttl   time.Duration
@@ -41,7 +41,7 @@
 	if l == nil {
 		return nil, errNoLease
 	}
-	s.drop(l)
+	s.deleteLease(l)
 	return &leaseResponse{Header: s.header()}, nil
 }
 
@@ -49,12 +49,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[l.id] == l {
-		s.drop(l)
+		s.deleteLease(l)
 	}
 }
 
-// drop removes the lease and deletes its keys as one revision.
-func (s *store) drop(l *lease) {
+// deleteLease deletes a lease and, in a single revision, its keys.
+func (s *store) deleteLease(l *lease) {
 	l.timer.Stop()
 	keys := l.keys
 	l.keys = nil
--- a/fakes/kv/server.go
+++ b/fakes/kv/server.go
@@ -13,7 +13,7 @@
 	"wigeondale/fakes/fault"
 )
 
-// Kinds of calls, as they are counted.
+// Kinds of calls, by which Calls counts.
 const (
 	kindRange     = "range"
 	kindPut       = "put"
@@ -25,7 +25,7 @@
 	kindWatch     = "watch"
 )
 
-// Codes of the gateway's errors, those of gRPC.
+// Error codes of the gateway, which are those of gRPC.
 const (
 	codeInvalid     = 3
 	codeNotFound    = 5
@@ -34,39 +34,39 @@
 
 const maxBody = 4 << 20 // bytes
 
-// Server is the stand-in service.
+// Server is the fake service.
 type Server struct {
 	store  *store
 	server *fault.Server
 
-	mu       sync.Mutex
-	calls    map[string]int64
-	watching map[string]int // open watches by the key that they begin at
-	lose     int            // how many further writes lose their answer
-	loseFor  string         // only writes that touch keys with this prefix
-	out      bool           // outage of the keys below outFor only
-	outFor   string
-	delay    time.Duration
-	delayFor string
+	mu            sync.Mutex
+	calls         map[string]int64
+	openWatches   map[string]int // number of open watches, by the first key of their range
+	answersToLose int            // how many more writes get no response
+	losePrefix    string         // lose-answers applies to writes of keys with this prefix
+	outage        bool           // calls on keys with outagePrefix fail
+	outagePrefix  string
+	delay         time.Duration
+	delayPrefix   string
 }
 
-// New prepares the service at addr, with no keys.
+// New prepares the service at addr, without keys.
 func New(addr string) *Server {
-	s := &Server{store: newStore(), calls: make(map[string]int64), watching: make(map[string]int)}
+	s := &Server{store: newStore(), calls: make(map[string]int64), openWatches: make(map[string]int)}
 	s.server = fault.NewServer(addr, s.routes())
 	return s
 }
 
-// ID is the name under which the control listener knows the service.
+// ID returns the service's name at the control listener.
 func (s *Server) ID() string { return "kv" }
 
-// Addr is the address of the service.
+// Addr returns the address of the service.
 func (s *Server) Addr() string { return s.server.Addr() }
 
-// Start begins to serve.
+// Start starts the service.
 func (s *Server) Start() error { return Error.Wrap(s.server.Start()) }
 
-// Close ends the service.
+// Close stops the service.
 func (s *Server) Close() {
 	s.server.Kill()
 	s.store.close()
@@ -80,13 +80,12 @@
 	return maps.Clone(s.calls)
 }
 
-// Watching returns how many watches are open that begin at a key with this
-// prefix.
+// Watching returns the number of open watches whose first key has this prefix.
 func (s *Server) Watching(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for key, open := range s.watching {
+	for key, open := range s.openWatches {
 		if strings.HasPrefix(key, prefix) {
 			n += open
 		}
@@ -94,17 +93,17 @@
 	return n
 }
 
-func (s *Server) watched(key []byte, by int) {
+func (s *Server) countWatch(key []byte, delta int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watching[string(key)] += by
+	s.openWatches[string(key)] += delta
 }
 
 // Fault turns a switch: outage {on,prefix}, slow {ms,prefix}, lose-answers
 // {n,prefix}, kill, start, cut, heal, freeze, thaw. The service keeps its data
-// through all of them. An outage of a prefix answers 503 without applying; a
-// whole outage refuses connections. lose-answers applies the next n writes and
-// closes their connections with no answer.
+// through all of them. During an outage of a prefix, calls on its keys are not applied
+// and get 503. An outage without a prefix refuses connections. lose-answers applies the
+// next n writes and closes their connections without a response.
 func (s *Server) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
@@ -114,11 +113,11 @@
 	defer s.mu.Unlock()
 	switch {
 	case name == "lose-answers":
-		s.lose, s.loseFor = args.N, args.Prefix
+		s.answersToLose, s.losePrefix = args.N, args.Prefix
 	case name == "outage" && args.Prefix != "":
-		s.out, s.outFor = args.Enabled(), args.Prefix
+		s.outage, s.outagePrefix = args.Enabled(), args.Prefix
 	case name == "slow":
-		s.delay, s.delayFor = args.Duration(), args.Prefix
+		s.delay, s.delayPrefix = args.Duration(), args.Prefix
 	default:
 		return s.server.Apply(name, args)
 	}
@@ -135,11 +134,11 @@
 	mux.HandleFunc("POST /v3/lease/keepalive", handle(s, kindKeepAlive, s.doKeepAlive))
 	mux.HandleFunc("POST /v3/lease/revoke", handle(s, kindRevoke, s.doRevoke))
 	mux.HandleFunc("POST /v3/kv/lease/revoke", handle(s, kindRevoke, s.doRevoke))
-	mux.HandleFunc("POST /v3/watch", s.watch)
+	mux.HandleFunc("POST /v3/watch", s.serveWatch)
 	return mux
 }
 
-// keyed is a request that names the keys it touches.
+// keyed is a request that knows its keys. For a range it returns the first one.
 type keyed interface{ keys() [][]byte }
 
 func (r *rangeRequest) keys() [][]byte  { return [][]byte{r.Key} }
@@ -179,7 +178,7 @@
 	return false
 }
 
-// handle wraps one kind of call in counting and faults.
+// handle returns a handler that counts a kind of call and applies the faults to it.
 func handle[Req any, P interface {
 	*Req
 	keyed
@@ -191,12 +190,12 @@
 			writeError(w, http.StatusBadRequest, codeInvalid, err)
 			return
 		}
-		if s.impede(w, r, req) {
+		if s.applyFaults(w, r, req) {
 			return
 		}
 		resp, err := do(req)
 		if s.losesAnswer(kind, req) {
-			panic(http.ErrAbortHandler) // applied, then closed with no answer
+			panic(http.ErrAbortHandler) // the request was applied; closes the connection without a response
 		}
 		if err != nil {
 			writeStoreError(w, err)
@@ -213,23 +212,23 @@
 	s.calls[kind]++
 }
 
-// impede plays slowness and the outage of a prefix; it reports whether the
-// call has been refused.
-func (s *Server) impede(w http.ResponseWriter, r *http.Request, req keyed) bool {
+// applyFaults applies the delay and the outage of a prefix. It reports whether it has refused
+// the call.
+func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, req keyed) bool {
 	s.mu.Lock()
 	delay := s.delay
-	if !touches(req, s.delayFor) {
+	if !touches(req, s.delayPrefix) {
 		delay = 0
 	}
-	out := s.out && touches(req, s.outFor)
+	refused := s.outage && touches(req, s.outagePrefix)
 	s.mu.Unlock()
 	if delay > 0 {
 		fault.Sleep(r, delay)
 	}
-	if out {
+	if refused {
 		writeError(w, http.StatusServiceUnavailable, codeUnavailable, Error.New("outage"))
 	}
-	return out
+	return refused
 }
 
 func (s *Server) losesAnswer(kind string, req keyed) bool {
@@ -240,10 +239,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.lose == 0 || !touches(req, s.loseFor) {
+	if s.answersToLose == 0 || !touches(req, s.losePrefix) {
 		return false
 	}
-	s.lose--
+	s.answersToLose--
 	return true
 }
 
--- a/fakes/kv/store.go
+++ b/fakes/kv/store.go
@@ -1,7 +1,6 @@
-// Package kv is a stand-in for the platform's key-value service. It speaks the
-// JSON gateway of etcd v3: range, put, txn, deleterange, leases and watches. It
-// counts calls by kind and has switches for outages, slowness and writes that
-// are applied although their answer is lost.
+// Package kv is a fake of the platform's key-value service. It implements the JSON gateway
+// of etcd v3: range, put, txn, deleterange, leases and watches. It counts calls by kind and
+// has switches for outages, delays, and writes that are applied but get no response.
 package kv
 
 import (
@@ -26,11 +25,12 @@
 
 const (
 	maxValue   = 1 << 20 // bytes
-	maxHistory = 1 << 16 // events kept for watches that start in the past
+	maxHistory = 1 << 16 // events kept for watches from an earlier revision
 	typeDelete = "DELETE"
 )
 
-// store is the data; every method takes the lock except those named apply.
+// store holds the data. The methods txn, eventsSince, grant, keepAlive, revoke, expire and close take
+// the lock; the others expect it to be held.
 type store struct {
 	mu        sync.Mutex
 	revision  int64
@@ -39,7 +39,7 @@
 	leases    map[int64]*lease
 	nextLease int64
 	history   []change
-	compacted int64         // changes up to this revision are no longer kept
+	compacted int64         // changes up to this revision have been dropped from history
 	changed   chan struct{} // closed and replaced at each change
 }
 
@@ -63,9 +63,9 @@
 	return &header{ClusterID: 1, MemberID: 1, Revision: Int(revision), RaftTerm: 1}
 }
 
-// span finds the keys of [key, end). No end means the key alone, and an end of
-// one zero byte means all keys from key on.
-func (s *store) span(key, end []byte) []string {
+// keysInRange returns the keys in [key, end). An empty end means the key alone, and an end
+// of one zero byte means all keys from key on.
+func (s *store) keysInRange(key, end []byte) []string {
 	from, found := slices.BinarySearch(s.keys, string(key))
 	if len(end) == 0 {
 		if !found {
@@ -80,7 +80,7 @@
 	return s.keys[from:max(from, to)]
 }
 
-func inSpan(k, key, end []byte) bool {
+func inRange(k, key, end []byte) bool {
 	if len(end) == 0 {
 		return bytes.Equal(k, key)
 	}
@@ -91,7 +91,7 @@
 }
 
 func (s *store) applyRange(r *rangeRequest) *rangeResponse {
-	keys := s.span(r.Key, r.RangeEnd)
+	keys := s.keysInRange(r.Key, r.RangeEnd)
 	resp := &rangeResponse{Header: s.header(), Count: Int(len(keys))}
 	if r.CountOnly {
 		return resp
@@ -114,7 +114,7 @@
 	return resp
 }
 
-// applyPut writes at the revision given, which the caller has begun.
+// applyPut writes a key at the given revision, which the caller commits.
 func (s *store) applyPut(r *putRequest, revision int64) *putResponse {
 	k := string(r.Key)
 	resp := &putResponse{Header: s.headerAt(revision)}
@@ -128,7 +128,7 @@
 		s.keys = slices.Insert(s.keys, at, k)
 		it = item{Key: r.Key, CreateRevision: Int(revision)}
 	}
-	s.unbind(it)
+	s.detachLease(it)
 	it.ModRevision = Int(revision)
 	it.Version++
 	it.Value = r.Value
@@ -143,23 +143,23 @@
 
 func (s *store) applyDelete(r *deleteRequest, revision int64) *deleteResponse {
 	resp := &deleteResponse{Header: s.headerAt(revision)}
-	for _, k := range slices.Clone(s.span(r.Key, r.RangeEnd)) {
+	for _, k := range slices.Clone(s.keysInRange(r.Key, r.RangeEnd)) {
 		it := s.items[k]
 		if r.PrevKV {
 			resp.PrevKVs = append(resp.PrevKVs, it)
 		}
 		resp.Deleted++
-		s.unbind(it)
+		s.detachLease(it)
 		delete(s.items, k)
 		at, _ := slices.BinarySearch(s.keys, k)
 		s.keys = slices.Delete(s.keys, at, at+1)
-		gone := item{Key: it.Key, ModRevision: Int(revision)}
-		s.record(change{revision, watchEvent{Type: typeDelete, KV: gone}})
+		tombstone := item{Key: it.Key, ModRevision: Int(revision)}
+		s.record(change{revision, watchEvent{Type: typeDelete, KV: tombstone}})
 	}
 	return resp
 }
 
-func (s *store) unbind(it item) {
+func (s *store) detachLease(it item) {
 	if l := s.leases[int64(it.Lease)]; l != nil {
 		delete(l.keys, string(it.Key))
 	}
@@ -174,20 +174,20 @@
 	}
 }
 
-// commit makes the changes of the revision begun visible to watches.
+// commit makes the changes of a revision visible to watches.
 func (s *store) commit(revision int64) {
 	s.revision = revision
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// txn applies one branch as a single revision, or nothing in case of an error.
+// txn applies one branch as a single revision, or nothing if there is an error.
 func (s *store) txn(r *txnRequest) (*txnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	resp := &txnResponse{Succeeded: true}
 	for _, c := range r.Compare {
-		ok, err := s.holds(c)
+		ok, err := s.evaluate(c)
 		if err != nil {
 			return nil, err
 		}
@@ -239,8 +239,8 @@
 	return operationResponse{}
 }
 
-// holds evaluates a compare; an absent key has revisions and version zero.
-func (s *store) holds(c compare) (bool, error) {
+// evaluate evaluates a compare. A missing key has version and revisions zero.
+func (s *store) evaluate(c compare) (bool, error) {
 	it := s.items[string(c.Key)]
 	var order int
 	switch c.Target {
@@ -270,9 +270,9 @@
 	return false, errCompare
 }
 
-// since lists the changes in a span from a revision on. It also returns the
-// revision up to which it looked and a channel closed at the next change.
-func (s *store) since(w *watchCreate, from int64) (events []watchEvent, now header, ok bool, changed <-chan struct{}) {
+// eventsSince returns the changes in a watch's range from a revision on, the current revision,
+// and a channel that is closed at the next change. ok is false if changes have been dropped.
+func (s *store) eventsSince(w *watchCreate, from int64) (events []watchEvent, now header, ok bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if from <= s.compacted {
@@ -280,7 +280,7 @@
 	}
 	first := sort.Search(len(s.history), func(i int) bool { return s.history[i].revision >= from })
 	for _, c := range s.history[first:] {
-		if inSpan(c.event.KV.Key, w.Key, w.RangeEnd) {
+		if inRange(c.event.KV.Key, w.Key, w.RangeEnd) {
 			events = append(events, c.event)
 		}
 	}
--- a/fakes/kv/watch.go
+++ b/fakes/kv/watch.go
@@ -5,8 +5,8 @@
 	"net/http"
 )
 
-// watch streams changes as newline-delimited JSON until the caller leaves.
-func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
+// serveWatch streams changes as newline-delimited JSON until the client disconnects.
+func (s *Server) serveWatch(w http.ResponseWriter, r *http.Request) {
 	s.count(kindWatch)
 	var req watchRequest
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&req)
@@ -14,11 +14,11 @@
 		writeError(w, http.StatusBadRequest, codeInvalid, Error.New("create_request is missing"))
 		return
 	}
-	if s.impede(w, r, req.Create) {
+	if s.applyFaults(w, r, req.Create) {
 		return
 	}
-	s.watched(req.Create.Key, 1)
-	defer s.watched(req.Create.Key, -1)
+	s.countWatch(req.Create.Key, 1)
+	defer s.countWatch(req.Create.Key, -1)
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	flusher := http.NewResponseController(w)
@@ -29,12 +29,12 @@
 	if from == 0 {
 		from = s.nextRevision()
 	}
-	_, now, _, _ := s.store.since(req.Create, from)
+	_, now, _, _ := s.store.eventsSince(req.Create, from)
 	if !send(watchResult{Header: now, Created: true}) {
 		return
 	}
 	for {
-		events, now, ok, changed := s.store.since(req.Create, from)
+		events, now, ok, changed := s.store.eventsSince(req.Create, from)
 		if !ok {
 			send(watchResult{Header: now, Canceled: true, CompactRevision: Int(s.compacted() + 1)})
 			return
--- a/fakes/kv/wire.go
+++ b/fakes/kv/wire.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Int is an int64 that is written as a JSON string, as the gateway does, and
-// read from a string or a number.
+// Int is an int64 that is encoded as a JSON string, as the gateway does, and
+// decoded from a string or a number.
 type Int int64
 
 // MarshalJSON implements json.Marshaler.
@@ -129,7 +129,7 @@
 type leaseResponse struct {
 	Header *header `json:"header,omitempty"`
 	ID     Int     `json:"ID,omitempty"`
-	TTL    Int     `json:"TTL,omitempty"` // seconds; absent once the lease is gone
+	TTL    Int     `json:"TTL,omitempty"` // seconds; absent if the lease does not exist
 }
 
 type keepAliveResponse struct {
@@ -143,7 +143,7 @@
 type watchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end"`
-	StartRevision Int    `json:"start_revision"` // 0 means from the next change on
+	StartRevision Int    `json:"start_revision"` // 0 means from the next change
 	PrevKV        bool   `json:"prev_kv"`
 }
 
