--- a/fakes/control/config.go
+++ b/fakes/control/config.go
@@ -1,5 +1,5 @@
-// Package control builds a set of stand-ins from its configuration and lets
-// tests turn their faults and read their records through one HTTP listener.
+// Package control builds a set of fakes from a configuration. Through one HTTP listener,
+// tests turn the fakes' fault switches and read their records.
 package control
 
 import (
@@ -16,10 +16,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("fakes")
 
-// anyPort lets the kernel choose a port on loopback.
+// anyPort is a loopback address whose port package fault replaces by a free one.
 const anyPort = "127.0.0.1:0"
 
-// Config is the whole set. An absent address means any free port.
+// Config describes the set. An empty address means any free loopback port.
 type Config struct {
 	Control      AddrConfig       `json:"control"`
 	KV           *AddrConfig      `json:"kv"`
@@ -31,33 +31,32 @@
 	Relays       []RelayConfig    `json:"relays"`
 }
 
-// AddrConfig holds an address alone.
+// AddrConfig describes a fake that needs only an address.
 type AddrConfig struct {
 	Addr string `json:"addr"`
 }
 
-// VMsConfig describes the VM list; engines and services are listed by
-// themselves.
+// VMsConfig describes the VM list. Engines and services are added to it automatically.
 type VMsConfig struct {
 	Addr  string      `json:"addr"`
 	LagMS float64     `json:"lag_ms"`
 	Extra []vms.Entry `json:"extra"`
 }
 
-// WeightsConfig describes the weight store; sizes are in bytes.
+// WeightsConfig describes the weight store. Sizes are in bytes.
 type WeightsConfig struct {
 	Addr           string           `json:"addr"`
 	BytesPerSecond float64          `json:"bytes_per_second"`
 	Sizes          map[string]int64 `json:"sizes"`
 }
 
-// EngineGroup stands for count engines named prefix1, prefix2 and so on, each
-// on a VM of its own, dealt to the failure domains in turn.
+// EngineGroup describes count engines with the ids prefix1, prefix2 and so on. Each is on a VM
+// of its own; the failure domains are assigned in turn.
 type EngineGroup struct {
 	Prefix         string        `json:"prefix"`
 	Count          int           `json:"count"`
 	FailureDomains []string      `json:"failure_domains"`
-	Engine         engine.Config `json:"engine"` // what all have in common
+	Engine         engine.Config `json:"engine"` // configuration of all engines of the group
 }
 
 // RelayConfig describes a TCP relay.
@@ -67,7 +66,7 @@
 	Target string `json:"target"`
 }
 
-// Parse reads a configuration strictly and checks it.
+// Parse decodes a configuration strictly and checks it.
 func Parse(data []byte) (Config, error) {
 	var c Config
 	if err := fault.Decode(data, &c); err != nil {
--- a/fakes/control/control.go
+++ b/fakes/control/control.go
@@ -20,7 +20,7 @@
 
 const maxBody = 1 << 20 // bytes
 
-// Component is a stand-in with fault switches.
+// Component is a fake with fault switches.
 type Component interface {
 	ID() string
 	Addr() string
@@ -29,7 +29,7 @@
 	Fault(name string, args json.RawMessage) error
 }
 
-// Set is a configured set of stand-ins and their control listener.
+// Set is a configured set of fakes and their control listener.
 type Set struct {
 	KV       *kv.Server // nil if not configured, like VMs and Weights
 	VMs      *vms.List
@@ -45,7 +45,7 @@
 	stopped    chan struct{}
 }
 
-// New prepares the set; nothing listens before Start.
+// New prepares the set. Nothing listens before Start.
 func New(cfg Config) (*Set, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// entries lists engines, services and the extra entries, once addresses are
-// known.
+// entries returns the entries of the VM list: engines, services and the extra entries. The
+// fakes must have been started, since their addresses are known only then.
 func (s *Set) entries() []vms.Entry {
 	var out []vms.Entry
 	for _, e := range s.Engines {
@@ -138,7 +138,7 @@
 	return append(out, s.cfg.VMs.Extra...)
 }
 
-// Close ends all stand-ins and the control listener.
+// Close stops all fakes and the control listener.
 func (s *Set) Close() {
 	for _, c := range slices.Backward(s.components) {
 		c.Close()
@@ -146,13 +146,14 @@
 	s.server.Kill()
 }
 
-// Addr is the address of the control listener.
+// Addr returns the address of the control listener.
 func (s *Set) Addr() string { return s.server.Addr() }
 
-// Stopped is closed once a stop was asked for through the control listener.
+// Stopped returns a channel that is closed by POST /control/stop.
 func (s *Set) Stopped() <-chan struct{} { return s.stopped }
 
-// Ports maps each component, and "control", to its address.
+// Ports returns the address of each component by its id, and that of the control listener as
+// "control".
 func (s *Set) Ports() map[string]string {
 	ports := map[string]string{"control": s.Addr()}
 	for _, c := range s.components {
@@ -161,7 +162,7 @@
 	return ports
 }
 
-// Fault turns a switch of the component with that id.
+// Fault turns a switch of the component with the given id.
 func (s *Set) Fault(id, name string, args json.RawMessage) error {
 	for _, c := range s.components {
 		if c.ID() == id {
@@ -171,14 +172,14 @@
 	return fault.ErrUnknown
 }
 
-// Record is what all back ends did.
+// Record describes what all engines and services did.
 type Record struct {
 	Totals   Totals           `json:"totals"`
 	Engines  []engine.Record  `json:"engines"`
 	Services []service.Record `json:"services"`
 }
 
-// Totals sums over all engines, in tokens, and over all services.
+// Totals sums the tokens of all engines and the requests of all services.
 type Totals struct {
 	Prefilled int `json:"prefilled"`
 	Generated int `json:"generated"`
--- a/fakes/control/control_test.go
+++ b/fakes/control/control_test.go
@@ -80,10 +80,8 @@
 	}
 }
 
-// Symptom: new work goes to a VM that is leaving.
-// Sequence: a VM is marked as leaving; the list shows it as live for its lag,
-// and as leaving once the lag is taken away.
-// Cause: the VM list is always somewhat old.
+// The VM list lags behind, so that new work can go to a VM that is already leaving. A VM that is
+// marked as leaving stays live in the list during the lag, and is leaving when the lag is removed.
 func TestVMListLags(t *testing.T) {
 	s := start(t, `{"vms":{"lag_ms":3600000},"engines":[{"id":"e1","vm":"vm-1"}]}`)
 	if code := s.post(t, "vms/leave", `{"vm":"vm-1"}`); code != http.StatusOK {
@@ -105,10 +103,9 @@
 	}
 }
 
-// Symptom: a booking is made although its caller saw a broken connection, and
-// a caller reads another's answer.
-// Sequence: close-after-read, then cross, on a plain service.
-// Cause: the service died after its work; an intermediary crossed two answers.
+// Two faults of a service: with close-after-read it executes a booking and closes the connection, as
+// if it had crashed after the work; with cross it sends the response to another request, as if an
+// intermediary had mixed them up. The record counts both bookings.
 func TestServiceFaultsAreRecorded(t *testing.T) {
 	s := start(t, `{"services":[{"id":"s1","service":"tags"}]}`)
 	base := "http://" + s.Services[0].Addr()
@@ -140,16 +137,15 @@
 	}
 }
 
-// Symptom: neither side of a link hears the other, and neither is closed.
-// Sequence: a request through a cut relay gets no answer, one after heal does; after kill, connects are refused.
-// Cause: a network partition.
+// A cut relay acts like a network partition: a request gets no response and its connection stays open.
+// After heal requests get responses, and after kill connections are refused.
 func TestRelayCutAndKill(t *testing.T) {
 	target := start(t, `{}`)
 	s := start(t, `{"relays":[{"id":"link","target":"`+target.Addr()+`"}]}`)
 	addr := s.Ports()["link"]
 	s.post(t, "link/cut", "")
-	impatient := http.Client{Timeout: 50 * time.Millisecond}
-	if _, err := impatient.Get("http://" + addr + "/control/calls"); err == nil {
+	shortTimeoutClient := http.Client{Timeout: 50 * time.Millisecond}
+	if _, err := shortTimeoutClient.Get("http://" + addr + "/control/calls"); err == nil {
 		t.Fatal("bytes pass the cut")
 	}
 	s.post(t, "link/heal", "")
