--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -1,11 +1,11 @@
-// Package ports gives test programs loopback addresses that stay theirs.
+// Package ports reserves loopback addresses for test programs.
 //
-// A program that has to state an address before it starts the process that listens
-// there can't bind it itself. Merely looking for a free port leaves a gap until the
-// process binds it, and one more each time the process is restarted: another test
-// program on the same machine finds the port free too, and one of the two processes
-// ends at its start. So a Pool claims a block of ports first, by listening on the
-// block's first one for as long as it lives; no other Pool gives out the rest.
+// A program that must choose the address of a process before it starts the process can't
+// listen on the address itself. If it merely finds a free port, the port stays free until
+// the process listens on it, and again during each restart of the process. Another test
+// program on the same machine can choose the same port meanwhile, and one of the two
+// processes exits at its start. A Pool therefore reserves a block of ports: it listens on
+// the first one, the guard, until it is closed, and no other Pool uses the rest of the block.
 package ports
 
 import (
@@ -23,54 +23,52 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("ports")
 
-// The range lies below the one from which systems give ports to outgoing
-// connections: those know of no claim.
+// The range of ports that pools use. It lies below the range from which operating systems
+// assign ports to outgoing connections, which ignore reservations.
 const (
 	firstPort  = 11000
 	blockSize  = 50
 	blockCount = 400
 )
 
-// Pool gives out addresses of the blocks that it has claimed. The zero Pool is
-// ready to use.
+// Pool returns addresses from the blocks that it has reserved. The zero Pool is ready to use.
 type Pool struct {
 	mu     sync.Mutex
-	claims []net.Listener
-	next   int // port to try next
-	end    int // of the block
+	guards []net.Listener // on the first port of each reserved block
+	next   int            // next port to try
+	end    int            // first port after the current block
 }
 
-// shared serves the whole program.
-var shared Pool
+// programPool is the pool of this program, which the function FreeAddr uses.
+var programPool Pool
 
-// FreeAddr returns an address of the program's own pool, which lives as long as it.
-func FreeAddr() (string, error) { return shared.FreeAddr() }
+// FreeAddr returns an address from the program's pool, which is never closed.
+func FreeAddr() (string, error) { return programPool.FreeAddr() }
 
-// FreeAddr returns a loopback address on which nobody listens. It gives each out
-// once.
+// FreeAddr returns a loopback address on which no process listens. It returns each address
+// only once.
 func (p *Pool) FreeAddr() (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for {
 		if p.next == p.end {
-			if err := p.claim(); err != nil {
+			if err := p.reserveBlock(); err != nil {
 				return "", err
 			}
 		}
 		port := p.next
 		p.next++
-		if addr := address(port); !answers(addr) { // else of a program that knows of no claims
+		if addr := address(port); !inUse(addr) { // else a program without a Pool uses it
 			return addr, nil
 		}
 	}
 }
 
-// answers tells whether somebody listens at an address. To listen there oneself would
-// tell too, but a process that is started at that moment has a copy of every socket
-// until it runs its program: nobody else could listen for as long, though the socket
-// that looked is closed.
-func answers(addr string) bool {
-	conn, err := net.DialTimeout("tcp", addr, answerTimeout)
+// inUse reports whether a process listens on an address. It connects and does not try to
+// listen: a child process that is started at that moment inherits the listening socket until
+// it executes its program, so the address would stay in use after the socket was closed here.
+func inUse(addr string) bool {
+	conn, err := net.DialTimeout("tcp", addr, probeTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return false
 	}
@@ -80,12 +78,12 @@
 	return true
 }
 
-// answerTimeout bounds the look at a port. On loopback it takes microseconds.
-const answerTimeout = time.Second
+// probeTimeout bounds the connection attempt of inUse. On loopback it takes microseconds.
+const probeTimeout = time.Second
 
-// claim takes a block that nobody has, from a place of its own on, so that programs
-// that start together seldom try the same ones.
-func (p *Pool) claim() error {
+// reserveBlock reserves a block that no pool has. It starts at a random block, so that programs that
+// start at the same time rarely try the same ones.
+func (p *Pool) reserveBlock() error {
 	from := rand.IntN(blockCount)
 	for i := range blockCount {
 		guard := firstPort + (from+i)%blockCount*blockSize
@@ -93,28 +91,28 @@
 		if err != nil {
 			continue
 		}
-		p.claims = append(p.claims, ln)
+		p.guards = append(p.guards, ln)
 		p.next, p.end = guard+1, guard+blockSize
 		return nil
 	}
-	return Error.New("all %d blocks of ports from %d on are claimed", blockCount, firstPort)
+	return Error.New("all %d blocks of ports from %d on are reserved", blockCount, firstPort)
 }
 
-// InRange tells whether a port is one that pools give out, and so none that systems
-// give to outgoing connections.
+// InRange reports whether a port is in the range that pools use, which operating systems don't
+// assign to outgoing connections.
 func InRange(port int) bool {
 	return port >= firstPort && port < firstPort+blockCount*blockSize
 }
 
-// Close gives all claims up.
+// Close releases all blocks.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var group errs.Group
-	for _, ln := range p.claims {
+	for _, ln := range p.guards {
 		group.Add(ln.Close())
 	}
-	p.claims, p.next, p.end = nil, 0, 0
+	p.guards, p.next, p.end = nil, 0, 0
 	return Error.Wrap(group.Err())
 }
 
@@ -124,23 +122,23 @@
 
 func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// Listen listens at an address that was given out by a pool, also right after a
-// listener there was closed: a copy of its socket in a process that is being started
-// is waited for.
+// Listen listens on an address from a pool, also right after a listener there was closed: if
+// a child process that is being started has inherited the socket, it waits until the child has
+// closed it.
 func Listen(addr string) (net.Listener, error) {
-	end := time.Now().Add(copyPatience)
+	end := time.Now().Add(maxChildWait)
 	for {
 		ln, err := net.Listen("tcp", addr)
 		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
 			return ln, Error.Wrap(err)
 		}
-		time.Sleep(copyCheck)
+		time.Sleep(childPoll)
 	}
 }
 
 const (
-	// copyPatience bounds the wait for a copy to go. A process runs its program within
-	// some ms, on a busy machine within some hundred.
-	copyPatience = 3 * time.Second
-	copyCheck    = 2 * time.Millisecond
+	// maxChildWait bounds the wait for an inherited socket to close, which happens when the child
+	// executes its program: within some ms, on a busy machine within some hundred ms.
+	maxChildWait = 3 * time.Second
+	childPoll    = 2 * time.Millisecond
 )
--- a/fakes/ports/ports_test.go
+++ b/fakes/ports/ports_test.go
@@ -8,13 +8,10 @@
 	"testing"
 )
 
-// Symptom: a process that a test starts ends at once, or never gets ready: another
-// one listens on its address.
-// Sequence: two test programs look for free ports at the same time, or one does
-// while a process of the other is being restarted; the port is free, so both use it.
-// Cause: a port that was merely looked at is nobody's until a process binds it. Here
-// two pools, as two programs have them, never give out the same one, though nobody
-// listens on any of them.
+// Two pools, as two programs have them, must not return the same address, although no process listens
+// on any of them. Two test programs that merely find a free port, at the same time or while a
+// process of one is being restarted, choose the same one; one of the two processes then exits at
+// once or is never ready.
 func TestPoolsGiveOutDifferentPorts(t *testing.T) {
 	const pools, each = 8, 3 * blockSize
 	given := map[string]int{}
@@ -31,7 +28,7 @@
 				t.Fatal(err)
 			}
 			if other, taken := given[addr]; taken {
-				t.Fatalf("%s was given out by pool %d and by pool %d", addr, other, i)
+				t.Fatalf("%s was returned by pool %d and by pool %d", addr, other, i)
 			}
 			given[addr] = i
 		}
@@ -43,20 +40,19 @@
 	if _, err := p.FreeAddr(); err != nil {
 		t.Fatal(err)
 	}
-	guard := p.claims[0].Addr().String()
+	guard := p.guards[0].Addr().String()
 	if err := p.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if len(p.claims) != 0 || p.next != p.end {
+	if len(p.guards) != 0 || p.next != p.end {
 		t.Fatalf("the pool still holds %s", guard)
 	}
 }
 
-// Symptom: a stand-in can't listen on the address that it was given: it is in use.
-// Sequence: a test looks whether a port is free while another one starts a process. The
-// new process has a copy of every socket until it runs its program, so also of the one
-// that looked, which is closed meanwhile; then the stand-in listens.
-// Cause: a socket is gone only when its last copy is.
+// An address must be free when a process is being started meanwhile. A child process inherits every
+// socket until it executes its program. If FreeAddr listened to find out whether a port is free, a
+// child could keep that socket open after it was closed here, and a fake could not listen on the
+// address.
 func TestAddressIsFreeWhileProcessesAreStarted(t *testing.T) {
 	const starters, started, addresses = 8, 2, 4000
 	var work sync.WaitGroup
@@ -83,7 +79,7 @@
 		}
 		ln.Close()
 		if ln, err = Listen(addr); err != nil {
-			t.Fatalf("once more: %v", err)
+			t.Fatalf("listen again: %v", err)
 		}
 		ln.Close()
 	}
