--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a plain TCP relay whose two directions can be cut, so that a
-// test can separate two processes that both stay alive.
+// Package relay is a TCP relay. Tests cut either or both of its directions to separate two
+// processes that both keep running.
 package relay
 
 import (
@@ -18,25 +18,25 @@
 
 const dialTimeout = 5 * time.Second
 
-// Relay passes the bytes of each connection to its target and back.
+// Relay forwards the bytes of each connection to its target and back.
 type Relay struct {
 	id       string
 	target   string
 	listener *fault.Listener
 }
 
-// New prepares a relay from the address listen to the address target.
+// New prepares a relay that listens on the address listen and forwards to the address target.
 func New(id, listen, target string) *Relay {
 	return &Relay{id: id, target: target, listener: fault.NewListener(listen)}
 }
 
-// ID is the name under which the control listener knows the relay.
+// ID returns the relay's name at the control listener.
 func (r *Relay) ID() string { return r.id }
 
-// Addr is the address that clients dial.
+// Addr returns the address that clients connect to.
 func (r *Relay) Addr() string { return r.listener.Address() }
 
-// Start begins to accept connections.
+// Start starts accepting connections.
 func (r *Relay) Start() error {
 	ln, err := r.listener.Start()
 	if err != nil {
@@ -86,12 +86,13 @@
 		if err != nil {
 			return
 		}
-		go r.pass(c)
+		go r.forward(c)
 	}
 }
 
-// pass ends both connections once either direction has ended.
-func (r *Relay) pass(c net.Conn) {
+// forward copies both directions of a connection, and closes both connections when either
+// direction ends.
+func (r *Relay) forward(c net.Conn) {
 	defer c.Close()
 	t, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
--- a/fakes/service/service.go
+++ b/fakes/service/service.go
@@ -1,5 +1,5 @@
-// Package service is a stand-in for a plain HTTP service beside the engines:
-// lookups that may be repeated and bookings whose executions are counted.
+// Package service is a fake of an HTTP service that is not a model engine. It has lookups,
+// which are idempotent, and bookings, which are not and whose executions it counts.
 package service
 
 import (
@@ -32,12 +32,12 @@
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain"`
 	Addr          string `json:"addr"`
-	Advertise     string `json:"advertise"` // address in the VM list, if not its own
+	Advertise     string `json:"advertise"` // address in the VM list, if it differs from the replica's own
 	Service       string `json:"service"`
 	ChecksFence   bool   `json:"checks_fence"`
 }
 
-// Answer is the body of each answer. It names the request that it belongs to.
+// Answer is the body of each response. It contains the id of the request that it answers.
 type Answer struct {
 	Service   string `json:"service"`
 	Backend   string `json:"backend"`
@@ -63,13 +63,13 @@
 	cfg    Config
 	server *fault.Server
 
-	mu     sync.Mutex
-	record Record
-	closes int // how many further requests are read and executed, then closed
-	lates  int // how many further answers are late
-	late   time.Duration
-	cross  int // how many further answers are another request's
-	last   Answer
+	mu          sync.Mutex
+	record      Record
+	closesLeft  int // how many more requests are executed and get no response
+	delaysLeft  int // how many more responses are delayed
+	answerDelay time.Duration
+	crossesLeft int // how many more requests get the answer to another request
+	lastAnswer  Answer
 }
 
 // New prepares a replica.
@@ -81,7 +81,7 @@
 		ByRequest: make(map[string]int),
 		ByBody:    make(map[string]int),
 	}
-	s.last = Answer{Service: cfg.Service, Backend: cfg.ID, RequestID: "another-request", Key: "another-key"}
+	s.lastAnswer = Answer{Service: cfg.Service, Backend: cfg.ID, RequestID: "another-request", Key: "another-key"}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /lookup/{key}", s.lookup)
 	mux.HandleFunc("POST /book", s.book)
@@ -89,25 +89,25 @@
 	return s
 }
 
-// ID is the backend id.
+// ID returns the backend id.
 func (s *Service) ID() string { return s.cfg.ID }
 
-// Addr is the replica's own address.
+// Addr returns the address on which the replica listens.
 func (s *Service) Addr() string { return s.server.Addr() }
 
 // Config returns the configuration.
 func (s *Service) Config() Config { return s.cfg }
 
-// Start begins to serve.
+// Start starts the replica.
 func (s *Service) Start() error { return Error.Wrap(s.server.Start()) }
 
-// Close ends the replica.
+// Close stops the replica.
 func (s *Service) Close() { s.server.Kill() }
 
-// Digest is the form in which bodies and keys are shown.
+// Digest returns the digest by which answers and records identify bodies and keys.
 func Digest(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
 
-// Record returns a copy of the counts. They survive kill and start.
+// Record returns a copy of the counts, which are kept over kill and start.
 func (s *Service) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,9 +117,9 @@
 	return r
 }
 
-// Fault turns a switch: close-after-read {n} executes the next n requests and
-// closes with no answer; late {ms,n} delays the next n answers; cross {n} gives
-// the next n requests the answer of another; and the common ones.
+// Fault turns a switch: close-after-read {n} executes the next n requests and closes their
+// connections without a response; late {ms,n} delays the next n responses; cross {n} responds
+// to the next n requests with the answer to another; and the switches of fault.Server.Apply.
 func (s *Service) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
@@ -129,11 +129,11 @@
 	defer s.mu.Unlock()
 	switch name {
 	case "close-after-read":
-		s.closes = args.Times()
+		s.closesLeft = args.Times()
 	case "late":
-		s.late, s.lates = args.Duration(), args.Times()
+		s.answerDelay, s.delaysLeft = args.Duration(), args.Times()
 	case "cross":
-		s.cross = args.Times()
+		s.crossesLeft = args.Times()
 	default:
 		return s.server.Apply(name, args)
 	}
@@ -171,12 +171,12 @@
 	s.reply(w, r, a)
 }
 
-// crash ends the replica for a while.
+// crash kills the replica and starts it again after fault.CrashTime.
 func (s *Service) crash() {
 	s.server.Kill()
 	time.AfterFunc(fault.CrashTime, func() {
 		if err := s.server.Start(); err != nil {
-			panic(err) // the stand-in's own address is taken
+			panic(err) // the fake's own address is in use
 		}
 	})
 }
@@ -185,42 +185,42 @@
 	return Answer{Service: s.cfg.Service, Backend: s.cfg.ID, RequestID: r.Header.Get(requestIDHeader)}
 }
 
-// verdict is what the armed faults do to one answer.
-type verdict struct {
-	close bool
-	delay time.Duration
-	send  Answer
+// answerPlan holds what the armed faults do to one response.
+type answerPlan struct {
+	closeConn bool
+	delay     time.Duration
+	send      Answer
 }
 
-func (s *Service) judge(a Answer) verdict {
+func (s *Service) applyFaults(a Answer) answerPlan {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := verdict{send: a}
-	if s.closes > 0 {
-		s.closes--
-		v.close = true
+	plan := answerPlan{send: a}
+	if s.closesLeft > 0 {
+		s.closesLeft--
+		plan.closeConn = true
 	}
-	if s.lates > 0 {
-		s.lates--
-		v.delay = s.late
+	if s.delaysLeft > 0 {
+		s.delaysLeft--
+		plan.delay = s.answerDelay
 	}
-	if s.cross > 0 {
-		s.cross--
-		v.send = s.last
+	if s.crossesLeft > 0 {
+		s.crossesLeft--
+		plan.send = s.lastAnswer
 	}
-	s.last = a
-	return v
+	s.lastAnswer = a
+	return plan
 }
 
 func (s *Service) reply(w http.ResponseWriter, r *http.Request, a Answer) {
-	v := s.judge(a)
-	if v.close {
+	plan := s.applyFaults(a)
+	if plan.closeConn {
 		panic(http.ErrAbortHandler)
 	}
-	if v.delay > 0 {
-		fault.Sleep(r, v.delay)
+	if plan.delay > 0 {
+		fault.Sleep(r, plan.delay)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(requestIDHeader, v.send.RequestID)
-	json.NewEncoder(w).Encode(v.send)
+	w.Header().Set(requestIDHeader, plan.send.RequestID)
+	json.NewEncoder(w).Encode(plan.send)
 }
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -1,6 +1,5 @@
-// Package vms is a stand-in for the platform's VM list. It speaks the HTTP
-// service-discovery format of Prometheus and lags behind the changes that are
-// made to it.
+// Package vms is a fake of the platform's VM list. It uses the HTTP service-discovery format
+// of Prometheus, and shows changes only after a lag.
 package vms
 
 import (
@@ -24,7 +23,7 @@
 	stateLeaving = "leaving"
 )
 
-// Entry is one target of the list.
+// Entry is one entry of the list: a backend server or a router.
 type Entry struct {
 	ID            string `json:"id"` // backend id or node id
 	VM            string `json:"vm"`
@@ -60,46 +59,46 @@
 	}
 }
 
-// version is the list as it stood from a moment on.
+// version holds the entries of the list from a point in time on.
 type version struct {
 	since   time.Time
 	entries []Entry
 }
 
-// List is the stand-in service.
+// List is the fake service.
 type List struct {
 	server *fault.Server
 
-	mu       sync.Mutex
-	lag      time.Duration
-	versions []version // oldest first; never empty
-	cut      bool      // only the first most entries are shown
-	most     int
-	calls    int
+	mu        sync.Mutex
+	lag       time.Duration
+	versions  []version // oldest first; never empty
+	truncated bool      // only the first maxShown entries are shown
+	maxShown  int
+	calls     int
 }
 
-// New prepares the list at addr, which shows changes only after lag.
+// New prepares an empty list at addr that shows changes only after lag.
 func New(addr string, lag time.Duration) *List {
 	l := &List{lag: lag, versions: make([]version, 1)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /vms", l.get)
+	mux.HandleFunc("GET /vms", l.serveList)
 	l.server = fault.NewServer(addr, mux)
 	return l
 }
 
-// ID is the name under which the control listener knows the list.
+// ID returns the list's name at the control listener.
 func (l *List) ID() string { return "vms" }
 
-// Addr is the address of the list.
+// Addr returns the address of the list.
 func (l *List) Addr() string { return l.server.Addr() }
 
-// Start begins to serve.
+// Start starts the service.
 func (l *List) Start() error { return Error.Wrap(l.server.Start()) }
 
-// Close ends the service.
+// Close stops the service.
 func (l *List) Close() { l.server.Kill() }
 
-// Seed sets the first entries, shown without any lag.
+// Seed sets the initial entries, which are shown at once.
 func (l *List) Seed(entries []Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,9 +110,8 @@
 	l.versions = []version{{entries: entries}}
 }
 
-// Fault turns a switch: leave {vm,on}, add {an entry}, remove {vm}, lag {ms},
-// show {n,on}, after which only the first n entries are shown, and the common
-// ones of an HTTP stand-in.
+// Fault turns a switch: leave {vm,on}, add {an Entry}, remove {vm}, lag {ms}, show {n,on},
+// which limits the list to its first n entries, and the switches of fault.Server.Apply.
 func (l *List) Fault(name string, raw json.RawMessage) error {
 	if name == "add" {
 		return l.add(raw)
@@ -134,7 +132,7 @@
 		l.setLag(args.Duration())
 		return nil
 	case "show":
-		l.show(args.Enabled(), args.N)
+		l.setMaxShown(args.Enabled(), args.N)
 		return nil
 	}
 	return l.server.Apply(name, args)
@@ -146,13 +144,13 @@
 	l.lag = d
 }
 
-func (l *List) show(on bool, most int) {
+func (l *List) setMaxShown(on bool, most int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut, l.most = on, most
+	l.truncated, l.maxShown = on, most
 }
 
-// Calls counts the readings of the list that were answered.
+// Calls returns how often the list has been read.
 func (l *List) Calls() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,11 +170,11 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.push(append(l.latest(), e))
+	l.addVersion(append(l.latest(), e))
 	return nil
 }
 
-// change applies f to every entry of the VM, last one first.
+// change applies f to every entry of the VM, from the last to the first.
 func (l *List) change(vm string, f func([]Entry, int) []Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,19 +189,19 @@
 	if !found {
 		return fault.ErrArgs
 	}
-	l.push(entries)
+	l.addVersion(entries)
 	return nil
 }
 
-// latest copies the newest entries, so that older versions stay as they were.
+// latest returns a copy of the latest entries, so that changes don't affect older versions.
 func (l *List) latest() []Entry { return slices.Clone(l.versions[len(l.versions)-1].entries) }
 
-func (l *List) push(entries []Entry) {
+func (l *List) addVersion(entries []Entry) {
 	l.versions = append(l.versions, version{time.Now(), entries})
 }
 
-// visible counts a call and returns the newest version that is old enough to be
-// shown.
+// visible counts a call and returns the entries of the latest version that is at least as old as
+// the lag.
 func (l *List) visible(now time.Time) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -215,13 +213,13 @@
 			break
 		}
 	}
-	if l.cut {
-		return entries[:min(max(l.most, 0), len(entries))]
+	if l.truncated {
+		return entries[:min(max(l.maxShown, 0), len(entries))]
 	}
 	return entries
 }
 
-func (l *List) get(w http.ResponseWriter, _ *http.Request) {
+func (l *List) serveList(w http.ResponseWriter, _ *http.Request) {
 	targets := []target{}
 	for _, e := range l.visible(time.Now()) {
 		targets = append(targets, e.target())
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -1,4 +1,4 @@
-// Package weights is a stand-in for the platform's rate-limited weight store.
+// Package weights is a fake of the platform's rate-limited weight store.
 package weights
 
 import (
@@ -22,29 +22,29 @@
 var Error = errs.Class("fake weight store")
 
 const (
-	pieceBytes        = 64 << 10
-	burstSeconds      = 0.1 // makes up for timers that fire late
+	chunkBytes        = 64 << 10
+	burstSeconds      = 0.1 // lets reads catch up after timers that fire late
 	retryAfterSeconds = "1"
 )
 
-// Store is the stand-in service.
+// Store is the fake service.
 type Store struct {
 	server  *fault.Server
 	sizes   map[string]int64
 	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	loading int
-	most    int // the most loads that were under way at once
+	mu         sync.Mutex
+	loading    int // loads in progress
+	maxLoading int // highest value of loading so far
 }
 
-// New prepares the store at addr. Sizes are in bytes, by model/version or
+// New prepares the store at addr. Sizes are in bytes, keyed by model/version or
 // model/version/adapter. A rate of zero means no limit.
 func New(addr string, bytesPerSecond float64, sizes map[string]int64) *Store {
-	burst := max(pieceBytes, int(bytesPerSecond*burstSeconds))
+	burst := max(chunkBytes, int(bytesPerSecond*burstSeconds))
 	s := &Store{sizes: sizes, limiter: rate.NewLimiter(limitOf(bytesPerSecond), burst)}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /weights/{ref...}", s.get) // HEAD too
+	mux.HandleFunc("GET /weights/{ref...}", s.serveWeights) // also matches HEAD
 	s.server = fault.NewServer(addr, mux)
 	return s
 }
@@ -56,19 +56,19 @@
 	return rate.Limit(bytesPerSecond)
 }
 
-// ID is the name under which the control listener knows the store.
+// ID returns the store's name at the control listener.
 func (s *Store) ID() string { return "weights" }
 
-// Addr is the address of the store.
+// Addr returns the address of the store.
 func (s *Store) Addr() string { return s.server.Addr() }
 
-// Start begins to serve.
+// Start starts the service.
 func (s *Store) Start() error { return Error.Wrap(s.server.Start()) }
 
-// Close ends the service.
+// Close stops the service.
 func (s *Store) Close() { s.server.Kill() }
 
-// Fault turns the common switches of an HTTP stand-in.
+// Fault turns a switch of fault.Server.Apply.
 func (s *Store) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
@@ -77,38 +77,38 @@
 	return s.server.Apply(name, args)
 }
 
-// Load takes as long as reading the model's weights does while all that read
-// at the same time share the rate. A model of unknown size takes no time. An
-// outage or cut of the store holds it up.
+// Load waits as long as it takes to read the model's weights. All concurrent reads share the
+// store's rate. A model of unknown size takes no time. While the store is killed, in an outage
+// or cut, Load blocks.
 func (s *Store) Load(ctx context.Context, ref fleet.ModelRef) error {
-	s.begun(1)
-	defer s.begun(-1)
+	s.addLoading(1)
+	defer s.addLoading(-1)
 	size := s.sizes[path.Join(ref.Model, ref.Version, ref.Adapter)]
-	return s.draw(ctx, size, func(int) error { return s.server.Listener.Wait(ctx) })
+	return s.readAtRate(ctx, size, func(int) error { return s.server.Listener.Wait(ctx) })
 }
 
-func (s *Store) begun(n int) {
+func (s *Store) addLoading(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loading += n
-	s.most = max(s.most, s.loading)
+	s.maxLoading = max(s.maxLoading, s.loading)
 }
 
-// MostLoads is how many loads were under way at once, at the most.
+// MostLoads returns the highest number of concurrent loads so far.
 func (s *Store) MostLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.maxLoading
 }
 
-// draw passes size bytes in pieces at the store's rate.
-func (s *Store) draw(ctx context.Context, size int64, piece func(n int) error) error {
+// readAtRate calls chunk for size bytes in chunks, at the store's rate.
+func (s *Store) readAtRate(ctx context.Context, size int64, chunk func(n int) error) error {
 	for size > 0 {
-		n := int(min(size, pieceBytes))
+		n := int(min(size, chunkBytes))
 		if err := s.limiter.WaitN(ctx, n); err != nil {
 			return Error.Wrap(err)
 		}
-		if err := piece(n); err != nil {
+		if err := chunk(n); err != nil {
 			return Error.Wrap(err)
 		}
 		size -= int64(n)
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (s *Store) get(w http.ResponseWriter, r *http.Request) {
+func (s *Store) serveWeights(w http.ResponseWriter, r *http.Request) {
 	size, ok := s.sizes[r.PathValue("ref")]
 	if !ok {
 		http.NotFound(w, r)
@@ -141,14 +141,15 @@
 	if r.Method == http.MethodHead {
 		return
 	}
-	zeros := make([]byte, pieceBytes)
-	s.draw(r.Context(), to-from, func(n int) error {
+	zeros := make([]byte, chunkBytes)
+	s.readAtRate(r.Context(), to-from, func(n int) error {
 		_, err := w.Write(zeros[:n])
 		return err
 	})
 }
 
-// byteRange reads "bytes=A-B" or "bytes=A-" into [from, to).
+// byteRange parses a Range header "bytes=A-B" or "bytes=A-" as [from, to). An empty header means
+// all bytes.
 func byteRange(header string, size int64) (from, to int64, ok bool) {
 	spec, found := strings.CutPrefix(header, "bytes=")
 	if !found {
