--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -83,8 +83,8 @@
 	Repeat     bool // sends each chunk of a stream twice
 }
 
-// Start starts the replica. peers returns the replica at an address, which receives copies of runs.
-func (r *Replica) Start(peers func(addr string) *Replica) error {
+// Start starts the replica. replicaAt returns the replica at an address, for copies of runs.
+func (r *Replica) Start(replicaAt func(addr string) *Replica) error {
 	if r.Listen == "" {
 		r.Listen = "127.0.0.1:0"
 	}
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	r.ln, r.replicaAt, r.copies = ln, peers, map[string]bool{}
+	r.ln, r.replicaAt, r.copies = ln, replicaAt, map[string]bool{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /kv-list", r.serveList)
 	mux.HandleFunc("POST /kv-move", r.serveMove)
@@ -169,10 +169,10 @@
 }
 
 // Reborn starts a new incarnation of a replica that has crashed, with its id and address but
-// none of its state. born is the start time in Unix milliseconds.
-func (r *Replica) Reborn(born int64) (*Replica, error) {
+// none of its state. startedAt is the start time in Unix milliseconds.
+func (r *Replica) Reborn(startedAt int64) (*Replica, error) {
 	restarted := &Replica{
-		ID: r.ID, Born: born, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
+		ID: r.ID, Born: startedAt, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
 		Listen: r.Addr(), Pieces: r.Pieces, Gap: r.Gap, OnCrash: r.OnCrash,
 	}
 	return restarted, restarted.Start(r.replicaAt)
