--- a/fakes/control/control.go
+++ b/fakes/control/control.go
@@ -192,17 +192,17 @@
 func (s *Set) Record() Record {
 	r := Record{Engines: []engine.Record{}, Services: []service.Record{}}
 	for _, e := range s.Engines {
-		one := e.Record()
-		r.Engines = append(r.Engines, one)
-		r.Totals.Prefilled += one.Prefilled
-		r.Totals.Generated += one.Generated
-		r.Totals.Delivered += one.Delivered
+		record := e.Record()
+		r.Engines = append(r.Engines, record)
+		r.Totals.Prefilled += record.Prefilled
+		r.Totals.Generated += record.Generated
+		r.Totals.Delivered += record.Delivered
 	}
 	for _, b := range s.Services {
-		one := b.Record()
-		r.Services = append(r.Services, one)
-		r.Totals.Lookups += one.Lookups
-		r.Totals.Bookings += one.Bookings
+		record := b.Record()
+		r.Services = append(r.Services, record)
+		r.Totals.Lookups += record.Lookups
+		r.Totals.Bookings += record.Bookings
 	}
 	return r
 }
--- a/fakes/engine/engine.go
+++ b/fakes/engine/engine.go
@@ -83,14 +83,14 @@
 	e.order = newOrder(e.cfg.Serves)
 	e.loadReports = nil
 	e.recordLoad(time.Now())
-	decode := e.cfg.step()
+	baseStep := e.cfg.step()
 	e.mu.Unlock()
 	e.extraStep.Store(0)
 	if err := e.server.Start(); err != nil {
 		stop()
 		return Error.Wrap(err)
 	}
-	go e.loop(ctx, decode)
+	go e.loop(ctx, baseStep)
 	return nil
 }
 
@@ -136,7 +136,7 @@
 
 // loop runs the decode steps of one incarnation. Each step is scheduled relative to the
 // previous one, so that delays don't add up. While there is no work it runs less often.
-func (e *Engine) loop(ctx context.Context, decode time.Duration) {
+func (e *Engine) loop(ctx context.Context, baseStep time.Duration) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	next := time.Now()
@@ -152,7 +152,7 @@
 			timer.Reset(next.Sub(now))
 			continue
 		}
-		step := decode + time.Duration(e.extraStep.Load())
+		step := baseStep + time.Duration(e.extraStep.Load())
 		if now.Sub(next) > step {
 			next = now // steps missed while idle or overloaded are not made up for
 		}
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -137,7 +137,7 @@
 	ext := req.Ext
 	ref := fleet.ModelRef{Model: req.Model, Version: ext.Version, Adapter: ext.Adapter}
 	input := req.Prompt + ext.ResumeText
-	pieces := (len(input) + fleet.BlockBytes - 1) / fleet.BlockBytes
+	blockCount := (len(input) + fleet.BlockBytes - 1) / fleet.BlockBytes
 	return &stream{
 		key:        key{ext.RequestID, ext.Attempt},
 		ref:        ref,
@@ -145,8 +145,8 @@
 		maxTokens:  req.MaxTokens,
 		firstToken: ext.ResumeTokens,
 		linger:     time.Duration(ext.LingerMS) * time.Millisecond,
-		blocks:     fleet.PrefixBlocks(input, pieces),
-		blockCount: pieces,
+		blocks:     fleet.PrefixBlocks(input, blockCount),
+		blockCount: blockCount,
 		head:       renderChunkHead(ext.RequestID, ext.Attempt, ref),
 		chain:      check.NewChain(req.Prompt, ext.ResumeText, ext.ResumeTokens),
 	}
@@ -247,9 +247,9 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-func refuse(w http.ResponseWriter, ref refusal) {
-	if ref.status == http.StatusTooManyRequests || ref.status == http.StatusServiceUnavailable {
+func refuse(w http.ResponseWriter, r refusal) {
+	if r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", retryAfterSeconds)
 	}
-	writeJSON(w, ref.status, errorResponse{errorBody{ref.message, ref.code}})
+	writeJSON(w, r.status, errorResponse{errorBody{r.message, r.code}})
 }
--- a/fakes/engine/schedule_test.go
+++ b/fakes/engine/schedule_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// An order with an older fencing number must not undo a newer one. It comes from a router that was
-// paused until its lease on orders expired. Engines that don't check the number follow it.
+// An order with an older fencing number (4) must not undo a newer one (5). It comes from a router
+// that was paused until its lease on orders expired. Engines that don't check the number follow it.
 func TestStaleFence(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e := start(t, func(c *Config) { c.ChecksFence = checks })
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -54,9 +54,9 @@
 	// OnCrash, if set, is called after a request has made the replica crash.
 	OnCrash func(r *Replica)
 
-	server *http.Server
-	ln     net.Listener
-	link   *fault.Listener
+	server   *http.Server
+	ln       net.Listener
+	listener *fault.Listener
 
 	mu           sync.Mutex
 	arrivals     []*Arrival
@@ -88,8 +88,8 @@
 	if r.Listen == "" {
 		r.Listen = "127.0.0.1:0"
 	}
-	r.link = fault.NewListener(r.Listen)
-	ln, err := r.link.Start()
+	r.listener = fault.NewListener(r.Listen)
+	ln, err := r.listener.Start()
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 func (r *Replica) Addr() string { return r.ln.Addr().String() }
 
 // Link returns the listener, which can cut, delay and reset the replica's connections.
-func (r *Replica) Link() *fault.Listener { return r.link }
+func (r *Replica) Link() *fault.Listener { return r.listener }
 
 // Crash closes all connections and ends the replica.
 func (r *Replica) Crash() { r.server.Close() }
--- a/fakes/hosted/store.go
+++ b/fakes/hosted/store.go
@@ -70,39 +70,39 @@
 
 // NewDoor opens an additional address of the store.
 func (s *Store) NewDoor() *Door {
-	d := &Door{}
-	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d.closed.Load() {
+	e := &Door{}
+	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if e.closed.Load() {
 			http.Error(w, `{"error":"not you"}`, http.StatusServiceUnavailable)
 			return
 		}
 		s.Config.Handler.ServeHTTP(w, r)
 	}))
-	return d
+	return e
 }
 
 // Addr returns the address without a scheme.
-func (d *Door) Addr() string { return strings.TrimPrefix(d.URL, "http://") }
+func (e *Door) Addr() string { return strings.TrimPrefix(e.URL, "http://") }
 
 // Shut makes calls at this address fail with 503 and closes the connections of those in progress.
-func (d *Door) Shut() {
-	d.closed.Store(true)
-	d.CloseClientConnections()
+func (e *Door) Shut() {
+	e.closed.Store(true)
+	e.CloseClientConnections()
 }
 
 // Down sets whether every call fails with 503.
-func (s *Store) Down(down bool) {
+func (s *Store) Down(failing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failing = down
+	s.failing = failing
 	s.notifyChanged()
 }
 
 // Silent sets whether calls wait without a response.
-func (s *Store) Silent(silent bool) {
+func (s *Store) Silent(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unresponsive = silent
+	s.unresponsive = unresponsive
 	s.notifyChanged()
 }
 
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -126,10 +126,10 @@
 // a child process that is being started has inherited the socket, it waits until the child has
 // closed it.
 func Listen(addr string) (net.Listener, error) {
-	end := time.Now().Add(maxChildWait)
+	deadline := time.Now().Add(maxChildWait)
 	for {
 		ln, err := net.Listen("tcp", addr)
-		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+		if err == nil || !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return ln, Error.Wrap(err)
 		}
 		time.Sleep(childPoll)
--- a/fakes/ports/ports_test.go
+++ b/fakes/ports/ports_test.go
@@ -14,7 +14,7 @@
 // once or is never ready.
 func TestPoolsGiveOutDifferentPorts(t *testing.T) {
 	const pools, each = 8, 3 * blockSize
-	given := map[string]int{}
+	returnedBy := map[string]int{}
 	for i := range pools {
 		p := &Pool{}
 		t.Cleanup(func() {
@@ -27,10 +27,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if other, taken := given[addr]; taken {
+			if other, taken := returnedBy[addr]; taken {
 				t.Fatalf("%s was returned by pool %d and by pool %d", addr, other, i)
 			}
-			given[addr] = i
+			returnedBy[addr] = i
 		}
 	}
 }
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -144,10 +144,10 @@
 	l.lag = d
 }
 
-func (l *List) setMaxShown(on bool, most int) {
+func (l *List) setMaxShown(on bool, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.truncated, l.maxShown = on, most
+	l.truncated, l.maxShown = on, n
 }
 
 // Calls returns how often the list has been read.
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -192,9 +192,9 @@
 
 // checkIdle finds replicas that go on with requests although no client waits any more.
 func (r *platformRun) checkIdle(all []*fakes.Replica) {
-	end := time.Now().Add(workEndTime)
+	deadline := time.Now().Add(workEndTime)
 	for _, rep := range all {
-		for rep.Open() > 0 && time.Now().Before(end) {
+		for rep.Open() > 0 && time.Now().Before(deadline) {
 			time.Sleep(20 * time.Millisecond)
 		}
 		if n := rep.Open(); n > 0 {
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -74,10 +74,10 @@
 		return result{id: "c1-1", kind: "look", key: "k", status: status, incarnation: incarnation, startedAt: startedAt, body: fakes.Whole("c1-1")}
 	}
 	c := newChecks(true)
-	early := time.Now()
-	c.checkResult(answer(http.StatusOK, "n0/1", early))
-	c.checkResult(answer(http.StatusUnauthorized, "n0/1", early))
-	c.checkResult(answer(http.StatusOK, "n0/1", early))                      // started before the key was rejected
+	beforeRejection := time.Now()
+	c.checkResult(answer(http.StatusOK, "n0/1", beforeRejection))
+	c.checkResult(answer(http.StatusUnauthorized, "n0/1", beforeRejection))
+	c.checkResult(answer(http.StatusOK, "n0/1", beforeRejection))            // started before the key was rejected
 	c.checkResult(answer(http.StatusOK, "n0/2", time.Now()))                 // another incarnation
 	c.checkResult(answer(http.StatusServiceUnavailable, "n0/1", time.Now())) // neither accepts nor rejects the key
 	if len(c.violations) != 0 {
@@ -117,8 +117,8 @@
 		resp.Body.Close()
 	}
 	r.checks.checkResult(result{id: "twice", kind: "book", status: http.StatusServiceUnavailable})
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
+	ctx, disconnect := context.WithCancel(t.Context())
+	defer disconnect()
 	resp, err := http.DefaultClient.Do(request(draft, "/draft/x", "open").WithContext(ctx))
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 // told to end ends well: signal: terminated"). After its start it must exit without an error.
 func TestEndBeforeTheStartIsNoViolation(t *testing.T) {
 	for name, c := range map[string]struct {
-		says   string
+		output string
 		broken int
 	}{
 		"before it started": {"nothing", 0},
@@ -165,7 +165,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			program := filepath.Join(dir, "program")
-			if err := os.WriteFile(program, []byte("#!/bin/sh\necho "+c.says+"\nexec sleep 60\n"), 0o700); err != nil {
+			if err := os.WriteFile(program, []byte("#!/bin/sh\necho "+c.output+"\nexec sleep 60\n"), 0o700); err != nil {
 				t.Fatal(err)
 			}
 			p := &process{id: "n0", cfg: &Config{Wigeond: program, Dir: dir}, checks: newChecks(true)}
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -69,15 +69,15 @@
 			active = append(active, activeFault{time.Now().Add(duration), end})
 		}
 		time.Sleep(time.Duration(rng.Int64N(2 * int64(faultGap))))
-		still := active[:0]
+		remaining := active[:0]
 		for _, d := range active {
 			if time.Now().Before(d.endAt) {
-				still = append(still, d)
+				remaining = append(remaining, d)
 				continue
 			}
 			d.end()
 		}
-		active = still
+		active = remaining
 	}
 	for _, d := range active {
 		d.end()
--- a/soak/platform_restarts.go
+++ b/soak/platform_restarts.go
@@ -31,16 +31,16 @@
 	rep.Thaw()
 	rep.Crash()
 	return func() {
-		again, err := rep.Reborn(time.Now().Add(clockOffset).UnixMilli())
+		restarted, err := rep.Reborn(time.Now().Add(clockOffset).UnixMilli())
 		if err != nil {
 			r.replace(rep) // its port is in use by another listener
 			return
 		}
 		r.mu.Lock()
-		r.replicas[again.Addr()] = again
-		r.services[again.Service] = append(r.services[again.Service], again)
+		r.replicas[restarted.Addr()] = restarted
+		r.services[restarted.Service] = append(r.services[restarted.Service], restarted)
 		r.mu.Unlock()
-		r.store.Register(again, false)
+		r.store.Register(restarted, false)
 	}
 }
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -100,7 +100,7 @@
 
 // awaitRecovery waits until the process is ready, after all faults have ended.
 func (p *process) awaitRecovery() {
-	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		if p.isReady(context.Background()) {
 			return
 		}
@@ -202,7 +202,7 @@
 
 // awaitReady waits until a newly started process is ready.
 func (p *process) awaitReady(ctx context.Context) error {
-	for end := time.Now().Add(settleTime); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(settleTime); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		if p.isReady(ctx) {
 			return nil
 		}
