--- a/daemon/accounts.go
+++ b/daemon/accounts.go
@@ -16,13 +16,13 @@
 	"wigeondale/intent"
 )
 
-// accounts answers callerapi's questions from the state in force.
+// accounts implements the account lookups of callerapi on the configuration in force.
 type accounts struct {
 	view atomic.Pointer[accountView]
 	dir  *directory.Directory
 }
 
-// accountView is one state with its API keys indexed.
+// accountView is a configuration state with an index of its API keys.
 type accountView struct {
 	state *intent.State
 	byKey map[[sha256.Size]byte]string
@@ -48,9 +48,9 @@
 	a.view.Store(v)
 }
 
-// Authenticate finds the client account of an API key. The lookup is by the
-// key's hash, so that its timing tells nothing of how much of a guess was
-// right; the comparison after it is in constant time as well.
+// Authenticate finds the client account that owns an API key. The key is looked up by
+// its hash, so that the time it takes reveals nothing about how much of a guessed key
+// is right. The following comparison is in constant time as well.
 func (a *accounts) Authenticate(key string) (string, bool) {
 	h := sha256.Sum256([]byte(key))
 	v := a.view.Load()
@@ -66,8 +66,8 @@
 	return "", false
 }
 
-// Resolve picks the version of a model for one request. sticky decides, so that
-// a repeat of the request goes to the same version.
+// Resolve picks the version of a model for one request. The choice depends on sticky,
+// so that a repeated request gets the same version.
 func (a *accounts) Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error) {
 	s := a.view.Load().state
 	t, ok := s.Traffic[model]
@@ -99,7 +99,7 @@
 	return fleet.ModelRef{Model: t.Model}
 }
 
-// Models lists what an account may use.
+// Models lists the models that an account may use.
 func (a *accounts) Models(account string) []string {
 	s := a.view.Load().state
 	var names []string
@@ -115,7 +115,7 @@
 	return names
 }
 
-// refs lists the versions that a model's traffic goes to.
+// refs lists the versions that receive a model's traffic.
 func (a *accounts) refs(model string) []fleet.ModelRef {
 	t := a.view.Load().state.Traffic[model]
 	refs := make([]fleet.ModelRef, 0, len(t.Weights))
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -16,7 +16,7 @@
 	"wigeondale/settings"
 )
 
-// adminHandler serves operators, probes and metrics.
+// adminHandler returns the handler for operators, readiness checks and metrics.
 func (n *node) adminHandler(set *settings.Settings) http.Handler {
 	api := adminapi.New(adminapi.Config{
 		Node:       n.id,
@@ -45,7 +45,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// readyz is what the balancer asks. It fails first at a shutdown, while
+// readyz answers the balancer's readiness check. In a shutdown it fails first, while
 // requests are still accepted.
 func (n *node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if n.leaving.Load() {
@@ -63,8 +63,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// planKey derives the key for plans, so that a signature made for one purpose
-// can't serve another.
+// planKey derives the key that signs plans, so that a signature made with the peer key
+// for another purpose is not valid for a plan.
 func planKey(shared []byte) []byte {
 	mac := hmac.New(sha256.New, shared)
 	mac.Write([]byte("wigeondale plans"))
@@ -74,14 +74,14 @@
 func operators(list []settings.Operator) []adminapi.Operator {
 	out := make([]adminapi.Operator, 0, len(list))
 	for _, o := range list {
-		// settings has checked the role.
+		// The role was validated when the settings were loaded.
 		role, _ := adminapi.ParseRole(o.Role)
 		out = append(out, adminapi.Operator{Name: o.Name, TokenHash: o.TokenSHA256, Role: role})
 	}
 	return out
 }
 
-// Nodes lists the routers for the status of a revision.
+// Nodes lists the routers and the revision that each has in force.
 func (n *node) Nodes() []adminapi.Node {
 	members := n.mesh.Members()
 	nodes := make([]adminapi.Node, 0, len(members))
@@ -95,9 +95,9 @@
 	return nodes
 }
 
-// fleetView is what plans are made from. refs are the versions that the plan is
-// to be about: nobody may have loaded them yet, and without their sizes the plan
-// would show no load on the weight store.
+// fleetView collects the state of the fleet from which a plan is made. refs are the
+// versions that the plan will load. No engine may have loaded them yet, and without
+// their sizes the plan would count no load on the weight store.
 func (n *node) fleetView(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error) {
 	v := intent.FleetView{Serves: map[string][]fleet.ModelRef{}, WeightRate: n.weightRate}
 	wanted := slices.Clone(refs)
@@ -106,22 +106,22 @@
 		v.Serves[id] = d.Report.Serves
 		wanted = append(wanted, d.Report.Serves...)
 	}
-	n.sizes.learn(ctx, wanted)
+	n.sizes.fetch(ctx, wanted)
 	v.Weights = n.placedSizes(ctx)
 	v.Entries = n.drain.entryVMs()
 	return v, nil
 }
 
-// placedSizes returns the weights' sizes, those of all placements included. The
-// node that gives orders need not be the one that made the plan: with the sizes
-// that this one happens to know, a load would count as none on the weight
-// store's budget.
+// placedSizes returns the sizes of model weights, including those of all placements in
+// the configuration. The node that sends orders may not be the one that made the plan:
+// if it used only the sizes that it happens to know, it would count loading an unknown
+// version as free of charge to the weight store's budget.
 func (n *node) placedSizes(ctx context.Context) map[string]int64 {
 	var wanted []fleet.ModelRef
 	for _, p := range n.keeper.State().Placement {
 		wanted = append(wanted, p.Desired...)
 	}
-	n.sizes.learn(ctx, wanted)
+	n.sizes.fetch(ctx, wanted)
 	return n.sizes.all()
 }
 
--- a/daemon/backends.go
+++ b/daemon/backends.go
@@ -17,17 +17,17 @@
 	n.engines = backend.NewClient()
 	n.dir = directory.New(n.log)
 	n.mon = health.NewMonitor(policyOf(set.Policy), n.log, n.set)
-	rumours{n.mesh}.connect(n.mon, n.dir, n.inv)
+	peerReports{n.mesh}.connect(n.mon, n.dir, n.inv)
 	n.drain = &drain{vm: set.Node.VM, notice: n.notice, log: n.log}
 	lister := &vms{inv: n.inv, mesh: n.mesh, mon: n.mon, drain: n.drain}
 	n.poller = directory.NewPoller(directory.PollConfig{
 		Router:       n.id,
 		SubsetSize:   set.Directory.Subset,
 		Interval:     millis(set.Directory.LoadPollMS),
-		ListInterval: lookInterval,
+		ListInterval: listInterval,
 		ListChanged:  n.inv.Changed(),
 		CacheEvents:  routing.Uses(stepsOf(set.Routing), routing.ScorePrefix),
-	}, n.dir, lister, probe{n.engines, n.mon})
+	}, n.dir, lister, loadReader{n.engines, n.mon})
 	n.buildGuard(set)
 	n.cancels = backend.NewCanceller(n.engines, backend.CancellerOptions{
 		Incarnation: n.dir.Incarnation, Log: n.log, Metrics: n.set,
@@ -49,7 +49,8 @@
 	return out
 }
 
-// policyOf takes over what the deployment weighs; the rest are defaults.
+// policyOf sets the policy values that the settings define; the others keep their
+// defaults.
 func policyOf(p settings.Policy) health.Policy {
 	out := health.DefaultPolicy()
 	out.ResumeLatencyWeight = p.ResumeLatencyWeight
@@ -63,15 +64,15 @@
 	return out
 }
 
-// probe asks engines about themselves.
-type probe struct {
+// loadReader reads load reports and cache events from engines.
+type loadReader struct {
 	client *backend.Client
 	mon    *health.Monitor
 }
 
-// Load reads the load report. Its incarnation tells the failure detector of a
-// restart, after which what was held against the engine no longer counts.
-func (p probe) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
+// Load reads an engine's load report. It passes the report's incarnation to the failure
+// detector, which discards the failures of an earlier incarnation.
+func (p loadReader) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
 	rep, err := p.client.Load(ctx, b)
 	if err == nil {
 		p.mon.Incarnation(b.ID, rep.Incarnation)
@@ -79,9 +80,9 @@
 	return rep, err
 }
 
-// CacheEvents reads the cache events after a number. An event whose block can't
-// be read is dropped: it only makes the prefix estimate poorer.
-func (p probe) CacheEvents(ctx context.Context, b fleet.Backend, after uint64) (directory.CacheBatch, error) {
+// CacheEvents reads the cache events after a sequence number. An event whose block
+// can't be parsed is dropped, which only makes the prefix estimate less accurate.
+func (p loadReader) CacheEvents(ctx context.Context, b fleet.Backend, after uint64) (directory.CacheBatch, error) {
 	page, err := p.client.CacheEvents(ctx, b, after)
 	if err != nil {
 		return directory.CacheBatch{}, err
--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -14,9 +14,9 @@
 	"wigeondale/peer"
 )
 
-// BenchmarkRevisionInForce measures what a new state costs beside intent's own
-// work: the index of API keys, the limits and the leaving VMs, at 5,600 client
-// accounts.
+// BenchmarkRevisionInForce measures what applying a new state costs in addition to
+// package intent's own work: the index of API keys, the limits and the leaving VMs,
+// with 5,600 client accounts.
 func BenchmarkRevisionInForce(b *testing.B) {
 	s := intent.NewState()
 	for i := range 5600 {
@@ -34,8 +34,8 @@
 	}
 }
 
-// BenchmarkLookAt10000 measures one look of the directory at the inventory:
-// 10,000 backend servers and 830 entry VMs.
+// BenchmarkLookAt10000 measures one update of the directory from an inventory of 10,000
+// backend servers and 830 entry VMs.
 func BenchmarkLookAt10000(b *testing.B) {
 	mesh, err := peer.New(peer.Config{ID: "r1", Addr: "10.0.0.9:1", FailureDomain: "a"}, []byte(strings.Repeat("k", 32)), nil, nil)
 	if err != nil {
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -17,18 +17,20 @@
 )
 
 const (
-	// perService is how many calls this router has open at one replica of a
-	// plain service before new ones queue here, where deadlines are known.
-	perService = 64
-	// retryBurst is how many retries the budget holds when it is full.
+	// maxCallsPerReplica is the number of calls that this router has open at one replica of a
+	// service that is not a model engine. Further calls queue here, where their
+	// deadlines are known.
+	maxCallsPerReplica = 64
+	// retryBurst is the number of retries in a full retry budget.
 	retryBurst = 20
-	// hedgeBurst is how many second tries their budget holds when it is full.
+	// hedgeBurst is the number of hedged requests in a full hedge budget.
 	hedgeBurst = 10
 )
 
-// Ready says why this node may not take new work. It is callerapi's gate.
+// Ready returns why this node accepts no new requests, or nil. It implements
+// callerapi's gate.
 func (n *node) Ready() error {
-	if n.drain.closed(time.Now()) {
+	if n.drain.noticeOver(time.Now()) {
 		return Error.New("this VM is leaving")
 	}
 	if ok, reason := n.keeper.Ready(); !ok {
@@ -70,19 +72,20 @@
 	return nil
 }
 
-// buildAdmission lets accounts and limits follow the configuration in force.
+// buildAdmission builds admission control and keeps accounts and limits in line with
+// the configuration in force.
 func (n *node) buildAdmission(set *settings.Settings, accs *accounts) {
-	room := &room{
+	slots := &slotCounter{
 		dir: n.dir, mon: n.mon, accs: accs, routers: n.routers,
 		perEngine: set.Limits.RequestsPerEngine, reserve: set.Limits.ReservePercent,
 	}
 	n.admit = admission.NewController(admission.Config{
 		MaxQueue:      set.Limits.Queue,
-		Capacity:      room.all,
-		BatchCapacity: room.batch,
-		UrgentFloor:   room.urgent,
+		Capacity:      slots.all,
+		BatchCapacity: slots.batch,
+		UrgentFloor:   slots.urgent,
 	}, n.log, n.set)
-	n.share = &summaries{mesh: n.mesh, keeper: n.keeper, admit: n.admit, sent: map[string]float64{}, heard: demands{}}
+	n.summaries = &summaries{mesh: n.mesh, keeper: n.keeper, admit: n.admit, sent: map[string]float64{}, received: demands{}}
 	n.keeper.Subscribe(func(s *intent.State) {
 		accs.set(s)
 		n.admit.SetLimits(limitsOf(s))
@@ -109,7 +112,7 @@
 		Budget:   sharedBudget{budget},
 		Guard:    n.guard,
 	}, generation.Options{
-		Node:            attemptNode(set),
+		Node:            attemptPrefix(set),
 		StartedPatience: max(millis(set.Policy.PatienceMS), time.Second),
 		Rand:            rand.Float64,
 		Log:             n.log,
@@ -120,7 +123,7 @@
 
 func (n *node) newServices(set *settings.Settings, pick *picker, budget *admission.RetryBudget) *services {
 	return &services{
-		node:   attemptNode(set),
+		node:   attemptPrefix(set),
 		admit:  n.admit,
 		claims: claims{n.claims},
 		pick:   pick,
@@ -136,18 +139,18 @@
 	return placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: codeLeaving}
 }
 
-// attemptNode names this life of the router in the names of its attempts: after
-// a restart none of them may be taken for an attempt of the life before.
-func attemptNode(set *settings.Settings) string { return set.Node.ID + "/" + set.Node.Incarnation }
+// attemptPrefix returns the prefix of the ids of this router's attempts. It includes the
+// incarnation, so that an attempt is never mistaken for one made before a restart.
+func attemptPrefix(set *settings.Settings) string { return set.Node.ID + "/" + set.Node.Incarnation }
 
-// hedger allows second tries within their own budget: retries after a failure
-// must not be spent by lookups that are merely late.
+// hedger returns a hedger with its own budget, so that calls that are merely slow can't
+// spend the retries meant for failures.
 func (n *node) hedger(h settings.Hedge) *hedge.Hedger {
 	budget := admission.NewRetryBudget(float64(h.BudgetPercent)/100, hedgeBurst)
 	return hedge.New(hedge.Config{Enabled: h.Enabled}, budget, n.set)
 }
 
-func (n *node) routers() int { return len(living(n.mesh.Members())) }
+func (n *node) routers() int { return len(aliveMembers(n.mesh.Members())) }
 
 func stepsOf(r settings.Routing) []routing.StepConfig {
 	if len(r.Steps) == 0 {
--- a/daemon/check_test.go
+++ b/daemon/check_test.go
@@ -7,10 +7,9 @@
 	"wigeondale/settings"
 )
 
-// Symptom: no router of the fleet comes up again after a rollout of settings
-// that --check had found good.
-// Sequence: a step of routing is misspelt, or a weight is 0; the settings parse.
-// Cause: what only the parts themselves know was asked at the start alone.
+// The --check flag must find errors that only the packages themselves can find, such as
+// a misspelt routing step or a weight of 0. When these were only found at start, no
+// router came up again after a roll-out of settings that had passed --check.
 func TestCheckAsksTheParts(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*settings.Settings)
@@ -23,7 +22,7 @@
 	} {
 		set := settings.Default()
 		tc.change(set)
-		err := check(set)
+		err := checkSettings(set)
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v, want %q", name, err, tc.want)
 		}
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -36,11 +36,12 @@
 	return nil
 }
 
-// claims gives package generation the at-most-once claims.
+// claims adapts the at-most-once claims to package generation.
 type claims struct{ *once.Claims }
 
-// Claim asks for a key. A claim that may have been made and can't be settled is
-// voided in the background, so that a true refusal doesn't burn the key.
+// Claim claims a key. If it remains unknown whether the claim was written, the claim is
+// voided in the background, so that a request that was refused does not leave its key
+// used.
 func (c claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (bool, error) {
 	v, err := c.Claims.Claim(ctx, account, key, body, attempt)
 	if err == nil {
@@ -59,10 +60,10 @@
 	return false, refusal
 }
 
-// shardOwner names the router that appends the claims of each shard. Routers
-// that disagree for a while meet at the log's create. Owners are kept between
-// changes of the membership: to rank hundreds of members for each claim would cost more
-// than all else of it.
+// shardOwner determines which router appends the claims of each shard. Routers whose
+// views of the membership differ for a while may both append: the log's conditional
+// create then decides. Owners are cached until the membership changes, because ranking
+// hundreds of members for each claim would cost more than everything else about it.
 type shardOwner struct {
 	mesh *peer.Mesh
 	self string
@@ -83,7 +84,7 @@
 	clear(o.owners)
 }
 
-// Owner picks by rendezvous hash among the living members.
+// Owner picks the owner by rendezvous hash among the alive members.
 func (o *shardOwner) Owner(shard int) (string, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,7 +97,7 @@
 }
 
 func (o *shardOwner) rank(shard int) string {
-	alive := living(o.mesh.Members())
+	alive := aliveMembers(o.mesh.Members())
 	best := peer.Rendezvous("claims/"+strconv.Itoa(shard), alive, 1)
 	if len(best) == 0 {
 		return o.self
@@ -109,7 +110,7 @@
 	return peer.Call[once.Batch, once.BatchResult](ctx, o.mesh, node, callClaims, b)
 }
 
-func living(members []peer.Member) []peer.Member {
+func aliveMembers(members []peer.Member) []peer.Member {
 	out := make([]peer.Member, 0, len(members))
 	for _, m := range members {
 		if m.Alive && !m.Leaving {
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -10,22 +10,19 @@
 	"wigeondale/once"
 )
 
-// alone owns every shard.
-type alone struct{}
+// soleOwner owns every shard.
+type soleOwner struct{}
 
-func (alone) Owner(int) (string, bool) { return "n1", true }
+func (soleOwner) Owner(int) (string, bool) { return "n1", true }
 
-func (alone) Forward(context.Context, string, once.Batch) (once.BatchResult, error) {
-	return once.BatchResult{}, errors.New("nobody to forward to")
+func (soleOwner) Forward(context.Context, string, once.Batch) (once.BatchResult, error) {
+	return once.BatchResult{}, errors.New("no other router to forward to")
 }
 
-// Symptom: a caller that used a key twice, with different bodies, is told to
-// come back, and does so for ever.
-// Sequence: a marked generation claims a key; another router gets the key again
-// with another body.
-// Cause: the mismatch passed as if the claims could not be reached.
+// A key used again with a different body must be refused as reused, not as unavailable.
+// Otherwise the caller is told to retry and does so for ever.
 func TestReusedKeyIsNoOutage(t *testing.T) {
-	c := claims{once.New(once.Config{Node: "n1", Incarnation: "i", KV: kvtest.New(), Prefix: "c/", Shards: 1}, alone{})}
+	c := claims{once.New(once.Config{Node: "n1", Incarnation: "i", KV: kvtest.New(), Prefix: "c/", Shards: 1}, soleOwner{})}
 	ctx := context.Background()
 	if ok, err := c.Claim(ctx, "a", "k", [16]byte{1}, "first"); !ok || err != nil {
 		t.Fatalf("first claim: %v, %v", ok, err)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,10 +1,10 @@
-// Package daemon wires one wigeond: it builds every part from the settings and
-// runs them as one group. Decisions live in the other packages; what is here
-// joins their small interfaces.
+// Package daemon assembles one wigeond: it builds all parts from the settings and runs
+// them as one group. Decisions are made in the other packages; this one connects their
+// interfaces.
 //
-// A shutdown signal cuts nothing: readiness fails first, requests are accepted
-// until the balancer has had time to notice, every open one is finished, and
-// only then do the parts below them stop. Further signals change nothing; only
+// A shutdown signal interrupts no request. Readiness fails first; new requests are
+// accepted until the balancer has had time to notice; every open request is finished,
+// and only then do the parts that serve it stop. Further signals have no effect: only
 // the platform's kill ends the process early.
 package daemon
 
@@ -51,7 +51,7 @@
 
 // Main runs the daemon until a signal has ended it gracefully.
 func Main(argv []string, stdout, stderr io.Writer) int {
-	told := signals.Notify() // first: until then a hangup ends the process
+	signalled := signals.Notify() // first: until then a hangup ends the process
 	var args arguments
 	parser, err := arg.NewParser(arg.Config{Program: "wigeond"}, &args)
 	if err != nil {
@@ -69,29 +69,29 @@
 	if err != nil {
 		return fail(stderr, ExitSettings, err)
 	}
-	if err := check(set); err != nil {
+	if err := checkSettings(set); err != nil {
 		return fail(stderr, ExitSettings, err)
 	}
 	if args.Check {
 		fmt.Fprintln(stdout, string(set.Printable()))
 		return ExitOK
 	}
-	return serve(set, told, stderr)
+	return serve(set, signalled, stderr)
 }
 
-// check finds what only the parts themselves can tell of their settings.
-// Without it a misspelt step of routing would pass --check, and end the process
-// at its next start, perhaps that of every node at once.
-func check(set *settings.Settings) error {
+// checkSettings validates the settings that only the packages using them can validate. Without
+// it a misspelt routing step would pass --check and stop the process at its next start,
+// possibly on every node at once.
+func checkSettings(set *settings.Settings) error {
 	_, routingErr := routing.New(stepsOf(set.Routing), rand.New(rand.NewPCG(0, 0)))
 	policy := policyOf(set.Policy)
 	return errors.Join(
-		Error.Wrap(prefixed("routing.steps", routingErr)),
-		Error.Wrap(prefixed("policy", policy.Check())),
+		Error.Wrap(wrapSection("routing.steps", routingErr)),
+		Error.Wrap(wrapSection("policy", policy.Check())),
 	)
 }
 
-func prefixed(section string, err error) error {
+func wrapSection(section string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -103,42 +103,42 @@
 	return code
 }
 
-// serve runs one daemon. Its log goes to standard output, which no reader may hold
-// up.
-func serve(set *settings.Settings, told <-chan os.Signal, stderr io.Writer) int {
+// serve runs one daemon. Its log goes to standard output through a buffer, so that a
+// reader that stops reading can't block the daemon.
+func serve(set *settings.Settings, signalled <-chan os.Signal, stderr io.Writer) int {
 	out := event.NewOutput(os.Stdout, set.Log.LinesPerSecond)
 	defer out.Close()
 	event.LogTo(out, set.Log.Verbosity)
 	log := event.New(set.Node.ID)
 	out.OnDropped = func(n int) { log.Emit(event.LinesDropped, "lines", n) }
-	run := runOwn
+	run := runNative
 	if set.Hosted != nil {
 		run = runHosted
 	}
-	if err := run(set, told, log); err != nil {
+	if err := run(set, signalled, log); err != nil {
 		return fail(stderr, ExitFailure, err)
 	}
 	log.Emit(event.ShutdownDone)
 	return ExitOK
 }
 
-// runOwn serves the product's own interface.
-func runOwn(set *settings.Settings, told <-chan os.Signal, log *event.Log) error {
+// runNative serves the product's own API.
+func runNative(set *settings.Settings, signalled <-chan os.Signal, log *event.Log) error {
 	n, err := newNode(set, log)
 	if err != nil {
 		return err
 	}
-	return n.run(told)
+	return n.run(signalled)
 }
 
 // runHosted serves on the users' platform.
-func runHosted(set *settings.Settings, told <-chan os.Signal, log *event.Log) error {
+func runHosted(set *settings.Settings, signalled <-chan os.Signal, log *event.Log) error {
 	debug.SetGCPercent(set.Hosted.GCPercent)
-	return hosted.Run(set, told, log)
+	return hosted.Run(set, signalled, log)
 }
 
-// run serves until a signal comes and every open request has ended.
-func (n *node) run(told <-chan os.Signal) error {
+// run serves until a signal arrives and every open request has ended.
+func (n *node) run(signalled <-chan os.Signal) error {
 	var g run.Group
 	for _, part := range n.parts() {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -154,15 +154,15 @@
 		g.Add(listen.Actor(l))
 	}
 	stop := make(chan struct{})
-	g.Add(func() error { return n.untilSignal(told, stop) }, func(error) { close(stop) })
+	g.Add(func() error { return n.waitForShutdown(signalled, stop) }, func(error) { close(stop) })
 	n.log.Emit(event.Started, "caller", n.caller.Addr(), "admin", n.admin.Addr(), "peer", n.peers.Addr())
 	return g.Run()
 }
 
-// untilSignal waits for the signal to end and then for the end of all requests.
-// Its return ends the group.
-func (n *node) untilSignal(told <-chan os.Signal, stop <-chan struct{}) error {
-	if !signals.Wait(told, stop, n.config, n.log) {
+// waitForShutdown waits for the shutdown signal and then until all requests have ended. The
+// group stops when it returns.
+func (n *node) waitForShutdown(signalled <-chan os.Signal, stop <-chan struct{}) error {
+	if !signals.Wait(signalled, stop, n.config, n.log) {
 		return nil
 	}
 	n.log.Emit(event.ShutdownBegun, "open", n.callers.Open())
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// prefixBlocks is how many leading blocks of a prompt routing looks at.
+	// prefixBlocks is the number of leading blocks of a prompt that routing considers.
 	prefixBlocks = 64
-	// replicaWait is told when a replica is expected back soon.
-	replicaWait = time.Second
+	// replicaRetryAfter is the Retry-After of answers when a replica is expected back soon.
+	replicaRetryAfter = time.Second
 )
 
 // picker chooses engines for package generation.
@@ -32,11 +32,11 @@
 	domain string
 }
 
-// Lookup finds a known engine, leaving or not.
+// Lookup finds an engine in the directory, leaving or not.
 func (p *picker) Lookup(id string) (fleet.Backend, bool) { return p.dir.Backend(id) }
 
-// Pick chooses an engine and checks once more, at the moment of dispatch, that
-// it is neither leaving nor taken by another probe.
+// Pick chooses an engine. At the moment of dispatch it checks again that the engine is
+// not leaving and not reserved for another request's probe.
 func (p *picker) Pick(_ context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
 	ask := routing.Ask{
 		Ref:           a.Ref,
@@ -53,7 +53,7 @@
 	return p.pick(p.dir.Snapshot(a.Ref), ask)
 }
 
-// service chooses a backend server of a plain service.
+// service chooses a replica of a service that is not a model engine.
 func (p *picker) service(name string, exclude map[string]bool) (fleet.Backend, generation.Share, error) {
 	ask := routing.Ask{
 		Priority:      fleet.Interactive,
@@ -66,11 +66,12 @@
 }
 
 func (p *picker) pick(candidates []routing.Candidate, ask routing.Ask) (fleet.Backend, generation.Share, error) {
-	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaWait}
+	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaRetryAfter}
 	return c.Pick(p.router, candidates, ask, directory.Load{Requests: 1})
 }
 
-// Standby implements generation.Picker: engines of this protocol keep no copies.
+// Standby implements generation.Picker: engines with this protocol keep no copies of
+// runs.
 func (p *picker) Standby(generation.Ask, fleet.Backend) (fleet.Backend, generation.Share, bool) {
 	return fleet.Backend{}, nil, false
 }
@@ -78,23 +79,23 @@
 // Keeps implements generation.Picker.
 func (p *picker) Keeps(string) bool { return false }
 
-// sharedBudget is one retry budget for all models.
+// sharedBudget uses one retry budget for all models.
 type sharedBudget struct{ *admission.RetryBudget }
 
 // Take implements generation.RetryBudget.
 func (b sharedBudget) Take(string) bool { return b.RetryBudget.Take() }
 
-// Continue implements generation.RetryBudget: only opaque answers ask.
+// Continue implements generation.RetryBudget. It is only called for opaque answers.
 func (b sharedBudget) Continue(string) bool { return true }
 
-// admitter applies admission to generations and counts their first tries, of
-// which the budget allows a share of retries.
+// admitter applies admission to generations and counts first tries, from which the
+// retry budget earns its share.
 type admitter struct {
 	ctl   *admission.Controller
 	retry *admission.RetryBudget
 }
 
-// Admit waits for a turn within the limits of the client account.
+// Admit waits until the request may start within the limits of its client account.
 func (a admitter) Admit(ctx context.Context, t generation.Ticket) (func(), error) {
 	release, err := a.ctl.Admit(ctx, admission.Ticket{
 		Account:  t.Account,
@@ -105,7 +106,7 @@
 		Resume:   t.Resume,
 	})
 	if err != nil {
-		return nil, refusedBy(err)
+		return nil, toUnavailable(err)
 	}
 	if !t.Resume {
 		a.retry.First()
@@ -113,7 +114,7 @@
 	return func() { release(t.Cost) }, nil
 }
 
-func refusedBy(err error) error {
+func toUnavailable(err error) error {
 	refused, ok := errors.AsType[*admission.Refused](err)
 	if !ok {
 		return &generation.Unavailable{Err: err}
@@ -121,10 +122,11 @@
 	return &generation.Unavailable{Code: codeOf[refused.Reason], RetryAfter: refused.RetryAfter, Err: err}
 }
 
-// codeOf gives admission's reasons the codes that callers know. A code that
-// they don't know would give a limit of the account the status of an overload.
+// codeOf maps admission's reasons to the codes of the caller API. With a code that is
+// not in its list, a request over its account's limit would get the status of an
+// overload.
 var codeOf = map[admission.Reason]string{
-	admission.ReasonUnknownAccount: callerapi.CodeNotReady, // its limits are not here yet
+	admission.ReasonUnknownAccount: callerapi.CodeNotReady, // its limits have not reached this router yet
 	admission.ReasonRate:           callerapi.CodeRateLimited,
 	admission.ReasonConcurrency:    callerapi.CodeAccountLimit,
 	admission.ReasonQueueFull:      callerapi.CodeOverloaded,
@@ -133,5 +135,5 @@
 	admission.ReasonNoReplica:      generation.CodeNoReplica,
 }
 
-// codeLeaving is the code by which an engine refuses work because it leaves.
+// codeLeaving is the code with which an engine refuses work because it is leaving.
 const codeLeaving = "leaving"
--- a/daemon/dispatch_test.go
+++ b/daemon/dispatch_test.go
@@ -18,10 +18,9 @@
 	"wigeondale/routing"
 )
 
-// Symptom: callers that are over their limit are told of an overload, by a
-// code in no list, and the metrics count it as other.
-// Sequence: admission refuses; its reason goes on as the caller's code.
-// Cause: two vocabularies taken for one.
+// Each reason of admission must reach callers as a code of the caller API. When the
+// reason itself was passed on, callers over their limit were told of an overload, with
+// a code in no list, and the metrics counted it as "other".
 func TestAdmissionReasonsReachCallersAsCodes(t *testing.T) {
 	want := map[admission.Reason]string{
 		admission.ReasonUnknownAccount: callerapi.CodeNotReady,
@@ -33,7 +32,7 @@
 		admission.ReasonCancelled:      generation.CodeCallerGone,
 	}
 	for reason, code := range want {
-		err := refusedBy(&admission.Refused{Reason: reason, RetryAfter: 3 * time.Second})
+		err := toUnavailable(&admission.Refused{Reason: reason, RetryAfter: 3 * time.Second})
 		u, ok := errors.AsType[*generation.Unavailable](err)
 		if !ok || u.Code != code || u.RetryAfter != 3*time.Second {
 			t.Errorf("%s: got %+v", reason, u)
@@ -41,9 +40,9 @@
 	}
 }
 
-// Symptom: a failure domain dies, and one survivor gets most of its streams.
-// Sequence: many requests with one prompt are resumed at the same moment.
-// Cause: they were spread by a hash of the prompt, which is the same for all.
+// Many requests with the same prompt that resume at once, because a failure domain went
+// down, must be spread over the engines. When they were spread by a hash of the prompt,
+// which is the same for all, one engine got most of them.
 func TestResumesOfOnePromptAreSpread(t *testing.T) {
 	ref := fleet.ModelRef{Model: "m", Version: "v1"}
 	now := time.Now()
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -9,25 +9,26 @@
 	"wigeondale/intent"
 )
 
-// drain says whether this node's own VM is to leave.
+// drain tracks whether this node's own VM is to leave.
 //
-// What goes wrong without it: a plan lets an entry VM leave, nothing happens,
-// and the VM is taken away with requests open. The balancer sees the failing
-// readiness first; only after its notice is new work refused, so that no caller
-// meets a router that the balancer still names; open requests are finished.
+// Without it, a plan that lets an entry VM leave has no effect on the VM's router, and
+// the VM is removed with requests open. When the VM is to leave, readiness fails at
+// once; new work is refused only after the notice period, so that callers are never
+// refused by a router that the balancer still sends them to; open requests are
+// finished.
 type drain struct {
 	vm     string
 	notice time.Duration
 	log    *event.Log
 
 	mu      sync.Mutex
-	planned bool // by the configuration: a level, which a plan may take back
-	listed  bool // by the VM list, whose lagging "live" takes nothing back
+	planned bool // by the configuration; a later plan may cancel it
+	listed  bool // by the VM list; a later "live" from the lagging list does not cancel it
 	since   time.Time
 	entries []intent.EntryVM
 }
 
-// setPlanned takes in what the configuration in force says of this VM.
+// setPlanned records whether the configuration in force says that this VM leaves.
 func (d *drain) setPlanned(leaving bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,7 +36,7 @@
 	d.update("intent")
 }
 
-// setListed takes in the entry VMs of a reading of the VM list.
+// setListed records the entry VMs of a reading of the VM list.
 func (d *drain) setListed(entries []intent.EntryVM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,15 +57,15 @@
 	}
 }
 
-// leaving fails the readiness that the balancer asks for.
+// leaving reports whether the readiness check is to fail because this VM leaves.
 func (d *drain) leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.since.IsZero()
 }
 
-// closed tells that the balancer has had its notice and new work is refused.
-func (d *drain) closed(now time.Time) bool {
+// noticeOver reports whether the notice period is over, so that new work is refused.
+func (d *drain) noticeOver(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.since.IsZero() && now.Sub(d.since) >= d.notice
--- a/daemon/inventory.go
+++ b/daemon/inventory.go
@@ -15,13 +15,13 @@
 	callInventoryExchange = "inventory.exchange"
 )
 
-// inventoryPeers carries the inventory between routers.
+// inventoryPeers exchanges the inventory with other routers.
 type inventoryPeers struct{ mesh *peer.Mesh }
 
 func (p inventoryPeers) Members() []peer.Member    { return p.mesh.Members() }
 func (p inventoryPeers) Neighbour() (string, bool) { return p.mesh.RandomNeighbour() }
 
-// Flood tells the others what changed; digests mend what it misses.
+// Flood broadcasts changes. What a flood misses is repaired by comparing digests.
 func (p inventoryPeers) Flood(d inventory.Delta) { _ = p.mesh.Flood(floodInventory, d) }
 
 func (p inventoryPeers) Compare(ctx context.Context, node string, d inventory.Digest) (inventory.Digest, error) {
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -12,11 +12,11 @@
 	"wigeondale/peer"
 )
 
-// Symptom: a router sends new work to a VM about to go, since the news that it
-// leaves was lost on the way; or none to an engine that was started anew there.
-// Sequence: readers saw it leaving and then live; this router hears only of the
-// latter, at once or long after. Cause: the newest reading alone is looked at;
-// or an old mark is set on a new incarnation.
+// A backend server that readers saw leaving and then live must still be marked as
+// leaving here, even if this router only receives the later record: the list may lag,
+// and the VM is about to be removed. But once "live" has lasted, it counts: an engine
+// may have been started again on that VM, and an old mark would keep work from the new
+// incarnation.
 func TestLiveAfterLeavingIsDoubted(t *testing.T) {
 	now := time.Now().UnixMilli()
 	record := func(at, left int64) inventory.Record {
@@ -31,7 +31,7 @@
 	}{
 		"never left":     {0, false},
 		"left just now":  {now - 100, true},
-		"left in a past": {now - 2*doubtfulLive.Milliseconds(), false},
+		"left in a past": {now - 2*unconfirmedLive.Milliseconds(), false},
 	} {
 		mesh, err := peer.New(peer.Config{ID: "r1", Addr: "10.0.0.9:1", FailureDomain: "a"}, []byte(strings.Repeat("k", 32)), nil, nil)
 		if err != nil {
@@ -40,7 +40,7 @@
 		inv := inventory.New(inventory.Config{Node: "r1"})
 		v := &vms{inv: inv, mesh: mesh, mon: health.NewMonitor(health.DefaultPolicy(), nil, nil), drain: &drain{vm: "v9"}}
 		dir := directory.New(nil)
-		look := func() fleet.Backend {
+		read := func() fleet.Backend {
 			list, err := v.Backends(t.Context())
 			if err != nil || len(list) != 1 {
 				t.Fatal(list, err)
@@ -49,27 +49,26 @@
 			return list[0]
 		}
 		inv.Take(inventory.Delta{Records: []inventory.Record{record(now, tc.left)}})
-		if look(); dir.Leaving("e1") != tc.want {
+		if read(); dir.Leaving("e1") != tc.want {
 			t.Errorf("%s: leaving is %v", name, !tc.want)
 		}
-		if look().Leaving || dir.Leaving("e1") != tc.want {
-			t.Errorf("%s: shown as leaving more than once, or the mark is lost", name)
+		if read().Leaving || dir.Leaving("e1") != tc.want {
+			t.Errorf("%s: shown as leaving more than once, or its mark was removed", name)
 		}
 	}
 }
 
-// Symptom: one leaving VM costs hundreds of floods. Sequence: a reader's news
-// reaches all routers, and each floods a rumour of it. Cause: the rumour is sent
-// by those that only heard.
+// A router must not flood what it only received by a flood. When each router repeated a
+// reader's update as a peer report of its own, one leaving VM cost hundreds of floods.
 func TestWhoSpreadsLeaving(t *testing.T) {
-	for source, want := range map[directory.Source][2]bool{ // of one that rests, of one that reads
+	for source, want := range map[directory.Source][2]bool{ // for a node that does not read the VM list, and for one that does
 		directory.FromVMList:  {false, true},
 		directory.FromReport:  {true, true},
 		directory.FromRefusal: {true, true},
 		directory.FromIntent:  {false, false},
 		directory.FromRumour:  {false, false},
 	} {
-		if got := [2]bool{spreads(source, inventory.Rests), spreads(source, inventory.Reads)}; got != want {
+		if got := [2]bool{shouldFlood(source, inventory.Rests), shouldFlood(source, inventory.Reads)}; got != want {
 			t.Errorf("%s: %v, want %v", source, got, want)
 		}
 	}
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -42,27 +42,27 @@
 	sizes      *sizes
 	weightRate int64
 
-	mesh    *peer.Mesh
-	keeper  *intent.Keeper
-	claims  *once.Claims
-	inv     *inventory.Inventory
-	dir     *directory.Directory
-	mon     *health.Monitor
-	admit   *admission.Controller
-	engines *backend.Client
-	cancels *backend.Canceller
-	runner  *generation.Runner
-	callers *callerapi.Server
-	orders  *order.Executor
-	poller  *directory.Poller
-	drain   *drain
-	guard   *quarantine.Guard
-	share   *summaries
+	mesh      *peer.Mesh
+	keeper    *intent.Keeper
+	claims    *once.Claims
+	inv       *inventory.Inventory
+	dir       *directory.Directory
+	mon       *health.Monitor
+	admit     *admission.Controller
+	engines   *backend.Client
+	cancels   *backend.Canceller
+	runner    *generation.Runner
+	callers   *callerapi.Server
+	orders    *order.Executor
+	poller    *directory.Poller
+	drain     *drain
+	guard     *quarantine.Guard
+	summaries *summaries
 
 	caller, admin, peers *listen.Server
 }
 
-// newNode builds the parts in an order in which each finds those that it needs.
+// newNode builds the parts in the order of their dependencies.
 func newNode(set *settings.Settings, log *event.Log) (*node, error) {
 	n := &node{
 		id:     set.Node.ID,
@@ -113,10 +113,10 @@
 	return err
 }
 
-// parts are the loops that run until the process ends.
+// parts returns the background loops that run until the process ends.
 func (n *node) parts() []func(context.Context) error {
 	return []func(context.Context) error{
-		n.mesh.Run, n.keeper.Run, n.inv.Run, n.poller.Run, n.mon.Run, n.claims.Run, n.cancels.Run, n.orders.Run, n.share.run, n.learnHeld,
+		n.mesh.Run, n.keeper.Run, n.inv.Run, n.poller.Run, n.mon.Run, n.claims.Run, n.cancels.Run, n.orders.Run, n.summaries.run, n.syncHolds,
 	}
 }
 
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -11,8 +11,8 @@
 
 const (
 	orderPrefix = "wigeondale/orders/"
-	// orderCandidates is how many routers try for the order lease: one may be
-	// gone and the key-value service still sees few tries.
+	// orderCandidates is the number of routers that try to get the order lease. With
+	// two, one may be down, and the key-value service still sees few attempts.
 	orderCandidates = 2
 )
 
@@ -25,7 +25,7 @@
 		Fresh:       n.keeper.Fresh,
 		List:        n.engineList,
 		Sizes:       n.placedSizes,
-		Candidate:   n.givesOrders,
+		Candidate:   n.isOrderCandidate,
 		Incarnation: n.dir.Incarnation,
 		Random:      rand.Float64,
 		Policy:      order.Policy{WeightRate: n.weightRate},
@@ -35,9 +35,9 @@
 	return err
 }
 
-// givesOrders tells whether this router tries for the order lease.
-func (n *node) givesOrders() bool {
-	return peer.SelfAmong(peer.Rendezvous("orders", living(n.mesh.Members()), orderCandidates))
+// isOrderCandidate reports whether this router tries to get the order lease.
+func (n *node) isOrderCandidate() bool {
+	return peer.SelfAmong(peer.Rendezvous("orders", aliveMembers(n.mesh.Members()), orderCandidates))
 }
 
 func (n *node) engineList() []fleet.Backend {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -18,11 +18,11 @@
 
 const (
 	vmsPath = "/vms"
-	// lookInterval is how often the directory looks at the inventory when
-	// nothing changes, so that it knows what is still listed.
-	lookInterval = 5 * time.Second
-	// doubtfulLive is how long a "live" after a "leaving" may be the older news.
-	doubtfulLive = 30 * time.Second
+	// listInterval is how often the directory reads the inventory even if nothing has
+	// changed, so that it knows which servers are still listed.
+	listInterval = 5 * time.Second
+	// unconfirmedLive is how long a "live" record after a "leaving" one may be outdated.
+	unconfirmedLive = 30 * time.Second
 )
 
 func (n *node) buildPlatform(set *settings.Settings) error {
@@ -34,17 +34,17 @@
 	return nil
 }
 
-// vms shows the inventory: backend servers go to the directory, entry VMs are
-// seeds of the mesh.
+// vms reads the inventory: backend servers go to the directory, entry VMs become seeds
+// of the mesh.
 type vms struct {
 	inv  *inventory.Inventory
 	mesh *peer.Mesh
 	mon  *health.Monitor
-	// drain is told of the entry VMs, this node's own among them.
+	// drain is updated with the entry VMs, including this node's own.
 	drain *drain
 
-	seen map[string]bool  // backend servers of the last look
-	told map[string]int64 // the life of each that was shown as leaving
+	listed       map[string]bool  // backend servers of the last reading
+	shownLeaving map[string]int64 // start time of each backend server that was shown as leaving
 }
 
 // Backends lists the backend servers.
@@ -52,7 +52,7 @@
 	var backends []fleet.Backend
 	var seeds []string
 	var entries []intent.EntryVM
-	told, now := make(map[string]int64), time.Now()
+	shown, now := make(map[string]int64), time.Now()
 	for _, r := range v.inv.Live() {
 		if r.Item.Role == inventory.RoleEntry {
 			seeds = append(seeds, r.Item.Addr)
@@ -60,17 +60,17 @@
 			continue
 		}
 		b := backendOf(r.Item)
-		if life, ok := v.told[b.ID]; ok && life == r.Born {
-			told[b.ID] = r.Born
-		} else if leftLately(r, now) {
-			b.Leaving, told[b.ID] = true, r.Born
+		if startedAt, ok := v.shownLeaving[b.ID]; ok && startedAt == r.Born {
+			shown[b.ID] = r.Born
+		} else if showLeaving(r, now) {
+			b.Leaving, shown[b.ID] = true, r.Born
 		}
 		backends = append(backends, b)
 	}
-	v.told = told
+	v.shownLeaving = shown
 	slices.SortFunc(entries, func(a, b intent.EntryVM) int { return cmp.Compare(a.VM, b.VM) })
 	if len(backends)+len(entries) == 0 {
-		return nil, nil // nothing is known yet
+		return nil, nil // the inventory is still empty
 	}
 	v.mesh.AddSeeds(seeds)
 	v.drain.setListed(entries)
@@ -78,15 +78,16 @@
 	return backends, nil
 }
 
-// leftLately tells that a backend server is to be shown as leaving for once.
+// showLeaving reports whether a backend server is to be shown as leaving, once for each
+// of its incarnations.
 //
-// What goes wrong without it: readers see it leaving and then, from a lagging
-// replica of the list, live again. A node that heard only of the latter would
-// send it work until it is gone; the mark that the directory sets holds until a
-// new incarnation. Where "live" has lasted, it is believed: an engine may have
-// been started anew on that VM.
-func leftLately(r inventory.Record, now time.Time) bool {
-	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.Left < doubtfulLive.Milliseconds()
+// Readers may see it leaving and then live again, from a lagging replica of the VM
+// list. A node that received only the later record would send it work until it is gone;
+// the mark set in the directory stays until a new incarnation. Once "live" has lasted
+// for unconfirmedLive, it is taken as correct: an engine may have been started again on
+// that VM.
+func showLeaving(r inventory.Record, now time.Time) bool {
+	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.Left < unconfirmedLive.Milliseconds()
 }
 
 func backendOf(i inventory.Item) fleet.Backend {
@@ -96,22 +97,23 @@
 	}
 }
 
-// forget drops from the failure detector what is no longer listed. Otherwise
-// hundreds of replacements a day would pile up in a long-lived process.
+// forget removes backend servers that are no longer listed from the failure detector.
+// Otherwise the hundreds of servers replaced each day would accumulate in a
+// long-running process.
 func (v *vms) forget(backends []fleet.Backend) {
 	now := make(map[string]bool, len(backends))
 	for _, b := range backends {
 		now[b.ID] = true
 	}
-	for id := range v.seen {
+	for id := range v.listed {
 		if !now[id] {
 			v.mon.Forget(id)
 		}
 	}
-	v.seen = now
+	v.listed = now
 }
 
-// sizes remembers the sizes of weights, which never change for a version.
+// sizes caches the sizes of model weights, which never change for a version.
 type sizes struct {
 	store *infra.WeightStore
 
@@ -123,7 +125,7 @@
 	return &sizes{store: store, known: make(map[string]int64)}
 }
 
-// all returns the sizes known so far, by ModelRef.String().
+// all returns the sizes known so far, keyed by ModelRef.String().
 func (s *sizes) all() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,9 +136,9 @@
 	return out
 }
 
-// learn asks the weight store for the sizes that are not known yet. A size that
-// can't be had is left out; a plan then shows no bytes for it.
-func (s *sizes) learn(ctx context.Context, refs []fleet.ModelRef) {
+// fetch fetches the sizes that are not known yet from the weight store. A size that
+// can't be fetched is left out; a plan then counts no bytes for it.
+func (s *sizes) fetch(ctx context.Context, refs []fleet.ModelRef) {
 	for _, ref := range refs {
 		if s.has(ref) {
 			continue
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -13,25 +13,27 @@
 const (
 	callGetPointer = "pointer.get"
 	callSetPointer = "pointer.set"
-	// pointerCopies is how many routers remember where a key runs.
+	// pointerCopies is the number of routers that store the pointer of a key.
 	pointerCopies = 2
-	// pointerLife bounds how long a pointer is believed without renewal.
-	pointerLife = 10 * time.Minute
-	// pointerWait bounds the look-up, which each new request waits for. An answer
-	// takes about a millisecond between failure domains.
-	pointerWait = 25 * time.Millisecond
-	// pointerMisses is how many look-ups in a row a router leaves without answer
-	// before it is not asked for pointerBackoff: one late answer is no cut link.
-	pointerMisses  = 2
-	pointerBackoff = time.Second
-	// maxPointers bounds the memory for other routers' keys; about 100 B each.
+	// pointerTTL is how long a pointer is valid without renewal.
+	pointerTTL = 10 * time.Minute
+	// pointerTimeout limits the lookup that delays each new request. An answer between
+	// failure domains takes about a millisecond.
+	pointerTimeout = 25 * time.Millisecond
+	// maxPointerMisses is the number of consecutive lookups that a router may leave
+	// unanswered before it is skipped for pointerBackoff. One slow answer does not mean
+	// that the link is cut.
+	maxPointerMisses = 2
+	pointerBackoff   = time.Second
+	// maxPointers limits the pointers stored for other routers, of about 100 bytes
+	// each.
 	maxPointers = 100_000
 )
 
-// errNoAnswer ends the wait for routers that would remember a key.
+// errNoAnswer is the cause when the routers that store a key don't answer in time.
 var errNoAnswer = Error.New("no answer in time")
 
-// pointer says which router runs a key.
+// pointer names the router on which the request with a key runs.
 type pointer struct {
 	Key   once.KeyID `cbor:"1,keyasint"`
 	Node  string     `cbor:"2,keyasint"`
@@ -40,35 +42,35 @@
 	Known bool       `cbor:"5,keyasint,omitempty"`
 }
 
-type heldPointer struct {
+type storedPointer struct {
 	pointer
 	until time.Time
 }
 
-// missedAnswers is how often in a row a router did not answer, and until when it is
-// therefore not asked.
+// missedAnswers counts a router's consecutive unanswered lookups, and holds the time
+// until which it is skipped because of them.
 type missedAnswers struct {
 	misses int
 	until  time.Time
 }
 
-// pointers tells other routers which keys run here, through two routers chosen
-// by rendezvous hash. They save work and guarantee nothing: what must run at
-// most once is claimed in the log.
+// pointers publishes which keys run on this router, by storing pointers at two routers
+// that are chosen by rendezvous hash. It saves duplicate work but guarantees nothing:
+// requests that must run at most once are claimed in the log.
 type pointers struct {
-	mesh *peer.Mesh
-	self string
-	wait time.Duration // for the answers to one look-up
+	mesh    *peer.Mesh
+	self    string
+	timeout time.Duration // limits one lookup
 
 	mu     sync.Mutex
-	held   map[once.KeyID]heldPointer
+	stored map[once.KeyID]storedPointer
 	missed map[string]missedAnswers // routers that did not answer
 }
 
 func newPointers(mesh *peer.Mesh, self string) *pointers {
-	p := &pointers{mesh: mesh, self: self, wait: pointerWait, held: make(map[once.KeyID]heldPointer), missed: make(map[string]missedAnswers)}
+	p := &pointers{mesh: mesh, self: self, timeout: pointerTimeout, stored: make(map[once.KeyID]storedPointer), missed: make(map[string]missedAnswers)}
 	peer.HandleCall(mesh, callSetPointer, func(_ context.Context, _ string, v pointer) (pointer, error) {
-		p.keep(v, time.Now())
+		p.store(v, time.Now())
 		return pointer{}, nil
 	})
 	peer.HandleCall(mesh, callGetPointer, func(_ context.Context, _ string, v pointer) (pointer, error) {
@@ -77,28 +79,28 @@
 	return p
 }
 
-func (p *pointers) keep(v pointer, now time.Time) {
+func (p *pointers) store(v pointer, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if v.Drop {
-		if p.held[v.Key].Node == v.Node {
-			delete(p.held, v.Key)
+		if p.stored[v.Key].Node == v.Node {
+			delete(p.stored, v.Key)
 		}
 		return
 	}
-	if len(p.held) >= maxPointers {
+	if len(p.stored) >= maxPointers {
 		p.expire(now)
 	}
-	if len(p.held) >= maxPointers {
+	if len(p.stored) >= maxPointers {
 		return
 	}
-	p.held[v.Key] = heldPointer{v, now.Add(pointerLife)}
+	p.stored[v.Key] = storedPointer{v, now.Add(pointerTTL)}
 }
 
 func (p *pointers) expire(now time.Time) {
-	for k, h := range p.held {
+	for k, h := range p.stored {
 		if now.After(h.until) {
-			delete(p.held, k)
+			delete(p.stored, k)
 		}
 	}
 }
@@ -106,7 +108,7 @@
 func (p *pointers) find(key once.KeyID, now time.Time) pointer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h, ok := p.held[key]
+	h, ok := p.stored[key]
 	if !ok || now.After(h.until) {
 		return pointer{}
 	}
@@ -114,27 +116,27 @@
 	return h.pointer
 }
 
-// Live asks the routers that would remember the key, all at once. Only a node
-// that is still believed alive counts: the caller of a dead router must not be
-// turned away.
+// Live queries the routers that store the key's pointer, all at once. It returns a node
+// only if that node is still considered alive: a caller must not be turned away because
+// its key ran on a router that is dead.
 //
-// What goes wrong otherwise: while links are cut and not yet given up, each new
-// request waits for the whole bound, once for each holder. So holders that are
-// suspect are not asked, nor for a while those that did not answer lately.
+// Suspect routers, and for a while routers that did not answer recently, are not
+// queried. Otherwise, while links are cut and the failure is not yet detected, each new
+// request would wait for the whole timeout, once for each of these routers.
 func (p *pointers) Live(ctx context.Context, account, key string) (string, [16]byte, bool) {
 	id := once.NewKeyID(account, key)
-	members := living(p.mesh.Members())
-	holders := p.answering(peer.Rendezvous(string(id[:]), members, pointerCopies), time.Now())
-	if len(holders) == 0 {
+	members := aliveMembers(p.mesh.Members())
+	nodes := p.responsive(peer.Rendezvous(string(id[:]), members, pointerCopies), time.Now())
+	if len(nodes) == 0 {
 		return "", [16]byte{}, false
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, p.wait, errNoAnswer)
+	ctx, cancel := context.WithTimeoutCause(ctx, p.timeout, errNoAnswer)
 	defer cancel()
-	answers := make(chan pointer, len(holders))
-	for _, m := range holders {
-		go func() { answers <- p.ask(ctx, m, id) }()
+	answers := make(chan pointer, len(nodes))
+	for _, m := range nodes {
+		go func() { answers <- p.query(ctx, m, id) }()
 	}
-	for range holders {
+	for range nodes {
 		v := <-answers
 		if v.Known && v.Node != p.self && isAlive(members, v.Node) {
 			return v.Node, v.Body, true
@@ -143,12 +145,12 @@
 	return "", [16]byte{}, false
 }
 
-// answering leaves out those of whom no answer is to be expected in time.
-func (p *pointers) answering(holders []peer.Member, now time.Time) []peer.Member {
+// responsive leaves out the routers that are not expected to answer in time.
+func (p *pointers) responsive(nodes []peer.Member, now time.Time) []peer.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]peer.Member, 0, len(holders))
-	for _, m := range holders {
+	out := make([]peer.Member, 0, len(nodes))
+	for _, m := range nodes {
 		if m.Self || !m.Suspect && now.After(p.missed[m.ID].until) {
 			out = append(out, m)
 		}
@@ -156,19 +158,19 @@
 	return out
 }
 
-func (p *pointers) ask(ctx context.Context, m peer.Member, id once.KeyID) pointer {
+func (p *pointers) query(ctx context.Context, m peer.Member, id once.KeyID) pointer {
 	if m.Self {
 		return p.find(id, time.Now())
 	}
-	// Unreachable counts as not known: the pointer only saves work.
+	// An unreachable router counts as one without a pointer, which only saves work.
 	v, err := peer.Call[pointer, pointer](ctx, p.mesh, m.ID, callGetPointer, pointer{Key: id})
-	p.heard(m.ID, err, context.Cause(ctx))
+	p.recordAnswer(m.ID, err, context.Cause(ctx))
 	return v
 }
 
-// heard notes whether a router answered. A look-up that ended early, since its
-// caller left or the other holder answered, says nothing of it.
-func (p *pointers) heard(node string, err, ended error) {
+// recordAnswer records whether a router answered. A lookup that ended early, because its
+// caller disconnected or the other router answered first, is not counted.
+func (p *pointers) recordAnswer(node string, err, ended error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err == nil {
@@ -180,7 +182,7 @@
 	}
 	s := p.missed[node]
 	s.misses++
-	if s.misses >= pointerMisses {
+	if s.misses >= maxPointerMisses {
 		s.until = time.Now().Add(pointerBackoff)
 	}
 	p.missed[node] = s
@@ -195,20 +197,20 @@
 	return false
 }
 
-// Announce says that the key runs here.
+// Announce publishes that the key runs on this router.
 func (p *pointers) Announce(account, key string, body [16]byte) {
 	p.send(pointer{Key: once.NewKeyID(account, key), Node: p.self, Body: body})
 }
 
-// Drop says that the key no longer runs here.
+// Drop publishes that the key no longer runs on this router.
 func (p *pointers) Drop(account, key string) {
 	p.send(pointer{Key: once.NewKeyID(account, key), Node: p.self, Drop: true})
 }
 
 func (p *pointers) send(v pointer) {
-	for _, m := range peer.Rendezvous(string(v.Key[:]), living(p.mesh.Members()), pointerCopies) {
+	for _, m := range peer.Rendezvous(string(v.Key[:]), aliveMembers(p.mesh.Members()), pointerCopies) {
 		if m.Self {
-			p.keep(v, time.Now())
+			p.store(v, time.Now())
 			continue
 		}
 		go func() {
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -16,8 +16,8 @@
 
 const testPeerKey = "0123456789abcdef"
 
-// meshes runs n linked meshes on loopback; set registers calls before they run.
-func meshes(t testing.TB, n int, set func(i int, m *peer.Mesh)) []*peer.Mesh {
+// linkedMeshes runs n linked meshes on loopback. register adds the handlers of each mesh before it starts.
+func linkedMeshes(t testing.TB, n int, register func(i int, m *peer.Mesh)) []*peer.Mesh {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set(i, m)
+		register(i, m)
 		m.OnLink(func(string) { linked <- struct{}{} })
 		srv := &http.Server{Handler: m, ReadHeaderTimeout: time.Second}
 		running.Go(func() { _ = srv.Serve(l) })
@@ -45,32 +45,32 @@
 		out = append(out, m)
 	}
 	t.Cleanup(func() { cancel() })
-	for range n * (n - 1) { // each end of each link tells it
+	for range n * (n - 1) { // both ends of each link report it
 		<-linked
 	}
 	return out
 }
 
-// keyAt is a key that the two routers other than n0 remember.
-func keyAt(m *peer.Mesh) string {
+// keyStoredRemotely returns a key whose pointer is stored at the two routers other than n0.
+func keyStoredRemotely(m *peer.Mesh) string {
 	for i := 0; ; i++ {
 		key := strconv.Itoa(i)
 		id := once.NewKeyID("acme", key)
-		holders := peer.Rendezvous(string(id[:]), living(m.Members()), pointerCopies)
-		if !holders[0].Self && !holders[1].Self {
+		nodes := peer.Rendezvous(string(id[:]), aliveMembers(m.Members()), pointerCopies)
+		if !nodes[0].Self && !nodes[1].Self {
 			return key
 		}
 	}
 }
 
-// Symptom: a new request waits for two round trips before it is dispatched.
-// Sequence: each of the two holders answers only once both have been asked.
-// Cause: the second was asked after the first had answered.
+// Both routers that store a pointer must be queried at the same time. When they were
+// queried one after the other, a new request waited for two round trips. Here each
+// answers only after both have been asked.
 func TestPointersAskHoldersAtOnce(t *testing.T) {
 	var both sync.WaitGroup
 	both.Add(2)
 	var p *pointers
-	all := meshes(t, 3, func(i int, m *peer.Mesh) {
+	all := linkedMeshes(t, 3, func(i int, m *peer.Mesh) {
 		if i == 0 {
 			p = newPointers(m, "n0")
 			return
@@ -81,64 +81,62 @@
 			return pointer{Key: v.Key, Node: "n2", Known: true}, nil
 		})
 	})
-	p.wait = 5 * time.Second
-	if node, _, ok := p.Live(t.Context(), "acme", keyAt(all[0])); !ok || node != "n2" {
+	p.timeout = 5 * time.Second
+	if node, _, ok := p.Live(t.Context(), "acme", keyStoredRemotely(all[0])); !ok || node != "n2" {
 		t.Fatalf("found %q, %v", node, ok)
 	}
 }
 
-// Symptom: while links are cut, each new request waits for the whole bound of
-// the look-up.
-// Sequence: one holder answers nothing, the other knows the key or not.
-// Cause: who did not answer, or is suspect, was asked again by each request.
+// A router that does not answer, or is suspect, must not be queried again by each
+// request. Otherwise each new request waits for the whole timeout while links are cut.
 func TestPointersLeaveSilentHolders(t *testing.T) {
-	var asked atomic.Int32
-	var p, other *pointers
-	all := meshes(t, 3, func(i int, m *peer.Mesh) {
+	var queries atomic.Int32
+	var p, p2 *pointers
+	all := linkedMeshes(t, 3, func(i int, m *peer.Mesh) {
 		switch i {
 		case 0:
 			p = newPointers(m, "n0")
 		case 1:
 			peer.HandleCall(m, callGetPointer, func(ctx context.Context, _ string, _ pointer) (pointer, error) {
-				asked.Add(1)
+				queries.Add(1)
 				<-ctx.Done()
 				return pointer{}, ctx.Err()
 			})
 		default:
-			other = newPointers(m, "n2")
+			p2 = newPointers(m, "n2")
 		}
 	})
-	p.wait = 200 * time.Millisecond // the call has to reach n1 in it
-	key := keyAt(all[0])
-	for range pointerMisses + 2 {
+	p.timeout = 200 * time.Millisecond // long enough for the call to reach n1
+	key := keyStoredRemotely(all[0])
+	for range maxPointerMisses + 2 {
 		if _, _, ok := p.Live(t.Context(), "acme", key); ok {
 			t.Fatal("found a key that runs nowhere")
 		}
 	}
-	if asked.Load() != pointerMisses {
-		t.Errorf("a holder that does not answer was asked %d times", asked.Load())
+	if queries.Load() != maxPointerMisses {
+		t.Errorf("a router that does not answer was queried %d times", queries.Load())
 	}
-	other.Announce("acme", key, [16]byte{7})
+	p2.Announce("acme", key, [16]byte{7})
 	if node, body, ok := p.Live(t.Context(), "acme", key); !ok || node != "n2" || body != [16]byte{7} {
 		t.Errorf("a key that runs at n2 is not found there: %q, %v", node, ok)
 	}
 	now := time.Now()
-	holders := []peer.Member{{ID: "n0", Self: true}, {ID: "n1"}, {ID: "n2"}, {ID: "n3", Suspect: true}}
-	if left := p.answering(holders, now); len(left) != 2 || left[1].ID != "n2" {
-		t.Errorf("asked are %+v, want n0 and n2", left)
+	nodes := []peer.Member{{ID: "n0", Self: true}, {ID: "n1"}, {ID: "n2"}, {ID: "n3", Suspect: true}}
+	if queried := p.responsive(nodes, now); len(queried) != 2 || queried[1].ID != "n2" {
+		t.Errorf("queried are %+v, want n0 and n2", queried)
 	}
-	if left := p.answering(holders, now.Add(2*pointerBackoff)); len(left) != 3 {
-		t.Errorf("asked after the rest are %+v, want all but n3", left)
+	if queried := p.responsive(nodes, now.Add(2*pointerBackoff)); len(queried) != 3 {
+		t.Errorf("queried after the backoff are %+v, want all but n3", queried)
 	}
 }
 
-// BenchmarkPointerLookup measures what a new request waits before its dispatch:
-// with both holders linked, and with one that answers nothing.
+// BenchmarkPointerLookup measures how long a lookup delays a new request: with both
+// routers linked, and with one that does not answer.
 func BenchmarkPointerLookup(b *testing.B) {
 	for _, state := range []string{"whole", "cut"} {
 		b.Run(state, func(b *testing.B) {
 			var p *pointers
-			all := meshes(b, 3, func(i int, m *peer.Mesh) {
+			all := linkedMeshes(b, 3, func(i int, m *peer.Mesh) {
 				if i == 1 && state == "cut" {
 					peer.HandleCall(m, callGetPointer, func(ctx context.Context, _ string, _ pointer) (pointer, error) {
 						<-ctx.Done()
@@ -150,7 +148,7 @@
 					p = q
 				}
 			})
-			key := keyAt(all[0])
+			key := keyStoredRemotely(all[0])
 			for b.Loop() {
 				p.Live(b.Context(), "acme", key)
 			}
--- a/daemon/policy_test.go
+++ b/daemon/policy_test.go
@@ -7,8 +7,8 @@
 	"wigeondale/settings"
 )
 
-// Symptom: an operator changes a knob and nothing changes. Cause: a setting
-// that is checked but never handed to the failure detector.
+// Each setting of the policy must reach the failure detector. A setting that is checked
+// but not passed on has no effect, and the operator does not notice.
 func TestPolicyReachesTheDetector(t *testing.T) {
 	got := policyOf(settings.Policy{
 		ResumeLatencyWeight: 2, ExtraWorkWeight: 3, MinSuspectMS: 4, MaxSuspectMS: 5,
--- /dev/null
+++ b/daemon/quarantine.go
@@ -0,0 +1,73 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"wigeondale/backend"
+	"wigeondale/clock"
+	"wigeondale/fleet"
+	"wigeondale/peer"
+	"wigeondale/placement"
+	"wigeondale/quarantine"
+	"wigeondale/settings"
+)
+
+const (
+	// callHolds requests the quarantined requests from another node.
+	callHolds = "quarantine.held"
+	// holdsInterval is how often a node requests them from a random neighbour, and
+	// holdsRetryInterval how often it retries after its start until one has answered.
+	holdsInterval      = time.Minute
+	holdsRetryInterval = 200 * time.Millisecond
+)
+
+func (n *node) buildGuard(set *settings.Settings) {
+	n.guard = quarantine.NewGuard(quarantine.Config{
+		Prober:     backend.Looker{},
+		Lifetime:   func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
+		Leaving:    n.dir.Leaving,
+		Neighbours: placement.Neighbours(n.dir, n.mon),
+		CutOff: func() bool {
+			_, linked := n.mesh.RandomNeighbour()
+			return !linked && len(n.mesh.Members()) > 1
+		},
+		// A node that misses an update receives the next crash, or fetches the holds
+		// later.
+		Tell: func(m quarantine.News) { _ = n.mesh.Flood(quarantine.FloodNews, m) },
+		Log:  n.log,
+		Set:  n.set,
+	})
+	n.guard.SetKey(set.PeerKey())
+	peer.Handle(n.mesh, quarantine.FloodNews, n.guard.Hear)
+	peer.HandleCall(n.mesh, callHolds, func(context.Context, string, struct{}) (quarantine.News, error) {
+		return quarantine.News{Held: n.guard.Held()}, nil
+	})
+}
+
+// syncHolds fetches the quarantined requests from other nodes until ctx ends, since a
+// node that has just started or was isolated has missed updates.
+func (n *node) syncHolds(ctx context.Context) error {
+	wait := holdsRetryInterval
+	for clock.Sleep(ctx, wait) {
+		if n.fetchHolds(ctx) {
+			wait = holdsInterval
+		}
+	}
+	return nil
+}
+
+func (n *node) fetchHolds(ctx context.Context) bool {
+	other, linked := n.mesh.RandomNeighbour()
+	if !linked {
+		return false
+	}
+	ctx, stop := context.WithTimeout(ctx, holdsRetryInterval)
+	defer stop()
+	update, err := peer.Call[struct{}, quarantine.News](ctx, n.mesh, other, callHolds, struct{}{})
+	if err != nil {
+		return false // another node is tried soon
+	}
+	n.guard.Hear(other, update)
+	return true
+}
--- /dev/null
+++ b/daemon/reports.go
@@ -0,0 +1,54 @@
+package daemon
+
+import (
+	"wigeondale/directory"
+	"wigeondale/health"
+	"wigeondale/inventory"
+	"wigeondale/peer"
+)
+
+const (
+	floodHealth  = "backend.health"
+	floodLeaving = "backend.leaving"
+)
+
+// peerReport is a report about one incarnation of a backend server.
+type peerReport struct {
+	Backend     string            `cbor:"1,keyasint"`
+	Incarnation string            `cbor:"2,keyasint"`
+	Kind        health.RumourKind `cbor:"3,keyasint"`
+}
+
+// peerReports exchanges reports about backend servers with other routers.
+type peerReports struct{ mesh *peer.Mesh }
+
+func (r peerReports) connect(mon *health.Monitor, dir *directory.Directory, inv *inventory.Inventory) {
+	mon.OnChange = func(id, incarnation string, kind health.RumourKind) {
+		// A router that misses the report detects the change itself.
+		_ = r.mesh.Flood(floodHealth, peerReport{id, incarnation, kind})
+	}
+	dir.OnLeaving = func(id, incarnation string, source directory.Source) {
+		if shouldFlood(source, inv.Duty()) {
+			_ = r.mesh.Flood(floodLeaving, peerReport{Backend: id, Incarnation: incarnation})
+		}
+	}
+	peer.Handle(r.mesh, floodHealth, func(_ string, v peerReport) { mon.Rumour(v.Backend, v.Incarnation, v.Kind) })
+	peer.Handle(r.mesh, floodLeaving, func(_ string, v peerReport) {
+		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromRumour)
+	})
+}
+
+// shouldFlood reports whether a router floods that a backend server is leaving. The
+// configuration reaches all routers by itself, and can be rolled back, while the mark
+// that a peer report sets can't. An update from the VM list has already been flooded by
+// its reader to all routers that don't read the list: each of hundreds of routers would
+// flood it once more.
+func shouldFlood(source directory.Source, duty inventory.Duty) bool {
+	switch source {
+	case directory.FromRumour, directory.FromIntent:
+		return false
+	case directory.FromVMList:
+		return duty != inventory.Rests
+	}
+	return true
+}
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -22,19 +22,19 @@
 )
 
 const (
-	servicePool   = "service/" // begins the names of services' pools
-	serviceTries  = 3
-	serviceCost   = 1 // tokens charged to the account for a plain call
-	codeNoReplica = "no_replica"
-	codeDuplicate = "duplicate_key"
-	codeLost      = "connection_lost"
-	codeDeadline  = "deadline"
-	// unknownWait is told when nobody knows whether a call ran: asking again
-	// under the same key is safe, and tells nothing new sooner.
-	unknownWait = 5 * time.Second
+	servicePoolPrefix = "service/" // prefix of the pool names of services
+	serviceTries      = 3
+	serviceCost       = 1 // tokens charged to the account for a call
+	codeNoReplica     = "no_replica"
+	codeDuplicate     = "duplicate_key"
+	codeLost          = "connection_lost"
+	codeDeadline      = "deadline"
+	// unknownRetryAfter is the Retry-After when it is unknown whether a call ran. Repeating
+	// it under the same key is safe, but an earlier repeat would give the same answer.
+	unknownRetryAfter = 5 * time.Second
 )
 
-// services passes plain calls to backend servers.
+// services sends calls to services that are not model engines.
 type services struct {
 	node   string
 	admit  *admission.Controller
@@ -48,25 +48,25 @@
 	seq    atomic.Uint64
 }
 
-// Do claims the call when it is not idempotent, sends it, and repeats it at
-// another backend server only when that is safe.
+// Do sends the call. It claims the key of a call that is not idempotent, and repeats a
+// call at another backend server only if that is safe.
 func (s *services) Do(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
 	release, err := s.admit.Admit(ctx, admission.Ticket{
-		Account: call.Account, Pool: servicePool + call.Service,
+		Account: call.Account, Pool: servicePoolPrefix + call.Service,
 		Priority: call.Priority, Cost: serviceCost, Deadline: call.Deadline,
 	})
 	if err != nil {
-		return nil, refusal(0, refusedBy(err)) // its code has a status
+		return nil, refusalFailure(0, toUnavailable(err)) // its code has a status
 	}
 	defer release(serviceCost)
 	if call.Idempotent {
 		return s.send(ctx, call, serviceTries)
 	}
-	return s.once(ctx, call)
+	return s.sendOnce(ctx, call)
 }
 
-// once claims the key and sends the call a single time.
-func (s *services) once(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
+// sendOnce claims the key and sends the call a single time.
+func (s *services) sendOnce(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
 	attempt := s.node + "/" + strconv.FormatUint(s.seq.Add(1), 10)
 	granted, err := s.claims.Claim(ctx, call.Account, call.Key, call.BodyHash, attempt)
 	if errors.Is(err, once.ErrKeyReused) {
@@ -74,70 +74,71 @@
 			Message: "this key was used with another body", Outcome: fleet.NotRun}
 	}
 	if err != nil {
-		return nil, refusal(http.StatusServiceUnavailable, err)
+		return nil, refusalFailure(http.StatusServiceUnavailable, err)
 	}
 	if !granted {
 		return nil, &callerapi.Failure{Status: http.StatusConflict, Code: codeDuplicate,
-			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownWait}
+			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	}
-	// The process may have been frozen while the claim was under way.
+	// The process may have been stopped while the claim was in progress.
 	if once.InTime(ctx) != nil || expired(call.Deadline) {
-		s.void(call, attempt)
+		s.voidClaim(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
-			Message: "the deadline passed before the call was sent", Outcome: fleet.NotRun, RetryAfter: replicaWait}
+			Message: "the deadline passed before the call was sent", Outcome: fleet.NotRun, RetryAfter: replicaRetryAfter}
 	}
 	resp, err := s.send(ctx, call, 1)
 	if f, ok := errors.AsType[*callerapi.Failure](err); ok && f.Outcome == fleet.NotRun {
-		s.void(call, attempt)
+		s.voidClaim(call, attempt)
 	}
 	return resp, err
 }
 
-func (s *services) void(call callerapi.ServiceCall, attempt string) {
-	// A claim that can't be voided leaves the key used: safe, if unkind.
+func (s *services) voidClaim(call callerapi.ServiceCall, attempt string) {
+	// If voiding fails the key stays used: the call never runs twice, but can't be
+	// repeated under its key.
 	_ = s.claims.VoidLater(call.Account, call.Key, attempt)
 }
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// serviceOf is the service whose pool it is.
-func serviceOf(pool string) (name string, ok bool) { return strings.CutPrefix(pool, servicePool) }
+// serviceOf returns the service of a pool.
+func serviceOf(pool string) (name string, ok bool) { return strings.CutPrefix(pool, servicePoolPrefix) }
 
-// send tries up to tries backend servers. A call of which a byte may have left
-// is repeated only if it is idempotent, and within the retry budget.
+// send tries up to tries backend servers. A call of which any byte may have been sent
+// is repeated only if it is idempotent and the retry budget allows it.
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
-	followed := s.guard.Follow(quarantine.Subject{
+	submission := s.guard.Follow(quarantine.Subject{
 		Account: call.Account, Method: call.Method, Host: call.Service, Target: call.Path + "?" + call.Query, Body: call.Body,
 	})
 	for n := 1; ; n++ {
-		if followed.Refusal(ctx) != nil {
-			return nil, held()
+		if submission.Refusal(ctx) != nil {
+			return nil, quarantinedFailure()
 		}
-		resp, err := s.try(ctx, call, tried, followed)
+		resp, err := s.try(ctx, call, tried, submission)
 		if err == nil {
 			return resp, nil
 		}
-		_, none := errors.AsType[*generation.Unavailable](err)
-		if none || n >= tries || ctx.Err() != nil || !s.retry.Take() {
+		_, noReplica := errors.AsType[*generation.Unavailable](err)
+		if noReplica || n >= tries || ctx.Err() != nil || !s.retry.Take() {
 			return nil, tried.failure(call, err)
 		}
 	}
 }
 
-// try sends the call, with a second try beside the first if that is late and
-// the call may be repeated.
-func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case) (*http.Response, error) {
+// try sends the call, and hedges it with a second try if the first is slow and the call
+// may be repeated.
+func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Case) (*http.Response, error) {
 	resp, release, err := hedge.Do(ctx, s.hedge, hedge.Call[*http.Response]{
 		Pool:       call.Service,
 		Idempotent: call.Idempotent,
 		Other: func() bool {
-			return !followed.Suspected() && len(s.pick.dir.Service(call.Service)) > tried.len()
+			return !submission.Suspected() && len(s.pick.dir.Service(call.Service)) > tried.len()
 		},
-		Try: func(one context.Context, second bool) (*http.Response, error) {
-			resp, err := s.tryOne(one, call, tried, followed, second)
-			tried.note(err)
+		Try: func(tryCtx context.Context, second bool) (*http.Response, error) {
+			resp, err := s.tryOne(tryCtx, call, tried, submission, second)
+			tried.recordError(err)
 			return resp, err
 		},
 		Drop: func(resp *http.Response) { resp.Body.Close() },
@@ -150,7 +151,7 @@
 }
 
 func (s *services) tryOne(
-	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case, second bool,
+	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Case, second bool,
 ) (*http.Response, error) {
 	b, share, err := s.pick.service(call.Service, tried.all())
 	if err != nil {
@@ -158,28 +159,28 @@
 	}
 	defer share.End()
 	tried.add(b.ID)
-	began := time.Now()
+	sentAt := time.Now()
 	resp, err := s.client.Do(ctx, b, toBackend(call))
-	s.judge(ctx, b.ID, err, second)
+	s.reportResult(ctx, b.ID, err, second)
 	if err == nil {
-		followed.Answered()
+		submission.Answered()
 	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrDial) {
-		followed.Await(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
+		submission.Await(ctx, submission.Lost(quarantine.Loss{Backend: b, Ran: time.Since(sentAt), Cause: err.Error()}))
 	}
 	return resp, err
 }
 
-// held is the final answer of a call under which backend servers crashed.
-func held() *callerapi.Failure {
+// quarantinedFailure is the final answer to a call under which backend servers crashed.
+func quarantinedFailure() *callerapi.Failure {
 	return &callerapi.Failure{Status: http.StatusInternalServerError, Code: generation.CodeQuarantined,
 		Message: "backend servers crashed under this call: it is not sent on", Outcome: fleet.Failed}
 }
 
-// judge reports how a try ended. One that ran into the caller's deadline tells
-// something of its backend server, and so, weakly, does a first try that lost
-// against a second sent long after it. A second try that lost had less time,
-// and one that its caller gave up tells nothing.
-func (s *services) judge(ctx context.Context, id string, err error, second bool) {
+// reportResult reports the result of a try to the failure detector. A try that ran into the
+// caller's deadline counts against its backend server. So does, with less weight, a
+// first try that lost to a second one sent long after it. A second try that lost had
+// less time and says nothing, nor does one that its caller cancelled.
+func (s *services) reportResult(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
 	case err != nil && errors.Is(cause, hedge.ErrLost):
@@ -191,7 +192,7 @@
 	}
 }
 
-// releasingBody ends the winning try's context when the answer was read.
+// releasingBody ends the winning try's context when the answer is closed.
 type releasingBody struct {
 	io.ReadCloser
 	release func()
@@ -215,14 +216,14 @@
 	}
 }
 
-// lost says what is known of a call whose answer did not come.
-func lost(call callerapi.ServiceCall, err error) *callerapi.Failure {
+// lostFailure returns the answer to a call that got no answer from its backend server.
+func lostFailure(call callerapi.ServiceCall, err error) *callerapi.Failure {
 	f := &callerapi.Failure{Status: http.StatusBadGateway, Code: codeLost,
-		Message: "the connection to the backend server broke", Outcome: fleet.Unknown, RetryAfter: unknownWait}
+		Message: "the connection to the backend server broke", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	switch {
 	case errors.Is(err, backend.ErrDial):
 		f.Status, f.Code = http.StatusServiceUnavailable, codeNoReplica
-		f.Message, f.Outcome, f.RetryAfter = "no backend server could be reached", fleet.NotRun, replicaWait
+		f.Message, f.Outcome, f.RetryAfter = "no backend server could be reached", fleet.NotRun, replicaRetryAfter
 	case expired(call.Deadline):
 		f.Status, f.Code = http.StatusGatewayTimeout, codeDeadline
 		f.Message = "the deadline passed before the answer came"
@@ -230,9 +231,9 @@
 	return f
 }
 
-// refusal turns a reason for which nothing was sent into the caller's answer.
-func refusal(status int, err error) *callerapi.Failure {
-	f := &callerapi.Failure{Status: status, Code: codeNoReplica, Message: err.Error(), Outcome: fleet.NotRun, RetryAfter: replicaWait}
+// refusalFailure returns the answer to a call that was not sent, for the reason in err.
+func refusalFailure(status int, err error) *callerapi.Failure {
+	f := &callerapi.Failure{Status: status, Code: codeNoReplica, Message: err.Error(), Outcome: fleet.NotRun, RetryAfter: replicaRetryAfter}
 	if u, ok := errors.AsType[*generation.Unavailable](err); ok {
 		f.RetryAfter = max(u.RetryAfter, time.Millisecond)
 		if u.Code != "" {
--- a/daemon/services_test.go
+++ b/daemon/services_test.go
@@ -22,8 +22,8 @@
 	"wigeondale/settings"
 )
 
-// plain returns services over backend servers at the addresses.
-func plain(t *testing.T, addrs ...string) *services {
+// newTestServices returns services with backend servers at the given addresses.
+func newTestServices(t *testing.T, addrs ...string) *services {
 	t.Helper()
 	var list []fleet.Backend
 	for _, a := range addrs {
@@ -47,49 +47,48 @@
 	}
 }
 
-func lookup(idempotent bool) callerapi.ServiceCall {
+func testCall(idempotent bool) callerapi.ServiceCall {
 	return callerapi.ServiceCall{
 		RequestID: "r", Service: "tags", Method: http.MethodGet, Path: "lookup/a",
 		Header: http.Header{}, Idempotent: idempotent, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
-// Symptom: a caller is told "not-run" of a call that a backend server has run.
-// Sequence: one backend server reads the call and breaks off, the other can't
-// be reached; the call, being idempotent, was sent to both, in either order.
-// Cause: the outcome was taken from the last error alone.
+// If one try may have run the call, the outcome must be "unknown", even if a later try
+// could not connect. When the outcome was taken from the last error alone, the caller
+// was told "not-run" of a call that a backend server had run. Here the idempotent call
+// is sent to a server that reads it and disconnects and to one that can't be reached,
+// in either order.
 func TestOutcomeKeepsATryThatMayHaveRun(t *testing.T) {
 	breaks := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
 	defer breaks.Close()
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
-	for range 10 { // the order of the two is random
-		s := plain(t, breaks.Listener.Addr().String(), gone.Addr().String())
-		_, err := s.send(t.Context(), lookup(true), serviceTries)
+	closed.Close()
+	for range 10 { // the two are tried in random order
+		s := newTestServices(t, breaks.Listener.Addr().String(), closed.Addr().String())
+		_, err := s.send(t.Context(), testCall(true), serviceTries)
 		f, ok := err.(*callerapi.Failure)
 		if !ok || f.Outcome != fleet.Unknown {
 			t.Fatalf("outcome %+v, want unknown", err)
 		}
 	}
-	s := plain(t, gone.Addr().String())
-	_, err = s.send(t.Context(), lookup(true), serviceTries)
+	s := newTestServices(t, closed.Addr().String())
+	_, err = s.send(t.Context(), testCall(true), serviceTries)
 	if f, ok := err.(*callerapi.Failure); !ok || f.Outcome != fleet.NotRun || f.RetryAfter <= 0 {
 		t.Fatalf("outcome %+v, want not-run", err)
 	}
 }
 
-// Symptom: two vans are sent with the same fridge.
-// Sequence: a booking is slower than bookings are; hedging is on and within
-// its budget; a second replica is idle.
-// Cause: a second try of a call that is not idempotent.
+// A call that is not idempotent must not be hedged, even if it is slow and a second
+// replica is idle: a booking would be made twice.
 func TestBookingsAreNotHedged(t *testing.T) {
 	var seen atomic.Int32
-	const booking = 200 * time.Millisecond // many times the delay of a second try
+	const booking = 200 * time.Millisecond // many times the hedge delay
 	both := make(chan struct{})
 	slow := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if seen.Add(1) == 2 {
@@ -107,7 +106,7 @@
 	defer two.Close()
 	for _, idempotent := range []bool{true, false} {
 		seen.Store(0)
-		s := plain(t, one.Listener.Addr().String(), two.Listener.Addr().String())
+		s := newTestServices(t, one.Listener.Addr().String(), two.Listener.Addr().String())
 		for range 100 {
 			s.hedge.Observe("tags", time.Millisecond, time.Now())
 		}
@@ -115,7 +114,7 @@
 		if idempotent {
 			want = 2
 		}
-		resp, err := s.send(t.Context(), lookup(idempotent), 1)
+		resp, err := s.send(t.Context(), testCall(idempotent), 1)
 		if err != nil || seen.Load() != want {
 			t.Fatalf("idempotent %v: reached %d backend servers, error %v", idempotent, seen.Load(), err)
 		}
@@ -123,32 +122,30 @@
 	}
 }
 
-// Symptom: lookups stay late for as long as one replica is stalled, and their
-// second tries use up the budget.
-// Sequence: one of two replicas accepts calls and answers none, the other
-// answers at once; each call to the first loses its race and is cancelled.
-// Cause: a cancelled try told nothing, so the replica stayed healthy.
+// A replica that accepts calls but answers none must not stay healthy. When a try that lost
+// to its hedge told the failure detector nothing, the stalled replica stayed healthy,
+// calls stayed slow and their second tries used up the hedge budget.
 func TestStalledReplicaIsLeft(t *testing.T) {
-	var asked atomic.Int32
+	var calls atomic.Int32
 	stalled := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		asked.Add(1)
+		calls.Add(1)
 		<-r.Context().Done()
 	}))
 	defer stalled.Close()
-	sound := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer sound.Close()
-	s := plain(t, stalled.Listener.Addr().String(), sound.Listener.Addr().String())
+	healthy := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer healthy.Close()
+	s := newTestServices(t, stalled.Listener.Addr().String(), healthy.Listener.Addr().String())
 	for range 100 {
 		s.hedge.Observe("tags", time.Millisecond, time.Now())
 	}
 	policy := health.DefaultPolicy()
-	bound := 10 * int32(policy.LateAfter) // each call to it takes the delay of a second try at least
+	bound := 10 * int32(policy.LateAfter) // each call to it takes at least the hedge delay
 	id := stalled.Listener.Addr().String()
-	for began := time.Now(); s.mon.State(id) == health.Healthy; {
-		if asked.Load() > bound && time.Since(began) > 4*policy.LateSpan {
-			t.Fatalf("still healthy after %d calls without an answer", asked.Load())
+	for start := time.Now(); s.mon.State(id) == health.Healthy; {
+		if calls.Load() > bound && time.Since(start) > 4*policy.LateSpan {
+			t.Fatalf("still healthy after %d calls without an answer", calls.Load())
 		}
-		resp, err := s.send(t.Context(), lookup(true), 1)
+		resp, err := s.send(t.Context(), testCall(true), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// summaryInterval is how often the heartbeat's summary is renewed.
+	// summaryInterval is how often the summary in heartbeats is updated.
 	summaryInterval = 250 * time.Millisecond
-	// demandFloor is the demand in tokens/s below which an account is left out of
+	// minDemand is the demand in tokens/s below which an account is left out of
 	// heartbeats.
-	demandFloor = 0.5
+	minDemand = 0.5
 )
 
-// summaries exchanges what heartbeats carry: the revision in force, readiness
-// and each client account's demand.
+// summaries exchanges the data in heartbeats: the revision in force, readiness and the
+// demand of each client account.
 type summaries struct {
-	mesh   *peer.Mesh
-	keeper *intent.Keeper
-	admit  *admission.Controller
-	sent   map[string]float64
-	heard  demands
+	mesh     *peer.Mesh
+	keeper   *intent.Keeper
+	admit    *admission.Controller
+	sent     map[string]float64
+	received demands
 }
 
-// run renews the summary and takes in the others' until ctx ends.
+// run updates the summary and applies those of the peers until ctx ends.
 func (s *summaries) run(ctx context.Context) error {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
@@ -46,7 +46,7 @@
 	s.mesh.SetSummary(peer.Summary{
 		Revision: s.keeper.State().Revision,
 		Ready:    ready,
-		Demand:   s.changed(s.admit.Demand()),
+		Demand:   s.changedDemand(s.admit.Demand()),
 	})
 	members := s.mesh.Members()
 	for _, m := range members {
@@ -55,18 +55,18 @@
 			s.keeper.Behind(m.ID, m.Summary.Revision)
 		}
 	}
-	s.admit.SetPeerDemand(s.heard.take(members))
+	s.admit.SetPeerDemand(s.received.update(members))
 }
 
-// demands is what each other router asked for when it was last heard.
+// demands holds the last known demand of each peer.
 //
-// What goes wrong without it: the summary of a member ends with the link to
-// it. As soon as links are cut, and before anyone is called dead, each part of
-// the fleet would take the others' demand for nothing and give each client
-// account its whole limit. It shows as accounts that get their limit from each part.
+// A member's summary is empty as soon as the link to it is down. When links are cut,
+// and before any router is declared dead, each part of the fleet would otherwise take
+// the others' demand for zero, and each client account would get its whole limit from
+// each part.
 type demands map[string]map[string]float64
 
-func (d demands) take(members []peer.Member) []admission.PeerDemand {
+func (d demands) update(members []peer.Member) []admission.PeerDemand {
 	var out []admission.PeerDemand
 	listed := map[string]bool{}
 	for _, m := range members {
@@ -87,12 +87,12 @@
 	return out
 }
 
-// changed keeps of the demand what differs from what was last told, by a tenth
-// or more: heartbeats have to stay small with thousands of client accounts.
-func (s *summaries) changed(now map[string]float64) map[string]float64 {
+// changedDemand returns the demands that differ from the last sent ones by a tenth or more,
+// since heartbeats must stay small with thousands of client accounts.
+func (s *summaries) changedDemand(now map[string]float64) map[string]float64 {
 	out := map[string]float64{}
 	for account, demand := range now {
-		if demand < demandFloor {
+		if demand < minDemand {
 			continue
 		}
 		before := s.sent[account]
@@ -102,7 +102,7 @@
 		}
 	}
 	for account := range s.sent {
-		if now[account] < demandFloor {
+		if now[account] < minDemand {
 			out[account] = 0
 			delete(s.sent, account)
 		}
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -11,48 +11,48 @@
 	"wigeondale/placement"
 )
 
-// triedSet is which backend servers were sent a call, perhaps two at once, and
-// what came of it.
+// triedSet records the backend servers to which a call was sent, possibly two at once,
+// and the outcome.
 //
-// What goes wrong without it: a backend server reads a call and breaks off, the
-// next one can't be reached, and the caller is told by the last error alone
-// that the call was not run. So an error after which it may have run stands.
+// It keeps the first error after which the call may have run. Without it, if one
+// backend server reads a call and disconnects and the next one can't be reached, the
+// caller would be told by the last error that the call did not run.
 type triedSet struct {
-	mu  sync.Mutex
-	ids map[string]bool
-	ran error // the first error of a try that may have run
+	mu         sync.Mutex
+	ids        map[string]bool
+	mayHaveRun error // first error of a try that may have run
 }
 
-func (t *triedSet) note(err error) {
+func (t *triedSet) recordError(err error) {
 	if err == nil || errors.Is(err, backend.ErrDial) {
 		return
 	}
-	if _, none := errors.AsType[*generation.Unavailable](err); none {
+	if _, notSent := errors.AsType[*generation.Unavailable](err); notSent {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ran == nil {
-		t.ran = err
+	if t.mayHaveRun == nil {
+		t.mayHaveRun = err
 	}
 }
 
 func (t *triedSet) failure(call callerapi.ServiceCall, last error) *callerapi.Failure {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ran != nil {
-		return lost(call, t.ran)
+	if t.mayHaveRun != nil {
+		return lostFailure(call, t.mayHaveRun)
 	}
-	if none, ok := errors.AsType[*generation.Unavailable](last); ok {
-		return refusal(http.StatusServiceUnavailable, none)
+	if unavailable, ok := errors.AsType[*generation.Unavailable](last); ok {
+		return refusalFailure(http.StatusServiceUnavailable, unavailable)
 	}
-	return lost(call, last)
+	return lostFailure(call, last)
 }
 
 func (t *triedSet) add(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ids = placement.With(t.ids, id) // a copy: the old map may be in use
+	t.ids = placement.With(t.ids, id) // a copy, since the old map may be in use
 }
 
 func (t *triedSet) all() map[string]bool {
