--- a/event/event.go
+++ b/event/event.go
@@ -1,5 +1,5 @@
-// Package event writes numbered log events through klog. The numbers are an
-// interface: operators alert on them, and docs/EVENTS.md explains each.
+// Package event writes numbered log events through klog. The numbers are an interface:
+// operators set alerts on them, and docs/EVENTS.md explains each.
 package event
 
 import (
@@ -8,14 +8,14 @@
 	"k8s.io/klog/v2"
 )
 
-// Log writes events for one node. A nil Log drops them, so that tests and
-// pure code need none.
+// Log writes the events of one node. A nil Log drops them, so that tests and code
+// without a log need none.
 type Log struct {
 	logger klog.Logger
 	byID   map[ID]Entry
 }
 
-// New returns a Log that puts the node's name on each event.
+// New returns a Log that adds the node's name to each event.
 func New(node string) *Log {
 	l := &Log{
 		logger: klog.Background().WithValues("node", node),
@@ -27,8 +27,8 @@
 	return l
 }
 
-// Emit writes event id with alternating keys and values. Secrets and the text
-// of prompts or answers must never be among them.
+// Emit writes event id with alternating keys and values. The values must not contain
+// secrets or the text of prompts or answers.
 func (l *Log) Emit(id ID, kv ...any) {
 	if l == nil {
 		return
@@ -53,5 +53,5 @@
 	}
 }
 
-// oneLine keeps joined errors, which print a line each, within the event's line.
+// oneLine joins the lines of a joined error, so that an event stays on one line.
 func oneLine(err error) string { return strings.ReplaceAll(err.Error(), "\n", "; ") }
--- a/event/output.go
+++ b/event/output.go
@@ -9,18 +9,18 @@
 	"k8s.io/klog/v2/textlogger"
 )
 
-// outputQueue is how many lines may wait for the reader of the output.
+// outputQueue is the number of lines that may wait to be written.
 const outputQueue = 512
 
-// Output writes log lines in a goroutine of its own.
+// Output writes log lines in its own goroutine.
 //
-// What goes wrong without it: whoever reads the log stops reading, the pipe
-// fills up, and the next request that logs a line stands still. It shows as a
-// node on which all requests stop at the same moment. Lines beyond the queue,
-// or beyond the rate, are dropped and counted.
+// If the process that reads the log stops reading, the pipe fills up, and without
+// Output the next request that logs a line blocks: all requests of the node stop at the
+// same moment. Lines beyond the queue or the rate are dropped and counted.
 type Output struct {
-	// OnDropped, set before use, is told once a second how many lines were
-	// dropped in the second before, if any. Its own line is not counted.
+	// OnDropped, if set before use, is called at most once a second with the number of
+	// lines dropped since its last call, if any. The number does not include the
+	// line that it logs itself.
 	OnDropped func(n int)
 
 	lines chan []byte
@@ -34,7 +34,7 @@
 	closed  bool
 }
 
-// NewOutput writes up to rate lines a second to w.
+// NewOutput returns an Output that writes up to rate lines per second to w.
 func NewOutput(w io.Writer, rate int) *Output {
 	o := &Output{lines: make(chan []byte, outputQueue), done: make(chan struct{}), rate: rate}
 	go o.run(w)
@@ -44,7 +44,7 @@
 func (o *Output) run(w io.Writer) {
 	defer close(o.done)
 	for line := range o.lines {
-		// Nobody is left to tell when the log itself can't be written.
+		// An error can't be reported when the log itself can't be written.
 		_, _ = w.Write(line)
 	}
 }
@@ -58,8 +58,8 @@
 	return len(line), nil
 }
 
-// queue takes the line, or drops it. At the first line of a second it returns
-// how many were dropped before.
+// queue queues or drops the line. At the first line of a second it returns the number
+// of lines dropped before.
 func (o *Output) queue(line []byte, now int64) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -80,7 +80,7 @@
 	return dropped
 }
 
-// Close waits for the lines that were taken.
+// Close waits until the queued lines are written, for a second at most.
 func (o *Output) Close() {
 	o.mu.Lock()
 	o.closed = true
@@ -88,11 +88,11 @@
 	o.mu.Unlock()
 	select {
 	case <-o.done:
-	case <-time.After(time.Second): // the reader is gone
+	case <-time.After(time.Second): // the reader has stopped reading
 	}
 }
 
-// LogTo sends all log lines to w, as structured text.
+// LogTo writes all log lines to w as structured text.
 func LogTo(w io.Writer, verbosity int) {
 	cfg := textlogger.NewConfig(textlogger.Output(w), textlogger.Verbosity(verbosity))
 	klog.SetLoggerWithOptions(textlogger.NewLogger(cfg))
--- a/event/output_test.go
+++ b/event/output_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Symptom: all requests of a node stand still. Sequence: whoever reads the log
-// stops reading. Cause: a log line waits for the pipe.
+// Logging must not block when the process that reads the log stops reading and the pipe
+// is full, or all requests of the node stop.
 func TestOutputNeverBlocks(t *testing.T) {
-	r, w := io.Pipe() // nobody reads
+	r, w := io.Pipe() // no reader
 	defer r.Close()
 	o := NewOutput(w, 1<<20)
 	for i := range 10 * outputQueue {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Symptom: a flood of lines costs the processor that requests need.
+// A flood of log lines must be limited, or it uses processor time that requests need.
 func TestOutputBoundsItsRateAndCounts(t *testing.T) {
 	o := &Output{lines: make(chan []byte, 100), rate: 3}
 	for range 10 {
@@ -32,19 +32,19 @@
 		t.Errorf("%d lines in a second", len(o.lines))
 	}
 	if n := o.queue([]byte("x"), 2); n != 7 || len(o.lines) != 4 {
-		t.Errorf("told of %d dropped, %d lines", n, len(o.lines))
+		t.Errorf("reported %d dropped, %d lines queued", n, len(o.lines))
 	}
 }
 
-// Symptom: a node stands still at the first line after lines were dropped. Cause:
-// the line that tells their number is written within the writing of another.
+// The line that reports dropped lines is written from within the writing of another
+// line. This must not deadlock.
 func TestDroppedLinesAreTold(t *testing.T) {
 	o := NewOutput(io.Discard, 100)
 	LogTo(o, 0)
 	log := New("n")
-	told := 0
+	reported := 0
 	o.OnDropped = func(n int) {
-		told += n
+		reported += n
 		log.Emit(LinesDropped, "lines", n)
 	}
 	o.mu.Lock()
@@ -52,7 +52,7 @@
 	o.mu.Unlock()
 	log.Emit(Started)
 	o.Close()
-	if told != 5 {
-		t.Errorf("told of %d", told)
+	if reported != 5 {
+		t.Errorf("reported %d dropped", reported)
 	}
 }
--- a/event/page_test.go
+++ b/event/page_test.go
@@ -34,7 +34,7 @@
 
 `
 
-// ranges gives the packages that write the events of each hundred.
+// ranges names the packages that write the events of each hundred.
 var ranges = []struct {
 	hundred  int
 	title    string
@@ -56,7 +56,8 @@
 
 var severities = map[event.Severity]string{event.Info: "info", event.Warning: "warning", event.Error: "error"}
 
-// split parts an entry's text into its first sentence, what happened, and the rest.
+// split returns the first sentence of an entry's text, which says what happened, and
+// the rest.
 func split(text string) (meaning, action string) {
 	meaning, action, found := strings.Cut(text, ". ")
 	if !found {
@@ -86,9 +87,8 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// An operator who looks an event up must find what the program means by it.
-// Equality of the whole page finds a missing row, a row without an event, and
-// a wrong name, severity or text alike.
+// TestPage compares the whole page with the catalogue, so that a missing row, a row
+// without an event, and a wrong name, severity or text are all found.
 func TestPage(t *testing.T) {
 	want := render()
 	if *update {
@@ -103,16 +103,16 @@
 	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(string(got), "\n")
 	for _, line := range wantLines {
 		if !slices.Contains(gotLines, line) {
-			t.Errorf("the page lacks: %s", line)
+			t.Errorf("the page has no line: %s", line)
 		}
 	}
 	for _, line := range gotLines {
 		if !slices.Contains(wantLines, line) {
-			t.Errorf("the page has beyond the table: %s", line)
+			t.Errorf("the page has a line that is not in the catalogue: %s", line)
 		}
 	}
 	if !t.Failed() && want != string(got) {
-		t.Error("the page's lines stand in another order")
+		t.Error("the page's lines are in a different order")
 	}
 	if t.Failed() {
 		t.Log("go test ./event -run TestPage -update")
@@ -143,8 +143,8 @@
 	return ids
 }
 
-// Symptom: an alert on a number fires for another event, or an event is logged
-// as "unlisted". Cause: a number given twice, or left out of the table.
+// A number used twice, or missing in the catalogue, would make an alert fire for another
+// event, or an event be logged as "unlisted".
 func TestCatalogueHasEachIDOnce(t *testing.T) {
 	times := map[event.ID]int{}
 	names := map[string]bool{}
@@ -167,18 +167,18 @@
 		}
 		byID[id] = name
 		if times[id] != 1 {
-			t.Errorf("%s (%d) is in the table %d times", name, id, times[id])
+			t.Errorf("%s (%d) is in the catalogue %d times", name, id, times[id])
 		}
 	}
 	for id := range times {
 		if byID[id] == "" {
-			t.Errorf("%d in the table is no constant", id)
+			t.Errorf("%d in the catalogue has no constant", id)
 		}
 	}
 }
 
-// Each package writes events of its own range only, so that a number tells
-// where to look; and each event is written somewhere.
+// Each package may only write events of its own range, so that the number shows where
+// to look; and each event must be written somewhere.
 func TestEventsAreWrittenByTheirPackage(t *testing.T) {
 	ids := constants(t)
 	used := map[string]bool{}
