--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi is the HTTP interface for operators. Nodes keep no plans: a
-// plan is complete and signed with a key that all nodes share, so any node can
-// confirm it after the one that made it has died.
+// Package adminapi implements the HTTP API for operators. Nodes store no plans: a plan
+// is complete and signed with a key that all nodes share, so that any node can confirm
+// it, even if the one that made it has died.
 package adminapi
 
 import (
@@ -27,7 +27,7 @@
 	callTimeout  = 20 * time.Second
 )
 
-// Keeper is what this package needs of intent.Keeper.
+// Keeper is the part of intent.Keeper that this package uses.
 type Keeper interface {
 	State() *intent.State
 	Ready() (bool, string)
@@ -35,12 +35,12 @@
 	Revisions(ctx context.Context, from uint64, max int) ([]intent.Revision, error)
 }
 
-// Node is what this router knows of one router, itself included.
+// Node is the status of one router as known to this one, possibly its own.
 type Node struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
-	Revision      uint64 `json:"revision"` // in force there, as last heard
-	Heard         bool   `json:"heard"`    // false when it has not been heard from lately
+	Revision      uint64 `json:"revision"` // in force there, as last reported
+	Heard         bool   `json:"heard"`    // false if it was not heard from recently
 }
 
 // Members lists the routers.
@@ -48,24 +48,24 @@
 	Nodes() []Node
 }
 
-// BackendStatus is what this router knows of one backend server.
+// BackendStatus is the status of one backend server as known to this router.
 type BackendStatus struct {
 	Backend  fleet.Backend    `json:"backend"`
 	Health   string           `json:"health"`
 	Serves   []fleet.ModelRef `json:"serves"`
 	InFlight int              `json:"in_flight"`
-	Leaving  bool             `json:"leaving"` // by any of intent, VM list or its own word
+	Leaving  bool             `json:"leaving"` // according to the configuration, the VM list or its own report
 }
 
-// Config is what the API uses.
+// Config holds the dependencies of the API.
 type Config struct {
 	Node    string
 	Keeper  Keeper
 	Members Members
-	// View shows the fleet; the weights' sizes of refs are among what it shows.
+	// View returns the state of the fleet, including the weight sizes of refs.
 	View     func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
 	Backends func() []BackendStatus
-	// Quarantine holds the requests that are not sent on.
+	// Quarantine lists and lifts the quarantined requests.
 	Quarantine Quarantine
 	Operators  []Operator
 	PlanKey    []byte // signs plans; the same on all nodes
@@ -91,7 +91,7 @@
 	}
 	a := &API{cfg: cfg, mux: http.NewServeMux()}
 	a.refused = cfg.Metrics.GetOrCreateCounter("wigeon_admin_refused_total")
-	a.mux.Handle("POST /admin/v1/plans", a.allow(Editor, a.makePlan))
+	a.mux.Handle("POST /admin/v1/plans", a.allow(Editor, a.postPlan))
 	a.mux.Handle("GET /admin/v1/plans/{id}", a.allow(Viewer, a.planStatus))
 	a.mux.Handle("POST /admin/v1/plans/{id}/confirm", a.allow(Confirmer, a.confirm))
 	a.mux.Handle("GET /admin/v1/state", a.allow(Viewer, a.state))
@@ -115,14 +115,14 @@
 	a.mux.ServeHTTP(w, r)
 }
 
-// Status tells where a revision is in force.
+// Status reports on which nodes a revision is in force.
 type Status struct {
 	Node     string   `json:"node"`
 	Revision uint64   `json:"revision"` // in force on the answering node
 	Ready    bool     `json:"ready"`
 	Reason   string   `json:"reason,omitempty"`
-	InForce  int      `json:"in_force"`  // nodes heard from at this revision or later
-	NotHeard []string `json:"not_heard"` // nodes known of but not heard from
+	InForce  int      `json:"in_force"`  // reachable nodes at this revision or later
+	NotHeard []string `json:"not_heard"` // known nodes that were not heard from recently
 	Nodes    []Node   `json:"nodes"`
 }
 
--- a/adminapi/operator.go
+++ b/adminapi/operator.go
@@ -10,7 +10,7 @@
 	"wigeondale/event"
 )
 
-// Role is what an operator may do; each role includes the ones before it.
+// Role is a set of permissions; each role includes the ones before it.
 type Role int
 
 // The roles.
@@ -20,7 +20,7 @@
 	Confirmer                 // confirm plans
 )
 
-// ParseRole reads a role's name in the settings.
+// ParseRole parses the name of a role in the settings.
 func ParseRole(s string) (Role, error) {
 	switch s {
 	case "viewer":
@@ -33,24 +33,24 @@
 	return 0, Error.New("role %q: want viewer, editor or confirmer", s)
 }
 
-// Operator is one who may call the API.
+// Operator is a person or program that may call the API.
 type Operator struct {
 	Name      string
 	TokenHash string // SHA-256 of the token, hex
 	Role      Role
 }
 
-type handler func(http.ResponseWriter, *http.Request, Operator)
+type operatorHandler func(http.ResponseWriter, *http.Request, Operator)
 
-// allow lets in operators of at least the given role.
-func (a *API) allow(least Role, h handler) http.Handler {
+// allow calls h for operators with at least the given role and refuses all others.
+func (a *API) allow(minRole Role, h operatorHandler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		op, ok := a.operator(r)
+		op, ok := a.authenticate(r)
 		if !ok {
 			a.refuse(w, r, http.StatusUnauthorized, Problem{Code: CodeUnauthorized, Message: "a valid operator token is needed"})
 			return
 		}
-		if op.Role < least {
+		if op.Role < minRole {
 			a.refuse(w, r, http.StatusForbidden, Problem{Code: CodeForbidden, Message: "the operator's role doesn't allow this"})
 			return
 		}
@@ -58,10 +58,10 @@
 	})
 }
 
-// Guard lets operators of at least the given role through to another handler of
-// the same listener, such as the state dump.
-func (a *API) Guard(least Role, next http.Handler) http.Handler {
-	return a.allow(least, func(w http.ResponseWriter, r *http.Request, _ Operator) { next.ServeHTTP(w, r) })
+// Guard protects another handler of the same listener, such as the state dump: only
+// operators with at least the given role may use it.
+func (a *API) Guard(minRole Role, next http.Handler) http.Handler {
+	return a.allow(minRole, func(w http.ResponseWriter, r *http.Request, _ Operator) { next.ServeHTTP(w, r) })
 }
 
 func (a *API) refuse(w http.ResponseWriter, r *http.Request, status int, p Problem) {
@@ -70,21 +70,22 @@
 	writeError(w, status, p)
 }
 
-// operator finds whose token a call carries. All are compared, each in constant
-// time, so that the time taken tells nothing about the tokens.
-func (a *API) operator(r *http.Request) (Operator, bool) {
+// authenticate returns the operator whose token the call carries. It compares the token
+// with all operators, each in constant time, so that the time taken reveals nothing
+// about the tokens.
+func (a *API) authenticate(r *http.Request) (Operator, bool) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
 		return Operator{}, false
 	}
 	sum := sha256.Sum256([]byte(token))
 	var match Operator
-	hit := false
+	found := false
 	for _, op := range a.cfg.Operators {
 		want, err := hex.DecodeString(op.TokenHash)
 		if err == nil && subtle.ConstantTimeCompare(want, sum[:]) == 1 {
-			match, hit = op, true
+			match, found = op, true
 		}
 	}
-	return match, hit
+	return match, found
 }
--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -12,37 +12,37 @@
 	"wigeondale/intent"
 )
 
-// SignedPlan is a plan with the proof that a node of this deployment made it.
-// Without it an operator who may confirm could slip in changes that were never
-// checked against the fleet.
+// SignedPlan is a plan with a signature that proves that a node of this deployment made
+// it. Without the signature an operator who may confirm plans could add changes that
+// were never checked against the fleet.
 type SignedPlan struct {
 	Plan      intent.Plan `json:"plan"`
 	Signature string      `json:"signature"` // HMAC-SHA-256, hex
 }
 
-// Accepted answers a confirmation.
+// Accepted is the answer to a confirmation.
 type Accepted struct {
 	PlanID   string `json:"plan_id"`
 	Revision uint64 `json:"revision"`
 }
 
-// PlanStatus tells whether a plan was accepted, as far as this node knows.
+// PlanStatus reports whether a plan was accepted, as far as this node knows.
 type PlanStatus struct {
 	PlanID   string `json:"plan_id"`
 	Accepted bool   `json:"accepted"`
 	Revision uint64 `json:"revision,omitempty"`
-	Head     uint64 `json:"head"` // newest revision known to the answering node
+	Head     uint64 `json:"head"` // latest revision known to the answering node
 }
 
 func randomNonce() string { return rand.Text() }
 
-// Sign makes a plan confirmable.
+// Sign signs a plan, so that it can be confirmed.
 func Sign(key []byte, p intent.Plan) (SignedPlan, error) {
 	sig, err := signature(key, p)
 	return SignedPlan{Plan: p, Signature: hex.EncodeToString(sig)}, err
 }
 
-// Verify reports whether sp was signed with key and not changed since.
+// Verify reports whether sp was signed with key and has not been changed since.
 func Verify(key []byte, sp SignedPlan) bool {
 	got, err := hex.DecodeString(sp.Signature)
 	if err != nil {
@@ -63,12 +63,12 @@
 	return mac.Sum(nil), nil
 }
 
-func (a *API) makePlan(w http.ResponseWriter, r *http.Request, op Operator) {
+func (a *API) postPlan(w http.ResponseWriter, r *http.Request, op Operator) {
 	var in intent.Intents
 	if !decode(w, r, &in) {
 		return
 	}
-	sp, err := a.plan(r, op, in)
+	sp, err := a.createPlan(r, op, in)
 	if err != nil {
 		writeFailure(w, err)
 		return
@@ -76,7 +76,7 @@
 	writeJSON(w, http.StatusOK, sp)
 }
 
-func (a *API) plan(r *http.Request, op Operator, in intent.Intents) (SignedPlan, error) {
+func (a *API) createPlan(r *http.Request, op Operator, in intent.Intents) (SignedPlan, error) {
 	if ok, reason := a.cfg.Keeper.Ready(); !ok {
 		return SignedPlan{}, Error.New("%w: %s", intent.ErrNotReady, reason)
 	}
@@ -116,11 +116,11 @@
 	writeJSON(w, http.StatusOK, Accepted{PlanID: rev.PlanID, Revision: rev.N})
 }
 
-// writeConflict refuses a plan and offers a new one for what was asked; the
-// placements that planning had derived from the old base are derived anew.
+// writeConflict refuses a plan and offers a new one for the same changes; placements
+// that were derived from the old base revision are derived again.
 func (a *API) writeConflict(w http.ResponseWriter, r *http.Request, op Operator, old intent.Plan, c *intent.ConflictError) {
 	p := Problem{Code: CodeConflict, Message: c.Error(), Conflicts: c.Conflicts}
-	offer, err := a.plan(r, op, intent.Intents{Changes: old.Asked(), Force: old.Force})
+	offer, err := a.createPlan(r, op, intent.Intents{Changes: old.Asked(), Force: old.Force})
 	if err == nil {
 		p.NewPlan = &offer
 	}
--- a/adminapi/problem.go
+++ b/adminapi/problem.go
@@ -18,12 +18,13 @@
 	CodeBadPlan      = "bad_plan"
 	CodeConflict     = "conflict"
 	CodeNotReady     = "not_ready"
-	CodeUnavailable  = "unavailable" // nothing was changed by this call
-	CodeUnsettled    = "unsettled"   // not known whether the plan was accepted
+	CodeUnavailable  = "unavailable" // the call changed nothing
+	CodeUnsettled    = "unsettled"   // it is unknown whether the plan was accepted
 	CodeInternal     = "internal"
 )
 
-// retryAfterMS is when to call again while the service or the node isn't ready.
+// retryAfterMS is when to repeat a call that failed because the service or the node was
+// not ready.
 const retryAfterMS = 1000
 
 // Problem is the body of each refusal, under the key "error".
@@ -35,7 +36,7 @@
 	NewPlan      *SignedPlan       `json:"new_plan,omitempty"`
 }
 
-// ProblemBody wraps a Problem as it is sent.
+// ProblemBody is the JSON body that contains a Problem.
 type ProblemBody struct {
 	Error Problem `json:"error"`
 }
@@ -43,7 +44,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the caller has gone; nobody is left to tell.
+	// If writing fails, the caller has disconnected and can't receive an error.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
@@ -68,7 +69,7 @@
 	writeError(w, status, p)
 }
 
-// decode reads a body strictly and answers the call when it can't.
+// decode decodes a body strictly. If that fails it answers the call and returns false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
--- a/adminapi/quarantine.go
+++ b/adminapi/quarantine.go
@@ -6,16 +6,17 @@
 	"wigeondale/quarantine"
 )
 
-// Lifted names a request that is sent on again.
+// Lifted names a request whose quarantine was lifted.
 type Lifted struct {
 	Digest string `json:"digest"`
 }
 
-// Quarantine holds the requests under which backend servers crashed.
+// Quarantine manages the requests under which backend servers crashed.
 type Quarantine interface {
 	List() []quarantine.Report
-	// Lift has a request sent on again by all routers.
-	Lift(d quarantine.Digest, by string) (wasHeld bool)
+	// Lift ends the quarantine of a request on all routers. It reports whether the
+	// request was quarantined.
+	Lift(d quarantine.Digest, by string) (wasQuarantined bool)
 }
 
 func (a *API) quarantined(w http.ResponseWriter, _ *http.Request, _ Operator) {
--- a/chart/chart_test.go
+++ b/chart/chart_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Symptom: a request hangs or ends in a state that no code handles.
-// Sequence: a chart file is edited; a rare path meets a misspelt or orphaned
-// state in production. Cause: the file was not checked as a whole at start.
+// Load must reject faulty charts at start. Otherwise a rare path reaches a misspelt or
+// orphaned state in production, and the request hangs or ends in a state that no code
+// handles.
 func TestLoadFindsFaults(t *testing.T) {
 	const good = `{"name":"n","initial":"a","final":["z"],"transitions":[{"from":["a"],"event":"go","to":"b"},{"from":["a","b"],"event":"end","to":"z"}]}`
 	if _, err := Load([]byte(good)); err != nil {
--- a/chart/check.go
+++ b/chart/check.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// check returns every fault found, not only the first.
-func (f *file) check() error {
+// validate returns all faults, not only the first.
+func (f *chartFile) validate() error {
 	return errors.Join(
 		f.checkHeader(),
 		f.checkTransitions(),
@@ -17,7 +17,7 @@
 	)
 }
 
-func (f *file) checkHeader() error {
+func (f *chartFile) checkHeader() error {
 	var all []error
 	if f.Name == "" {
 		all = append(all, errors.New("name is missing"))
@@ -31,8 +31,8 @@
 	return errors.Join(all...)
 }
 
-// sources holds each state that something leaves.
-func (f *file) sources() map[string]bool {
+// sources returns the states that have transitions.
+func (f *chartFile) sources() map[string]bool {
 	from := map[string]bool{}
 	for _, t := range f.Transitions {
 		for _, s := range t.From {
@@ -42,7 +42,7 @@
 	return from
 }
 
-func (f *file) checkTransitions() error {
+func (f *chartFile) checkTransitions() error {
 	type arc struct{ from, event string }
 	seen := map[arc]bool{}
 	sources := f.sources()
@@ -67,7 +67,7 @@
 	return errors.Join(all...)
 }
 
-func (f *file) states() []string {
+func (f *chartFile) states() []string {
 	set := f.sources()
 	set[f.Initial] = true
 	for _, s := range f.Final {
@@ -79,7 +79,7 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-func (f *file) checkReachable() error {
+func (f *chartFile) checkReachable() error {
 	next := map[string][]string{}
 	for _, t := range f.Transitions {
 		for _, s := range t.From {
@@ -89,7 +89,7 @@
 	return f.checkCovered(next, []string{f.Initial}, "can't be reached")
 }
 
-func (f *file) checkEnds() error {
+func (f *chartFile) checkEnds() error {
 	prev := map[string][]string{}
 	for _, t := range f.Transitions {
 		prev[t.To] = append(prev[t.To], t.From...)
@@ -97,7 +97,7 @@
 	return f.checkCovered(prev, f.Final, "leads to no final state")
 }
 
-func (f *file) checkCovered(arcs map[string][]string, start []string, fault string) error {
+func (f *chartFile) checkCovered(arcs map[string][]string, start []string, fault string) error {
 	seen := map[string]bool{}
 	todo := slices.Clone(start)
 	for len(todo) > 0 {
--- a/check/check.go
+++ b/check/check.go
@@ -1,10 +1,10 @@
-// Package check tells from a prompt and the text of an answer whether any token
-// of the answer is missing, repeated or taken from another generation.
+// Package check verifies from a prompt and the text of an answer that no token of the
+// answer is missing, repeated or taken from another generation.
 //
-// The stand-in engine writes token i as " {i}.{rand}.{chain}". Rand is fresh for
-// every token of every generation and chain is a digest of the prompt, of all
-// the text before the token and of rand. A token that follows any other text
-// than the one it was generated after therefore shows a wrong chain.
+// The stand-in engine writes token i as " {i}.{rand}.{chain}". Rand is new for every
+// token of every generation, and chain is a digest of the prompt, of all text before
+// the token and of rand. A token that follows any text other than the one it was
+// generated after therefore has a wrong chain.
 package check
 
 import (
@@ -26,7 +26,7 @@
 	next   int
 }
 
-// NewChain continues the answer to prompt after text, which holds next tokens.
+// NewChain continues the answer to prompt after text, which contains next tokens.
 func NewChain(prompt, text string, next int) Chain {
 	c := Chain{next: next}
 	c.digest.Reset()
@@ -35,10 +35,10 @@
 	return c
 }
 
-// Next is the index of the token that Append will write.
+// Next returns the index of the token that Append will write.
 func (c *Chain) Next() int { return c.next }
 
-// Append writes the next token to dst, with rnd as its random part.
+// Append appends the next token to dst, with rnd as its random part.
 func (c *Chain) Append(dst []byte, rnd uint16) []byte {
 	start := len(dst)
 	dst = append(dst, ' ')
@@ -63,7 +63,8 @@
 	return string(text)
 }
 
-// chainOf takes the digest by value: the caller's own stays before the token.
+// chainOf gets the digest by value, so that the caller's digest does not include the
+// token.
 func chainOf(d xxhash.Digest, rnd []byte) uint64 {
 	d.Write(rnd)
 	return d.Sum64() >> 32
@@ -76,23 +77,23 @@
 	return dst
 }
 
-// Report is what Answer found.
+// Report is the result of Answer.
 type Report struct {
 	Tokens    int  `json:"tokens"`    // well-formed tokens in the text, repeated ones included
-	Missing   int  `json:"missing"`   // indices that were jumped over
-	Repeated  int  `json:"repeated"`  // tokens whose index had been passed already
-	Spliced   int  `json:"spliced"`   // places where the text is not of one generation
-	Malformed int  `json:"malformed"` // pieces that are no token at all
+	Missing   int  `json:"missing"`   // skipped indices
+	Repeated  int  `json:"repeated"`  // tokens whose index is not higher than that of an earlier one
+	Spliced   int  `json:"spliced"`   // positions where the text continues with another generation
+	Malformed int  `json:"malformed"` // words that are not tokens
 	OK        bool `json:"ok"`        // at least one token, and all other counts are zero
 }
 
-// Answer checks the text of one answer. It cannot see tokens lost from the end:
-// compare Tokens with the number that was asked for.
+// Answer checks the text of one answer. It can't detect tokens missing at the end:
+// compare Tokens with the number requested.
 //
-// Once a token is missing or foreign, the chain of what follows cannot be
-// verified from the text; from there on only indices and repeats are counted.
+// After a missing or foreign token the chain of the following tokens can't be verified
+// from the text; from there on only indices and repetitions are checked.
 func Answer(prompt, text string) Report {
-	s := scanner{chain: NewChain(prompt, "", 0), seen: make(map[int]string)}
+	s := answerScanner{chain: NewChain(prompt, "", 0), seen: make(map[int]string)}
 	rest, found := strings.CutPrefix(text, " ")
 	if !found && text != "" {
 		s.report.Malformed++
@@ -107,49 +108,49 @@
 	return r
 }
 
-type scanner struct {
-	report Report
-	chain  Chain
-	next   int
-	seen   map[int]string
-	broken bool // the chain can no longer be verified
+type answerScanner struct {
+	report       Report
+	chain        Chain
+	next         int
+	seen         map[int]string
+	unverifiable bool // the chain can no longer be verified
 }
 
-func (s *scanner) token(piece string) {
+func (s *answerScanner) token(piece string) {
 	index, rnd, sum, ok := parse(piece)
 	if !ok {
 		s.report.Malformed++
-		s.broken = true
+		s.unverifiable = true
 		return
 	}
 	s.report.Tokens++
 	if index < s.next {
-		s.repeated(index, piece)
+		s.addRepeated(index, piece)
 		return
 	}
 	if index > s.next {
 		s.report.Missing += index - s.next
-		s.broken = true
+		s.unverifiable = true
 	}
 	s.next = index + 1
 	s.seen[index] = piece
 	s.verify(piece, rnd, sum)
 }
 
-func (s *scanner) repeated(index int, piece string) {
+func (s *answerScanner) addRepeated(index int, piece string) {
 	s.report.Repeated++
 	if first, ok := s.seen[index]; ok && first != piece {
 		s.report.Spliced++
 	}
 }
 
-func (s *scanner) verify(piece, rnd string, sum uint64) {
-	if s.broken {
+func (s *answerScanner) verify(piece, rnd string, sum uint64) {
+	if s.unverifiable {
 		return
 	}
 	if chainOf(s.chain.digest, []byte(rnd)) != sum {
 		s.report.Spliced++
-		s.broken = true
+		s.unverifiable = true
 		return
 	}
 	s.chain.digest.WriteString(" ")
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -9,30 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-func source(t *rapid.T, name string) func() uint16 {
+func randSource(t *rapid.T, name string) func() uint16 {
 	rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, name), 0))
 	return func() uint16 { return uint16(rng.Uint32()) }
 }
 
 func join(tokens []string) string { return strings.Join(tokens, "") }
 
-// Symptom: a caller's text lacks tokens, has some twice, or goes over from one
-// generation to another, and nobody notices.
-// Sequence: an engine dies; another continues, from a wrong place or with a
-// text of its own.
-// Cause: the answer was joined without regard to index or generation.
+// Each kind of damage must be detected: missing or repeated tokens, and a text that
+// continues with another generation. It occurs when an engine dies and another one
+// continues, from a wrong position or with its own text, and the parts are joined
+// without regard to index or generation.
 func TestAnswerFindsEachDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.String().Draw(t, "prompt")
 		n := rapid.IntRange(2, 40).Draw(t, "n")
-		whole := strings.SplitAfter(Text(prompt, n, source(t, "a")), " ")[1:]
-		for i, w := range whole {
-			whole[i] = " " + strings.TrimSpace(w)
+		tokens := strings.SplitAfter(Text(prompt, n, randSource(t, "a")), " ")[1:]
+		for i, w := range tokens {
+			tokens[i] = " " + strings.TrimSpace(w)
 		}
-		other := Text(prompt, n, source(t, "b"))
+		other := Text(prompt, n, randSource(t, "b"))
 		at := rapid.IntRange(1, n-1).Draw(t, "at")
 		size := rapid.IntRange(1, n-at).Draw(t, "size")
-		prefix, rest := join(whole[:at]), join(whole[at:])
+		prefix, rest := join(tokens[:at]), join(tokens[at:])
 
 		resumed := NewChain(prompt, prefix, at)
 		text := []byte(prefix)
@@ -47,9 +46,9 @@
 		}
 		want(prefix+rest, Report{Tokens: n})
 		want(string(text), Report{Tokens: n})
-		want(prefix+join(whole[at-1:at])+rest, Report{Tokens: n + 1, Repeated: 1})
-		want(prefix+rest+join(whole[at:at+size]), Report{Tokens: n + size, Repeated: size})
-		want(join(whole[at:]), Report{Tokens: n - at, Missing: at})
+		want(prefix+join(tokens[at-1:at])+rest, Report{Tokens: n + 1, Repeated: 1})
+		want(prefix+rest+join(tokens[at:at+size]), Report{Tokens: n + size, Repeated: size})
+		want(join(tokens[at:]), Report{Tokens: n - at, Missing: at})
 		want(prefix+" x"+rest, Report{Tokens: n, Malformed: 1})
 		if other[:len(prefix)] != prefix {
 			want(prefix+other[len(prefix):], Report{Tokens: n, Spliced: 1})
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,11 +1,11 @@
-// Package clock measures time with the clock that goes on while the machine is
+// Package clock measures time with the boot clock, which continues while the machine is
 // suspended.
 //
-// Failure story: a machine is suspended for seconds and goes on as if nothing
-// had happened. The steady clock stood still meanwhile, so a deadline measured
-// by it is late by as much: a backend server would be told more time than the
-// caller has. The time of day counts the suspension, but is set back and ahead
-// by seconds, which would end requests early. The boot clock does neither.
+// After a suspension of some seconds the monotonic clock, which stopped meanwhile, is
+// behind by that time. With a deadline measured by it, a backend server would be given
+// more time than the caller has. The wall clock includes the suspension, but it may be
+// set back or ahead by seconds, which would end requests early. The boot clock has
+// neither fault.
 package clock
 
 import (
@@ -14,32 +14,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the time since the machine was started, suspensions included.
+// Boot returns the time since the machine was started, including suspensions.
 func Boot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every kernel that Go supports has this clock. Without it the steady
-		// one is the best there is.
-		return time.Since(started)
+		// Every kernel that Go supports has this clock. The monotonic clock is the best
+		// substitute.
+		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
 }
 
-var started = time.Now()
+var processStart = time.Now()
 
-// Deadline is a moment on the boot clock; the zero value is no deadline.
+// Deadline is a point in time on the boot clock; the zero value means no deadline.
 type Deadline struct {
 	at time.Duration
 }
 
-// In returns the moment d from now.
+// In returns the deadline that is d from now.
 func In(d time.Duration) Deadline { return Deadline{at: Boot() + d} }
 
-// IsZero tells that there is no deadline.
+// IsZero reports whether there is no deadline.
 func (d Deadline) IsZero() bool { return d.at == 0 }
 
-// Left is the time until the deadline, 0 or less once it has passed.
+// Left returns the time until the deadline, 0 or less if it has passed.
 func (d Deadline) Left() time.Duration { return d.at - Boot() }
 
-// Passed tells whether the deadline has come.
+// Passed reports whether there is a deadline and it has passed.
 func (d Deadline) Passed() bool { return !d.IsZero() && d.Left() <= 0 }
--- a/clock/sleep.go
+++ b/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep passes d; it returns false when ctx ends first.
+// Sleep waits for d. It returns false if ctx ends first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/cmd/wigeond/main.go
+++ b/cmd/wigeond/main.go
@@ -1,5 +1,5 @@
-// Command wigeond is the daemon of wigeondale: one on each VM between callers
-// and backend servers, all alike.
+// Command wigeond is the daemon of wigeondale. One runs on each VM between callers and
+// backend servers; all are alike.
 package main
 
 import (
--- a/cmd/wigeonfakes/main.go
+++ b/cmd/wigeonfakes/main.go
@@ -1,6 +1,6 @@
-// Command wigeonfakes plays the platform and the back ends on loopback: the
-// key-value service, the VM list, the weight store, model engines and plain
-// services, each with switches for its faults.
+// Command wigeonfakes runs stand-ins for the platform and the backend servers on
+// loopback: the key-value service, the VM list, the weight store, model engines and
+// other services, each with switches for its faults.
 package main
 
 import (
@@ -56,8 +56,7 @@
 	return control.New(cfg)
 }
 
-// serve runs the stand-ins until a signal or a stop through the control
-// listener.
+// serve runs the stand-ins until a signal arrives or the control listener gets a stop.
 func serve(set *control.Set, portsFile string) error {
 	if err := set.Start(); err != nil {
 		return err
@@ -93,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	// Renamed into place, so that a reader never sees half of it.
+	// The file is renamed into place, so that a reader never sees half of it.
 	tmp := file + ".tmp"
 	if err := os.WriteFile(tmp, data, 0o644); err != nil {
 		return err
--- a/cmd/wigeonmeasure/main.go
+++ b/cmd/wigeonmeasure/main.go
@@ -1,5 +1,5 @@
-// Command wigeonmeasure runs measurements against processes that
-// scripts/measure.sh started.
+// Command wigeonmeasure runs measurements against processes that scripts/measure.sh has
+// started.
 package main
 
 import (
--- a/cmd/wigeonsoak/main.go
+++ b/cmd/wigeonsoak/main.go
@@ -1,5 +1,6 @@
-// Command wigeonsoak plays seeds of the fault soak: real wigeond processes, faults
-// from outside them, and checks of what clients and replicas see. See package soak.
+// Command wigeonsoak runs seeds of the fault soak: real wigeond processes, faults
+// injected from outside them, and checks of what clients and replicas see. See package
+// soak.
 package main
 
 import (
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	maxAnswer     = 64 << 20 // bytes
-	confirmRounds = 3        // over all addresses
-	roundPause    = 500 * time.Millisecond
-	dialTimeout   = 2 * time.Second
+	maxAnswerBytes = 64 << 20 // bytes
+	confirmRounds  = 3        // over all addresses
+	roundPause     = 500 * time.Millisecond
+	dialTimeout    = 2 * time.Second
 )
 
-// caller calls the administration API at the first address that answers.
-type caller struct {
+// adminClient calls the administration API at the first address that answers.
+type adminClient struct {
 	addrs  []string
 	token  string
 	http   *http.Client
 	scheme string
 }
 
-// refusal is a node's own answer that it won't do what was asked.
+// refusal is an error that a node returned for a call.
 type refusal struct {
 	problem adminapi.Problem
 }
 
-// Error gives the node's message.
+// Error returns the node's code and message.
 func (r *refusal) Error() string { return r.problem.Code + ": " + r.problem.Message }
 
-// Unwrap sorts the refusal for the exit code.
+// Unwrap maps the refusal to the error that decides the exit code.
 func (r *refusal) Unwrap() error {
 	switch r.problem.Code {
 	case adminapi.CodeUnsettled:
@@ -55,8 +55,8 @@
 	return ErrRefused
 }
 
-func newCaller(a args, getenv func(string) string) (*caller, error) {
-	c := &caller{token: getenv("WIGEON_TOKEN"), scheme: "http"}
+func newAdminClient(a args, getenv func(string) string) (*adminClient, error) {
+	c := &adminClient{token: getenv("WIGEON_TOKEN"), scheme: "http"}
 	for _, addr := range strings.Split(a.Admin, ",") {
 		if addr = strings.TrimSpace(addr); addr != "" {
 			c.addrs = append(c.addrs, addr)
@@ -97,8 +97,8 @@
 	return pool, nil
 }
 
-// call tries each address until one gives an answer that isn't "not now".
-func (c *caller) call(ctx context.Context, method, path string, in, out any) error {
+// call tries the addresses in order until one answers other than "try again later".
+func (c *adminClient) call(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for _, addr := range c.addrs {
 		last = c.callAt(ctx, addr, method, path, in, out)
@@ -109,37 +109,37 @@
 	return last
 }
 
-// confirm sends a plan to one node after another until one knows what became of
-// it. A node that dies after it has sent the plan on leaves the outcome open;
-// asking the next one, which reads the log, settles it.
-func (c *caller) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.Accepted, error) {
+// confirm sends a plan to one node after another until one knows the outcome. If a node
+// dies after it has appended the plan to the log, the outcome is unknown; the next node
+// reads the log and settles it.
+func (c *adminClient) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.Accepted, error) {
 	var acc adminapi.Accepted
 	var last error
-	doubt := false
+	uncertain := false
 	for range confirmRounds {
 		for _, addr := range c.addrs {
 			last = c.callAt(ctx, addr, http.MethodPost, "/admin/v1/plans/"+sp.Plan.ID+"/confirm", sp, &acc)
-			if last == nil || settled(last) {
+			if last == nil || outcomeKnown(last) {
 				return acc, last
 			}
-			doubt = doubt || mayHaveActed(last)
+			uncertain = uncertain || mayHaveAppended(last)
 		}
 		if !clock.Sleep(ctx, roundPause) {
 			break
 		}
 	}
-	if doubt {
+	if uncertain {
 		return acc, Error.New("%w: it isn't known whether plan %s was accepted; confirm the same plan again (%v)", ErrUnsettled, sp.Plan.ID, last)
 	}
 	return acc, last
 }
 
-func settled(err error) bool {
+func outcomeKnown(err error) bool {
 	return !errors.Is(err, ErrUnreachable) && !errors.Is(err, ErrUnsettled)
 }
 
-// mayHaveActed reports whether a failed call may have reached the log.
-func mayHaveActed(err error) bool {
+// mayHaveAppended reports whether a failed call may have changed the log.
+func mayHaveAppended(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return false
@@ -151,7 +151,7 @@
 	return true
 }
 
-func (c *caller) callAt(ctx context.Context, addr, method, path string, in, out any) error {
+func (c *adminClient) callAt(ctx context.Context, addr, method, path string, in, out any) error {
 	var body io.Reader
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -170,7 +170,7 @@
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return fmt.Errorf("%w: %w", ErrUnreachable, err)
 	}
--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -19,8 +19,8 @@
 	"wigeondale/quarantine"
 )
 
-// statusEvery is the time between two looks while waiting.
-const statusEvery = 300 * time.Millisecond
+// statusInterval is the interval between status queries while waiting.
+const statusInterval = 300 * time.Millisecond
 
 func (t *tool) plan(ctx context.Context) error {
 	sp, err := t.makePlan(ctx, &t.args.Plan.source)
@@ -79,14 +79,14 @@
 	if err := refusedPlan(sp.Plan); err != nil {
 		return err
 	}
-	if !cmd.Yes && !t.ask() {
+	if !cmd.Yes && !t.askConfirmation() {
 		return Error.New("%w: not confirmed", ErrRefused)
 	}
 	cmd.Wait = true
 	return t.confirmPlan(ctx, sp, cmd.waitOptions)
 }
 
-func (t *tool) ask() bool {
+func (t *tool) askConfirmation() bool {
 	fmt.Fprint(t.env.Stderr, "Confirm this plan? [y/N] ")
 	line, err := bufio.NewReader(t.env.Stdin).ReadString('\n')
 	if err != nil && line == "" {
@@ -99,7 +99,7 @@
 func (t *tool) confirmPlan(ctx context.Context, sp adminapi.SignedPlan, w waitOptions) error {
 	acc, err := t.api.confirm(ctx, sp)
 	if err != nil {
-		t.offer(err)
+		t.printNewPlan(err)
 		return err
 	}
 	if t.args.JSON {
@@ -113,8 +113,8 @@
 	return t.wait(ctx, acc.Revision, w.WaitTimeout)
 }
 
-// offer prints the plan that a node offers in place of one in conflict.
-func (t *tool) offer(err error) {
+// printNewPlan prints the new plan that a node offers in place of one with conflicts.
+func (t *tool) printNewPlan(err error) {
 	var r *refusal
 	if !errors.As(err, &r) || r.problem.NewPlan == nil {
 		return
@@ -123,9 +123,9 @@
 	t.printPlan(*r.problem.NewPlan)
 }
 
-// wait prints on how many nodes a revision is in force until it is on all. The
-// limit bounds the waiting, not a look at the status: a limit that passes in
-// the middle of one would otherwise hide which nodes were not heard from.
+// wait prints on how many nodes a revision is in force until it is in force on all of
+// them. The limit applies to the waiting but does not cut off a status query: if it
+// did, the error would not say which nodes were not heard from.
 func (t *tool) wait(parent context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(parent, limit)
 	defer cancel()
@@ -144,36 +144,37 @@
 		if all {
 			return nil
 		}
-		if !clock.Sleep(ctx, statusEvery) {
+		if !clock.Sleep(ctx, statusInterval) {
 			return Error.New("%w: revision %d is accepted; at the time limit: %s", ErrUnreachable, revision, shown)
 		}
 	}
 }
 
-// progress says where a revision is in force, and whether that is everywhere.
+// progress describes where a revision is in force, and reports whether it is on all
+// nodes.
 func progress(s adminapi.Status, revision uint64) (string, bool) {
-	in := 0
-	var behind, silent []string
+	inForce := 0
+	var behind, notHeard []string
 	for _, n := range s.Nodes {
 		switch {
 		case !n.Heard:
-			silent = append(silent, n.ID)
+			notHeard = append(notHeard, n.ID)
 		case n.Revision >= revision:
-			in++
+			inForce++
 		default:
 			behind = append(behind, n.ID)
 		}
 	}
 	slices.Sort(behind)
-	slices.Sort(silent)
-	line := fmt.Sprintf("revision %d in force on %d of %d nodes", revision, in, len(s.Nodes))
+	slices.Sort(notHeard)
+	line := fmt.Sprintf("revision %d in force on %d of %d nodes", revision, inForce, len(s.Nodes))
 	if len(behind) > 0 {
 		line += "; waiting for " + strings.Join(behind, ", ")
 	}
-	if len(silent) > 0 {
-		line += "; not heard from: " + strings.Join(silent, ", ")
+	if len(notHeard) > 0 {
+		line += "; not heard from: " + strings.Join(notHeard, ", ")
 	}
-	return line, in > 0 && in == len(s.Nodes)
+	return line, inForce > 0 && inForce == len(s.Nodes)
 }
 
 func (t *tool) status(ctx context.Context) error {
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl holds the commands of wigeonctl, the operators' tool. Any node
-// may be asked; a confirmation may safely be sent to one node after another,
-// since a plan takes effect once.
+// Package ctl implements the commands of wigeonctl, the operators' tool. It may call
+// any node. A confirmation may safely be sent to several nodes in turn, since a plan
+// takes effect once.
 package ctl
 
 import (
@@ -46,7 +46,7 @@
 	MaxTokens  int           `arg:"--max-tokens" default:"256"`
 	KeyFile    string        `arg:"--key-file" help:"file with the API key (default: environment WIGEON_API_KEY)"`
 	Timeout    time.Duration `arg:"--stream-timeout" default:"10m"`
-	// RootCAs are those of the option --ca-file; nil without it.
+	// RootCAs are read from the file of the option --ca-file; nil without it.
 	RootCAs *x509.CertPool `arg:"-"`
 }
 
@@ -74,14 +74,15 @@
 
 type emptyCmd struct{}
 
-// explainCmd sorts the requests of routers' logs by cause.
+// explainCmd groups the requests in routers' logs by cause.
 type explainCmd struct {
 	Log   string        `arg:"positional" default:"-" help:"file with the routers' logs, - for standard input"`
 	First time.Duration `arg:"--first" default:"4.5s" help:"when a first piece, or a whole answer, is late"`
 	Pause time.Duration `arg:"--pause" default:"700ms" help:"when a pause between pieces is too long"`
 }
 
-// quarantineCmd lists the requests under which backend servers crashed, or lifts one.
+// quarantineCmd lists the requests under which backend servers crashed, or lifts the
+// quarantine of one.
 type quarantineCmd struct {
 	Lift string `arg:"--lift" help:"digest of a request that is to be sent on again"`
 }
@@ -110,19 +111,19 @@
 	Stream     *StreamCmd     `arg:"subcommand:stream" help:"stream a completion as a caller, with reconnects"`
 }
 
-// Env is the surroundings of one run of the tool.
+// Env is the environment of one run of the tool.
 type Env struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
 	Getenv         func(string) string
-	// Stream runs the stream command; nil means that this build has none.
+	// Stream runs the stream command; nil means that this build does not have it.
 	Stream func(ctx context.Context, cmd StreamCmd, apiKey string, stdout io.Writer) error
 }
 
 type tool struct {
 	env  Env
 	args args
-	api  *caller
+	api  *adminClient
 }
 
 // Main runs the tool and returns its exit code.
@@ -134,7 +135,7 @@
 		fmt.Fprintln(env.Stderr, "wigeonctl:", err)
 		return ExitUsage
 	}
-	err = p.Parse(spellHelp(argv))
+	err = p.Parse(acceptSingleDashHelp(argv))
 	if errors.Is(err, arg.ErrHelp) {
 		if err := p.WriteHelpForSubcommand(env.Stdout, p.SubcommandNames()...); err != nil {
 			return ExitUsage
@@ -156,8 +157,8 @@
 	return exitCode(err)
 }
 
-// spellHelp lets help be asked for with one dash, as the other options are.
-func spellHelp(argv []string) []string {
+// acceptSingleDashHelp accepts -help with one dash, like the other options.
+func acceptSingleDashHelp(argv []string) []string {
 	out := slices.Clone(argv)
 	for i, a := range out {
 		if a == "-help" {
@@ -188,7 +189,7 @@
 	case t.args.Explain != nil:
 		return t.explain(t.args.Explain)
 	}
-	api, err := newCaller(t.args, t.env.Getenv)
+	api, err := newAdminClient(t.args, t.env.Getenv)
 	if err != nil {
 		return err
 	}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -21,7 +21,7 @@
 	"wigeondale/quarantine"
 )
 
-// memLog is a log that works.
+// memLog is a log in memory. It fails while down is set.
 type memLog struct {
 	mu      sync.Mutex
 	entries []intent.LogEntry
@@ -58,11 +58,11 @@
 }
 func (m *memLog) Snapshot(context.Context, uint64, []byte) error { return nil }
 
-type noPeers struct{}
+type noRevisionPeers struct{}
 
-func (noPeers) Peers() []string       { return nil }
-func (noPeers) Flood(intent.Revision) {}
-func (noPeers) FetchFrom(context.Context, string, uint64) (intent.Batch, error) {
+func (noRevisionPeers) Peers() []string       { return nil }
+func (noRevisionPeers) Flood(intent.Revision) {}
+func (noRevisionPeers) FetchFrom(context.Context, string, uint64) (intent.Batch, error) {
 	return intent.Batch{}, intent.ErrUnavailable
 }
 
@@ -70,31 +70,31 @@
 
 func (m members) Nodes() []adminapi.Node { return m }
 
-// bench is two nodes over one log; the first may lose its answers.
-type bench struct {
-	t     *testing.T
-	log   *memLog
-	addrs []string
-	lose  bool // the first node acts on a confirmation and dies before answering
-	nodes members
-	held  held
+// testNodes runs two nodes on one log; the first may lose its answers.
+type testNodes struct {
+	t           *testing.T
+	log         *memLog
+	addrs       []string
+	loseAnswers bool // the first node executes a confirmation and dies before it answers
+	nodes       members
+	quarantine  fakeQuarantine
 }
 
-// held are the requests that the nodes hold back.
-type held []quarantine.Report
+// fakeQuarantine lists the requests that the nodes have quarantined.
+type fakeQuarantine []quarantine.Report
 
-func (h *held) List() []quarantine.Report { return *h }
+func (h *fakeQuarantine) List() []quarantine.Report { return *h }
 
-func (h *held) Lift(d quarantine.Digest, _ string) bool {
+func (h *fakeQuarantine) Lift(d quarantine.Digest, _ string) bool {
 	before := len(*h)
 	*h = slices.DeleteFunc(*h, func(e quarantine.Report) bool { return e.Digest == d.String() })
 	return len(*h) < before
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, log: &memLog{}}
+func newTestNodes(t *testing.T) *testNodes {
+	b := &testNodes{t: t, log: &memLog{}}
 	for i := range 2 {
-		k := intent.NewKeeper(intent.Config{Log: b.log, Spread: noPeers{}})
+		k := intent.NewKeeper(intent.Config{Log: b.log, Spread: noRevisionPeers{}})
 		k.Sync(t.Context())
 		var ops []adminapi.Operator
 		for name, role := range map[string]adminapi.Role{"eve": adminapi.Editor, "carl": adminapi.Confirmer} {
@@ -108,18 +108,18 @@
 			View:       func(context.Context, []fleet.ModelRef) (intent.FleetView, error) { return intent.FleetView{}, nil },
 			Operators:  ops,
 			PlanKey:    []byte("plan key"),
-			Quarantine: &b.held,
+			Quarantine: &b.quarantine,
 		})
-		srv := httptest.NewServer(b.losing(i, api))
+		srv := httptest.NewServer(b.dropAnswers(i, api))
 		t.Cleanup(srv.Close)
 		b.addrs = append(b.addrs, strings.TrimPrefix(srv.URL, "http://"))
 	}
 	return b
 }
 
-func (b *bench) losing(i int, h http.Handler) http.Handler {
+func (b *testNodes) dropAnswers(i int, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if i != 0 || !b.lose || !strings.HasSuffix(r.URL.Path, "/confirm") {
+		if i != 0 || !b.loseAnswers || !strings.HasSuffix(r.URL.Path, "/confirm") {
 			h.ServeHTTP(w, r)
 			return
 		}
@@ -128,8 +128,8 @@
 	})
 }
 
-// run runs the tool and returns its exit code and what it printed.
-func (b *bench) run(token string, argv ...string) (int, string) {
+// run runs the tool and returns its exit code and output.
+func (b *testNodes) run(token string, argv ...string) (int, string) {
 	b.t.Helper()
 	var out bytes.Buffer
 	env := Env{Stdin: strings.NewReader("n\n"), Stdout: &out, Stderr: &out}
@@ -139,7 +139,7 @@
 	return code, out.String()
 }
 
-func (b *bench) expect(code int, text, token string, argv ...string) {
+func (b *testNodes) expect(code int, text, token string, argv ...string) {
 	b.t.Helper()
 	got, out := b.run(token, argv...)
 	if got != code || !strings.Contains(out, text) {
@@ -147,12 +147,11 @@
 	}
 }
 
-// Guards against: a request stays held back though an operator knows better, or one without the
-// right to it has it sent on.
+// Operators must be able to lift a quarantine, but only with the required role.
 func TestOperatorsListAndLiftHeldRequests(t *testing.T) {
-	b := newBench(t)
+	b := newTestNodes(t)
 	digest := strings.Repeat("ab", 16)
-	b.held = held{{Digest: digest, Account: "acme", HeldForMS: 60_000, Crashes: []quarantine.ReportedCrash{{Backend: "e1", AgeMS: 5}}}}
+	b.quarantine = fakeQuarantine{{Digest: digest, Account: "acme", HeldForMS: 60_000, Crashes: []quarantine.ReportedCrash{{Backend: "e1", AgeMS: 5}}}}
 	b.expect(ExitOK, digest+"  acme     1m0s      e1 age_ms=5 from=here", "eve", "quarantine")
 	b.expect(ExitRefused, "role", "eve", "quarantine", "--lift", digest)
 	b.expect(ExitUsage, "digits", "carl", "quarantine", "--lift", "zz")
@@ -160,14 +159,13 @@
 	b.expect(ExitUsage, "no such request", "carl", "quarantine", "--lift", digest)
 }
 
-// Symptom: one confirmation becomes two changes, or the tool reports a failure
-// for a plan that is in force. Sequence: the node that takes the confirmation
-// appends it and dies before it answers; the tool asks the next node. Cause: the
-// second node doesn't look for the plan in the log.
+// A confirmation that is repeated at another node must not create a second revision,
+// nor be reported as failed. The first node appends the plan and dies before it
+// answers; the second must find the plan in the log.
 func TestConfirmAtAnotherNode(t *testing.T) {
-	b := newBench(t)
+	b := newTestNodes(t)
 	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}, {ID: "n1", Revision: 1, Heard: true}}
-	b.lose = true
+	b.loseAnswers = true
 	b.expect(ExitOK, "revision 1 in force on 2 of 2 nodes", "carl", "apply", "-f", "../examples/demo/intents.json", "-yes")
 	if len(b.log.entries) != 1 {
 		t.Fatalf("the log has %d entries, want 1", len(b.log.entries))
@@ -178,7 +176,7 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	b := newBench(t)
+	b := newTestNodes(t)
 	plan := filepath.Join(t.TempDir(), "plan.json")
 	b.expect(ExitUsage, "unauthorized", "nobody", "status")
 	b.expect(ExitUsage, "VERSION=PERCENT", "carl", "plan", "traffic", "m", "v1")
@@ -186,7 +184,7 @@
 	b.expect(ExitRefused, "not confirmed", "carl", "apply", "traffic", "m", "v1=100")
 	b.expect(ExitOK, "traffic/m", "eve", "plan", "-o", plan, "traffic", "m", "v1=100")
 	b.expect(ExitRefused, "forbidden", "eve", "confirm", plan)
-	b.tampered(plan)
+	b.confirmTampered(plan)
 	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}}
 	b.expect(ExitOK, "in force on 1 of 1", "carl", "apply", "-yes", "traffic", "m", "v2=100")
 	b.expect(ExitRefused, "a new plan for the same intents", "carl", "confirm", plan)
@@ -196,8 +194,8 @@
 	b.expect(ExitUnreachable, "unreachable", "carl", "status")
 }
 
-// tampered confirms a copy of a plan in which a weight was changed.
-func (b *bench) tampered(plan string) {
+// confirmTampered tries to confirm a copy of a plan in which a weight was changed.
+func (b *testNodes) confirmTampered(plan string) {
 	b.t.Helper()
 	raw, err := os.ReadFile(plan)
 	if err != nil {
@@ -210,14 +208,14 @@
 	b.expect(ExitRefused, "signature", "carl", "confirm", file)
 }
 
-// Symptom: the tool says that nothing was changed, yet the plan is in force.
-// Sequence: the first node acts and dies, and no other can be reached. Cause:
-// the last failure, a refused dial, hides the one that left the outcome open.
+// If any node may have executed the confirmation, the outcome must be reported as
+// unsettled. Here the first node executes it and dies, and the refused connection to
+// the second must not hide that.
 func TestDoubtIsReported(t *testing.T) {
-	b := newBench(t)
+	b := newTestNodes(t)
 	plan := filepath.Join(t.TempDir(), "plan.json")
 	b.expect(ExitOK, "", "carl", "plan", "-o", plan, "leave", "vm-1")
-	b.lose = true
+	b.loseAnswers = true
 	b.addrs = []string{b.addrs[0], "127.0.0.1:1"}
 	b.expect(ExitUnsettled, "confirm the same plan again", "carl", "confirm", plan)
 }
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -6,7 +6,7 @@
 	"wigeondale/explain"
 )
 
-// explain needs no node: it reads a log.
+// explain reads a log; it calls no node.
 func (t *tool) explain(cmd *explainCmd) error {
 	in := t.env.Stdin
 	if cmd.Log != "-" {
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -16,7 +16,7 @@
 	"wigeondale/quarantine"
 )
 
-// progressOut keeps progress lines out of JSON output.
+// progressOut returns where progress lines go: standard error if the output is JSON.
 func (t *tool) progressOut() io.Writer {
 	if t.args.JSON {
 		return t.env.Stderr
@@ -27,7 +27,7 @@
 func (t *tool) printJSON(v any) {
 	e := json.NewEncoder(t.env.Stdout)
 	e.SetIndent("", "  ")
-	// Standard output that can't be written leaves nobody to tell.
+	// An error can't be reported when standard output can't be written.
 	_ = e.Encode(v)
 }
 
--- a/ctl/source.go
+++ b/ctl/source.go
@@ -13,8 +13,8 @@
 	"wigeondale/intent"
 )
 
-// source is where the intents of plan and apply come from: a file, or one of
-// the short forms.
+// source selects the intents of plan and apply: from a file, or by one of the short
+// commands.
 type source struct {
 	File  string `arg:"-f,--file" help:"JSON file with intents, - for standard input"`
 	Force bool   `arg:"--force" help:"allow a plan that leaves a model with no replica"`
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func op(remove bool) intent.Op {
+func opFor(remove bool) intent.Op {
 	if remove {
 		return intent.Remove
 	}
@@ -103,7 +103,7 @@
 
 func (g *grantCmd) changes() []intent.Change {
 	a := &intent.Access{Account: g.Account, Model: g.Model, Versions: g.Versions, Adapters: g.Adapters}
-	return []intent.Change{{Kind: intent.KindAccess, Op: op(g.Revoke), Access: a}}
+	return []intent.Change{{Kind: intent.KindAccess, Op: opFor(g.Revoke), Access: a}}
 }
 
 func (c *trafficCmd) changes() ([]intent.Change, error) {
@@ -138,5 +138,5 @@
 		sum := sha256.Sum256(bytes.TrimSpace(b))
 		a.KeyHashes = []string{hex.EncodeToString(sum[:])}
 	}
-	return []intent.Change{{Kind: intent.KindAccount, Op: op(c.Remove), Account: a}}, nil
+	return []intent.Change{{Kind: intent.KindAccount, Op: opFor(c.Remove), Account: a}}, nil
 }
--- a/ctl/stream.go
+++ b/ctl/stream.go
@@ -40,7 +40,7 @@
 	}
 	req := client.Request{Model: cmd.Model, Prompt: string(prompt), MaxTokens: cmd.MaxTokens, Timeout: cmd.Timeout}
 	res, err := client.New(endpoints, apiKey, client.Options{RootCAs: cmd.RootCAs}).Generate(ctx, req, func(text string) {
-		// A failed write to standard output leaves nobody to tell.
+		// An error can't be reported when standard output can't be written.
 		_, _ = io.WriteString(stdout, text)
 	})
 	_, _ = io.WriteString(stdout, "\n")
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -16,7 +16,8 @@
 
 const testPeerKey = "0123456789abcdef"
 
-// linkedMeshes runs n linked meshes on loopback. register adds the handlers of each mesh before it starts.
+// linkedMeshes runs n linked meshes on loopback. register adds the handlers of each mesh
+// before it starts.
 func linkedMeshes(t testing.TB, n int, register func(i int, m *peer.Mesh)) []*peer.Mesh {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/dump/dump.go
+++ b/dump/dump.go
@@ -1,8 +1,8 @@
-// Package dump collects the state of a process's parts and shows it on request.
-// A part that is stuck must not hide the others, least of all when it is the
-// one that an operator looks for: each section is taken by itself, for a
-// bounded time and under its own recover, and a part that fails or doesn't
-// answer is named in place of its state.
+// Package dump collects the state of the parts of a process and shows it on request. A
+// part that hangs must not hide the others, least of all when it is the one that the
+// operator is looking for: each section is collected separately, with a time limit and
+// its own recover, and a part that fails or does not answer is shown with an error
+// instead of its state.
 package dump
 
 import (
@@ -20,24 +20,23 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("dump")
 
-// DefaultBound is how long a dump waits for its sections.
+// DefaultBound is the default time limit of a dump.
 const DefaultBound = 2 * time.Second
 
 // Registry holds the parts of one process. The zero value is ready for use.
 type Registry struct {
-	// Bound is how long a dump waits for its sections; 0 is DefaultBound.
+	// Bound is how long a dump waits for its sections; 0 means DefaultBound.
 	Bound time.Duration
 
 	mu    sync.Mutex
 	parts map[string]func() any
-	// calls are the sections being taken. Dumps share a call: beside one that
-	// doesn't return, each would otherwise leave one more goroutine behind.
+	// calls are the sections being collected. Concurrent dumps share a call: otherwise
+	// each dump would leave another goroutine waiting for a part that hangs.
 	calls singleflight.Group
 }
 
-// Add registers a part under a name. f returns a value for encoding/json and
-// must leave out secrets, prompts and answers. A later Add of the same name
-// replaces the earlier one.
+// Add registers a part under a name, replacing an earlier one with that name. f returns
+// a value for encoding/json, which must not contain secrets, prompts or answers.
 func (r *Registry) Add(name string, f func() any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,7 +49,7 @@
 // Snapshot returns the encoded state of each part.
 func (r *Registry) Snapshot() map[string]json.RawMessage { return r.snapshot("") }
 
-// snapshot takes one part, or all for an empty name.
+// snapshot collects one part, or all parts if the name is empty.
 func (r *Registry) snapshot(only string) map[string]json.RawMessage {
 	bound := r.Bound
 	if bound <= 0 {
@@ -60,7 +59,7 @@
 	answers := make(map[string]<-chan singleflight.Result, len(r.parts))
 	for name, f := range r.parts {
 		if only == "" || name == only {
-			answers[name] = r.calls.DoChan(name, func() (any, error) { return section(f), nil })
+			answers[name] = r.calls.DoChan(name, func() (any, error) { return encodeSection(f), nil })
 		}
 	}
 	r.mu.Unlock()
@@ -68,13 +67,13 @@
 	defer cancel()
 	out := make(map[string]json.RawMessage, len(answers))
 	for name, answer := range answers {
-		out[name] = await(ctx, answer)
+		out[name] = awaitAnswer(ctx, answer)
 	}
 	return out
 }
 
-// await prefers an answer that is there to the bound that has passed.
-func await(ctx context.Context, answer <-chan singleflight.Result) json.RawMessage {
+// awaitAnswer returns the answer if it is available, even if the time limit has passed.
+func awaitAnswer(ctx context.Context, answer <-chan singleflight.Result) json.RawMessage {
 	select {
 	case res := <-answer:
 		return res.Val.(json.RawMessage)
@@ -84,45 +83,45 @@
 	case res := <-answer:
 		return res.Val.(json.RawMessage)
 	default:
-		return problem(Error.New("no answer in time"))
+		return encodeError(Error.New("no answer in time"))
 	}
 }
 
-func section(f func() any) (raw json.RawMessage) {
+func encodeSection(f func() any) (raw json.RawMessage) {
 	defer func() {
 		if p := recover(); p != nil {
-			raw = problem(Error.New("%v", p))
+			raw = encodeError(Error.New("%v", p))
 		}
 	}()
 	raw, err := json.Marshal(f())
 	if err != nil {
-		return problem(Error.Wrap(err))
+		return encodeError(Error.Wrap(err))
 	}
 	return raw
 }
 
-func problem(err error) json.RawMessage {
+func encodeError(err error) json.RawMessage {
 	raw, _ := json.Marshal(struct {
 		Error string `json:"error"`
 	}{fmt.Sprint(err)})
 	return raw
 }
 
-// ServeHTTP writes all sections as one JSON object, or with ?section=NAME one.
+// ServeHTTP writes all sections as one JSON object, or only one with ?section=NAME.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	name := req.URL.Query().Get("section")
 	all := r.snapshot(name)
 	var body any = all
 	if name != "" {
-		one, ok := all[name]
+		selected, ok := all[name]
 		if !ok {
 			http.Error(w, "no such section", http.StatusNotFound)
 			return
 		}
-		body = one
+		body = selected
 	}
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(body) // the reader has gone: nobody is left to tell
+	_ = enc.Encode(body) // fails only if the client has disconnected
 }
--- a/dump/dump_test.go
+++ b/dump/dump_test.go
@@ -9,9 +9,8 @@
 	"wigeondale/dump"
 )
 
-// Symptom: no dump at all, just when one is needed.
-// Sequence: one part panics, returns what JSON cannot hold, or doesn't return.
-// Cause: parts that are not shielded from each other.
+// A part that panics, returns a value that JSON can't represent, or does not return
+// must not prevent the dump of the others.
 func TestOneBadPart(t *testing.T) {
 	var r dump.Registry
 	r.Add("good", func() any { return 7 })
@@ -30,7 +29,7 @@
 	defer close(stuck)
 	r.Bound = time.Millisecond
 	r.Add("stuck", func() any { <-stuck; return 1 })
-	for range 2 { // the second dump comes while the first call still waits
+	for range 2 { // the second dump starts while the first call still blocks
 		if got := r.Snapshot(); string(got["stuck"]) != `{"error":"dump: no answer in time"}` || len(got) != 4 {
 			t.Errorf("got %s", got)
 		}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,8 +1,8 @@
-// Package explain sorts the requests of routers' logs by what became of them and why, so
-// that whoever is on call sees in one table where service was lost.
+// Package explain groups the requests in routers' logs by outcome and reason, so that
+// an operator on call sees in one table where service was lost.
 //
-// It reads the lines that a request's decisions left (events 14xx and 19xx) and needs
-// nothing else: lines of other programs, and such as were cut, are counted and passed over.
+// It only needs the lines that a request's decisions left in the log (events 14xx and
+// 19xx). Lines of other programs and truncated lines are counted and skipped.
 package explain
 
 import (
@@ -23,34 +23,34 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("explain")
 
-// Limits say when an answer is late.
+// Limits define when an answer is late.
 type Limits struct {
-	First time.Duration // first piece of a stream, or a whole answer
-	Pause time.Duration // between two pieces
+	First time.Duration // time to the first chunk of a stream, or to a complete answer
+	Pause time.Duration // time between two chunks
 }
 
-// Cause is one row: requests that ended in the same way for the same reason.
+// Cause is one row: the requests with the same outcome for the same reason.
 type Cause struct {
 	Outcome string // in time, late, refused, failed, gone
 	Reason  string
 	Count   int
-	Example string // id of the first one
+	Example string // id of the first of these requests
 }
 
-// Report is what the logs tell.
+// Report is the result of reading a log.
 type Report struct {
 	Requests int
-	Unread   int // lines that are no events
+	Unread   int // lines that are not events
 	Causes   []Cause
 }
 
-// request is what was logged of one request until its end.
+// request collects what was logged about one request before its end.
 type request struct {
-	waited bool
-	lost   string // cause of the latest attempt that ended early
+	waited    bool
+	lostCause string // cause of the last attempt that ended early
 }
 
-// maxLine bounds one line of a log.
+// maxLine limits the length of one log line.
 const maxLine = 1 << 20
 
 var (
@@ -58,13 +58,13 @@
 	field     = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
-// Read sorts the requests of a log.
+// Read groups the requests of a log.
 func Read(r io.Reader, limits Limits) (Report, error) {
-	s := sorter{limits: limits, open: map[string]*request{}, rows: map[[2]string]*Cause{}}
+	s := logReader{limits: limits, requests: map[string]*request{}, rows: map[[2]string]*Cause{}}
 	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
-		s.line(lines.Text())
+		s.readLine(lines.Text())
 	}
 	if err := lines.Err(); err != nil {
 		return Report{}, Error.Wrap(err)
@@ -72,18 +72,18 @@
 	return s.report(), nil
 }
 
-type sorter struct {
+type logReader struct {
 	limits   Limits
-	open     map[string]*request
+	requests map[string]*request
 	rows     map[[2]string]*Cause
-	requests int
-	unread   int
+	total    int
+	skipped  int
 }
 
-func (s *sorter) line(text string) {
+func (s *logReader) readLine(text string) {
 	name := eventName.FindStringSubmatch(text)
 	if name == nil {
-		s.unread++
+		s.skipped++
 		return
 	}
 	f := fields(text)
@@ -93,52 +93,52 @@
 	}
 	switch name[1] {
 	case "request-waits":
-		s.of(id).waited = true
+		s.request(id).waited = true
 	case "attempt-lost":
-		s.of(id).lost = f["cause"]
+		s.request(id).lostCause = f["cause"]
 	case "relay-refused":
 		s.add(id, "refused", f["reason"])
 	case "relay-ended":
-		outcome, reason := s.judge(s.of(id), f)
+		outcome, reason := s.classify(s.request(id), f)
 		s.add(id, outcome, reason)
-		delete(s.open, id)
+		delete(s.requests, id)
 	}
 }
 
-func (s *sorter) of(id string) *request {
-	r := s.open[id]
+func (s *logReader) request(id string) *request {
+	r := s.requests[id]
 	if r == nil {
 		r = &request{}
-		s.open[id] = r
+		s.requests[id] = r
 	}
 	return r
 }
 
-// judge says how a request ended and why.
-func (s *sorter) judge(r *request, f map[string]string) (outcome, reason string) {
+// classify returns the outcome of a request that has ended, and the reason.
+func (s *logReader) classify(r *request, f map[string]string) (outcome, reason string) {
 	code := f["code"]
 	switch {
 	case f["outcome"] == "not-run":
 		return "refused", code
 	case code == "caller_gone":
-		return "gone", "the client left, " + r.before(f)
-	case f["outcome"] != "complete" && r.lost != "":
-		return "failed", code + " after an attempt was lost: " + r.lost
+		return "gone", "the client left, " + r.describe(f)
+	case f["outcome"] != "complete" && r.lostCause != "":
+		return "failed", code + " after an attempt was lost: " + r.lostCause
 	case f["outcome"] != "complete":
-		return "failed", code + ", " + r.before(f)
-	case millis(f["first_ms"]) > s.limits.First:
-		return "late", "first piece, " + r.before(f)
-	case millis(f["pause_ms"]) > s.limits.Pause:
-		return "late", "pause, " + r.before(f)
+		return "failed", code + ", " + r.describe(f)
+	case parseMillis(f["first_ms"]) > s.limits.First:
+		return "late", "first piece, " + r.describe(f)
+	case parseMillis(f["pause_ms"]) > s.limits.Pause:
+		return "late", "pause, " + r.describe(f)
 	}
 	return "in time", ""
 }
 
-// before names what the request had met when it ended.
-func (r *request) before(f map[string]string) string {
+// describe describes what had happened to the request before it ended.
+func (r *request) describe(f map[string]string) string {
 	switch {
-	case r.lost != "":
-		return "an attempt was lost: " + r.lost
+	case r.lostCause != "":
+		return "an attempt was lost: " + r.lostCause
 	case r.waited:
 		return "it waited for an engine"
 	case f["pieces"] == "0":
@@ -147,8 +147,8 @@
 	return "nothing was lost"
 }
 
-func (s *sorter) add(id, outcome, reason string) {
-	s.requests++
+func (s *logReader) add(id, outcome, reason string) {
+	s.total++
 	key := [2]string{outcome, reason}
 	row := s.rows[key]
 	if row == nil {
@@ -158,8 +158,8 @@
 	row.Count++
 }
 
-func (s *sorter) report() Report {
-	out := Report{Requests: s.requests, Unread: s.unread}
+func (s *logReader) report() Report {
+	out := Report{Requests: s.total, Unread: s.skipped}
 	for _, row := range s.rows {
 		out.Causes = append(out.Causes, *row)
 	}
@@ -177,8 +177,8 @@
 	return out
 }
 
-// millis reads a count of milliseconds; a missing one is 0.
-func millis(s string) time.Duration {
+// parseMillis parses a number of milliseconds; a missing or malformed one is 0.
+func parseMillis(s string) time.Duration {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const log = `I0302 04:17:13.054437 7336 event.go:52] "attempt-begun" node="n" event=1405 request="a" attempt=1 backend="e1"
+const testLog = `I0302 04:17:13.054437 7336 event.go:52] "attempt-begun" node="n" event=1405 request="a" attempt=1 backend="e1"
 I0302 04:17:13.1 7336 event.go:52] "relay-ended" node="n" event=1906 request="a" outcome="complete" pieces=9 first_ms=900 pause_ms=40
 I0302 04:17:13.2 7336 event.go:50] "warning: attempt-lost" node="n" event=1406 request="b" cause="silence" err="no \"first\" piece"
 I0302 04:17:13.3 7336 event.go:52] "relay-ended" node="n" event=1906 request="b" outcome="complete" pieces=9 first_ms=900 pause_ms=1200
@@ -21,9 +21,10 @@
 something else
 I0302 04:17:13.9 7336 event.go:52] "relay-en`
 
-// Symptom: whoever is on call reads thousands of lines to see why drafts are late.
+// Requests must be grouped by outcome and cause, so that an operator does not have to
+// read thousands of lines to see why answers are late.
 func TestRequestsAreSortedByCause(t *testing.T) {
-	r, err := Read(strings.NewReader(log), Limits{First: 4500 * time.Millisecond, Pause: 700 * time.Millisecond})
+	r, err := Read(strings.NewReader(testLog), Limits{First: 4500 * time.Millisecond, Pause: 700 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -9,17 +9,17 @@
 	"strings"
 )
 
-// defaulter is an optional section that has defaults once it is there.
+// defaulter is an optional section that sets its own defaults when it is present.
 type defaulter interface{ SetDefaults() }
 
-// decoder walks the JSON text and the Go value together. encoding/json alone
-// stops at the first fault, names no path, and takes the last of two equal
-// fields in silence.
+// decoder decodes the JSON text field by field along the Go value. encoding/json alone
+// stops at the first fault, reports no path, and silently uses the last of two fields
+// with the same name.
 type decoder struct {
 	problems Problems
 }
 
-// decode reads data over the values in s.
+// decode decodes data into s; fields that data does not set keep their values.
 func decode(data []byte, s *Settings) Problems {
 	d := &decoder{}
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -46,18 +46,18 @@
 	case reflect.Slice:
 		d.array(v, path, raw)
 	case reflect.Pointer:
-		fresh := reflect.New(v.Type().Elem())
-		if section, ok := fresh.Interface().(defaulter); ok {
+		target := reflect.New(v.Type().Elem())
+		if section, ok := target.Interface().(defaulter); ok {
 			section.SetDefaults()
 		}
-		v.Set(fresh)
+		v.Set(target)
 		d.value(v.Elem(), path, raw)
 	default:
 		d.scalar(v, path, raw)
 	}
 }
 
-// children calls f for each member of an object or array whose text is valid.
+// children calls f for each member of an object or array that is valid JSON.
 func children(raw json.RawMessage, f func(name string, child json.RawMessage)) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	start, _ := dec.Token()
@@ -110,8 +110,7 @@
 	v.Set(out)
 }
 
-// scalar sets a string, bool or number. null is no value of any of them,
-// although encoding/json would pass over it.
+// scalar sets a string, bool or number. It rejects null, which encoding/json ignores.
 func (d *decoder) scalar(v reflect.Value, path string, raw json.RawMessage) {
 	if string(raw) == "null" || json.Unmarshal(raw, v.Addr().Interface()) != nil {
 		d.add(path, typeName(v.Kind()), describe(raw))
@@ -131,9 +130,9 @@
 }
 
 func describe(raw json.RawMessage) string {
-	const most = 40 // bytes shown
-	if len(raw) > most {
-		return strings.ToValidUTF8(string(raw[:most]), "") + "..."
+	const maxShown = 40 // bytes shown
+	if len(raw) > maxShown {
+		return strings.ToValidUTF8(string(raw[:maxShown]), "") + "..."
 	}
 	return string(raw)
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -24,15 +24,15 @@
 	maxFileBytes = 1 << 20
 )
 
-// Problem is one fault, at a JSON path such as operators[1].role; an empty
-// path is the whole text.
+// Problem is one fault at a JSON path such as operators[1].role. An empty path means
+// the whole file.
 type Problem struct {
 	Path string
 	Want string
 	Got  string
 }
 
-// String is one line for an operator.
+// String returns one line for an operator.
 func (p Problem) String() string {
 	path := p.Path
 	if path == "" {
@@ -41,14 +41,14 @@
 	return fmt.Sprintf("%s: want %s, got %s", path, p.Want, p.Got)
 }
 
-// Problems is every fault that was found, one a line in its text.
+// Problems lists all faults found; its text has one line for each.
 type Problems []Problem
 
 // Error implements error.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
-	for i, one := range p {
-		lines[i] = one.String()
+	for i, problem := range p {
+		lines[i] = problem.String()
 	}
 	return strings.Join(lines, "\n")
 }
@@ -60,8 +60,8 @@
 	return Error.Wrap(p)
 }
 
-// Parse reads settings over the defaults and checks them, without touching the
-// files that they name. errors.As gives Problems.
+// Parse decodes settings over the defaults and checks them, without reading the files
+// that they name. errors.As extracts the Problems.
 func Parse(data []byte) (*Settings, error) {
 	s, problems := parse(data)
 	return s, problems.err()
@@ -70,8 +70,8 @@
 func parse(data []byte) (*Settings, Problems) {
 	s := Default()
 	problems := decode(data, s)
-	// A field of a wrong type kept its default, so that checking the rest
-	// reports the other faults in the same run, each once.
+	// A field of the wrong type kept its default, so that checking the values reports
+	// the other faults in the same run, each once.
 	reported := map[string]bool{}
 	for _, p := range problems {
 		reported[p.Path] = true
@@ -89,9 +89,9 @@
 	return s, problems
 }
 
-// Load reads the file at path, checks it, makes relative paths in it start at
-// its folder, and reads the keys and certificates, so that a wrong path is
-// found before any socket opens.
+// Load reads and checks the file at path. Relative paths in it are resolved from its
+// folder. It also reads the keys and certificates, so that a wrong path is found before
+// any socket is opened.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -106,7 +106,7 @@
 	}
 	s.path = path
 	if s.Hosted != nil {
-		s.newLife()
+		s.setIncarnation()
 		return s, nil
 	}
 	s.resolve(filepath.Dir(path))
@@ -116,12 +116,12 @@
 	if err := c.problems.err(); err != nil {
 		return nil, err
 	}
-	s.newLife()
+	s.setIncarnation()
 	return s, nil
 }
 
-// newLife draws the incarnation of this start, unless the file names it.
-func (s *Settings) newLife() {
+// setIncarnation generates the incarnation of this start, unless the file sets one.
+func (s *Settings) setIncarnation() {
 	if s.Node.Incarnation == autoIncarnation {
 		s.Node.Incarnation = newIncarnation()
 	}
@@ -129,7 +129,7 @@
 
 func newIncarnation() string {
 	var b [8]byte
-	rand.Read(b[:]) // never fails: the runtime ends the process instead
+	rand.Read(b[:]) // never fails: the runtime aborts the process instead
 	return hex.EncodeToString(b[:])
 }
 
@@ -151,15 +151,17 @@
 	}
 }
 
-// keys are kept out of the exported fields, so that no dump shows them.
+// keys are not exported, so that no dump contains them.
 type keys struct {
 	peer, cursor, previous []byte
 }
 
-// PeerKey is the key that daemons prove to each other. Set by Load.
+// PeerKey returns the shared key with which daemons authenticate each other. Set by
+// Load.
 func (s *Settings) PeerKey() []byte { return s.keys.peer }
 
-// CursorKeys are the current and the previous cursor key (nil if none). Set by Load.
+// CursorKeys returns the current and the previous cursor key (nil if none). Set by
+// Load.
 func (s *Settings) CursorKeys() (current, previous []byte) {
 	return s.keys.cursor, s.keys.previous
 }
@@ -177,7 +179,7 @@
 		path += "_file"
 		data, err := os.ReadFile(file)
 		if err != nil {
-			c.fail(path, "a readable file", err)
+			c.addProblem(path, "a readable file", err)
 			return nil
 		}
 		key = bytes.TrimSpace(data)
@@ -188,7 +190,7 @@
 		return nil
 	}
 	if len(key) < minKeyBytes {
-		c.fail(path, fmt.Sprintf("a key of at least %d bytes", minKeyBytes), fmt.Sprintf("%d bytes", len(key)))
+		c.addProblem(path, fmt.Sprintf("a key of at least %d bytes", minKeyBytes), fmt.Sprintf("%d bytes", len(key)))
 	}
 	return key
 }
@@ -197,12 +199,13 @@
 	names := []string{"listen.caller.tls", "listen.admin.tls", "listen.peer.tls"}
 	for i, l := range s.listeners() {
 		if _, err := l.TLS.Config(); err != nil {
-			c.fail(names[i], "certificate, key and CA in PEM files", err)
+			c.addProblem(names[i], "certificate, key and CA in PEM files", err)
 		}
 	}
 }
 
-// Config reads the files and returns what a listener needs, or nil without TLS.
+// Config reads the files and returns a listener's TLS configuration, or nil without
+// TLS.
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
@@ -227,9 +230,9 @@
 	return cfg, nil
 }
 
-// DialConfig is the other side of Config, for daemons that dial each other's
-// listener: the same certificate, and a server that the same CA has signed.
-// It is nil without TLS.
+// DialConfig returns the client side of Config, for daemons that connect to each
+// other's listeners: it presents the same certificate and accepts servers signed by the
+// same CA. It returns nil without TLS.
 func (t *TLS) DialConfig() (*tls.Config, error) {
 	cfg, err := t.Config()
 	if cfg == nil || err != nil {
@@ -242,8 +245,8 @@
 
 const masked = "(masked)"
 
-// Printable is the settings in force as indented JSON, with the hashes of
-// operators' tokens and passwords in URLs masked.
+// Printable returns the settings in force as indented JSON, with token hashes of
+// operators and passwords in URLs masked.
 func (s *Settings) Printable() []byte {
 	shown := *s
 	shown.Operators = make([]Operator, len(s.Operators))
@@ -259,7 +262,7 @@
 	}
 	text, err := json.MarshalIndent(&shown, "", "  ")
 	if err != nil {
-		return []byte(err.Error()) // a NaN that Check would have refused
+		return []byte(err.Error()) // a NaN, which Check rejects
 	}
 	return append(text, '\n')
 }
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -13,18 +13,18 @@
 
 const settingsPage = "../docs/OPERATIONS.md"
 
-// unset stands in the page where a field has no default.
+// unset is shown in the page for a field without a default.
 const unset = "–"
 
 // fields maps each field's JSON path to its default as the page shows it.
 func fields(path string, v reflect.Value, out map[string]string) {
 	switch v.Kind() {
 	case reflect.Pointer:
-		fresh := reflect.New(v.Type().Elem())
-		if section, ok := fresh.Interface().(interface{ SetDefaults() }); ok {
+		target := reflect.New(v.Type().Elem())
+		if section, ok := target.Interface().(interface{ SetDefaults() }); ok {
 			section.SetDefaults()
 		}
-		fields(path, fresh.Elem(), out)
+		fields(path, target.Elem(), out)
 	case reflect.Struct:
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
@@ -43,7 +43,7 @@
 	}
 }
 
-// join adds a field to a path. The three listeners are alike and share rows.
+// join adds a field to a path. The three listeners have the same fields and share rows.
 func join(path string, f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	if f.Type == reflect.TypeFor[settings.Listener]() {
@@ -68,8 +68,8 @@
 
 var row = regexp.MustCompile("(?m)^\\| `([a-z0-9_.*\\[\\]]+)` \\| ([^|]+) \\| ([^|]+) \\| (.+) \\|$")
 
-// An operator who looks a setting up must find it, with the default that the
-// program has; a row for a field that is gone makes a file be refused at start.
+// The page must list every setting with the program's default. A row for a removed
+// field would lead operators to write a file that is rejected at start.
 func TestPageNamesEachField(t *testing.T) {
 	want := map[string]string{}
 	fields("", reflect.ValueOf(settings.Default()).Elem(), want)
@@ -88,9 +88,9 @@
 		got[path] = true
 		wantDef, ok := want[path]
 		if !ok {
-			t.Errorf("%s is in the page and is no field", path)
+			t.Errorf("%s is in the page but is not a setting", path)
 		} else if def != wantDef {
-			t.Errorf("%s: the page has the default %s, the program %s", path, def, wantDef)
+			t.Errorf("%s: the default is %s in the page, %s in the program", path, def, wantDef)
 		}
 	}
 	for path := range want {
--- a/settings/policy_test.go
+++ b/settings/policy_test.go
@@ -7,8 +7,8 @@
 	"wigeondale/settings"
 )
 
-// Symptom: a node resumes at once, or never, and no message says why. Cause: a
-// knob of the judgement of silence was set to a value that makes no sense.
+// Invalid policy values must be rejected. Otherwise a node resumes streams at once or
+// never, and no message says why.
 func TestPolicyKnobsAreChecked(t *testing.T) {
 	for path, spoil := range map[string]func(p *settings.Policy){
 		"policy.failures_per_hour":        func(p *settings.Policy) { p.FailuresPerHour = 0 },
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,12 +1,11 @@
-// Package settings reads a daemon's settings: strict JSON, checked whole before
-// any socket opens. A misspelt field that was silently dropped would show only
-// when its default bites, perhaps in the middle of an outage; so an unknown
-// field, a wrong type and an impossible value are errors that name the JSON
-// path and what was expected, and all of them are reported at once.
+// Package settings reads a daemon's settings: strict JSON, completely checked before
+// any socket is opened. A misspelt field that was silently ignored would only be
+// noticed when its default causes harm, perhaps in the middle of an outage. So an
+// unknown field, a wrong type and an invalid value are errors that name the JSON path
+// and the expected value, and all of them are reported at once.
 package settings
 
-// Settings is everything that one daemon is told. Durations carry their unit
-// in the field's name.
+// Settings holds all settings of one daemon. Names of durations end with their unit.
 type Settings struct {
 	Node      Node       `json:"node"`
 	Listen    Listen     `json:"listen"`
@@ -21,33 +20,34 @@
 	Directory Directory  `json:"directory"`
 	Shutdown  Shutdown   `json:"shutdown"`
 	Log       Log        `json:"log"`
-	// Hosted, when set, runs the daemon on the users' platform. Of the other
-	// sections only node, limits, shutdown and log then count.
+	// Hosted, if set, runs the daemon on the users' platform. Of the other sections,
+	// only node, limits, shutdown and log then apply.
 	Hosted *Hosted `json:"hosted"`
 
 	keys keys
 	path string
 }
 
-// Path of the file that the settings were loaded from.
+// Path returns the path of the file from which the settings were loaded.
 func (s *Settings) Path() string { return s.path }
 
-// Node names this process and its place.
+// Node identifies this process and its location.
 type Node struct {
 	ID            string `json:"id"`
 	VM            string `json:"vm"`
 	FailureDomain string `json:"failure_domain"`
 	Region        string `json:"region"`
-	// Incarnation is new at each start. "auto" draws one at random.
+	// Incarnation differs at each start. "auto" generates a random one.
 	Incarnation string `json:"incarnation"`
 }
 
-// Listen holds the listeners.
+// Listen configures the listeners.
 type Listen struct {
 	Caller Listener `json:"caller"`
 	Admin  Listener `json:"admin"`
 	Peer   Listener `json:"peer"`
-	// AdvertisePeer is the host:port that peers dial; empty is the peer address.
+	// AdvertisePeer is the host:port to which peers connect; if empty, the address of
+	// the peer listener.
 	AdvertisePeer string `json:"advertise_peer"`
 }
 
@@ -57,7 +57,7 @@
 	TLS     *TLS   `json:"tls"`
 }
 
-// TLS names PEM files. A relative path starts at the settings file. With
+// TLS names PEM files. Relative paths are resolved from the settings file. With
 // ClientCAFile, clients must present a certificate signed by it.
 type TLS struct {
 	CertFile     string `json:"cert_file"`
@@ -70,13 +70,13 @@
 	KVURL      string `json:"kv_url"`
 	VMsURL     string `json:"vms_url"`
 	WeightsURL string `json:"weights_url"`
-	// WeightsBytesPerSecond is the rate that the weight store grants; 0 is not
-	// known, and nothing is budgeted.
+	// WeightsBytesPerSecond is the rate that the weight store allows; 0 means unknown
+	// and disables budgeting.
 	WeightsBytesPerSecond int64 `json:"weights_bytes_per_second"`
 	CallTimeoutMS         int   `json:"call_timeout_ms"`
 }
 
-// Peers governs the links between daemons.
+// Peers configures the links between daemons.
 type Peers struct {
 	Seeds         []string `json:"seeds"` // host:port
 	KeyFile       string   `json:"key_file"`
@@ -87,8 +87,8 @@
 	HeartbeatMS   int      `json:"heartbeat_ms"`
 }
 
-// Cursor governs the ids of streamed events. The previous key is still
-// accepted, so that a key can be changed without losing running streams.
+// Cursor configures the ids of streamed events. The previous key is still accepted, so
+// that the key can be changed without losing running streams.
 type Cursor struct {
 	KeyFile         string `json:"key_file"`
 	KeyEnv          string `json:"key_env"`
@@ -97,100 +97,100 @@
 	MaxAgeS         int    `json:"max_age_s"`
 }
 
-// The roles of operators, each including the one before it.
+// Roles of operators. Each role includes the ones before it.
 const (
 	Viewer    = "viewer"
 	Editor    = "editor"
 	Confirmer = "confirmer"
 )
 
-// Operator may use the admin interface with a token whose SHA-256 is here.
+// Operator may use the admin interface with the token that has this SHA-256.
 type Operator struct {
 	Name        string `json:"name"`
 	TokenSHA256 string `json:"token_sha256"` // 64 hex digits
 	Role        string `json:"role"`
 }
 
-// Policy is the deployment's own weighing of latency against extra work.
+// Policy weighs latency against extra work for this deployment.
 type Policy struct {
 	ResumeLatencyWeight float64 `json:"resume_latency_weight"`
 	ExtraWorkWeight     float64 `json:"extra_work_weight"`
 	MinSuspectMS        int     `json:"min_suspect_ms"`
 	MaxSuspectMS        int     `json:"max_suspect_ms"`
-	// FailuresPerHour is the prior rate at which one engine fails.
+	// FailuresPerHour is the assumed failure rate of an engine before any is observed.
 	FailuresPerHour float64 `json:"failures_per_hour"`
-	// TailExponent is how fast healthy pauses longer than all that were seen
-	// are taken to become rarer: twice as long is 2^TailExponent times as rare.
+	// TailExponent sets how fast the probability of a healthy pause falls beyond the
+	// longest observed one: a pause twice as long is 2^TailExponent times as rare.
 	TailExponent float64 `json:"tail_exponent"`
 	// PrefillBytesPerSecond is the engines' prefill rate in bytes of text.
 	PrefillBytesPerSecond float64 `json:"prefill_bytes_per_second"`
-	// FixedTimeoutMS, above 0, puts a fixed timeout on each stream's silence in
-	// place of the judgement by weights: the baseline of measurements.
+	// FixedTimeoutMS, if above 0, resumes a stream after this fixed silence instead of
+	// weighing latency against extra work. Measurements use it as their baseline.
 	FixedTimeoutMS     int   `json:"fixed_timeout_ms"`
-	PatienceMS         int   `json:"patience_ms"` // wait for a backend server to resume on
+	PatienceMS         int   `json:"patience_ms"` // maximum wait for a backend server to resume on
 	RetryBudgetPercent int   `json:"retry_budget_percent"`
 	Hedge              Hedge `json:"hedge"`
 }
 
-// Hedge governs second tries of idempotent lookups that are late.
+// Hedge configures second tries of slow idempotent calls.
 type Hedge struct {
 	Enabled       bool `json:"enabled"`
 	BudgetPercent int  `json:"budget_percent"`
 }
 
-// Routing lists the filters, scorers and picker in their order. Empty means
-// the defaults of package routing, which also checks the names.
+// Routing lists the filters, scorers and picker in order. An empty list means the
+// defaults of package routing, which also validates the names.
 type Routing struct {
 	Steps []Step `json:"steps"`
 }
 
-// Step is one filter, scorer or picker. Weight counts for scorers only.
+// Step is one filter, scorer or picker. Weight only applies to scorers.
 type Step struct {
 	Name   string  `json:"name"`
 	Weight float64 `json:"weight"`
 }
 
-// Limits bounds what callers can make the daemon hold.
+// Limits limit the memory that callers can make the daemon use.
 type Limits struct {
 	HeaderBytes     int   `json:"header_bytes"`
 	BodyBytes       int64 `json:"body_bytes"`
 	MaxOpenRequests int   `json:"max_open_requests"`
 	Queue           int   `json:"queue"` // requests
-	// RequestsPerEngine is how many requests one engine is given at once by all
+	// RequestsPerEngine is the number of requests that one engine gets at once from all
 	// routers; 0 learns it from the engines' load reports.
 	RequestsPerEngine int `json:"requests_per_engine"`
-	// ReservePercent of an engine's requests is kept from new batch work, for
-	// lookups and for answers to be resumed.
+	// ReservePercent is the share of an engine's requests that new batch work may not
+	// use. It is reserved for calls and for resumed answers.
 	ReservePercent int `json:"reserve_percent"`
 }
 
-// Claims governs the at-most-once claims.
+// Claims configures the at-most-once claims.
 type Claims struct {
 	Shards  int `json:"shards"`
-	WindowS int `json:"window_s"` // how long a key protects
+	WindowS int `json:"window_s"` // how long a key protects against a second run
 }
 
-// Directory governs what the daemon knows of backend servers.
+// Directory configures how backend servers are observed.
 type Directory struct {
 	VMsPollMS  int `json:"vms_poll_ms"`
 	LoadPollMS int `json:"load_poll_ms"`
-	Subset     int `json:"subset"` // replicas per model that this node talks to
+	Subset     int `json:"subset"` // replicas per model that this node uses
 }
 
-// Shutdown governs a graceful end.
+// Shutdown configures the graceful shutdown.
 type Shutdown struct {
-	// BalancerNoticeMS is how long requests are still accepted after readiness fails.
+	// BalancerNoticeMS is how long requests are accepted after readiness fails.
 	BalancerNoticeMS int `json:"balancer_notice_ms"`
 }
 
-// Log governs the log on standard output.
+// Log configures the log on standard output.
 type Log struct {
 	Verbosity int `json:"verbosity"` // klog's -v
 	// LinesPerSecond is the rate beyond which lines are dropped and counted.
 	LinesPerSecond int `json:"lines_per_second"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the settings that apply where a file sets nothing.
 func Default() *Settings {
 	return &Settings{
 		Node:     Node{Incarnation: autoIncarnation},
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -20,10 +20,9 @@
 	return string(data)
 }
 
-// Symptom: a node runs with other settings than its operator wrote, noticed
-// only when the default bites.
-// Sequence: a field is misspelt, of a wrong type, given twice, or impossible.
-// Cause: a lenient parser. Each fault must be named by its path, all at once.
+// A misspelt field, a wrong type, a field given twice and an invalid value must each be
+// reported with its path, all at once. With a lenient parser a node runs with settings
+// that its operator did not write, which is only noticed when a default causes harm.
 func TestParseNamesEachFault(t *testing.T) {
 	text := demo(t)
 	for old, now := range map[string]string{
@@ -52,7 +51,7 @@
 	for _, p := range problems {
 		got[p.Path]++
 		if p.Want == "" || p.Got == "" {
-			t.Errorf("%s: says too little: %v", p.Path, p)
+			t.Errorf("%s: incomplete problem: %v", p.Path, p)
 		}
 	}
 	for _, path := range []string{
@@ -73,12 +72,12 @@
 func TestParseWholeText(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", "null", "7", demo(t) + "x", `{"node":`, "{} {}"} {
 		if _, err := settings.Parse([]byte(text)); err == nil {
-			t.Errorf("%.20q is taken", text)
+			t.Errorf("%.20q is accepted", text)
 		}
 	}
 }
 
-// The examples must stay true to the program, and secrets out of what is shown.
+// The examples must be valid settings, and what is printed must not contain secrets.
 func TestExamples(t *testing.T) {
 	t.Setenv("WIGEON_PEER_KEY", strings.Repeat("p", 32))
 	t.Setenv("WIGEON_CURSOR_KEY", strings.Repeat("c", 32))
@@ -93,7 +92,7 @@
 		}
 		shown := s.Printable()
 		if !json.Valid(shown) || strings.Contains(string(shown), s.Operators[0].TokenSHA256) {
-			t.Errorf("%s: what is shown holds a secret", name)
+			t.Errorf("%s: the printed settings contain a secret", name)
 		}
 	}
 	for name, wantLatencyFirst := range map[string]bool{"notas-abiertas": false, "portalon": true} {
@@ -106,12 +105,12 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 		if got := s.Policy.ResumeLatencyWeight > s.Policy.ExtraWorkWeight; got != wantLatencyFirst {
-			t.Errorf("%s: weighs latency first: %v", name, got)
+			t.Errorf("%s: latency has the higher weight: %v", name, got)
 		}
 	}
 }
 
-// A key file that is missing or short must be found at the start, with its path.
+// A key file that is missing or too short must be reported at start with its path.
 func TestLoadChecksKeys(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.json")
@@ -141,7 +140,7 @@
 			return
 		}
 		if s.Check() != nil {
-			t.Fatal("taken, but the check fails")
+			t.Fatal("accepted, but the check fails")
 		}
 	})
 }
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -1,8 +1,8 @@
-// Package signals turns the signals of a daemon into its shutdown and its reload.
+// Package signals handles the signals of a daemon: shutdown and reload.
 //
-// Failure story: a signal that nobody asked for ends a Go process at once, and with
-// it every open request. A hangup is what operators send to have settings read
-// again; without a handler it cut all streams of a router.
+// A signal without a handler ends a Go process at once, together with every open
+// request. Operators send a hangup to have the settings read again; without a handler it
+// aborted all streams of a router.
 package signals
 
 import (
@@ -14,20 +14,20 @@
 	"wigeondale/settings"
 )
 
-// pending signals that are kept while one is acted on.
-const pending = 4
+// pendingSignals is the number of signals that are queued while one is handled.
+const pendingSignals = 4
 
-// Notify returns the signals that Wait understands.
+// Notify returns a channel of the signals that Wait handles.
 func Notify() <-chan os.Signal {
-	c := make(chan os.Signal, pending)
+	c := make(chan os.Signal, pendingSignals)
 	signal.Notify(c, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return c
 }
 
-// Wait returns true once a signal asks for the end, and false once stop is closed.
-// At each hangup until then it checks the settings file again. All settings take
-// effect at a start only; the line tells an operator that the file was seen, and
-// whether the next start will accept it.
+// Wait returns true at a shutdown signal, and false when stop is closed. At each hangup
+// before that it checks the settings file again. Settings only take effect at a start;
+// the log line tells the operator that the file was read and whether the next start
+// will accept it.
 func Wait(signals <-chan os.Signal, stop <-chan struct{}, set *settings.Settings, log *event.Log) bool {
 	for {
 		select {
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -13,16 +13,15 @@
 	"wigeondale/settings"
 )
 
-const sound = `{"node": {"id": "n", "vm": "n", "failure_domain": "d", "region": "r"},
+const validSettings = `{"node": {"id": "n", "vm": "n", "failure_domain": "d", "region": "r"},
  "hosted": {"front_address": "127.0.0.1:0", "readiness_address": "127.0.0.1:0", "metrics_address": "127.0.0.1:0",
   "peer_address": "127.0.0.1:1", "store_address": "127.0.0.1:1"}}`
 
-// patience bounds every wait; no verdict depends on it.
-const patience = 10 * time.Second
+// maxWait limits every wait; no result depends on it.
+const maxWait = 10 * time.Second
 
-// Symptom: settings that were broken by hand stop a router at its next start, long
-// after the edit. Sequence: the file is broken, a hangup comes, then the signal to
-// end. Each hangup says whether the file is valid, and ends nothing.
+// A settings file that was broken by an edit must be reported at the next hangup, not
+// only when it prevents the next start. A hangup must not end the process.
 func TestHangupChecksSettings(t *testing.T) {
 	var log bytes.Buffer
 	event.LogTo(&log, 0)
@@ -32,30 +31,30 @@
 			t.Fatal(err)
 		}
 	}
-	write(sound)
+	write(validSettings)
 	set, err := settings.Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told, got := make(chan os.Signal), make(chan bool)
-	go func() { got <- Wait(told, nil, set, event.New("n")) }()
+	sent, got := make(chan os.Signal), make(chan bool)
+	go func() { got <- Wait(sent, nil, set, event.New("n")) }()
 	send := func(s os.Signal) {
 		t.Helper()
 		select {
-		case told <- s:
+		case sent <- s:
 		case <-got:
-			t.Fatalf("ended before %v", s)
-		case <-time.After(patience):
-			t.Fatalf("%v is not taken up", s)
+			t.Fatalf("Wait returned before %v", s)
+		case <-time.After(maxWait):
+			t.Fatalf("%v is not received", s)
 		}
 	}
 	send(syscall.SIGHUP)
-	send(syscall.SIGHUP) // taken up once the first has been acted on
+	send(syscall.SIGHUP) // accepted only after the first has been handled
 	write(`{"node"`)
 	send(syscall.SIGHUP)
 	send(syscall.SIGTERM)
 	if !<-got {
-		t.Error("the signal to end is not told")
+		t.Error("the shutdown signal is not reported")
 	}
 	if n := strings.Count(log.String(), "valid=true"); n < 1 {
 		t.Errorf("%d lines say that the file is valid:\n%s", n, log.String())
@@ -69,6 +68,6 @@
 	stop := make(chan struct{})
 	close(stop)
 	if Wait(make(chan os.Signal), stop, nil, nil) {
-		t.Error("the end of the group is told as a signal")
+		t.Error("the end of the group is reported as a signal")
 	}
 }
