--- a/check/check.go
+++ b/check/check.go
@@ -99,8 +99,8 @@
 		s.report.Malformed++
 	}
 	if rest != "" {
-		for piece := range strings.SplitSeq(rest, " ") {
-			s.token(piece)
+		for word := range strings.SplitSeq(rest, " ") {
+			s.token(word)
 		}
 	}
 	r := s.report
@@ -116,8 +116,8 @@
 	unverifiable bool // the chain can no longer be verified
 }
 
-func (s *answerScanner) token(piece string) {
-	index, rnd, sum, ok := parse(piece)
+func (s *answerScanner) token(word string) {
+	index, rnd, sum, ok := parse(word)
 	if !ok {
 		s.report.Malformed++
 		s.unverifiable = true
@@ -125,7 +125,7 @@
 	}
 	s.report.Tokens++
 	if index < s.next {
-		s.addRepeated(index, piece)
+		s.addRepeated(index, word)
 		return
 	}
 	if index > s.next {
@@ -133,18 +133,18 @@
 		s.unverifiable = true
 	}
 	s.next = index + 1
-	s.seen[index] = piece
-	s.verify(piece, rnd, sum)
+	s.seen[index] = word
+	s.verify(word, rnd, sum)
 }
 
-func (s *answerScanner) addRepeated(index int, piece string) {
+func (s *answerScanner) addRepeated(index int, word string) {
 	s.report.Repeated++
-	if first, ok := s.seen[index]; ok && first != piece {
+	if first, ok := s.seen[index]; ok && first != word {
 		s.report.Spliced++
 	}
 }
 
-func (s *answerScanner) verify(piece, rnd string, sum uint64) {
+func (s *answerScanner) verify(word, rnd string, sum uint64) {
 	if s.unverifiable {
 		return
 	}
@@ -154,11 +154,11 @@
 		return
 	}
 	s.chain.digest.WriteString(" ")
-	s.chain.digest.WriteString(piece)
+	s.chain.digest.WriteString(word)
 }
 
-func parse(piece string) (index int, rnd string, sum uint64, ok bool) {
-	parts := strings.Split(piece, ".")
+func parse(word string) (index int, rnd string, sum uint64, ok bool) {
+	parts := strings.Split(word, ".")
 	if len(parts) != 3 || len(parts[1]) != randDigits || len(parts[2]) != chainDigits {
 		return 0, "", 0, false
 	}
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -38,7 +38,7 @@
 // Pick chooses an engine. At the moment of dispatch it checks again that the engine is
 // not leaving and not reserved for another request's probe.
 func (p *picker) Pick(_ context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
-	ask := routing.Ask{
+	req := routing.Ask{
 		Ref:           a.Ref,
 		Priority:      a.Priority,
 		Blocks:        fleet.PrefixBlocks(a.Prompt, prefixBlocks),
@@ -50,24 +50,24 @@
 		FleetKnown:    p.dir.FleetKnown(),
 		Usable:        p.mon.Usable,
 	}
-	return p.pick(p.dir.Snapshot(a.Ref), ask)
+	return p.pick(p.dir.Snapshot(a.Ref), req)
 }
 
 // service chooses a replica of a service that is not a model engine.
 func (p *picker) service(name string, exclude map[string]bool) (fleet.Backend, generation.Share, error) {
-	ask := routing.Ask{
+	req := routing.Ask{
 		Priority:      fleet.Interactive,
 		Exclude:       exclude,
 		FailureDomain: p.domain,
 		FleetKnown:    true,
 		Usable:        p.mon.Usable,
 	}
-	return p.pick(p.dir.Service(name), ask)
+	return p.pick(p.dir.Service(name), req)
 }
 
-func (p *picker) pick(candidates []routing.Candidate, ask routing.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) pick(candidates []routing.Candidate, req routing.Ask) (fleet.Backend, generation.Share, error) {
 	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaRetryAfter}
-	return c.Pick(p.router, candidates, ask, directory.Load{Requests: 1})
+	return c.Pick(p.router, candidates, req, directory.Load{Requests: 1})
 }
 
 // Standby implements generation.Picker: engines with this protocol keep no copies of
--- a/event/page_test.go
+++ b/event/page_test.go
@@ -27,8 +27,8 @@
 it is the value of ` + "`event`" + ` in the line that klog writes. ` + "`node`" + ` names the process.
 Warnings are written at klog's info level with ` + "`warning:`" + ` before the name.
 
-This page is made from the table in ` + "`event/catalogue.go`" + `, and a test holds the two
-together. After a change of the table run
+This page is made from the table in ` + "`event/catalogue.go`" + `, and a test checks that the two
+agree. After a change of the table run
 
     go test ./event -run TestPage -update
 
--- a/settings/policy_test.go
+++ b/settings/policy_test.go
@@ -10,7 +10,7 @@
 // Invalid policy values must be rejected. Otherwise a node resumes streams at once or
 // never, and no message says why.
 func TestPolicyKnobsAreChecked(t *testing.T) {
-	for path, spoil := range map[string]func(p *settings.Policy){
+	for path, setInvalid := range map[string]func(p *settings.Policy){
 		"policy.failures_per_hour":        func(p *settings.Policy) { p.FailuresPerHour = 0 },
 		"policy.tail_exponent":            func(p *settings.Policy) { p.TailExponent = -1 },
 		"policy.prefill_bytes_per_second": func(p *settings.Policy) { p.PrefillBytesPerSecond = 0 },
@@ -20,7 +20,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		spoil(&s.Policy)
+		setInvalid(&s.Policy)
 		var problems settings.Problems
 		if !errors.As(s.Check(), &problems) || len(problems) != 1 || problems[0].Path != path {
 			t.Errorf("%s: got %v", path, problems)
