--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -120,7 +120,7 @@
 // that were derived from the old base revision are derived again.
 func (a *API) writeConflict(w http.ResponseWriter, r *http.Request, op Operator, old intent.Plan, c *intent.ConflictError) {
 	p := Problem{Code: CodeConflict, Message: c.Error(), Conflicts: c.Conflicts}
-	offer, err := a.createPlan(r, op, intent.Intents{Changes: old.Asked(), Force: old.Force})
+	offer, err := a.createPlan(r, op, intent.Intents{Changes: old.Requested(), Force: old.Force})
 	if err == nil {
 		p.NewPlan = &offer
 	}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -94,7 +94,7 @@
 func newTestNodes(t *testing.T) *testNodes {
 	b := &testNodes{t: t, log: &memLog{}}
 	for i := range 2 {
-		k := intent.NewKeeper(intent.Config{Log: b.log, Spread: noRevisionPeers{}})
+		k := intent.NewKeeper(intent.Config{Log: b.log, PeerClient: noRevisionPeers{}})
 		k.Sync(t.Context())
 		var ops []adminapi.Operator
 		for name, role := range map[string]adminapi.Role{"eve": adminapi.Editor, "carl": adminapi.Confirmer} {
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -34,13 +34,13 @@
 	var reachable []float64
 	var unreachable []float64
 	for _, p := range received.update([]peer.Member{member("b", false), member("c", false)}) {
-		if !p.Lost {
+		if !p.Unreachable {
 			t.Errorf("%s counts as reachable", p.Node)
 		}
 		unreachable = append(unreachable, p.Demand["acme"])
 	}
 	for range 3 {
-		sum += admission.Share(100, 100, reachable, unreachable)
+		sum += admission.LimitShare(100, 100, reachable, unreachable)
 	}
 	if sum > 100*admission.MaxOvershoot {
 		t.Errorf("three routers admit %.0f of a limit of 100", sum)
@@ -74,7 +74,7 @@
 		t.Errorf("%d slots while another router uses all of them, want half", got)
 	}
 	for range 100 {
-		mon.Result("e2", backend.ErrDial)
+		mon.Result("e2", backend.ErrNotSent)
 	}
 	if got := newCounter().all("m"); got != slots/2 {
 		t.Errorf("%d slots with one engine down, want half of the other's", got)
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -60,10 +60,10 @@
 			continue
 		}
 		b := backendOf(r.Item)
-		if startedAt, ok := v.shownLeaving[b.ID]; ok && startedAt == r.Born {
-			shown[b.ID] = r.Born
+		if startedAt, ok := v.shownLeaving[b.ID]; ok && startedAt == r.FirstSeen {
+			shown[b.ID] = r.FirstSeen
 		} else if showLeaving(r, now) {
-			b.Leaving, shown[b.ID] = true, r.Born
+			b.Leaving, shown[b.ID] = true, r.FirstSeen
 		}
 		backends = append(backends, b)
 	}
@@ -72,7 +72,7 @@
 	if len(backends)+len(entries) == 0 {
 		return nil, nil // the inventory is still empty
 	}
-	v.mesh.AddSeeds(seeds)
+	v.mesh.SetDiscoveredSeeds(seeds)
 	v.drain.setListed(entries)
 	v.forget(backends)
 	return backends, nil
@@ -87,7 +87,7 @@
 // for unconfirmedLive, it is taken as correct: an engine may have been started again on
 // that VM.
 func showLeaving(r inventory.Record, now time.Time) bool {
-	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.Left < unconfirmedLive.Milliseconds()
+	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.LeavingAt < unconfirmedLive.Milliseconds()
 }
 
 func backendOf(i inventory.Item) fleet.Backend {
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -83,7 +83,7 @@
 		})
 	})
 	p.timeout = 5 * time.Second
-	if node, _, ok := p.Live(t.Context(), "acme", keyStoredRemotely(all[0])); !ok || node != "n2" {
+	if node, _, ok := p.Locate(t.Context(), "acme", keyStoredRemotely(all[0])); !ok || node != "n2" {
 		t.Fatalf("found %q, %v", node, ok)
 	}
 }
@@ -110,7 +110,7 @@
 	p.timeout = 200 * time.Millisecond // long enough for the call to reach n1
 	key := keyStoredRemotely(all[0])
 	for range maxPointerMisses + 2 {
-		if _, _, ok := p.Live(t.Context(), "acme", key); ok {
+		if _, _, ok := p.Locate(t.Context(), "acme", key); ok {
 			t.Fatal("found a key that runs nowhere")
 		}
 	}
@@ -118,7 +118,7 @@
 		t.Errorf("a router that does not answer was queried %d times", queries.Load())
 	}
 	p2.Announce("acme", key, [16]byte{7})
-	if node, body, ok := p.Live(t.Context(), "acme", key); !ok || node != "n2" || body != [16]byte{7} {
+	if node, body, ok := p.Locate(t.Context(), "acme", key); !ok || node != "n2" || body != [16]byte{7} {
 		t.Errorf("a key that runs at n2 is not found there: %q, %v", node, ok)
 	}
 	now := time.Now()
@@ -151,7 +151,7 @@
 			})
 			key := keyStoredRemotely(all[0])
 			for b.Loop() {
-				p.Live(b.Context(), "acme", key)
+				p.Locate(b.Context(), "acme", key)
 			}
 		})
 	}
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -24,24 +24,24 @@
 
 func (n *node) buildGuard(set *settings.Settings) {
 	n.guard = quarantine.NewGuard(quarantine.Config{
-		Prober:     backend.Looker{},
-		Lifetime:   func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
-		Leaving:    n.dir.Leaving,
-		Neighbours: placement.Neighbours(n.dir, n.mon),
-		CutOff: func() bool {
+		Prober:      backend.Prober{},
+		Incarnation: func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
+		Leaving:     n.dir.Leaving,
+		Neighbours:  placement.Neighbours(n.dir, n.mon),
+		Isolated: func() bool {
 			_, linked := n.mesh.RandomNeighbour()
 			return !linked && len(n.mesh.Members()) > 1
 		},
 		// A node that misses an update receives the next crash, or fetches the holds
 		// later.
-		Tell: func(m quarantine.News) { _ = n.mesh.Flood(quarantine.FloodNews, m) },
-		Log:  n.log,
-		Set:  n.set,
+		Broadcast: func(m quarantine.Update) { _ = n.mesh.Flood(quarantine.FloodUpdate, m) },
+		Log:       n.log,
+		Set:       n.set,
 	})
 	n.guard.SetKey(set.PeerKey())
-	peer.Handle(n.mesh, quarantine.FloodNews, n.guard.Hear)
-	peer.HandleCall(n.mesh, callHolds, func(context.Context, string, struct{}) (quarantine.News, error) {
-		return quarantine.News{Held: n.guard.Held()}, nil
+	peer.HandleFlood(n.mesh, quarantine.FloodUpdate, n.guard.HandleUpdate)
+	peer.HandleCall(n.mesh, callHolds, func(context.Context, string, struct{}) (quarantine.Update, error) {
+		return quarantine.Update{Holds: n.guard.Holds()}, nil
 	})
 }
 
@@ -64,10 +64,10 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, holdsRetryInterval)
 	defer stop()
-	update, err := peer.Call[struct{}, quarantine.News](ctx, n.mesh, other, callHolds, struct{}{})
+	update, err := peer.Call[struct{}, quarantine.Update](ctx, n.mesh, other, callHolds, struct{}{})
 	if err != nil {
 		return false // another node is tried soon
 	}
-	n.guard.Hear(other, update)
+	n.guard.HandleUpdate(other, update)
 	return true
 }
--- a/daemon/reports.go
+++ b/daemon/reports.go
@@ -14,16 +14,16 @@
 
 // peerReport is a report about one incarnation of a backend server.
 type peerReport struct {
-	Backend     string            `cbor:"1,keyasint"`
-	Incarnation string            `cbor:"2,keyasint"`
-	Kind        health.RumourKind `cbor:"3,keyasint"`
+	Backend     string                `cbor:"1,keyasint"`
+	Incarnation string                `cbor:"2,keyasint"`
+	Kind        health.PeerReportKind `cbor:"3,keyasint"`
 }
 
 // peerReports exchanges reports about backend servers with other routers.
 type peerReports struct{ mesh *peer.Mesh }
 
 func (r peerReports) connect(mon *health.Monitor, dir *directory.Directory, inv *inventory.Inventory) {
-	mon.OnChange = func(id, incarnation string, kind health.RumourKind) {
+	mon.OnChange = func(id, incarnation string, kind health.PeerReportKind) {
 		// A router that misses the report detects the change itself.
 		_ = r.mesh.Flood(floodHealth, peerReport{id, incarnation, kind})
 	}
@@ -32,9 +32,9 @@
 			_ = r.mesh.Flood(floodLeaving, peerReport{Backend: id, Incarnation: incarnation})
 		}
 	}
-	peer.Handle(r.mesh, floodHealth, func(_ string, v peerReport) { mon.Rumour(v.Backend, v.Incarnation, v.Kind) })
-	peer.Handle(r.mesh, floodLeaving, func(_ string, v peerReport) {
-		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromRumour)
+	peer.HandleFlood(r.mesh, floodHealth, func(_ string, v peerReport) { mon.HandlePeerReport(v.Backend, v.Incarnation, v.Kind) })
+	peer.HandleFlood(r.mesh, floodLeaving, func(_ string, v peerReport) {
+		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromPeerReport)
 	})
 }
 
@@ -45,10 +45,10 @@
 // flood it once more.
 func shouldFlood(source directory.Source, duty inventory.Duty) bool {
 	switch source {
-	case directory.FromRumour, directory.FromIntent:
+	case directory.FromPeerReport, directory.FromIntent:
 		return false
 	case directory.FromVMList:
-		return duty != inventory.Rests
+		return duty != inventory.NotReader
 	}
 	return true
 }
--- a/daemon/revisions.go
+++ b/daemon/revisions.go
@@ -23,13 +23,13 @@
 	peers := revisionPeers{mesh: n.mesh, self: n.id}
 	log := kvlog.New(n.kv, configPrefix, kvlog.Options{Events: n.log, Metrics: n.set})
 	n.keeper = intent.NewKeeper(intent.Config{
-		Node:    n.id,
-		Log:     intent.NewLog(log),
-		Spread:  peers,
-		Watcher: func() bool { return peers.watches(set.Node.FailureDomain) },
-		Random:  rand.Float64,
-		Events:  n.log,
-		Metrics: n.set,
+		Node:       n.id,
+		Log:        intent.NewLog(log),
+		PeerClient: peers,
+		IsWatcher:  func() bool { return peers.watches(set.Node.FailureDomain) },
+		Random:     rand.Float64,
+		Events:     n.log,
+		Metrics:    n.set,
 	})
 	peers.register(n.keeper)
 	return nil
@@ -70,9 +70,9 @@
 
 // register passes the revisions and requests of other routers to the keeper.
 func (s revisionPeers) register(k *intent.Keeper) {
-	peer.Handle(s.mesh, floodRevision, k.Offer)
+	peer.HandleFlood(s.mesh, floodRevision, k.HandleRevision)
 	peer.HandleCall(s.mesh, callRevisions, func(_ context.Context, _ string, req fetchRevisions) (intent.Batch, error) {
-		return k.Serve(req.From)
+		return k.BatchFrom(req.From)
 	})
 }
 
@@ -87,5 +87,5 @@
 		}
 	}
 	chosen := peer.Rendezvous("watch/"+domain, local, watchersPerDomain)
-	return len(chosen) == 0 || peer.SelfAmong(chosen)
+	return len(chosen) == 0 || peer.ContainsSelf(chosen)
 }
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -81,7 +81,7 @@
 			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	}
 	// The process may have been stopped while the claim was in progress.
-	if once.InTime(ctx) != nil || expired(call.Deadline) {
+	if once.CheckDeadline(ctx) != nil || expired(call.Deadline) {
 		s.voidClaim(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
 			Message: "the deadline passed before the call was sent", Outcome: fleet.NotRun, RetryAfter: replicaRetryAfter}
@@ -96,7 +96,7 @@
 func (s *services) voidClaim(call callerapi.ServiceCall, attempt string) {
 	// If voiding fails the key stays used: the call never runs twice, but can't be
 	// repeated under its key.
-	_ = s.claims.VoidLater(call.Account, call.Key, attempt)
+	_ = s.claims.VoidAsync(call.Account, call.Key, attempt)
 }
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
@@ -109,7 +109,7 @@
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
-	submission := s.guard.Follow(quarantine.Subject{
+	submission := s.guard.Track(quarantine.Subject{
 		Account: call.Account, Method: call.Method, Host: call.Service, Target: call.Path + "?" + call.Query, Body: call.Body,
 	})
 	for n := 1; ; n++ {
@@ -129,11 +129,11 @@
 
 // try sends the call, and hedges it with a second try if the first is slow and the call
 // may be repeated.
-func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Case) (*http.Response, error) {
+func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Submission) (*http.Response, error) {
 	resp, release, err := hedge.Do(ctx, s.hedge, hedge.Call[*http.Response]{
 		Pool:       call.Service,
 		Idempotent: call.Idempotent,
-		Other: func() bool {
+		HasOther: func() bool {
 			return !submission.Suspected() && len(s.pick.dir.Service(call.Service)) > tried.len()
 		},
 		Try: func(tryCtx context.Context, second bool) (*http.Response, error) {
@@ -141,7 +141,7 @@
 			tried.recordError(err)
 			return resp, err
 		},
-		Drop: func(resp *http.Response) { resp.Body.Close() },
+		Discard: func(resp *http.Response) { resp.Body.Close() },
 	})
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 }
 
 func (s *services) tryOne(
-	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Case, second bool,
+	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, submission *quarantine.Submission, second bool,
 ) (*http.Response, error) {
 	b, share, err := s.pick.service(call.Service, tried.all())
 	if err != nil {
@@ -164,8 +164,8 @@
 	s.reportResult(ctx, b.ID, err, second)
 	if err == nil {
 		submission.Answered()
-	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrDial) {
-		submission.Await(ctx, submission.Lost(quarantine.Loss{Backend: b, Ran: time.Since(sentAt), Cause: err.Error()}))
+	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrNotSent) {
+		submission.AwaitExamination(ctx, submission.Lost(quarantine.Loss{Backend: b, Ran: time.Since(sentAt), Cause: err.Error()}))
 	}
 	return resp, err
 }
@@ -183,7 +183,7 @@
 func (s *services) reportResult(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
-	case err != nil && errors.Is(cause, hedge.ErrLost):
+	case err != nil && errors.Is(cause, hedge.ErrOtherAnswered):
 		if !second {
 			s.mon.Late(id)
 		}
@@ -221,7 +221,7 @@
 	f := &callerapi.Failure{Status: http.StatusBadGateway, Code: codeLost,
 		Message: "the connection to the backend server broke", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	switch {
-	case errors.Is(err, backend.ErrDial):
+	case errors.Is(err, backend.ErrNotSent):
 		f.Status, f.Code = http.StatusServiceUnavailable, codeNoReplica
 		f.Message, f.Outcome, f.RetryAfter = "no backend server could be reached", fleet.NotRun, replicaRetryAfter
 	case expired(call.Deadline):
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -81,7 +81,7 @@
 		known := r.dir.Snapshot(ref)
 		engines += len(known)
 		up := r.usable(known)
-		slots += directory.Places(up, per)
+		slots += directory.Slots(up, per)
 		if per > 0 {
 			f.all += directory.Capacity(up, per, now)
 			f.batch += directory.Capacity(up, per*share, now)
