--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,13 +1,17 @@
-// Package backend speaks to backend servers: the streaming protocol of model
-// engines (docs/BACKEND.md), orders to them, and calls of plain services.
+// Package backend is the client of backend servers: the streaming protocol of
+// model engines (docs/BACKEND.md), orders to engines, and calls of services
+// that are not model engines.
 //
-// It guards against three failures. A request that is sent twice: net/http
-// repeats a request by itself on a broken reused connection when it deems the
-// request replayable, so every request here is made unreplayable unless the
-// caller allowed it. A refusal that is untrue: an error says "no byte left"
-// only when the connection was sealed before the first byte of the request.
-// An answer to somebody else's request: every chunk and every service answer
-// is checked against the request that it claims to answer.
+// It prevents three failures:
+//   - A request is sent twice. net/http resends a request on its own when a
+//     reused connection breaks and it considers the request replayable, so
+//     every request here is made unreplayable unless the caller marked it as
+//     idempotent.
+//   - A request that ran is reported as not sent. An error states that no byte
+//     was sent only if the connection was sealed against writes before the
+//     first byte of the request.
+//   - An answer is delivered to the wrong request. Every chunk and every
+//     service answer is checked against the request that it names.
 package backend
 
 import (
@@ -26,23 +30,24 @@
 var (
 	// ErrDial means that no byte of the request has left this process.
 	ErrDial = errors.New("no byte was sent")
-	// ErrBroken means that the exchange ended early and that bytes may have left.
+	// ErrBroken means that the exchange ended early, after bytes of the request
+	// may have been sent.
 	ErrBroken = errors.New("connection broken")
 	// ErrMismatch means that an answer names another request, attempt, model,
 	// version or adapter, or that a chunk is not well formed.
-	ErrMismatch = errors.New("answer is not that of the request")
-	// ErrUnknownStream means that the engine knows no such attempt.
+	ErrMismatch = errors.New("answer does not match the request")
+	// ErrUnknownStream means that the engine has no stream of this attempt.
 	ErrUnknownStream = errors.New("unknown stream")
 	// ErrStaleFence means that the engine has seen a higher fencing number.
 	ErrStaleFence = errors.New("stale fencing number")
 )
 
-// Refused is an engine's own statement that it did not start the request.
+// Refused is an engine's answer that it did not start the request.
 type Refused struct {
 	Status     int
 	Code       string // such as overloaded, leaving, model_not_loaded, bad_request
 	Message    string
-	RetryAfter time.Duration // 0 when the engine gave none
+	RetryAfter time.Duration // 0: the engine gave none
 }
 
 func (e *Refused) Error() string {
@@ -55,29 +60,31 @@
 	Attempt      int
 	Ref          fleet.ModelRef
 	Prompt       string
-	MaxTokens    int // of the whole answer
+	MaxTokens    int // of the complete answer, resumed tokens included
 	Priority     fleet.Priority
-	Resume       bool   // goes on with a started answer: ahead of all new work
-	ResumeText   string // text of the tokens before ResumeTokens
-	ResumeTokens int    // index of the first token to generate
-	Linger       time.Duration
+	Resume       bool          // continues a started answer: queued ahead of all new requests
+	ResumeText   string        // text of the tokens before ResumeTokens
+	ResumeTokens int           // index of the first token to generate
+	Linger       time.Duration // how long the engine keeps the attempt without a reader
 
-	// Opaque, when set, is the whole request: of the fields above only
-	// ResumeTokens counts, as the number of the first piece that is wanted.
+	// Opaque, when set, is the complete request. Of the fields above only
+	// ResumeTokens is then used, as the number of the first chunk to send.
 	Opaque *Opaque
 	Copies Copies
 	First  bool // no attempt of the request was sent before
-	Last   bool // no other attempt may follow
+	Last   bool // no other attempt of the request may follow
 }
 
-// Token is one token of an answer. Text is valid until the next call of Next.
+// Token is one token of an answer. Text is valid until the next call of
+// Stream.Next.
 type Token struct {
 	Index  int
 	Text   []byte
 	Finish string // empty until the last token
 }
 
-// OrderRequest states what an engine shall serve, absolutely.
+// OrderRequest sets the complete desired state of an engine, not a change to
+// it.
 type OrderRequest struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
@@ -86,7 +93,7 @@
 	Leaving bool             `json:"leaving"`
 }
 
-// OrderStatus is what an engine says of its orders.
+// OrderStatus is an engine's report of its desired and actual state.
 type OrderStatus struct {
 	Fence   uint64           `json:"fence"`
 	Desired []fleet.ModelRef `json:"desired"`
@@ -94,7 +101,7 @@
 	Loading []fleet.ModelRef `json:"loading"`
 }
 
-// CacheEvent tells of one prompt-prefix block of an engine.
+// CacheEvent reports that an engine stored or removed one prompt-prefix block.
 type CacheEvent struct {
 	Seq   uint64 `json:"seq"`
 	Type  string `json:"type"`  // stored or removed
--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -20,74 +20,80 @@
 	cancelBackoffMin  = 100 * time.Millisecond
 	cancelBackoffMax  = 15 * time.Second
 	cancelMaxAge      = time.Hour
-	// incarnationLag is the age from which the incarnation heard of counts
-	// although it is the one that was known when the attempt was abandoned.
+	// incarnationLag is how long the known incarnation of an engine may lag
+	// behind its actual one. An incarnation that differs from the attempt's but
+	// was already known when the attempt was abandoned counts as a restart only
+	// after this time.
 	incarnationLag = 10 * time.Second
 )
 
-// Abandoned is an attempt that nobody reads any more.
+// Abandoned is an attempt whose stream is no longer read by any router.
 type Abandoned struct {
 	Backend     fleet.Backend
 	Incarnation string // of the engine when the attempt was opened; may be empty
 	Request     string
 	Attempt     int
-	Accepted    int // tokens of this attempt that reached the caller
+	Accepted    int // tokens of this attempt that were delivered to the caller
 }
 
-// CancelAPI is what the Canceller needs of Client.
+// CancelAPI is the part of Client that a Canceller uses.
 type CancelAPI interface {
 	Cancel(ctx context.Context, b fleet.Backend, request string, attempt int) (CancelResult, error)
 }
 
-// CancellerOptions holds what a Canceller may be given.
+// CancellerOptions configures a Canceller. Every field is optional.
 type CancellerOptions struct {
-	// Incarnation returns the engine's incarnation as last heard of, or "".
+	// Incarnation returns the last reported incarnation of the engine, or "" if
+	// there is none.
 	Incarnation func(backendID string) string
 	Rand        func() float64 // in [0, 1); math/rand/v2 by default
-	Max         int            // attempts held at once; the default is 65536
+	Max         int            // attempts queued at once; the default is 65536
 	Log         *event.Log
 	Metrics     *metrics.Set
 }
 
-// Canceller repeats the cancel of abandoned attempts until the engine
-// acknowledges it, knows no such attempt, or is seen to be a new incarnation.
+// Canceller repeats the cancel of each abandoned attempt until the engine
+// acknowledges it, reports that it has no such attempt, or has restarted.
 //
-// What goes wrong without it: an engine freezes, its streams are resumed
-// elsewhere, a single cancel is lost, the engine thaws and goes on generating
-// for nobody. One would notice it as extra resource use only. Cancels of one
-// engine are sent one after the other, so that a frozen engine costs one
-// pending request and doesn't delay the cancels of others.
+// A single cancel is not enough: if an engine freezes, its streams are resumed
+// on other engines, and the cancel is lost, the engine continues after the
+// freeze and generates tokens that no client reads. This would only be visible
+// as extra resource use. Cancels to one engine are sent one after the other, so
+// a frozen engine has at most one pending request and doesn't delay the cancels
+// to other engines.
 type Canceller struct {
 	api  CancelAPI
 	opts CancellerOptions
 
-	mu     sync.Mutex
-	ctx    context.Context // set by Run
-	queues map[string][]queued
-	held   int
-	wg     sync.WaitGroup
+	mu      sync.Mutex
+	ctx     context.Context // set by Run
+	queues  map[string][]queuedCancel
+	pending int
+	wg      sync.WaitGroup
 
 	wasted, dropped, done, tries *metrics.Counter
 }
 
-type queued struct {
+type queuedCancel struct {
 	Abandoned
-	since time.Time
-	known string // incarnation last heard of at that moment
+	queuedAt         time.Time
+	knownIncarnation string // last reported incarnation of the engine at queuedAt
 }
 
-// restarted reports whether the engine is seen to be a new incarnation, in
-// which the attempt is no more. What is heard of an engine lags: it may name
-// the incarnation before the attempt's own, whose stream is alive. So it must
-// have changed since, or had time to catch up.
-func (q *queued) restarted(now string) bool {
+// restarted reports whether the engine has restarted since the attempt was
+// opened, so that the attempt no longer exists. now is the engine's last
+// reported incarnation. It lags behind and may still name the incarnation
+// before the attempt's own, whose stream is running. A different incarnation
+// therefore counts only if it changed after the attempt was queued, or if
+// incarnationLag has passed.
+func (q *queuedCancel) restarted(now string) bool {
 	if q.Incarnation == "" || now == "" || now == q.Incarnation {
 		return false
 	}
-	return now != q.known || time.Since(q.since) > incarnationLag
+	return now != q.knownIncarnation || time.Since(q.queuedAt) > incarnationLag
 }
 
-// NewCanceller returns a Canceller; Run has to be called for it to work.
+// NewCanceller returns a Canceller. It sends no cancels until Run is called.
 func NewCanceller(api CancelAPI, o CancellerOptions) *Canceller {
 	if o.Max <= 0 {
 		o.Max = defaultMaxCancels
@@ -101,7 +107,7 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewSet()
 	}
-	c := &Canceller{api: api, opts: o, queues: map[string][]queued{}}
+	c := &Canceller{api: api, opts: o, queues: map[string][]queuedCancel{}}
 	c.wasted = o.Metrics.GetOrCreateCounter("wigeon_tokens_for_nobody_total")
 	c.dropped = o.Metrics.GetOrCreateCounter("wigeon_cancels_dropped_total")
 	c.done = o.Metrics.GetOrCreateCounter("wigeon_cancels_done_total")
@@ -110,38 +116,38 @@
 	return c
 }
 
-// Add queues an attempt. It never blocks; a full queue drops it, counts it and
-// leaves the engine's own linger time to end the attempt.
+// Add queues the cancel of an attempt. It never blocks. If the queue is full the
+// attempt is dropped and counted; the engine then ends it after its linger time.
 func (c *Canceller) Add(a Abandoned) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.held >= c.opts.Max {
+	if c.pending >= c.opts.Max {
 		c.dropped.Inc()
 		c.opts.Log.Emit(event.CancelDropped, "backend", a.Backend.ID, "reason", "queue full")
 		return
 	}
-	c.held++
+	c.pending++
 	id := a.Backend.ID
 	queue, working := c.queues[id]
-	c.queues[id] = append(queue, queued{Abandoned: a, since: time.Now(), known: c.opts.Incarnation(a.Backend.ID)})
+	c.queues[id] = append(queue, queuedCancel{Abandoned: a, queuedAt: time.Now(), knownIncarnation: c.opts.Incarnation(a.Backend.ID)})
 	if !working && c.ctx != nil {
-		c.start(id)
+		c.startWorker(id)
 	}
 }
 
-// Pending returns how many attempts wait for their cancel.
+// Pending returns the number of attempts whose cancel is not finished.
 func (c *Canceller) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.held
+	return c.pending
 }
 
-// Run works until ctx ends, then waits for its goroutines.
+// Run sends cancels until ctx ends, then waits for its goroutines.
 func (c *Canceller) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.ctx = ctx
 	for id := range c.queues {
-		c.start(id)
+		c.startWorker(id)
 	}
 	c.mu.Unlock()
 	<-ctx.Done()
@@ -152,20 +158,21 @@
 	return nil
 }
 
-// start is called with mu held and ctx set.
-func (c *Canceller) start(id string) {
+// startWorker starts the goroutine that cancels the attempts of one engine. The
+// caller holds mu and has set c.ctx.
+func (c *Canceller) startWorker(id string) {
 	ctx := c.ctx
-	c.wg.Go(func() { c.work(ctx, id) })
+	c.wg.Go(func() { c.cancelLoop(ctx, id) })
 }
 
-func (c *Canceller) work(ctx context.Context, id string) {
+func (c *Canceller) cancelLoop(ctx context.Context, id string) {
 	backoff := cancelBackoffMin
 	for {
-		q, ok := c.first(id)
+		q, ok := c.peek(id)
 		if !ok {
 			return
 		}
-		if c.settled(ctx, q) {
+		if c.tryCancel(ctx, q) {
 			c.pop(id)
 			backoff = cancelBackoffMin
 			continue
@@ -177,15 +184,15 @@
 	}
 }
 
-// first returns the attempt to try next; an empty queue is removed under the
-// same lock, so that Add knows whether a goroutine serves it.
-func (c *Canceller) first(id string) (queued, bool) {
+// peek returns the attempt to cancel next. An empty queue is removed under the
+// same lock, so that Add can tell whether a worker serves the queue.
+func (c *Canceller) peek(id string) (queuedCancel, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.queues[id]
 	if len(queue) == 0 {
 		delete(c.queues, id)
-		return queued{}, false
+		return queuedCancel{}, false
 	}
 	return queue[0], true
 }
@@ -194,7 +201,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queues[id] = c.queues[id][1:]
-	c.held--
+	c.pending--
 }
 
 func (c *Canceller) sleep(ctx context.Context, d time.Duration) bool {
@@ -202,13 +209,14 @@
 	return clock.Sleep(ctx, jittered)
 }
 
-// settled reports whether nothing is left to do for q.
-func (c *Canceller) settled(ctx context.Context, q queued) bool {
+// tryCancel sends one cancel for q if it is still needed, and reports whether q
+// is finished: acknowledged, unknown to the engine, or given up.
+func (c *Canceller) tryCancel(ctx context.Context, q queuedCancel) bool {
 	if q.restarted(c.opts.Incarnation(q.Backend.ID)) {
 		c.done.Inc()
 		return true
 	}
-	if time.Since(q.since) > cancelMaxAge {
+	if time.Since(q.queuedAt) > cancelMaxAge {
 		c.dropped.Inc()
 		c.opts.Log.Emit(event.CancelDropped, "backend", q.Backend.ID, "reason", "too old")
 		return true
--- a/backend/chunk.go
+++ b/backend/chunk.go
@@ -8,14 +8,15 @@
 
 const maxIndexDigits = 9
 
-// fastChunk reads a chunk that has exactly the documented form. False means
-// only "not that form": slowChunk then judges it.
-func (s *Stream) fastChunk(data []byte) (Token, bool) {
+// parseChunkFast parses a chunk that has exactly the documented byte layout. It
+// returns false for any other chunk, which parseChunkSlow then parses or
+// rejects.
+func (s *Stream) parseChunkFast(data []byte) (Token, bool) {
 	rest, ok := bytes.CutPrefix(data, s.head)
 	if !ok {
 		return Token{}, false
 	}
-	index, rest, ok := cutIndex(rest)
+	index, rest, ok := parseIndex(rest)
 	if !ok {
 		return Token{}, false
 	}
@@ -23,18 +24,18 @@
 	if !ok {
 		return Token{}, false
 	}
-	text, rest, ok := s.cutText(rest)
+	text, rest, ok := s.parseText(rest)
 	if !ok {
 		return Token{}, false
 	}
-	finish, ok := cutFinish(rest)
+	finish, ok := parseFinish(rest)
 	if !ok {
 		return Token{}, false
 	}
 	return Token{Index: index, Text: text, Finish: finish}, true
 }
 
-func cutIndex(b []byte) (int, []byte, bool) {
+func parseIndex(b []byte) (int, []byte, bool) {
 	n, i := 0, 0
 	for i < len(b) && b[i] >= '0' && b[i] <= '9' {
 		n = n*10 + int(b[i]-'0')
@@ -46,7 +47,7 @@
 	return n, b[i:], true
 }
 
-func cutFinish(b []byte) (string, bool) {
+func parseFinish(b []byte) (string, bool) {
 	b, ok := bytes.CutPrefix(b, finishOpen)
 	if !ok {
 		return "", false
@@ -66,22 +67,23 @@
 	return "", false
 }
 
-// cutText returns the text of a JSON string whose opening quote has been read.
-// Text without escapes is returned in place.
-func (s *Stream) cutText(b []byte) (text, rest []byte, ok bool) {
+// parseText returns the text of a JSON string whose opening quote has been read,
+// and the bytes after its closing quote. Text without escapes is not copied.
+func (s *Stream) parseText(b []byte) (text, rest []byte, ok bool) {
 	end := bytes.IndexByte(b, '"')
 	if end < 0 {
 		return nil, nil, false
 	}
-	if plain(b[:end]) {
+	if isLiteral(b[:end]) {
 		return b[:end], b[end+1:], true
 	}
 	return s.unescape(b)
 }
 
-// plain reports whether b means itself inside a JSON string. Control
-// characters and bytes that aren't UTF-8 are left to slowChunk.
-func plain(b []byte) bool {
+// isLiteral reports whether b is the content of a JSON string without escapes.
+// It returns false for control characters and invalid UTF-8, which are left to
+// parseChunkSlow.
+func isLiteral(b []byte) bool {
 	ascii := true
 	for _, c := range b {
 		if c == '\\' || c < ' ' {
@@ -104,7 +106,7 @@
 			s.text = append(s.text, c)
 			i++
 		default:
-			n := s.escape(b[i:])
+			n := s.unescapeSequence(b[i:])
 			if n == 0 {
 				return nil, nil, false
 			}
@@ -114,16 +116,17 @@
 	return nil, nil, false
 }
 
-// escape appends what the escape sequence at the start of b stands for and
-// returns its length, or 0 when it is malformed.
-func (s *Stream) escape(b []byte) int {
+// unescapeSequence decodes the escape sequence at the start of b, appends the
+// result to s.text and returns the length of the sequence, or 0 if it is
+// malformed.
+func (s *Stream) unescapeSequence(b []byte) int {
 	if len(b) < 2 {
 		return 0
 	}
 	if b[1] == 'u' {
-		return s.escapeRune(b)
+		return s.unescapeRune(b)
 	}
-	c, ok := shortEscape(b[1])
+	c, ok := unescapeShort(b[1])
 	if !ok {
 		return 0
 	}
@@ -131,7 +134,7 @@
 	return 2
 }
 
-func shortEscape(c byte) (byte, bool) {
+func unescapeShort(c byte) (byte, bool) {
 	switch c {
 	case '"', '\\', '/':
 		return c, true
@@ -151,7 +154,7 @@
 
 const runeEscapeBytes = len(`\u0000`)
 
-func (s *Stream) escapeRune(b []byte) int {
+func (s *Stream) unescapeRune(b []byte) int {
 	r, ok := hexRune(b)
 	if !ok {
 		return 0
--- a/backend/chunk_test.go
+++ b/backend/chunk_test.go
@@ -26,9 +26,9 @@
 	return NewStream(io.NopCloser(strings.NewReader(s)), testID, "i")
 }
 
-// Symptom: a caller reads tokens of somebody else's answer. Sequence: an
-// engine or a proxy before it crosses two answers on one connection. Cause:
-// the client trusted the connection instead of what each chunk names.
+// Guards against a caller receiving tokens of another request's answer. An
+// engine, or a proxy in front of it, may swap two answers on one connection;
+// the client must check the ids in each chunk and not rely on the connection.
 func TestStreamChecksEachChunk(t *testing.T) {
 	whole := chunk(testID, 0, " a\"\\\n<\u00e9\U0001F600", "") + ": note\n" + chunk(testID, 1, strings.Repeat("x", 3*streamBufferBytes), "stop") + "data: [DONE]\n\n"
 	s := readStream(whole)
@@ -68,13 +68,14 @@
 			t.Errorf("%s -> %s: got %v, want %v", tc.old, tc.new, err, tc.want)
 		}
 	}
-	// A connection that ends, even inside a line, is no end of the answer.
+	// The end of the connection, even inside a line, is not the end of the answer.
 	if _, err := readStream(good).Next(); !errors.Is(err, ErrBroken) || errors.Is(err, io.EOF) {
 		t.Fatal(err)
 	}
 }
 
-// FuzzChunk compares the parser with encoding/json on any line that it takes.
+// FuzzChunk checks that the fast parser agrees with encoding/json on every line
+// that it accepts.
 func FuzzChunk(f *testing.F) {
 	f.Add([]byte(strings.TrimSpace(chunk(testID, 3, "a\\u0041\"", "stop"))[6:]))
 	f.Add([]byte(strings.TrimSpace(chunk(testID, 3, "\U0001F600", ""))[6:]))
@@ -83,7 +84,7 @@
 	f.Add([]byte(`{}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := readStream("data: " + string(data) + "\n")
-		tok, fast := s.fastChunk(data)
+		tok, fast := s.parseChunkFast(data)
 		if !fast {
 			s.Next()
 			return
--- a/backend/chunkslow.go
+++ b/backend/chunkslow.go
@@ -4,8 +4,9 @@
 	"github.com/valyala/fastjson"
 )
 
-// slowChunk reads a chunk in any JSON form and checks whom it answers.
-func (s *Stream) slowChunk(data []byte) (Token, error) {
+// parseChunkSlow parses a chunk in any JSON layout and checks that it belongs to
+// this stream.
+func (s *Stream) parseChunkSlow(data []byte) (Token, error) {
 	v, err := s.parser.ParseBytes(data)
 	if err != nil {
 		return Token{}, Error.New("%w: malformed chunk: %w", ErrMismatch, err)
@@ -13,13 +14,13 @@
 	if e := v.Get("error"); e != nil && e.Type() == fastjson.TypeObject {
 		return Token{}, Error.New("%w: engine error %q", ErrBroken, e.GetStringBytes("code"))
 	}
-	if !s.names(v) {
+	if !s.matchesStream(v) {
 		return Token{}, Error.Wrap(ErrMismatch)
 	}
-	return s.slowToken(v)
+	return s.parseToken(v)
 }
 
-func (s *Stream) names(v *fastjson.Value) bool {
+func (s *Stream) matchesStream(v *fastjson.Value) bool {
 	return hasString(v, "id", s.id.Request) &&
 		hasInt(v, "attempt", s.id.Attempt) &&
 		hasString(v, "model", s.id.Ref.Model) &&
@@ -44,7 +45,7 @@
 	return err == nil && n == want
 }
 
-func (s *Stream) slowToken(v *fastjson.Value) (Token, error) {
+func (s *Stream) parseToken(v *fastjson.Value) (Token, error) {
 	idx := v.Get("index")
 	choice := v.Get("choices", "0")
 	if idx == nil || choice == nil {
@@ -52,7 +53,7 @@
 	}
 	index, err := idx.Int()
 	if err != nil || index < 0 {
-		return Token{}, Error.New("%w: bad index", ErrMismatch)
+		return Token{}, Error.New("%w: invalid chunk index", ErrMismatch)
 	}
 	text := choice.Get("text")
 	if text == nil || text.Type() != fastjson.TypeString {
@@ -66,15 +67,15 @@
 	return Token{Index: index, Text: s.text, Finish: finish}, nil
 }
 
-// finishReason accepts the two reasons that end a whole answer. Any other, as
-// of an attempt that was cancelled or ran out of memory, would pass a cut
-// answer off as a whole one.
+// finishReason accepts only the two reasons that end a complete answer. Any
+// other reason, such as that of an attempt that was cancelled or ran out of
+// memory, is an error: the truncated answer would otherwise count as complete.
 func finishReason(v *fastjson.Value) (string, error) {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return "", nil
 	}
 	if v.Type() != fastjson.TypeString {
-		return "", Error.New("%w: bad finish reason", ErrMismatch)
+		return "", Error.New("%w: finish reason is not a string", ErrMismatch)
 	}
 	switch reason := string(v.GetStringBytes()); reason {
 	case "stop", "length":
--- a/backend/client.go
+++ b/backend/client.go
@@ -19,7 +19,7 @@
 	maxAnswerBytes    = 1 << 20 // of answers that aren't streams
 )
 
-// Client speaks to model engines. It may be shared by goroutines.
+// Client sends requests to model engines. It is safe for concurrent use.
 type Client struct {
 	rt *http.Transport
 }
@@ -49,8 +49,8 @@
 	Ext       startExt       `json:"ext"`
 }
 
-// Open starts an attempt. Errors: *Refused and ErrDial mean that it did not
-// run; ErrBroken that it may have; ErrMismatch that the answer is no stream.
+// Open starts an attempt. *Refused and ErrDial mean that it did not run;
+// ErrBroken means that it may have run.
 func (c *Client) Open(ctx context.Context, b fleet.Backend, r StartRequest) (*Stream, error) {
 	body, err := json.Marshal(startBody{
 		Model: r.Ref.Model, Prompt: r.Prompt, MaxTokens: r.MaxTokens, Stream: true, Priority: priorityOf(r),
@@ -67,13 +67,13 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(resp)
+		return nil, parseRefusal(resp)
 	}
 	return newStream(resp, StreamID{Request: r.ID, Attempt: r.Attempt, Ref: r.Ref}), nil
 }
 
-// Attach reads an attempt that an engine still holds, from token index from
-// on. It takes the stream over from any other reader. A missing stream is
+// Attach reads an attempt that an engine still has, starting at token index
+// from. Any other reader of the stream is disconnected. A missing stream is
 // ErrUnknownStream.
 func (c *Client) Attach(ctx context.Context, b fleet.Backend, id StreamID, from int) (*Stream, error) {
 	resp, err := c.send(ctx, http.MethodGet, b, streamPath(id.Request, id.Attempt)+"?from="+strconv.Itoa(from), nil)
@@ -85,18 +85,18 @@
 		return nil, Error.Wrap(ErrUnknownStream)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(resp)
+		return nil, parseRefusal(resp)
 	}
 	return newStream(resp, id), nil
 }
 
 // CancelResult is an engine's answer to a cancel.
 type CancelResult struct {
-	Generated   int // tokens that the attempt generated in all
+	Generated   int // total number of tokens that the attempt generated
 	Incarnation string
 }
 
-// Cancel ends an attempt. It is idempotent. A missing stream is
+// Cancel ends an attempt on the engine. It is idempotent. A missing stream is
 // ErrUnknownStream.
 func (c *Client) Cancel(ctx context.Context, b fleet.Backend, request string, attempt int) (CancelResult, error) {
 	var out struct {
@@ -111,27 +111,27 @@
 		drain(resp)
 		return res, Error.Wrap(ErrUnknownStream)
 	}
-	err = decode(resp, &out)
+	err = decodeResponse(resp, &out)
 	res.Generated = out.Generated
 	return res, err
 }
 
-// Load reads the engine's load report.
+// Load fetches the engine's load report.
 func (c *Client) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
 	var r fleet.LoadReport
 	err := c.get(ctx, b, "/v1/load", &r)
 	return r, err
 }
 
-// CacheEvents reads the cache events with a sequence number above after.
+// CacheEvents fetches the cache events with a sequence number above after.
 func (c *Client) CacheEvents(ctx context.Context, b fleet.Backend, after uint64) (CacheEvents, error) {
 	var r CacheEvents
 	err := c.get(ctx, b, "/v1/cache-events?after="+strconv.FormatUint(after, 10), &r)
 	return r, err
 }
 
-// Order tells an engine its desired state. ErrStaleFence means that the
-// engine has seen a higher fencing number; Fence in the status is that number.
+// Order sets an engine's desired state. ErrStaleFence means that the engine has
+// seen a higher fencing number, which is then Fence in the returned status.
 func (c *Client) Order(ctx context.Context, b fleet.Backend, o OrderRequest) (OrderStatus, error) {
 	if o.Desired == nil {
 		o.Desired = []fleet.ModelRef{}
@@ -146,20 +146,20 @@
 	}
 	if resp.StatusCode != http.StatusConflict {
 		var s OrderStatus
-		err = decode(resp, &s)
+		err = decodeResponse(resp, &s)
 		return s, err
 	}
 	var stale struct {
 		Fence uint64 `json:"fence"`
 	}
 	resp.StatusCode = http.StatusOK
-	if err := decode(resp, &stale); err != nil {
+	if err := decodeResponse(resp, &stale); err != nil {
 		return OrderStatus{}, err
 	}
 	return OrderStatus{Fence: stale.Fence}, Error.Wrap(ErrStaleFence)
 }
 
-// OrderStatus reads an engine's desired and actual state.
+// OrderStatus fetches an engine's desired and actual state.
 func (c *Client) OrderStatus(ctx context.Context, b fleet.Backend) (OrderStatus, error) {
 	var s OrderStatus
 	err := c.get(ctx, b, "/v1/orders", &s)
@@ -171,11 +171,11 @@
 	if err != nil {
 		return err
 	}
-	return decode(resp, v)
+	return decodeResponse(resp, v)
 }
 
-// send makes one request. A body is sent with its length but can't be
-// rewound, so net/http never sends it twice.
+// send sends one request. The body has a content length but can't be rewound,
+// so net/http never resends it.
 func (c *Client) send(ctx context.Context, method string, b fleet.Backend, path string, body []byte) (*http.Response, error) {
 	var r io.Reader
 	if body != nil {
@@ -196,9 +196,9 @@
 	return "/v1/streams/" + url.PathEscape(request) + "/" + strconv.Itoa(attempt)
 }
 
-func decode(resp *http.Response, v any) error {
+func decodeResponse(resp *http.Response, v any) error {
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return parseRefusal(resp)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
@@ -216,10 +216,10 @@
 	resp.Body.Close()
 }
 
-// refusal reads an answer that is not 200. Only the documented refusals, with
-// a code that says so, count as "not run": a bare 500 or a proxy's 503 may
-// follow work that was done, so it is ErrBroken.
-func refusal(resp *http.Response) error {
+// parseRefusal turns an answer with a status other than 200 into an error. Only
+// a documented refusal status with an error code is *Refused ("not run"). A 500
+// or a proxy's 503 may come after the request has run, so it is ErrBroken.
+func parseRefusal(resp *http.Response) error {
 	defer resp.Body.Close()
 	var body struct {
 		Error struct {
@@ -232,16 +232,16 @@
 		return Error.New("%w: %w", ErrBroken, err)
 	}
 	err = errors.Join(json.Unmarshal(data, &body), context.Cause(resp.Request.Context()))
-	if err != nil || body.Error.Code == "" || !refusalStatus(resp.StatusCode) {
-		return Error.New("%w: status %d without a refusal", ErrBroken, resp.StatusCode)
+	if err != nil || body.Error.Code == "" || !isRefusalStatus(resp.StatusCode) {
+		return Error.New("%w: status %d without a valid refusal", ErrBroken, resp.StatusCode)
 	}
 	return Error.Wrap(&Refused{
 		Status: resp.StatusCode, Code: body.Error.Code, Message: body.Error.Message,
-		RetryAfter: retryAfter(resp.Header.Get("Retry-After")),
+		RetryAfter: parseRetryAfter(resp.Header.Get("Retry-After")),
 	})
 }
 
-func refusalStatus(code int) bool {
+func isRefusalStatus(code int) bool {
 	switch code {
 	case http.StatusBadRequest, http.StatusNotFound, http.StatusConflict,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -250,7 +250,7 @@
 	return false
 }
 
-func retryAfter(s string) time.Duration {
+func parseRetryAfter(s string) time.Duration {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < 0 {
 		return 0
--- a/backend/opaque.go
+++ b/backend/opaque.go
@@ -8,46 +8,46 @@
 	"wigeondale/fleet"
 )
 
-// Opaque is a request whose body and answer are passed on unread. Its answer
-// comes whole, or as a stream of numbered pieces.
+// Opaque is a request whose body and answer are forwarded without being parsed.
+// The answer is either a single response or a stream of numbered chunks.
 type Opaque struct {
 	Method    string
-	Target    string // request target as the caller wrote it
+	Target    string // request target as sent by the caller
 	Host      string
 	Header    http.Header // the caller's end-to-end headers
 	Body      []byte
-	Route     string // name of its route
+	Route     string // name of the route that the request matched
 	Account   string // client account, empty on routes that need none
 	Streaming bool
-	Resumable bool           // another backend server may go on with its answer
-	Deadline  clock.Deadline // the backend server is told what is left of it
+	Resumable bool           // another backend server may continue the answer
+	Deadline  clock.Deadline // the time left is sent to the backend server
 	// Urgency orders the requests that wait at a backend server; 0 goes first.
 	Urgency int
 }
 
-// Copies says which standby copies of its state an attempt makes and uses.
+// Copies states which standby copies of its run an attempt creates and uses.
 type Copies struct {
-	// Standby is the backend server that is to hold a copy of the attempt's
-	// state as it grows; without an address no copy is made.
+	// Standby is the backend server that keeps a copy of the attempt's state up
+	// to date while the attempt runs. No copy is made if its address is empty.
 	Standby fleet.Backend
-	// Held tells that the attempt goes on from the copy at its own backend
-	// server. Without that copy the attempt is refused.
+	// Held means that the attempt continues from the copy that its backend server
+	// has. A backend server without that copy refuses the attempt.
 	Held bool
-	// Name and Source are those of a copy made on demand: its name, and the
+	// Name and Source describe a copy that was made on demand: its name, and the
 	// backend server that the run was copied from. Name is empty for a copy that
-	// was kept up to date all along.
+	// was kept up to date while the run grew.
 	Name   string
 	Source fleet.Backend
 }
 
-// Head is the beginning of an answer that is passed on.
+// Head is the status and the headers of an answer that is forwarded.
 type Head struct {
 	Status int
 	Header http.Header
 }
 
-// FailedAnswer is a backend server's own whole answer that says that the
-// request failed there. The request ran.
+// FailedAnswer is a complete answer by which a backend server reports that the
+// request failed. The request did run.
 type FailedAnswer struct {
 	Head
 	Body []byte
--- a/backend/priority.go
+++ b/backend/priority.go
@@ -2,8 +2,8 @@
 
 import "wigeondale/fleet"
 
-// enginePriority is the number by which an engine orders the requests that wait
-// there: the higher first, equal ones by arrival.
+// enginePriority is the number by which an engine orders its waiting requests:
+// higher numbers first, equal numbers in order of arrival.
 type enginePriority int
 
 const (
@@ -13,12 +13,12 @@
 	resumedInteractive
 )
 
-// priorityOf puts an answer that goes on ahead of all new work.
+// priorityOf ranks a resumed answer above all new requests.
 //
-// What goes wrong without it: the engines of a failure domain die, and their
-// drafts queue at survivors that are full, behind new drafts and new lookups;
-// their callers see answers that stand still for a second and more. The streams
-// that are resumed at one engine are few, so that lookups wait little longer.
+// Otherwise, when the engines of a failure domain crash, their streams queue at
+// the remaining engines, which have no free slot, behind new generations and new
+// short requests, and callers see their answers stall for a second or more. Few
+// streams are resumed on any one engine, so short requests wait little longer.
 func priorityOf(r StartRequest) enginePriority {
 	p := newBatch
 	if r.Priority == fleet.Interactive {
--- a/backend/look.go
+++ b/backend/probe.go
@@ -10,17 +10,18 @@
 	"wigeondale/quarantine"
 )
 
-// Looker finds out by a connection whether backend servers have ended. It implements
-// quarantine.Prober.
+// Looker probes with a TCP connection whether the process of a backend server has
+// exited. It implements quarantine.Prober.
 type Looker struct{}
 
-// Look implements quarantine.Prober. Where nothing listens the machine refuses the
-// connection at once; one without power, or behind a cut, doesn't answer.
+// Look implements quarantine.Prober. If no process listens on the port, the host
+// refuses the connection at once. A host that is powered off or unreachable doesn't
+// answer.
 func (Looker) Look(ctx context.Context, b fleet.Backend) quarantine.State {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", b.Addr)
 	switch {
 	case err == nil:
-		// Nothing was sent on it, so that an error of closing tells nothing.
+		// No data was sent on the connection, so an error of Close has no meaning.
 		_ = conn.Close()
 		return quarantine.Working
 	case errors.Is(err, syscall.ECONNREFUSED):
--- a/backend/send.go
+++ b/backend/send.go
@@ -21,24 +21,24 @@
 	readBufferBytes = 8 << 10
 )
 
-// Dial says how connections are opened.
+// Dial configures how connections are opened and when they are given up.
 type Dial struct {
-	Timeout time.Duration // of opening one
-	// Unanswered ends a connection on which sent bytes, or probes while it is
-	// idle, are not acknowledged for so long. Without it a connection that fell
-	// silent for good, or whose machine lost power, is found out minutes later.
-	// 0 leaves it to the system.
+	Timeout time.Duration // for opening a connection
+	// Unanswered is how long sent bytes, or keep-alive probes on an idle
+	// connection, may stay unacknowledged before the connection is closed. Without
+	// it a connection whose peer is unreachable or lost power fails only minutes
+	// later. 0 uses the defaults of the operating system.
 	Unanswered time.Duration
-	ReadBuffer int // bytes
+	ReadBuffer int // size of the read buffer and of the write buffer, in bytes
 }
 
-// newTransport returns the transport for the product's own protocol.
+// newTransport returns the transport for the engine protocol and for services.
 func newTransport() *http.Transport {
 	return NewTransport(Dial{Timeout: dialTimeout, ReadBuffer: readBufferBytes})
 }
 
-// NewTransport returns a transport that speaks HTTP/1.1 only: HTTP/2 repeats
-// requests after GOAWAY.
+// NewTransport returns a transport that speaks HTTP/1.1 only, because HTTP/2
+// resends requests after GOAWAY.
 func NewTransport(d Dial) *http.Transport {
 	dialer := d.dialer()
 	var protocols http.Protocols
@@ -78,9 +78,10 @@
 	return dialer
 }
 
-// sealConn counts what was written, and can be sealed against later writes.
+// sealConn counts the bytes written and can be sealed against further writes.
 // Without the seal, a request whose context ends just before its first write
-// could be called unsent while the transport's writer goroutine still sends it.
+// could be reported as not sent while the transport's writer goroutine still
+// sends it.
 type sealConn struct {
 	net.Conn
 	mu      sync.Mutex
@@ -94,65 +95,68 @@
 		c.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	// Counted before the write: a byte that may have left has left.
+	// Counted before the write, so that bytes that may have been sent count as
+	// sent.
 	c.written += int64(len(p))
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-func (c *sealConn) mark() int64 {
+func (c *sealConn) writtenBytes() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal stops all later writes and reports whether any byte followed mark.
-func (c *sealConn) seal(mark int64) bool {
+// seal prevents all further writes and reports whether any byte was written
+// since writtenBytes returned writtenBefore.
+func (c *sealConn) seal(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.written != mark
+	return c.written != writtenBefore
 }
 
 type usedConn struct {
-	conn *sealConn
-	mark int64
+	conn          *sealConn
+	writtenBefore int64
 }
 
-// sentWatch follows which connections one request was given.
-type sentWatch struct {
-	mu      sync.Mutex
-	used    []usedConn
-	foreign bool // a connection that can't be sealed
+// sendTracker records the connections that the transport assigned to one
+// request.
+type sendTracker struct {
+	mu         sync.Mutex
+	conns      []usedConn
+	unsealable bool // a connection that is not a sealConn was assigned
 }
 
-func (w *sentWatch) gotConn(info httptrace.GotConnInfo) {
+func (w *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	c, ok := info.Conn.(*sealConn)
 	if !ok {
-		w.foreign = true
+		w.unsealable = true
 		return
 	}
-	w.used = append(w.used, usedConn{conn: c, mark: c.mark()})
+	w.conns = append(w.conns, usedConn{conn: c, writtenBefore: c.writtenBytes()})
 }
 
-func (w *sentWatch) mayHaveSent() bool {
+func (w *sendTracker) mayHaveSent() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	sent := w.foreign
-	for _, u := range w.used {
-		if u.conn.seal(u.mark) {
+	sent := w.unsealable
+	for _, u := range w.conns {
+		if u.conn.seal(u.writtenBefore) {
 			sent = true
 		}
 	}
 	return sent
 }
 
-// RoundTrip sends req once, follows no redirect, and turns an error into
-// ErrDial or ErrBroken.
+// RoundTrip sends req once, does not follow redirects, and wraps an error in
+// ErrDial if no byte was sent, else in ErrBroken.
 func RoundTrip(rt http.RoundTripper, req *http.Request) (*http.Response, error) {
-	w := &sentWatch{}
+	w := &sendTracker{}
 	trace := &httptrace.ClientTrace{GotConn: w.gotConn}
 	req = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	resp, err := rt.RoundTrip(req)
@@ -166,7 +170,7 @@
 }
 
 // OnceBody hides the type of a body from net/http, which then can't rewind it
-// and so doesn't repeat the request.
+// and so doesn't resend the request.
 type OnceBody struct{ io.Reader }
 
 // Close implements io.Closer.
--- a/backend/send_test.go
+++ b/backend/send_test.go
@@ -19,8 +19,9 @@
 	"wigeondale/fleet"
 )
 
-// readThenClose serves the first request of each connection, then reads one
-// more and closes without an answer. It counts the requests that it read.
+// readThenClose starts a server that answers the first request of each
+// connection, then reads one more and closes without an answer. It returns the
+// server and a function that returns the number of requests read.
 func readThenClose(t *testing.T) (fleet.Backend, func() int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,10 +60,10 @@
 	return fleet.Backend{ID: "s", Addr: l.Addr().String()}, count
 }
 
-// Symptom: one booking call books twice. Sequence: a kept connection is
-// reused, the service reads the request, acts and closes; net/http sees no
-// answer and sends the request again on a new connection. Cause: net/http
-// deems a GET, or a POST with an idempotency header, replayable.
+// Guards against a non-idempotent service call running twice. On a reused
+// connection the service reads the request, acts on it and closes; net/http sees
+// no answer and resends the request on a new connection, because it considers a
+// GET, or a POST with an idempotency header, replayable.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodHead, http.MethodDelete} {
 		for _, body := range []string{"", "a body"} {
@@ -88,15 +89,16 @@
 	}
 }
 
-// Symptom: "no byte left" is told of a request that ran. Sequence: the
-// connection is chosen, the caller's context ends, the transport's writer
-// still writes. Cause: the error was judged without stopping the writer.
+// Guards against ErrDial being returned for a request that ran. The caller's
+// context ends after a connection is assigned, while the transport's writer
+// goroutine still writes; the connection must be sealed before the error is
+// classified.
 func TestSealStopsLaterWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	go io.Copy(io.Discard, far)
 	c := &sealConn{Conn: near}
-	if c.seal(c.mark()) {
+	if c.seal(c.writtenBytes()) {
 		t.Fatal("nothing was written")
 	}
 	if n, err := c.Write([]byte("late")); n != 0 || err == nil {
@@ -108,10 +110,10 @@
 	}
 }
 
-// Symptom: a caller gets another caller's booking. Sequence: the service
-// answers crossed. Cause: the answer's own request id was not compared. The
-// same server shows that redirects, which would repeat a call, aren't followed
-// and that the caller's API key stays with the router.
+// Guards against a caller receiving another caller's answer when a service swaps
+// two answers: the request id in the answer must be compared. The test also
+// checks that redirects, which would repeat a call, aren't followed and that the
+// caller's API key isn't forwarded.
 func TestServiceAnswerIsOfItsRequest(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != "" {
@@ -134,7 +136,7 @@
 	}
 }
 
-// A refusal counts as "not run" only in the documented form.
+// An answer counts as a refusal ("not run") only in the documented form.
 func TestRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		status  int
@@ -165,45 +167,46 @@
 	}
 }
 
-type cancelScript struct {
-	mu    sync.Mutex
-	fails int
-	calls int
+type fakeCancelAPI struct {
+	mu       sync.Mutex
+	failures int
+	calls    int
 }
 
-func (c *cancelScript) Cancel(context.Context, fleet.Backend, string, int) (CancelResult, error) {
+func (c *fakeCancelAPI) Cancel(context.Context, fleet.Backend, string, int) (CancelResult, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls++
-	if c.calls <= c.fails {
+	if c.calls <= c.failures {
 		return CancelResult{}, ErrBroken
 	}
 	return CancelResult{Generated: 12}, nil
 }
 
-// Symptom: extra engine work for hours. Sequence: an engine freezes, its
-// stream is resumed elsewhere, the cancel gets no answer, the engine thaws and
-// generates on. Cause: the cancel was sent once instead of until acknowledged.
+// Guards against engines generating for hours without a reader. An engine
+// freezes, its stream is resumed on another engine, the cancel gets no answer,
+// and the engine continues after the freeze. The cancel must be repeated until it
+// is acknowledged.
 func TestCancellerRepeats(t *testing.T) {
 	const never = 1000
 	for _, tc := range []struct {
-		name, first, later string // incarnations heard of: when abandoned, and after
+		name, first, later string // reported incarnations: when abandoned, and later
 		fails              int
 		least, most, waste int
 	}{
 		{"until acknowledged", "i1", "i1", 5, 6, 6, 7},
 		{"until a new incarnation", "i1", "i2", never, 0, 0, 0},
 		{"restarted before it was abandoned", "i2", "i2", never, 5, 20, 0},
-		{"what is heard lags: i0 is before i1", "i0", "i0", 5, 6, 6, 7},
+		{"the reported incarnation lags: i0 is before i1", "i0", "i0", 5, 6, 6, 7},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			api := &cancelScript{fails: tc.fails}
-			heard := tc.first
-			c := NewCanceller(api, CancellerOptions{Incarnation: func(string) string { return heard }, Max: 1})
+			api := &fakeCancelAPI{failures: tc.fails}
+			reported := tc.first
+			c := NewCanceller(api, CancellerOptions{Incarnation: func(string) string { return reported }, Max: 1})
 			a := Abandoned{Backend: fleet.Backend{ID: "e"}, Incarnation: "i1", Attempt: 1, Accepted: 5}
 			c.Add(a)
-			c.Add(a) // above Max: dropped, never blocks
-			heard = tc.later
+			c.Add(a) // above Max: dropped without blocking
+			reported = tc.later
 			ctx, stop := context.WithCancel(t.Context())
 			go c.Run(ctx)
 			time.Sleep(time.Minute)
@@ -216,8 +219,8 @@
 	}
 }
 
-// refusingAddr returns an address that refuses connections until the test
-// ends: bound, so that no other process gets the port, but not listening.
+// refusingAddr returns an address that refuses connections until the test ends:
+// the port is bound, so that no other process can get it, but not listening.
 func refusingAddr(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/backend/service.go
+++ b/backend/service.go
@@ -13,7 +13,7 @@
 
 const requestIDHeader = "X-Request-Id"
 
-// Call is one call of a plain service.
+// Call is one call of a service that is not a model engine.
 type Call struct {
 	Method     string
 	Path       string // below the service's address, beginning with /
@@ -25,7 +25,8 @@
 	Idempotent bool
 }
 
-// ServiceClient calls plain services. It may be shared by goroutines.
+// ServiceClient calls services that are not model engines. It is safe for
+// concurrent use.
 type ServiceClient struct {
 	rt *http.Transport
 }
@@ -36,12 +37,12 @@
 // CloseIdle closes connections that carry no request.
 func (c *ServiceClient) CloseIdle() { c.rt.CloseIdleConnections() }
 
-// Do makes a call and returns the service's own answer, whatever its status;
-// the caller closes its body. Redirects are not followed. ErrDial means that no
-// byte left, ErrBroken that the call may have run, ErrMismatch that the answer
+// Do sends a call and returns the service's answer, whatever its status; the
+// caller closes its body. Redirects are not followed. ErrDial means that no byte
+// was sent, ErrBroken that the call may have run, ErrMismatch that the answer
 // names another request. A call that is not idempotent is sent at most once.
 func (c *ServiceClient) Do(ctx context.Context, b fleet.Backend, call Call) (*http.Response, error) {
-	req, err := newCall(ctx, b, call)
+	req, err := newCallRequest(ctx, b, call)
 	if err != nil {
 		return nil, Error.New("%w: %w", ErrDial, err)
 	}
@@ -51,15 +52,16 @@
 	}
 	echo := resp.Header.Get(requestIDHeader)
 	if echo != "" && echo != call.RequestID {
-		// Closed without draining: the connection has lost step with its
-		// requests, and its next answer would be a wrong one too.
+		// Closed without draining, so that the connection isn't reused: its
+		// answers are out of step with its requests, and the next answer would
+		// be wrong too.
 		resp.Body.Close()
 		return nil, Error.Wrap(ErrMismatch)
 	}
 	return resp, nil
 }
 
-func newCall(ctx context.Context, b fleet.Backend, call Call) (*http.Request, error) {
+func newCallRequest(ctx context.Context, b fleet.Backend, call Call) (*http.Request, error) {
 	u := url.URL{Scheme: "http", Host: b.Addr, Path: call.Path, RawPath: call.RawPath, RawQuery: call.RawQuery}
 	req, err := http.NewRequestWithContext(ctx, call.Method, u.String(), nil)
 	if err != nil {
@@ -77,14 +79,15 @@
 	return req, nil
 }
 
-// ForbidReplay keeps net/http from sending a request twice.
+// ForbidReplay prevents net/http from sending a request twice.
 //
-// What goes wrong: a server reads a request on a reused connection, acts on
-// it and closes. The transport sees the connection end without an answer and
-// sends the request again if it deems it replayable: a GET without a body, or
+// If a server reads a request on a reused connection, acts on it and closes the
+// connection, the transport sees the connection end without an answer. It
+// resends the request if it considers it replayable: a GET without a body, or
 // any request with an idempotency header. The server then runs it twice, which
-// shows only in its own record. A body that can't be rewound makes a GET
-// unreplayable (an empty one adds no byte), and the headers are removed.
+// is visible only in the server's own records. A body that can't be rewound
+// makes a GET unreplayable (an empty body adds no bytes), and the headers are
+// removed.
 func ForbidReplay(req *http.Request) {
 	req.Header.Del("Idempotency-Key")
 	req.Header.Del("X-Idempotency-Key")
@@ -98,10 +101,10 @@
 	}
 }
 
-// copyHeader leaves out what belongs to the caller's own connection and what
-// only the router may see: its API key above all.
+// copyHeader copies src without the headers of the caller's connection and
+// without those meant for the router only, above all the caller's API key.
 func copyHeader(dst, src http.Header) {
-	CopyHeader(dst, src, ownHeaders)
+	CopyHeader(dst, src, routerHeaders)
 	for name := range dst {
 		if strings.HasPrefix(name, "Wigeon-") {
 			delete(dst, name)
@@ -109,8 +112,8 @@
 	}
 }
 
-// CopyHeader copies the end-to-end headers, without those named in except, in
-// canonical form.
+// CopyHeader copies the end-to-end headers of src to dst, except those named in
+// except, whose names are in canonical form.
 func CopyHeader(dst, src http.Header, except []string) {
 	drop := map[string]bool{}
 	for _, name := range connectionHeaders {
@@ -133,12 +136,12 @@
 	}
 }
 
-// connectionHeaders concern one connection only.
+// connectionHeaders are the headers that apply to a single connection.
 var connectionHeaders = []string{
 	"Connection", "Content-Length", "Expect", "Host", "Keep-Alive",
 	"Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// ownHeaders are spoken between callers and this program only.
-var ownHeaders = []string{"Authorization", "Last-Event-Id"}
+// routerHeaders are used only between callers and the router.
+var routerHeaders = []string{"Authorization", "Last-Event-Id"}
--- a/backend/stream.go
+++ b/backend/stream.go
@@ -30,23 +30,23 @@
 	lengthQuoted = []byte(`"length"`)
 )
 
-// StreamID is what every chunk of a stream must name.
+// StreamID identifies a stream. Every chunk of the stream must name it.
 type StreamID struct {
 	Request string
 	Attempt int
 	Ref     fleet.ModelRef
 }
 
-// Stream reads the tokens of one attempt. It belongs to one goroutine, but
-// Close may be called from another. Next allocates nothing per token on
-// chunks in the documented form.
+// Stream reads the tokens of one attempt. It is not safe for concurrent use,
+// except that Close may be called from another goroutine. Next does not allocate
+// for chunks in the documented byte layout.
 type Stream struct {
 	id          StreamID
 	incarnation string
 	body        io.ReadCloser
 	br          *bufio.Reader
 	head        []byte // constant start of each chunk, up to the index
-	line        []byte // a line longer than the read buffer
+	line        []byte // holds a line that is longer than the read buffer
 	text        []byte // unescaped text of the current token
 	parser      fastjson.Parser
 }
@@ -55,7 +55,7 @@
 	return NewStream(resp.Body, id, resp.Header.Get(incarnationHeader))
 }
 
-// NewStream reads the stream of attempt id from body.
+// NewStream returns a Stream that reads attempt id from body.
 func NewStream(body io.ReadCloser, id StreamID, incarnation string) *Stream {
 	return &Stream{
 		id: id, incarnation: incarnation, body: body,
@@ -86,25 +86,26 @@
 	return b
 }
 
-// Incarnation names the engine's run that holds the stream.
+// Incarnation returns the incarnation of the engine that serves the stream.
 func (s *Stream) Incarnation() string { return s.incarnation }
 
-// Head returns nil: the chunks of this protocol say all there is.
+// Head returns nil: the chunks of this protocol carry all information.
 func (s *Stream) Head() *Head { return nil }
 
-// Close ends the reading. The engine keeps the attempt for its linger time.
+// Close stops reading. The engine keeps the attempt for its linger time.
 func (s *Stream) Close() error { return s.body.Close() }
 
-// Buffered reports whether another whole line of data is at hand, so that a
-// writer need not flush yet.
+// Buffered reports whether another complete line is already in the read buffer,
+// so that a writer need not flush yet.
 func (s *Stream) Buffered() bool {
 	p, _ := s.br.Peek(s.br.Buffered())
 	p = bytes.TrimLeft(p, "\r\n")
 	return bytes.IndexByte(p, '\n') >= 0
 }
 
-// Next returns the next token, io.EOF after the engine's end mark, ErrBroken
-// when the connection ended before it, or ErrMismatch.
+// Next returns the next token. It returns io.EOF after the engine's end marker,
+// ErrBroken if the connection ended before the marker, and ErrMismatch if a
+// chunk is malformed or belongs to another stream.
 func (s *Stream) Next() (Token, error) {
 	for {
 		line, err := s.readLine()
@@ -119,10 +120,10 @@
 		if bytes.Equal(data, doneData) {
 			return Token{}, io.EOF
 		}
-		if t, ok := s.fastChunk(data); ok {
+		if t, ok := s.parseChunkFast(data); ok {
 			return t, nil
 		}
-		return s.slowChunk(data)
+		return s.parseChunkSlow(data)
 	}
 }
 
@@ -140,13 +141,14 @@
 		s.line = append(s.line, line...)
 	}
 	if err != nil {
-		return nil, Error.New("%w: %w", ErrBroken, noEOF(err))
+		return nil, Error.New("%w: %w", ErrBroken, unexpectedEOF(err))
 	}
 	return trimLine(s.line), nil
 }
 
-// noEOF keeps a connection's end apart from the end of the answer.
-func noEOF(err error) error {
+// unexpectedEOF replaces io.EOF, so that the end of the connection is not taken
+// for the end of the answer.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
