--- a/callerapi/answer.go
+++ b/callerapi/answer.go
@@ -8,7 +8,8 @@
 	"wigeondale/generation"
 )
 
-// statusOf gives the HTTP status of a run's codes; others go by their outcome.
+// statusOf maps failure codes to HTTP statuses. The status of any other code
+// depends on the outcome.
 var statusOf = map[string]int{
 	CodeNotReady:               http.StatusServiceUnavailable,
 	CodeOverloaded:             http.StatusServiceUnavailable,
@@ -22,16 +23,17 @@
 	generation.CodeQuarantined: http.StatusInternalServerError,
 }
 
-// callerMistakes are codes for which the same request never succeeds, so that
-// no time to come back is told.
-var callerMistakes = map[string]bool{
+// permanentFailures are the codes for which the same request never succeeds, so
+// that no Retry-After is sent.
+var permanentFailures = map[string]bool{
 	generation.CodeKeyReused:   true,
 	generation.CodeBadRequest:  true,
 	generation.CodeQuarantined: true,
 }
 
-// failureOf returns nil for a complete run. A result that names no outcome is
-// taken as unknown: the caller must not be told more than is known.
+// failureOf returns the failure that is sent for a run, or nil if the run is
+// complete. A result without an outcome counts as unknown, so that the caller is
+// never promised more than is certain.
 func failureOf(res generation.Result) *Failure {
 	if res.Outcome == fleet.Complete {
 		return nil
@@ -57,13 +59,13 @@
 	if status, ok := statusOf[f.Code]; ok {
 		f.Status = status
 	}
-	if callerMistakes[f.Code] {
+	if permanentFailures[f.Code] {
 		f.RetryAfter = 0
 	}
 	return f
 }
 
-type wholeAnswer struct {
+type completionResponse struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -83,7 +85,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func (s *Server) writeWhole(w http.ResponseWriter, c *call, f *finished) {
+func (s *Server) writeCompletion(w http.ResponseWriter, c *generationCall, f *finishedAnswer) {
 	text := string(f.text)
 	one := choice{FinishReason: f.finish}
 	object := "text_completion"
@@ -93,7 +95,7 @@
 	} else {
 		one.Text = &text
 	}
-	writeJSON(w, wholeAnswer{
+	writeJSON(w, completionResponse{
 		ID:      c.id.Key,
 		Object:  object,
 		Created: time.Now().Unix(),
@@ -103,28 +105,28 @@
 	})
 }
 
-// replay answers from an answer that was finished here a short while ago.
-func (s *Server) replay(w http.ResponseWriter, c *call, f *finished) *Failure {
+// replay sends an answer that this node recently finished and still keeps.
+func (s *Server) replay(w http.ResponseWriter, c *generationCall, f *finishedAnswer) *Failure {
 	if !c.params.Stream {
-		s.writeWhole(w, c, f)
+		s.writeCompletion(w, c, f)
 		return nil
 	}
 	rest := f.text
-	if c.from != nil {
+	if c.resumeFrom != nil {
 		var ok bool
-		if rest, ok = f.rest(c.from); !ok {
+		if rest, ok = f.textAfter(c.resumeFrom); !ok {
 			failure := refuse(http.StatusConflict, codeTextMismatch, "another answer was finished under this key")
 			failure.Outcome = fleet.Failed
 			return failure
 		}
 	}
-	sink := s.stream(w, c)
-	sink.full = true // it is kept already
+	sink := s.newSink(w, c)
+	sink.discardText = true // the answer is already kept
 	if err := sink.Begin(generation.Place{}, nil); err != nil {
 		return refuse(http.StatusInternalServerError, codeInternal, "the answer cannot be sent again")
 	}
 	if sink.Token(f.tokens-1, rest, f.finish) == nil {
-		sink.done()
+		sink.writeDone()
 	}
 	return nil
 }
--- a/callerapi/body.go
+++ b/callerapi/body.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// format is one of the two forms of a generation's request and answer.
+// format is one of the two formats of a generation's request and answer.
 type format int
 
 const (
@@ -17,16 +17,16 @@
 	chat
 )
 
-const maxDepth = 32 // nesting of a body
+const maxDepth = 32 // maximum nesting depth of a body
 
-// params is the part of a body that is understood. Other fields, such as
-// temperature, are accepted for the sake of usual clients and have no effect.
+// params holds the fields of a body that are used. Other fields, such as
+// temperature, are accepted because common clients send them, and have no effect.
 type params struct {
 	Model      string
 	Prompt     string
 	MaxTokens  int
 	Stream     bool
-	ResumeText *string // nil: not sent
+	ResumeText *string // nil: not in the body
 	Hash       [16]byte
 }
 
@@ -43,27 +43,28 @@
 	return raw, nil
 }
 
-func badBody(text string) *Failure {
+func invalidBody(text string) *Failure {
 	return refuse(http.StatusBadRequest, codeBadRequest, text)
 }
 
-// parseBody reads a body. Field names are matched exactly, as the hash sees them.
+// parseBody decodes a body. Field names are matched case-sensitively, because
+// the hash of the body is computed over the exact names.
 func (s *Server) parseBody(raw []byte, form format) (params, *Failure) {
 	out := params{MaxTokens: s.DefaultTokens}
 	if tooDeep(raw) {
-		return out, badBody(fmt.Sprintf("the body is nested deeper than %d", maxDepth))
+		return out, invalidBody(fmt.Sprintf("the body is nested deeper than %d", maxDepth))
 	}
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil || fields == nil {
-		return out, badBody("the body is not a JSON object")
+		return out, invalidBody("the body is not a JSON object")
 	}
 	p := fieldReader{fields: fields}
 	p.read("model", &out.Model, "a string")
 	p.read("max_tokens", &out.MaxTokens, "an integer")
 	p.read("stream", &out.Stream, "true or false")
 	p.read("resume_text", &out.ResumeText, "a string")
-	p.one("n")
-	p.one("best_of")
+	p.requireOne("n")
+	p.requireOne("best_of")
 	out.Prompt = p.prompt(form)
 	if out.Model == "" {
 		p.fail("model: want a non-empty string")
@@ -75,7 +76,7 @@
 	return out, p.failure
 }
 
-// fieldReader decodes fields and keeps the first failure.
+// fieldReader decodes fields of a body and records the first failure.
 type fieldReader struct {
 	fields  map[string]json.RawMessage
 	failure *Failure
@@ -83,7 +84,7 @@
 
 func (p *fieldReader) fail(text string) {
 	if p.failure == nil {
-		p.failure = badBody(text)
+		p.failure = invalidBody(text)
 	}
 }
 
@@ -97,8 +98,8 @@
 	}
 }
 
-// one refuses a request for several answers, since one is given.
-func (p *fieldReader) one(name string) {
+// requireOne refuses a request for several answers; only one is generated.
+func (p *fieldReader) requireOne(name string) {
 	n := 1
 	p.read(name, &n, "1")
 	if n != 1 {
@@ -118,7 +119,7 @@
 	return prompt
 }
 
-// messages renders a conversation by the template that docs/API.md gives.
+// messages renders a conversation with the template in docs/API.md.
 func (p *fieldReader) messages() string {
 	var list []message
 	p.read("messages", &list, "an array of {role, content} with text content")
@@ -136,8 +137,8 @@
 	return b.String()
 }
 
-// hashBody identifies what was asked. The fields that a reconnect changes are
-// left out; all others count, also those without effect.
+// hashBody returns a hash that identifies the request. It leaves out the fields
+// that a reconnect changes, and includes all others, even those without effect.
 func hashBody(fields map[string]json.RawMessage, form format) [16]byte {
 	rest := make(map[string]json.RawMessage, len(fields))
 	for name, raw := range fields {
@@ -145,12 +146,13 @@
 			rest[name] = raw
 		}
 	}
-	text, _ := json.Marshal(rest) // parts of a valid text encode; names are sorted
+	text, _ := json.Marshal(rest) // can't fail: the values are valid JSON; names are sorted
 	sum := sha256.Sum256(append([]byte{byte(form)}, text...))
 	return [16]byte(sum[:16])
 }
 
-// tooDeep counts nesting before anything recurses over the body.
+// tooDeep reports whether the body is nested deeper than maxDepth. It is checked
+// before any decoder recurses over the body.
 func tooDeep(raw []byte) bool {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
@@ -169,7 +171,8 @@
 	return false
 }
 
-// stringEnd returns the index of the quote that ends the string begun at i.
+// stringEnd returns the index of the closing quote of the string that starts at
+// i.
 func stringEnd(raw []byte, i int) int {
 	for i++; i < len(raw); i++ {
 		switch raw[i] {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -30,7 +30,7 @@
 	return string(raw)
 }
 
-// Clients of the usual protocol read these very bytes.
+// The events must have exactly these bytes, which clients of OpenAI's format parse.
 func TestStreamBytes(t *testing.T) {
 	s := newServer(t, func(_ context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		if req.Prompt != "<|user|>\nhi\n<|assistant|>\n" || req.Account != "acme" || req.ID == "k1" {
@@ -66,11 +66,11 @@
 	}
 }
 
-// Symptom: after a router's death an answer goes on with a token missing,
-// repeated, or of another draft.
-// Sequence: the first router streams three tokens and dies; the caller comes
-// to a second one, which never heard of the request, with the last cursor.
-// Cause: a place or text that is not the delivered one.
+// Guards against a resumed answer with a token that is missing, repeated or of
+// another generation. The first router streams three tokens and crashes; the
+// caller reconnects with its last cursor to a second router, which has no record of
+// the request. The second router must resume from exactly the delivered position and
+// text.
 func TestReconnectAtAnotherNode(t *testing.T) {
 	first := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ", "two ", "three ")
@@ -100,44 +100,44 @@
 		if rest.text != "four end" || !rest.done {
 			t.Fatalf("got %+v", rest)
 		}
-		// The cursors of the second node still speak of the whole text.
-		third := newServer(t, never(t))
-		whole := bodyResume + quoted(got.text+rest.text) + "}"
-		last := readStream(t, post(third, "/v1/completions", whole, "Last-Event-ID: "+rest.cursor))
+		// The cursors of the second node cover the complete text.
+		third := newServer(t, neverRuns(t))
+		allText := bodyResume + quoted(got.text+rest.text) + "}"
+		last := readStream(t, post(third, "/v1/completions", allText, "Last-Event-ID: "+rest.cursor))
 		if last.text != "" || !last.done {
 			t.Fatalf("after the last token: got %+v", last)
 		}
 	}
 }
 
-// Symptom: one account gets another's text, or a spliced answer.
-// Sequence: a caller comes back with a cursor or a text that is not its own.
-// Cause: a reconnect taken on trust. Each must be refused before any work.
+// Guards against a caller getting another account's text, or an answer spliced from
+// two. The caller reconnects with a cursor or a text that does not belong to its
+// request; each such reconnect must be refused before any work is done.
 func TestReconnectRefused(t *testing.T) {
 	s := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ", "two ")
 		return generation.Result{Outcome: fleet.Failed}
 	})
 	got := readStream(t, post(s, "/v1/completions", body, "Idempotency-Key: k1"))
-	strict := newServer(t, never(t))
-	own := "Last-Event-ID: " + got.cursor
+	strict := newServer(t, neverRuns(t))
+	ownCursor := "Last-Event-ID: " + got.cursor
 	for _, c := range []struct {
 		name, body string
 		headers    []string
 		status     int
 		code       string
 	}{
-		{"foreign", body, []string{own, "Authorization: Bearer sk-other"}, 403, "cursor_foreign"},
-		{"forged", body, []string{own[:len(own)-3] + "AAA"}, 400, "cursor_invalid"},
+		{"foreign", body, []string{ownCursor, "Authorization: Bearer sk-other"}, 403, "cursor_foreign"},
+		{"forged", body, []string{ownCursor[:len(ownCursor)-3] + "AAA"}, 400, "cursor_invalid"},
 		{"not a cursor", body, []string{"Last-Event-ID: 7"}, 400, "cursor_invalid"},
-		{"other key", body, []string{own, "Idempotency-Key: k2"}, 400, "cursor_mismatch"},
-		{"other body", `{"model":"m","prompt":"q","stream":true}`, []string{own}, 400, "cursor_mismatch"},
-		{"shorter text", bodyResume + `"one "}`, []string{own}, 400, "resume_text_mismatch"},
-		{"longer text", bodyResume + `"one two t"}`, []string{own}, 400, "resume_text_mismatch"},
-		{"other text", bodyResume + `"one twO "}`, []string{own}, 400, "resume_text_mismatch"},
+		{"other key", body, []string{ownCursor, "Idempotency-Key: k2"}, 400, "cursor_mismatch"},
+		{"other body", `{"model":"m","prompt":"q","stream":true}`, []string{ownCursor}, 400, "cursor_mismatch"},
+		{"shorter text", bodyResume + `"one "}`, []string{ownCursor}, 400, "resume_text_mismatch"},
+		{"longer text", bodyResume + `"one two t"}`, []string{ownCursor}, 400, "resume_text_mismatch"},
+		{"other text", bodyResume + `"one twO "}`, []string{ownCursor}, 400, "resume_text_mismatch"},
 		{"text of an earlier event", bodyResume + `"one two "}`, []string{"Last-Event-ID: " + got.cursors[0]}, 400, "resume_text_mismatch"},
 		{"text without cursor", bodyResume + `"one two "}`, nil, 400, "invalid_request"},
-		{"whole", `{"model":"m","prompt":"p"}`, []string{own}, 400, "invalid_request"},
+		{"whole", `{"model":"m","prompt":"p"}`, []string{ownCursor}, 400, "invalid_request"},
 	} {
 		resp := post(strict, "/v1/completions", c.body, c.headers...)
 		f := failureIn(t, resp)
@@ -147,21 +147,20 @@
 	}
 }
 
-// Symptom: a caller is told not-run of a request of which it holds tokens, and
-// sends it as a fresh one: a second draft.
-// Sequence: its router dies, and the next one turns the reconnect away before
-// it looks at the cursor.
-// Cause: nothing was run by this try, which says nothing of the request.
+// Guards against a caller receiving not-run for a request of which it already has
+// tokens: it would send the request as a new one and get a second generation. Its
+// router crashes, and the next one refuses the reconnect before it checks the
+// cursor. That this try ran nothing does not mean that the request never ran.
 func TestReconnectIsNeverNotRun(t *testing.T) {
-	notReady := func(c *callerapi.Config) { c.Gate = gate{errNotReady} }
+	notReady := func(c *callerapi.Config) { c.Gate = fakeGate{errNotReady} }
 	full := func(c *callerapi.Config) { c.MaxOpen = -1 }
 	none := func(*callerapi.Config) {}
-	takenAway := func(c *callerapi.Config) { c.Accounts = noAccess{} }
+	revoked := func(c *callerapi.Config) { c.Accounts = noAccess{} }
 	first := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ")
 		return generation.Result{Outcome: fleet.Failed}
 	})
-	own := "Last-Event-ID: " + readStream(t, post(first, "/v1/completions", body, "Idempotency-Key: k")).cursor
+	ownCursor := "Last-Event-ID: " + readStream(t, post(first, "/v1/completions", body, "Idempotency-Key: k")).cursor
 	for _, c := range []struct {
 		name, body, header string
 		change             func(*callerapi.Config)
@@ -173,30 +172,31 @@
 		{"malformed", `{`, "", none, "invalid_request"},
 		{"key", body, "Idempotency-Key: a b", none, "invalid_request"},
 		{"oversized", strings.Repeat(" ", 2001), "", none, "body_too_large"},
-		{"model taken away", body, "", takenAway, "model_not_allowed"},
+		{"access to the model revoked", body, "", revoked, "model_not_allowed"},
 	} {
-		f := failureIn(t, post(newServer(t, never(t), c.change), "/v1/completions", c.body, own, c.header))
+		f := failureIn(t, post(newServer(t, neverRuns(t), c.change), "/v1/completions", c.body, ownCursor, c.header))
 		if f.Code != c.code || f.Outcome != "unknown" {
 			t.Errorf("%s: got %+v", c.name, f)
 		}
 	}
 }
 
-// Symptom: an answer whose beginning is of one draft and whose end of another.
-// Sequence: a node finishes and keeps a second draft of a request whose first
-// one broke off; the caller comes there with the cursor of the first.
-// Cause: a kept answer sent from an offset on, whatever the text before it.
+// Guards against an answer that begins with the text of one generation and ends
+// with that of another. A node finishes and keeps a second generation of a request
+// whose first one broke off; the caller reconnects there with the cursor of the
+// first. The kept answer must not be continued at the cursor's offset unless the
+// text before it is the same.
 func TestKeptAnswerOfAnotherDraft(t *testing.T) {
-	draft := func(texts ...string) *callerapi.Server {
+	answering := func(texts ...string) *callerapi.Server {
 		return newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 			tokens(sink, 0, texts...)
 			return complete
 		})
 	}
 	long := strings.Repeat("two ", 200)
-	first := readStream(t, post(draft("one ", long, "end"), "/v1/completions", body, "Idempotency-Key: k"))
+	first := readStream(t, post(answering("one ", long, "end"), "/v1/completions", body, "Idempotency-Key: k"))
 	for name, texts := range map[string][]string{"same length": {"uno ", long, "end"}, "shorter": {"end"}} {
-		second := draft(texts...)
+		second := answering(texts...)
 		readStream(t, post(second, "/v1/completions", body, "Idempotency-Key: k"))
 		resp := post(second, "/v1/completions", body, "Last-Event-ID: "+first.cursors[1])
 		if resp.StatusCode != http.StatusConflict {
@@ -209,9 +209,10 @@
 	}
 }
 
-// A refusal must keep its status and be true: none of these may reach a run.
+// A refusal must have its own HTTP status and a correct outcome: none of these
+// requests may reach the runner.
 func TestRefusals(t *testing.T) {
-	notReady := func(c *callerapi.Config) { c.Gate = gate{errNotReady} }
+	notReady := func(c *callerapi.Config) { c.Gate = fakeGate{errNotReady} }
 	full := func(c *callerapi.Config) { c.MaxOpen = -1 }
 	none := func(*callerapi.Config) {}
 	for _, c := range []struct {
@@ -243,7 +244,7 @@
 		{"method", "/v1/models", body, "", none, 405, "method_not_allowed", false},
 		{"service", "/services/x/y", body, "", none, 404, "not_found", false},
 	} {
-		resp := post(newServer(t, never(t), c.change), c.path, c.body, c.header)
+		resp := post(newServer(t, neverRuns(t), c.change), c.path, c.body, c.header)
 		f := failureIn(t, resp)
 		if resp.StatusCode != c.status || f.Code != c.code || f.Outcome != "not-run" {
 			t.Errorf("%s: got %d %+v", c.name, resp.StatusCode, f)
@@ -254,7 +255,8 @@
 	}
 }
 
-// What a run says of itself must reach the caller unchanged, or weaker.
+// The outcome that a run reports must be sent to the caller unchanged, or weakened
+// to unknown.
 func TestRunOutcomes(t *testing.T) {
 	set := metrics.NewSet()
 	for _, c := range []struct {
@@ -286,19 +288,18 @@
 		}
 	}
 	if n := set.GetOrCreateCounter(`wigeon_caller_failures_total{code="other",outcome="unknown"}`).Get(); n != 2 {
-		t.Errorf("%d failures with a strange code are counted", n)
+		t.Errorf("got %d failures counted with code \"other\", want 2", n)
 	}
 }
 
-// Symptom: two drafts of one request.
-// Sequence: the caller repeats a request while the first is running; after it
-// has finished and its answer was lost; and with another body.
-// Cause: a key that is not held while its request runs, or not kept after.
+// Guards against two generations of one request. The caller repeats a request while
+// the first is running, after it has finished and its answer was lost, and with
+// another body. The key must be held while its request runs, and kept afterwards.
 func TestOneDraftPerKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
 		release := make(chan struct{})
-		s := newServer(t, counted(&runs, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
+		s := newServer(t, countRuns(&runs, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 			tokens(sink, 0, "one ")
 			<-release
 			tokens(sink, 1, "two ", "end")
@@ -328,16 +329,16 @@
 		if runs.Load() != 1 {
 			t.Errorf("%d runs", runs.Load())
 		}
-		time.Sleep(3 * time.Minute) // the fake clock's
+		time.Sleep(3 * time.Minute) // of the fake clock
 		post(s, "/v1/completions", body, "Idempotency-Key: k")
 		if runs.Load() != 2 {
-			t.Errorf("the answer is kept for ever")
+			t.Errorf("the answer is kept forever")
 		}
 	})
 }
 
-// The same, where the first request runs on another node. A reconnect takes
-// its own stream over and passes.
+// As TestOneDraftPerKey, but the first request runs on another node. A reconnect is
+// allowed, because it takes over its own stream.
 func TestOneDraftAcrossNodes(t *testing.T) {
 	s := newServer(t, func(_ context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		if req.Resume != nil {
@@ -346,7 +347,7 @@
 		}
 		tokens(sink, 0, "one ")
 		return generation.Result{Outcome: fleet.Failed, Code: generation.CodeEngineLost}
-	}, func(c *callerapi.Config) { c.Pointers = pointers{} })
+	}, func(c *callerapi.Config) { c.Pointers = fakePointers{} })
 	got := readStream(t, post(s, "/v1/completions", body, "Idempotency-Key: k"))
 	if f := failureIn(t, post(s, "/v1/completions", body, "Idempotency-Key: k")); f.Code != "in_progress" || f.Outcome != "unknown" {
 		t.Errorf("same body: %+v", f)
@@ -359,16 +360,16 @@
 	}
 }
 
-// Symptom: a caller that lost its connection is turned away or kept waiting,
-// or its two runs take the engine's stream from each other.
-// Sequence: the connection dies unnoticed by the node, which blocks in a write
-// to it; the caller comes back to the same node.
-// Cause: the earlier run still holds the key.
+// Guards against a caller that lost its connection being refused or kept waiting,
+// and against its two runs taking the engine's stream from each other. The
+// connection breaks without the node noticing, so the node blocks in a write to it
+// and the earlier run still holds the key when the caller reconnects to the same
+// node.
 func TestReconnectSupersedes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
-		first := &stuck{ResponseRecorder: httptest.NewRecorder()}
-		s := newServer(t, counted(&runs, func(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result {
+		first := &stuckConn{ResponseRecorder: httptest.NewRecorder()}
+		s := newServer(t, countRuns(&runs, func(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result {
 			if req.Resume != nil {
 				tokens(sink, 1, "end")
 				return complete
@@ -377,7 +378,7 @@
 				t.Errorf("ended by %v, %v", err, context.Cause(ctx))
 			}
 			if sink.Flush() == nil {
-				t.Error("a later write is given its time again")
+				t.Error("a write after the abort got a new deadline")
 			}
 			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerGone}
 		}))
--- a/callerapi/errors.go
+++ b/callerapi/errors.go
@@ -15,19 +15,20 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("callerapi")
 
-// What Accounts.Resolve may answer.
+// Errors that Accounts.Resolve may return.
 var (
-	// ErrUnknownModel: no such model is configured.
+	// ErrUnknownModel means that no such model is configured.
 	ErrUnknownModel = Error.New("unknown model")
-	// ErrForbidden: the client account may not use the model.
+	// ErrForbidden means that the client account may not use the model.
 	ErrForbidden = Error.New("model not allowed for this account")
 )
 
-// ErrSuperseded is the cause of the context's end when the caller came back
-// for the same answer: the engine's stream must be left alive for it.
+// ErrSuperseded is the cause of a run's cancelled context if the caller
+// reconnected for the same answer. The engine's stream must then not be
+// cancelled, because the new connection continues it.
 var ErrSuperseded = Error.New("superseded by the caller's reconnect")
 
-// Names of headers beyond the usual ones.
+// Names of request and response headers.
 const (
 	headerKey           = "Idempotency-Key"
 	headerNonIdempotent = "Wigeon-Non-Idempotent"
@@ -38,13 +39,13 @@
 	headerRetryAfter    = "Retry-After"
 )
 
-// Failure is an answer that is not success.
+// Failure is an error answer.
 type Failure struct {
 	Status     int
 	Code       string // stable, for programs
 	Message    string // for people
 	Outcome    fleet.Outcome
-	RetryAfter time.Duration // 0: trying the same again does not help
+	RetryAfter time.Duration // 0: repeating the same request does not help
 }
 
 // Error implements error.
@@ -77,7 +78,7 @@
 	return raw
 }
 
-// write sends f as a whole answer.
+// write sends f as a complete HTTP response.
 func (f *Failure) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -85,40 +86,42 @@
 	if f.RetryAfter > 0 {
 		h.Set(headerRetryAfter, retrySeconds(f.RetryAfter))
 	}
-	armWrite(w)
+	setWriteDeadline(w)
 	w.WriteHeader(f.Status)
-	_, _ = w.Write(f.body()) // the caller has gone: nobody is left to tell
+	_, _ = w.Write(f.body()) // an error means that the caller has disconnected
 }
 
-// retrySeconds rounds up: the header has whole seconds.
+// retrySeconds formats d for Retry-After, rounded up to whole seconds.
 func retrySeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
-// refuse makes a failure of a request that no backend server has seen.
+// refuse returns the failure of a request that was not sent to any backend
+// server.
 func refuse(status int, code, message string) *Failure {
 	return &Failure{Status: status, Code: code, Message: message, Outcome: fleet.NotRun}
 }
 
-// forReconnect weakens a refusal of a caller that comes back for the rest of
-// an answer. Nothing was run now, but the request was: its cursor or its text
-// shows it, also where they can't be checked or prove wrong. A caller told
-// not-run would repeat it as a fresh one, and get a second draft.
-func (f *Failure) forReconnect() {
+// weakenForReconnect changes the outcome not-run to unknown when a caller that
+// reconnects for the rest of an answer is refused. This try ran nothing, but the
+// cursor or the text in the request shows that the request did run earlier, even
+// if they can't be verified or turn out to be wrong. A caller that receives
+// not-run would send the request as a new one and get a second generation.
+func (f *Failure) weakenForReconnect() {
 	if f.Outcome == fleet.NotRun {
 		f.Outcome = fleet.Unknown
 	}
 }
 
-// Codes of refusals that other packages give too.
+// Codes of refusals that other packages also use.
 const (
 	CodeNotReady     = "not_ready"
 	CodeOverloaded   = "overloaded"
 	CodeRateLimited  = "rate_limited"  // tokens per second of the account
-	CodeAccountLimit = "account_limit" // requests at once of the account
+	CodeAccountLimit = "account_limit" // concurrent requests of the account
 )
 
-// Codes of refusals.
+// Codes of failures that only this package uses.
 const (
 	codeBadKey         = "invalid_api_key"
 	codeBadRequest     = "invalid_request"
--- a/callerapi/escape.go
+++ b/callerapi/escape.go
@@ -2,8 +2,8 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendEscaped adds valid UTF-8 text as the inside of a JSON string. It never
-// allocates while dst has room, unlike encoding/json.
+// appendEscaped appends valid UTF-8 text as the content of a JSON string, without
+// the quotes. Unlike encoding/json it does not allocate if dst has enough capacity.
 func appendEscaped(dst, text []byte) []byte {
 	for _, b := range text {
 		switch {
--- a/callerapi/fake_test.go
+++ b/callerapi/fake_test.go
@@ -21,20 +21,20 @@
 	"wigeondale/generation"
 )
 
-// run is what a fake runner does with one request.
-type run func(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
+// runnerFunc implements callerapi.Runner with a function.
+type runnerFunc func(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 
-func (f run) Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result {
+func (f runnerFunc) Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result {
 	return f(ctx, req, sink)
 }
 
-type accounts struct{}
+type fakeAccounts struct{}
 
-func (accounts) Authenticate(key string) (string, bool) {
+func (fakeAccounts) Authenticate(key string) (string, bool) {
 	return strings.CutPrefix(key, "sk-")
 }
 
-func (accounts) Resolve(_, model, _ string) (fleet.ModelRef, fleet.Priority, error) {
+func (fakeAccounts) Resolve(_, model, _ string) (fleet.ModelRef, fleet.Priority, error) {
 	switch model {
 	case "m":
 		return fleet.ModelRef{Model: "m", Version: "v1"}, fleet.Batch, nil
@@ -44,37 +44,38 @@
 	return fleet.ModelRef{}, 0, callerapi.ErrUnknownModel
 }
 
-// noAccess plays a configuration in which the account has lost its models.
-type noAccess struct{ accounts }
+// noAccess is an Accounts in which no account may use any model.
+type noAccess struct{ fakeAccounts }
 
 func (noAccess) Resolve(string, string, string) (fleet.ModelRef, fleet.Priority, error) {
 	return fleet.ModelRef{}, 0, callerapi.ErrForbidden
 }
 
-type gate struct{ err error }
+type fakeGate struct{ err error }
 
-func (g gate) Ready() error { return g.err }
+func (g fakeGate) Ready() error { return g.err }
 
-type services func(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error)
+type serviceFunc func(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error)
 
-func (f services) Do(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
+func (f serviceFunc) Do(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
 	return f(ctx, call)
 }
 
-// pointers plays another node on which every announced key is live.
-type pointers map[string][16]byte
+// fakePointers reports that every announced key is running on another node.
+type fakePointers map[string][16]byte
 
-func (p pointers) Live(_ context.Context, account, key string) (string, [16]byte, bool) {
+func (p fakePointers) Live(_ context.Context, account, key string) (string, [16]byte, bool) {
 	hash, ok := p[account+"/"+key]
 	return "node-2", hash, ok
 }
 
-func (p pointers) Announce(account, key string, hash [16]byte) { p[account+"/"+key] = hash }
-func (p pointers) Drop(string, string)                         {}
+func (p fakePointers) Announce(account, key string, hash [16]byte) { p[account+"/"+key] = hash }
+func (p fakePointers) Drop(string, string)                         {}
 
 var errNotReady = errors.New("no configuration")
 
-// tokens delivers texts from an offset on, as one attempt on engine e1.
+// tokens delivers texts as the tokens from index from on, as one attempt on engine
+// e1. The text "end" is the last token.
 func tokens(sink generation.Sink, from int, texts ...string) error {
 	if err := sink.Begin(generation.Place{Backend: "e1", Incarnation: "i1", Attempt: 1}, nil); err != nil {
 		return err
@@ -93,13 +94,13 @@
 
 var complete = generation.Result{Outcome: fleet.Complete}
 
-func newServer(t testing.TB, f run, change ...func(*callerapi.Config)) *callerapi.Server {
+func newServer(t testing.TB, f runnerFunc, change ...func(*callerapi.Config)) *callerapi.Server {
 	t.Helper()
 	sealer, err := cursor.NewSealer(bytes.Repeat([]byte("k"), 32), nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := callerapi.Config{Gate: gate{}, Accounts: accounts{}, Runner: f, Sealer: sealer}
+	cfg := callerapi.Config{Gate: fakeGate{}, Accounts: fakeAccounts{}, Runner: f, Sealer: sealer}
 	cfg.BodyBytes = 2000
 	for _, c := range change {
 		c(&cfg)
@@ -107,7 +108,7 @@
 	return callerapi.New(cfg)
 }
 
-// post sends body with headers given as "Name: value".
+// post sends body with headers in the form "Name: value".
 func post(s http.Handler, path, body string, headers ...string) *http.Response {
 	r := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer sk-acme")
@@ -120,28 +121,28 @@
 	return w.Result()
 }
 
-// streamed is what a caller got from a stream.
-type streamed struct {
+// receivedStream is what a caller received on one stream.
+type receivedStream struct {
 	text, cursor string
 	cursors      []string
 	done         bool
 	failure      failure
 }
 
-func readStream(t testing.TB, resp *http.Response) streamed {
+func readStream(t testing.TB, resp *http.Response) receivedStream {
 	t.Helper()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d, %v: %s", resp.StatusCode, err, raw)
 	}
-	var out streamed
+	var out receivedStream
 	for event := range strings.SplitSeq(strings.TrimSuffix(string(raw), "\n\n"), "\n\n") {
 		out.add(t, event)
 	}
 	return out
 }
 
-func (s *streamed) add(t testing.TB, event string) {
+func (s *receivedStream) add(t testing.TB, event string) {
 	t.Helper()
 	id, data, hasID := strings.Cut(event, "\ndata: ")
 	switch {
@@ -199,15 +200,15 @@
 	return f
 }
 
-// stuck plays a connection whose caller vanished: a flush blocks until the
-// write deadline is in the past.
-type stuck struct {
+// stuckConn simulates a connection whose caller is unreachable: a flush blocks until
+// the write deadline has passed.
+type stuckConn struct {
 	*httptest.ResponseRecorder
 	mu   sync.Mutex
 	past chan struct{}
 }
 
-func (s *stuck) SetWriteDeadline(t time.Time) error {
+func (s *stuckConn) SetWriteDeadline(t time.Time) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if t.After(time.Now()) {
@@ -222,7 +223,7 @@
 	return nil
 }
 
-func (s *stuck) FlushError() error {
+func (s *stuckConn) FlushError() error {
 	s.mu.Lock()
 	past := s.past
 	s.mu.Unlock()
@@ -230,16 +231,16 @@
 	return os.ErrDeadlineExceeded
 }
 
-// never is a runner for requests that must be refused before it.
-func never(t testing.TB) run {
+// neverRuns returns a runner that fails the test if a request reaches it.
+func neverRuns(t testing.TB) runnerFunc {
 	return func(context.Context, generation.Request, generation.Sink) generation.Result {
 		t.Error("the request was run")
 		return generation.Result{Outcome: fleet.Failed}
 	}
 }
 
-// counted counts the runs of f.
-func counted(n *atomic.Int32, f run) run {
+// countRuns returns a runner that calls f and counts the calls in n.
+func countRuns(n *atomic.Int32, f runnerFunc) runnerFunc {
 	return func(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		n.Add(1)
 		return f(ctx, req, sink)
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -11,19 +11,19 @@
 	"wigeondale/generation"
 )
 
-// call is one request for a generation after its checks.
-type call struct {
-	id     identity
-	params params
-	form   format
-	ref    fleet.ModelRef
-	from   *cursor.Cursor // nil: from the start
-	http2  bool
+// generationCall is one validated request for a generation.
+type generationCall struct {
+	id         identity
+	params     params
+	form       format
+	ref        fleet.ModelRef
+	resumeFrom *cursor.Cursor // nil: the answer starts at its beginning
+	http2      bool
 }
 
 func (s *Server) generate(form format) handler {
 	return func(w http.ResponseWriter, r *http.Request, account string) *Failure {
-		if f := method(r, http.MethodPost); f != nil {
+		if f := requireMethod(r, http.MethodPost); f != nil {
 			return f
 		}
 		c, f := s.readCall(w, r, account, form)
@@ -33,16 +33,16 @@
 		if f != nil {
 			return f
 		}
-		if c.from != nil && c.from.Finished {
-			s.stream(w, c).done()
+		if c.resumeFrom != nil && c.resumeFrom.Finished {
+			s.newSink(w, c).writeDone()
 			return nil
 		}
 		return s.runOnce(w, r, c)
 	}
 }
 
-func (s *Server) readCall(w http.ResponseWriter, r *http.Request, account string, form format) (*call, *Failure) {
-	c := &call{form: form, http2: r.ProtoMajor >= 2}
+func (s *Server) readCall(w http.ResponseWriter, r *http.Request, account string, form format) (*generationCall, *Failure) {
+	c := &generationCall{form: form, http2: r.ProtoMajor >= 2}
 	var f *Failure
 	if c.id, f = readIdentity(r, account); f != nil {
 		return c, f
@@ -54,15 +54,15 @@
 	if c.params, f = s.parseBody(raw, form); f != nil {
 		return c, f
 	}
-	if c.from, f = s.openCursor(r, &c.id, &c.params); f != nil {
+	if c.resumeFrom, f = s.openCursor(r, &c.id, &c.params); f != nil {
 		return c, f
 	}
 	return c, s.resolve(c)
 }
 
-// resolve settles version and priority. A reconnect stays with the version
-// that began the answer, whatever the traffic weights say by now.
-func (s *Server) resolve(c *call) *Failure {
+// resolve determines the version and the priority. A reconnect stays with the
+// version that started the answer, even if the traffic weights have changed.
+func (s *Server) resolve(c *generationCall) *Failure {
 	ref, priority, err := s.Accounts.Resolve(c.id.Account, c.params.Model, c.id.Key)
 	switch {
 	case errors.Is(err, ErrUnknownModel):
@@ -74,8 +74,8 @@
 		f.RetryAfter = retrySoon
 		return f
 	}
-	if c.from != nil {
-		ref = c.from.Ref
+	if c.resumeFrom != nil {
+		ref = c.resumeFrom.Ref
 	}
 	c.ref = ref
 	if !c.id.HasPriority {
@@ -84,22 +84,23 @@
 	return nil
 }
 
-// runOnce runs the call under its key, or answers from what the key holds.
-func (s *Server) runOnce(w http.ResponseWriter, r *http.Request, c *call) *Failure {
-	if f := s.elsewhere(r.Context(), c); f != nil {
+// runOnce runs the call and holds its key meanwhile, or replays the answer that is
+// kept under the key.
+func (s *Server) runOnce(w http.ResponseWriter, r *http.Request, c *generationCall) *Failure {
+	if f := s.checkOtherNodes(r.Context(), c); f != nil {
 		return f
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	e, f := s.take(ctx, c, cancel)
+	e, f := s.acquireKey(ctx, c, cancel)
 	if f != nil {
 		return f
 	}
 	if kept := s.keys.answer(e); kept != nil {
 		return s.replay(w, c, kept)
 	}
-	var kept *finished
-	defer func() { s.keys.end(e, kept) }()
+	var kept *finishedAnswer
+	defer func() { s.keys.release(e, kept) }()
 	if s.Pointers != nil {
 		s.Pointers.Announce(c.id.Account, c.id.Key, c.params.Hash)
 		defer s.Pointers.Drop(c.id.Account, c.id.Key)
@@ -108,14 +109,15 @@
 	return f
 }
 
-// lookupTimeout bounds the question to other nodes: a lost one must not delay
-// the request, since the pointer is only an economy.
+// lookupTimeout bounds the query to other nodes. An unreachable node must not
+// delay the request, since the lookup only saves work.
 const lookupTimeout = 100 * time.Millisecond
 
-// elsewhere turns away a request whose key runs on another node. A reconnect
-// passes: it takes its own stream over from a node that has lost the caller.
-func (s *Server) elsewhere(ctx context.Context, c *call) *Failure {
-	if s.Pointers == nil || c.id.Made || c.from != nil {
+// checkOtherNodes refuses a request whose key is running on another node. A
+// reconnect is allowed: it takes over its own stream from a node that has lost the
+// connection to the caller.
+func (s *Server) checkOtherNodes(ctx context.Context, c *generationCall) *Failure {
+	if s.Pointers == nil || c.id.KeyGenerated || c.resumeFrom != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
@@ -134,8 +136,9 @@
 	return refuse(http.StatusUnprocessableEntity, codeKeyReused, "this key belongs to a request with another body")
 }
 
-// inProgress is said of the request under the key, which has been started; so
-// its outcome is unknown and not not-run.
+// inProgress returns the refusal of a request whose key is in use. The outcome
+// is that of the request under the key, which has been started: unknown and not
+// not-run.
 func inProgress() *Failure {
 	return &Failure{
 		Status:     http.StatusConflict,
@@ -146,14 +149,15 @@
 	}
 }
 
-// take makes the key live. A reconnect that finds its own earlier run still
-// live (the node has not yet seen its connection break) ends that run first:
-// two runs would take the engine's stream from each other without end.
-func (s *Server) take(ctx context.Context, c *call, cancel context.CancelCauseFunc) (*keyEntry, *Failure) {
+// acquireKey marks the key as running, or returns the entry of a finished answer.
+// If a reconnect finds its own earlier run still running, because the node has not
+// noticed yet that the connection broke, it ends that run first: two runs would
+// keep taking the engine's stream from each other.
+func (s *Server) acquireKey(ctx context.Context, c *generationCall, cancel context.CancelCauseFunc) (*keyEntry, *Failure) {
 	name := keyName(c.id.Account, c.id.Key)
 	for {
-		e, began := s.keys.begin(name, c.params.Hash, cancel)
-		if began {
+		e, acquired := s.keys.acquire(name, c.params.Hash, cancel)
+		if acquired {
 			return e, nil
 		}
 		if e.hash != c.params.Hash {
@@ -162,7 +166,7 @@
 		if s.keys.answer(e) != nil {
 			return e, nil
 		}
-		if c.from == nil {
+		if c.resumeFrom == nil {
 			return nil, inProgress()
 		}
 		e.cancel(ErrSuperseded)
@@ -174,39 +178,40 @@
 	}
 }
 
-func (s *Server) stream(w http.ResponseWriter, c *call) *streamSink {
-	place := cursor.Cursor{
+func (s *Server) newSink(w http.ResponseWriter, c *generationCall) *streamSink {
+	start := cursor.Cursor{
 		Request:  c.id.Key,
 		Account:  c.id.Account,
 		Ref:      c.ref,
 		BodyHash: c.params.Hash,
 	}
-	if c.from != nil {
-		place = *c.from
+	if c.resumeFrom != nil {
+		start = *c.resumeFrom
 	}
-	sink := newStreamSink(w, s.Sealer, place, c.form)
+	sink := newStreamSink(w, s.Sealer, start, c.form)
 	sink.http2 = c.http2
 	sink.limit = s.KeepBytes / 4
-	// The text before the cursor is known only if the caller sent it back.
-	if c.from != nil && c.params.ResumeText != nil {
+	// The text before the cursor is known only if the caller sent it. Without it
+	// the answer can't be kept, so its text isn't collected.
+	if c.resumeFrom != nil && c.params.ResumeText != nil {
 		sink.text = []byte(*c.params.ResumeText)
 	}
-	sink.full = c.from != nil && c.params.ResumeText == nil
+	sink.discardText = c.resumeFrom != nil && c.params.ResumeText == nil
 	return sink
 }
 
-func (s *Server) run(ctx context.Context, w http.ResponseWriter, c *call) (*finished, *Failure) {
+func (s *Server) run(ctx context.Context, w http.ResponseWriter, c *generationCall) (*finishedAnswer, *Failure) {
 	req := s.request(c)
 	if c.params.Stream {
-		sink := s.stream(w, c)
+		sink := s.newSink(w, c)
 		release := sink.abortOn(ctx)
 		defer release()
 		f := failureOf(s.Runner.Run(ctx, req, sink))
 		return s.endStream(sink, f)
 	}
-	sink := &wholeSink{collector{limit: int(s.AnswerBytes)}}
+	sink := &bufferSink{collector{limit: int(s.AnswerBytes)}}
 	f := failureOf(s.Runner.Run(ctx, req, sink))
-	if sink.full {
+	if sink.discardText {
 		f = &Failure{Status: http.StatusBadGateway, Code: codeAnswerTooLarge, Outcome: fleet.Failed,
 			Message: "the answer is larger than this node holds: ask for it streamed"}
 	}
@@ -214,24 +219,24 @@
 		return nil, f
 	}
 	kept := sink.answer()
-	s.writeWhole(w, c, kept)
+	s.writeCompletion(w, c, kept)
 	return kept, nil
 }
 
-func (s *Server) endStream(sink *streamSink, f *Failure) (*finished, *Failure) {
+func (s *Server) endStream(sink *streamSink, f *Failure) (*finishedAnswer, *Failure) {
 	if f == nil {
-		sink.done()
+		sink.writeDone()
 		return sink.answer(), nil
 	}
 	if !sink.started {
 		return nil, f
 	}
-	s.count(f)
-	sink.fail(f)
+	s.countFailure(f)
+	sink.writeFailure(f)
 	return nil, nil
 }
 
-func (s *Server) request(c *call) generation.Request {
+func (s *Server) request(c *generationCall) generation.Request {
 	req := generation.Request{
 		ID:            c.id.requestID(),
 		Account:       c.id.Account,
@@ -243,14 +248,14 @@
 		Deadline:      c.id.deadline(s.GenerateTimeout),
 		BodyHash:      c.params.Hash,
 	}
-	if c.from == nil {
+	if c.resumeFrom == nil {
 		return req
 	}
 	req.Resume = &generation.ResumePoint{
-		Backend:     c.from.Backend,
-		Incarnation: c.from.Incarnation,
-		Attempt:     c.from.Attempt,
-		Offset:      c.from.Offset,
+		Backend:     c.resumeFrom.Backend,
+		Incarnation: c.resumeFrom.Incarnation,
+		Attempt:     c.resumeFrom.Attempt,
+		Offset:      c.resumeFrom.Offset,
 	}
 	if c.params.ResumeText != nil {
 		req.Resume.Text = *c.params.ResumeText
--- a/callerapi/http2_test.go
+++ b/callerapi/http2_test.go
@@ -13,14 +13,14 @@
 	"wigeondale/generation"
 )
 
-// pipes is a listener whose connections are in memory, so that the fake clock
-// goes on while both ends wait.
-type pipes struct {
+// pipeListener is a listener with in-memory connections, so that the fake clock of
+// synctest advances while both ends wait.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -29,20 +29,19 @@
 	}
 }
 
-func (p *pipes) Close() error   { return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	p.conns <- there
-	return here, nil
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
+	clientEnd, serverEnd := net.Pipe()
+	p.conns <- serverEnd
+	return clientEnd, nil
 }
 
-// Symptom: over HTTP/2 a stream is reset in the middle of its answer.
-// Sequence: some tokens are flushed; the engine, or the one that goes on after
-// it, is silent for longer than a write may wait.
-// Cause: in HTTP/2 a passed write deadline resets the stream by itself, though
-// nothing waits to be written; in HTTP/1.1 it only fails the next write.
+// Guards against an HTTP/2 stream being reset in the middle of its answer. Some
+// tokens are flushed, then the engine, or the one that resumes its stream, is silent
+// for longer than the write timeout. In HTTP/2 a passed write deadline resets the
+// stream even if nothing is being written; in HTTP/1.1 it only fails the next write.
 func TestSilentStreamOutlivesWriteDeadline(t *testing.T) {
 	for _, http2 := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -58,7 +57,7 @@
 			var proto http.Protocols
 			proto.SetUnencryptedHTTP2(http2)
 			proto.SetHTTP1(!http2)
-			ln := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+			ln := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 			srv := &http.Server{Handler: s, Protocols: &proto}
 			go srv.Serve(ln)
 			tr := &http.Transport{DialContext: ln.dial, Protocols: &proto}
--- a/callerapi/identity.go
+++ b/callerapi/identity.go
@@ -16,28 +16,28 @@
 	maxTimeout  = 24 * time.Hour
 )
 
-// identity is what a caller's headers say about a request.
+// identity holds the account of a request and what its headers specify.
 type identity struct {
 	Account       string
 	Key           string
-	Made          bool // the key was made here, so nobody else can have used it
+	KeyGenerated  bool // the key was generated here, so no other request can have used it
 	NonIdempotent bool
-	Marked        bool // NonIdempotent was stated
+	MarkGiven     bool // the header for NonIdempotent was sent
 	Priority      fleet.Priority
 	HasPriority   bool
-	Timeout       time.Duration // 0: none stated
+	Timeout       time.Duration // 0: not sent
 }
 
 func readIdentity(r *http.Request, account string) (identity, *Failure) {
 	id := identity{Account: account, Key: r.Header.Get(headerKey)}
 	if id.Key == "" {
 		id.Key = newKey()
-		id.Made = true
+		id.KeyGenerated = true
 	}
 	if !validKey(id.Key) {
 		return id, badHeader(headerKey, fmt.Sprintf("1 to %d visible ASCII characters", maxKeyBytes))
 	}
-	if f := id.readMark(r.Header.Get(headerNonIdempotent)); f != nil {
+	if f := id.readNonIdempotent(r.Header.Get(headerNonIdempotent)); f != nil {
 		return id, f
 	}
 	if f := id.readPriority(r.Header.Get(headerPriority)); f != nil {
@@ -50,14 +50,14 @@
 	return refuse(http.StatusBadRequest, codeBadRequest, name+": want "+want)
 }
 
-func (id *identity) readMark(text string) *Failure {
+func (id *identity) readNonIdempotent(text string) *Failure {
 	if text == "" {
 		return nil
 	}
 	if text != "true" && text != "false" {
 		return badHeader(headerNonIdempotent, "true or false")
 	}
-	id.Marked = true
+	id.MarkGiven = true
 	id.NonIdempotent = text == "true"
 	return nil
 }
@@ -86,14 +86,14 @@
 	return nil
 }
 
-func (id *identity) deadline(standard time.Duration) time.Time {
+func (id *identity) deadline(defaultTimeout time.Duration) time.Time {
 	if id.Timeout > 0 {
-		standard = id.Timeout
+		defaultTimeout = id.Timeout
 	}
-	return time.Now().Add(standard)
+	return time.Now().Add(defaultTimeout)
 }
 
-// requestID names the request towards backend servers.
+// requestID returns the request id that is sent to backend servers.
 func (id *identity) requestID() string { return fleet.RequestID(id.Account, id.Key) }
 
 func validKey(key string) bool {
@@ -110,6 +110,6 @@
 
 func newKey() string {
 	var b [16]byte
-	rand.Read(b[:]) // never fails: the runtime ends the process instead
+	rand.Read(b[:]) // never returns an error: the runtime aborts the process instead
 	return hex.EncodeToString(b[:])
 }
--- a/callerapi/keytable.go
+++ b/callerapi/keytable.go
@@ -7,46 +7,45 @@
 	"time"
 )
 
-// keyTable knows the keys that run on this node and keeps finished answers for
-// a short while.
+// keyTable records the idempotency keys that are running on this node, and keeps
+// finished answers for a short time.
 //
 // Callers repeat a request when its answer was lost on the way. Without the
-// table the repeat would be generated afresh: a second, different draft of one
-// request. With it, a repeat gets the finished answer, or is told that the
-// first is still running.
+// table the repeat would run again and produce a second, different answer. With
+// it, a repeat gets the finished answer, or is refused while the first is running.
 type keyTable struct {
 	mu       sync.Mutex
 	entries  map[string]*keyEntry
 	order    *list.List // finished entries, oldest first
 	bytes    int
 	maxBytes int
-	keep     time.Duration
+	keepTime time.Duration
 }
 
 type keyEntry struct {
-	name     string
-	hash     [16]byte
-	cancel   context.CancelCauseFunc
-	done     chan struct{} // closed when no longer live
-	finished *finished     // nil while live
-	at       time.Time
-	element  *list.Element
+	name       string
+	hash       [16]byte
+	cancel     context.CancelCauseFunc
+	done       chan struct{}   // closed when the key is released
+	finished   *finishedAnswer // nil while the request runs
+	finishedAt time.Time
+	element    *list.Element
 }
 
-// finished is a complete answer.
-type finished struct {
-	text   []byte
-	finish string
-	tokens int
-	plain  *plainAnswer // of a plain service; text is empty then
+// finishedAnswer is a complete answer.
+type finishedAnswer struct {
+	text    []byte
+	finish  string
+	tokens  int
+	service *serviceAnswer // answer of a service that is not a model engine; text is empty then
 }
 
-const entryOverhead = 256 // bytes counted for an entry besides its text
+const entryOverhead = 256 // bytes counted for an entry in addition to its text
 
-func (f *finished) size() int {
+func (f *finishedAnswer) size() int {
 	n := len(f.text) + entryOverhead
-	if f.plain != nil {
-		n += len(f.plain.body)
+	if f.service != nil {
+		n += len(f.service.body)
 	}
 	return n
 }
@@ -56,14 +55,15 @@
 		entries:  map[string]*keyEntry{},
 		order:    list.New(),
 		maxBytes: maxBytes,
-		keep:     keep,
+		keepTime: keep,
 	}
 }
 
 func keyName(account, key string) string { return account + "\x00" + key }
 
-// begin makes the key live, or returns the entry that holds it already.
-func (t *keyTable) begin(name string, hash [16]byte, cancel context.CancelCauseFunc) (entry *keyEntry, began bool) {
+// acquire marks the key as running, or returns its existing entry, which may be
+// running or finished.
+func (t *keyTable) acquire(name string, hash [16]byte, cancel context.CancelCauseFunc) (entry *keyEntry, acquired bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expire(time.Now())
@@ -75,15 +75,16 @@
 	return e, true
 }
 
-// answer returns the finished answer, or nil while the entry is live.
-func (t *keyTable) answer(e *keyEntry) *finished {
+// answer returns the finished answer, or nil while the request runs.
+func (t *keyTable) answer(e *keyEntry) *finishedAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return e.finished
 }
 
-// end makes the key no longer live. f is kept if it is not nil and has room.
-func (t *keyTable) end(e *keyEntry, f *finished) {
+// release marks the key as no longer running. f is kept unless it is nil or larger
+// than a quarter of the table; the oldest answers are dropped to make room for it.
+func (t *keyTable) release(e *keyEntry, f *finishedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	defer close(e.done)
@@ -92,7 +93,7 @@
 		return
 	}
 	e.finished = f
-	e.at = time.Now()
+	e.finishedAt = time.Now()
 	e.element = t.order.PushBack(e)
 	t.bytes += f.size()
 	for t.bytes > t.maxBytes {
@@ -102,7 +103,7 @@
 
 func (t *keyTable) expire(now time.Time) {
 	for el := t.order.Front(); el != nil; el = t.order.Front() {
-		if now.Sub(el.Value.(*keyEntry).at) < t.keep {
+		if now.Sub(el.Value.(*keyEntry).finishedAt) < t.keepTime {
 			return
 		}
 		t.drop(el)
@@ -116,7 +117,8 @@
 	delete(t.entries, e.name)
 }
 
-// counts returns the live keys and the kept bytes, for the state dump.
+// counts returns the number of running keys, and the number and total size of kept
+// answers, for the state dump.
 func (t *keyTable) counts() (live, kept, bytes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/callerapi/resume.go
+++ b/callerapi/resume.go
@@ -9,14 +9,14 @@
 	"wigeondale/event"
 )
 
-// openCursor opens the cursor that a caller came back with, and checks that it
-// belongs to this account, key and body. nil without a cursor.
+// openCursor opens the cursor of a reconnecting caller and checks that it belongs
+// to this account, key and body. It returns nil if the request has no cursor.
 func (s *Server) openCursor(r *http.Request, id *identity, p *params) (*cursor.Cursor, *Failure) {
 	text := r.Header.Get(headerLastEvent)
 	if text == "" {
 		if p.ResumeText != nil {
-			f := badBody("resume_text: only together with a " + headerLastEvent + " header")
-			f.forReconnect()
+			f := invalidBody("resume_text: only together with a " + headerLastEvent + " header")
+			f.weakenForReconnect()
 			return nil, f
 		}
 		return nil, nil
@@ -26,15 +26,15 @@
 		s.Log.Emit(event.CursorRefused, "account", id.Account, "reason", err)
 		return nil, cursorFailure(err)
 	}
-	if id.Made {
-		id.Key, id.Made = c.Request, false
+	if id.KeyGenerated {
+		id.Key, id.KeyGenerated = c.Request, false
 	}
 	if id.Key != c.Request || p.Hash != c.BodyHash {
 		return nil, refuse(http.StatusBadRequest, codeCursorMismatch,
 			"the cursor belongs to another request: send the same key and body as at first")
 	}
 	if !p.Stream {
-		return nil, badBody("stream: want true with a " + headerLastEvent + " header")
+		return nil, invalidBody("stream: want true with a " + headerLastEvent + " header")
 	}
 	if p.ResumeText != nil && c.CheckText(*p.ResumeText) != nil {
 		return nil, refuse(http.StatusBadRequest, codeTextMismatch,
@@ -53,9 +53,9 @@
 	return refuse(http.StatusBadRequest, codeCursorInvalid, "the cursor is not one of ours")
 }
 
-// rest returns what an answer finished here has beyond the cursor. ok is false
-// when the delivered text is not the beginning of this answer.
-func (f *finished) rest(c *cursor.Cursor) (text []byte, ok bool) {
+// textAfter returns the text of a finished answer that follows the cursor. ok is
+// false if the text delivered up to the cursor is not the beginning of this answer.
+func (f *finishedAnswer) textAfter(c *cursor.Cursor) (text []byte, ok bool) {
 	if c.TextBytes > len(f.text) {
 		return nil, false
 	}
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -1,14 +1,17 @@
-// Package callerapi is the HTTP interface of client accounts: completions and
-// chat in the form that OpenAI's clients speak, streamed or whole, and plain
-// services.
+// Package callerapi is the HTTP API for client accounts: completions and chat in
+// OpenAI's format, streamed or as a single response, and calls of services that
+// are not model engines.
 //
-// It guards four things. A refusal keeps its HTTP status, since no header is
-// sent before the first token. An outcome is never better than the truth:
-// not-run is said only of requests that were turned away here or that the
-// layers below say were not started, and never to a caller that comes back. A
-// second request under a live key never becomes a second draft on this node.
-// And a reconnect goes on only from the very text that was delivered, proved
-// by its cursor.
+// It ensures four properties:
+//   - A refusal has its own HTTP status, because no header is sent before the
+//     first token.
+//   - An outcome never claims more than is certain. not-run is sent only for
+//     requests that were refused here or that the layers below report as not
+//     started, and never to a caller that reconnects.
+//   - A second request with a key that is already running never starts a second
+//     generation on this node.
+//   - A reconnect continues only from exactly the text that was delivered, which
+//     its cursor proves.
 package callerapi
 
 import (
@@ -29,15 +32,16 @@
 	"wigeondale/generation"
 )
 
-// Accounts knows the client accounts. Authenticate compares hashes of keys in
-// constant time. Resolve picks the version for a request; sticky keeps one
-// request on one version. It returns ErrUnknownModel or ErrForbidden.
+// Accounts authenticates client accounts and resolves their models. Authenticate
+// compares hashes of keys in constant time. Resolve selects the version for a
+// request, always the same one for the same value of sticky. It returns
+// ErrUnknownModel or ErrForbidden.
 type Accounts interface {
 	Authenticate(key string) (account string, ok bool)
 	Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error)
 }
 
-// ModelLister is what an Accounts may also offer, for /v1/models.
+// ModelLister is an optional interface of an Accounts, used for /v1/models.
 type ModelLister interface {
 	Models(account string) []string
 }
@@ -47,36 +51,38 @@
 	Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 }
 
-// Gate says why the node cannot take new work, or nil. It is not the readiness
-// probe: at a shutdown the probe fails first, and work is taken until the
-// balancer has noticed.
+// Gate decides whether the node accepts new requests. Ready returns the reason why
+// it doesn't, or nil. It is not the readiness probe: at a shutdown the probe fails
+// first, and requests are accepted until the load balancer has noticed.
 type Gate interface {
 	Ready() error
 }
 
-// Pointers tells other nodes which keys run here. It spares work and holds no
-// promise: whoever needs a promise marks the request as non-idempotent. Live
-// reports only another node that is believed alive, and none when in doubt.
+// Pointers records which keys are running, and on which node, and shares this with
+// other nodes. It only saves work and guarantees nothing: a caller that needs a
+// guarantee marks its request as non-idempotent. Live returns the node only if it
+// is another one and believed to be alive; when in doubt it returns none.
 type Pointers interface {
 	Live(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
 	Drop(account, key string)
 }
 
-// Options bounds and defaults. A zero field takes the default.
+// Options holds limits and defaults. A zero field takes its default, which is given
+// after the semicolon.
 type Options struct {
-	BodyBytes       int64         // of a request; 4 MiB
-	AnswerBytes     int64         // of a plain service's answer; 16 MiB
-	MaxOpen         int64         // requests at once; 4096
-	MaxTokens       int           // most that a caller may ask for; 131072
-	DefaultTokens   int           // when a caller names none; 1024
+	BodyBytes       int64         // size of a request body; 4 MiB
+	AnswerBytes     int64         // size of an answer that is not streamed; 16 MiB
+	MaxOpen         int64         // concurrent requests; 4096
+	MaxTokens       int           // largest max_tokens of a request; 131072
+	DefaultTokens   int           // max_tokens of a request that has none; 1024
 	GenerateTimeout time.Duration // default deadline of a generation; 1 h
-	ServiceTimeout  time.Duration // default deadline of a plain call; 10 s
-	KeepBytes       int           // finished answers kept; 16 MiB
-	KeepTime        time.Duration // 2 min
+	ServiceTimeout  time.Duration // default deadline of a service call; 10 s
+	KeepBytes       int           // total size of finished answers that are kept; 16 MiB
+	KeepTime        time.Duration // how long a finished answer is kept; 2 min
 }
 
-// Config is what a Server uses. Pointers, Services, Log and Metrics may be nil.
+// Config configures a Server. Pointers, Services, Log and Metrics may be nil.
 type Config struct {
 	Options
 	Gate     Gate
@@ -89,7 +95,7 @@
 	Metrics  *metrics.Set
 }
 
-// Server handles callers' requests.
+// Server handles the requests of callers.
 type Server struct {
 	Config
 	mux  *http.ServeMux
@@ -97,7 +103,7 @@
 	keys *keyTable
 }
 
-// New returns the handler of a caller listener.
+// New returns the HTTP handler for the listener that serves callers.
 func New(cfg Config) *Server {
 	cfg.Options.fill()
 	if cfg.Metrics == nil {
@@ -134,29 +140,30 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Open is how many requests are being handled; shutdown waits for 0.
+// Open returns the number of requests being handled. A shutdown waits for 0.
 func (s *Server) Open() int64 { return s.open.Load() }
 
-const servicesPath = "/services/" // Last-Event-ID means nothing below it
+const servicesPath = "/services/" // Last-Event-ID has no meaning below this path
 
-// handler answers for an authenticated account, or returns what it did not answer.
+// handler answers the request of an authenticated account, or returns a failure
+// that the server then sends.
 type handler func(w http.ResponseWriter, r *http.Request, account string) *Failure
 
 func (s *Server) handle(pattern string, h handler) {
 	s.mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
 		open := s.open.Add(1)
 		defer s.open.Add(-1)
-		if f := s.enter(w, r, open, h); f != nil {
+		if f := s.dispatch(w, r, open, h); f != nil {
 			if r.Header.Get(headerLastEvent) != "" && !strings.HasPrefix(r.URL.Path, servicesPath) {
-				f.forReconnect()
+				f.weakenForReconnect()
 			}
-			s.count(f)
+			s.countFailure(f)
 			f.write(w)
 		}
 	})
 }
 
-func (s *Server) enter(w http.ResponseWriter, r *http.Request, open int64, h handler) *Failure {
+func (s *Server) dispatch(w http.ResponseWriter, r *http.Request, open int64, h handler) *Failure {
 	if err := s.Gate.Ready(); err != nil {
 		f := refuse(http.StatusServiceUnavailable, CodeNotReady, "this node is not ready")
 		f.RetryAfter = retrySoon
@@ -182,24 +189,25 @@
 	return s.Accounts.Authenticate(key)
 }
 
-// count counts a failure. A code may come from a backend server; one that is
-// no plain name is counted as other, so that it cannot spoil the metrics page.
-func (s *Server) count(f *Failure) {
+// countFailure counts a failure by code and outcome. A code may come from a backend
+// server; one that is no valid label is counted as "other", so that it cannot break
+// the metrics page.
+func (s *Server) countFailure(f *Failure) {
 	code := f.Code
-	if !plainName(code) {
+	if !isMetricLabel(code) {
 		code = "other"
 	}
 	name := fmt.Sprintf("wigeon_caller_failures_total{code=%q,outcome=%q}", code, f.Outcome)
 	s.Metrics.GetOrCreateCounter(name).Inc()
 }
 
-func plainName(s string) bool {
-	const most = 40 // bytes
-	other := func(r rune) bool { return r != '_' && (r < 'a' || r > 'z') }
-	return s != "" && len(s) <= most && !strings.ContainsFunc(s, other)
+func isMetricLabel(s string) bool {
+	const maxBytes = 40
+	invalid := func(r rune) bool { return r != '_' && (r < 'a' || r > 'z') }
+	return s != "" && len(s) <= maxBytes && !strings.ContainsFunc(s, invalid)
 }
 
-// State is what a state dump shows of the callers' side.
+// State is the part of a state dump that covers requests of callers.
 type State struct {
 	Open      int64 `json:"open_requests"`
 	LiveKeys  int   `json:"live_keys"`
@@ -207,14 +215,14 @@
 	KeptBytes int   `json:"kept_bytes"`
 }
 
-// State returns counts only; keys and texts are the callers' own.
+// State returns only counts, because keys and texts are private to the callers.
 func (s *Server) State() State {
 	live, kept, bytes := s.keys.counts()
 	return State{Open: s.open.Load(), LiveKeys: live, Kept: kept, KeptBytes: bytes}
 }
 
 func (s *Server) models(w http.ResponseWriter, r *http.Request, account string) *Failure {
-	if f := method(r, http.MethodGet); f != nil {
+	if f := requireMethod(r, http.MethodGet); f != nil {
 		return f
 	}
 	type model struct {
@@ -234,33 +242,33 @@
 	return nil
 }
 
-func method(r *http.Request, want string) *Failure {
+func requireMethod(r *http.Request, want string) *Failure {
 	if r.Method == want {
 		return nil
 	}
 	return refuse(http.StatusMethodNotAllowed, codeMethod, "only "+want+" is served here")
 }
 
-// writeJSON sends a whole successful answer.
+// writeJSON sends a complete successful response.
 func writeJSON(w http.ResponseWriter, v any) {
 	raw, err := json.Marshal(v)
-	if err != nil { // no type here can fail to encode
+	if err != nil { // unreachable: all types passed here can be encoded
 		f := &Failure{Status: http.StatusInternalServerError, Code: codeInternal, Outcome: fleet.Unknown}
 		f.write(w)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(headerOutcome, string(fleet.Complete))
-	armWrite(w)
-	_, _ = w.Write(raw) // the caller has gone: nobody is left to tell
+	setWriteDeadline(w)
+	_, _ = w.Write(raw) // an error means that the caller has disconnected
 }
 
-// writeTimeout is how long one write may wait for a caller that does not read.
+// writeTimeout is how long a write may block on a caller that does not read.
 const writeTimeout = 30 * time.Second
 
-// armWrite bounds the next write. A caller that stops reading would otherwise
-// hold its connection, and its place in the limits, for ever.
-func armWrite(w http.ResponseWriter) {
+// setWriteDeadline bounds the next write. Otherwise a caller that stops reading
+// would keep its connection, and its share of the request limits, forever.
+func setWriteDeadline(w http.ResponseWriter) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // not offered by test recorders
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on test recorders, which lack it
 }
--- a/callerapi/service.go
+++ b/callerapi/service.go
@@ -13,24 +13,24 @@
 	"wigeondale/fleet"
 )
 
-// Services passes plain calls to backend servers. A call that is not
-// idempotent is claimed before it is sent: the keys held here protect only
-// against repeats at this node. An error should be a *Failure; any other is
-// taken as an unknown outcome.
+// Services forwards calls of services that are not model engines to backend
+// servers. An implementation claims a call that is not idempotent before it sends
+// it, because the key table of this package protects only against repeats at this
+// node. An error should be a *Failure; any other error counts as an unknown outcome.
 type Services interface {
 	Do(ctx context.Context, call ServiceCall) (*http.Response, error)
 }
 
-// ServiceCall is one call of a plain service.
+// ServiceCall is one call of a service that is not a model engine.
 type ServiceCall struct {
-	RequestID  string // of account and key, for the backend server's own records
+	RequestID  string // derived from account and key, for the backend server's records
 	Account    string
 	Key        string
 	Service    string
 	Method     string
 	Path       string // escaped, without a leading slash
 	Query      string
-	Header     http.Header // without hop-by-hop, credentials and key headers
+	Header     http.Header // without hop-by-hop, credential and key headers
 	Body       []byte
 	BodyHash   [16]byte
 	Idempotent bool
@@ -38,17 +38,17 @@
 	Deadline   time.Time
 }
 
-// plainAnswer is a backend server's answer, whole.
-type plainAnswer struct {
+// serviceAnswer is the complete answer of a backend server.
+type serviceAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// dropped are request headers that end here. The two key headers make
-// net/http's transport repeat a POST on a broken connection, and so run a
-// non-idempotent call twice.
-var dropped = []string{
+// notForwarded lists the headers that are not passed on. The two key headers would
+// make net/http's transport resend a POST when a connection breaks, so that a
+// non-idempotent call would run twice.
+var notForwarded = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect", "Cookie",
 	headerKey, "X-Idempotency-Key", headerNonIdempotent, headerTimeout, headerPriority, headerLastEvent,
@@ -69,7 +69,7 @@
 	}
 	call := s.serviceCall(r, &id, body)
 	if call.Idempotent {
-		answer, f := s.do(r.Context(), call)
+		answer, f := s.callService(r.Context(), call)
 		if f != nil {
 			return f
 		}
@@ -79,7 +79,8 @@
 	return s.serviceOnce(w, r, call)
 }
 
-// idempotentMethod is HTTP's own rule, for calls that are not marked.
+// idempotentMethod reports whether HTTP defines the method as idempotent. It
+// applies to calls that are not marked by the caller.
 func idempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions:
@@ -98,13 +99,13 @@
 		Method:     r.Method,
 		Path:       restOfPath(r.URL.EscapedPath()),
 		Query:      r.URL.RawQuery,
-		Header:     forwarded(r.Header),
+		Header:     forwardedHeaders(r.Header),
 		Body:       body,
 		Idempotent: idempotentMethod(r.Method),
 		Priority:   fleet.Interactive,
 		Deadline:   id.deadline(s.ServiceTimeout),
 	}
-	if id.Marked {
+	if id.MarkGiven {
 		call.Idempotent = !id.NonIdempotent
 	}
 	if id.HasPriority {
@@ -114,20 +115,20 @@
 	return call
 }
 
-// restOfPath drops /services/{service}/ and keeps the caller's escapes.
+// restOfPath removes /services/{service}/ and keeps the caller's escapes.
 func restOfPath(path string) string {
 	parts := strings.SplitN(path, "/", 4)
 	return parts[len(parts)-1]
 }
 
-func forwarded(in http.Header) http.Header {
+func forwardedHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, list := range in.Values("Connection") {
 		for name := range strings.SplitSeq(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range dropped {
+	for _, name := range notForwarded {
 		out.Del(name)
 	}
 	return out
@@ -143,44 +144,44 @@
 	return [16]byte(h.Sum(nil)[:16])
 }
 
-// serviceOnce holds the key while a call that may not be repeated runs, and
-// keeps its answer for a caller that lost it.
+// serviceOnce runs a call that must not be repeated. It holds the key while the
+// call runs, and then keeps the answer for a caller that did not receive it.
 func (s *Server) serviceOnce(w http.ResponseWriter, r *http.Request, call ServiceCall) *Failure {
 	name := keyName(call.Account, call.Key)
-	e, began := s.keys.begin(name, call.BodyHash, nil)
-	if !began {
-		return s.repeat(w, e, call)
-	}
-	var kept *finished
-	defer func() { s.keys.end(e, kept) }()
-	// A caller that hangs up does not end the call, whose deadline does: the
-	// backend server may have run it, and only its answer, kept here, can tell
-	// the caller's repeat so.
-	answer, f := s.do(context.WithoutCancel(r.Context()), call)
+	e, acquired := s.keys.acquire(name, call.BodyHash, nil)
+	if !acquired {
+		return s.answerRepeat(w, e, call)
+	}
+	var kept *finishedAnswer
+	defer func() { s.keys.release(e, kept) }()
+	// The call ends at its deadline, not when the caller disconnects: the backend
+	// server may have run it, and only its answer, kept here, can show that to the
+	// caller when it repeats the call.
+	answer, f := s.callService(context.WithoutCancel(r.Context()), call)
 	if f != nil {
 		return f
 	}
-	kept = &finished{plain: answer}
+	kept = &finishedAnswer{service: answer}
 	answer.write(w)
 	return nil
 }
 
-func (s *Server) repeat(w http.ResponseWriter, e *keyEntry, call ServiceCall) *Failure {
+func (s *Server) answerRepeat(w http.ResponseWriter, e *keyEntry, call ServiceCall) *Failure {
 	if e.hash != call.BodyHash {
 		return keyReused()
 	}
 	kept := s.keys.answer(e)
-	if kept == nil || kept.plain == nil {
+	if kept == nil || kept.service == nil {
 		return inProgress()
 	}
-	kept.plain.write(w)
+	kept.service.write(w)
 	return nil
 }
 
-// do runs the call and reads the answer whole before a byte of it goes on, so
-// that a backend server that dies in the middle is told by a status and an
-// outcome and not by a cut answer.
-func (s *Server) do(ctx context.Context, call ServiceCall) (*plainAnswer, *Failure) {
+// callService runs the call and reads the complete answer before any of it is sent
+// to the caller. If the backend server crashes in the middle of its answer, the
+// caller then gets a status and an outcome instead of a truncated answer.
+func (s *Server) callService(ctx context.Context, call ServiceCall) (*serviceAnswer, *Failure) {
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	resp, err := s.Services.Do(ctx, call)
@@ -190,22 +191,22 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, s.AnswerBytes+1))
 	if err != nil {
-		return nil, unknown("broken_answer", "the answer broke off")
+		return nil, unknownOutcome("broken_answer", "the answer broke off")
 	}
 	if int64(len(body)) > s.AnswerBytes {
-		return nil, unknown(codeAnswerTooLarge, "the answer is larger than this node passes on")
+		return nil, unknownOutcome(codeAnswerTooLarge, "the answer is larger than this node passes on")
 	}
-	return &plainAnswer{status: resp.StatusCode, header: forwarded(resp.Header), body: body}, nil
+	return &serviceAnswer{status: resp.StatusCode, header: forwardedHeaders(resp.Header), body: body}, nil
 }
 
-func unknown(code, message string) *Failure {
+func unknownOutcome(code, message string) *Failure {
 	return &Failure{Status: http.StatusBadGateway, Code: code, Message: message, Outcome: fleet.Unknown}
 }
 
 func serviceFailure(err error) *Failure {
 	var f *Failure
 	if !errors.As(err, &f) {
-		return unknown("broken", "the call broke off")
+		return unknownOutcome("broken", "the call broke off")
 	}
 	out := *f
 	if out.Status == 0 {
@@ -217,13 +218,13 @@
 	return &out
 }
 
-func (a *plainAnswer) write(w http.ResponseWriter) {
+func (a *serviceAnswer) write(w http.ResponseWriter) {
 	h := w.Header()
 	for name, values := range a.header {
 		h[name] = values
 	}
 	h.Set(headerOutcome, string(fleet.Complete))
-	armWrite(w)
+	setWriteDeadline(w)
 	w.WriteHeader(a.status)
-	_, _ = w.Write(a.body) // the caller has gone: nobody is left to tell
+	_, _ = w.Write(a.body) // an error means that the caller has disconnected
 }
--- a/callerapi/service_test.go
+++ b/callerapi/service_test.go
@@ -12,22 +12,22 @@
 	"wigeondale/fleet"
 )
 
-// Symptom: a booking made twice, or told not-run although it was made.
-// Sequence: a call's answer breaks off, errs without a type, or is lost on the
-// way to the caller, who repeats it; or the key reaches net/http's transport.
-// Cause: a wrong rule of idempotence, a too kind outcome, a replayable header.
+// Guards against a non-idempotent call running twice, or being reported as not-run
+// although it ran. The answer of a call breaks off, the call fails with an untyped
+// error, or the answer is lost on the way to the caller, which repeats the call; or
+// the key header is passed on and makes net/http's transport resend the call.
 func TestServices(t *testing.T) {
 	var calls []callerapi.ServiceCall
-	hangUp := func() {}
+	disconnect := func() {}
 	result := func() (*http.Response, error) {
 		h := http.Header{"X-A": {"1"}, "Connection": {"close"}}
 		return &http.Response{StatusCode: 201, Header: h, Body: io.NopCloser(strings.NewReader("done"))}, nil
 	}
-	s := newServer(t, never(t), func(c *callerapi.Config) {
-		c.Services = services(func(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
-			hangUp()
+	s := newServer(t, neverRuns(t), func(c *callerapi.Config) {
+		c.Services = serviceFunc(func(ctx context.Context, call callerapi.ServiceCall) (*http.Response, error) {
+			disconnect()
 			if ctx.Err() != nil {
-				t.Error("the caller's hanging up ends a call that may not be repeated")
+				t.Error("the caller's disconnect cancelled a call that must not be repeated")
 			}
 			calls = append(calls, call)
 			return result()
@@ -43,9 +43,9 @@
 	if len(calls) != 1 {
 		t.Fatalf("%d calls", len(calls))
 	}
-	hanging, cancel := context.WithCancel(context.Background())
-	hangUp = cancel
-	r := httptest.NewRequest(http.MethodPost, "/services/tags/h", nil).WithContext(hanging)
+	ctx, cancel := context.WithCancel(context.Background())
+	disconnect = cancel
+	r := httptest.NewRequest(http.MethodPost, "/services/tags/h", nil).WithContext(ctx)
 	r.Header.Set("Authorization", "Bearer sk-acme")
 	s.ServeHTTP(httptest.NewRecorder(), r)
 	c := calls[0]
@@ -57,7 +57,7 @@
 	}
 	post(s, "/services/tags/c", "x", "Wigeon-Non-Idempotent: false")
 	if !calls[len(calls)-1].Idempotent {
-		t.Error("a POST marked as idempotent is not")
+		t.Error("a POST marked as idempotent is passed on as non-idempotent")
 	}
 	for want, err := range map[string]error{
 		"unknown": io.ErrUnexpectedEOF,
@@ -69,7 +69,7 @@
 		}
 	}
 	result = func() (*http.Response, error) {
-		broken := io.MultiReader(strings.NewReader("do"), failing{})
+		broken := io.MultiReader(strings.NewReader("do"), failingReader{})
 		return &http.Response{StatusCode: 200, Body: io.NopCloser(broken)}, nil
 	}
 	if f := failureIn(t, post(s, "/services/tags/e", "x")); f.Outcome != "unknown" {
@@ -77,6 +77,6 @@
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -15,82 +15,83 @@
 	"wigeondale/generation"
 )
 
-// collector gathers a generation's text. It is the whole sink of a caller who
-// does not stream, and lets a streamed answer be kept.
+// collector collects the text of a generation: the answer to a caller that does
+// not stream, and the copy of a streamed answer that is kept for repeats.
 type collector struct {
-	text   []byte
-	limit  int // bytes gathered; beyond it the text is dropped and full is set
-	full   bool
-	finish string
-	tokens int
+	text        []byte
+	limit       int  // largest text in bytes; a larger one sets discardText
+	discardText bool // no text is collected
+	finish      string
+	tokens      int
 }
 
 func (c *collector) add(index int, text []byte, finish string) {
 	c.tokens = index + 1
 	c.finish = finish
-	if c.full {
+	if c.discardText {
 		return
 	}
 	if len(c.text)+len(text) > c.limit {
-		c.full = true
+		c.discardText = true
 		c.text = nil
 		return
 	}
 	c.text = append(c.text, text...)
 }
 
-// answer is what can be kept after a complete run.
-func (c *collector) answer() *finished {
-	if c.full {
+// answer returns the collected answer after a complete run, or nil if the text
+// was not collected.
+func (c *collector) answer() *finishedAnswer {
+	if c.discardText {
 		return nil
 	}
-	return &finished{text: c.text, finish: c.finish, tokens: c.tokens}
+	return &finishedAnswer{text: c.text, finish: c.finish, tokens: c.tokens}
 }
 
-// wholeSink implements generation.Sink for callers that do not stream.
-type wholeSink struct {
+// bufferSink implements generation.Sink for callers that do not stream.
+type bufferSink struct {
 	collector
 }
 
 // Begin implements generation.Sink.
-func (*wholeSink) Begin(generation.Place, *backend.Head) error { return nil }
+func (*bufferSink) Begin(generation.Place, *backend.Head) error { return nil }
 
 // Token implements generation.Sink.
-func (s *wholeSink) Token(index int, text []byte, finish string) error {
+func (s *bufferSink) Token(index int, text []byte, finish string) error {
 	s.add(index, text, finish)
-	if s.full {
+	if s.discardText {
 		return Error.New("answer larger than %d bytes", s.limit)
 	}
 	return nil
 }
 
 // Flush implements generation.Sink.
-func (*wholeSink) Flush() error { return nil }
+func (*bufferSink) Flush() error { return nil }
 
-// spillBytes is how much may be written before the write deadline is set
-// again. It is below net/http's buffer, which writes to the connection by
-// itself when it is full; after a long silence of the engine that write would
-// otherwise meet the deadline of the flush before the silence.
-const spillBytes = 2048
+// rearmBytes is how many bytes may be written before the write deadline is set
+// again. It is smaller than net/http's buffer, which is written to the connection
+// whenever it is full. After a long silence of the engine, that write would
+// otherwise fail on the deadline that was set for the flush before the silence.
+const rearmBytes = 2048
 
-// streamSink implements generation.Sink as server-sent events. Token is the
-// path that every token takes: it makes no allocation.
+// streamSink implements generation.Sink with server-sent events. Token is called
+// for every token and does not allocate.
 type streamSink struct {
 	collector
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	sealer  *cursor.Sealer
-	place   cursor.Cursor // the static parts, and the place reached
-	writer  *cursor.Writer
-	first   []byte // data up to the text, of the very first event
-	head    []byte // the same of each other event
-	tail    []byte // from the text to finish_reason
-	buf     []byte
-	pending int // bytes written since the deadline was set
-	started bool
-	opening bool // the next event is the answer's first
-	http2   bool
-	aborted atomic.Bool
+	w            http.ResponseWriter
+	rc           *http.ResponseController
+	sealer       *cursor.Sealer
+	cursor       cursor.Cursor // the static parts, and the current position
+	writer       *cursor.Writer
+	firstHead    []byte // data before the text, in the first event of an answer
+	head         []byte // data before the text, in all other events
+	tail         []byte // data between the text and finish_reason
+	buf          []byte
+	unarmedBytes int // bytes written since the write deadline was set
+	started      bool
+	firstEvent   bool // the next event is the first of the answer
+	http2        bool
+	aborted      atomic.Bool
 }
 
 func newStreamSink(w http.ResponseWriter, sealer *cursor.Sealer, c cursor.Cursor, form format) *streamSink {
@@ -98,50 +99,50 @@
 		w:      w,
 		rc:     http.NewResponseController(w),
 		sealer: sealer,
-		place:  c,
+		cursor: c,
 		buf:    make([]byte, 0, 1024),
 
-		opening: c.Offset == 0,
+		firstEvent: c.Offset == 0,
 	}
-	s.frame(form)
+	s.buildFrames(form)
 	return s
 }
 
-// frame prepares all of an event that is equal in each.
-func (s *streamSink) frame(form format) {
+// buildFrames prepares the parts of an event that are the same in all events.
+func (s *streamSink) buildFrames(form format) {
 	object := "text_completion"
 	if form == chat {
 		object = "chat.completion.chunk"
 	}
-	head := `data: {"id":` + quote(s.place.Request) +
+	head := `data: {"id":` + quote(s.cursor.Request) +
 		`,"object":"` + object +
 		`","created":` + strconv.FormatInt(time.Now().Unix(), 10) +
-		`,"model":` + quote(s.place.Ref.Model) +
+		`,"model":` + quote(s.cursor.Ref.Model) +
 		`,"choices":[{"index":0,`
 	if form == chat {
-		s.first = []byte(head + `"delta":{"role":"assistant","content":"`)
+		s.firstHead = []byte(head + `"delta":{"role":"assistant","content":"`)
 		s.head = []byte(head + `"delta":{"content":"`)
 		s.tail = []byte(`"},"finish_reason":`)
 		return
 	}
-	s.first = []byte(head + `"text":"`)
-	s.head = s.first
+	s.firstHead = []byte(head + `"text":"`)
+	s.head = s.firstHead
 	s.tail = []byte(`","finish_reason":`)
 }
 
 func quote(text string) string {
-	raw, _ := json.Marshal(text) // a string always encodes
+	raw, _ := json.Marshal(text) // can't fail for a string
 	return string(raw)
 }
 
-// Begin implements generation.Sink: the cursors of the events that follow name
-// this attempt.
+// Begin implements generation.Sink. The cursors of the following events name this
+// attempt.
 func (s *streamSink) Begin(p generation.Place, _ *backend.Head) error {
-	s.place.Backend = p.Backend
-	s.place.Incarnation = p.Incarnation
-	s.place.Attempt = p.Attempt
-	s.place.IssuedUnixS = time.Now().Unix()
-	w, err := s.sealer.Writer(&s.place)
+	s.cursor.Backend = p.Backend
+	s.cursor.Incarnation = p.Incarnation
+	s.cursor.Attempt = p.Attempt
+	s.cursor.IssuedUnixS = time.Now().Unix()
+	w, err := s.sealer.Writer(&s.cursor)
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -152,25 +153,25 @@
 // Token implements generation.Sink.
 func (s *streamSink) Token(index int, text []byte, finish string) error {
 	if !utf8.Valid(text) {
-		// The digest must be of the text as the caller sees it.
+		// The digest must cover the text exactly as the caller receives it.
 		text = bytes.ToValidUTF8(text, []byte("\ufffd"))
 	}
-	s.start()
+	s.startResponse()
 	s.add(index, text, finish)
-	s.place.Offset = index + 1
-	s.place.TextBytes += len(text)
-	s.place.Digest = cursor.Extend(s.place.Digest, text)
-	s.place.Finished = finish != ""
+	s.cursor.Offset = index + 1
+	s.cursor.TextBytes += len(text)
+	s.cursor.Digest = cursor.Extend(s.cursor.Digest, text)
+	s.cursor.Finished = finish != ""
 	return s.event(text, finish)
 }
 
 func (s *streamSink) event(text []byte, finish string) error {
 	b := append(s.buf[:0], "id: "...)
-	b = s.writer.Append(b, s.place.Place)
+	b = s.writer.Append(b, s.cursor.Place)
 	b = append(b, '\n')
-	if s.opening {
-		b = append(b, s.first...)
-		s.opening = false
+	if s.firstEvent {
+		b = append(b, s.firstHead...)
+		s.firstEvent = false
 	} else {
 		b = append(b, s.head...)
 	}
@@ -188,8 +189,10 @@
 	return s.write(b)
 }
 
-// start sends the header, as late as the first byte of the answer.
-func (s *streamSink) start() {
+// startResponse writes the response header, unless it is written. It is called just
+// before the first byte of the body, so that any earlier refusal can still set the
+// HTTP status.
+func (s *streamSink) startResponse() {
 	if s.started {
 		return
 	}
@@ -197,30 +200,32 @@
 	h := s.w.Header()
 	h.Set("Content-Type", "text/event-stream")
 	h.Set("Cache-Control", "no-store")
-	h.Set("X-Accel-Buffering", "no") // a proxy must not hold events back
-	s.arm()
+	h.Set("X-Accel-Buffering", "no") // a proxy must not buffer events
+	s.armDeadline()
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// arm sets the deadline of the next writes, which is now once aborted.
-func (s *streamSink) arm() {
-	armWrite(s.w)
+// armDeadline sets the deadline of the next writes: writeTimeout from now, or now if
+// the stream was aborted.
+func (s *streamSink) armDeadline() {
+	setWriteDeadline(s.w)
 	if s.aborted.Load() {
-		_ = s.rc.SetWriteDeadline(time.Now()) // as in armWrite
+		_ = s.rc.SetWriteDeadline(time.Now()) // error ignored as in setWriteDeadline
 	}
-	s.pending = 0
+	s.unarmedBytes = 0
 }
 
-// abortOn ends writes when ctx ends. A write to a connection whose caller has
-// vanished blocks until its deadline; the caller, back on another connection,
-// would wait that long for the key. release must be called before the handler
-// returns, since the connection is not ours after it.
+// abortOn makes writes fail as soon as ctx ends. A write to a connection whose
+// caller is unreachable blocks until its deadline, and the caller, reconnected on
+// another connection, would have to wait that long for its key. release must be
+// called before the handler returns, since the connection must not be used after
+// that.
 func (s *streamSink) abortOn(ctx context.Context) (release func()) {
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(done)
 		s.aborted.Store(true)
-		_ = s.rc.SetWriteDeadline(time.Now()) // as in armWrite
+		_ = s.rc.SetWriteDeadline(time.Now()) // error ignored as in setWriteDeadline
 	})
 	return func() {
 		if !stop() {
@@ -230,8 +235,8 @@
 }
 
 func (s *streamSink) write(b []byte) error {
-	if s.pending += len(b); s.pending > spillBytes {
-		s.arm()
+	if s.unarmedBytes += len(b); s.unarmedBytes > rearmBytes {
+		s.armDeadline()
 	}
 	_, err := s.w.Write(b)
 	return err
@@ -242,32 +247,33 @@
 	if !s.started {
 		return nil
 	}
-	s.arm()
+	s.armDeadline()
 	err := s.rc.Flush()
-	s.disarm()
+	s.clearDeadline()
 	return err
 }
 
-// disarm takes the deadline away until the next write. In HTTP/2 a deadline that
-// passes resets the stream by itself, though nothing waits to be written: an
-// engine that was silent for longer would cost the caller its connection, with
-// INTERNAL_ERROR. In HTTP/1.1 it only fails a write, and each is armed.
-func (s *streamSink) disarm() {
+// clearDeadline removes the write deadline until the next write. In HTTP/2 a deadline
+// that passes resets the stream with INTERNAL_ERROR even if nothing is being written,
+// so a longer silence of the engine would break the caller's stream. In HTTP/1.1 a
+// passed deadline only fails a write, and each write to the connection sets a new
+// deadline.
+func (s *streamSink) clearDeadline() {
 	if s.http2 {
-		_ = s.rc.SetWriteDeadline(time.Time{}) // as in armWrite
+		_ = s.rc.SetWriteDeadline(time.Time{}) // error ignored as in setWriteDeadline
 	}
 }
 
-// done ends a complete stream.
-func (s *streamSink) done() {
-	s.start()
-	_ = s.write([]byte("data: [DONE]\n\n")) // the caller has gone: nobody is left to tell
+// writeDone writes the end marker of a complete stream.
+func (s *streamSink) writeDone() {
+	s.startResponse()
+	_ = s.write([]byte("data: [DONE]\n\n")) // an error means that the caller has disconnected
 	_ = s.Flush()
 }
 
-// fail ends a stream that is already under way.
-func (s *streamSink) fail(f *Failure) {
+// writeFailure ends a started stream with an error event.
+func (s *streamSink) writeFailure(f *Failure) {
 	b := append([]byte("event: error\ndata: "), f.body()...)
-	_ = s.write(append(b, "\n\n"...)) // as in done
+	_ = s.write(append(b, "\n\n"...)) // error ignored as in writeDone
 	_ = s.Flush()
 }
--- a/callerapi/sink_test.go
+++ b/callerapi/sink_test.go
@@ -27,7 +27,7 @@
 			got := failureIn(t, resp)
 			want := "not-run"
 			if last != "" || strings.HasPrefix(got.Message, "resume_text: only") {
-				want = "unknown" // the caller comes back, so the request was run
+				want = "unknown" // the caller reconnects, so the request may have run earlier
 			}
 			if got.Outcome != want {
 				t.Fatalf("got %+v, want %s", got, want)
@@ -36,7 +36,7 @@
 	})
 }
 
-// Each token of each stream takes this path.
+// Token is called for every token of every stream, so it must not allocate.
 func TestTokenDoesNotAllocate(t *testing.T) {
 	var allocs float64
 	text := []byte(" 12.ab.cd\n")
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// stream gives f the sink of a streamed request.
+// stream runs a streamed request and calls f with its sink.
 func stream(t testing.TB, f func(generation.Sink)) {
 	s := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ")
