--- a/client/call.go
+++ b/client/call.go
@@ -13,19 +13,20 @@
 	"wigeondale/fleet"
 )
 
-// CallRequest is one call of a plain service.
+// CallRequest is one call of a service that is not a model engine.
 type CallRequest struct {
 	Service       string
 	Method        string // GET when empty
 	Path          string
 	Body          []byte
-	Key           string // idempotency key; made when empty
-	NonIdempotent bool   // also true by HTTP's own rule for POST and PATCH
+	Key           string // idempotency key; generated when empty
+	NonIdempotent bool   // methods other than GET, HEAD, PUT and DELETE are non-idempotent in any case
 	Timeout       time.Duration
 	Priority      fleet.Priority
 }
 
-// CallResult is the answer of a plain service.
+// CallResult is the result of a call: the answer of the service, or what is known
+// of a call that failed.
 type CallResult struct {
 	Key      string
 	Status   int
@@ -35,11 +36,11 @@
 	Took     time.Duration
 }
 
-// maxAnswer bounds a plain service's answer, in bytes.
-const maxAnswer = 16 << 20
+// maxAnswerBytes bounds the answer of a service.
+const maxAnswerBytes = 16 << 20
 
-// Call asks a plain service. A try is repeated at the next endpoint only when
-// it surely did not run or when the call is idempotent.
+// Call calls a service that is not a model engine. A failed try is repeated at the
+// next endpoint only if it certainly did not run or if the call is idempotent.
 func (c *Client) Call(ctx context.Context, req CallRequest) (CallResult, error) {
 	if len(c.endpoints) == 0 {
 		return CallResult{Outcome: fleet.NotRun}, Error.Wrap(ErrNoEndpoint)
@@ -55,19 +56,19 @@
 		ctx, cancel = context.WithTimeout(ctx, req.Timeout)
 		defer cancel()
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	res, err := c.callLoop(ctx, req)
 	res.Key = req.Key
-	res.Took = time.Since(began)
+	res.Took = time.Since(startedAt)
 	return res, Error.Wrap(err)
 }
 
 func (c *Client) callLoop(ctx context.Context, req CallRequest) (CallResult, error) {
-	at := c.firstEndpoint()
-	mayHave := false
+	first := c.firstEndpoint()
+	mayHaveRun := false
 	res := CallResult{Outcome: fleet.NotRun}
 	for i := range c.opts.MaxTries {
-		endpoint := c.endpoints[(at+i)%len(c.endpoints)]
+		endpoint := c.endpoints[(first+i)%len(c.endpoints)]
 		next, err := c.callOnce(ctx, req, endpoint)
 		if err == nil {
 			return next, nil
@@ -77,15 +78,15 @@
 		var ref *Refusal
 		if errors.As(err, &ref) {
 			res.Outcome = ref.Outcome
-			mayHave = mayHave || ref.Outcome != fleet.NotRun
+			mayHaveRun = mayHaveRun || ref.Outcome != fleet.NotRun
 			wait = max(wait, ref.RetryAfter)
-		} else if !neverLeft(err) {
-			mayHave = true
+		} else if !notSent(err) {
+			mayHaveRun = true
 		}
-		if mayHave && res.Outcome == fleet.NotRun {
+		if mayHaveRun && res.Outcome == fleet.NotRun {
 			res.Outcome = fleet.Unknown
 		}
-		if !mayCallAgain(req, ref, mayHave) {
+		if !mayRetryCall(req, ref, mayHaveRun) {
 			return res, err
 		}
 		if !clock.Sleep(ctx, wait) {
@@ -95,11 +96,11 @@
 	return res, ErrTriesExhausted
 }
 
-func mayCallAgain(req CallRequest, ref *Refusal, mayHave bool) bool {
+func mayRetryCall(req CallRequest, ref *Refusal, mayHaveRun bool) bool {
 	if ref != nil {
-		return ref.again()
+		return ref.retryable()
 	}
-	return !mayHave || !req.nonIdempotent()
+	return !mayHaveRun || !req.nonIdempotent()
 }
 
 func (r CallRequest) nonIdempotent() bool {
@@ -128,7 +129,7 @@
 	if isRefusal(resp) {
 		return res, readRefusal(resp)
 	}
-	res.Body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	res.Body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return res, err
 	}
@@ -136,7 +137,8 @@
 	return res, nil
 }
 
-// isRefusal tells a router's refusal from the service's own answer.
+// isRefusal reports whether the answer is a failure sent by the router and not the
+// answer of the service.
 func isRefusal(resp *http.Response) bool {
 	switch fleet.Outcome(resp.Header.Get("Wigeon-Outcome")) {
 	case fleet.NotRun, fleet.Failed, fleet.Unknown:
--- a/client/client.go
+++ b/client/client.go
@@ -1,13 +1,13 @@
-// Package client is the caller's side of wigeondale. It streams one answer
-// through any of several routers and keeps what a router may lose: the text
-// delivered so far and the id of the last event.
+// Package client is the client library for callers of wigeondale. It streams an
+// answer through any of several routers and keeps the state that would be lost with
+// a router: the text delivered so far and the id of the last event.
 //
-// Failure story: a router may die, freeze or be replaced while it serves a
-// stream. The symptom is a connection that breaks, ends without its last
-// event, or stays silent. The client then asks the next router to go on from
-// the last event id and sends back the text that it holds, so that the answer
-// continues with the next token and never starts anew. A final refusal ends
-// the request; a refusal that says not-run is tried again after Retry-After.
+// A router may crash, freeze or be replaced while it serves a stream. The
+// connection then breaks, ends without its last event, or stays silent. The client
+// reconnects to the next router with the last event id and the text received so
+// far, so that the answer continues with the next token and does not start from the
+// beginning. A final refusal ends the request; a not-run refusal is retried after
+// Retry-After.
 package client
 
 import (
@@ -33,26 +33,29 @@
 	DefaultBackoffMax = 2 * time.Second
 )
 
-// Options tunes a Client. The zero value takes every default.
+// Options configures a Client. The zero value uses the defaults.
 type Options struct {
-	// HTTP sends the requests. Its Timeout must be zero: streams are long.
+	// HTTP sends the requests. Its Timeout must be zero, because streams may last
+	// long.
 	HTTP *http.Client
 	// RootCAs are the CAs of the routers' certificates, for endpoints such as
-	// "https://127.0.0.1:8080"; nil takes the system's. It is for the HTTP client
-	// that New makes: one that is given has its own.
+	// "https://127.0.0.1:8080"; nil uses the system's CAs. It applies only if HTTP is
+	// nil.
 	RootCAs *x509.CertPool
-	// MaxTries bounds how often one request is sent, the first time included.
+	// MaxTries is the maximum number of times one request is sent, including the
+	// first.
 	MaxTries int
-	// Backoff is the mean wait before the second try without progress; it
-	// doubles with each further one up to BackoffMax.
+	// Backoff is the mean wait before the second try without progress. It doubles
+	// with each further try without progress, up to BackoffMax.
 	Backoff, BackoffMax time.Duration
-	// IdleTimeout ends a connection that brought no byte for so long. Zero
-	// waits for ever: a frozen router is then noticed by the deadline only.
+	// IdleTimeout ends a connection on which no byte arrives for this long. With
+	// zero, a frozen router is noticed only when the deadline of the request passes.
 	IdleTimeout time.Duration
-	// Spread starts each request at the next endpoint in turn; otherwise each
-	// request starts at the first.
+	// Spread starts each request at the next endpoint in round-robin order. Without
+	// it each request starts at the first endpoint.
 	Spread bool
-	// Connected is told of each endpoint that begins to answer a request.
+	// Connected is called with the endpoint each time a router starts to answer a
+	// request.
 	Connected func(endpoint string)
 	// Rand returns values in [0,1) for jitter.
 	Rand func() float64
@@ -63,7 +66,7 @@
 	endpoints []string
 	apiKey    string
 	opts      Options
-	turn      atomic.Uint64
+	next      atomic.Uint64
 }
 
 // New returns a client of the routers at endpoints, such as
@@ -92,29 +95,29 @@
 	Model         string
 	Prompt        string
 	MaxTokens     int
-	Key           string // idempotency key; made when empty
+	Key           string // idempotency key; generated when empty
 	NonIdempotent bool
-	Timeout       time.Duration // the caller's deadline; zero means none
+	Timeout       time.Duration // time limit of the request; zero means none
 	Priority      fleet.Priority
 }
 
 // Gap is a wait between two tokens during which the client reconnected.
 type Gap struct {
-	At       int // stream events that had been delivered before the wait
+	At       int // number of stream events delivered before the wait
 	Duration time.Duration
 }
 
-// Result is what the caller holds at the end, also beside an error.
+// Result is the result of a request. It is also filled if an error is returned.
 type Result struct {
 	Key        string
 	Text       string
 	Outcome    fleet.Outcome
 	Reconnects int
 	Gaps       []Gap
-	FirstToken time.Duration // zero when no token came
+	FirstToken time.Duration // time until the first token; zero if no token arrived
 	Finish     string        // finish reason of the last token
-	Endpoint   string        // the endpoint that served last
-	Events     int           // stream events that brought text
+	Endpoint   string        // the endpoint that was tried last
+	Events     int           // number of stream events with text
 	RetryAfter time.Duration // of the refusal that ended the request
 }
 
@@ -134,13 +137,13 @@
 	if !c.opts.Spread {
 		return 0
 	}
-	return int(c.turn.Add(1)-1) % len(c.endpoints)
+	return int(c.next.Add(1)-1) % len(c.endpoints)
 }
 
-// backoff is the jittered wait before another try; fruitless counts the tries
-// that brought nothing since the last progress.
-func (c *Client) backoff(fruitless int) time.Duration {
-	d := c.opts.Backoff << min(fruitless, 16)
+// backoff returns the jittered wait before another try. triesWithoutProgress is
+// the number of failed tries since the last progress.
+func (c *Client) backoff(triesWithoutProgress int) time.Duration {
+	d := c.opts.Backoff << min(triesWithoutProgress, 16)
 	if d > c.opts.BackoffMax || d <= 0 {
 		d = c.opts.BackoffMax
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -18,7 +18,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func router(t *testing.T, h http.HandlerFunc) string {
+func newRouter(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -31,8 +31,8 @@
 
 const done = "data: [DONE]\n\n"
 
-// breakOff sends s and then cuts the connection without an end of the body.
-func breakOff(w http.ResponseWriter, s string) {
+// abortAfter sends s and then closes the connection before the end of the body.
+func abortAfter(w http.ResponseWriter, s string) {
 	io.WriteString(w, s)
 	http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
@@ -43,20 +43,19 @@
 	fmt.Fprintf(w, `{"error":{"message":"m","code":"c","outcome":%q,"retry_after_ms":%d}}`, o, retryAfterMS)
 }
 
-func fast() Options { return Options{Backoff: time.Millisecond, BackoffMax: 2 * time.Millisecond} }
+func fastRetry() Options { return Options{Backoff: time.Millisecond, BackoffMax: 2 * time.Millisecond} }
 
-// Symptom: after a router's death the answer repeats or lacks a token.
-// Sequence: the router sends three whole events and half of a fourth, then its
-// connection breaks; the caller goes on at the next router.
-// Cause: the client counts the half event, or gives an event id and a text
-// that don't belong together.
+// Guards against an answer with a token missing or repeated after a router crashed.
+// The router sends three complete events and half of a fourth, then its connection
+// breaks, and the client reconnects to the next router. It must not count the half
+// event, and must send an event id and a text that match.
 func TestGenerateGoesOnAtNextRouter(t *testing.T) {
 	half := strings.TrimSuffix(chunk(4, " d"), "\n\n")
-	first := router(t, func(w http.ResponseWriter, r *http.Request) {
+	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		breakOff(w, chunk(1, " a")+chunk(2, " b")+chunk(3, " c")+half)
+		abortAfter(w, chunk(1, " a")+chunk(2, " b")+chunk(3, " c")+half)
 	})
-	second := router(t, func(w http.ResponseWriter, r *http.Request) {
+	second := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		var body completionBody
 		json.NewDecoder(r.Body).Decode(&body)
 		if r.Header.Get("Last-Event-ID") != "c3" || body.ResumeText != " a b c" {
@@ -66,7 +65,7 @@
 		io.WriteString(w, chunk(4, " D")+chunk(5, " E")+done)
 	})
 	var got []string
-	c := New([]string{first, second}, "k", fast())
+	c := New([]string{first, second}, "k", fastRetry())
 	res, err := c.Generate(t.Context(), Request{Model: "m"}, func(s string) { got = append(got, s) })
 	if err != nil {
 		t.Fatal(err)
@@ -79,14 +78,13 @@
 	}
 }
 
-// Symptom: a caller is told not-run of a request that an engine has run.
-// Sequence: the first router takes the request and dies; the second knows
-// nothing of it and refuses with not-run.
-// Cause: the second router's word is true of its own try only.
+// Guards against not-run being returned for a request that an engine has run. The
+// first router receives the request and crashes; the second has no record of it and
+// refuses with not-run, which is true only of its own try.
 func TestNotRunAfterLostRouterIsUnknown(t *testing.T) {
-	first := router(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
-	second := router(t, func(w http.ResponseWriter, r *http.Request) { refuse(w, 403, fleet.NotRun, 0) })
-	res, err := New([]string{first, second}, "k", fast()).Generate(t.Context(), Request{}, nil)
+	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
+	second := newRouter(t, func(w http.ResponseWriter, r *http.Request) { refuse(w, 403, fleet.NotRun, 0) })
+	res, err := New([]string{first, second}, "k", fastRetry()).Generate(t.Context(), Request{}, nil)
 	var ref *Refusal
 	if !errors.As(err, &ref) || res.Outcome != fleet.Unknown {
 		t.Errorf("outcome %s, error %v", res.Outcome, err)
@@ -98,13 +96,13 @@
 	cases := []struct {
 		name    string
 		answer  func(w http.ResponseWriter)
-		again   bool
+		retried bool
 		outcome fleet.Outcome
 	}{
 		{"overloaded", func(w http.ResponseWriter) { refuse(w, 429, fleet.NotRun, 1) }, true, fleet.Complete},
 		{"not ready", func(w http.ResponseWriter) { refuse(w, 503, fleet.NotRun, 1) }, true, fleet.Complete},
 		{"may have run", func(w http.ResponseWriter) { refuse(w, 503, fleet.Unknown, 1) }, false, fleet.Unknown},
-		{"key still live", func(w http.ResponseWriter) {
+		{"key still running", func(w http.ResponseWriter) {
 			w.WriteHeader(409)
 			io.WriteString(w, `{"error":{"code":"in_progress","outcome":"unknown","retry_after_ms":1}}`)
 		}, true, fleet.Complete},
@@ -114,57 +112,55 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var tries atomic.Int32
-			url := router(t, func(w http.ResponseWriter, r *http.Request) {
+			url := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 				if tries.Add(1) == 1 {
 					tc.answer(w)
 					return
 				}
 				io.WriteString(w, chunk(1, " x")+done)
 			})
-			res, _ := New([]string{url}, "k", fast()).Generate(t.Context(), Request{}, nil)
-			if again := tries.Load() > 1; again != tc.again || res.Outcome != tc.outcome {
-				t.Errorf("sent again %v, outcome %s; want %v, %s", again, res.Outcome, tc.again, tc.outcome)
+			res, _ := New([]string{url}, "k", fastRetry()).Generate(t.Context(), Request{}, nil)
+			if retried := tries.Load() > 1; retried != tc.retried || res.Outcome != tc.outcome {
+				t.Errorf("sent again %v, outcome %s; want %v, %s", retried, res.Outcome, tc.retried, tc.outcome)
 			}
 		})
 	}
 }
 
-// Symptom: the caller of a frozen router waits until its deadline.
-// Sequence: the router sends one event and then nothing; its connection stays
-// open, since the kernel keeps it.
-// Cause: no read fails.
+// Guards against a caller waiting for a frozen router until its deadline. The router
+// sends one event and then nothing; the kernel keeps its connection open, so no read
+// fails.
 func TestSilentRouterIsLeft(t *testing.T) {
-	first := router(t, func(w http.ResponseWriter, r *http.Request) {
+	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		io.WriteString(w, chunk(1, " a"))
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
 	})
-	second := router(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, chunk(2, " b")+done) })
-	opts := fast()
+	second := newRouter(t, func(w http.ResponseWriter, r *http.Request) { io.WriteString(w, chunk(2, " b")+done) })
+	opts := fastRetry()
 	opts.IdleTimeout = 20 * time.Millisecond
-	hung := Request{Timeout: 10 * time.Second} // ends a test that would wait for ever
-	res, err := New([]string{first, second}, "k", opts).Generate(t.Context(), hung, nil)
+	req := Request{Timeout: 10 * time.Second} // ends the test if the client keeps waiting
+	res, err := New([]string{first, second}, "k", opts).Generate(t.Context(), req, nil)
 	if err != nil || res.Text != " a b" {
 		t.Errorf("text %q, error %v", res.Text, err)
 	}
 }
 
-// Symptom: one call of a non-idempotent service arrives twice.
-// Sequence: the router reads the request on a reused connection and closes it
-// without an answer.
-// Cause: net/http deems a request with an idempotency key replayable and sends
-// it again by itself when its body can be rewound.
+// Guards against one non-idempotent call arriving twice. The router reads the
+// request on a reused connection and closes it without an answer. net/http considers
+// a request with an idempotency key replayable and resends it if its body can be
+// rewound.
 func TestPostIsNotReplayedByTransport(t *testing.T) {
 	var posts atomic.Int32
-	url := router(t, func(w http.ResponseWriter, r *http.Request) {
+	url := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
 		if r.Method == http.MethodPost {
 			posts.Add(1)
 			panic(http.ErrAbortHandler)
 		}
 	})
-	c := New([]string{url}, "k", fast())
+	c := New([]string{url}, "k", fastRetry())
 	if _, err := c.Call(context.Background(), CallRequest{Service: "s", Path: "warm"}); err != nil {
 		t.Fatal(err)
 	}
--- a/client/generate.go
+++ b/client/generate.go
@@ -32,31 +32,31 @@
 	} `json:"choices"`
 }
 
-// run is the state of one request over all its tries.
-type run struct {
-	c       *Client
-	req     Request
-	onToken func(string)
-	began   time.Time
+// generateRun is the state of one request across all its tries.
+type generateRun struct {
+	c         *Client
+	req       Request
+	onToken   func(string)
+	startedAt time.Time
 
-	text      strings.Builder
-	res       Result
-	lastID    string
-	lastToken time.Time
-	pending   bool // a reconnect whose first token has not come yet
-	mayHave   bool // bytes of an earlier try may have reached a router
-	fruitless int
-	stream    bool
+	text                 strings.Builder
+	res                  Result
+	lastID               string
+	lastToken            time.Time
+	reconnecting         bool // a reconnect has started and no token has arrived since
+	mayHaveRun           bool // bytes of an earlier try may have reached a router, so that it may have run
+	triesWithoutProgress int
+	stream               bool
 }
 
-// Generate streams one answer. onToken is called with the text of each event,
-// in order, exactly once; it may be nil. The Result is filled also beside an
-// error; the error is a *Refusal where a router gave a final answer.
+// Generate streams one answer. onToken is called exactly once with the text of
+// each event, in order; it may be nil. The Result is also filled if an error is
+// returned. The error is a *Refusal if a router refused the request for good.
 func (c *Client) Generate(ctx context.Context, req Request, onToken func(text string)) (Result, error) {
 	return c.start(ctx, req, onToken, true)
 }
 
-// Whole asks for the answer in one piece.
+// Whole requests the answer as a single response, without streaming.
 func (c *Client) Whole(ctx context.Context, req Request) (Result, error) {
 	return c.start(ctx, req, nil, false)
 }
@@ -76,78 +76,80 @@
 		ctx, cancel = context.WithTimeout(ctx, req.Timeout)
 		defer cancel()
 	}
-	r := &run{c: c, req: req, onToken: onToken, began: time.Now(), stream: stream}
+	r := &generateRun{c: c, req: req, onToken: onToken, startedAt: time.Now(), stream: stream}
 	r.res.Key = req.Key
 	err := r.loop(ctx)
 	r.res.Text = r.text.String()
 	return r.res, Error.Wrap(err)
 }
 
-func (r *run) loop(ctx context.Context) error {
-	at := r.c.firstEndpoint()
+func (r *generateRun) loop(ctx context.Context) error {
+	next := r.c.firstEndpoint()
 	for range r.c.opts.MaxTries {
-		r.res.Endpoint = r.c.endpoints[at%len(r.c.endpoints)]
+		r.res.Endpoint = r.c.endpoints[next%len(r.c.endpoints)]
 		err := r.try(ctx, r.res.Endpoint)
 		if err == nil {
 			r.res.Outcome = fleet.Complete
 			return nil
 		}
-		wait, again := r.after(err)
-		if !again {
+		wait, retry := r.afterFailure(err)
+		if !retry {
 			return err
 		}
 		if !clock.Sleep(ctx, wait) {
-			r.res.Outcome = r.unfinished()
+			r.res.Outcome = r.unfinishedOutcome()
 			return ctx.Err()
 		}
-		at++
+		next++
 	}
-	r.res.Outcome = r.unfinished()
+	r.res.Outcome = r.unfinishedOutcome()
 	return ErrTriesExhausted
 }
 
-// after decides what follows a failed try: a wait and another one, or the end.
-func (r *run) after(err error) (time.Duration, bool) {
+// afterFailure decides what follows a failed try. It returns the wait before the
+// next try, and false if the request has ended.
+func (r *generateRun) afterFailure(err error) (time.Duration, bool) {
 	var ref *Refusal
 	if errors.As(err, &ref) {
-		if !ref.again() {
-			r.res.Outcome = r.worse(ref.Outcome)
+		if !ref.retryable() {
+			r.res.Outcome = r.correctOutcome(ref.Outcome)
 			r.res.RetryAfter = ref.RetryAfter
 			return 0, false
 		}
-		r.mayHave = r.mayHave || ref.Outcome != fleet.NotRun
-		r.fruitless++
+		r.mayHaveRun = r.mayHaveRun || ref.Outcome != fleet.NotRun
+		r.triesWithoutProgress++
 		return max(ref.RetryAfter, r.c.backoff(0)), true
 	}
-	if !neverLeft(err) {
-		r.mayHave = true
+	if !notSent(err) {
+		r.mayHaveRun = true
 	}
-	wait := r.c.backoff(r.fruitless)
-	if r.lastID != "" && !r.pending {
-		// The stream was alive until now: the next router can go on at once.
-		r.pending = true
+	wait := r.c.backoff(r.triesWithoutProgress)
+	if r.lastID != "" && !r.reconnecting {
+		// The stream was running until now, so the next router can resume it at
+		// once.
+		r.reconnecting = true
 		r.res.Reconnects++
 		wait = 0
 	}
-	r.fruitless++
+	r.triesWithoutProgress++
 	return wait, true
 }
 
-// worse corrects a refusal by what this client knows. A router's not-run
-// speaks of the try that it saw; an earlier try through a router that died
-// may have run, so the whole request is then unknown.
-func (r *run) worse(o fleet.Outcome) fleet.Outcome {
-	if o == fleet.NotRun && r.mayHave {
+// correctOutcome adjusts the outcome of a refusal to what this client knows. A
+// router's not-run covers only the try that it received. An earlier try through a
+// router that crashed may have run, so the outcome of the request is then unknown.
+func (r *generateRun) correctOutcome(o fleet.Outcome) fleet.Outcome {
+	if o == fleet.NotRun && r.mayHaveRun {
 		return fleet.Unknown
 	}
 	return o
 }
 
-func (r *run) unfinished() fleet.Outcome {
-	return r.worse(fleet.NotRun)
+func (r *generateRun) unfinishedOutcome() fleet.Outcome {
+	return r.correctOutcome(fleet.NotRun)
 }
 
-func (r *run) try(parent context.Context, endpoint string) error {
+func (r *generateRun) try(parent context.Context, endpoint string) error {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	idle := newIdle(r.c.opts.IdleTimeout, func() { cancel(errIdle) })
@@ -164,7 +166,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return readRefusal(resp)
 	}
-	r.mayHave = true
+	r.mayHaveRun = true
 	if r.c.opts.Connected != nil {
 		r.c.opts.Connected(endpoint)
 	}
@@ -174,7 +176,7 @@
 	return r.readWhole(idle.wrap(resp.Body))
 }
 
-func (r *run) request(ctx context.Context, endpoint string) (*http.Request, error) {
+func (r *generateRun) request(ctx context.Context, endpoint string) (*http.Request, error) {
 	body, err := json.Marshal(completionBody{
 		Model: r.req.Model, Prompt: r.req.Prompt, MaxTokens: r.req.MaxTokens,
 		Stream: r.stream, ResumeText: r.text.String(),
@@ -196,10 +198,10 @@
 	return hreq, nil
 }
 
-// newRequest builds one try. Its body can't be rewound and is never absent,
-// even when empty: net/http would otherwise send a request that carries an
-// idempotency key a second time by itself when a reused connection breaks. A
-// server would see the request twice, under one try of this package.
+// newRequest builds the HTTP request of one try. Its body can't be rewound and is
+// never nil, even when empty. net/http would otherwise resend a request with an
+// idempotency key when a reused connection breaks, and a server would receive the
+// request twice for one try of this package.
 func newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	hreq, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
@@ -227,7 +229,7 @@
 	h.Set("Wigeon-Timeout-Ms", strconv.FormatInt(left, 10))
 }
 
-func (r *run) readStream(body io.Reader) error {
+func (r *generateRun) readStream(body io.Reader) error {
 	events := newSSEReader(body)
 	for {
 		ev, err := events.next()
@@ -246,7 +248,7 @@
 	}
 }
 
-func (r *run) accept(ev *sseEvent) error {
+func (r *generateRun) accept(ev *sseEvent) error {
 	var chunk completionChunk
 	if err := json.Unmarshal(ev.data, &chunk); err != nil {
 		return errBroken
@@ -267,23 +269,23 @@
 	return nil
 }
 
-func (r *run) token(text string) {
+func (r *generateRun) token(text string) {
 	now := time.Now()
 	if r.res.Events == 0 {
-		r.res.FirstToken = now.Sub(r.began)
+		r.res.FirstToken = now.Sub(r.startedAt)
 	}
-	if r.pending {
+	if r.reconnecting {
 		r.res.Gaps = append(r.res.Gaps, Gap{At: r.res.Events, Duration: now.Sub(r.lastToken)})
-		r.pending = false
+		r.reconnecting = false
 	}
-	r.fruitless = 0
+	r.triesWithoutProgress = 0
 	r.lastToken = now
 	r.res.Events++
 	r.text.WriteString(text)
 	r.onToken(text)
 }
 
-func (r *run) readWhole(body io.Reader) error {
+func (r *generateRun) readWhole(body io.Reader) error {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return err
@@ -293,7 +295,7 @@
 		return errBroken
 	}
 	choice := chunk.Choices[0]
-	r.res.FirstToken = time.Since(r.began)
+	r.res.FirstToken = time.Since(r.startedAt)
 	r.text.WriteString(choice.Text)
 	if choice.FinishReason != nil {
 		r.res.Finish = *choice.FinishReason
--- a/client/idle.go
+++ b/client/idle.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// idle calls a function when no byte arrives for a while. A frozen router
-// keeps its connection open and sends nothing, so no read ever fails.
-type idle struct {
+// idleTimer calls a function when no byte arrives within the timeout. A frozen
+// router keeps its connection open and sends nothing, so no read ever fails.
+type idleTimer struct {
 	timeout time.Duration
 	timer   *time.Timer
 }
 
-func newIdle(timeout time.Duration, expired func()) *idle {
-	i := &idle{timeout: timeout}
+func newIdle(timeout time.Duration, expired func()) *idleTimer {
+	i := &idleTimer{timeout: timeout}
 	if timeout > 0 {
 		i.timer = time.AfterFunc(timeout, expired)
 	}
 	return i
 }
 
-func (i *idle) stop() {
+func (i *idleTimer) stop() {
 	if i.timer != nil {
 		i.timer.Stop()
 	}
 }
 
-func (i *idle) wrap(r io.Reader) io.Reader {
+func (i *idleTimer) wrap(r io.Reader) io.Reader {
 	if i.timer == nil {
 		return r
 	}
@@ -35,7 +35,7 @@
 
 type idleReader struct {
 	r    io.Reader
-	idle *idle
+	idle *idleTimer
 }
 
 func (r *idleReader) Read(p []byte) (int, error) {
--- a/client/refusal.go
+++ b/client/refusal.go
@@ -17,18 +17,18 @@
 var (
 	// ErrNoEndpoint is returned by a client without endpoints.
 	ErrNoEndpoint = errors.New("no endpoint")
-	// ErrTriesExhausted means that no router gave a final answer.
+	// ErrTriesExhausted means that no router gave a final answer within MaxTries.
 	ErrTriesExhausted = errors.New("no final answer within the allowed tries")
 	errBroken         = errors.New("connection broken before the end of the answer")
 	errIdle           = errors.New("connection silent for too long")
 )
 
-// maxErrorBody bounds how much of an error body is read, in bytes.
-const maxErrorBody = 64 << 10
+// maxErrorBodyBytes bounds how much of an error body is read, in bytes.
+const maxErrorBodyBytes = 64 << 10
 
-// Refusal is a router's answer that is not success.
+// Refusal is a router's error answer.
 type Refusal struct {
-	Status     int // zero when it came inside a stream
+	Status     int // HTTP status; zero for an error event of a stream
 	Code       string
 	Message    string
 	Outcome    fleet.Outcome
@@ -40,21 +40,21 @@
 	return fmt.Sprintf("refused (status %d, code %s, outcome %s): %s", r.Status, r.Code, r.Outcome, r.Message)
 }
 
-// codeInProgress is said of a key whose request is running elsewhere, or was
-// until its router died: it is no verdict on the request.
+// codeInProgress means that a request with the same key is running on another
+// router, or was until that router crashed. It doesn't mean that the request failed.
 const codeInProgress = "in_progress"
 
-// A router that refuses a reconnect by these codes does so for its own sake;
-// the answer may go on at another one, although the outcome is then unknown.
+// A router refuses a reconnect with these codes because of its own state. Another
+// router may resume the answer, although the outcome in the refusal is unknown.
 const (
 	codeNotReady   = "not_ready"
 	codeOverloaded = "overloaded"
 )
 
-// again reports whether the same request may be sent again under its key: to
-// a router that is overloaded or not ready and says that it ran nothing, or
-// while the key's earlier run is still thought to be live.
-func (r *Refusal) again() bool {
+// retryable reports whether the same request may be sent again with its key: after
+// a refusal by a router that is overloaded or not ready and did not run it, or while
+// an earlier run with the key still counts as running.
+func (r *Refusal) retryable() bool {
 	if r.RetryAfter <= 0 {
 		return false
 	}
@@ -100,7 +100,7 @@
 }
 
 func readRefusal(resp *http.Response) *Refusal {
-	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
+	data, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	r := parseRefusal(resp.StatusCode, data)
 	if o := resp.Header.Get("Wigeon-Outcome"); o != "" && r.Outcome == fleet.Unknown {
 		r.Outcome = fleet.Outcome(o)
@@ -112,8 +112,8 @@
 	return r
 }
 
-// neverLeft reports whether err proves that no byte of the request was sent.
-func neverLeft(err error) bool {
+// notSent reports whether err proves that no byte of the request was sent.
+func notSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/client/sse.go
+++ b/client/sse.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// maxEventLine bounds one line of an event stream, in bytes.
-const maxEventLine = 1 << 20
+// maxEventLineBytes bounds one line of an event stream.
+const maxEventLineBytes = 1 << 20
 
 // sseEvent is one server-sent event. Its fields are valid until the next read.
 type sseEvent struct {
@@ -16,9 +16,9 @@
 	data []byte
 }
 
-// sseReader splits a stream into events. An event counts only once its blank
-// line has arrived: a connection that breaks inside an event delivers none of
-// it, so that text and event id never disagree.
+// sseReader splits a stream into events. An event is returned only after its
+// terminating blank line. If the connection breaks inside an event, none of it is
+// returned, so that the text and the last event id always match.
 type sseReader struct {
 	s  *bufio.Scanner
 	ev sseEvent
@@ -26,12 +26,12 @@
 
 func newSSEReader(r io.Reader) *sseReader {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 4096), maxEventLine)
+	s.Buffer(make([]byte, 0, 4096), maxEventLineBytes)
 	return &sseReader{s: s}
 }
 
-// next returns the next event that carries data. It returns errBroken at the
-// end of the stream: a whole answer ends by an event, not by the connection.
+// next returns the next event that has data. It returns errBroken at the end of the
+// stream: a complete answer ends with an event, not with the connection.
 func (r *sseReader) next() (*sseEvent, error) {
 	r.ev.id, r.ev.name = "", ""
 	r.ev.data = r.ev.data[:0]
