--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -1,18 +1,19 @@
-// Package cursor makes and opens the ids of streamed answer events.
+// Package cursor creates and opens the ids of streamed answer events.
 //
-// A router may die while it streams an answer. It keeps nothing that another
-// router could read, so the caller holds the place instead: each event's id is
-// a cursor that names the request, the run on the engine and how much text was
-// delivered. Any router with the same key can open it and continue.
+// A router may crash while it streams an answer, and stores no state that another
+// router could read. Instead the caller keeps the position in the answer: the id of
+// each event is a cursor that names the request, the run on the engine and how much
+// text was delivered. Any router with the same key can open the cursor and continue
+// the answer.
 //
-// Two checks guard it. A truncated HMAC-SHA256 stops a caller from making or
-// changing a cursor (say, to read another account's run). The digest of the
-// delivered text, a CRC-64, finds accidents: a client that lost or repeated an
-// event and sends back a text that is not the delivered one. The digest need
-// not resist an attacker: who sends a false text under a true cursor spoils
-// only their own answer. It must be continuable from its value alone, since a
-// router that re-attaches without the text goes on from the cursor's digest;
-// hence a CRC and not a hash with hidden state.
+// A cursor is protected by two checks. A truncated HMAC-SHA256 prevents callers from
+// creating or changing a cursor, for example to read another account's run. The
+// digest of the delivered text, a CRC-64, detects accidents: a client that lost or
+// repeated an event and sends back a text that differs from the delivered one. The
+// digest need not resist attacks, because a caller that sends a wrong text with a
+// valid cursor corrupts only its own answer. A router that re-attaches to a run
+// without the text continues from the digest in the cursor, so the digest must be
+// continuable from its value alone; hence a CRC and not a hash with internal state.
 package cursor
 
 import (
@@ -26,57 +27,57 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("cursor")
 
-// The ways in which a cursor can be refused. All are true before any work.
+// Errors of this package. A cursor is refused before any work is done for the
+// request.
 var (
-	// ErrMalformed: not the encoding, or a wrong length.
+	// ErrMalformed means that the text is not a valid encoding or has a wrong length.
 	ErrMalformed = Error.New("malformed")
-	// ErrVersion: a format that this program does not read.
+	// ErrVersion means that the format version is not supported.
 	ErrVersion = Error.New("unknown version")
-	// ErrForged: no known key made it.
+	// ErrForged means that the MAC does not match under any known key.
 	ErrForged = Error.New("authentication failed")
-	// ErrForeign: made for another client account.
+	// ErrForeign means that the cursor was issued to another client account.
 	ErrForeign = Error.New("belongs to another client account")
-	// ErrExpired: older than the settings allow.
+	// ErrExpired means that the cursor is older than the settings allow.
 	ErrExpired = Error.New("expired")
-	// ErrText: the text sent back is not the text that was delivered.
+	// ErrText means that the text sent back is not the text that was delivered.
 	ErrText = Error.New("text is not the delivered text")
-	// ErrField: a part is too long to be encoded.
+	// ErrField means that a field is too long to be encoded.
 	ErrField = Error.New("field too long")
-	// ErrKey: the sealing key is too short.
+	// ErrKey means that the sealing key is too short.
 	ErrKey = Error.New("key shorter than 32 bytes")
 )
 
-// Cursor is one place in the delivery of one answer.
+// Cursor is one position in the delivery of one answer.
 type Cursor struct {
-	Request     string // the caller's request key
+	Request     string // the caller's idempotency key
 	Account     string
 	Backend     string
 	Incarnation string // of the engine
 	Ref         fleet.ModelRef
 	BodyHash    [16]byte
-	IssuedUnixS int64 // when the attempt began
+	IssuedUnixS int64 // when the attempt began, in Unix seconds
 	Attempt     int
 	Place
 }
 
-// Place is the part of a cursor that moves with each token.
+// Place is the part of a cursor that changes with each token.
 type Place struct {
-	Offset    int    // tokens delivered
+	Offset    int    // number of tokens delivered
 	TextBytes int    // bytes of text delivered
-	Digest    uint64 // Extend over all text delivered
-	// Finished is set on the last token. Without it, a caller that lost only the
-	// end mark would be given tokens beyond the end by an engine that continues
-	// the text.
+	Digest    uint64 // digest of all delivered text, computed with Extend
+	// Finished is set on the last token. Without it, if a caller missed only the end
+	// marker and reconnected, an engine would continue the text beyond its end.
 	Finished bool
 }
 
-var table = crc64.MakeTable(crc64.ECMA)
+var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// Extend continues the digest d over text. The digest of nothing is 0.
-func Extend(d uint64, text []byte) uint64 { return crc64.Update(d, table, text) }
+// Extend continues the digest d over text. The digest of the empty text is 0.
+func Extend(d uint64, text []byte) uint64 { return crc64.Update(d, crcTable, text) }
 
-// CheckText reports ErrText unless text is, to its last byte, the text that
-// was delivered up to the cursor.
+// CheckText returns ErrText unless text has the length and the digest of the text
+// that was delivered up to the cursor.
 func (c *Cursor) CheckText(text string) error {
 	if len(text) != c.TextBytes {
 		return ErrText
--- a/cursor/cursor_test.go
+++ b/cursor/cursor_test.go
@@ -20,7 +20,7 @@
 	now  = time.Unix(1_800_000_000, 0)
 )
 
-func sealer(t testing.TB, current, previous []byte) *cursor.Sealer {
+func newSealer(t testing.TB, current, previous []byte) *cursor.Sealer {
 	t.Helper()
 	s, err := cursor.NewSealer(current, previous, time.Hour)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return s
 }
 
-func sample() *cursor.Cursor {
+func sampleCursor() *cursor.Cursor {
 	return &cursor.Cursor{
 		Request: "key-1", Account: "acme", Backend: "e1", Incarnation: "i1",
 		Ref:         fleet.ModelRef{Model: "m", Version: "v1", Adapter: "a"},
@@ -40,10 +40,10 @@
 	}
 }
 
-// A cursor that came back different from what was sealed would resume at a
-// wrong offset: tokens missing or repeated.
+// Guards against a cursor that changes when it is sealed and opened: the answer
+// would resume at a wrong offset, with tokens missing or repeated.
 func TestOpenReturnsWhatWasSealed(t *testing.T) {
-	s := sealer(t, keyA, nil)
+	s := newSealer(t, keyA, nil)
 	rapid.Check(t, func(t *rapid.T) {
 		field := rapid.StringN(0, 60, 255)
 		c := &cursor.Cursor{
@@ -73,13 +73,12 @@
 	})
 }
 
-// Symptom: a caller reads or continues an answer that is not theirs.
-// Sequence: they alter a cursor, present one of another account, or one made
-// with a key that no node has (any more).
-// Cause: a cursor believed without, or before, its checks.
+// Guards against a caller reading or continuing another account's answer. The caller
+// alters a cursor, sends one of another account, or one made with a key that no node
+// has or that was removed. Every check must pass before a cursor is used.
 func TestOpenRefuses(t *testing.T) {
-	s := sealer(t, keyA, nil)
-	text, err := s.Seal(sample())
+	s := newSealer(t, keyA, nil)
+	text, err := s.Seal(sampleCursor())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,8 +100,8 @@
 		{"own", text, "acme", s, now, nil},
 		{"other account", text, "acme2", s, now, cursor.ErrForeign},
 		{"too old", text, "acme", s, now.Add(time.Hour + time.Second), cursor.ErrExpired},
-		{"after a key change", text, "acme", sealer(t, keyB, keyA), now, nil},
-		{"after the old key went", text, "acme", sealer(t, keyB, nil), now, cursor.ErrForged},
+		{"after a key change", text, "acme", newSealer(t, keyB, keyA), now, nil},
+		{"after the old key was removed", text, "acme", newSealer(t, keyB, nil), now, cursor.ErrForged},
 		{"cut", text[:len(text)-4], "acme", s, now, cursor.ErrForged},
 		{"short", "AQ", "acme", s, now, cursor.ErrMalformed},
 		{"not base64", text[:8] + "\n" + text[8:], "acme", s, now, cursor.ErrMalformed},
@@ -115,8 +114,9 @@
 	}
 }
 
-// A digest that could not be continued from its value, or that missed a lost,
-// repeated or exchanged token, would let a spliced answer pass.
+// The digest must be continuable from its value alone, and must detect a lost,
+// repeated or swapped token. Otherwise an answer spliced from two texts would be
+// accepted.
 func TestDigestFindsAccidents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.SliceOfN(rapid.StringMatching(`[ a-f]{1,6}`), 2, 20).Draw(t, "tokens")
@@ -140,7 +140,7 @@
 }
 
 func TestAppendDoesNotAllocate(t *testing.T) {
-	w, err := sealer(t, keyA, nil).Writer(sample())
+	w, err := newSealer(t, keyA, nil).Writer(sampleCursor())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,8 +151,8 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	s := sealer(f, keyA, keyB)
-	text, _ := s.Seal(sample())
+	s := newSealer(f, keyA, keyB)
+	text, _ := s.Seal(sampleCursor())
 	f.Add(text)
 	f.Add("")
 	f.Fuzz(func(t *testing.T, in string) {
@@ -167,7 +167,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	w, err := sealer(b, keyA, nil).Writer(sample())
+	w, err := newSealer(b, keyA, nil).Writer(sampleCursor())
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/cursor/encode.go
+++ b/cursor/encode.go
@@ -9,12 +9,13 @@
 	}
 }
 
-// appendStatic adds version, padding length, attempt, time, body hash and the
-// length-prefixed fields, padded to a multiple of three bytes.
+// appendStatic appends the static part of a cursor: version, padding length,
+// attempt, time, body hash and the length-prefixed fields, padded to a multiple of
+// three bytes.
 func appendStatic(dst []byte, c *Cursor) ([]byte, error) {
 	size := headBytes
 	for _, f := range c.fields() {
-		if len(*f) > maxField {
+		if len(*f) > maxFieldBytes {
 			return nil, ErrField
 		}
 		size += 1 + len(*f)
--- a/cursor/export_test.go
+++ b/cursor/export_test.go
@@ -1,6 +1,6 @@
 package cursor
 
-// Seal returns the text of c.
+// Seal returns the encoded cursor c.
 func (s *Sealer) Seal(c *Cursor) (string, error) {
 	w, err := s.Writer(c)
 	if err != nil {
--- a/cursor/seal.go
+++ b/cursor/seal.go
@@ -11,33 +11,35 @@
 	"time"
 )
 
-// Format: fixed head, fields and padding (together a multiple of three bytes,
-// so that their base64 text stands by itself and is made once per attempt),
-// then the moving tail, then the MAC.
+// The format is: the static part, the tail that changes with each token, the MAC.
+// The static part consists of a head of fixed size, the fields and padding. Its
+// length is a multiple of three bytes, so that its base64 text is independent of the
+// tail and is encoded only once per attempt.
 const (
-	version    = 1
-	macBytes   = 16
-	tailBytes  = 4 + 4 + 8 + 1 // offset, text bytes, digest, finished
-	headBytes  = 1 + 1 + 4 + 8 + 16
-	fieldCount = 7
-	maxField   = 255 // bytes of one field
+	version       = 1
+	macBytes      = 16
+	tailBytes     = 4 + 4 + 8 + 1 // offset, text bytes, digest, finished
+	headBytes     = 1 + 1 + 4 + 8 + 16
+	fieldCount    = 7
+	maxFieldBytes = 255 // bytes of one field
 	// MaxText is the length of the longest cursor, in characters.
-	MaxText = (headBytes + fieldCount*(1+maxField) + 2 + tailBytes + macBytes + 2) / 3 * 4
+	MaxText = (headBytes + fieldCount*(1+maxFieldBytes) + 2 + tailBytes + macBytes + 2) / 3 * 4
 	// MinKey is the length of the shortest key, in bytes.
 	MinKey = 32
 )
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Sealer makes cursors with one key and opens those of that key and of the
-// key before it, so that a key can be changed while streams are running.
+// Sealer creates cursors with the current key. It opens cursors of the current key
+// and of the previous one, so that the key can be changed while streams are running.
 type Sealer struct {
-	keys   [][]byte // the first seals
+	keys   [][]byte // the current key, then the previous one if there is one
 	maxAge time.Duration
 }
 
-// NewSealer takes the current key and the previous one (nil for none). A
-// cursor whose attempt began more than maxAge ago is refused; 0 is no limit.
+// NewSealer returns a Sealer with the current key and the previous one, which may be
+// nil. A cursor whose attempt began more than maxAge ago is refused; 0 means no
+// limit.
 func NewSealer(current, previous []byte, maxAge time.Duration) (*Sealer, error) {
 	if len(current) < MinKey {
 		return nil, ErrKey
@@ -53,7 +55,7 @@
 	return s, nil
 }
 
-// Writer appends the cursors of one attempt. It is not safe for concurrent use.
+// Writer encodes the cursors of one attempt. It is not safe for concurrent use.
 type Writer struct {
 	prefix []byte // base64 text of the static part
 	mac    hash.Hash
@@ -61,8 +63,8 @@
 	sum    [sha256.Size]byte
 }
 
-// Writer encodes the parts of c that do not move during an attempt. The parts
-// that move are given to Append.
+// Writer returns a Writer for the attempt of c. It encodes the parts of c that don't
+// change during the attempt; the position is passed to Append.
 func (s *Sealer) Writer(c *Cursor) (*Writer, error) {
 	static, err := appendStatic(nil, c)
 	if err != nil {
@@ -70,14 +72,14 @@
 	}
 	w := &Writer{
 		prefix: encoding.AppendEncode(nil, static),
-		mac:    tailMAC(s.keys[0], static),
+		mac:    newTailMAC(s.keys[0], static),
 	}
 	w.mac.Reset()
 	return w, nil
 }
 
-// Append adds the text of the cursor at this place to dst. It allocates only
-// when dst has no room.
+// Append appends the encoded cursor at the given position to dst. It allocates only
+// if dst lacks capacity.
 func (w *Writer) Append(dst []byte, at Place) []byte {
 	binary.BigEndian.PutUint32(w.raw[0:], uint32(at.Offset))
 	binary.BigEndian.PutUint32(w.raw[4:], uint32(at.TextBytes))
@@ -94,11 +96,11 @@
 	return encoding.AppendEncode(dst, w.raw[:])
 }
 
-// Open checks text and returns the cursor in it. account is the client account
-// that presented it. The MAC is compared in constant time and before anything
-// in the cursor is believed.
+// Open verifies an encoded cursor and decodes it. account is the client account that
+// sent it. The MAC is compared in constant time, before any field of the cursor is
+// used.
 func (s *Sealer) Open(text, account string, now time.Time) (*Cursor, error) {
-	// The decoder passes over line ends, so one cursor would have many texts.
+	// The decoder skips line ends, so one cursor would have many encodings.
 	if len(text) > MaxText || strings.ContainsAny(text, "\r\n") {
 		return nil, ErrMalformed
 	}
@@ -113,7 +115,7 @@
 		return nil, ErrVersion
 	}
 	staticEnd := len(raw) - tailBytes - macBytes
-	if !s.authentic(raw[:staticEnd], raw[staticEnd:]) {
+	if !s.verifyMAC(raw[:staticEnd], raw[staticEnd:]) {
 		return nil, ErrForged
 	}
 	c, err := parseStatic(raw[:staticEnd])
@@ -130,20 +132,20 @@
 	return c, nil
 }
 
-func (s *Sealer) authentic(static, tail []byte) bool {
+func (s *Sealer) verifyMAC(static, tail []byte) bool {
 	found := 0
 	for _, key := range s.keys {
-		mac := tailMAC(key, static)
+		mac := newTailMAC(key, static)
 		mac.Write(tail[:tailBytes])
 		found |= subtle.ConstantTimeCompare(mac.Sum(nil)[:macBytes], tail[tailBytes:])
 	}
 	return found == 1
 }
 
-// tailMAC returns the MAC of an attempt's moving part. Its key is the MAC of
-// the static part, so the static part is authenticated without being hashed
+// newTailMAC returns the hash for the MACs of an attempt's tails. Its key is the MAC
+// of the static part, so that the static part is authenticated without being hashed
 // again for each token.
-func tailMAC(key, static []byte) hash.Hash {
+func newTailMAC(key, static []byte) hash.Hash {
 	m := hmac.New(sha256.New, key)
 	m.Write(static)
 	return hmac.New(sha256.New, m.Sum(nil))
