--- a/listen/actor.go
+++ b/listen/actor.go
@@ -1,10 +1,10 @@
 package listen
 
-// Actor returns the two functions by which a run.Group serves l. It keeps its
-// place in the group after a graceful shutdown has begun. Serve returns as soon
-// as that begins, while requests are still open; an actor that returned then
-// would end the whole group and cut them. It would show as callers whose
-// streams end right after the balancer's notice time.
+// Actor returns the execute and interrupt functions with which a run.Group runs l.
+// serve doesn't return when a graceful shutdown starts, but only when the group is
+// interrupted. Server.Serve returns as soon as a shutdown starts, while requests are
+// still open. An actor that returned then would stop the entire group and abort the
+// requests: streams would end right after the notice time of Server.Shutdown.
 func Actor(l *Server) (serve func() error, stop func(error)) {
 	stopped := make(chan struct{})
 	serve = func() error {
@@ -16,7 +16,7 @@
 	}
 	stop = func(error) {
 		close(stopped)
-		// The process ends: nobody is left to tell of a failure to close.
+		// The process is exiting, so an error of Close is of no use.
 		_ = l.Close()
 	}
 	return serve, stop
--- a/listen/listen.go
+++ b/listen/listen.go
@@ -1,11 +1,11 @@
-// Package listen runs one HTTP listener with limits on header, body and time,
-// TLS from the settings, and a shutdown that cuts no request.
+// Package listen runs an HTTP listener with limits on header, body and time, TLS
+// from the settings, and a graceful shutdown that aborts no request.
 //
-// A listener without limits is lost to one client that sends a header byte a
-// minute, or a body without end: connections pile up until accept fails for
-// everybody. The limits here are for all listeners. Answers have no common
-// limit, since a generation streams for minutes; a handler that streams sets
-// the deadline of each write itself.
+// Without limits, one client that sends a header byte a minute, or an endless body,
+// can block a listener: open connections accumulate until accept fails for all
+// clients. The limits in this package apply to all listeners. There is no common
+// limit for answers, because a generation may stream for minutes; a handler that
+// streams sets the deadline of each write itself.
 package listen
 
 import (
@@ -25,27 +25,29 @@
 var Error = errs.Class("listen")
 
 const (
-	headerTimeout = 10 * time.Second  // whole header, from the first byte
-	readTimeout   = 60 * time.Second  // header and body
-	idleTimeout   = 120 * time.Second // between requests of a connection
+	headerTimeout = 10 * time.Second  // for the complete header, from its first byte
+	readTimeout   = 60 * time.Second  // for header and body
+	idleTimeout   = 120 * time.Second // between two requests of a connection
 )
 
-// Config is one listener. BodyBytes of 0 is no limit here: the handler has its own.
+// Config configures one listener. With BodyBytes 0 the listener sets no limit and
+// the handler has its own.
 type Config struct {
 	settings.Listener
 	HeaderBytes  int
 	BodyBytes    int64
-	WriteTimeout time.Duration // 0: the handler limits each write
+	WriteTimeout time.Duration // 0: the handler sets the deadline of each write
 }
 
-// Server is one bound listener.
+// Server serves HTTP on one bound address.
 type Server struct {
 	srv      *http.Server
 	ln       net.Listener
 	draining atomic.Bool
 }
 
-// New binds the address, so that a taken one is an error before Serve.
+// New binds the address of a listener, so that an address that is in use is reported
+// before Serve.
 func New(cfg Config, handler http.Handler) (*Server, error) {
 	tlsConfig, err := cfg.TLS.Config()
 	if err != nil {
@@ -68,10 +70,10 @@
 	return s, nil
 }
 
-// Addr is the bound address.
+// Addr returns the bound address.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Serve runs until Shutdown, and then returns nil.
+// Serve serves until Shutdown is called, and then returns nil.
 func (s *Server) Serve() error {
 	err := s.serve()
 	if errors.Is(err, http.ErrServerClosed) {
@@ -87,18 +89,19 @@
 	return s.srv.Serve(s.ln)
 }
 
-// Drain asks clients to open their next request on another connection, and so
-// through the balancer at another node. Open requests go on.
+// Drain makes clients send their next request on a new connection, and so through
+// the load balancer to another node. Open requests continue.
 //
-// Closing idle connections at once would cut a request that a client is
-// sending on one at that moment: it would see a reset and could not tell
-// whether it ran. Instead each answer from now on ends its connection.
+// Closing idle connections at once would abort a request that a client is just
+// sending on one of them: the client would get a reset and could not know whether
+// the request ran. Instead, every answer from now on closes its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown drains, goes on accepting for notice (the time that a balancer
-// needs to see the failing readiness), and then waits until the last request
-// has ended. Only the end of ctx cuts requests; the daemon's has none.
-// Connections taken over for WebSocket are their owner's to end.
+// Shutdown drains, keeps accepting requests for the duration of notice (the time
+// that a load balancer needs to notice the failing readiness probe), and then waits
+// until the last request has ended. Requests can be aborted only if ctx ends before
+// that; the daemon's ctx doesn't end. Connections hijacked for WebSocket must be
+// closed by the code that hijacked them.
 func (s *Server) Shutdown(ctx context.Context, notice time.Duration) error {
 	s.Drain()
 	select {
@@ -108,7 +111,8 @@
 	return Error.Wrap(s.srv.Shutdown(ctx))
 }
 
-// Close drops the listener and its connections; for tests and failed starts.
+// Close closes the listener and its connections at once. It is meant for tests and
+// failed starts.
 func (s *Server) Close() error {
 	err := s.ln.Close()
 	return Error.Wrap(errors.Join(err, s.srv.Close()))
--- a/listen/listen_test.go
+++ b/listen/listen_test.go
@@ -16,7 +16,7 @@
 	"wigeondale/settings"
 )
 
-func serve(t *testing.T, h http.HandlerFunc) (*listen.Server, string, chan error) {
+func startServer(t *testing.T, h http.HandlerFunc) (*listen.Server, string, chan error) {
 	t.Helper()
 	cfg := listen.Config{Listener: settings.Listener{Address: "127.0.0.1:0"}, HeaderBytes: 4096, BodyBytes: 10}
 	s, err := listen.New(cfg, h)
@@ -29,14 +29,13 @@
 	return s, s.Addr().String(), ended
 }
 
-// Symptom: at a shutdown some callers see a reset and cannot tell whether
-// their request ran.
-// Sequence: a request is under way, and another is sent on an idle
-// connection, when the shutdown begins.
-// Cause: connections closed at once instead of after their next answer.
+// Guards against callers getting a connection reset at a shutdown, after which they
+// can't know whether their request ran. One request is running, and another is sent
+// on an idle connection, when the shutdown starts. Connections must be closed after
+// their next answer and not at once.
 func TestShutdownCutsNothing(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
-	s, addr, ended := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	s, addr, ended := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			close(entered)
 			<-release
@@ -47,73 +46,74 @@
 	slow.send(t, "/slow")
 	<-entered
 	idle.send(t, "/")
-	idle.answer(t)
+	idle.readAnswer(t)
 
 	s.Drain()
 	idle.send(t, "/")
-	if resp := idle.answer(t); !resp.Close {
-		t.Error("the client is not asked to go elsewhere")
+	if resp := idle.readAnswer(t); !resp.Close {
+		t.Error("the answer during the drain does not close its connection")
 	}
 	shut := make(chan error, 1)
-	ctx := &asked{Context: t.Context(), waits: make(chan struct{})}
+	ctx := &doneSpy{Context: t.Context(), called: make(chan struct{})}
 	go func() { shut <- s.Shutdown(ctx, time.Millisecond) }()
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	// Whoever ends early, whether or not the connection is cut by now, has not
-	// waited for the request.
+	// A Shutdown that returns before the request has ended did not wait for it,
+	// whether or not the request's connection is closed by now. One that waits asks
+	// for ctx.Done in each round of its loop.
 	ctx.armed.Store(true)
 	select {
-	case <-ctx.waits:
+	case <-ctx.called:
 	case err := <-shut:
-		t.Fatalf("the shutdown ended with a request under way: %v", err)
+		t.Fatalf("Shutdown returned while a request was running: %v", err)
 	}
 	close(release)
-	slow.answer(t)
+	slow.readAnswer(t)
 	if err := <-shut; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// asked tells when somebody asks for the context's end, as a loop that waits
-// for something else does each time round.
-type asked struct {
+// doneSpy is a context that reports a call of Done. A loop that waits for something
+// else calls Done in each iteration.
+type doneSpy struct {
 	context.Context
-	armed atomic.Bool
-	once  sync.Once
-	waits chan struct{} // closed when asked after armed was set
+	armed  atomic.Bool
+	once   sync.Once
+	called chan struct{} // closed by the first call of Done after armed was set
 }
 
-func (a *asked) Done() <-chan struct{} {
+func (a *doneSpy) Done() <-chan struct{} {
 	if a.armed.Load() {
-		a.once.Do(func() { close(a.waits) })
+		a.once.Do(func() { close(a.called) })
 	}
 	return a.Context.Done()
 }
 
-type client struct {
+type testClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *client {
+func dial(t *testing.T, addr string) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return &client{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
-func (c *client) send(t *testing.T, path string) {
+func (c *testClient) send(t *testing.T, path string) {
 	t.Helper()
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (c *client) answer(t *testing.T) *http.Response {
+func (c *testClient) readAnswer(t *testing.T) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -125,9 +125,10 @@
 	return resp
 }
 
-// A header or body without end must end its own request, not the listener.
+// A header or body that is too large must fail only its own request, not the
+// listener.
 func TestLimits(t *testing.T) {
-	_, addr, _ := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	_, addr, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
 			w.WriteHeader(http.StatusRequestEntityTooLarge)
 		}
--- a/listen/tls_test.go
+++ b/listen/tls_test.go
@@ -19,7 +19,8 @@
 	"wigeondale/settings"
 )
 
-// selfSigned writes a certificate that is its own CA.
+// selfSigned creates a self-signed certificate that is its own CA, and returns
+// settings with its files.
 func selfSigned(t *testing.T) *settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -55,8 +56,8 @@
 	return out
 }
 
-// Where the settings name a client CA, a client without a certificate must
-// get no answer.
+// If the settings name a client CA, a client without a certificate must not get an
+// answer.
 func TestTLS(t *testing.T) {
 	files := selfSigned(t)
 	cfg := listen.Config{Listener: settings.Listener{Address: "127.0.0.1:0", TLS: files}}
