--- a/backend/chunk_test.go
+++ b/backend/chunk_test.go
@@ -30,8 +30,8 @@
 // engine, or a proxy in front of it, may swap two answers on one connection;
 // the client must check the ids in each chunk and not rely on the connection.
 func TestStreamChecksEachChunk(t *testing.T) {
-	whole := chunk(testID, 0, " a\"\\\n<\u00e9\U0001F600", "") + ": note\n" + chunk(testID, 1, strings.Repeat("x", 3*streamBufferBytes), "stop") + "data: [DONE]\n\n"
-	s := readStream(whole)
+	answer := chunk(testID, 0, " a\"\\\n<\u00e9\U0001F600", "") + ": note\n" + chunk(testID, 1, strings.Repeat("x", 3*streamBufferBytes), "stop") + "data: [DONE]\n\n"
+	s := readStream(answer)
 	a, err := s.Next()
 	if err != nil || string(a.Text) != " a\"\\\n<\u00e9\U0001F600" || !s.Buffered() {
 		t.Fatal(a, err)
--- a/backend/opaque.go
+++ b/backend/opaque.go
@@ -35,7 +35,7 @@
 	Held bool
 	// Name and Source describe a copy that was made on demand: its name, and the
 	// backend server that the run was copied from. Name is empty for a copy that
-	// was kept up to date while the run grew.
+	// was kept up to date during the run.
 	Name   string
 	Source fleet.Backend
 }
--- a/callerapi/errors.go
+++ b/callerapi/errors.go
@@ -121,7 +121,7 @@
 	CodeAccountLimit = "account_limit" // concurrent requests of the account
 )
 
-// Codes of failures that only this package uses.
+// Codes of failures that this package sets itself.
 const (
 	codeBadKey         = "invalid_api_key"
 	codeBadRequest     = "invalid_request"
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -34,8 +34,8 @@
 
 // Accounts authenticates client accounts and resolves their models. Authenticate
 // compares hashes of keys in constant time. Resolve selects the version for a
-// request, always the same one for the same value of sticky. It returns
-// ErrUnknownModel or ErrForbidden.
+// request; sticky, the key of the request, keeps its repeats on the same version.
+// Resolve returns ErrUnknownModel or ErrForbidden.
 type Accounts interface {
 	Authenticate(key string) (account string, ok bool)
 	Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error)
@@ -270,5 +270,5 @@
 // would keep its connection, and its share of the request limits, forever.
 func setWriteDeadline(w http.ResponseWriter) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on test recorders, which lack it
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on test recorders, which don't implement it
 }
