--- a/backend/probe.go
+++ b/backend/probe.go
@@ -14,10 +14,10 @@
 // exited. It implements quarantine.Prober.
 type Looker struct{}
 
-// Look implements quarantine.Prober. If no process listens on the port, the host
+// Probe implements quarantine.Prober. If no process listens on the port, the host
 // refuses the connection at once. A host that is powered off or unreachable doesn't
 // answer.
-func (Looker) Look(ctx context.Context, b fleet.Backend) quarantine.State {
+func (Looker) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", b.Addr)
 	switch {
 	case err == nil:
@@ -25,7 +25,7 @@
 		_ = conn.Close()
 		return quarantine.Working
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return quarantine.Ended
+		return quarantine.Exited
 	}
 	return quarantine.Unreachable
 }
--- a/callerapi/answer.go
+++ b/callerapi/answer.go
@@ -122,7 +122,7 @@
 	}
 	sink := s.newSink(w, c)
 	sink.discardText = true // the answer is already kept
-	if err := sink.Begin(generation.Place{}, nil); err != nil {
+	if err := sink.Begin(generation.Position{}, nil); err != nil {
 		return refuse(http.StatusInternalServerError, codeInternal, "the answer cannot be sent again")
 	}
 	if sink.Token(f.tokens-1, rest, f.finish) == nil {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -380,7 +380,7 @@
 			if sink.Flush() == nil {
 				t.Error("a write after the abort got a new deadline")
 			}
-			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerGone}
+			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerDisconnected}
 		}))
 		go func() {
 			r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -54,7 +54,7 @@
 }
 
 // Begin implements generation.Sink.
-func (*bufferSink) Begin(generation.Place, *backend.Head) error { return nil }
+func (*bufferSink) Begin(generation.Position, *backend.Head) error { return nil }
 
 // Token implements generation.Sink.
 func (s *bufferSink) Token(index int, text []byte, finish string) error {
@@ -137,7 +137,7 @@
 
 // Begin implements generation.Sink. The cursors of the following events name this
 // attempt.
-func (s *streamSink) Begin(p generation.Place, _ *backend.Head) error {
+func (s *streamSink) Begin(p generation.Position, _ *backend.Head) error {
 	s.cursor.Backend = p.Backend
 	s.cursor.Incarnation = p.Incarnation
 	s.cursor.Attempt = p.Attempt
