--- a/infra/bench_test.go
+++ b/infra/bench_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// BenchmarkVMListAt10000 measures one reading of a VM list of 10,000 backend
-// servers and 830 entry VMs. The stand-in of the platform only copies bytes.
+// BenchmarkVMListAt10000 measures one read of a VM list of 10,000 backend servers and
+// 830 entry VMs. The fake platform copies a prepared response, so its own cost is
+// small.
 func BenchmarkVMListAt10000(b *testing.B) {
 	var groups []targetGroup
 	add := func(n int, role string) {
@@ -31,7 +32,7 @@
 		b.Fatal(err)
 	}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = bytes.NewReader(raw).WriteTo(w) // the benchmark sees a short list
+		_, _ = bytes.NewReader(raw).WriteTo(w) // a short write shows as a list of the wrong length below
 	}))
 	defer srv.Close()
 	list := NewVMList(srv.URL, 0, nil)
--- a/infra/client.go
+++ b/infra/client.go
@@ -19,9 +19,9 @@
 const (
 	maxIdleConns    = 16
 	idleConnTimeout = 30 * time.Second
-	// maxAnswerBytes bounds one answer: a page of values of up to 1 MB each.
-	maxAnswerBytes = 64 << 20
-	maxErrorBytes  = 4 << 10
+	// maxResponseBytes bounds one response: a page of values of up to 1 MB each.
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 4 << 10
 )
 
 // Defaults of KVConfig.
@@ -30,11 +30,11 @@
 	DefaultMaxInFlight = 32
 )
 
-// newTransport returns a transport that never sends a request twice.
-// net/http repeats a request on a broken reused connection when the request
-// has GetBody or counts as idempotent, and HTTP/2 repeats after GOAWAY. A
-// repeated write would be seen as one call here while the service saw two.
-// So: HTTP/1 only, no proxy, and post clears GetBody.
+// newTransport returns a transport that never sends a request twice. net/http resends a
+// request when a reused connection breaks and the request has GetBody or counts as
+// idempotent, and HTTP/2 resends after GOAWAY. This client would see one call where the
+// service saw two writes. Therefore the transport uses HTTP/1 only and no proxy, and
+// newPost clears GetBody.
 func newTransport(dialTimeout time.Duration) *http.Transport {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -48,8 +48,8 @@
 	}
 }
 
-// newHTTPClient returns a client that follows no redirect, because a redirect
-// repeats the request.
+// newHTTPClient returns a client that doesn't follow redirects, because following one
+// sends the request again.
 func newHTTPClient(dialTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: newTransport(dialTimeout),
@@ -59,7 +59,8 @@
 	}
 }
 
-// newPost clears GetBody, which net/http sets for the body it is given.
+// newPost returns a POST request without GetBody. http.NewRequestWithContext sets
+// GetBody for a body of this type, and net/http could then resend the request.
 func newPost(ctx context.Context, url string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -71,7 +72,8 @@
 	return req, nil
 }
 
-// effect tells calls that change something from those that don't.
+// effect distinguishes calls that change stored data (writes) from those that don't
+// (reads).
 type effect bool
 
 const (
@@ -79,49 +81,50 @@
 	writes effect = true
 )
 
-// failure turns err into the package's terms. connected is false when no
-// connection was ever had, so that no byte can have left.
-func failure(e effect, connected bool, err error) error {
+// wrapFailure returns err as ErrUnknownOutcome if the call is a write that may have
+// reached the service, else as ErrUnavailable. connected is false when the call never
+// had a connection, so that no byte of it can have been sent.
+func wrapFailure(e effect, connected bool, err error) error {
 	if e == writes && connected {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 }
 
-// statusFailure reads a refusal. Of the statuses only those that the service
-// gives before it proposes a write prove that nothing was applied; a 5xx may
-// follow a proposal that is still under way.
-func statusFailure(e effect, resp *http.Response) error {
+// statusError converts a response whose status isn't 200 into an error. Only the
+// statuses that the service returns before it proposes a write (400, 404 and 429) prove
+// that nothing was applied; a 5xx may come while a proposal is still under way.
+func statusError(e effect, resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	err := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
 	switch resp.StatusCode {
 	case http.StatusTooManyRequests:
-		return failure(e, false, err)
+		return wrapFailure(e, false, err)
 	case http.StatusNotFound:
 		return Error.Wrap(fmt.Errorf("%w: %w: %w", ErrRejected, ErrLeaseNotFound, err))
 	case http.StatusBadRequest:
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrRejected, err))
 	}
-	return failure(e, true, err)
+	return wrapFailure(e, true, err)
 }
 
-// meter counts calls by kind and result, and times them.
+// meter counts calls by kind and result, and measures their duration.
 type meter struct {
 	set     *metrics.Set
 	service string
 }
 
-func (m meter) done(kind string, start time.Time, err error) {
+func (m meter) record(kind string, start time.Time, err error) {
 	if m.set == nil {
 		return
 	}
-	labels := fmt.Sprintf(`{service=%q,kind=%q,result=%q}`, m.service, kind, result(err))
+	labels := fmt.Sprintf(`{service=%q,kind=%q,result=%q}`, m.service, kind, resultLabel(err))
 	m.set.GetOrCreateCounter("wigeon_platform_calls_total" + labels).Inc()
 	hist := fmt.Sprintf(`wigeon_platform_call_seconds{service=%q,kind=%q}`, m.service, kind)
 	m.set.GetOrCreateHistogram(hist).UpdateDuration(start)
 }
 
-func result(err error) string {
+func resultLabel(err error) string {
 	switch {
 	case err == nil:
 		return "ok"
@@ -133,7 +136,7 @@
 	return "rejected"
 }
 
-// poster makes JSON calls under a timeout and an in-flight bound.
+// poster makes JSON calls with a timeout and a bound on the calls in flight.
 type poster struct {
 	base    string
 	client  *http.Client
@@ -144,19 +147,19 @@
 
 func (p *poster) call(ctx context.Context, kind, path string, e effect, in, out any) error {
 	start := time.Now()
-	err := p.bounded(ctx, path, e, in, out)
-	p.meter.done(kind, start, err)
+	err := p.callWithLimits(ctx, path, e, in, out)
+	p.meter.record(kind, start, err)
 	return err
 }
 
-func (p *poster) bounded(ctx context.Context, path string, e effect, in, out any) error {
+func (p *poster) callWithLimits(ctx context.Context, path string, e effect, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	select {
 	case p.slots <- struct{}{}:
 		defer func() { <-p.slots }()
 	case <-ctx.Done():
-		return failure(e, false, fmt.Errorf("waiting for a slot: %w", context.Cause(ctx)))
+		return wrapFailure(e, false, fmt.Errorf("waiting for a slot: %w", context.Cause(ctx)))
 	}
 	return p.send(ctx, path, e, in, out)
 }
@@ -164,7 +167,7 @@
 func (p *poster) send(ctx context.Context, path string, e effect, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return failure(e, false, err)
+		return wrapFailure(e, false, err)
 	}
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -172,36 +175,36 @@
 	})
 	req, err := newPost(ctx, p.base+path, body)
 	if err != nil {
-		return failure(e, false, err)
+		return wrapFailure(e, false, err)
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return failure(e, connected.Load(), err)
+		return wrapFailure(e, connected.Load(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return statusFailure(e, resp)
+		return statusError(e, resp)
 	}
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return failure(e, true, err)
+		return wrapFailure(e, true, err)
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return failure(e, true, err)
+	if err := json.Unmarshal(data, out); err != nil {
+		return wrapFailure(e, true, err)
 	}
 	return nil
 }
 
-// read sends a request without a body that changes nothing. The caller closes
-// the answer's body.
+// read sends a request that has no body and changes nothing. The caller closes the
+// response body.
 func read(ctx context.Context, client *http.Client, method, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
-		return nil, failure(reads, false, err)
+		return nil, wrapFailure(reads, false, err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return nil, failure(reads, false, err)
+		return nil, wrapFailure(reads, false, err)
 	}
 	return resp, nil
 }
--- a/infra/etcd.go
+++ b/infra/etcd.go
@@ -9,14 +9,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// KVConfig says how to reach the key-value service.
+// KVConfig holds the address and the limits of a client of the key-value service.
 type KVConfig struct {
-	URL         string        // base, such as http://127.0.0.1:2379
-	Timeout     time.Duration // of one call; 0 for DefaultCallTimeout
-	MaxInFlight int           // calls at a time, watches apart; 0 for DefaultMaxInFlight
+	URL         string        // base URL, such as http://127.0.0.1:2379
+	Timeout     time.Duration // of one call; 0 means DefaultCallTimeout
+	MaxInFlight int           // concurrent calls, not counting watches; 0 means DefaultMaxInFlight
 }
 
-// EtcdKV is the KV of an etcd v3 JSON gateway.
+// EtcdKV implements KV over the etcd v3 JSON gateway.
 type EtcdKV struct {
 	poster
 	watcher *http.Client
@@ -117,7 +117,7 @@
 	Result leaseResponse `json:"result"`
 }
 
-type empty struct{}
+type emptyResponse struct{}
 
 // Get reads one key.
 func (c *EtcdKV) Get(ctx context.Context, key string) (Value, bool, error) {
@@ -129,7 +129,7 @@
 	return out.KVs[0].value(), true, nil
 }
 
-// Range reads keys in [from, end) in order.
+// Range reads the keys in [from, end) in key order, at most limit (0 means all).
 func (c *EtcdKV) Range(ctx context.Context, from, end string, limit int) ([]Value, error) {
 	in := rangeRequest{Key: []byte(from), RangeEnd: []byte(end), Limit: int64(limit)}
 	var out rangeResponse
@@ -143,12 +143,13 @@
 	return values, nil
 }
 
-// Create writes key if it is absent.
+// Create writes key if it is absent; otherwise it returns the existing value.
 func (c *EtcdKV) Create(ctx context.Context, key string, data []byte) (bool, Value, error) {
 	return c.CreateWithLease(ctx, key, data, 0)
 }
 
-// CreateWithLease writes key if it is absent, bound to lease.
+// CreateWithLease is Create with the key attached to lease: the service deletes the key
+// when the lease ends.
 func (c *EtcdKV) CreateWithLease(ctx context.Context, key string, data []byte, lease LeaseID) (bool, Value, error) {
 	zero := "0"
 	cmp := compare{Key: []byte(key), Target: "CREATE", Result: "EQUAL", CreateRev: &zero}
@@ -185,24 +186,24 @@
 	return false, out.Responses[0].Range.KVs[0].value(), nil
 }
 
-// Put writes key whatever it holds.
+// Put writes key, whether it exists or not.
 func (c *EtcdKV) Put(ctx context.Context, key string, data []byte, lease LeaseID) error {
 	in := putRequest{Key: []byte(key), Value: data, Lease: int64(lease)}
-	return c.call(ctx, "put", "/v3/kv/put", writes, in, &empty{})
+	return c.call(ctx, "put", "/v3/kv/put", writes, in, &emptyResponse{})
 }
 
-// Delete removes key if it is there.
+// Delete removes key; an absent key is no error.
 func (c *EtcdKV) Delete(ctx context.Context, key string) error {
-	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, rangeRequest{Key: []byte(key)}, &empty{})
+	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, rangeRequest{Key: []byte(key)}, &emptyResponse{})
 }
 
 // DeleteRange removes every key in [from, end).
 func (c *EtcdKV) DeleteRange(ctx context.Context, from, end string) error {
 	in := rangeRequest{Key: []byte(from), RangeEnd: []byte(end)}
-	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, in, &empty{})
+	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, in, &emptyResponse{})
 }
 
-// Grant makes a lease of ttl, rounded up to whole seconds.
+// Grant creates a lease of ttl, rounded up to whole seconds.
 func (c *EtcdKV) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var out leaseResponse
@@ -210,7 +211,8 @@
 	return LeaseID(out.ID), err
 }
 
-// KeepAlive renews lease; ErrLeaseNotFound means that it has lapsed.
+// KeepAlive renews lease and returns the time it has left; ErrLeaseNotFound means that
+// it has expired.
 func (c *EtcdKV) KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error) {
 	var out keepAliveResponse
 	err := c.call(ctx, "keepalive", "/v3/lease/keepalive", writes, leaseRequest{ID: int64(lease)}, &out)
@@ -223,7 +225,7 @@
 	return time.Duration(out.Result.TTL) * time.Second, nil
 }
 
-// Revoke ends lease and deletes its keys.
+// Revoke ends lease; the service then deletes the keys attached to it.
 func (c *EtcdKV) Revoke(ctx context.Context, lease LeaseID) error {
-	return c.call(ctx, "revoke", "/v3/lease/revoke", writes, leaseRequest{ID: int64(lease)}, &empty{})
+	return c.call(ctx, "revoke", "/v3/lease/revoke", writes, leaseRequest{ID: int64(lease)}, &emptyResponse{})
 }
--- a/infra/kv.go
+++ b/infra/kv.go
@@ -1,11 +1,11 @@
-// Package infra holds the clients of the services that the deployment
-// already runs: the key-value service, the VM list and the weight store.
+// Package infra holds the clients of the external services of a deployment: the
+// key-value service, the VM list and the weight store.
 //
-// The failure that matters here is a write whose answer is lost. The service
-// may have applied it, may apply it much later, or may never have seen it.
-// Each error therefore says which: ErrUnavailable means that nothing was
-// applied, ErrUnknownOutcome that it may have been. Nothing in this package
-// sends a write a second time; the callers own that decision.
+// When the response to a write is lost, the service may have applied the write, may
+// apply it much later, or may never have received it. The errors therefore distinguish
+// the cases: ErrUnavailable means that nothing was applied, ErrUnknownOutcome that the
+// write may have been. Nothing in this package sends a write a second time; the callers
+// decide whether to repeat it.
 package infra
 
 import (
@@ -20,19 +20,21 @@
 var Error = errs.Class("infra")
 
 var (
-	// ErrUnavailable means that the call failed and surely changed nothing.
+	// ErrUnavailable means that the call failed and certainly changed nothing.
 	ErrUnavailable = errors.New("service unavailable, nothing applied")
-	// ErrUnknownOutcome means that a write failed and may be applied, now or later.
+	// ErrUnknownOutcome means that a write failed for the caller and may have been
+	// applied or may still be applied later.
 	ErrUnknownOutcome = errors.New("outcome unknown, write may be applied")
 	// ErrRejected means that the service refused the call as invalid; nothing was applied.
 	ErrRejected = errors.New("call rejected by the service")
-	// ErrLeaseNotFound means that the lease lapsed or never existed.
+	// ErrLeaseNotFound means that the lease expired or never existed.
 	ErrLeaseNotFound = errors.New("lease not found")
-	// ErrCompacted means that a watch asked for a revision that is no longer kept.
+	// ErrCompacted means that a watch started at a revision that the service no longer
+	// stores.
 	ErrCompacted = errors.New("watch revision compacted")
 )
 
-// LeaseID names a lease of the key-value service; zero is no lease.
+// LeaseID identifies a lease of the key-value service; zero means no lease.
 type LeaseID int64
 
 // Value is one key with its data and revisions.
@@ -41,45 +43,45 @@
 	Data      []byte
 	CreateRev int64
 	ModRev    int64
-	// Lease is the one that the key ends with, 0 for none or where that isn't known.
+	// Lease is the lease the key is attached to; 0 means none or not known.
 	Lease LeaseID `cbor:",omitempty"`
 }
 
-// WatchEvent is one change under a watched prefix. The last event before the
-// channel closes carries Err, unless the watch's context ended.
+// WatchEvent is one change under a watched prefix. Err is set in the last event before
+// the channel closes, unless the context of the watch ended.
 type WatchEvent struct {
 	Deleted bool
 	Value   Value
 	Err     error
 }
 
-// Page is a part of the values under a prefix, in the order of their keys.
+// Page is one part of the values under a prefix, in key order.
 type Page struct {
 	Values   []Value
-	More     bool  // further ones follow after the last key
-	Revision int64 // of the service when it was read
+	More     bool  // the prefix has further keys after the last one here
+	Revision int64 // revision of the service at the time of the read
 }
 
-// KV is the key-value service. Errors match ErrUnavailable or
-// ErrUnknownOutcome as the package comment says.
+// KV is a client of the key-value service. Its errors match ErrUnavailable or
+// ErrUnknownOutcome as described in the package comment.
 type KV interface {
 	Get(ctx context.Context, key string) (Value, bool, error)
-	// Range returns keys in [from, end) in order, at most limit (0 for all).
+	// Range returns the keys in [from, end) in key order, at most limit (0 means all).
 	Range(ctx context.Context, from, end string, limit int) ([]Value, error)
-	// Create writes the key if absent; else it returns the existing value.
+	// Create writes the key if it is absent; otherwise it returns the existing value.
 	Create(ctx context.Context, key string, data []byte) (bool, Value, error)
 	CreateWithLease(ctx context.Context, key string, data []byte, lease LeaseID) (bool, Value, error)
-	// CompareAndSwap writes the key if its revision is modRev; else it returns the
+	// CompareAndSwap writes the key if its revision is modRev; otherwise it returns the
 	// current value, whose Key is empty when the key is absent.
 	CompareAndSwap(ctx context.Context, key string, modRev int64, data []byte) (bool, Value, error)
 	Put(ctx context.Context, key string, data []byte, lease LeaseID) error
 	Delete(ctx context.Context, key string) error
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews the lease and returns what it now has left.
+	// KeepAlive renews the lease and returns the time it has left.
 	KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error)
 	Revoke(ctx context.Context, lease LeaseID) error
-	// Watch reports changes under prefix from revision fromRev on (0 for now).
-	// The caller reconnects when the channel closes.
+	// Watch reports changes under prefix from revision fromRev on (0 means from now
+	// on). The caller opens a new watch when the channel closes.
 	Watch(ctx context.Context, prefix string, fromRev int64) (<-chan WatchEvent, error)
 }
 
@@ -88,7 +90,7 @@
 	DeleteRange(ctx context.Context, from, end string) error
 }
 
-// PrefixEnd returns the end of the range that holds every key under prefix.
+// PrefixEnd returns the exclusive end of the range of all keys that start with prefix.
 func PrefixEnd(prefix string) string {
 	b := []byte(prefix)
 	for i := len(b) - 1; i >= 0; i-- {
--- a/infra/lists.go
+++ b/infra/lists.go
@@ -12,14 +12,14 @@
 	"wigeondale/fleet"
 )
 
-// Roles that the VM list gives to a VM.
+// Roles of VMs in the VM list.
 const (
 	RoleEngine  = "engine"
 	RoleService = "service"
 	RoleEntry   = "entry"
 )
 
-// Labels of the VM list, in the Prometheus HTTP service-discovery format.
+// Labels of the VM list, which has the Prometheus HTTP service-discovery format.
 const (
 	labelVM        = "__meta_vm_id"
 	labelRole      = "__meta_role"
@@ -32,8 +32,8 @@
 	maxVMListBytes = 16 << 20
 )
 
-// VM is one entry of the VM list. For RoleEntry, Backend is zero but for its
-// ID, which is the node's, and Addr is the node's peer address.
+// VM is one entry of the VM list. For RoleEntry, only the ID of Backend is set: it is
+// the node's id, and Addr is the address at which its peers reach the node.
 type VM struct {
 	ID            string
 	Role          string
@@ -43,7 +43,8 @@
 	Leaving       bool
 }
 
-// VMList reads the platform's list of VMs, which lags.
+// VMList reads the platform's list of VMs, which may be out of date: it shows changes
+// late.
 type VMList struct {
 	url     string
 	client  *http.Client
@@ -51,7 +52,7 @@
 	meter   meter
 }
 
-// NewVMList returns a client of the VM list at url; timeout 0 is the default.
+// NewVMList returns a client of the VM list at url; timeout 0 means DefaultCallTimeout.
 func NewVMList(url string, timeout time.Duration, set *metrics.Set) *VMList {
 	if timeout <= 0 {
 		timeout = DefaultCallTimeout
@@ -64,11 +65,11 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// List returns the VMs that the platform shows now.
+// List returns the VMs that the platform currently lists.
 func (l *VMList) List(ctx context.Context) ([]VM, error) {
 	start := time.Now()
 	vms, err := l.list(ctx)
-	l.meter.done("list", start, err)
+	l.meter.record("list", start, err)
 	return vms, err
 }
 
@@ -81,11 +82,11 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, statusFailure(reads, resp)
+		return nil, statusError(reads, resp)
 	}
 	var groups []targetGroup
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxVMListBytes)).Decode(&groups); err != nil {
-		return nil, failure(reads, true, err)
+		return nil, wrapFailure(reads, true, err)
 	}
 	var vms []VM
 	for _, g := range groups {
--- a/infra/platform_test.go
+++ b/infra/platform_test.go
@@ -21,7 +21,7 @@
 	return NewEtcdKV(KVConfig{URL: url, Timeout: timeout, MaxInFlight: 1}, nil)
 }
 
-// hangUp closes the caller's connection without an answer.
+// hangUp closes the client's connection without sending a response.
 func hangUp(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
@@ -29,11 +29,10 @@
 	}
 }
 
-// Symptom: the key-value service sees one write twice.
-// Sequence: the service reads a write on a reused connection and closes it;
-// net/http takes the request for repeatable and sends it again by itself.
-// Cause: the request has GetBody and looks idempotent, as any later header
-// such as Idempotency-Key would make it.
+// Guards against the key-value service receiving one write twice. The service reads a
+// write on a reused connection and closes it; net/http then resends the request by
+// itself if it has GetBody and looks idempotent, which any later header such as
+// Idempotency-Key would cause.
 func TestWriteIsNeverReplayed(t *testing.T) {
 	var seen atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -63,14 +62,14 @@
 	}
 }
 
-// Symptom: a caller is told that a write was not applied, and it was.
-// Sequence: the connection, the answer or the time is lost after the write left.
-// Cause: an error that says nothing about the write is taken for a refusal.
+// Guards against reporting "not applied" for a write that was applied. The connection
+// or the response is lost or the call times out after the write was sent, and an error
+// that says nothing about the write is treated as a refusal.
 func TestErrorsTellWhatMayBeApplied(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
 	}
-	elsewhere := func(w http.ResponseWriter, r *http.Request) {
+	redirect := func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/else" {
 			fmt.Fprint(w, `{"succeeded":true}`)
 			return
@@ -87,7 +86,7 @@
 		{"closed without answer", func(w http.ResponseWriter, _ *http.Request) { hangUp(w) }, ErrUnknownOutcome, ErrUnavailable},
 		{"answer cut short", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"succee`) }, ErrUnknownOutcome, ErrUnavailable},
 		{"no answer in time", func(http.ResponseWriter, *http.Request) { <-stop }, ErrUnknownOutcome, ErrUnavailable},
-		{"redirect", elsewhere, ErrUnknownOutcome, ErrUnavailable},
+		{"redirect", redirect, ErrUnknownOutcome, ErrUnavailable},
 		{"server error", status(http.StatusServiceUnavailable), ErrUnknownOutcome, ErrUnavailable},
 		{"too many requests", status(http.StatusTooManyRequests), ErrUnavailable, ErrUnavailable},
 		{"bad request", status(http.StatusBadRequest), ErrRejected, ErrRejected},
@@ -123,7 +122,7 @@
 }
 
 func TestWireFormats(t *testing.T) {
-	answers := map[string]string{
+	responses := map[string]string{
 		"/v3/kv/txn":          `{"header":{"revision":"9"},"responses":[{"response_range":{"kvs":[{"key":"aw==","value":"dg==","create_revision":"3","mod_revision":"4"}]}}]}`,
 		"/v3/lease/keepalive": `{"result":{"ID":"7","TTL":"5"}}`,
 		"/v3/watch":           `{"result":{"created":true}}` + "\n" + `{"result":{"events":[{"kv":{"key":"aw==","mod_revision":"4"}},{"type":"DELETE","kv":{"key":"aw=="}}]}}`,
@@ -136,7 +135,7 @@
 		if strings.HasPrefix(r.URL.Path, "/weights/m/v1/a") {
 			w.Header().Set("Content-Length", "77")
 		}
-		fmt.Fprint(w, answers[r.URL.Path])
+		fmt.Fprint(w, responses[r.URL.Path])
 	}))
 	defer srv.Close()
 	kv := newKV(srv.URL, time.Second)
--- a/infra/watch.go
+++ b/infra/watch.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// watchBuffer is how many events wait for a slow reader before the stream does.
+// watchBuffer is the number of events buffered for a slow receiver before the stream
+// stops being read.
 const watchBuffer = 64
 
 type watchRequest struct {
@@ -34,12 +35,12 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Watch opens a stream of changes. It has no timeout of its own once open: a
-// cut link shows as silence, so the caller polls slowly beside it.
+// Watch opens a stream of changes. Once open it has no timeout: on a broken connection
+// it delivers nothing and reports no error, so the caller also polls at a low rate.
 func (c *EtcdKV) Watch(ctx context.Context, prefix string, fromRev int64) (<-chan WatchEvent, error) {
 	start := time.Now()
 	resp, cancel, err := c.openWatch(ctx, prefix, fromRev)
-	c.meter.done("watch", start, err)
+	c.meter.record("watch", start, err)
 	if err != nil {
 		return nil, err
 	}
@@ -61,26 +62,26 @@
 	in := watchRequest{watchCreate{Key: []byte(prefix), RangeEnd: []byte(PrefixEnd(prefix)), StartRev: fromRev}}
 	body, err := json.Marshal(in)
 	if err != nil {
-		return nil, nil, failure(reads, false, err)
+		return nil, nil, wrapFailure(reads, false, err)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	opening := time.AfterFunc(c.timeout, cancel)
+	openTimeout := time.AfterFunc(c.timeout, cancel)
 	req, err := newPost(ctx, c.base+"/v3/watch", body)
 	if err != nil {
 		cancel()
-		return nil, nil, failure(reads, false, err)
+		return nil, nil, wrapFailure(reads, false, err)
 	}
 	resp, err := c.watcher.Do(req)
 	if err != nil {
 		cancel()
-		return nil, nil, failure(reads, false, err)
+		return nil, nil, wrapFailure(reads, false, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		defer resp.Body.Close()
-		return nil, nil, statusFailure(reads, resp)
+		return nil, nil, statusError(reads, resp)
 	}
-	opening.Stop()
+	openTimeout.Stop()
 	return resp, cancel, nil
 }
 
@@ -88,9 +89,9 @@
 	for {
 		var m watchMessage
 		if err := dec.Decode(&m); err != nil {
-			return failure(reads, true, err)
+			return wrapFailure(reads, true, err)
 		}
-		if err := m.failure(); err != nil {
+		if err := m.err(); err != nil {
 			return err
 		}
 		for _, e := range m.Result.Events {
@@ -102,15 +103,15 @@
 	}
 }
 
-func (m *watchMessage) failure() error {
+func (m *watchMessage) err() error {
 	if m.Result.CompactRev > 0 {
 		return Error.Wrap(fmt.Errorf("%w: oldest is %d", ErrCompacted, m.Result.CompactRev))
 	}
 	if m.Result.Canceled {
-		return failure(reads, true, fmt.Errorf("watch cancelled by the service"))
+		return wrapFailure(reads, true, fmt.Errorf("watch cancelled by the service"))
 	}
 	if len(m.Error) > 0 && !bytes.Equal(m.Error, []byte("null")) {
-		return failure(reads, true, fmt.Errorf("watch: %s", m.Error))
+		return wrapFailure(reads, true, fmt.Errorf("watch: %s", m.Error))
 	}
 	return nil
 }
--- a/infra/weights.go
+++ b/infra/weights.go
@@ -13,7 +13,7 @@
 	"wigeondale/fleet"
 )
 
-// WeightStore asks the weight store how large a model's files are.
+// WeightStore queries the weight store for the size of a model's files.
 type WeightStore struct {
 	base    string
 	client  *http.Client
@@ -21,7 +21,8 @@
 	meter   meter
 }
 
-// NewWeightStore returns a client of the weight store at base; timeout 0 is the default.
+// NewWeightStore returns a client of the weight store at base; timeout 0 means
+// DefaultCallTimeout.
 func NewWeightStore(base string, timeout time.Duration, set *metrics.Set) *WeightStore {
 	if timeout <= 0 {
 		timeout = DefaultCallTimeout
@@ -29,14 +30,14 @@
 	return &WeightStore{base: base, client: newHTTPClient(timeout), timeout: timeout, meter: meter{set, "weights"}}
 }
 
-// ErrNoWeights means that the store does not hold the model.
+// ErrNoWeights means that the store has no files of the model.
 var ErrNoWeights = errors.New("no such weights")
 
-// Size returns the bytes that loading ref reads from the store.
+// Size returns the number of bytes read from the store to load ref.
 func (w *WeightStore) Size(ctx context.Context, ref fleet.ModelRef) (int64, error) {
 	start := time.Now()
 	n, err := w.size(ctx, ref)
-	w.meter.done("size", start, err)
+	w.meter.record("size", start, err)
 	return n, err
 }
 
@@ -56,9 +57,9 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return 0, Error.Wrap(fmt.Errorf("%w: %s", ErrNoWeights, ref))
 	case resp.StatusCode != http.StatusOK:
-		return 0, statusFailure(reads, resp)
+		return 0, statusError(reads, resp)
 	case resp.ContentLength < 0:
-		return 0, failure(reads, true, fmt.Errorf("no Content-Length for %s", ref))
+		return 0, wrapFailure(reads, true, fmt.Errorf("no Content-Length for %s", ref))
 	}
 	return resp.ContentLength, nil
 }
