--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -9,23 +9,23 @@
 	"wigeondale/infra"
 )
 
-// Append adds an entry and returns its position. Within the window, an id is
-// appended once however often and by however many processes it is asked for.
+// Append adds an entry and returns its position. An id is appended only once within the
+// window, no matter how often and by how many processes Append is called with it.
 //
-// Errors: ErrUnavailable (not appended), ErrUnsettled (call again with the
-// same id and data), ErrExpired, ErrTooLarge, *TruncatedError (this Log fell
-// behind a truncation; nothing was appended, and the next call starts afresh).
+// Errors: ErrUnavailable (not appended), ErrUnsettled (call again with the same id and
+// data), ErrExpired, ErrTooLarge, *TruncatedError (this Log was behind a truncation;
+// nothing was appended, and the next call starts reading at the floor).
 func (l *Log) Append(ctx context.Context, id string, data []byte) (uint64, error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
 		return 0, err
 	}
 	if err := l.lock(ctx); err != nil {
-		return 0, l.settledError(id, err)
+		return 0, l.withUnsettled(id, err)
 	}
 	defer l.unlock()
 	n, err := l.append(ctx, id, value)
-	return n, l.settledError(id, err)
+	return n, l.withUnsettled(id, err)
 }
 
 func (l *Log) append(ctx context.Context, id string, value []byte) (uint64, error) {
@@ -38,11 +38,11 @@
 		if n, ok := l.find(id); ok {
 			return n, nil
 		}
-		if err := l.expired(id); err != nil {
+		if err := l.checkExpired(id); err != nil {
 			return 0, err
 		}
 		n := l.next
-		e, err := l.place(ctx, n, id, value)
+		e, err := l.createAt(ctx, n, id, value)
 		if err != nil {
 			return 0, err
 		}
@@ -55,36 +55,36 @@
 	}
 }
 
-// AppendAt adds an entry at position n only. won is true when the entry with
-// this id is in the log, and existing is then that entry: at n, or where an
-// earlier append of the same id put it. Otherwise existing is the entry that
-// holds n. Errors are those of Append, and ErrGap.
+// AppendAt adds an entry at position n only. won is true when the entry with this id is
+// in the log; existing is then that entry, at n or where an earlier append of the same
+// id put it. Otherwise existing is the entry at n. Errors are those of Append, and
+// ErrGap.
 func (l *Log) AppendAt(ctx context.Context, n uint64, id string, data []byte) (won bool, existing Entry, err error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
 		return false, Entry{}, err
 	}
 	if err := l.lock(ctx); err != nil {
-		return false, Entry{}, l.settledError(id, err)
+		return false, Entry{}, l.withUnsettled(id, err)
 	}
 	defer l.unlock()
 	existing, err = l.appendAt(ctx, n, id, value)
-	return err == nil && existing.ID == id, existing, l.settledError(id, err)
+	return err == nil && existing.ID == id, existing, l.withUnsettled(id, err)
 }
 
 func (l *Log) appendAt(ctx context.Context, n uint64, id string, value []byte) (Entry, error) {
-	// Looked up before and after reading on: reading may find the log truncated
-	// and forget the ids.
+	// The id is looked up both before and after catchUp, because catchUp may find the
+	// log truncated and drop the known ids.
 	if m, ok := l.find(id); ok {
-		return l.own(ctx, m, value)
+		return l.existingEntry(ctx, m, value)
 	}
 	if err := l.catchUp(ctx); err != nil {
 		return Entry{}, err
 	}
 	if m, ok := l.find(id); ok {
-		return l.own(ctx, m, value)
+		return l.existingEntry(ctx, m, value)
 	}
-	if err := l.expired(id); err != nil {
+	if err := l.checkExpired(id); err != nil {
 		return Entry{}, err
 	}
 	if n < l.next {
@@ -93,7 +93,7 @@
 	if n > l.next {
 		return Entry{}, Error.Wrap(fmt.Errorf("%w: %d, end is %d", ErrGap, n, l.next-1))
 	}
-	e, err := l.place(ctx, n, id, value)
+	e, err := l.createAt(ctx, n, id, value)
 	if err != nil || e.ID == id {
 		return e, err
 	}
@@ -101,23 +101,24 @@
 		return Entry{}, err
 	}
 	if m, ok := l.find(id); ok {
-		return l.own(ctx, m, value)
+		return l.existingEntry(ctx, m, value)
 	}
 	return e, nil
 }
 
-// find returns where id is known to be in the log.
+// find returns the position at which id is known to be in the log.
 func (l *Log) find(id string) (uint64, bool) {
-	landed, ok := l.unsettled.takeLanded(id)
+	n, ok := l.unsettled.takeAppended(id)
 	if ok {
-		return landed, true
+		return n, true
 	}
 	return l.ids.find(id)
 }
 
-// own returns the entry with this id, which is known to be at n. If it was
-// truncated since, it is still appended, and what was asked for stands for it.
-func (l *Log) own(ctx context.Context, n uint64, value []byte) (Entry, error) {
+// existingEntry returns the entry with this id, which is known to be at n. If it was
+// truncated since, it still counts as appended, and the returned entry is built from
+// the caller's value.
+func (l *Log) existingEntry(ctx context.Context, n uint64, value []byte) (Entry, error) {
 	e, err := l.readOne(ctx, n)
 	if err == nil {
 		return e, nil
@@ -125,19 +126,19 @@
 	return l.decodeEntry(infra.Value{Key: l.entryKey(n), Data: value})
 }
 
-// place creates value at n, the lowest position not seen taken, and returns
-// the entry that holds n. It tries the same create again while its outcome is
-// unknown: create-if-absent also reads back what is there.
-func (l *Log) place(ctx context.Context, n uint64, id string, value []byte) (Entry, error) {
+// createAt creates value at n, the lowest position not known to be taken, and returns
+// the entry at n. While the outcome is unknown it repeats the same create:
+// create-if-absent also returns the value that is already there.
+func (l *Log) createAt(ctx context.Context, n uint64, id string, value []byte) (Entry, error) {
 	var err error
 	for try := range l.opts.SettleTries {
-		if try > 0 && !l.pause(ctx) {
+		if try > 0 && !l.waitBeforeRetry(ctx) {
 			break
 		}
 		var e Entry
 		e, err = l.create(ctx, n, id, value)
 		if err == nil {
-			return l.confirm(ctx, e, id)
+			return l.checkFloor(ctx, e, id)
 		}
 		if !errors.Is(err, infra.ErrUnknownOutcome) {
 			return Entry{}, unavailable(err)
@@ -166,12 +167,12 @@
 	return l.decodeEntry(v)
 }
 
-// confirm checks that n is not below the floor, after the create. A process
-// that was paused while others appended, took a snapshot and truncated would
-// otherwise create an entry at a position that no reader looks at, and
-// acknowledge it. The create cannot have succeeded at a deleted position
-// before the pointer's floor rose above it, so a read after it shows that.
-func (l *Log) confirm(ctx context.Context, e Entry, id string) (Entry, error) {
+// checkFloor checks after a create that its position is not below the floor. Otherwise
+// a process that was paused while others appended, took a snapshot and truncated would
+// create an entry at a position that no reader reads, and acknowledge it. A create
+// can't succeed at a deleted position before the floor in the pointer has risen above
+// that position, so reading the pointer after the create detects it.
+func (l *Log) checkFloor(ctx context.Context, e Entry, id string) (Entry, error) {
 	p, err := l.readPointer(ctx)
 	if err != nil {
 		if e.ID == id {
@@ -181,36 +182,39 @@
 	}
 	if e.N < p.Floor {
 		if e.ID == id && e.Rev < p.rev {
-			// Created before this pointer: perhaps in time and truncated since,
-			// perhaps after an earlier truncation. Neither answer would be sure.
+			// The entry was created before this pointer was written: either in time and
+			// truncated since, or after an earlier truncation. Neither "appended" nor
+			// "not appended" would be certain.
 			l.unsettled.set(id, e.N)
 		}
-		l.restart(p)
+		l.resetPosition(p)
 		return Entry{}, Error.Wrap(&TruncatedError{From: e.N, Floor: p.Floor, UpTo: p.UpTo})
 	}
 	if e.ID == id {
-		l.learn(e)
+		l.recordEntry(e)
 	}
 	return e, nil
 }
 
-// restart forgets the position, so that the next call begins at the floor.
-func (l *Log) restart(p pointer) {
+// resetPosition forgets the position and the known ids, so that the next call starts
+// reading at the floor.
+func (l *Log) resetPosition(p pointer) {
 	l.next = 0
 	l.ids = newIDWindow(l.opts.Window)
 	l.count("restart")
 	l.unsettled.expire(p.Floor)
 }
 
-func (l *Log) expired(id string) error {
+func (l *Log) checkExpired(id string) error {
 	if n, ok := l.unsettled.get(id); ok && n == expiredPosition {
 		return Error.Wrap(ErrExpired)
 	}
 	return nil
 }
 
-// learn moves past entry e at l.next, which settles what was unsettled there.
-func (l *Log) learn(e Entry) {
+// recordEntry records entry e at l.next and advances past it, which determines the
+// outcome of appends with an unknown outcome at that position.
+func (l *Log) recordEntry(e Entry) {
 	l.next = e.N + 1
 	l.ids.add(e.N, e.ID)
 	l.unsettled.settle(e.N, e.ID)
@@ -231,14 +235,14 @@
 	for {
 		entries, p, err := l.readPage(ctx, l.next, l.opts.PageEntries)
 		if err != nil {
-			var gone *TruncatedError
-			if errors.As(err, &gone) {
-				l.restart(p)
+			var truncated *TruncatedError
+			if errors.As(err, &truncated) {
+				l.resetPosition(p)
 			}
 			return err
 		}
 		for _, e := range entries {
-			l.learn(e)
+			l.recordEntry(e)
 		}
 		if len(entries) < l.opts.PageEntries {
 			return nil
@@ -246,10 +250,9 @@
 	}
 }
 
-// settledError upgrades "not appended" to "unsettled" while an earlier create
-// of the same id may still land. Saying "not appended" then would be false if
-// it did.
-func (l *Log) settledError(id string, err error) error {
+// withUnsettled replaces "not appended" by ErrUnsettled while an earlier create of the
+// same id may still take effect: "not appended" would be false if it did.
+func (l *Log) withUnsettled(id string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -263,10 +266,11 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrUnsettled, withoutUnavailable(err)))
 }
 
-// withoutUnavailable keeps the text of err but not its claim to be final.
+// withoutUnavailable keeps the text of err but no longer matches ErrUnavailable, which
+// would state that nothing was appended.
 func withoutUnavailable(err error) error { return errors.New(err.Error()) }
 
-func (l *Log) pause(ctx context.Context) bool {
+func (l *Log) waitBeforeRetry(ctx context.Context) bool {
 	d := time.Duration((0.5 + l.opts.Jitter()) * float64(l.opts.SettleDelay))
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/kvlog/keys.go
+++ b/kvlog/keys.go
@@ -19,7 +19,8 @@
 	tokenBytes  = 8
 )
 
-// entryKey is fixed-width hex, so that keys sort as their positions do.
+// entryKey returns a key with fixed-width hex digits, so that keys sort in the order of
+// their positions.
 func (l *Log) entryKey(n uint64) string { return fmt.Sprintf("%s%s%016x", l.prefix, entryPart, n) }
 
 func (l *Log) entryEnd() string { return infra.PrefixEnd(l.prefix + entryPart) }
@@ -36,11 +37,11 @@
 
 func randomToken() string {
 	var b [tokenBytes]byte
-	rand.Read(b[:]) // never fails, by its documentation
+	rand.Read(b[:]) // never returns an error, according to its documentation
 	return hex.EncodeToString(b[:])
 }
 
-// record is the stored form of an entry; its position is in the key.
+// record is the stored form of an entry; the position is in the key.
 type record struct {
 	ID   string `cbor:"1,keyasint"`
 	Data []byte `cbor:"2,keyasint"`
@@ -70,10 +71,10 @@
 	return Entry{N: n, ID: r.ID, Data: r.Data, Rev: v.CreateRev}, nil
 }
 
-// idWindow remembers the ids of the newest entries.
+// idWindow holds the ids of the newest entries with their positions.
 type idWindow struct {
 	size  uint64
-	first uint64 // position of the oldest remembered entry
+	first uint64 // position of the oldest entry in the window
 	ids   []string
 	pos   map[string]uint64
 }
--- a/kvlog/kvlog.go
+++ b/kvlog/kvlog.go
@@ -1,20 +1,20 @@
-// Package kvlog is an append-only log in the key-value service. Entry n is
-// created only if absent, so whoever creates it has appended: races have one
-// winner and the log needs no leader.
+// Package kvlog is an append-only log in the key-value service. Entry n is written with
+// create-if-absent, so the process whose create succeeds has appended it: a race has
+// exactly one winner, and the log needs no leader.
 //
-// Failure story. The answer to a create may be lost, and the create may take
-// effect at any later time. An appender therefore stays at its position: it
-// creates the same entry at the same position again until it sees that
-// position taken, by itself or by another. Only then can the late create do
-// nothing, and only then does it move on. So an entry lands at most once, and
-// every position below an entry is taken.
+// The response to a create may be lost, and the create may take effect at any later
+// time. An appender therefore stays at its position: it creates the same entry at the
+// same position again until it sees that the position is taken, by its own entry or
+// another one. Only then can the delayed create have no effect any more, and only then
+// does the appender move on. So an entry is in the log at most once, and every position
+// below an entry is taken.
 //
-// Old entries are deleted once a snapshot covers them, and a deleted position
-// is absent again: a late create, or an appender that was paused for long,
-// would succeed there. Two rules prevent an entry that nobody reads from being
-// acknowledged: the snapshot's pointer names the lowest position that counts
-// (the floor) before anything is deleted, and an appender reads the pointer
-// after each create and disregards what lies below the floor.
+// Old entries are deleted once a snapshot covers them, and a deleted position is absent
+// again: a delayed create, or one by an appender that was paused for long, would
+// succeed there. Two rules prevent acknowledging an entry that no process reads. The
+// snapshot's pointer records the lowest valid position (the floor) before anything is
+// deleted, and an appender reads the pointer after each create and ignores positions
+// below the floor.
 package kvlog
 
 import (
@@ -34,47 +34,49 @@
 var Error = errs.Class("kvlog")
 
 var (
-	// ErrUnavailable means that the entry is surely not in the log through this
-	// call and will not appear there.
+	// ErrUnavailable means that this call did not append the entry, and that it will
+	// not appear later because of this call.
 	ErrUnavailable = errors.New("log unavailable, nothing appended")
-	// ErrUnsettled means that the entry may be in the log or appear there later.
-	// Calling again with the same id settles it.
+	// ErrUnsettled means that the outcome is unknown: the entry may be in the log or
+	// may appear there later. Calling again with the same id determines the outcome.
 	ErrUnsettled = errors.New("append unsettled")
-	// ErrExpired means that an unsettled entry's position was truncated: it can
-	// no longer be told whether it was appended.
+	// ErrExpired means that the outcome of an append was unknown and its position has
+	// been truncated since: whether it was appended can't be determined any more.
 	ErrExpired = errors.New("append outcome no longer known")
-	// ErrTooLarge means that the data does not fit one value.
+	// ErrTooLarge means that the id or the data exceeds the limit for one value.
 	ErrTooLarge = errors.New("entry too large")
-	// ErrGap means that AppendAt named a position beyond the end of the log.
+	// ErrGap means that the given position is beyond the end of the log.
 	ErrGap = errors.New("position beyond the end of the log")
-	// ErrStaleSnapshot means that a snapshot at least as new is in place.
+	// ErrStaleSnapshot means that the log already has a snapshot of the same or a later
+	// position.
 	ErrStaleSnapshot = errors.New("a newer snapshot is in place")
-	// ErrCorrupt means that a stored value does not decode or verify.
+	// ErrCorrupt means that a stored value can't be decoded or fails verification.
 	ErrCorrupt = errors.New("stored value corrupt")
 )
 
-// TruncatedError tells a reader that its position is below the floor: it
-// loads the snapshot, which covers up to UpTo, and reads on from UpTo+1.
+// TruncatedError means that a position to read or append at is below the floor. A
+// reader then loads the snapshot, which covers the entries up to UpTo, and continues
+// from UpTo+1.
 type TruncatedError struct {
 	From, Floor, UpTo uint64
 }
 
-// Error names the position and the floor.
+// Error returns the position, the floor and the position of the snapshot.
 func (e *TruncatedError) Error() string {
 	return fmt.Sprintf("position %d truncated: floor %d, load the snapshot up to %d", e.From, e.Floor, e.UpTo)
 }
 
-// Entry is one entry of the log. N counts from 1.
+// Entry is one entry of the log. N is its position, counted from 1.
 type Entry struct {
 	N    uint64
 	ID   string
 	Data []byte
-	// Rev is the key-value service's revision that created the entry.
+	// Rev is the revision of the key-value service at which the entry was created.
 	Rev int64
 }
 
-// MaxDataBytes bounds the data of one entry, so that the value with the
-// entry's id stays below the service's limit of 1 MB.
+// MaxDataBytes bounds the data of one entry, so that the value including the entry's id
+// stays below the service's limit of 1 MB.
 const MaxDataBytes = 900_000
 
 // maxIDBytes bounds the id of one entry.
@@ -89,26 +91,28 @@
 	DefaultPageEntries = 64
 )
 
-// Options tune a Log; zero values stand for the defaults.
+// Options configures a Log; zero values mean the defaults.
 type Options struct {
-	// Window is how many of the newest entries an id is protected for: appending
-	// the same id again within them finds the first. A snapshot keeps this many
-	// entries below its position.
+	// Window is the number of newest entries within which appending an id again returns
+	// the existing entry. A snapshot keeps this many entries, up to and including its
+	// position.
 	Window uint64
-	// SettleTries is how often one call creates an entry before it returns
-	// ErrUnsettled; SettleDelay is the wait between tries.
+	// SettleTries is how often one call tries to create an entry while the outcome is
+	// unknown, before it returns ErrUnsettled. SettleDelay is the mean delay between
+	// the tries.
 	SettleTries int
 	SettleDelay time.Duration
-	// Poll is the mean time between Follow's reads while the watch is silent.
+	// Poll is the mean time between reads by Follow while its watch delivers nothing.
 	Poll time.Duration
-	// PageEntries is how many entries one read asks for.
+	// PageEntries is the maximum number of entries per read.
 	PageEntries int
 	// Jitter returns a number in [0,1); nil means no jitter.
 	Jitter func() float64
-	// Token returns a fresh name for a snapshot's chunks; nil means random.
+	// Token returns a unique part for the chunk keys of a snapshot; nil means a random
+	// one.
 	Token func() string
-	// Observe, if set, is called with every entry that this Log learns of, in
-	// order, before the Append that learnt it returns. It must not call the Log.
+	// Observe, if set, is called for every entry that this Log reads or appends, in
+	// order and before the Append that read it returns. It must not call the Log.
 	Observe func(Entry)
 	Events  *event.Log
 	Metrics *metrics.Set
@@ -138,19 +142,19 @@
 	}
 }
 
-// Log is one process's handle on a log. Its methods are safe for concurrent
-// use; appends through one Log go one after the other.
+// Log is one process's handle on a log. Its methods are safe for concurrent use;
+// appends through one Log run one at a time.
 type Log struct {
 	kv     infra.KV
 	prefix string
 	opts   Options
 
-	// turn is held by the append under way. It is a channel, not a mutex, so
-	// that waiting for it ends with the caller's context.
-	turn chan struct{}
+	// appendLock is held during an append. It is a channel instead of a mutex, so that
+	// waiting for it ends when the caller's context does.
+	appendLock chan struct{}
 
-	// The fields below belong to the holder of turn.
-	next      uint64 // lowest position not seen taken; 0 before the first read
+	// The fields below are guarded by appendLock.
+	next      uint64 // lowest position not known to be taken; 0 before the first read
 	ids       idWindow
 	unsettled *unsettledIDs
 }
@@ -159,27 +163,27 @@
 func New(kv infra.KV, prefix string, opts Options) *Log {
 	opts.setDefaults()
 	return &Log{
-		kv:        kv,
-		prefix:    prefix,
-		opts:      opts,
-		turn:      make(chan struct{}, 1),
-		ids:       newIDWindow(opts.Window),
-		unsettled: newUnsettledIDs(),
+		kv:         kv,
+		prefix:     prefix,
+		opts:       opts,
+		appendLock: make(chan struct{}, 1),
+		ids:        newIDWindow(opts.Window),
+		unsettled:  newUnsettledIDs(),
 	}
 }
 
 func (l *Log) lock(ctx context.Context) error {
 	select {
-	case l.turn <- struct{}{}:
+	case l.appendLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, context.Cause(ctx)))
 	}
 }
 
-func (l *Log) unlock() { <-l.turn }
+func (l *Log) unlock() { <-l.appendLock }
 
-// Head returns the position of the last entry, 0 for an empty log.
+// Head returns the position of the last entry, or 0 for an empty log.
 func (l *Log) Head(ctx context.Context) (uint64, error) {
 	if err := l.lock(ctx); err != nil {
 		return 0, err
@@ -191,7 +195,8 @@
 	return l.next - 1, nil
 }
 
-// unavailable turns a failed read into this package's terms.
+// unavailable wraps the error of a failed call as ErrUnavailable, unless it is already
+// an error of this package.
 func unavailable(err error) error {
 	if Error.Has(err) {
 		return err
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -14,19 +14,19 @@
 	"wigeondale/kvlog/kvtest"
 )
 
-// Symptom: a node stays on an old entry although newer ones are in the log.
-// Sequence: the node's watch ends, or stays open but tells nothing; entries are
-// appended; the log is truncated past a node that slept.
-// Cause: the follower trusts the watch alone, or skips what was truncated.
+// Guards against a follower that stays at an old entry while the log has newer ones.
+// The watch closes, or stays open and delivers nothing, or the log is truncated past a
+// follower that was not running; a follower that relies on the watch alone, or skips
+// truncated entries, misses them.
 func TestFollowWithoutWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		log := kvlog.New(store, "l/", kvlog.Options{Window: 2, Poll: time.Second, PageEntries: 2})
 		ctx, cancel := context.WithCancel(t.Context())
 		var got atomic.Uint64
-		ended := make(chan error, 1)
+		followErr := make(chan error, 1)
 		go func() {
-			ended <- log.Follow(ctx, 1, func(e kvlog.Entry) error {
+			followErr <- log.Follow(ctx, 1, func(e kvlog.Entry) error {
 				if !got.CompareAndSwap(e.N-1, e.N) {
 					t.Errorf("%d after %d", e.N, got.Load())
 				}
@@ -50,7 +50,7 @@
 		appendSome(4, 6)
 		time.Sleep(3 * time.Second)
 		if got.Load() != 6 {
-			t.Errorf("by poll beside a silent watch: %d", got.Load())
+			t.Errorf("by poll while the watch is silent: %d", got.Load())
 		}
 		store.CutWatches()
 		appendSome(7, 7)
@@ -59,13 +59,13 @@
 			t.Errorf("after a cut watch: %d", got.Load())
 		}
 		cancel()
-		<-ended
+		<-followErr
 		if err := log.Snapshot(t.Context(), 7, nil); err != nil {
 			t.Error(err)
 		}
-		var gone *kvlog.TruncatedError
+		var truncated *kvlog.TruncatedError
 		err := log.Follow(t.Context(), 2, func(kvlog.Entry) error { return nil })
-		if !errors.As(err, &gone) || gone.Floor != 6 || gone.UpTo != 7 {
+		if !errors.As(err, &truncated) || truncated.Floor != 6 || truncated.UpTo != 7 {
 			t.Error(err)
 		}
 	})
@@ -99,17 +99,18 @@
 	}
 }
 
-// Symptom: an entry is in the log twice, or its appender is told that it isn't there.
-// Sequence: an append's answer is lost; others append past the window; the
-// appender's process reads on for another append, then asks for the first again.
-// Cause: the id, once seen in the log, is forgotten with its window.
+// Guards against an entry that is in the log twice, or is reported as not appended. The
+// response to an append is lost, other processes append more entries than the window
+// holds, and the appender reads on for another append and then calls Append for the
+// first id again. The id was found in the log and must be remembered although it is
+// outside the window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bench := kvtest.NewBench()
 		opts := kvlog.Options{Window: 2, SettleTries: 1}
 		log := kvlog.New(bench.Client(), "l/", opts)
-		others := kvlog.New(bench.Store, "l/", opts)
-		appended := func(id string, faults ...kvtest.Fault) (n uint64, err error) {
+		otherLog := kvlog.New(bench.Store, "l/", opts)
+		appendWith := func(id string, faults ...kvtest.Fault) (n uint64, err error) {
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -125,18 +126,18 @@
 			<-done
 			return n, err
 		}
-		if _, err := appended("a", kvtest.OK, kvtest.OK, kvtest.AnswerLost); !errors.Is(err, kvlog.ErrUnsettled) {
+		if _, err := appendWith("a", kvtest.OK, kvtest.OK, kvtest.AnswerLost); !errors.Is(err, kvlog.ErrUnsettled) {
 			t.Error(err)
 		}
 		for i := range 5 {
-			if _, err := others.Append(t.Context(), fmt.Sprint(i), nil); err != nil {
+			if _, err := otherLog.Append(t.Context(), fmt.Sprint(i), nil); err != nil {
 				t.Error(err)
 			}
 		}
-		if n, err := appended("b"); n != 7 || err != nil {
+		if n, err := appendWith("b"); n != 7 || err != nil {
 			t.Error(n, err)
 		}
-		if n, err := appended("a"); n != 1 || err != nil {
+		if n, err := appendWith("a"); n != 1 || err != nil {
 			t.Error("appended again:", n, err)
 		}
 	})
--- a/kvlog/kvtest/store.go
+++ b/kvlog/kvtest/store.go
@@ -1,6 +1,6 @@
-// Package kvtest is an in-memory key-value service for tests. Its clients'
-// calls can be held and released one by one, each with a fault, so that a test
-// decides every interleaving.
+// Package kvtest is an in-memory key-value service for tests. Calls of its clients can
+// be blocked and released one by one, each with a fault, so that a test controls every
+// interleaving.
 package kvtest
 
 import (
@@ -14,11 +14,11 @@
 	"wigeondale/infra"
 )
 
-// Store is the service's memory. Its own methods answer at once.
+// Store is the data of the service. Its own methods don't block for a release.
 type Store struct {
-	// Latency, if set, is slept in each call of a Store (not of a Client).
+	// Latency, if set, is the duration slept in each call of a Store (not of a Client).
 	Latency time.Duration
-	// OnCreate, if set, is told of each key that came to be.
+	// OnCreate, if set, is called for each key that is created.
 	OnCreate func(key string, data []byte)
 
 	mu       sync.Mutex
@@ -37,12 +37,12 @@
 
 const watchBuffer = 1024
 
-var errNotHere = errors.New("kvtest: leases are not played")
+var errNoLeases = errors.New("kvtest: leases are not implemented")
 
 // New returns an empty store.
 func New() *Store { return &Store{data: make(map[string]infra.Value)} }
 
-// Calls returns how many writes and reads were applied.
+// Calls returns the number of writes and reads applied.
 func (s *Store) Calls() (writes, reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	return v, ok, nil
 }
 
-// Range reads keys in [from, end).
+// Range reads the keys in [from, end) in key order, at most limit (0 means all).
 func (s *Store) Range(_ context.Context, from, end string, limit int) ([]infra.Value, error) {
 	time.Sleep(s.Latency)
 	s.mu.Lock()
@@ -78,17 +78,17 @@
 	return out, nil
 }
 
-// Create writes key if absent.
+// Create writes key if it is absent.
 func (s *Store) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
 	return s.CompareAndSwap(ctx, key, 0, data)
 }
 
-// CreateWithLease is Create; the lease is ignored.
+// CreateWithLease is Create; it ignores the lease.
 func (s *Store) CreateWithLease(ctx context.Context, key string, data []byte, _ infra.LeaseID) (bool, infra.Value, error) {
 	return s.Create(ctx, key, data)
 }
 
-// CompareAndSwap writes key at revision modRev.
+// CompareAndSwap writes key if its revision is modRev; 0 means that the key is absent.
 func (s *Store) CompareAndSwap(_ context.Context, key string, modRev int64, data []byte) (bool, infra.Value, error) {
 	time.Sleep(s.Latency)
 	s.mu.Lock()
@@ -147,7 +147,8 @@
 	return nil
 }
 
-// Watch tells of puts from now on; fromRev is honoured for keys still there.
+// Watch reports puts from now on, and first those keys that still exist and were
+// changed at fromRev or later, if fromRev is positive.
 func (s *Store) Watch(ctx context.Context, prefix string, fromRev int64) (<-chan infra.WatchEvent, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +167,7 @@
 	return w.events, nil
 }
 
-// MuteWatches leaves every watch open but silent.
+// MuteWatches keeps every watch open but stops delivering events.
 func (s *Store) MuteWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,7 +176,7 @@
 	}
 }
 
-// CutWatches ends every watch.
+// CutWatches closes every watch.
 func (s *Store) CutWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,15 +186,15 @@
 	s.watchers = nil
 }
 
-// Grant is not played.
+// Grant returns an error: the store has no leases.
 func (s *Store) Grant(context.Context, time.Duration) (infra.LeaseID, error) {
-	return 0, errNotHere
+	return 0, errNoLeases
 }
 
-// KeepAlive is not played.
+// KeepAlive returns an error: the store has no leases.
 func (s *Store) KeepAlive(context.Context, infra.LeaseID) (time.Duration, error) {
-	return 0, errNotHere
+	return 0, errNoLeases
 }
 
-// Revoke is not played.
-func (s *Store) Revoke(context.Context, infra.LeaseID) error { return errNotHere }
+// Revoke returns an error: the store has no leases.
+func (s *Store) Revoke(context.Context, infra.LeaseID) error { return errNoLeases }
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -16,16 +16,16 @@
 	"wigeondale/kvlog/kvtest"
 )
 
-// world runs appenders against a bench under a schedule of drawn numbers and
-// keeps the history that the store itself saw.
-type world struct {
+// harness runs appenders against a fake store in an order given by random numbers, and
+// records the history that the store itself sees.
+type harness struct {
 	bench    *kvtest.Bench
 	window   uint64
 	logs     []*kvlog.Log
 	busy     []bool
-	born     []int                     // number of each appender's present process
-	history  map[uint64]string         // id of the first entry ever at each position
-	last     map[string]map[int]string // id -> process -> last answer
+	restarts []int                     // number of restarts of each appender
+	history  map[uint64]string         // id of the first entry created at each position
+	last     map[string]map[int]string // id -> process -> last result
 	problems []string
 }
 
@@ -34,71 +34,71 @@
 	idCount   = 7
 )
 
-func newWorld(window uint64) *world {
-	w := &world{
-		bench: kvtest.NewBench(), window: window, busy: make([]bool, appenders), born: make([]int, appenders),
+func newHarness(window uint64) *harness {
+	h := &harness{
+		bench: kvtest.NewBench(), window: window, busy: make([]bool, appenders), restarts: make([]int, appenders),
 		history: map[uint64]string{}, last: map[string]map[int]string{},
 	}
-	w.bench.Store.OnCreate = w.created
+	h.bench.Store.OnCreate = h.recordCreate
 	for range appenders {
-		w.logs = append(w.logs, w.newLog())
+		h.logs = append(h.logs, h.newLog())
 	}
-	return w
+	return h
 }
 
-func (w *world) newLog() *kvlog.Log {
-	return kvlog.New(w.bench.Client(), "l/", kvlog.Options{Window: w.window, SettleTries: 2, SettleDelay: time.Millisecond, PageEntries: 3})
+func (h *harness) newLog() *kvlog.Log {
+	return kvlog.New(h.bench.Client(), "l/", kvlog.Options{Window: h.window, SettleTries: 2, SettleDelay: time.Millisecond, PageEntries: 3})
 }
 
-func (w *world) direct() *kvlog.Log {
-	return kvlog.New(w.bench.Store, "l/", kvlog.Options{Window: w.window, PageEntries: 3})
+func (h *harness) directLog() *kvlog.Log {
+	return kvlog.New(h.bench.Store, "l/", kvlog.Options{Window: h.window, PageEntries: 3})
 }
 
-func (w *world) problem(format string, args ...any) {
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+func (h *harness) addProblem(format string, args ...any) {
+	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
-func (w *world) created(key string, data []byte) {
+func (h *harness) recordCreate(key string, data []byte) {
 	var n uint64
 	if _, err := fmt.Sscanf(key, "l/e/%x", &n); err != nil {
 		return
 	}
-	if _, again := w.history[n]; again {
-		return // a late create at a truncated position; it must count for nobody
+	if _, again := h.history[n]; again {
+		return // a delayed create at a truncated position; no reader may use it
 	}
 	var r struct {
 		ID string `cbor:"1,keyasint"`
 	}
 	if err := cbor.Unmarshal(data, &r); err != nil {
-		w.problem("entry %d: %v", n, err)
+		h.addProblem("entry %d: %v", n, err)
 	}
-	for m, id := range w.history {
-		if id == r.ID && n-m <= w.window {
-			w.problem("id %s is at %d and at %d", id, m, n)
+	for m, id := range h.history {
+		if id == r.ID && n-m <= h.window {
+			h.addProblem("id %s is at %d and at %d", id, m, n)
 		}
 	}
-	if n > 1 && w.history[n-1] == "" {
-		w.problem("entry %d without %d", n, n-1)
+	if n > 1 && h.history[n-1] == "" {
+		h.addProblem("entry %d without %d", n, n-1)
 	}
-	w.history[n] = r.ID
+	h.history[n] = r.ID
 }
 
-func (w *world) answer(actor int, id, what string) {
-	if w.last[id] == nil {
-		w.last[id] = map[int]string{}
+func (h *harness) recordResult(actor int, id, what string) {
+	if h.last[id] == nil {
+		h.last[id] = map[int]string{}
 	}
-	w.last[id][w.born[actor]*appenders+actor] = what
+	h.last[id][h.restarts[actor]*appenders+actor] = what
 }
 
-func (w *world) start(actor int, id string, at uint64) {
-	if w.busy[actor] {
+func (h *harness) startAppend(actor int, id string, at uint64) {
+	if h.busy[actor] {
 		return
 	}
-	w.busy[actor] = true
-	w.answer(actor, id, "under way")
-	log := w.logs[actor]
+	h.busy[actor] = true
+	h.recordResult(actor, id, "under way")
+	log := h.logs[actor]
 	go func() {
-		defer func() { w.busy[actor] = false }()
+		defer func() { h.busy[actor] = false }()
 		var n uint64
 		var err error
 		won := true
@@ -108,31 +108,31 @@
 			var e kvlog.Entry
 			won, e, err = log.AppendAt(context.Background(), at, id, []byte(id))
 			n = e.N
-			if err == nil && w.history[n] != e.ID {
-				w.problem("AppendAt shows %s at %d, history has %s", e.ID, n, w.history[n])
+			if err == nil && h.history[n] != e.ID {
+				h.addProblem("AppendAt shows %s at %d, history has %s", e.ID, n, h.history[n])
 			}
 		}
 		switch {
 		case errors.Is(err, kvlog.ErrUnsettled), errors.Is(err, kvlog.ErrExpired):
-			w.answer(actor, id, "open")
+			h.recordResult(actor, id, "open")
 		case err != nil || !won:
-			w.answer(actor, id, "not appended")
-		case w.history[n] != id:
-			w.problem("acknowledged %s at %d, history has %q", id, n, w.history[n])
+			h.recordResult(actor, id, "not appended")
+		case h.history[n] != id:
+			h.addProblem("acknowledged %s at %d, history has %q", id, n, h.history[n])
 		default:
-			w.answer(actor, id, "appended")
+			h.recordResult(actor, id, "appended")
 		}
 	}()
 }
 
-func (w *world) snapshot(actor int) {
-	if w.busy[actor] {
+func (h *harness) startSnapshot(actor int) {
+	if h.busy[actor] {
 		return
 	}
-	w.busy[actor] = true
-	log := w.logs[actor]
+	h.busy[actor] = true
+	log := h.logs[actor]
 	go func() {
-		defer func() { w.busy[actor] = false }()
+		defer func() { h.busy[actor] = false }()
 		head, err := log.Head(context.Background())
 		if err != nil || head == 0 {
 			return
@@ -141,138 +141,138 @@
 	}()
 }
 
-// burst appends past the window and truncates while everyone else is paused.
-func (w *world) burst() {
-	log := w.direct()
+// burst appends more entries than the small window and truncates, while all other
+// processes are paused.
+func (h *harness) burst() {
+	log := h.directLog()
 	var n uint64
 	for range 3 {
-		n, _ = log.Append(context.Background(), fmt.Sprint("burst", len(w.history)), nil)
+		n, _ = log.Append(context.Background(), fmt.Sprint("burst", len(h.history)), nil)
 	}
 	_ = log.Snapshot(context.Background(), n, fmt.Append(nil, "state ", n))
 }
 
-func (w *world) read(from uint64) {
-	entries, err := w.direct().Read(context.Background(), from, 4)
-	var gone *kvlog.TruncatedError
-	if err != nil && !errors.As(err, &gone) {
-		w.problem("read from %d: %v", from, err)
+func (h *harness) checkRead(from uint64) {
+	entries, err := h.directLog().Read(context.Background(), from, 4)
+	var truncated *kvlog.TruncatedError
+	if err != nil && !errors.As(err, &truncated) {
+		h.addProblem("read from %d: %v", from, err)
 	}
 	for i, e := range entries {
-		if e.N != from+uint64(i) || w.history[e.N] != e.ID {
-			w.problem("read %s at %d, history has %q", e.ID, e.N, w.history[e.N])
+		if e.N != from+uint64(i) || h.history[e.N] != e.ID {
+			h.addProblem("read %s at %d, history has %q", e.ID, e.N, h.history[e.N])
 		}
 	}
 }
 
-// step takes one move of the schedule.
-func (w *world) step(m move) {
-	head := uint64(len(w.history))
+// step executes one action.
+func (h *harness) step(m action) {
+	head := uint64(len(h.history))
 	actor := m.A % appenders
 	id := fmt.Sprint("id", m.B%idCount)
 	switch m.Kind {
 	case 0:
-		w.start(actor, id, 0)
+		h.startAppend(actor, id, 0)
 	case 1:
-		w.start(actor, id, 1+(head+uint64(m.C))%(head+2))
+		h.startAppend(actor, id, 1+(head+uint64(m.C))%(head+2))
 	case 2:
-		w.snapshot(actor)
+		h.startSnapshot(actor)
 	case 3:
-		w.bench.Land(m.A)
+		h.bench.Land(m.A)
 	case 4:
-		w.read(1 + uint64(m.A)%(head+1))
+		h.checkRead(1 + uint64(m.A)%(head+1))
 	case 5:
-		if !w.busy[actor] {
-			w.logs[actor] = w.newLog() // the process died and its successor starts
-			w.born[actor]++
+		if !h.busy[actor] {
+			h.logs[actor] = h.newLog() // the process exits and a new one starts
+			h.restarts[actor]++
 		}
 	case 6:
-		w.burst()
+		h.burst()
 	case 7, 8, 9, 10:
-		w.bench.Release(m.A, kvtest.OK)
+		h.bench.Release(m.A, kvtest.OK)
 	default:
-		w.bench.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
+		h.bench.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
 	}
 	time.Sleep(2 * time.Millisecond)
 	synctest.Wait()
 }
 
-// finish lets everything end, then compares the log with the answers.
-func (w *world) finish(landRest bool) {
-	for landRest && w.bench.Late() > 0 {
-		w.bench.Land(0)
+// finish lets all calls complete, then compares the log with the reported results.
+func (h *harness) finish(applyDelayedFirst bool) {
+	for applyDelayedFirst && h.bench.Late() > 0 {
+		h.bench.Land(0)
 	}
-	for w.bench.Held() > 0 {
-		w.bench.Release(0, kvtest.OK)
+	for h.bench.Held() > 0 {
+		h.bench.Release(0, kvtest.OK)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 	}
-	for w.bench.Late() > 0 {
-		w.bench.Land(0)
+	for h.bench.Late() > 0 {
+		h.bench.Land(0)
 	}
-	in := map[string]bool{}
-	for _, id := range w.history {
-		in[id] = true
+	inLog := map[string]bool{}
+	for _, id := range h.history {
+		inLog[id] = true
 	}
-	for id, answers := range w.last {
+	for id, answers := range h.last {
 		sum := ""
 		for _, a := range answers {
 			sum += a + ";"
 		}
-		if in[id] && strings.ReplaceAll(sum, "not appended;", "") == "" {
-			w.problem("%s is in the log, its appenders were told %s", id, sum)
+		if inLog[id] && strings.ReplaceAll(sum, "not appended;", "") == "" {
+			h.addProblem("%s is in the log, its appenders got %s", id, sum)
 		}
-		if !in[id] && strings.Contains(sum, ";appended") {
-			w.problem("%s is not in the log, its appenders were told %s", id, sum)
+		if !inLog[id] && strings.Contains(sum, ";appended") {
+			h.addProblem("%s is not in the log, its appenders got %s", id, sum)
 		}
 	}
-	w.checkWhole()
+	h.checkComplete()
 }
 
-func (w *world) checkWhole() {
+func (h *harness) checkComplete() {
 	ctx := context.Background()
-	upTo, data, ok, err := w.direct().LoadSnapshot(ctx)
+	upTo, data, ok, err := h.directLog().LoadSnapshot(ctx)
 	if err != nil || ok && string(data) != fmt.Sprint("state ", upTo) {
-		w.problem("snapshot %d %q: %v", upTo, data, err)
+		h.addProblem("snapshot %d %q: %v", upTo, data, err)
 	}
-	for n := upTo + 1; n <= uint64(len(w.history)); n++ {
-		w.read(n)
+	for n := upTo + 1; n <= uint64(len(h.history)); n++ {
+		h.checkRead(n)
 	}
-	entries, err := w.direct().Read(ctx, upTo+1, 1000)
-	if err != nil || uint64(len(entries)) != uint64(len(w.history))-upTo {
-		w.problem("%d entries after the snapshot at %d of %d: %v", len(entries), upTo, len(w.history), err)
+	entries, err := h.directLog().Read(ctx, upTo+1, 1000)
+	if err != nil || uint64(len(entries)) != uint64(len(h.history))-upTo {
+		h.addProblem("%d entries after the snapshot at %d of %d: %v", len(entries), upTo, len(h.history), err)
 	}
 }
 
-type move struct{ Kind, A, B, C int }
+type action struct{ Kind, A, B, C int }
 
-func drawMoves(rt *rapid.T) []move {
+func drawActions(rt *rapid.T) []action {
 	small := rapid.IntRange(0, 11)
-	gen := rapid.Custom(func(rt *rapid.T) move {
-		return move{rapid.IntRange(0, 16).Draw(rt, "kind"), small.Draw(rt, "a"), small.Draw(rt, "b"), rapid.IntRange(0, 3).Draw(rt, "c")}
+	gen := rapid.Custom(func(rt *rapid.T) action {
+		return action{rapid.IntRange(0, 16).Draw(rt, "kind"), small.Draw(rt, "a"), small.Draw(rt, "b"), rapid.IntRange(0, 3).Draw(rt, "c")}
 	})
 	return rapid.SliceOfN(gen, 10, 150).Draw(rt, "moves")
 }
 
-// Symptom: an entry is in the log twice, is lost after it was acknowledged, or
-// is there after its appender was told that it is not.
-// Sequence: appenders race for positions; answers are lost, writes land late,
-// processes pause before or after their call takes effect or die; snapshots
-// truncate under them.
-// Cause: an appender moves past a position where its own create may still
-// land, gives a final answer while it may, or trusts a truncated position.
+// Guards against an entry that is in the log twice, is missing after it was
+// acknowledged, or is present after its appender got "not appended". Appenders race for
+// positions while responses are lost, writes take effect late, processes pause before
+// or after their call takes effect or exit, and snapshots truncate the log. The faults
+// would be: moving past a position where the appender's own create may still take
+// effect, returning a final result while it may, or trusting a truncated position.
 func TestEveryEntryOnceInOneOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		moves := drawMoves(rt)
+		actions := drawActions(rt)
 		window := rapid.SampledFrom([]uint64{2, 1000}).Draw(rt, "window")
-		landRest := rapid.Bool().Draw(rt, "land rest early")
+		applyDelayedFirst := rapid.Bool().Draw(rt, "land rest early")
 		var problems []string
 		synctest.Test(t, func(*testing.T) {
-			w := newWorld(window)
-			for _, m := range moves {
-				w.step(m)
+			h := newHarness(window)
+			for _, m := range actions {
+				h.step(m)
 			}
-			w.finish(landRest)
-			problems = w.problems
+			h.finish(applyDelayedFirst)
+			problems = h.problems
 		})
 		if len(problems) > 0 {
 			rt.Fatalf("%s", strings.Join(problems, "\n"))
--- a/kvlog/read.go
+++ b/kvlog/read.go
@@ -10,16 +10,16 @@
 	"wigeondale/infra"
 )
 
-// Read returns at most max entries from position from on (from 1), in order;
-// none when from is beyond the end. Errors: ErrUnavailable, *TruncatedError.
+// Read returns at most max entries in order, starting at position from (counted from
+// 1); none when from is beyond the end. Errors: ErrUnavailable, *TruncatedError.
 func (l *Log) Read(ctx context.Context, from uint64, max int) ([]Entry, error) {
 	entries, _, err := l.readPage(ctx, from, max)
 	return entries, err
 }
 
-// readPage reads entries first and the pointer after. A late create may have
-// put an entry at a truncated position; the pointer tells it apart, because
-// its floor rose before that position could become absent.
+// readPage reads the entries first and the pointer after them. A delayed create may
+// have put an entry at a truncated position. The pointer read afterwards shows this,
+// because its floor rose above that position before the position could become absent.
 func (l *Log) readPage(ctx context.Context, from uint64, limit int) ([]Entry, pointer, error) {
 	from = max(from, 1)
 	values, err := l.kv.Range(ctx, l.entryKey(from), l.entryEnd(), limit)
@@ -61,32 +61,32 @@
 	return entries[0], nil
 }
 
-// Follow calls f with every entry from position from on, in order, until ctx
-// ends, f fails or the position is truncated (*TruncatedError: load the
-// snapshot and follow on). A watch tells of new entries at once. Because a cut
-// watch is silent, a jittered poll finds entries that it did not tell of.
-// Outages are waited out.
+// Follow calls f for every entry from position from on, in order, until ctx ends, f
+// returns an error or the position is truncated (*TruncatedError: the caller loads the
+// snapshot and calls Follow again). A watch delivers new entries immediately. Because a
+// broken watch delivers nothing and reports no error, Follow also polls with jitter.
+// While the service is unavailable, Follow keeps trying.
 func (l *Log) Follow(ctx context.Context, from uint64, f func(Entry) error) error {
-	t := &tail{log: l, next: max(from, 1), deliver: f}
+	t := &follower{log: l, next: max(from, 1), deliver: f}
 	for ctx.Err() == nil {
-		if err := t.round(ctx); err != nil {
+		if err := t.readAndWatch(ctx); err != nil {
 			return err
 		}
 	}
 	return Error.Wrap(context.Cause(ctx))
 }
 
-// tail is the state of one Follow.
-type tail struct {
+// follower is the state of one call of Follow.
+type follower struct {
 	log     *Log
 	next    uint64
-	rev     int64 // of the last entry delivered, 0 if none
+	rev     int64 // service revision of the last entry delivered, 0 if none
 	deliver func(Entry) error
 }
 
-// round reads to the end, then follows one watch until it closes.
-func (t *tail) round(ctx context.Context) error {
-	if err := t.drain(ctx); err != nil {
+// readAndWatch reads to the end of the log, then follows one watch until it closes.
+func (t *follower) readAndWatch(ctx context.Context) error {
+	if err := t.readToEnd(ctx); err != nil {
 		return err
 	}
 	watchCtx, cancel := context.WithCancel(ctx)
@@ -98,19 +98,19 @@
 	events, err := t.log.kv.Watch(watchCtx, t.log.prefix+entryPart, start)
 	if err != nil {
 		t.log.opts.Events.Emit(event.LogWatchLost, "prefix", t.log.prefix, "err", err)
-		t.wait(ctx)
+		t.waitPollDelay(ctx)
 		return nil
 	}
 	if start == 0 {
-		// What was appended between the read and the watch shows on neither.
-		if err := t.drain(ctx); err != nil {
+		// Entries appended between the read and the start of the watch are in neither.
+		if err := t.readToEnd(ctx); err != nil {
 			return err
 		}
 	}
 	return t.follow(ctx, events)
 }
 
-func (t *tail) follow(ctx context.Context, events <-chan infra.WatchEvent) error {
+func (t *follower) follow(ctx context.Context, events <-chan infra.WatchEvent) error {
 	for {
 		poll := time.NewTimer(t.log.pollDelay())
 		select {
@@ -120,24 +120,24 @@
 		case e, open := <-events:
 			poll.Stop()
 			if !open {
-				t.wait(ctx)
+				t.waitPollDelay(ctx)
 				return nil
 			}
-			if err := t.event(ctx, e); err != nil {
+			if err := t.handleEvent(ctx, e); err != nil {
 				return err
 			}
 		case <-poll.C:
-			if err := t.drain(ctx); err != nil {
+			if err := t.readToEnd(ctx); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// event takes an entry straight from the watch when it is the next one and
-// the watch began right after the one before. The first create that such a
-// watch shows at a position is the genuine one. Anything else is a reason to read.
-func (t *tail) event(ctx context.Context, e infra.WatchEvent) error {
+// handleEvent delivers an entry directly from the watch if it is the next one and the
+// watch started right after the entry before it. The first create that such a watch
+// reports at a position is the valid one. Any other event causes a read.
+func (t *follower) handleEvent(ctx context.Context, e infra.WatchEvent) error {
 	if e.Err != nil {
 		t.log.opts.Events.Emit(event.LogWatchLost, "prefix", t.log.prefix, "err", e.Err)
 		if errors.Is(e.Err, infra.ErrCompacted) {
@@ -156,12 +156,12 @@
 		return nil
 	}
 	if entry.N > t.next || t.rev == 0 {
-		return t.drain(ctx)
+		return t.readToEnd(ctx)
 	}
-	return t.take(entry)
+	return t.deliverEntry(entry)
 }
 
-func (t *tail) take(e Entry) error {
+func (t *follower) deliverEntry(e Entry) error {
 	if err := t.deliver(e); err != nil {
 		return err
 	}
@@ -170,8 +170,9 @@
 	return nil
 }
 
-// drain reads and delivers to the end of the log; an outage ends it early.
-func (t *tail) drain(ctx context.Context) error {
+// readToEnd reads and delivers entries up to the end of the log, or until the log is
+// unavailable.
+func (t *follower) readToEnd(ctx context.Context) error {
 	page := t.log.opts.PageEntries
 	for {
 		entries, err := t.log.Read(ctx, t.next, page)
@@ -182,7 +183,7 @@
 			return err
 		}
 		for _, e := range entries {
-			if err := t.take(e); err != nil {
+			if err := t.deliverEntry(e); err != nil {
 				return err
 			}
 		}
@@ -192,7 +193,7 @@
 	}
 }
 
-func (t *tail) wait(ctx context.Context) {
+func (t *follower) waitPollDelay(ctx context.Context) {
 	timer := time.NewTimer(t.log.pollDelay())
 	defer timer.Stop()
 	select {
@@ -201,8 +202,8 @@
 	}
 }
 
-// pollDelay spreads polls over half to one and a half of the mean, so that
-// nodes that lost their watch together don't read together.
+// pollDelay spreads polls between 0.5 and 1.5 times the mean, so that nodes that lost
+// their watches at the same time don't all read at the same time.
 func (l *Log) pollDelay() time.Duration {
 	return time.Duration((0.5 + l.opts.Jitter()) * float64(l.opts.Poll))
 }
--- a/kvlog/snapshot.go
+++ b/kvlog/snapshot.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// chunkBytes is the size of one piece of a snapshot, below the service's 1 MB.
+	// chunkBytes is the maximum size of one chunk of a snapshot, below the service's
+	// limit of 1 MB.
 	chunkBytes = 900_000
-	// loadTries is how often LoadSnapshot starts over when a newer snapshot
-	// replaces the one that it reads.
+	// loadTries is how often LoadSnapshot tries to read a complete snapshot. It starts
+	// again when a newer snapshot replaces the one it is reading.
 	loadTries = 4
 )
 
-// pointer names the snapshot in force. Entries below Floor don't count.
+// pointer identifies the current snapshot. Entries below Floor are invalid.
 type pointer struct {
 	UpTo   uint64 `cbor:"1,keyasint"`
 	Floor  uint64 `cbor:"2,keyasint"`
@@ -48,9 +49,10 @@
 	return p, nil
 }
 
-// Snapshot stores data as the state after entry upTo, then truncates: entries
-// more than the window below upTo are deleted. Errors: ErrStaleSnapshot,
-// ErrGap, ErrUnavailable; ErrUnsettled means that it may be in force.
+// Snapshot stores data as the state after entry upTo and makes it the current snapshot.
+// It then truncates the log: it keeps Window entries up to and including upTo and
+// deletes the older ones. Errors: ErrStaleSnapshot, ErrGap, ErrUnavailable;
+// ErrUnsettled means that the snapshot may be the current one.
 func (l *Log) Snapshot(ctx context.Context, upTo uint64, data []byte) error {
 	old, err := l.readPointer(ctx)
 	if err != nil {
@@ -59,7 +61,7 @@
 	if old.UpTo >= upTo {
 		return Error.Wrap(fmt.Errorf("%w: %d, asked for %d", ErrStaleSnapshot, old.UpTo, upTo))
 	}
-	if err := l.checkTaken(ctx, upTo); err != nil {
+	if err := l.checkReached(ctx, upTo); err != nil {
 		return err
 	}
 	p := pointer{UpTo: upTo, Floor: l.floorFor(upTo), Token: l.opts.Token(), Digest: xxhash.Sum64(data)}
@@ -75,7 +77,8 @@
 	return nil
 }
 
-// floorFor keeps the window's entries, which hold the ids still protected.
+// floorFor returns the floor that keeps the entries of the window, whose ids must still
+// be found.
 func (l *Log) floorFor(upTo uint64) uint64 {
 	if upTo <= l.opts.Window {
 		return 1
@@ -83,9 +86,9 @@
 	return upTo - l.opts.Window + 1
 }
 
-// checkTaken refuses a snapshot of a position that the log has not reached,
-// whose floor could pass entries that are still to be written.
-func (l *Log) checkTaken(ctx context.Context, n uint64) error {
+// checkReached returns ErrGap for a position that the log has not reached. The floor of
+// a snapshot there could be above positions that are still to be written.
+func (l *Log) checkReached(ctx context.Context, n uint64) error {
 	_, ok, err := l.kv.Get(ctx, l.entryKey(n))
 	if err != nil {
 		return unavailable(err)
@@ -99,35 +102,35 @@
 func (l *Log) putChunks(ctx context.Context, p pointer, data []byte) (int, error) {
 	i := 0
 	for len(data) > 0 {
-		piece := data[:min(chunkBytes, len(data))]
-		if err := l.putChunk(ctx, l.chunkKey(p, i), piece); err != nil {
+		chunk := data[:min(chunkBytes, len(data))]
+		if err := l.putChunk(ctx, l.chunkKey(p, i), chunk); err != nil {
 			return 0, err
 		}
-		data = data[len(piece):]
+		data = data[len(chunk):]
 		i++
 	}
 	return i, nil
 }
 
-// putChunk repeats a put of unknown outcome. The key is this snapshot's alone,
-// so a put that lands twice changes nothing.
-func (l *Log) putChunk(ctx context.Context, key string, piece []byte) error {
+// putChunk repeats a put while its outcome is unknown. No other snapshot writes the
+// same key, so a put that takes effect twice changes nothing.
+func (l *Log) putChunk(ctx context.Context, key string, chunk []byte) error {
 	var err error
 	for range l.opts.SettleTries {
-		err = l.kv.Put(ctx, key, piece, 0)
+		err = l.kv.Put(ctx, key, chunk, 0)
 		if !errors.Is(err, infra.ErrUnknownOutcome) {
 			return err
 		}
-		if !l.pause(ctx) {
+		if !l.waitBeforeRetry(ctx) {
 			break
 		}
 	}
 	return err
 }
 
-// swapPointer puts p in force if old still is. A lost answer is settled by
-// swapping from the same revision again: that fails once the first has landed,
-// and shows what is in force.
+// swapPointer makes p the current pointer if old still is. When a response is lost, it
+// repeats the swap from the same revision: if the first one took effect, the repeated
+// one fails and returns the current pointer.
 func (l *Log) swapPointer(ctx context.Context, old, p pointer) error {
 	data, err := cbor.Marshal(p)
 	if err != nil {
@@ -147,7 +150,7 @@
 		} else if !unknown {
 			return unavailable(err)
 		}
-		if !l.pause(ctx) {
+		if !l.waitBeforeRetry(ctx) {
 			break
 		}
 	}
@@ -161,8 +164,8 @@
 	return l.kv.CompareAndSwap(ctx, l.pointerKey(), rev, data)
 }
 
-// truncate deletes what p made obsolete. Failures are left to the next
-// snapshot: what stays below the floor is read by nobody.
+// truncate deletes what p made obsolete. Failures are ignored: no process reads below
+// the floor, and the next snapshot deletes what is left.
 func (l *Log) truncate(ctx context.Context, p pointer) {
 	l.deleteRange(ctx, l.entryKey(0), l.entryKey(p.Floor))
 	l.deleteRange(ctx, l.prefix+chunkPart, l.chunkPrefix(p.UpTo))
@@ -184,8 +187,8 @@
 	}
 }
 
-// LoadSnapshot returns the snapshot in force and the position that it covers;
-// ok is false when there is none. Errors: ErrUnavailable, ErrCorrupt.
+// LoadSnapshot returns the current snapshot and the position it covers; ok is false
+// when there is none. Errors: ErrUnavailable, ErrCorrupt.
 func (l *Log) LoadSnapshot(ctx context.Context) (upTo uint64, data []byte, ok bool, err error) {
 	for range loadTries {
 		p, err := l.readPointer(ctx)
@@ -195,20 +198,21 @@
 		if p.UpTo == 0 {
 			return 0, nil, false, nil
 		}
-		data, whole, err := l.readChunks(ctx, p)
+		data, complete, err := l.readChunks(ctx, p)
 		if err != nil {
 			return 0, nil, false, unavailable(err)
 		}
-		if whole {
+		if complete {
 			return p.UpTo, data, true, nil
 		}
 	}
 	return 0, nil, false, Error.Wrap(fmt.Errorf("%w: snapshot incomplete", ErrCorrupt))
 }
 
-// readChunks reports whole=false when a chunk is missing, as it is when a
-// newer snapshot came into force and deleted this one's.
-func (l *Log) readChunks(ctx context.Context, p pointer) (data []byte, whole bool, err error) {
+// readChunks returns complete=false when a chunk is missing or the digest differs, as
+// it happens when a newer snapshot became current and the chunks of this one were
+// deleted.
+func (l *Log) readChunks(ctx context.Context, p pointer) (data []byte, complete bool, err error) {
 	for i := range p.Chunks {
 		v, ok, err := l.kv.Get(ctx, l.chunkKey(p, i))
 		if err != nil || !ok {
--- a/kvlog/unsettled.go
+++ b/kvlog/unsettled.go
@@ -2,24 +2,25 @@
 
 import "sync"
 
-// expiredPosition marks an id whose position was truncated while its create
-// was unsettled. Positions count from 1, so 0 is free for it.
+// expiredPosition marks an id whose position was truncated while the outcome of its
+// create was unknown. Positions count from 1, so 0 is never a real position.
 const expiredPosition = 0
 
-// unsettledIDs holds the ids whose create may still land, and where. It has
-// its own lock, so that a caller whose context ended while it waited for its
-// turn still learns whether an earlier call left its id unsettled.
+// unsettledIDs holds the ids whose create may still take effect, with their positions.
+// It has a lock of its own, so that a call whose context ended while it waited for
+// Log.appendLock can still read whether an earlier call left its id with an unknown
+// outcome.
 type unsettledIDs struct {
 	mu  sync.Mutex
 	pos map[string]uint64
-	// landed holds the unsettled ids that were then seen in the log, until their
-	// append is called again. By then the id may be past the window, and the
-	// caller would be told that its entry is not there.
-	landed map[string]uint64
+	// appended holds the ids whose outcome was unknown and that were then found in the
+	// log, until Append is called again with them. By then the id may be outside the
+	// window, and the caller would get the result that its entry is not in the log.
+	appended map[string]uint64
 }
 
 func newUnsettledIDs() *unsettledIDs {
-	return &unsettledIDs{pos: make(map[string]uint64), landed: make(map[string]uint64)}
+	return &unsettledIDs{pos: make(map[string]uint64), appended: make(map[string]uint64)}
 }
 
 func (u *unsettledIDs) get(id string) (uint64, bool) {
@@ -35,7 +36,7 @@
 	u.pos[id] = n
 }
 
-// settle forgets the ids at n, now that n is seen taken by winner.
+// settle removes the ids at n, after the entry with id winner was found at n.
 func (u *unsettledIDs) settle(n uint64, winner string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -45,22 +46,22 @@
 		}
 		delete(u.pos, id)
 		if id == winner {
-			u.landed[id] = n
+			u.appended[id] = n
 		}
 	}
 }
 
-// takeLanded returns where id landed, once.
-func (u *unsettledIDs) takeLanded(id string) (uint64, bool) {
+// takeAppended returns the position at which id was found, and forgets it.
+func (u *unsettledIDs) takeAppended(id string) (uint64, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	n, ok := u.landed[id]
-	delete(u.landed, id)
+	n, ok := u.appended[id]
+	delete(u.appended, id)
 	return n, ok
 }
 
-// expire marks the ids below floor: whether their create landed while the
-// position still counted can't be read any more.
+// expire marks the ids below floor: it can't be determined any more whether their
+// create took effect while the position was still valid.
 func (u *unsettledIDs) expire(floor uint64) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
