--- a/intent/bench_test.go
+++ b/intent/bench_test.go
@@ -9,15 +9,15 @@
 	"wigeondale/fleet"
 )
 
-// The sizes that docs/CAPACITY.md works out.
+// The target sizes, as derived in docs/CAPACITY.md.
 const (
 	targetAccounts = 5600
 	targetModels   = 7
 	targetReplicas = 10_000
-	modelsEach     = 2 // models that a client account may use
+	modelsEach     = 2 // models that each client account may use
 )
 
-// targetState is the state at the target size, with a full history.
+// targetState returns a state of the target size with a full history.
 func targetState(b *testing.B) *State {
 	s := NewState()
 	for i := range targetAccounts {
@@ -47,14 +47,14 @@
 	return s
 }
 
-// targetRevision is a usual one: it changes one client account.
+// targetRevision returns a typical revision: it changes one client account.
 func targetRevision(n uint64) Revision {
 	id := fmt.Sprintf("account-%04d", n%targetAccounts)
 	a := Account{ID: id, KeyHashes: []string{strings.Repeat("b", 64)}, TokensPerSecond: 6000, Burst: 60_000, MaxConcurrent: 64}
 	return Revision{N: n, PlanID: fmt.Sprintf("plan-%d", n), Operator: "op", Base: n - 1, Changes: []Change{{Kind: KindAccount, Op: Set, Account: &a}}}
 }
 
-// BenchmarkApply measures taking in one revision at the target size.
+// BenchmarkApply measures applying one revision at the target size.
 func BenchmarkApply(b *testing.B) {
 	s := targetState(b)
 	r := targetRevision(s.Revision + 1)
@@ -71,8 +71,8 @@
 	b.ReportMetric(float64(len(raw)), "bytes/revision")
 }
 
-// BenchmarkSnapshot measures encoding the whole state, as each 256th revision
-// does at the watchers, and the state's size in the service and in memory.
+// BenchmarkSnapshot measures encoding the complete state, which watchers do at every
+// 256th revision, and the size of the state when stored and in memory.
 func BenchmarkSnapshot(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -92,7 +92,7 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "heap-bytes")
 }
 
-// BenchmarkDecodeState measures what a node that starts does with a snapshot.
+// BenchmarkDecodeState measures decoding a snapshot, which a starting node does.
 func BenchmarkDecodeState(b *testing.B) {
 	raw, err := EncodeState(targetState(b))
 	if err != nil {
--- a/intent/change.go
+++ b/intent/change.go
@@ -4,7 +4,7 @@
 	"wigeondale/fleet"
 )
 
-// Kind names what a change is about.
+// Kind is the kind of object that a change applies to.
 type Kind string
 
 // The kinds of objects that operators change.
@@ -16,7 +16,7 @@
 	KindPlacement Kind = "placement"
 )
 
-// Op is what a change does to its object.
+// Op is the operation of a change on its object.
 type Op string
 
 // The operations of a change.
@@ -25,8 +25,8 @@
 	Remove Op = "remove"
 )
 
-// Change sets or removes one object. Exactly the field named by Kind is set;
-// for a removal only its identifying fields count.
+// Change sets or removes one object. Exactly the field named by Kind is set; for a
+// removal only its identifying fields are used.
 type Change struct {
 	Kind      Kind       `json:"kind"`
 	Op        Op         `json:"op"`
@@ -37,7 +37,7 @@
 	Placement *Placement `json:"placement,omitempty"`
 }
 
-// Object is the identity of what is changed, as in "account/acme". Two changes
+// Object identifies the object that is changed, as in "account/acme". Two changes
 // overlap when their objects are equal. It is empty for a malformed change.
 func (c Change) Object() string {
 	switch {
@@ -55,17 +55,18 @@
 	return ""
 }
 
-// Revision is one entry of the log: a confirmed plan's changes.
+// Revision is one entry of the log: the changes of a confirmed plan.
 type Revision struct {
 	N        uint64   `json:"n"`
 	PlanID   string   `json:"plan_id"`
 	Operator string   `json:"operator"`
-	Base     uint64   `json:"base"` // the revision that the plan was made at
+	Base     uint64   `json:"base"` // revision of the state that the plan was made for
 	Changes  []Change `json:"changes"`
 }
 
-// Apply returns the state after r, which must be the next revision. A change
-// that this build doesn't know is left out, so that the log never gets stuck.
+// Apply returns the state after r, which must be the next revision. A change of a kind
+// that this build doesn't know is skipped, so that it doesn't block all later
+// revisions.
 func (s *State) Apply(r Revision) (*State, error) {
 	if r.N != s.Revision+1 {
 		return nil, Error.New("%w: revision %d after %d", ErrGap, r.N, s.Revision)
@@ -73,16 +74,16 @@
 	next := s.clone()
 	next.Revision = r.N
 	for _, c := range r.Changes {
-		next.change(c)
+		next.applyChange(c)
 	}
 	if r.PlanID != "" {
 		next.Plans[r.PlanID] = r.N
 	}
-	next.forget()
+	next.dropOldHistory()
 	return next, nil
 }
 
-func (s *State) change(c Change) {
+func (s *State) applyChange(c Change) {
 	object := c.Object()
 	if object == "" {
 		return
@@ -91,21 +92,21 @@
 	set := c.Op == Set
 	switch c.Kind {
 	case KindAccount:
-		put(s.Accounts, c.Account.ID, *c.Account, set)
+		setOrDelete(s.Accounts, c.Account.ID, *c.Account, set)
 	case KindAccess:
-		put(s.Access, c.Access.Account+"/"+c.Access.Model, *c.Access, set)
+		setOrDelete(s.Access, c.Access.Account+"/"+c.Access.Model, *c.Access, set)
 	case KindTraffic:
 		t := *c.Traffic
 		t.Previous = s.Traffic[t.Model].Weights
-		put(s.Traffic, t.Model, t, set)
+		setOrDelete(s.Traffic, t.Model, t, set)
 	case KindVM:
-		put(s.VMs, c.VM.VM, *c.VM, set)
+		setOrDelete(s.VMs, c.VM.VM, *c.VM, set)
 	case KindPlacement:
-		put(s.Placement, c.Placement.Backend, *c.Placement, set)
+		setOrDelete(s.Placement, c.Placement.Backend, *c.Placement, set)
 	}
 }
 
-func put[V any](m map[string]V, key string, v V, set bool) {
+func setOrDelete[V any](m map[string]V, key string, v V, set bool) {
 	if !set {
 		delete(m, key)
 		return
@@ -113,8 +114,9 @@
 	m[key] = v
 }
 
-// forget drops history that no acceptable plan can refer to any more.
-func (s *State) forget() {
+// dropOldHistory drops history that is older than the base of any plan that can still
+// be accepted.
+func (s *State) dropOldHistory() {
 	if s.Revision <= HistoryWindow {
 		return
 	}
@@ -135,20 +137,20 @@
 func (s *State) Before(c Change) any {
 	switch c.Kind {
 	case KindAccount:
-		return found(s.Accounts, c.Account.ID)
+		return valueOrNil(s.Accounts, c.Account.ID)
 	case KindAccess:
-		return found(s.Access, c.Access.Account+"/"+c.Access.Model)
+		return valueOrNil(s.Access, c.Access.Account+"/"+c.Access.Model)
 	case KindTraffic:
-		return found(s.Traffic, c.Traffic.Model)
+		return valueOrNil(s.Traffic, c.Traffic.Model)
 	case KindVM:
-		return found(s.VMs, c.VM.VM)
+		return valueOrNil(s.VMs, c.VM.VM)
 	case KindPlacement:
-		return found(s.Placement, c.Placement.Backend)
+		return valueOrNil(s.Placement, c.Placement.Backend)
 	}
 	return nil
 }
 
-func found[V any](m map[string]V, key string) any {
+func valueOrNil[V any](m map[string]V, key string) any {
 	v, ok := m[key]
 	if !ok {
 		return nil
@@ -156,7 +158,7 @@
 	return v
 }
 
-// Refs lists the model versions that changes name.
+// Refs returns the model versions that changes refer to.
 func Refs(changes []Change) []fleet.ModelRef {
 	var refs []fleet.ModelRef
 	for _, c := range changes {
@@ -172,7 +174,7 @@
 	return refs
 }
 
-// Models returns every model version that the state sends traffic to.
+// Models returns every model version that has a share of traffic in the state.
 func (s *State) Models() []fleet.ModelRef {
 	var refs []fleet.ModelRef
 	for _, t := range s.Traffic {
--- a/intent/check.go
+++ b/intent/check.go
@@ -8,15 +8,15 @@
 	"wigeondale/fleet"
 )
 
-// Limits of what one plan may carry, so that a revision stays far under the
-// key-value service's one megabyte.
+// Limits of one plan, which keep a revision far below the key-value service's limit of
+// 1 MB for a value.
 const (
 	MaxChanges = 2000
 	MaxName    = 128 // bytes in an id
 )
 
-// Check says whether changes make sense, in their order, in state s. The first
-// one that doesn't is returned as an *InvalidError.
+// Check reports whether changes are valid in state s, applied in their order. It
+// returns the first invalid one as an *InvalidError.
 func (s *State) Check(changes []Change) error {
 	if len(changes) == 0 {
 		return &InvalidError{Object: "plan", Reason: "no changes"}
@@ -32,7 +32,7 @@
 		if object == "" {
 			return &InvalidError{Object: "change of kind " + string(c.Kind), Reason: "unknown kind, or the field of that name is missing"}
 		}
-		reason := next.reject(c)
+		reason := next.invalidReason(c)
 		if seen[object] {
 			reason = "changed twice in one plan"
 		}
@@ -40,12 +40,12 @@
 			return &InvalidError{Object: object, Reason: reason}
 		}
 		seen[object] = true
-		next.change(c)
+		next.applyChange(c)
 	}
 	return next.checkReferences()
 }
 
-// checkReferences finds access rules whose account is gone.
+// checkReferences finds access rules whose client account doesn't exist.
 func (s *State) checkReferences() error {
 	for key, a := range s.Access {
 		if _, ok := s.Accounts[a.Account]; !ok {
@@ -55,7 +55,7 @@
 	return nil
 }
 
-func (s *State) reject(c Change) string {
+func (s *State) invalidReason(c Change) string {
 	if c.Op != Set && c.Op != Remove {
 		return "op must be set or remove"
 	}
@@ -67,18 +67,18 @@
 	}
 	switch c.Kind {
 	case KindAccount:
-		return rejectAccount(*c.Account)
+		return invalidAccount(*c.Account)
 	case KindAccess:
-		return s.rejectAccess(*c.Access)
+		return s.invalidAccess(*c.Access)
 	case KindTraffic:
-		return rejectTraffic(*c.Traffic)
+		return invalidTraffic(*c.Traffic)
 	case KindVM:
-		return rejectName(c.VM.VM)
+		return invalidName(c.VM.VM)
 	}
-	return rejectPlacement(*c.Placement)
+	return invalidPlacement(*c.Placement)
 }
 
-func rejectName(name string) string {
+func invalidName(name string) string {
 	if name == "" || len(name) > MaxName {
 		return "id must have 1 to 128 bytes"
 	}
@@ -88,8 +88,8 @@
 	return ""
 }
 
-func rejectAccount(a Account) string {
-	if r := rejectName(a.ID); r != "" {
+func invalidAccount(a Account) string {
+	if r := invalidName(a.ID); r != "" {
 		return r
 	}
 	if len(a.KeyHashes) == 0 {
@@ -107,15 +107,15 @@
 	return ""
 }
 
-func (s *State) rejectAccess(a Access) string {
+func (s *State) invalidAccess(a Access) string {
 	if _, ok := s.Accounts[a.Account]; !ok {
 		return "unknown client account " + a.Account
 	}
-	return rejectName(a.Model)
+	return invalidName(a.Model)
 }
 
-func rejectTraffic(t Traffic) string {
-	if r := rejectName(t.Model); r != "" {
+func invalidTraffic(t Traffic) string {
+	if r := invalidName(t.Model); r != "" {
 		return r
 	}
 	if _, err := fleet.ParsePriority(t.Priority); err != nil && t.Priority != "" {
@@ -124,7 +124,7 @@
 	sum := 0
 	var seen []fleet.ModelRef
 	for _, w := range t.Weights {
-		if r := rejectName(w.Version); r != "" {
+		if r := invalidName(w.Version); r != "" {
 			return "version: " + r
 		}
 		if w.Percent < 0 || w.Percent > 100 {
@@ -142,8 +142,8 @@
 	return ""
 }
 
-func rejectPlacement(p Placement) string {
-	if r := rejectName(p.Backend); r != "" {
+func invalidPlacement(p Placement) string {
+	if r := invalidName(p.Backend); r != "" {
 		return r
 	}
 	for _, ref := range p.Desired {
@@ -158,8 +158,8 @@
 	return "role must be both, prefill or decode"
 }
 
-// Conflicts compares a plan with a state that may have moved on since its base.
-// None means that the plan's changes may be appended as the next revision.
+// Conflicts compares a plan with a state that may be newer than the plan's base. If it
+// returns none, the plan's changes may be appended as the next revision.
 func (s *State) Conflicts(p Plan) []Conflict {
 	if p.Base > s.Revision {
 		return []Conflict{{Object: "plan", Reason: "its base is newer than this state"}}
@@ -190,11 +190,10 @@
 	return Conflict{Object: "plan", Reason: err.Error()}
 }
 
-// lostReplicas finds models that would lose their last replica, and a fleet that
-// would lose its last router. Two plans, each
-// of which lets a different one of two VMs leave, share no object; accepted both,
-// they would leave a model with no replica. So a plan names the VMs that it
-// counts on, and at least one of them must still be staying.
+// lostReplicas finds models that would lose their last replica, and a fleet that would
+// lose its last router. Two plans that each remove a different one of two VMs change no
+// common object; if both were accepted, a model would have no replica. A plan therefore
+// lists the VMs that it relies on, and at least one of them must still be staying.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
--- a/intent/codec.go
+++ b/intent/codec.go
@@ -4,26 +4,26 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// EncodeRevision returns the form of r that is kept in the log.
+// EncodeRevision returns the encoding of r that is stored in the log.
 func EncodeRevision(r Revision) ([]byte, error) {
 	b, err := cbor.Marshal(r)
 	return b, Error.Wrap(err)
 }
 
-// DecodeRevision reads what EncodeRevision wrote.
+// DecodeRevision decodes the output of EncodeRevision.
 func DecodeRevision(b []byte) (Revision, error) {
 	var r Revision
 	err := cbor.Unmarshal(b, &r)
 	return r, Error.Wrap(err)
 }
 
-// EncodeState returns a state as kept in snapshots and sent to peers.
+// EncodeState returns the encoding of a state for snapshots and for peers.
 func EncodeState(s *State) ([]byte, error) {
 	b, err := cbor.Marshal(s)
 	return b, Error.Wrap(err)
 }
 
-// DecodeState reads what EncodeState wrote.
+// DecodeState decodes the output of EncodeState.
 func DecodeState(b []byte) (*State, error) {
 	var s State
 	if err := cbor.Unmarshal(b, &s); err != nil {
@@ -32,9 +32,9 @@
 	return s.filled(), nil
 }
 
-// entryRevision reads a log entry. One that can't be read counts as a revision
-// without changes: every node must come to the same state, and none may be
-// stopped for good by it.
+// entryRevision decodes a log entry. An entry that can't be decoded counts as a
+// revision without changes: every node must arrive at the same state, and no node may
+// be blocked by it for good.
 func entryRevision(e LogEntry) (Revision, bool) {
 	r, err := DecodeRevision(e.Data)
 	if err != nil {
--- a/intent/confirm_test.go
+++ b/intent/confirm_test.go
@@ -9,14 +9,15 @@
 	"pgregory.net/rapid"
 )
 
-// race is operators who confirm plans at nodes of their choice, over one log.
+// race simulates operators who confirm plans at nodes of their choice, with one shared
+// log.
 type race struct {
-	t       *rapid.T
-	log     *fakeLog
-	nodes   []*Keeper
-	plans   []Plan
-	settled map[string]uint64 // accepted as, 0 for refused
-	depth   int
+	t        *rapid.T
+	log      *fakeLog
+	nodes    []*Keeper
+	plans    []Plan
+	outcomes map[string]uint64 // revision as which a plan was accepted, 0 if refused
+	depth    int
 }
 
 // step confirms one plan once at one node.
@@ -27,57 +28,59 @@
 	if !done {
 		return
 	}
-	r.note(p, rev, err)
+	r.recordOutcome(p, rev, err)
 }
 
-func (r *race) note(p Plan, rev Revision, err error) {
-	before, seen := r.settled[p.ID]
+func (r *race) recordOutcome(p Plan, rev Revision, err error) {
+	before, seen := r.outcomes[p.ID]
 	var conflict *ConflictError
 	switch {
 	case err == nil && seen && before != rev.N:
-		r.t.Fatalf("plan %s was settled as %d and now as %d", p.ID, before, rev.N)
+		r.t.Fatalf("plan %s first ended as revision %d and now as %d (0 means refused)", p.ID, before, rev.N)
 	case err == nil:
-		r.settled[p.ID] = rev.N
+		r.outcomes[p.ID] = rev.N
 	case errors.As(err, &conflict) && seen && before != 0:
 		r.t.Fatalf("plan %s was accepted as %d and is now refused", p.ID, before)
 	case errors.As(err, &conflict):
-		r.settled[p.ID] = 0
+		r.outcomes[p.ID] = 0
 	default:
 		r.t.Fatalf("plan %s: %v", p.ID, err)
 	}
 }
 
-// between runs other operators and late writes between a read and its append.
-func (r *race) between() {
+// runBetween runs steps of other operators and delayed writes between a read and its
+// append.
+func (r *race) runBetween() {
 	if r.depth >= 3 {
 		return
 	}
 	r.depth++
 	defer func() { r.depth-- }()
 	for range rapid.IntRange(0, 2).Draw(r.t, "steps between") {
-		r.any()
+		r.anyStep()
 	}
 }
 
-func (r *race) any() {
-	if n := len(r.log.late); n > 0 && rapid.Bool().Draw(r.t, "a late write lands") {
-		r.log.landOne(rapid.IntRange(0, n-1).Draw(r.t, "which"))
+func (r *race) anyStep() {
+	if n := len(r.log.delayed); n > 0 && rapid.Bool().Draw(r.t, "a late write lands") {
+		r.log.applyDelayed(rapid.IntRange(0, n-1).Draw(r.t, "which"))
 		return
 	}
 	r.step()
 }
 
-// Symptom: a change is in force twice, one operator's change silently replaces
-// another's, or one that was acknowledged is gone, or one refused comes true.
-// Sequence: operators confirm plans made at the same revision at several nodes;
-// answers are lost, writes land late, the same plan is confirmed again elsewhere.
-// Cause: accepting without looking for the plan in the log, without comparing
-// the objects changed since its base, or at another place than the one in doubt.
+// Guards against a change that takes effect twice, replaces another operator's change
+// without notice, is lost after it was acknowledged, or takes effect after it was
+// refused. Operators confirm plans made at the same revision at several nodes, while
+// responses are lost, writes take effect late and the same plan is confirmed again at
+// another node. The faults would be: accepting a plan without looking for it in the log
+// or without comparing the objects changed since its base, or trying again at another
+// position than the one whose outcome is unknown.
 func TestOperatorsRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &race{t: t, log: newFakeLog(), settled: map[string]uint64{}}
-		r.log.next = func() fate { return fate(rapid.IntRange(0, int(fates)-1).Draw(t, "fate")) }
-		r.log.before = r.between
+		r := &race{t: t, log: newFakeLog(), outcomes: map[string]uint64{}}
+		r.log.next = func() appendOutcome { return appendOutcome(rapid.IntRange(0, int(outcomeCount)-1).Draw(t, "fate")) }
+		r.log.before = r.runBetween
 		for i := range 3 {
 			k := NewKeeper(Config{Node: fmt.Sprint("n", i), Log: r.log, Spread: fakeSpread{}})
 			k.loaded.Store(true)
@@ -96,17 +99,18 @@
 			r.plans = append(r.plans, p)
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			r.any()
+			r.anyStep()
 		}
 		r.finish()
 	})
 }
 
-// finish lets every late write land, settles every plan and compares with the log.
+// finish applies every delayed write, completes every plan and compares the results
+// with the log.
 func (r *race) finish() {
 	r.log.next, r.log.before = nil, nil
-	for len(r.log.late) > 0 {
-		r.log.landOne(0)
+	for len(r.log.delayed) > 0 {
+		r.log.applyDelayed(0)
 	}
 	for _, p := range r.plans {
 		for done := false; !done; {
@@ -114,7 +118,7 @@
 			var err error
 			rev, done, err = r.nodes[0].confirmOnce(context.Background(), p)
 			if done {
-				r.note(p, rev, err)
+				r.recordOutcome(p, rev, err)
 			}
 		}
 	}
@@ -130,8 +134,8 @@
 	for _, p := range r.plans {
 		object := p.Changes[0].Object()
 		objects[object] = true
-		if r.settled[p.ID] != at[p.ID] {
-			r.t.Fatalf("plan %s was settled as %d and the log has it as %d", p.ID, r.settled[p.ID], at[p.ID])
+		if r.outcomes[p.ID] != at[p.ID] {
+			r.t.Fatalf("plan %s ended as revision %d and the log has it as %d", p.ID, r.outcomes[p.ID], at[p.ID])
 		}
 		if at[p.ID] != 0 {
 			winners[object]++
@@ -144,16 +148,16 @@
 	}
 }
 
-// Symptom: confirm tells the operator that nothing was changed, yet the change
-// comes into force. Sequence: the append is applied, its answer is lost, and the
-// service is down from then on. Cause: the last failure, which surely changed
-// nothing, hides the first, which may have.
+// Guards against an operator being told that nothing was changed when the change takes
+// effect. The append is applied, its response is lost, and the service is unavailable
+// from then on; the last failure, which certainly changed nothing, must not hide the
+// first one, which may have.
 func TestConfirmTellsDoubt(t *testing.T) {
 	log := newFakeLog()
 	k := NewKeeper(Config{Log: log, Spread: fakeSpread{}})
 	p := MakePlan(NewState(), FleetView{}, "op", "1", Intents{Changes: []Change{account("a")}})
 	ctx, cancel := context.WithCancel(context.Background())
-	log.next = func() fate {
+	log.next = func() appendOutcome {
 		log.down = true
 		return lost
 	}
@@ -169,7 +173,7 @@
 	}
 }
 
-// cancelAfterRead ends the operator's call at the first read that fails.
+// cancelAfterRead cancels the operator's call at the first read that fails.
 type cancelAfterRead struct {
 	*fakeLog
 	cancel func()
--- a/intent/entry.go
+++ b/intent/entry.go
@@ -4,32 +4,32 @@
 	"slices"
 )
 
-// entryVMs is what a conflict over the last router is about.
+// entryVMs is the object of a conflict about the last router.
 const entryVMs = "entry VMs"
 
-// addEntries says what becomes of routers whose VMs are to leave, and refuses a
-// plan that takes the last one: with it every caller would be turned away.
+// addEntries adds a step for each router whose VM is to leave, and refuses a plan that
+// removes the last router, because the fleet would then reject every client.
 func (p *Plan) addEntries(before, after *State, view FleetView) {
-	var left []string
-	gone := false
+	var remaining []string
+	removed := false
 	for _, e := range view.Entries {
 		if !after.Leaving(e.VM) {
 			if !e.Leaving {
-				left = append(left, e.VM)
+				remaining = append(remaining, e.VM)
 			}
 			continue
 		}
 		if before.Leaving(e.VM) {
 			continue
 		}
-		gone = true
+		removed = true
 		p.Steps = append(p.Steps, "vm/"+e.VM+": its router fails readiness, takes no new work after the balancer's notice, and finishes its open requests")
 	}
-	if !gone {
+	if !removed {
 		return
 	}
-	slices.Sort(left)
-	p.Entries = slices.Compact(left)
+	slices.Sort(remaining)
+	p.Entries = slices.Compact(remaining)
 	if len(p.Entries) > 0 {
 		return
 	}
@@ -41,8 +41,8 @@
 	p.Conflicts = append(p.Conflicts, Conflict{Object: entryVMs, Reason: reason + "; use force to go on"})
 }
 
-// warnUnknown names VMs that the fleet doesn't have: a misspelt one would be
-// accepted and change nothing.
+// warnUnknown warns about VMs that the fleet doesn't have: a misspelt id would be
+// accepted and have no effect.
 func (p *Plan) warnUnknown(view FleetView) {
 	known := map[string]bool{}
 	for _, e := range view.Entries {
--- a/intent/errors.go
+++ b/intent/errors.go
@@ -13,26 +13,27 @@
 
 var (
 	// ErrUnavailable means that the log could not be reached and that this call
-	// has surely changed nothing.
+	// certainly changed nothing.
 	ErrUnavailable = errors.New("configuration log unavailable; nothing was changed by this call")
-	// ErrUnsettled means that it isn't known whether the plan was accepted. The
-	// same plan may be confirmed again, at any node: it takes effect once.
+	// ErrUnsettled means that it isn't known whether the plan was accepted. The same
+	// plan may be confirmed again at any node; it takes effect once.
 	ErrUnsettled = errors.New("not known whether the plan was accepted; confirm the same plan again")
-	// ErrTruncated means that the log no longer holds the entry: a snapshot
-	// stands in its place.
+	// ErrTruncated means that the log no longer has the entry, because a snapshot
+	// replaced it.
 	ErrTruncated = errors.New("log entry replaced by a snapshot")
-	// ErrStaleSnapshot means that a snapshot as new is in place already.
+	// ErrStaleSnapshot means that the log already has a snapshot of the same or a later
+	// revision.
 	ErrStaleSnapshot = errors.New("a snapshot as new is in place")
-	// ErrGap means that a revision doesn't follow on from the state.
+	// ErrGap means that a revision isn't the one directly after the state.
 	ErrGap = errors.New("revision doesn't follow the state")
-	// ErrNotReady means that the node holds no state that it may act on.
+	// ErrNotReady means that the node has no state that it may act on.
 	ErrNotReady = errors.New("no confirmed state")
 )
 
-// Conflict says why one object of a plan can't be changed as planned.
+// Conflict is the reason why one object of a plan can't be changed as planned.
 type Conflict struct {
 	Object   string `json:"object"`
-	Revision uint64 `json:"revision,omitempty"` // the revision that changed the object since the plan's base
+	Revision uint64 `json:"revision,omitempty"` // revision that changed the object after the plan's base
 	Reason   string `json:"reason"`
 }
 
@@ -42,7 +43,7 @@
 	Conflicts  []Conflict
 }
 
-// Error lists the conflicts.
+// Error returns the revisions and the list of conflicts.
 func (e *ConflictError) Error() string {
 	parts := make([]string, 0, len(e.Conflicts))
 	for _, c := range e.Conflicts {
@@ -51,11 +52,11 @@
 	return fmt.Sprintf("plan made at revision %d conflicts at revision %d: %s", e.Base, e.Head, strings.Join(parts, "; "))
 }
 
-// InvalidError refuses a change that makes no sense in the state it is for.
+// InvalidError refuses a change that is not valid in the state it applies to.
 type InvalidError struct {
 	Object string
 	Reason string
 }
 
-// Error names the object and the reason.
+// Error returns the object and the reason.
 func (e *InvalidError) Error() string { return e.Object + ": " + e.Reason }
--- a/intent/fake_test.go
+++ b/intent/fake_test.go
@@ -10,23 +10,24 @@
 
 var errLost = errors.New("answer lost")
 
-// fate is what becomes of one append.
-type fate int
+// appendOutcome is the outcome of one append.
+type appendOutcome int
 
 const (
-	works fate = iota
+	applied appendOutcome = iota
 	refused
-	lost    // applied, the answer is lost
-	delayed // answered with an error, applied later if the place is still free
-	fates
+	lost    // applied, but the response is lost
+	delayed // answered with an error, applied later if the position is still free
+	outcomeCount
 )
 
-// fakeLog is the log; before runs between a reader's read and its append.
+// fakeLog is an in-memory Log. before, if set, runs between a reader's read and its
+// append.
 type fakeLog struct {
 	entries map[uint64]LogEntry
-	late    []LogEntry
+	delayed []LogEntry
 	down    bool
-	next    func() fate
+	next    func() appendOutcome
 	before  func()
 }
 
@@ -54,19 +55,19 @@
 		f.before()
 	}
 	e := LogEntry{N: n, ID: id, Data: data}
-	fate, down := works, f.down
+	outcome, down := applied, f.down
 	if f.next != nil {
-		fate = f.next()
+		outcome = f.next()
 	}
 	switch {
-	case fate == refused || down:
+	case outcome == refused || down:
 		return false, LogEntry{}, ErrUnavailable
-	case fate == delayed:
-		f.late = append(f.late, e)
+	case outcome == delayed:
+		f.delayed = append(f.delayed, e)
 		return false, LogEntry{}, errLost
 	}
 	won := f.create(e)
-	if fate == lost {
+	if outcome == lost {
 		return false, LogEntry{}, errLost
 	}
 	return won || f.entries[n].ID == id, f.entries[n], nil
@@ -80,10 +81,10 @@
 	return true
 }
 
-// landOne lets a delayed write arrive.
-func (f *fakeLog) landOne(i int) {
-	e := f.late[i]
-	f.late = append(f.late[:i], f.late[i+1:]...)
+// applyDelayed applies a delayed write.
+func (f *fakeLog) applyDelayed(i int) {
+	e := f.delayed[i]
+	f.delayed = append(f.delayed[:i], f.delayed[i+1:]...)
 	f.create(e)
 }
 
@@ -101,7 +102,7 @@
 
 func (f *fakeLog) Snapshot(context.Context, uint64, []byte) error { return nil }
 
-// fakeSpread links keepers by name; a missing one can't be reached.
+// fakeSpread connects keepers by name; a keeper that isn't in it can't be reached.
 type fakeSpread map[string]*Keeper
 
 func (f fakeSpread) Peers() []string {
@@ -128,7 +129,7 @@
 	return Change{Kind: KindVM, Op: Set, VM: &VMIntent{VM: vm, Leaving: true}}
 }
 
-// filledLog is a log with n revisions.
+// filledLog returns a log with n revisions.
 func filledLog(t *testing.T, n int) *fakeLog {
 	f := newFakeLog()
 	for i := 1; i <= n; i++ {
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -13,66 +13,67 @@
 	"wigeondale/event"
 )
 
-// recentRevisions is how many revisions a Keeper holds for peers that are behind.
+// recentRevisions is the number of revisions that a Keeper stores for peers that are
+// behind.
 const recentRevisions = 256
 
-// readPage is how many log entries one read of a catch-up asks for.
+// readPage is the maximum number of log entries per read of catchUp.
 const readPage = 128
 
-// Keeper holds the newest state that this node knows. Its revision only grows.
+// Keeper holds the newest state that this node knows. Its revision never decreases.
 type Keeper struct {
 	cfg   Config
 	clock *pauseClock
 	state atomic.Pointer[State]
 
-	mu     sync.Mutex // held while a revision is installed
-	recent []Revision
-	subs   []func(*State)
+	mu          sync.Mutex // locked while a revision is installed
+	recent      []Revision
+	subscribers []func(*State)
 
-	loaded atomic.Bool // a state was read from the log or a peer
-	wake   chan string // nodes that are ahead of this one
-	snaps  chan *State
+	loaded        atomic.Bool // a state has been read from the log or a peer
+	fetchQueue    chan string // peers that have a newer revision than this node
+	snapshotQueue chan *State
 
 	applied *metrics.Counter
 	pauses  *metrics.Counter
 }
 
-// NewKeeper returns a Keeper that holds no state until Run has found one.
+// NewKeeper returns a Keeper with the empty state; Run loads the current one.
 func NewKeeper(cfg Config) *Keeper {
 	cfg = cfg.withDefaults()
 	k := &Keeper{
-		cfg:     cfg,
-		clock:   newPauseClock(cfg.PauseBound, cfg.Contact),
-		wake:    make(chan string, 16),
-		snaps:   make(chan *State, 1),
-		applied: cfg.Metrics.GetOrCreateCounter("wigeon_revisions_applied_total"),
-		pauses:  cfg.Metrics.GetOrCreateCounter("wigeon_pauses_total"),
+		cfg:           cfg,
+		clock:         newPauseClock(cfg.PauseBound, cfg.Contact),
+		fetchQueue:    make(chan string, 16),
+		snapshotQueue: make(chan *State, 1),
+		applied:       cfg.Metrics.GetOrCreateCounter("wigeon_revisions_applied_total"),
+		pauses:        cfg.Metrics.GetOrCreateCounter("wigeon_pauses_total"),
 	}
 	k.state.Store(NewState())
 	cfg.Metrics.GetOrCreateGauge("wigeon_revision", func() float64 { return float64(k.State().Revision) })
 	return k
 }
 
-// State returns the state in force on this node. It must not be changed.
+// State returns the state in use on this node. The caller must not modify it.
 func (k *Keeper) State() *State { return k.state.Load() }
 
-// Subscribe calls f with each new state, in order. f must return soon and must
-// not call the Keeper's own methods that install revisions.
+// Subscribe registers f to be called with each new state, in order. f must return
+// quickly and must not call methods of the Keeper that install revisions.
 func (k *Keeper) Subscribe(f func(*State)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.subs = append(k.subs, f)
+	k.subscribers = append(k.subscribers, f)
 }
 
-// Fresh reports whether this node may act on its state. It is false from a
-// pause until the revision has been confirmed with a peer or the service. It
-// is looked up by each request, which after a pause may run before any timer.
+// Fresh reports whether this node may act on its state. It is false from a pause until
+// the revision has been confirmed with a peer or the service. Every request checks it,
+// because after a pause a request may run before any timer does.
 func (k *Keeper) Fresh() bool {
 	ok, _ := k.Ready()
 	return ok
 }
 
-// Ready is Fresh with the reason when it is false.
+// Ready reports whether this node may act on its state, and the reason if not.
 func (k *Keeper) Ready() (bool, string) {
 	if !k.loaded.Load() {
 		return false, "no state yet: neither the key-value service nor a peer has given one"
@@ -80,9 +81,9 @@
 	return k.clock.ready(time.Now())
 }
 
-// Offer hands in a revision that node from has flooded. It isn't flooded again:
-// a flood reaches every router, and one more from each would grow with their
-// square.
+// Offer handles a revision that peer from has broadcast. This node doesn't broadcast it
+// again: a broadcast goes to every router, and repeating it at each would take a number
+// of messages that grows with the square of the number of routers.
 func (k *Keeper) Offer(from string, r Revision) {
 	k.Heard()
 	s := k.State()
@@ -96,24 +97,24 @@
 	k.install(r)
 }
 
-// Heard notes a sign of life from a router, so that a node that is cut off
-// from the service but not from its peers stays ready.
-func (k *Keeper) Heard() { k.clock.contact(time.Now()) }
+// Heard records a message from another router, so that a node that can't reach the
+// service but can reach its peers stays ready.
+func (k *Keeper) Heard() { k.clock.recordContact(time.Now()) }
 
-// Behind notes that a router's summary names a revision; when it is newer, the
-// missing ones are fetched from that router. It doesn't wait.
+// Behind handles the revision in a peer's summary. If it is newer than this node's, the
+// missing revisions are fetched from that peer in the background.
 func (k *Keeper) Behind(node string, revision uint64) {
 	k.Heard()
 	if revision <= k.State().Revision {
 		return
 	}
 	select {
-	case k.wake <- node:
-	default: // a fetch is due already, and the next summary asks again
+	case k.fetchQueue <- node:
+	default: // other fetches are queued, and the peer's next summary triggers this again
 	}
 }
 
-// Serve answers a router that holds all revisions below from.
+// Serve returns the revisions from number from on for a peer that has all earlier ones.
 func (k *Keeper) Serve(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
@@ -134,8 +135,8 @@
 	return b, err
 }
 
-// install applies the next revision and reports whether it did. This is the
-// only place, beside installState, where the state is replaced.
+// install applies the next revision and reports whether it did. Only install and
+// installState replace the state.
 func (k *Keeper) install(r Revision) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -151,7 +152,7 @@
 	return true
 }
 
-// installState replaces the state by a snapshot if that is newer.
+// installState replaces the state by a snapshot if the snapshot is newer.
 func (k *Keeper) installState(s *State) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -167,19 +168,19 @@
 	k.state.Store(s)
 	k.applied.Inc()
 	k.cfg.Events.Emit(event.RevisionInForce, "revision", s.Revision)
-	for _, f := range k.subs {
+	for _, f := range k.subscribers {
 		f(s)
 	}
 	if s.Revision%k.cfg.Snapshots == 0 {
 		select {
-		case k.snaps <- s:
-		default: // one is being written; the next multiple will do
+		case k.snapshotQueue <- s:
+		default: // another snapshot is queued; the next multiple of Snapshots gets one
 		}
 	}
 }
 
-// take installs a batch from a peer; an error means that it does not decode.
-func (k *Keeper) take(b Batch) error {
+// installBatch installs a batch from a peer; an error means that it can't be decoded.
+func (k *Keeper) installBatch(b Batch) error {
 	if len(b.Snapshot) > 0 {
 		s, err := DecodeState(b.Snapshot)
 		if err != nil {
@@ -224,14 +225,14 @@
 	return true
 }
 
-// Revisions returns at most max revisions from number from on: from the log, or
-// when that can't be reached the recent ones that this node holds.
+// Revisions returns at most max revisions from number from on: from the log or, if the
+// log is unavailable, those that this node still has in memory.
 func (k *Keeper) Revisions(ctx context.Context, from uint64, max int) ([]Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
 	defer cancel()
 	entries, err := k.cfg.Log.Read(ctx, from, max)
 	if err != nil {
-		return k.held(from, max), nil
+		return k.recentFrom(from, max), nil
 	}
 	out := make([]Revision, 0, len(entries))
 	for _, e := range entries {
@@ -241,7 +242,7 @@
 	return out, nil
 }
 
-func (k *Keeper) held(from uint64, max int) []Revision {
+func (k *Keeper) recentFrom(from uint64, max int) []Revision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := []Revision{}
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a node routes by an older configuration than it did before.
-// Sequence: revisions, batches and snapshots reach it late, twice and out of
-// order. Cause: installing what arrives without comparing revisions.
+// Guards against a node that routes by an older configuration than before, because it
+// installs what arrives without comparing revisions. Revisions, batches and snapshots
+// arrive late, more than once and out of order.
 func TestStateOnlyForwards(t *testing.T) {
 	full := filledLog(t, 8)
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,9 +29,9 @@
 			case 0:
 				k.Offer("peer", r)
 			case 1:
-				err = k.take(Batch{Revisions: []Revision{r}})
+				err = k.installBatch(Batch{Revisions: []Revision{r}})
 			case 2:
-				err = k.take(Batch{Snapshot: data})
+				err = k.installBatch(Batch{Snapshot: data})
 			}
 			if err != nil {
 				t.Fatal(err)
@@ -45,10 +45,10 @@
 	})
 }
 
-// Symptom: a router that was frozen sends work by a configuration replaced
-// meanwhile. Sequence: it is paused for longer than the bound, wakes, and serves
-// a request before any timer has run. Cause: taking the state for fresh without
-// looking at the clock, or on the word of a peer that was paused as well.
+// Guards against a router that was paused and routes by a configuration replaced in the
+// meantime. It is paused for longer than the bound, resumes, and handles a request
+// before any timer has run. It must check the clock, and must not be confirmed by a
+// peer that was paused as well.
 func TestFreshAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -66,7 +66,7 @@
 		a.Sync(ctx)
 		b.Sync(ctx)
 		expect("after the log was read", a, true)
-		began := time.Now()
+		beforePause := time.Now()
 		time.Sleep(DefaultPauseBound + time.Second)
 		expect("after a pause, before any tick", a, false)
 		for _, k := range []*Keeper{a, b} {
@@ -75,44 +75,44 @@
 			}
 		}
 		expect("after the tick", a, false)
-		a.clock.confirm(began, time.Now())
+		a.clock.confirm(beforePause, time.Now())
 		expect("confirmed by an exchange from before the pause", a, false)
 		log.down = true
 		a.Sync(ctx)
-		expect("vouched for by a peer that was paused too", a, false)
+		expect("confirmed by a peer that was paused too", a, false)
 		log.down = false
 		b.Sync(ctx)
 		log.down = true
 		a.Sync(ctx)
-		expect("vouched for by a peer that reached the service", a, true)
+		expect("confirmed by a peer that reached the service", a, true)
 	})
 }
 
-// Symptom: an outage of the service stops traffic, or a router cut off from all
-// goes on by an old configuration. Sequence: the service goes down; a router
-// starts; then the last peer is lost. Cause: readiness that follows the service
-// alone, or nothing at all.
+// Guards against an outage of the service that stops traffic, and against a router
+// without any contact that continues with an old configuration. The service becomes
+// unavailable, a router starts, then its last peer is lost. Readiness must depend on
+// both the service and the peers.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := filledLog(t, 3)
-		old := NewKeeper(Config{Node: "old", Log: log, Spread: fakeSpread{}})
-		link := &cutLink{fakeSpread: fakeSpread{"old": old}}
-		young := NewKeeper(Config{Node: "young", Log: log, Spread: link})
-		old.cfg.Spread = fakeSpread{"young": young}
-		old.Sync(ctx)
+		oldNode := NewKeeper(Config{Node: "old", Log: log, Spread: fakeSpread{}})
+		link := &cutLink{fakeSpread: fakeSpread{"old": oldNode}}
+		newNode := NewKeeper(Config{Node: "young", Log: log, Spread: link})
+		oldNode.cfg.Spread = fakeSpread{"young": newNode}
+		oldNode.Sync(ctx)
 		log.down = true
-		go old.Run(ctx)
-		go young.Run(ctx)
+		go oldNode.Run(ctx)
+		go newNode.Run(ctx)
 		time.Sleep(time.Minute)
-		for _, k := range []*Keeper{old, young} {
+		for _, k := range []*Keeper{oldNode, newNode} {
 			if ok, why := k.Ready(); !ok || k.State().Revision != 3 {
 				t.Fatalf("%s with a peer and no service: revision %d, ready %v (%s)", k.cfg.Node, k.State().Revision, ok, why)
 			}
 		}
 		link.cut.Store(true)
 		time.Sleep(time.Minute)
-		if ok, _ := young.Ready(); ok {
+		if ok, _ := newNode.Ready(); ok {
 			t.Fatal("a router that reaches neither the service nor a peer is ready")
 		}
 		cancel()
@@ -120,7 +120,7 @@
 	})
 }
 
-// cutLink is a link to the peers that can be cut.
+// cutLink is a connection to the peers that a test can cut.
 type cutLink struct {
 	fakeSpread
 	cut atomic.Bool
--- a/intent/kvlog.go
+++ b/intent/kvlog.go
@@ -7,7 +7,7 @@
 	"wigeondale/kvlog"
 )
 
-// NewLog lets a Keeper use a log in the key-value service.
+// NewLog returns a log in the key-value service for use by a Keeper.
 func NewLog(l *kvlog.Log) Log { return logAdapter{l} }
 
 type logAdapter struct {
@@ -18,7 +18,7 @@
 func (a logAdapter) Read(ctx context.Context, from uint64, max int) ([]LogEntry, error) {
 	list, err := a.Log.Read(ctx, from, max)
 	if err != nil {
-		return nil, fromLog(err)
+		return nil, convertLogError(err)
 	}
 	out := make([]LogEntry, 0, len(list))
 	for _, e := range list {
@@ -30,7 +30,7 @@
 // AppendAt implements Log.
 func (a logAdapter) AppendAt(ctx context.Context, n uint64, id string, data []byte) (bool, LogEntry, error) {
 	won, e, err := a.Log.AppendAt(ctx, n, id, data)
-	return won, entryOf(e), fromLog(err)
+	return won, entryOf(e), convertLogError(err)
 }
 
 // Follow implements Log.
@@ -39,25 +39,26 @@
 		f(entryOf(e))
 		return nil
 	})
-	return fromLog(err)
+	return convertLogError(err)
 }
 
 // LoadSnapshot implements Log.
 func (a logAdapter) LoadSnapshot(ctx context.Context) (uint64, []byte, bool, error) {
 	n, data, ok, err := a.Log.LoadSnapshot(ctx)
-	return n, data, ok, fromLog(err)
+	return n, data, ok, convertLogError(err)
 }
 
 // Snapshot implements Log.
 func (a logAdapter) Snapshot(ctx context.Context, upTo uint64, data []byte) error {
-	return fromLog(a.Log.Snapshot(ctx, upTo, data))
+	return convertLogError(a.Log.Snapshot(ctx, upTo, data))
 }
 
 func entryOf(e kvlog.Entry) LogEntry { return LogEntry{N: e.N, ID: e.ID, Data: e.Data} }
 
-// fromLog turns the log's errors into this package's. Whatever isn't known to
-// have changed nothing stays in doubt.
-func fromLog(err error) error {
+// convertLogError converts an error of package kvlog to one of this package. Only an
+// error that guarantees that nothing was changed becomes ErrUnavailable; any other
+// leaves the outcome unknown.
+func convertLogError(err error) error {
 	var truncated *kvlog.TruncatedError
 	switch {
 	case err == nil:
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -11,70 +11,72 @@
 	"wigeondale/fleet"
 )
 
-// Intents is what an operator asks for.
+// Intents is an operator's request: changes to the desired state.
 type Intents struct {
 	Changes []Change `json:"changes"`
-	// Force allows a plan that leaves a model with no replica.
+	// Force allows a plan that leaves a model without a replica, or the fleet without a
+	// router.
 	Force bool `json:"force,omitempty"`
 }
 
-// FleetView is what planning needs to know of the fleet.
+// FleetView is the information about the fleet that planning uses.
 type FleetView struct {
 	Backends   []fleet.Backend
 	Serves     map[string][]fleet.ModelRef // by backend server id
-	Weights    map[string]int64            // bytes, by ModelRef.String()
-	WeightRate int64                       // bytes per second that the weight store grants
+	Weights    map[string]int64            // size in bytes, by ModelRef.String()
+	WeightRate int64                       // bytes per second that the weight store allows
 	Entries    []EntryVM                   // VMs of the routers
 }
 
-// EntryVM is the VM of a router as the VM list shows it.
+// EntryVM is the VM of a router, as listed in the VM list.
 type EntryVM struct {
 	VM      string
 	Leaving bool
 }
 
-// Diff shows one object before and after, as JSON; null means none.
+// Diff shows one object before and after the plan, as JSON; null means that it doesn't
+// exist.
 type Diff struct {
 	Object string          `json:"object"`
 	Before json.RawMessage `json:"before"`
 	After  json.RawMessage `json:"after"`
 }
 
-// Load is one backend server's loading of one model version.
+// Load is the loading of one model version by one backend server.
 type Load struct {
 	Backend string         `json:"backend"`
 	Ref     fleet.ModelRef `json:"ref"`
 	Bytes   int64          `json:"bytes"`
 }
 
-// Wave is a set of loads that run together.
+// Wave is a set of loads that run at the same time.
 type Wave struct {
 	Loads   []Load  `json:"loads"`
 	Bytes   int64   `json:"bytes"`
-	Seconds float64 `json:"seconds"` // at the weight store's rate
+	Seconds float64 `json:"seconds"` // at the rate of the weight store
 }
 
-// Capacity is how many replicas serve a model version before and after.
+// Capacity is the number of replicas of a model version before and after the plan.
 type Capacity struct {
 	Ref    fleet.ModelRef `json:"ref"`
 	Before int            `json:"before"`
 	After  int            `json:"after"`
 }
 
-// Need names the VMs of which one at least must stay for a model version.
+// Need lists the VMs of which at least one must stay for a model version.
 type Need struct {
 	Ref fleet.ModelRef `json:"ref"`
 	VMs []string       `json:"vms"`
 }
 
-// Plan is the answer to intents. It is complete in itself: any node can confirm it.
+// Plan is the result of planning. It is self-contained: any node can confirm it.
 type Plan struct {
 	ID            string     `json:"id"`
 	Base          uint64     `json:"base"`
 	Operator      string     `json:"operator"`
 	Force         bool       `json:"force,omitempty"`
 	Changes       []Change   `json:"changes"`
-	Derived       int        `json:"derived"` // how many of Changes, at their end, planning added
+	Derived       int        `json:"derived"` // number of Changes at the end of the list that planning added
 	Diffs         []Diff     `json:"diffs"`
 	Steps         []string   `json:"steps"`
 	Waves         []Wave     `json:"waves,omitempty"`
@@ -82,13 +84,14 @@
 	WeightSeconds float64    `json:"weight_seconds"`
 	CapacityLeft  []Capacity `json:"capacity_left,omitempty"`
 	Needs         []Need     `json:"needs,omitempty"`
-	Entries       []string   `json:"entries,omitempty"`   // entry VMs of which one at least must stay
-	Conflicts     []Conflict `json:"conflicts,omitempty"` // a plan with any can't be confirmed
+	Entries       []string   `json:"entries,omitempty"`   // entry VMs of which at least one must stay
+	Conflicts     []Conflict `json:"conflicts,omitempty"` // a plan with any conflict can't be confirmed
 	Warnings      []string   `json:"warnings,omitempty"`
 }
 
-// MakePlan answers intents at state s. The nonce makes two equal plans distinct,
-// so that asking again later is a new change. It changes nothing.
+// MakePlan returns the plan for a request in state s. The nonce makes equal plans
+// distinct, so that the same request made later is a new change. MakePlan changes
+// nothing.
 func MakePlan(s *State, view FleetView, operator, nonce string, in Intents) Plan {
 	p := Plan{Base: s.Revision, Operator: operator, Force: in.Force}
 	p.Changes = slices.Clone(in.Changes)
@@ -97,17 +100,17 @@
 		p.ID = planID(p, nonce)
 		return p
 	}
-	derived := placements(s, view, p.Changes)
+	derived := derivePlacements(s, view, p.Changes)
 	p.Changes = append(p.Changes, derived...)
 	p.Derived = len(derived)
 	after := s.clone()
 	after.Revision++
 	for _, c := range p.Changes {
-		p.Diffs = append(p.Diffs, Diff{Object: c.Object(), Before: asJSON(shown(s.Before(c)))})
-		after.change(c)
+		p.Diffs = append(p.Diffs, Diff{Object: c.Object(), Before: asJSON(redactedObject(s.Before(c)))})
+		after.applyChange(c)
 	}
 	for i, c := range p.Changes {
-		p.Diffs[i].After = asJSON(shown(after.Before(c)))
+		p.Diffs[i].After = asJSON(redactedObject(after.Before(c)))
 	}
 	p.addLoads(after, view)
 	p.addCapacity(s, after, view)
@@ -121,7 +124,7 @@
 // Refused reports whether the plan can't be confirmed as it stands.
 func (p Plan) Refused() bool { return len(p.Conflicts) > 0 }
 
-// Asked returns the changes that the operator asked for.
+// Asked returns the changes that the operator requested.
 func (p Plan) Asked() []Change { return p.Changes[:max(0, len(p.Changes)-p.Derived)] }
 
 // Revision returns the log entry that accepts the plan as revision n.
@@ -142,17 +145,17 @@
 	return "p-" + hex.EncodeToString(sum[:12])
 }
 
-// addCapacity counts replicas and refuses a plan that takes a model's last one.
+// addCapacity counts replicas and refuses a plan that removes a model's last one.
 func (p *Plan) addCapacity(before, after *State, view FleetView) {
 	refs := servedRefs(after, view)
 	for _, ref := range refs {
-		was := replicas(before, view, ref)
+		vmsBefore := replicas(before, view, ref)
 		vms := replicas(after, view, ref)
-		p.CapacityLeft = append(p.CapacityLeft, Capacity{Ref: ref, Before: len(was), After: len(vms)})
-		if !wanted(after, ref) {
+		p.CapacityLeft = append(p.CapacityLeft, Capacity{Ref: ref, Before: len(vmsBefore), After: len(vms)})
+		if !receivesTraffic(after, ref) {
 			continue
 		}
-		if len(vms) == len(was) {
+		if len(vms) == len(vmsBefore) {
 			if len(vms) == 0 {
 				p.Warnings = append(p.Warnings, "model/"+ref.String()+": no backend server serves it yet")
 			}
@@ -171,9 +174,9 @@
 	}
 }
 
-// wanted reports whether requests may go to ref: it has a share of its model's
-// traffic, or nobody has said how the model's traffic is split.
-func wanted(s *State, ref fleet.ModelRef) bool {
+// receivesTraffic reports whether requests may go to ref: it has a share of its model's
+// traffic, or no traffic split is set for the model.
+func receivesTraffic(s *State, ref fleet.ModelRef) bool {
 	if _, ok := s.Traffic[ref.Model]; !ok {
 		return true
 	}
@@ -189,23 +192,24 @@
 	return slices.Compact(refs)
 }
 
-// replicas lists the VMs that serve ref, or will by their placement, and stay.
+// replicas returns the VMs that serve ref, or will by their placement, and that don't
+// leave.
 func replicas(s *State, view FleetView, ref fleet.ModelRef) []string {
 	var vms []string
 	for _, b := range view.Backends {
 		if b.Leaving || s.Leaving(b.VM) {
 			continue
 		}
-		if slices.Contains(held(s, view, b.ID), ref) {
+		if slices.Contains(desiredOrServed(s, view, b.ID), ref) {
 			vms = append(vms, b.VM)
 		}
 	}
 	return vms
 }
 
-// held is what a backend server shall have loaded: its placement if there is
-// one, else what it reports to serve.
-func held(s *State, view FleetView, backend string) []fleet.ModelRef {
+// desiredOrServed returns what a backend server is to have loaded: its placement if it
+// has one, otherwise the versions that it reports as served.
+func desiredOrServed(s *State, view FleetView, backend string) []fleet.ModelRef {
 	if p, ok := s.Placement[backend]; ok {
 		return p.Desired
 	}
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -33,7 +33,7 @@
 		conflict string // "" means a plan that can be confirmed
 		waves    int
 		bytes    int64
-		left     int // replicas of m@v1 after
+		left     int // replicas of m@v1 after the plan
 	}{
 		{name: "account and access", in: Intents{Changes: []Change{account("a"), grant}}, left: 4},
 		{name: "unknown account", in: Intents{Changes: []Change{grant}}, conflict: "unknown client account"},
@@ -68,9 +68,10 @@
 	}
 }
 
-// Symptom: a model has no replica left though no plan said so. Sequence: two
-// operators each let half of its VMs leave, in plans made at one revision. Cause:
-// the plans share no object, so comparing objects alone lets both through.
+// Guards against a model that loses all replicas although neither plan would remove the
+// last one. Two operators each remove half of its VMs, in plans made at the same
+// revision. The plans have no object in common, so comparing objects alone accepts
+// both.
 func TestLeavesThatAreFatalTogether(t *testing.T) {
 	s := NewState()
 	one := MakePlan(s, view(), "op", "1", Intents{Changes: []Change{leave("vm1"), leave("vm2")}})
@@ -84,9 +85,9 @@
 	}
 }
 
-// Symptom: a plan confirmed a second time, long after, takes effect again.
-// Sequence: its id is dropped from the bounded history, then it is confirmed.
-// Cause: history that is shorter than the age up to which plans are accepted.
+// Guards against a plan that takes effect again when it is confirmed a second time,
+// long after. Its id has been dropped from the bounded history, so the history must
+// reach back at least as far as the oldest base that is accepted.
 func TestForgottenPlanIsRefused(t *testing.T) {
 	s := NewState()
 	p := MakePlan(s, FleetView{}, "op", "1", Intents{Changes: []Change{leave("vm1")}})
@@ -110,10 +111,9 @@
 	}
 }
 
-// Symptom: the weight store is asked for far more than its rate for minutes.
-// Sequence: the store doesn't tell a version's size, and the version is placed
-// on many engines.
-// Cause: a size that isn't known counts as none.
+// Guards against requesting far more than the weight store's rate for minutes. The
+// store returns no size for a version that is placed on many engines, and an unknown
+// size must not count as 0.
 func TestUnknownSizeLoadsAlone(t *testing.T) {
 	const rate, hosts = 10, 100
 	loads := []Load{{Backend: "a", Bytes: 1}, {Backend: "b"}, {Backend: "c"}, {Backend: "d", Bytes: 1}, {Backend: "e", Bytes: 1}}
--- a/intent/ports.go
+++ b/intent/ports.go
@@ -11,47 +11,47 @@
 
 // LogEntry is one entry of the append-only log.
 type LogEntry struct {
-	N    uint64 // 1 is the first
-	ID   string // the plan's id
-	Data []byte // EncodeRevision
+	N    uint64 // 1 for the first entry
+	ID   string // id of the plan
+	Data []byte // output of EncodeRevision
 }
 
 // Log is the append-only log in the key-value service.
 type Log interface {
 	// Head returns the number of the last entry, 0 for none.
 	Head(ctx context.Context) (uint64, error)
-	// Read returns entries from number from on, at most max, in order.
+	// Read returns at most max entries in order, starting at number from.
 	Read(ctx context.Context, from uint64, max int) ([]LogEntry, error)
-	// AppendAt creates entry n if there is none. When there is one it is
-	// returned. An error that is ErrUnavailable means that nothing was written;
-	// any other error means that the entry may or may not appear.
+	// AppendAt creates entry n if it doesn't exist; otherwise it returns the existing
+	// entry. ErrUnavailable means that nothing was written; after any other error the
+	// entry may or may not appear.
 	AppendAt(ctx context.Context, n uint64, id string, data []byte) (won bool, existing LogEntry, err error)
-	// Follow calls f for each entry from number from on until ctx ends or the
-	// service is lost.
+	// Follow calls f for each entry from number from on, until ctx ends or the service
+	// becomes unavailable.
 	Follow(ctx context.Context, from uint64, f func(LogEntry)) error
 	// LoadSnapshot returns the newest snapshot.
 	LoadSnapshot(ctx context.Context) (upTo uint64, data []byte, ok bool, err error)
-	// Snapshot keeps the state after entry upTo.
+	// Snapshot stores the state after entry upTo.
 	Snapshot(ctx context.Context, upTo uint64, data []byte) error
 }
 
-// Batch is what one node gives another that is behind.
+// Batch is the data that a node sends to a peer that is behind.
 type Batch struct {
-	// Snapshot is an encoded state, when the revisions asked for are no longer
-	// held one by one.
+	// Snapshot is an encoded state. It is set if the requested revisions are no longer
+	// available one by one.
 	Snapshot  []byte     `cbor:"1,keyasint,omitempty"`
 	Revisions []Revision `cbor:"2,keyasint,omitempty"`
-	// Fresh is true when the sender may itself act on its state.
+	// Fresh is true if the sender may itself act on its state.
 	Fresh bool `cbor:"3,keyasint"`
 }
 
-// Spread reaches the other routers.
+// Spread exchanges revisions with the other routers.
 type Spread interface {
-	// Peers names routers that seem alive and reachable, in any order.
+	// Peers returns routers that seem alive and reachable, in any order.
 	Peers() []string
-	// Flood sends a revision to every router that can be reached; it doesn't wait.
+	// Flood broadcasts a revision to every reachable router; it doesn't wait.
 	Flood(r Revision)
-	// FetchFrom asks a router for what follows revision from-1.
+	// FetchFrom requests the revisions from number from on from a router.
 	FetchFrom(ctx context.Context, node string, from uint64) (Batch, error)
 }
 
@@ -65,7 +65,7 @@
 	DefaultSnapshots  = 256 // revisions between snapshots
 )
 
-// Config is what a Keeper uses. Zero durations take the defaults.
+// Config configures a Keeper. Zero durations mean the defaults.
 type Config struct {
 	Node    string
 	Log     Log
@@ -75,11 +75,11 @@
 	Events  *event.Log
 	Metrics *metrics.Set
 
-	Tick       time.Duration // between looks at the clock
+	Tick       time.Duration // between checks of the clock
 	PauseBound time.Duration // a longer gap between ticks counts as a pause
-	Contact    time.Duration // a node that has reached nobody for longer isn't fresh
+	Contact    time.Duration // without contact to a peer or the service for longer, a node isn't ready
 	Poll       time.Duration // mean time between polls of the log
-	Call       time.Duration // bound of one call to the log or a peer
+	Call       time.Duration // time limit of one call to the log or a peer
 	Snapshots  uint64        // revisions between snapshots
 }
 
--- a/intent/redact.go
+++ b/intent/redact.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// hashShown is how many digits of a key's hash are shown: enough to tell keys
-// apart, too few to test guesses of a weak key against.
-const hashShown = 8
+// shownHashDigits is the number of digits of a key hash that are shown: enough to
+// distinguish keys, too few to check guesses of a weak key.
+const shownHashDigits = 8
 
-// Redacted returns a copy of the state for showing: without key hashes in full
-// and without history.
+// Redacted returns a copy of the state for display, with shortened key hashes and
+// without history.
 func (s *State) Redacted() *State {
 	c := s.clone()
 	for id, a := range c.Accounts {
@@ -17,7 +17,7 @@
 	return c
 }
 
-// Redacted returns a copy of the revision for showing.
+// Redacted returns a copy of the revision for display, with shortened key hashes.
 func (r Revision) Redacted() Revision {
 	r.Changes = slices.Clone(r.Changes)
 	for i, c := range r.Changes {
@@ -33,13 +33,13 @@
 func (a Account) redacted() Account {
 	a.KeyHashes = slices.Clone(a.KeyHashes)
 	for i, h := range a.KeyHashes {
-		a.KeyHashes[i] = h[:min(len(h), hashShown)] + "..."
+		a.KeyHashes[i] = h[:min(len(h), shownHashDigits)] + "..."
 	}
 	return a
 }
 
-// shown hides key hashes in an object that a plan's diff prints.
-func shown(v any) any {
+// redactedObject shortens the key hashes in an object that is part of a plan's diff.
+func redactedObject(v any) any {
 	if a, ok := v.(Account); ok {
 		return a.redacted()
 	}
--- a/intent/run.go
+++ b/intent/run.go
@@ -11,12 +11,13 @@
 	"wigeondale/event"
 )
 
-// peersPerSync bounds the peers asked in a row, each of which may cost a whole
-// timeout; the next Sync starts at another.
+// peersPerSync bounds the peers queried one after the other in one Sync, because each
+// may take a whole timeout; the next Sync starts with a random peer again.
 const peersPerSync = 3
 
-// maxSpread bounds the revisions that a watcher floods after one reading.
-const maxSpread = 16
+// maxBroadcasts bounds the revisions that a watcher broadcasts after one read of the
+// log.
+const maxBroadcasts = 16
 
 // Run keeps the state up to date until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
@@ -29,8 +30,8 @@
 	return g.Wait()
 }
 
-// tickLoop watches the clock. It does nothing that could block, since a late
-// tick counts as a pause.
+// tickLoop checks the clock. It does nothing that could block, because a delayed tick
+// counts as a pause.
 func (k *Keeper) tickLoop(ctx context.Context) error {
 	t := time.NewTicker(k.cfg.Tick)
 	defer t.Stop()
@@ -47,13 +48,13 @@
 	}
 }
 
-// syncLoop confirms the revision whenever that is needed, and polls as the
-// last resort.
+// syncLoop confirms the revision when that is needed, and also polls at a low rate in
+// case broadcasts and watches fail.
 func (k *Keeper) syncLoop(ctx context.Context) error {
 	poll := time.Now()
 	for ctx.Err() == nil {
 		now := time.Now()
-		if !k.loaded.Load() || k.clock.silent(now) || now.After(poll) {
+		if !k.loaded.Load() || k.clock.contactDue(now) || now.After(poll) {
 			k.Sync(ctx)
 			poll = time.Now().Add(k.jittered(k.cfg.Poll))
 		}
@@ -62,14 +63,14 @@
 	return nil
 }
 
-// jittered spreads d over half to one and a half, so that nodes that started
-// together don't call together.
+// jittered returns a duration between 0.5 and 1.5 times d, so that nodes that started
+// at the same time don't call at the same time.
 func (k *Keeper) jittered(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + k.cfg.Random()))
 }
 
-// Sync brings the state up to date from the service or, failing that, from a
-// peer that is itself fresh, and reports whether one of them answered.
+// Sync updates the state from the service or, if that fails, from a peer that may act
+// on its own state. It reports whether one of them confirmed the state.
 func (k *Keeper) Sync(ctx context.Context) bool {
 	if k.syncLog(ctx) {
 		return true
@@ -85,7 +86,7 @@
 }
 
 func (k *Keeper) syncLog(ctx context.Context) bool {
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
 	defer cancel()
 	if !k.loaded.Load() && !k.loadSnapshot(ctx) {
@@ -96,8 +97,8 @@
 		return false
 	}
 	k.loaded.Store(true)
-	k.clock.confirm(began, time.Now())
-	k.spreadSince(before)
+	k.clock.confirm(startedAt, time.Now())
+	k.broadcastSince(before)
 	return true
 }
 
@@ -111,46 +112,47 @@
 	}
 	s, err := DecodeState(data)
 	if err != nil {
-		return true // the log itself is read from its start instead
+		return true // the log is read from its start instead
 	}
 	k.installState(s)
 	return true
 }
 
-// spreadSince floods what a watcher learnt from the log itself. The others stay
-// silent: many may learn the same at once, as when the service comes back.
-func (k *Keeper) spreadSince(before uint64) {
+// broadcastSince broadcasts the revisions that a watcher read from the log itself.
+// Other nodes don't: many may read the same revisions at once, for example when the
+// service comes back.
+func (k *Keeper) broadcastSince(before uint64) {
 	if !k.cfg.Watcher() {
 		return
 	}
 	k.mu.Lock()
-	var fresh []Revision
+	var added []Revision
 	for _, r := range k.recent {
 		if r.N > before {
-			fresh = append(fresh, r)
+			added = append(added, r)
 		}
 	}
 	k.mu.Unlock()
-	if len(fresh) > maxSpread {
-		return // a start; the others hold these already or will ask
+	if len(added) > maxBroadcasts {
+		return // this node has just started; the others have these already or will fetch them
 	}
-	for _, r := range fresh {
+	for _, r := range added {
 		k.cfg.Spread.Flood(r)
 	}
 }
 
-// fetch takes what node holds beyond this node's revision. Only a node that may
-// act on its own state confirms this one's: two nodes that were paused together
-// must not vouch for each other.
+// fetch installs the revisions that a peer has beyond this node's. Only a peer that may
+// act on its own state confirms this node's state: two nodes that were paused at the
+// same time must not confirm each other.
 func (k *Keeper) fetch(ctx context.Context, node string) bool {
-	began := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
 	defer cancel()
 	b, err := k.cfg.Spread.FetchFrom(ctx, node, k.State().Revision+1)
 	if err != nil {
 		return false
 	}
-	if err := k.take(b); err != nil {
+	if err := k.installBatch(b); err != nil {
 		return false
 	}
 	k.Heard()
@@ -158,23 +160,23 @@
 		return false
 	}
 	k.loaded.Store(true)
-	k.clock.confirm(began, time.Now())
+	k.clock.confirm(startedAt, time.Now())
 	return true
 }
 
-// fetchLoop mends gaps that peers' summaries show.
+// fetchLoop fetches the revisions that peers' summaries show to be missing.
 func (k *Keeper) fetchLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case node := <-k.wake:
+		case node := <-k.fetchQueue:
 			k.fetch(ctx, node)
 		}
 	}
 }
 
-// followLoop watches the log while this node is one of the watchers.
+// followLoop follows the log while this node is one of the watchers.
 func (k *Keeper) followLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if k.loaded.Load() && k.cfg.Watcher() {
@@ -196,7 +198,7 @@
 			}
 		}
 	}()
-	err := k.cfg.Log.Follow(ctx, k.State().Revision+1, k.followed)
+	err := k.cfg.Log.Follow(ctx, k.State().Revision+1, k.handleEntry)
 	if errors.Is(err, ErrTruncated) {
 		k.Sync(ctx)
 		return
@@ -206,7 +208,7 @@
 	}
 }
 
-func (k *Keeper) followed(e LogEntry) {
+func (k *Keeper) handleEntry(e LogEntry) {
 	k.Heard()
 	if !k.installEntry(e) {
 		return
@@ -215,21 +217,22 @@
 	k.cfg.Spread.Flood(r)
 }
 
-// snapshotLoop keeps snapshots, so that a start need not read all revisions.
-// Only watchers do, at moments of their own, and the log refuses an older one.
+// snapshotLoop stores snapshots, so that a starting node need not read all revisions.
+// Only watchers store them, each after a random delay, and the log refuses an older
+// one.
 func (k *Keeper) snapshotLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-k.snaps:
+		case s := <-k.snapshotQueue:
 			clock.Sleep(ctx, k.jittered(k.cfg.Call))
-			k.keepSnapshot(ctx, s)
+			k.storeSnapshot(ctx, s)
 		}
 	}
 }
 
-func (k *Keeper) keepSnapshot(ctx context.Context, s *State) {
+func (k *Keeper) storeSnapshot(ctx context.Context, s *State) {
 	if !k.cfg.Watcher() {
 		return
 	}
--- a/intent/service_test.go
+++ b/intent/service_test.go
@@ -16,11 +16,11 @@
 	"wigeondale/kvlog"
 )
 
-type nobody struct{}
+type noPeers struct{}
 
-func (nobody) Peers() []string       { return nil }
-func (nobody) Flood(intent.Revision) {}
-func (nobody) FetchFrom(context.Context, string, uint64) (intent.Batch, error) {
+func (noPeers) Peers() []string       { return nil }
+func (noPeers) Flood(intent.Revision) {}
+func (noPeers) FetchFrom(context.Context, string, uint64) (intent.Batch, error) {
 	return intent.Batch{}, errors.New("no peer")
 }
 
@@ -28,7 +28,7 @@
 	set := metrics.NewSet()
 	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + srv.Addr()}, set)
 	log := intent.NewLog(kvlog.New(store, "config/", kvlog.Options{Window: 4, Metrics: set}))
-	return intent.NewKeeper(intent.Config{Log: log, Spread: nobody{}}), log
+	return intent.NewKeeper(intent.Config{Log: log, Spread: noPeers{}}), log
 }
 
 func planFor(t *testing.T, k *intent.Keeper, vm string) intent.Plan {
@@ -41,11 +41,11 @@
 	return p
 }
 
-// Symptom: a plan whose answers the service loses is accepted twice or reported
-// as failed; a new node can't start once old entries are gone. Sequence: against
-// the stand-in service, writes are applied and their answers lost, the plan is
-// confirmed at a second node too, then snapshots replace old entries. Cause: not
-// reading the log back, or not starting from the snapshot.
+// Guards against a plan that is accepted twice or reported as failed when the service
+// loses responses, and against a new node that can't start once old entries are
+// deleted. With the fake service, writes are applied and their responses lost, the plan
+// is confirmed at a second node too, and then a snapshot replaces old entries. Nodes
+// must read the log back and start from the snapshot.
 func TestAgainstTheService(t *testing.T) {
 	srv := kv.New("127.0.0.1:0")
 	if err := srv.Start(); err != nil {
@@ -55,7 +55,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	one, log := newNode(srv)
 	two, _ := newNode(srv)
-	late, _ := newNode(srv)
+	lateNode, _ := newNode(srv)
 	one.Sync(ctx)
 	var at20 *intent.State
 	one.Subscribe(func(s *intent.State) {
@@ -73,7 +73,7 @@
 			t.Fatalf("confirm = revision %d, %v; want 1", rev.N, err)
 		}
 	}
-	late.Sync(ctx)
+	lateNode.Sync(ctx)
 	done := make(chan error)
 	reached := make(chan struct{})
 	two.Subscribe(func(s *intent.State) {
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 	}
-	<-reached // by its watch
+	<-reached // through its watch
 	data, err := intent.EncodeState(at20)
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 		t.Fatalf("reading an entry below the snapshot = %v, want ErrTruncated", err)
 	}
 	three, _ := newNode(srv)
-	for name, k := range map[string]*intent.Keeper{"new": three, "late": late} {
+	for name, k := range map[string]*intent.Keeper{"new": three, "late": lateNode} {
 		if !k.Sync(ctx) || k.State().Revision != 24 || !k.State().Leaving("vm-0") {
 			t.Fatalf("the %s node is at revision %d, want 24 with all VMs", name, k.State().Revision)
 		}
--- a/intent/state.go
+++ b/intent/state.go
@@ -1,11 +1,13 @@
-// Package intent holds the desired state of the fleet and how it changes:
-// operators' intents become plans, a confirmed plan becomes the next revision
-// of an append-only log, and the Keeper holds the newest state on each node.
+// Package intent holds the desired state of the fleet and its changes. Operators'
+// requests (Intents) become plans, a confirmed plan becomes the next revision of an
+// append-only log, and the Keeper of each node holds the newest state that the node
+// knows.
 //
-// The failures guarded against: operators racing (the create of a log entry has
-// one winner), a lost answer to a confirm (settled by reading the entry back), a
-// node that was paused or cut off acting on an old state (Fresh), and a node
-// going back to an older revision (only revision n+1 is applied to n).
+// The package guards against four failures. When operators confirm plans at the same
+// time, only one can create the next log entry. When the response to a confirmation is
+// lost, the entry is read back. A node that was paused or disconnected doesn't act on
+// an old state until it has confirmed it (Ready). A node doesn't go back to an older
+// revision: only revision n+1 is applied to revision n.
 package intent
 
 import (
@@ -14,12 +16,12 @@
 	"wigeondale/fleet"
 )
 
-// HistoryWindow is how many revisions a state remembers plans and touched
-// objects for. A plan whose base is older is refused, so that forgetting a
-// plan's id can never let it be accepted twice.
+// HistoryWindow is the number of revisions for which a state remembers accepted plans
+// and changed objects. A plan with an older base is refused, so that a plan whose id
+// has been dropped can't be accepted a second time.
 const HistoryWindow = 1024
 
-// State is the desired state at one revision. It is never changed in place.
+// State is the desired state at one revision. It is immutable once published.
 type State struct {
 	Revision  uint64               `json:"revision"`
 	Accounts  map[string]Account   `json:"accounts"`
@@ -27,9 +29,9 @@
 	Traffic   map[string]Traffic   `json:"traffic"`   // by model
 	VMs       map[string]VMIntent  `json:"vms"`       // by VM id
 	Placement map[string]Placement `json:"placement"` // by backend server id
-	// Touched is the last revision that changed each object, removed ones too.
+	// Touched is the last revision that changed each object, including removed objects.
 	Touched map[string]uint64 `json:"touched,omitempty"`
-	// Plans is the revision that each plan was accepted as.
+	// Plans is the revision as which each plan was accepted.
 	Plans map[string]uint64 `json:"plans,omitempty"`
 }
 
@@ -42,7 +44,8 @@
 	MaxConcurrent   int      `json:"max_concurrent"`
 }
 
-// Access lets a client account use a model. Empty lists mean all.
+// Access allows a client account to use a model. An empty list allows all versions or
+// adapters.
 type Access struct {
 	Account  string   `json:"account"`
 	Model    string   `json:"model"`
@@ -57,19 +60,19 @@
 	Percent int    `json:"percent"`
 }
 
-// Traffic splits a model's traffic over its versions.
+// Traffic splits a model's requests between its versions.
 type Traffic struct {
 	Model    string   `json:"model"`
 	Weights  []Weight `json:"weights"`
-	Priority string   `json:"priority"` // default class: batch or interactive
-	// Previous is the split in force before, set by Apply: it is used for
-	// versions that no backend server serves yet.
+	Priority string   `json:"priority"` // default priority class: batch or interactive
+	// Previous is the split before this one, set by Apply. It is used while a version
+	// of this one isn't served by any backend server yet.
 	Previous []Weight `json:"previous,omitempty"`
 }
 
-// Effective returns the split to use now. A version that isn't serving yet
-// would get requests that nobody can answer; until it is, its share stays with
-// the split that was in force before.
+// Effective returns the split to use now. Requests for a version that isn't served yet
+// could not be answered, so the previous split stays in use until all versions with a
+// share are served.
 func (t Traffic) Effective(serving func(fleet.ModelRef) bool) []Weight {
 	out := make([]Weight, 0, len(t.Weights))
 	for _, w := range t.Weights {
@@ -88,13 +91,13 @@
 	return fleet.ModelRef{Model: t.Model, Version: w.Version, Adapter: w.Adapter}
 }
 
-// VMIntent says whether a VM shall leave.
+// VMIntent is an operator's decision whether a VM is to leave the fleet.
 type VMIntent struct {
 	VM      string `json:"vm"`
 	Leaving bool   `json:"leaving"`
 }
 
-// Placement is what one backend server shall have loaded.
+// Placement is the set of model versions that one backend server is to have loaded.
 type Placement struct {
 	Backend string           `json:"backend"`
 	Desired []fleet.ModelRef `json:"desired"`
@@ -106,7 +109,7 @@
 	return (&State{}).filled()
 }
 
-// filled replaces nil maps, which decoding leaves behind.
+// filled replaces nil maps, which decoding produces for absent ones, by empty maps.
 func (s *State) filled() *State {
 	s.Accounts = orEmpty(s.Accounts)
 	s.Access = orEmpty(s.Access)
@@ -143,10 +146,10 @@
 	if !ok {
 		return false
 	}
-	return listed(a.Versions, ref.Version) && (ref.Adapter == "" || listed(a.Adapters, ref.Adapter))
+	return allowedBy(a.Versions, ref.Version) && (ref.Adapter == "" || allowedBy(a.Adapters, ref.Adapter))
 }
 
-func listed(list []string, v string) bool {
+func allowedBy(list []string, v string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -158,5 +161,5 @@
 	return false
 }
 
-// Leaving reports whether an operator has said that a VM shall leave.
+// Leaving reports whether an operator has decided that a VM is to leave the fleet.
 func (s *State) Leaving(vm string) bool { return s.VMs[vm].Leaving }
--- a/intent/waves.go
+++ b/intent/waves.go
@@ -8,37 +8,37 @@
 	"wigeondale/fleet"
 )
 
-// WaveSeconds is how long one wave may draw on the weight store.
+// WaveSeconds is how long the loads of one wave may read from the weight store.
 const WaveSeconds = 60
 
-// placements derives the loads that moved traffic needs: for each version that
-// gets a share, as many replicas as its share of the model's replicas.
-func placements(s *State, view FleetView, changes []Change) []Change {
+// derivePlacements derives the loads that a new traffic split needs. Each version with
+// a share gets the same share of the model's replicas, rounded up, and at least one.
+func derivePlacements(s *State, view FleetView, changes []Change) []Change {
 	after := s.clone()
 	after.Revision++
 	for _, c := range changes {
-		after.change(c)
+		after.applyChange(c)
 	}
-	chosen := map[string]Placement{}
+	placements := map[string]Placement{}
 	for _, c := range changes {
 		if c.Kind == KindTraffic && c.Op == Set {
-			place(after, view, *c.Traffic, chosen)
+			assignReplicas(after, view, *c.Traffic, placements)
 		}
 	}
 	for _, c := range changes {
 		if c.Kind == KindPlacement {
-			delete(chosen, c.Placement.Backend)
+			delete(placements, c.Placement.Backend)
 		}
 	}
 	var out []Change
-	for _, p := range chosen {
+	for _, p := range placements {
 		out = append(out, Change{Kind: KindPlacement, Op: Set, Placement: &p})
 	}
 	slices.SortFunc(out, func(a, b Change) int { return cmp.Compare(a.Object(), b.Object()) })
 	return out
 }
 
-func place(after *State, view FleetView, t Traffic, chosen map[string]Placement) {
+func assignReplicas(after *State, view FleetView, t Traffic, placements map[string]Placement) {
 	hosts := hostsOf(after, view, t.Model)
 	for _, w := range t.Weights {
 		if w.Percent == 0 {
@@ -46,7 +46,7 @@
 		}
 		want := max(1, (len(hosts)*w.Percent+99)/100)
 		for _, b := range hosts {
-			if slices.Contains(held(after, view, b.ID), t.ref(w)) {
+			if slices.Contains(desiredOrServed(after, view, b.ID), t.ref(w)) {
 				want--
 			}
 		}
@@ -54,21 +54,22 @@
 			if want <= 0 {
 				break
 			}
-			have := held(after, view, b.ID)
+			have := desiredOrServed(after, view, b.ID)
 			if slices.Contains(have, t.ref(w)) {
 				continue
 			}
-			p := Placement{Backend: b.ID, Desired: kept(t, have), Role: after.Placement[b.ID].Role}
+			p := Placement{Backend: b.ID, Desired: withoutRetired(t, have), Role: after.Placement[b.ID].Role}
 			p.Desired = append(p.Desired, t.ref(w))
 			after.Placement[b.ID] = p
-			chosen[b.ID] = p
+			placements[b.ID] = p
 			want--
 		}
 	}
 }
 
-// kept drops versions of the model that get no traffic any more.
-func kept(t Traffic, have []fleet.ModelRef) []fleet.ModelRef {
+// withoutRetired returns the versions in have, without versions of the model that no
+// longer get traffic.
+func withoutRetired(t Traffic, have []fleet.ModelRef) []fleet.ModelRef {
 	var out []fleet.ModelRef
 	for _, ref := range have {
 		serves := func(w Weight) bool { return t.ref(w) == ref && w.Percent > 0 }
@@ -79,8 +80,8 @@
 	return out
 }
 
-// hostsOf lists staying engines that hold any version of a model, so ordered
-// that neighbours lie in different failure domains.
+// hostsOf returns the engines that don't leave and have, or are to have, any version of
+// a model, in an order in which neighbours are in different failure domains.
 func hostsOf(s *State, view FleetView, model string) []fleet.Backend {
 	byDomain := map[string]int{}
 	type ranked struct {
@@ -93,7 +94,7 @@
 			continue
 		}
 		has := func(r fleet.ModelRef) bool { return r.Model == model }
-		if !slices.ContainsFunc(held(s, view, b.ID), has) {
+		if !slices.ContainsFunc(desiredOrServed(s, view, b.ID), has) {
 			continue
 		}
 		list = append(list, ranked{b, byDomain[b.FailureDomain]})
@@ -107,7 +108,7 @@
 	return out
 }
 
-// addLoads lists what the plan's placements have to load, in waves.
+// addLoads adds the loads that the plan's placements require, grouped in waves.
 func (p *Plan) addLoads(after *State, view FleetView) {
 	var loads []Load
 	for _, c := range p.Changes {
@@ -144,33 +145,32 @@
 	}
 }
 
-func unknownIn(w Wave) bool {
+func hasUnknownSize(w Wave) bool {
 	return slices.ContainsFunc(w.Loads, func(l Load) bool { return l.Bytes <= 0 })
 }
 
-// Waves groups loads. A wave draws on the weight store for no longer than
-// WaveSeconds at its rate (bytes per second; none known means no bound), and
-// touches no more than half of the hosts, so that the others keep the old
-// versions' capacity. A load that is larger by itself, or whose size
-// isn't known, gets a wave of its own.
+// Waves groups loads. The loads of one wave read from the weight store for at most
+// WaveSeconds at its rate (bytes per second; 0 means no bound), and use at most half of
+// the hosts, so that the others keep serving the old versions. A load that alone is
+// larger, or whose size is unknown, gets a wave of its own.
 func Waves(loads []Load, rate int64, hosts int) []Wave {
-	most := max(1, hosts/2)
+	maxHosts := max(1, hosts/2)
 	var waves []Wave
 	var w Wave
-	busy := map[string]bool{}
+	hostsInWave := map[string]bool{}
 	for _, l := range loads {
-		// A load of unknown size may be as large as the whole budget.
-		unknown := l.Bytes <= 0 || unknownIn(w)
+		// A load of unknown size may be as large as the budget of the wave.
+		unknown := l.Bytes <= 0 || hasUnknownSize(w)
 		full := rate > 0 && (unknown || w.Bytes+l.Bytes > rate*WaveSeconds)
-		crowded := !busy[l.Backend] && len(busy) >= most
-		if len(w.Loads) > 0 && (full || crowded) {
+		tooManyHosts := !hostsInWave[l.Backend] && len(hostsInWave) >= maxHosts
+		if len(w.Loads) > 0 && (full || tooManyHosts) {
 			waves = append(waves, w)
 			w = Wave{}
-			clear(busy)
+			clear(hostsInWave)
 		}
 		w.Loads = append(w.Loads, l)
 		w.Bytes += l.Bytes
-		busy[l.Backend] = true
+		hostsInWave[l.Backend] = true
 		if rate > 0 {
 			w.Seconds = float64(w.Bytes) / float64(rate)
 		}
