--- a/order/backends.go
+++ b/order/backends.go
@@ -8,15 +8,15 @@
 	"wigeondale/fleet"
 )
 
-// NewBackends lets an Executor use the client of the backend servers.
-func NewBackends(c *backend.Client) Backends { return engines{c} }
+// NewBackends returns Backends that use the client of the backend servers.
+func NewBackends(c *backend.Client) Backends { return backendsClient{c} }
 
-type engines struct {
+type backendsClient struct {
 	client *backend.Client
 }
 
 // Order implements Backends.
-func (e engines) Order(ctx context.Context, b fleet.Backend, o Order) (Status, error) {
+func (e backendsClient) Order(ctx context.Context, b fleet.Backend, o Order) (Status, error) {
 	st, err := e.client.Order(ctx, b, backend.OrderRequest{
 		Fence:   o.Fence,
 		Plan:    o.Plan,
@@ -31,7 +31,7 @@
 }
 
 // Status implements Backends.
-func (e engines) Status(ctx context.Context, b fleet.Backend) (Status, error) {
+func (e backendsClient) Status(ctx context.Context, b fleet.Backend) (Status, error) {
 	st, err := e.client.OrderStatus(ctx, b)
 	if err != nil {
 		return Status{}, Error.Wrap(err)
--- a/order/executor.go
+++ b/order/executor.go
@@ -20,23 +20,25 @@
 //go:embed executor.json
 var executorChart []byte
 
-// parallelCalls bounds the calls to backend servers under way at once.
+// parallelCalls bounds the concurrent calls to backend servers.
 const parallelCalls = 16
 
-// Config is what an Executor uses.
+// Config configures an Executor.
 type Config struct {
 	Lease    Lease
 	Backends Backends
 	State    func() *intent.State
 	Fresh    func() bool            // whether State may be acted on
 	List     func() []fleet.Backend // the backend servers
-	// Sizes returns the weights' bytes by ModelRef.String(), of all placements.
+	// Sizes returns the size in bytes of the weights of all placements, by
+	// ModelRef.String().
 	Sizes func(context.Context) map[string]int64
-	// Candidate says whether this router should try for the lease; nil means yes.
-	// A few candidates are enough, and each costs the service a read per try.
+	// Candidate reports whether this router should try to acquire the lease; nil means
+	// yes. A few candidates are enough, and each try costs the service one read.
 	Candidate func() bool
-	// Incarnation returns an engine's incarnation by its last load report, or "";
-	// nil means that none is known. A new one has the engine asked at once.
+	// Incarnation returns an engine's incarnation from its last load report, or ""; nil
+	// means that none is known. An engine with a new incarnation is queried
+	// immediately.
 	Incarnation func(id string) string
 	Random      func() float64 // 0 to 1, for jitter; nil means none
 	Policy      Policy
@@ -44,28 +46,28 @@
 	Metrics     *metrics.Set
 }
 
-// Executor gives orders while this router holds the lease.
+// Executor sends orders while this router holds the lease.
 type Executor struct {
 	cfg Config
 
-	// Used by the goroutine that keeps the lease.
-	machine *chart.Machine
-	held    Held
-	nextTry time.Time // for the lease
+	// Used only by the goroutine that acquires and renews the lease.
+	machine   *chart.Machine
+	heldLease Held
+	nextTry   time.Time // earliest time of the next try to acquire the lease
 
-	// Used by the goroutine that gives orders.
+	// Used only by the goroutine that sends orders.
 	progress   Progress
 	schedule   *Schedule
-	progressOf uint64 // the fence of the tenure that both belong to
+	progressOf uint64 // fencing number of the tenure that progress and schedule belong to
 
 	mu     sync.Mutex
-	tenure *Tenure // nil while the lease isn't held
-	rounds uint64  // begun since the start of the process
+	tenure *Tenure // nil while this router doesn't hold the lease
+	rounds uint64  // rounds started since the process started
 
 	sent, failed *metrics.Counter
 }
 
-// New returns an Executor; it does nothing until Run.
+// New returns an Executor, which does nothing until Run is called.
 func New(cfg Config) (*Executor, error) {
 	c, err := chart.Load(executorChart)
 	if err != nil {
@@ -92,19 +94,20 @@
 	}, nil
 }
 
-// Run gives orders until ctx ends, then gives the lease up. The lease is kept
-// by a goroutine of its own: a round may wait long for engines that don't
-// answer, and a lease that lapsed over that would cost the wait of a new tenure.
+// Run sends orders until ctx ends, then gives the lease up. A goroutine of its own
+// renews the lease: a round may wait long for engines that don't answer, and if the
+// lease expired in the meantime, the next tenure would have to wait before its first
+// orders.
 func (e *Executor) Run(ctx context.Context) error {
 	var g errgroup.Group
-	g.Go(func() error { return e.every(ctx, e.keepLease) })
-	g.Go(func() error { return e.every(ctx, e.round) })
+	g.Go(func() error { return e.runEvery(ctx, e.keepLease) })
+	g.Go(func() error { return e.runEvery(ctx, e.round) })
 	err := g.Wait()
 	e.stop()
 	return err
 }
 
-func (e *Executor) every(ctx context.Context, f func(context.Context)) error {
+func (e *Executor) runEvery(ctx context.Context, f func(context.Context)) error {
 	t := time.NewTicker(e.cfg.Policy.Interval)
 	defer t.Stop()
 	for {
@@ -117,7 +120,7 @@
 	}
 }
 
-// Dump tells the state for the dump of the process.
+// Dump returns the state for the state dump of the process.
 func (e *Executor) Dump() any {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,18 +132,18 @@
 		Rounds  uint64    `json:"rounds"`
 	}{Holding: e.tenure != nil, Rounds: e.rounds}
 	if e.tenure != nil {
-		d.Fence, d.Until, d.Quiet = e.tenure.Fence, e.tenure.until, e.tenure.quiet
+		d.Fence, d.Until, d.Quiet = e.tenure.Fence, e.tenure.validUntil, e.tenure.quietUntil
 	}
 	return d
 }
 
-// keepLease tries for the lease or keeps it.
+// keepLease tries to acquire the lease, or renews it.
 func (e *Executor) keepLease(ctx context.Context) {
-	if !e.holding() && e.mayTry(time.Now()) {
+	if !e.holding() && e.mayAcquire(time.Now()) {
 		e.acquire(ctx)
 	}
 	if e.holding() {
-		e.keep(ctx)
+		e.renewLease(ctx)
 	}
 }
 
@@ -158,8 +161,9 @@
 	return ok
 }
 
-// mayTry spaces the tries for the lease, so that waiting routers cost little.
-func (e *Executor) mayTry(now time.Time) bool {
+// mayAcquire limits the rate of tries to acquire the lease, so that waiting routers
+// cost little.
+func (e *Executor) mayAcquire(now time.Time) bool {
 	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.Fresh() {
 		return false
 	}
@@ -169,7 +173,7 @@
 }
 
 func (e *Executor) acquire(ctx context.Context) {
-	asked := time.Now()
+	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Policy.OrderDeadline)
 	defer cancel()
 	h, ok, err := e.cfg.Lease.Acquire(ctx, e.cfg.Policy.TTL)
@@ -177,70 +181,71 @@
 		return
 	}
 	e.mu.Lock()
-	e.held = h
-	e.tenure = Begin(e.cfg.Policy, h.Fence, asked, time.Now())
+	e.heldLease = h
+	e.tenure = Begin(e.cfg.Policy, h.Fence, startedAt, time.Now())
 	e.mu.Unlock()
-	e.fire("acquired")
+	e.fireChartEvent("acquired")
 	e.cfg.Events.Emit(event.OrderLeaseHeld, "fence", h.Fence)
 }
 
-// keep renews the lease in time and ends the tenure when that fails.
-func (e *Executor) keep(ctx context.Context) {
-	asked := time.Now()
+// renewLease renews the lease when that is due, and ends the tenure when the lease is
+// lost.
+func (e *Executor) renewLease(ctx context.Context) {
+	startedAt := time.Now()
 	e.mu.Lock()
 	t := *e.tenure
 	e.mu.Unlock()
-	if t.Lapsed(asked) {
-		e.lost("it lapsed by this node's clock")
+	if t.Lapsed(startedAt) {
+		e.endTenure("the lease expired by this node's clock")
 		return
 	}
-	if e.machine.State() == "quiet" && !t.Quiet(asked) {
-		e.fire("quiet-over")
+	if e.machine.State() == "quiet" && !t.Quiet(startedAt) {
+		e.fireChartEvent("quiet-over")
 	}
-	if !t.RenewDue(asked) {
+	if !t.RenewDue(startedAt) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, t.Until())
 	defer cancel()
-	err := e.cfg.Lease.Renew(ctx, e.held)
+	err := e.cfg.Lease.Renew(ctx, e.heldLease)
 	if errors.Is(err, ErrLeaseLost) {
-		e.lost("the service no longer has it")
+		e.endTenure("the service no longer has the lease")
 		return
 	}
 	if err == nil {
 		e.mu.Lock()
-		e.tenure.Renewed(asked)
+		e.tenure.Renewed(startedAt)
 		e.mu.Unlock()
 	}
 }
 
-func (e *Executor) lost(why string) {
+func (e *Executor) endTenure(reason string) {
 	e.mu.Lock()
 	fence := e.tenure.Fence
 	e.tenure = nil
 	e.mu.Unlock()
-	e.fire("lapsed")
-	e.cfg.Events.Emit(event.OrderLeaseLost, "fence", fence, "reason", why)
+	e.fireChartEvent("lapsed")
+	e.cfg.Events.Emit(event.OrderLeaseLost, "fence", fence, "reason", reason)
 }
 
 func (e *Executor) stop() {
 	e.mu.Lock()
-	held := e.tenure != nil
+	wasHeld := e.tenure != nil
 	e.tenure = nil
 	e.mu.Unlock()
-	e.fire("stop")
-	if !held {
+	e.fireChartEvent("stop")
+	if !wasHeld {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.cfg.Policy.OrderDeadline)
 	defer cancel()
-	// A lease that can't be given up lapses by itself.
-	_ = e.cfg.Lease.Release(ctx, e.held)
+	// A lease that can't be given up expires by itself.
+	_ = e.cfg.Lease.Release(ctx, e.heldLease)
 }
 
-// fire moves the state chart. One that doesn't allow the event is a fault of
-// this package; the tenure, not the chart, guards the orders.
-func (e *Executor) fire(name string) {
+// fireChartEvent moves the state chart. An event that the chart doesn't allow is a bug
+// in this package; the orders themselves are guarded by the tenure, not by the chart.
+func (e *Executor) fireChartEvent(name string) {
 	if err := e.machine.Fire(name); err != nil {
 		e.cfg.Events.Emit(event.OrderFailed, "error", err)
 	}
@@ -258,8 +263,8 @@
 	_ = g.Wait()
 }
 
-// sendOne asks the tenure again right before the order leaves, since this
-// process may have been paused since the round began.
+// sendOne checks the tenure again directly before it sends the order, because this
+// process may have been paused since the round started.
 func (e *Executor) sendOne(ctx context.Context, s Step) {
 	deadline, fence, ok := e.permit(s.Backend)
 	if !ok {
@@ -288,7 +293,8 @@
 	e.cfg.Events.Emit(event.OrderSent, "backend", s.Backend.ID, "fence", fence, "plan", s.Order.Plan, "desired", fmt.Sprint(s.Order.Desired))
 }
 
-// permit asks the tenure whether an order may leave now, and until when.
+// permit reports whether an order may be sent now, with its deadline and fencing
+// number.
 func (e *Executor) permit(b fleet.Backend) (time.Time, uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/lease.go
+++ b/order/lease.go
@@ -8,7 +8,7 @@
 	"wigeondale/infra"
 )
 
-// LeaseKey is the key that the holder's lease is attached to, below a prefix.
+// LeaseKey is the key, after a prefix, to which the holder's lease is attached.
 const LeaseKey = "lease"
 
 // kvLease is a Lease in the key-value service.
@@ -18,13 +18,14 @@
 	node string
 }
 
-// NewLease returns the lease for orders under a key prefix of the service.
+// NewLease returns the lease for orders, whose key starts with prefix.
 func NewLease(kv infra.KV, prefix, node string) Lease {
 	return &kvLease{kv: kv, key: prefix + LeaseKey, node: node}
 }
 
-// Acquire implements Lease. A create whose answer is lost isn't settled: the
-// key then goes with its lease, which nobody renews, and someone acquires anew.
+// Acquire implements Lease. When the response to a create is lost, the outcome isn't
+// determined: no router renews that lease, the service deletes the key when it expires,
+// and a router acquires it again.
 func (l *kvLease) Acquire(ctx context.Context, ttl time.Duration) (Held, bool, error) {
 	_, taken, err := l.kv.Get(ctx, l.key)
 	if err != nil || taken {
@@ -36,15 +37,15 @@
 	}
 	created, v, err := l.kv.CreateWithLease(ctx, l.key, []byte(l.node), id)
 	if err != nil || !created {
-		// Best effort: the lease lapses by itself.
+		// Failure is ignored: the lease expires by itself.
 		_ = l.kv.Revoke(ctx, id)
 		return Held{}, false, Error.Wrap(err)
 	}
 	return Held{Fence: uint64(v.CreateRev), ID: int64(id), TTL: ttl}, true, nil
 }
 
-// Renew implements Lease. The key is looked at too: without it the lease
-// protects nothing, and another node may have created it anew.
+// Renew implements Lease. It also reads the key: without the key the lease protects
+// nothing, and another node may have created the key again.
 func (l *kvLease) Renew(ctx context.Context, h Held) error {
 	left, err := l.kv.KeepAlive(ctx, infra.LeaseID(h.ID))
 	if errors.Is(err, infra.ErrLeaseNotFound) || (err == nil && left <= 0) {
--- a/order/lease_test.go
+++ b/order/lease_test.go
@@ -11,9 +11,9 @@
 	"wigeondale/infra"
 )
 
-// Symptom: two routers give orders. Sequence: one's lease is gone at the
-// service, another takes it over, and the first renews. Cause: renewing without
-// looking whose the key is, or a fencing number that doesn't grow.
+// Guards against two routers that send orders at the same time. The service loses the
+// lease of one, the other takes it over, and the first one renews. Renewing must check
+// who holds the key, and the fencing number must grow.
 func TestLeaseAgainstTheService(t *testing.T) {
 	srv := kv.New("127.0.0.1:0")
 	if err := srv.Start(); err != nil {
@@ -33,7 +33,8 @@
 	if err := one.Renew(ctx, first); err != nil {
 		t.Fatal(err)
 	}
-	// The key goes but the lease lives on, as when an operator deletes the key.
+	// The key is deleted but the lease still exists, as when an operator deletes the
+	// key.
 	if err := store.Delete(ctx, "p/"+LeaseKey); err != nil {
 		t.Fatal(err)
 	}
--- a/order/next.go
+++ b/order/next.go
@@ -9,11 +9,11 @@
 	"wigeondale/intent"
 )
 
-// View is what one round sees of the fleet.
+// View is the state of the fleet that one round works with.
 type View struct {
 	Backends []fleet.Backend
-	Status   map[string]Status // by backend server; those that didn't answer are absent
-	Weights  map[string]int64  // bytes by ModelRef.String()
+	Status   map[string]Status // by backend server id; those that didn't answer are absent
+	Weights  map[string]int64  // size in bytes, by ModelRef.String()
 }
 
 // Step is an order for one backend server.
@@ -22,14 +22,15 @@
 	Order   Order
 }
 
-// Progress remembers since when each model's new versions are all serving.
+// Progress records since when all new versions of each model are served.
 type Progress struct {
 	since map[string]time.Time
 }
 
-// Next decides the orders of one round. It sends a backend server the whole of
-// what it shall have now: what it has and may keep, and the loads of the current
-// wave. Backend servers that already have that as their desired state get none.
+// Next returns the orders of one round. An order contains the complete set of versions
+// that the backend server is to have now: those it has and may keep, and the loads of
+// the current wave. A backend server whose desired state is already the same gets no
+// order.
 func Next(s *intent.State, v View, p Policy, progress *Progress, now time.Time) []Step {
 	progress.update(s, v, now)
 	wave := currentWave(s, v, p)
@@ -40,11 +41,11 @@
 			continue
 		}
 		o := Order{Plan: fmt.Sprintf("r-%d", s.Revision), Role: role(s, b, status)}
-		// Leaving is never taken back: an engine that is going away by its own
-		// word would be sent new work that it is about to cut.
+		// Leaving is never revoked: an engine that is shutting down by its own decision
+		// would get new requests that it is about to abort.
 		o.Leaving = status.Leaving || s.Leaving(b.VM)
-		o.Desired = desiredNow(s, b, status, wave[b.ID], progress.settled(p, now))
-		if agrees(s, b, o, status) {
+		o.Desired = desiredNow(s, b, status, wave[b.ID], progress.unloadAllowed(p, now))
+		if orderInEffect(s, b, o, status) {
 			continue
 		}
 		steps = append(steps, Step{Backend: b, Order: o})
@@ -52,8 +53,8 @@
 	return steps
 }
 
-// agrees reports whether b already does what the order would say.
-func agrees(s *intent.State, b fleet.Backend, o Order, st Status) bool {
+// orderInEffect reports whether b already is in the state that the order would ask for.
+func orderInEffect(s *intent.State, b fleet.Backend, o Order, st Status) bool {
 	if o.Leaving != st.Leaving || (st.Role != "" && o.Role != st.Role) {
 		return false
 	}
@@ -71,16 +72,17 @@
 	return "both"
 }
 
-// desiredNow is what b shall have now. An old version stays until every backend
-// server that shall get a version of that model serves it, and a grace beyond.
-func desiredNow(s *intent.State, b fleet.Backend, st Status, loads []fleet.ModelRef, settled func(string) bool) []fleet.ModelRef {
+// desiredNow returns the versions that b is to have now. An old version stays until
+// every backend server that is to get a version of that model serves it, and for
+// UnloadGrace after that.
+func desiredNow(s *intent.State, b fleet.Backend, st Status, loads []fleet.ModelRef, mayUnload func(string) bool) []fleet.ModelRef {
 	placement, placed := s.Placement[b.ID]
 	if !placed {
 		return st.Actual
 	}
 	var out []fleet.ModelRef
 	for _, ref := range st.Actual {
-		if slices.Contains(placement.Desired, ref) || !settled(ref.Model) {
+		if slices.Contains(placement.Desired, ref) || !mayUnload(ref.Model) {
 			out = append(out, ref)
 		}
 	}
@@ -93,8 +95,8 @@
 	return out
 }
 
-// currentWave picks the loads to be under way: those that are, and as many more
-// as the weight store's budget for one wave allows.
+// currentWave returns the loads that should be running: those that already are, and as
+// many more as the weight store's budget for one wave allows.
 func currentWave(s *intent.State, v View, p Policy) map[string][]fleet.ModelRef {
 	running, waiting, hosts := missingLoads(s, v)
 	out := map[string][]fleet.ModelRef{}
@@ -112,8 +114,8 @@
 	return out
 }
 
-// missingLoads returns the loads under way, those not begun, and how many
-// engines answered.
+// missingLoads returns the running loads, those not started, and the number of engines
+// that answered.
 func missingLoads(s *intent.State, v View) (running, waiting []intent.Load, hosts int) {
 	for _, b := range v.Backends {
 		st, ok := v.Status[b.ID]
@@ -136,8 +138,8 @@
 	return running, waiting, hosts
 }
 
-// update notes since when each model has all its placed versions serving. A
-// backend server that doesn't answer counts as not serving, unless it leaves.
+// update records since when all placed versions of each model are served. A backend
+// server that doesn't answer counts as not serving, unless it is leaving.
 func (p *Progress) update(s *intent.State, v View, now time.Time) {
 	if p.since == nil {
 		p.since = map[string]time.Time{}
@@ -167,8 +169,9 @@
 	}
 }
 
-// settled returns whether a model's old versions may be unloaded.
-func (p *Progress) settled(policy Policy, now time.Time) func(model string) bool {
+// unloadAllowed returns a function that reports whether a model's old versions may be
+// unloaded.
+func (p *Progress) unloadAllowed(policy Policy, now time.Time) func(model string) bool {
 	return func(model string) bool {
 		since, ok := p.since[model]
 		return ok && now.Sub(since) >= policy.UnloadGrace
--- a/order/next_test.go
+++ b/order/next_test.go
@@ -17,17 +17,18 @@
 	v2 = fleet.ModelRef{Model: "m", Version: "v2"}
 )
 
-// fleetOf is engines that obey, one load each Tick; it checks what it is told.
-type fleetOf struct {
-	mu      sync.Mutex
-	list    []fleet.Backend
-	status  map[string]Status
-	loading int // most loads ever under way at once
-	calls   int
+// fakeFleet is a set of engines that follow orders; a test completes their loads. It
+// records the orders it gets.
+type fakeFleet struct {
+	mu         sync.Mutex
+	list       []fleet.Backend
+	status     map[string]Status
+	maxLoading int // maximum number of concurrent loads so far
+	calls      int
 }
 
-func newFleet(ids ...string) *fleetOf {
-	f := &fleetOf{status: map[string]Status{}}
+func newFleet(ids ...string) *fakeFleet {
+	f := &fakeFleet{status: map[string]Status{}}
 	for _, id := range ids {
 		f.list = append(f.list, fleet.Backend{ID: id, VM: "vm-" + id, Kind: fleet.Engine})
 		f.status[id] = Status{Desired: []fleet.ModelRef{v1}, Actual: []fleet.ModelRef{v1}}
@@ -35,13 +36,13 @@
 	return f
 }
 
-func (f *fleetOf) Status(_ context.Context, b fleet.Backend) (Status, error) {
+func (f *fakeFleet) Status(_ context.Context, b fleet.Backend) (Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status[b.ID], nil
 }
 
-func (f *fleetOf) Order(_ context.Context, b fleet.Backend, o Order) (Status, error) {
+func (f *fakeFleet) Order(_ context.Context, b fleet.Backend, o Order) (Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls++
@@ -55,16 +56,16 @@
 		}
 	}
 	f.status[b.ID] = st
-	under := 0
+	loading := 0
 	for _, s := range f.status {
-		under += len(s.Loading)
+		loading += len(s.Loading)
 	}
-	f.loading = max(f.loading, under)
+	f.maxLoading = max(f.maxLoading, loading)
 	return st, nil
 }
 
-// loaded ends the loads under way.
-func (f *fleetOf) loaded() {
+// completeLoads completes all running loads.
+func (f *fakeFleet) completeLoads() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, st := range f.status {
@@ -74,7 +75,7 @@
 	}
 }
 
-func (f *fleetOf) serving(ref fleet.ModelRef) int {
+func (f *fakeFleet) serving(ref fleet.ModelRef) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
@@ -94,9 +95,9 @@
 func (freeLease) Renew(context.Context, Held) error   { return nil }
 func (freeLease) Release(context.Context, Held) error { return nil }
 
-// Symptom: a model has no replica while its new version loads, or the weight
-// store is asked for more than its rate. Sequence: a plan replaces v1 by v2 on
-// four engines. Cause: ordering all at once, or unloading v1 as v2 is ordered.
+// Guards against a model without a replica while its new version loads, and against
+// requests beyond the weight store's rate. A plan replaces v1 by v2 on four engines;
+// ordering all loads at once, or unloading v1 when v2 is ordered, would cause it.
 func TestWavesKeepOldVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c", "d")
@@ -128,10 +129,10 @@
 			if f.serving(v1) < 4 && f.serving(v2) < 4 {
 				t.Fatalf("%d engines serve v1 and %d serve v2", f.serving(v1), f.serving(v2))
 			}
-			f.loaded()
+			f.completeLoads()
 		}
-		if f.serving(v1) != 0 || f.serving(v2) != 4 || f.loading != 1 {
-			t.Fatalf("v1 on %d, v2 on %d engines, at most %d loads at once; want 0, 4, 1", f.serving(v1), f.serving(v2), f.loading)
+		if f.serving(v1) != 0 || f.serving(v2) != 4 || f.maxLoading != 1 {
+			t.Fatalf("v1 on %d, v2 on %d engines, at most %d loads at once; want 0, 4, 1", f.serving(v1), f.serving(v2), f.maxLoading)
 		}
 		cancel()
 		if err := <-done; err != nil {
@@ -143,7 +144,7 @@
 func TestLeavingIsNotTakenBack(t *testing.T) {
 	f := newFleet("a", "b")
 	st := f.status["b"]
-	st.Leaving = true // by its own word
+	st.Leaving = true // decided by the engine itself
 	f.status["b"] = st
 	state := intent.NewState()
 	state.VMs["vm-a"] = intent.VMIntent{VM: "vm-a", Leaving: true}
--- a/order/order.go
+++ b/order/order.go
@@ -1,17 +1,18 @@
-// Package order drives backend servers to the placement of the desired state.
-// One router at a time gives orders: the holder of a lease in the key-value
-// service. Its fencing number is the create revision of the lease's key, so it
-// grows with each holder.
+// Package order brings backend servers to the placement in the desired state. One
+// router at a time sends orders: the holder of a lease in the key-value service. Its
+// fencing number is the create revision of the lease's key, so each new holder has a
+// higher one.
 //
-// The failure guarded against: a holder is paused, its lease lapses, another
-// takes over, and the first wakes and sends an order of an old plan. Seen from
-// outside, an engine unloads a version that traffic has just been moved to.
-// Backend servers that check the fencing number refuse it. For the others, each
-// order ends well inside the lease by the holder's own clock, looked at right
-// before the order is sent, and a new holder waits out a whole lease and an
-// order's deadline before its first one. A pause that falls between that look
-// and the write itself can't be excluded by any clock; therefore orders state
-// the whole desired state and are read back and repeated until they agree.
+// The package guards against this failure: a holder is paused, its lease expires,
+// another router takes over, and the first one resumes and sends an order of an old
+// plan, which makes an engine unload a version that traffic has just moved to. Backend
+// servers that check the fencing number reject such an order. For the others, each
+// order must end well before the lease does by the holder's own clock, which is checked
+// directly before the order is sent; and a new holder waits for the duration of a whole
+// lease plus the deadline of an order before it sends its first order to them. A pause
+// between that check and the write to the connection can't be excluded by any clock.
+// Therefore an order states the complete desired state, and orders are read back and
+// repeated until the backend server agrees.
 package order
 
 import (
@@ -33,33 +34,33 @@
 // ErrStale means that a backend server has seen a higher fencing number.
 var ErrStale = errors.New("fencing number is stale")
 
-// Order is the whole state that one backend server shall come to.
+// Order is the complete state that one backend server is to reach.
 type Order struct {
 	Fence   uint64
-	Plan    string // names the revision that the order follows
+	Plan    string // identifies the revision that the order follows
 	Desired []fleet.ModelRef
 	Role    string
 	Leaving bool
 }
 
-// Status is what a backend server says of its orders.
+// Status is a backend server's report on its orders.
 type Status struct {
 	Fence   uint64
-	Desired []fleet.ModelRef // of the last order
+	Desired []fleet.ModelRef // of the last order it received
 	Actual  []fleet.ModelRef // serving
 	Loading []fleet.ModelRef
 	Leaving bool
 	Role    string
 }
 
-// Backends sends orders. Order must not send again by itself, and must end
-// when ctx does.
+// Backends sends orders to backend servers. Order must not repeat the call by itself,
+// and must return when ctx ends.
 type Backends interface {
 	Order(ctx context.Context, b fleet.Backend, o Order) (Status, error)
 	Status(ctx context.Context, b fleet.Backend) (Status, error)
 }
 
-// Held is a lease that was acquired.
+// Held is an acquired lease.
 type Held struct {
 	Fence uint64
 	ID    int64
@@ -68,11 +69,12 @@
 
 // Lease is the lease for orders in the key-value service.
 type Lease interface {
-	// Acquire takes the lease if it is free; ok is false when another holds it.
+	// Acquire takes the lease if it is free; ok is false if another router holds it.
 	Acquire(ctx context.Context, ttl time.Duration) (h Held, ok bool, err error)
-	// Renew prolongs it. ErrLeaseLost means that it has lapsed.
+	// Renew extends the lease. ErrLeaseLost means that it has expired or isn't held any
+	// more.
 	Renew(ctx context.Context, h Held) error
-	// Release gives it up.
+	// Release gives the lease up.
 	Release(ctx context.Context, h Held) error
 }
 
@@ -84,17 +86,17 @@
 	DefaultUnloadGrace   = 30 * time.Second
 )
 
-// Policy holds the times and budgets of giving orders. Zero values take the
+// Policy holds the durations and budgets for sending orders. Zero values mean the
 // defaults.
 type Policy struct {
-	TTL           time.Duration // of the lease
-	OrderDeadline time.Duration // of one order
+	TTL           time.Duration // duration of the lease
+	OrderDeadline time.Duration // time limit of one order
 	Interval      time.Duration // between rounds
-	UnloadGrace   time.Duration // how long old versions stay after the new are serving
-	WeightRate    int64         // bytes per second of the weight store; 0 means no bound
+	UnloadGrace   time.Duration // how long old versions stay loaded after the new ones are served
+	WeightRate    int64         // bytes per second from the weight store; 0 means no bound
 }
 
-// WithDefaults fills in what is zero.
+// WithDefaults returns p with zero values replaced by the defaults.
 func (p Policy) WithDefaults() Policy {
 	if p.TTL <= 0 {
 		p.TTL = DefaultTTL
@@ -111,5 +113,6 @@
 	return p
 }
 
-// margin is taken off a lease for the drift between two clocks.
+// margin is subtracted from the duration of a lease to allow for drift between two
+// clocks.
 func (p Policy) margin() time.Duration { return p.TTL / 6 }
--- a/order/round.go
+++ b/order/round.go
@@ -11,7 +11,7 @@
 	"wigeondale/intent"
 )
 
-// round gives what orders are due.
+// round sends the orders that are due.
 func (e *Executor) round(ctx context.Context) {
 	fence, ok := e.fence()
 	if !ok || !e.cfg.Fresh() {
@@ -20,7 +20,7 @@
 	e.roundAt(ctx, fence, time.Now())
 }
 
-// roundAt is a round that began at now.
+// roundAt runs a round that started at now.
 func (e *Executor) roundAt(ctx context.Context, fence uint64, now time.Time) {
 	if fence != e.progressOf || e.schedule == nil {
 		e.progress, e.schedule, e.progressOf = Progress{}, NewSchedule(now), fence
@@ -34,7 +34,8 @@
 	e.send(ctx, steps)
 }
 
-// readFleet asks the engines that are due. The others' last answers stand.
+// readFleet queries the engines that are due. For the others it uses their last
+// answers.
 func (e *Executor) readFleet(ctx context.Context, s *intent.State, now time.Time) View {
 	v := View{Backends: e.cfg.List(), Weights: e.sizes(ctx)}
 	for {
@@ -42,13 +43,13 @@
 		if len(due) == 0 {
 			break
 		}
-		e.ask(ctx, due)
+		e.queryStatus(ctx, due)
 	}
 	v.Status = e.schedule.status
 	return v
 }
 
-func (e *Executor) ask(ctx context.Context, due []fleet.Backend) {
+func (e *Executor) queryStatus(ctx context.Context, due []fleet.Backend) {
 	var mu sync.Mutex
 	var g errgroup.Group
 	g.SetLimit(parallelCalls)
@@ -61,7 +62,7 @@
 			defer mu.Unlock()
 			if err != nil {
 				e.schedule.Failed(b.ID)
-				return nil // the schedule has it asked again
+				return nil // the schedule makes it due again
 			}
 			e.schedule.Answered(b.ID, st)
 			return nil
@@ -70,8 +71,8 @@
 	_ = g.Wait()
 }
 
-// sizes asks for no longer than for an order: a slow weight store must not hold
-// up orders that load nothing.
+// sizes waits no longer than the deadline of an order, because a slow weight store must
+// not delay orders that load nothing.
 func (e *Executor) sizes(ctx context.Context) map[string]int64 {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Policy.OrderDeadline)
 	defer cancel()
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -11,50 +11,52 @@
 )
 
 const (
-	// Sweep is the longest time between two questions to an engine that answers.
-	// One that drifted without a sign of it is put right within that and a round.
+	// Sweep is the longest time between two queries of an engine that answers. An
+	// engine that changes without a sign of it is corrected within that time and one
+	// round.
 	Sweep = time.Minute
-	// promptRetries is how many failures in a row are followed by a question in
-	// the very next round; after that the wait doubles, up to Sweep.
+	// promptRetries is the number of consecutive failures after each of which the
+	// engine is queried again in the next round; after that the delay doubles, up to
+	// Sweep.
 	promptRetries = 3
 	firstBackoff  = 2 * time.Second
 )
 
-// Schedule decides which engines a round asks for their status, and keeps the
-// last answers for Next. It does no I/O. It lives for one tenure, so a new
-// holder asks every engine once before its first orders.
+// Schedule decides which engines are queried for their status in a round, and stores
+// the last answers for Next. It does no I/O. A new Schedule is made for each tenure, so
+// a new holder of the lease queries every engine once before its first orders.
 //
-// The failure guarded against: an answer of up to a minute ago is taken for the
-// present. Seen from outside, an old version is unloaded while the new one has
-// just been lost elsewhere. Therefore every engine that has something to do, and
-// all hosts of a model that has an old version to unload, are asked in the same
-// round that decides; only engines that are at their goal are left to the sweep.
+// It guards against using an answer that is up to a minute old as the current status:
+// an old version would be unloaded just after the new one was lost on another engine.
+// Therefore all engines with something to do, and all hosts of a model with an old
+// version to unload, are queried in the same round that decides. Only engines that have
+// reached their goal are queried less often, within Sweep.
 type Schedule struct {
 	start  time.Time
-	known  map[string]*asked
-	status map[string]Status // the last answers; none of those that failed since
+	known  map[string]*queryRecord
+	status map[string]Status // last answers, except those of engines whose query failed since
 }
 
-// asked is what held when an engine was last asked.
-type asked struct {
+// queryRecord is what was known about an engine when it was last queried.
+type queryRecord struct {
 	at          time.Time
 	backend     fleet.Backend
 	placement   intent.Placement
 	leaving     bool
-	incarnation string // "" until one is known
-	failures    int    // in a row
+	incarnation string // "" while none is known
+	failures    int    // consecutive failures
 }
 
-// NewSchedule returns a Schedule that has asked nobody.
+// NewSchedule returns a Schedule that has queried no engine.
 func NewSchedule(now time.Time) *Schedule {
-	return &Schedule{start: now, known: map[string]*asked{}, status: map[string]Status{}}
+	return &Schedule{start: now, known: map[string]*queryRecord{}, status: map[string]Status{}}
 }
 
-// Due returns whom to ask in the round that began at now. Call it again, with
-// the same now, after the answers were noted, until it returns none: an answer
-// may show an old version, whose model's hosts are then due as well.
+// Due returns the engines to query in the round that started at now. The caller records
+// their answers and calls it again with the same now until it returns none: an answer
+// may show an old version, which makes the hosts of that model due as well.
 func (c *Schedule) Due(s *intent.State, list []fleet.Backend, incarnation func(id string) string, now time.Time) []fleet.Backend {
-	c.forget(list)
+	c.removeUnlisted(list)
 	if nothingToDo(s) {
 		return nil
 	}
@@ -64,13 +66,13 @@
 		if b.Kind != fleet.Engine || !c.due(s, b, incarnation(b.ID), unloading, now) {
 			continue
 		}
-		c.note(s, b, incarnation(b.ID), now)
+		c.recordQuery(s, b, incarnation(b.ID), now)
 		due = append(due, b)
 	}
 	return due
 }
 
-// Answered notes the answer of an engine that was due.
+// Answered records the answer of an engine that was due.
 func (c *Schedule) Answered(id string, st Status) {
 	if k, ok := c.known[id]; ok {
 		k.failures = 0
@@ -78,7 +80,7 @@
 	}
 }
 
-// Failed notes that an engine that was due didn't answer.
+// Failed records that an engine that was due didn't answer.
 func (c *Schedule) Failed(id string) {
 	if k, ok := c.known[id]; ok {
 		k.failures++
@@ -100,16 +102,16 @@
 	if k.failures > 0 {
 		return now.Sub(k.at) >= backoff(k.failures)
 	}
-	if unsettled(s, b, c.status[b.ID]) {
+	if hasWork(s, b, c.status[b.ID]) {
 		return true
 	}
 	if hostsAny(s.Placement[b.ID], unloading) {
 		return true
 	}
-	return c.swept(b.ID, k.at, now)
+	return c.sweepDue(b.ID, k.at, now)
 }
 
-func (k *asked) changed(s *intent.State, b fleet.Backend, incarnation string) bool {
+func (k *queryRecord) changed(s *intent.State, b fleet.Backend, incarnation string) bool {
 	if k.backend != b || k.leaving != s.Leaving(b.VM) {
 		return true
 	}
@@ -120,12 +122,12 @@
 	return p.Role != k.placement.Role || !slices.Equal(p.Desired, k.placement.Desired)
 }
 
-// note keeps what is known before the question: what changes while it is under
-// way must count as changed in the next round.
-func (c *Schedule) note(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
+// recordQuery records what is known before the query is sent: what changes while the
+// query is running must count as changed in the next round.
+func (c *Schedule) recordQuery(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
 	k, ok := c.known[b.ID]
 	if !ok {
-		k = &asked{}
+		k = &queryRecord{}
 		c.known[b.ID] = k
 	}
 	k.at, k.backend = now, b
@@ -135,13 +137,13 @@
 	}
 }
 
-// swept reports whether the engine's moment in the sweep has come since it was
-// asked at last. The moments are spread by a hash of the name and never move,
-// so no change of the list can put an engine off.
-func (c *Schedule) swept(id string, last, now time.Time) bool {
+// sweepDue reports whether the engine's time in the periodic sweep has come since it
+// was last queried. These times are distributed by a hash of the engine's id and never
+// move, so no change of the list can delay an engine.
+func (c *Schedule) sweepDue(id string, last, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(id) % uint64(Sweep))
-	turn := func(t time.Time) int64 { return int64((t.Sub(c.start) + Sweep - phase) / Sweep) }
-	return turn(now) > turn(last)
+	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + Sweep - phase) / Sweep) }
+	return sweepNumber(now) > sweepNumber(last)
 }
 
 // unloading returns the models of which some engine has a version to unload.
@@ -161,8 +163,8 @@
 	return out
 }
 
-// forget drops the engines that are no longer in the list.
-func (c *Schedule) forget(list []fleet.Backend) {
+// removeUnlisted removes the engines that are no longer in the list.
+func (c *Schedule) removeUnlisted(list []fleet.Backend) {
 	if len(c.known) == 0 {
 		return
 	}
@@ -178,8 +180,8 @@
 	}
 }
 
-// unsettled reports whether b is not yet at its goal, or busy with it.
-func unsettled(s *intent.State, b fleet.Backend, st Status) bool {
+// hasWork reports whether b hasn't reached its goal yet, or is still loading.
+func hasWork(s *intent.State, b fleet.Backend, st Status) bool {
 	if len(st.Loading) > 0 || (s.Leaving(b.VM) && !st.Leaving) {
 		return true
 	}
@@ -197,7 +199,7 @@
 	return slices.ContainsFunc(p.Desired, func(r fleet.ModelRef) bool { return models[r.Model] })
 }
 
-// nothingToDo reports whether no engine could be given an order.
+// nothingToDo reports whether no engine can need an order.
 func nothingToDo(s *intent.State) bool {
 	if len(s.Placement) > 0 {
 		return false
@@ -210,7 +212,7 @@
 	return true
 }
 
-// backoff is the wait after a question that failed.
+// backoff returns the delay before the next query after consecutive failures.
 func backoff(failures int) time.Duration {
 	if failures <= promptRetries {
 		return 0
--- a/order/schedule_test.go
+++ b/order/schedule_test.go
@@ -18,8 +18,8 @@
 	"wigeondale/intent"
 )
 
-// quietFleet is n engines that are at their goal.
-func quietFleet(n int) (*fleetOf, *intent.State) {
+// settledFleet returns n engines that have reached their goal.
+func settledFleet(n int) (*fakeFleet, *intent.State) {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("engine-%d", i)
@@ -31,28 +31,28 @@
 	return f, s
 }
 
-// rounds runs a Schedule over a fleet of which some engines don't answer.
-type rounds struct {
+// scheduleRunner runs a Schedule over a fleet in which some engines don't answer.
+type scheduleRunner struct {
 	*Schedule
-	f     *fleetOf
-	s     *intent.State
-	inc   map[string]string
-	mute  map[string]bool
-	now   time.Time
-	asked map[string]time.Time
+	f            *fakeFleet
+	s            *intent.State
+	inc          map[string]string
+	unresponsive map[string]bool
+	now          time.Time
+	lastQueried  map[string]time.Time
 }
 
-func newRounds(n int) *rounds {
-	f, s := quietFleet(n)
+func newScheduleRunner(n int) *scheduleRunner {
+	f, s := settledFleet(n)
 	now := time.Unix(0, 0)
-	return &rounds{
+	return &scheduleRunner{
 		Schedule: NewSchedule(now), f: f, s: s, now: now,
-		inc: map[string]string{}, mute: map[string]bool{}, asked: map[string]time.Time{},
+		inc: map[string]string{}, unresponsive: map[string]bool{}, lastQueried: map[string]time.Time{},
 	}
 }
 
-// round returns the names of the engines that it asked.
-func (r *rounds) round() map[string]bool {
+// round runs one round and returns the ids of the engines queried.
+func (r *scheduleRunner) round() map[string]bool {
 	out := map[string]bool{}
 	for {
 		due := r.Due(r.s, r.f.list, func(id string) string { return r.inc[id] }, r.now)
@@ -60,8 +60,8 @@
 			return out
 		}
 		for _, b := range due {
-			out[b.ID], r.asked[b.ID] = true, r.now
-			if r.mute[b.ID] {
+			out[b.ID], r.lastQueried[b.ID] = true, r.now
+			if r.unresponsive[b.ID] {
 				r.Failed(b.ID)
 				continue
 			}
@@ -70,47 +70,48 @@
 	}
 }
 
-// Symptom: an engine that restarted or lost a version is never put right, or a
-// change waits for a minute. Sequence: any, of changes, failures and drift.
-// Cause: a schedule that puts an engine off, or takes an old answer for new.
+// Guards against an engine that restarted or lost a version and is never corrected, and
+// against a change that waits for a minute, in any sequence of changes, failures and
+// unannounced losses. The faults would be a schedule that delays an engine, or one that
+// uses an old answer as the current one.
 func TestScheduleAsksInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRounds(6)
+		r := newScheduleRunner(6)
 		prog := &Progress{}
 		for range rapid.IntRange(60, 200).Draw(t, "rounds") {
 			r.now = r.now.Add(time.Second)
 			id := r.f.list[rapid.IntRange(0, 5).Draw(t, "engine")].ID
-			failing, must := len(r.mute) > 0 && r.mute[id], true
+			failing, mustQuery := len(r.unresponsive) > 0 && r.unresponsive[id], true
 			switch rapid.IntRange(0, 20).Draw(t, "what") {
 			case 0:
 				want := []fleet.ModelRef{v2}
-				must = !slices.Equal(r.s.Placement[id].Desired, want)
+				mustQuery = !slices.Equal(r.s.Placement[id].Desired, want)
 				r.s.Placement[id] = intent.Placement{Backend: id, Desired: want}
 			case 1:
 				r.s.VMs["vm-"+id] = intent.VMIntent{VM: "vm-" + id, Leaving: !r.s.Leaving("vm-" + id)}
 			case 2:
 				r.inc[id] += "x"
 			case 3:
-				r.mute[id], must = !failing, false
-			case 4: // drift, without a sign
-				r.f.status[id], must = Status{Desired: r.f.status[id].Desired}, false
+				r.unresponsive[id], mustQuery = !failing, false
+			case 4: // the engine loses its versions and nothing reports it
+				r.f.status[id], mustQuery = Status{Desired: r.f.status[id].Desired}, false
 			case 5:
-				r.f.loaded()
-				must = false
+				r.f.completeLoads()
+				mustQuery = false
 			default:
-				must = false
+				mustQuery = false
 			}
-			asked := r.round()
-			if must && !asked[id] {
-				t.Fatalf("%s changed and wasn't asked in the next round", id)
+			queried := r.round()
+			if mustQuery && !queried[id] {
+				t.Fatalf("%s changed and wasn't queried in the next round", id)
 			}
 			for _, b := range r.f.list {
-				if late := r.now.Sub(r.asked[b.ID]); late > Sweep {
-					t.Fatalf("%s was last asked %v ago, at most %v is allowed", b.ID, late, Sweep)
+				if sinceQuery := r.now.Sub(r.lastQueried[b.ID]); sinceQuery > Sweep {
+					t.Fatalf("%s was last queried %v ago, at most %v is allowed", b.ID, sinceQuery, Sweep)
 				}
 			}
 			for _, step := range Next(r.s, View{Backends: r.f.list, Status: r.status}, Policy{}.WithDefaults(), prog, r.now) {
-				if !asked[step.Backend.ID] {
+				if !queried[step.Backend.ID] {
 					t.Fatalf("order for %s from an answer of an earlier round", step.Backend.ID)
 				}
 				if rapid.Bool().Draw(t, "order arrives") {
@@ -121,13 +122,13 @@
 	})
 }
 
-// Symptom: the holder of the order lease takes a core and 4.4 MB a second in a
-// large fleet where nothing changes. Cause: all engines asked in each round.
+// Guards against querying all engines in each round. In a large fleet where nothing
+// changes, this cost the holder of the order lease one CPU core and 4.4 MB per second.
 func TestQuietRoundsAreBounded(t *testing.T) {
 	const engines, perRound = 6000, 2 * 6000 / 60
-	r := newRounds(engines)
+	r := newScheduleRunner(engines)
 	if n := len(r.round()); n != engines {
-		t.Fatalf("a new holder asks %d engines, want all %d", n, engines)
+		t.Fatalf("a new holder queries %d engines, want all %d", n, engines)
 	}
 	total := 0
 	for range 60 {
@@ -135,22 +136,22 @@
 		n := len(r.round())
 		total += n
 		if n > perRound {
-			t.Fatalf("a quiet round asks %d engines, at most %d are allowed", n, perRound)
+			t.Fatalf("a quiet round queries %d engines, at most %d are allowed", n, perRound)
 		}
 	}
 	if total != engines {
-		t.Fatalf("%d questions in a minute, want one for each of %d engines", total, engines)
+		t.Fatalf("%d queries in a minute, want one for each of %d engines", total, engines)
 	}
 	clear(r.s.Placement)
 	r.now = r.now.Add(time.Hour)
 	if n := len(r.round()); n != 0 {
-		t.Fatalf("%d engines asked with nothing placed", n)
+		t.Fatalf("%d engines queried with nothing placed", n)
 	}
 }
 
 func TestFailingEngineIsAskedLessOften(t *testing.T) {
-	r := newRounds(1)
-	r.mute["engine-0"] = true
+	r := newScheduleRunner(1)
+	r.unresponsive["engine-0"] = true
 	var at []int
 	for i := range 200 {
 		if len(r.round()) > 0 {
@@ -159,15 +160,15 @@
 		r.now = r.now.Add(time.Second)
 	}
 	if want := []int{0, 1, 2, 3, 5, 9, 17, 33, 65, 125, 185}; !slices.Equal(at, want) {
-		t.Fatalf("asked at seconds %v, want %v", at, want)
+		t.Fatalf("queried at seconds %v, want %v", at, want)
 	}
 }
 
-// Symptom: a model has no replica left. Sequence: two engines serve v2; one
-// loses it without a sign; the other is seen to have v1 as well. Cause: v1 is
-// unloaded by an answer of the first engine that is a minute old.
+// Guards against a model without a replica. Two engines serve v2; one loses it and
+// nothing reports it; the other one then also has v1. v1 must not be unloaded because
+// of an answer of the first engine that is a minute old.
 func TestOldVersionStaysWhenAnAnswerIsOld(t *testing.T) {
-	r := newRounds(2)
+	r := newScheduleRunner(2)
 	a, b := r.f.list[0].ID, r.f.list[1].ID
 	for _, id := range []string{a, b} {
 		r.s.Placement[id] = intent.Placement{Backend: id, Desired: []fleet.ModelRef{v2}}
@@ -188,14 +189,14 @@
 	r.round()
 	for _, step := range next() {
 		if step.Backend.ID == a && !slices.Contains(step.Order.Desired, v1) {
-			t.Fatalf("%s is told to unload v1 while %s serves nothing", a, b)
+			t.Fatalf("%s is ordered to unload v1 while %s serves nothing", a, b)
 		}
 	}
 }
 
-// BenchmarkRound is a round at 10,000 engines, each question two HTTP requests
-// over loopback; the time of the answering side is included. "all" is what a new
-// holder does, and each round did before there was a Schedule.
+// BenchmarkRound measures a round with 10,000 engines, in which each query is two HTTP
+// requests over loopback; the time of the server side is included. "all" is what a new
+// holder does, and what each round did before there was a Schedule.
 func BenchmarkRound(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/v1/load" {
@@ -205,7 +206,7 @@
 		_, _ = w.Write([]byte(`{"fence":1,"desired":[{"model":"m","version":"v1"}],"actual":[{"model":"m","version":"v1"}]}`))
 	}))
 	defer srv.Close()
-	f, s := quietFleet(10_000)
+	f, s := settledFleet(10_000)
 	for i := range f.list {
 		f.list[i].Addr = strings.TrimPrefix(srv.URL, "http://")
 	}
@@ -239,7 +240,7 @@
 	b.Run("quiet", run(false))
 }
 
-// cpu is the processor time of this process.
+// cpu returns the CPU time used by this process.
 func cpu() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -6,66 +6,67 @@
 	"wigeondale/fleet"
 )
 
-// Tenure is one holding of the lease, by the holder's own clock. It decides
-// whether an order may be sent; it does no I/O.
+// Tenure is one uninterrupted period of holding the lease, by the holder's own clock.
+// It decides whether an order may be sent; it does no I/O.
 type Tenure struct {
-	Fence  uint64
-	policy Policy
-	until  time.Time // no order may still be under way after this
-	renew  time.Time
-	quiet  time.Time // no order to backend servers that don't check before this
-	busy   map[string]time.Time
+	Fence      uint64
+	policy     Policy
+	validUntil time.Time // every order must have ended by then
+	renewAt    time.Time
+	quietUntil time.Time // no order before then to backend servers that don't check the fencing number
+	busyUntil  map[string]time.Time
 }
 
-// Begin starts a tenure. asked is when the call that acquired the lease was
-// begun: the service counts the ttl from some moment after that.
-func Begin(p Policy, fence uint64, asked, now time.Time) *Tenure {
-	t := &Tenure{Fence: fence, policy: p, busy: map[string]time.Time{}}
-	t.Renewed(asked)
-	// The former holder may believe in its lease for one ttl after its last
-	// renewal, also when the service has lost the lease earlier, and an order of
-	// its last moment takes up to the order's deadline.
-	t.quiet = now.Add(p.TTL + p.OrderDeadline)
+// Begin starts a tenure. startedAt is the time when the call that acquired the lease
+// started: the service counts the lease's duration from some time after that.
+func Begin(p Policy, fence uint64, startedAt, now time.Time) *Tenure {
+	t := &Tenure{Fence: fence, policy: p, busyUntil: map[string]time.Time{}}
+	t.Renewed(startedAt)
+	// The former holder may consider its lease valid for one TTL after its last
+	// renewal, even if the service has lost the lease earlier, and an order sent at the
+	// end of that time takes up to the deadline of an order.
+	t.quietUntil = now.Add(p.TTL + p.OrderDeadline)
 	return t
 }
 
-// Renewed notes a renewal whose call was begun at asked.
-func (t *Tenure) Renewed(asked time.Time) {
-	t.until = asked.Add(t.policy.TTL - t.policy.margin())
-	t.renew = asked.Add(t.policy.TTL / 3)
+// Renewed records a renewal whose call started at startedAt.
+func (t *Tenure) Renewed(startedAt time.Time) {
+	t.validUntil = startedAt.Add(t.policy.TTL - t.policy.margin())
+	t.renewAt = startedAt.Add(t.policy.TTL / 3)
 }
 
 // RenewDue reports whether the lease should be renewed now.
-func (t *Tenure) RenewDue(now time.Time) bool { return !now.Before(t.renew) }
+func (t *Tenure) RenewDue(now time.Time) bool { return !now.Before(t.renewAt) }
 
-// Lapsed reports whether the tenure is over by the holder's own clock.
-func (t *Tenure) Lapsed(now time.Time) bool { return !now.Before(t.until) }
+// Lapsed reports whether the tenure has ended by the holder's own clock.
+func (t *Tenure) Lapsed(now time.Time) bool { return !now.Before(t.validUntil) }
 
-// Until is when the tenure ends unless it is renewed.
-func (t *Tenure) Until() time.Time { return t.until }
+// Until returns the time at which the tenure ends unless it is renewed.
+func (t *Tenure) Until() time.Time { return t.validUntil }
 
-// Quiet reports whether backend servers that don't check must still be left alone.
-func (t *Tenure) Quiet(now time.Time) bool { return now.Before(t.quiet) }
+// Quiet reports whether it is too early for orders to backend servers that don't check
+// the fencing number.
+func (t *Tenure) Quiet(now time.Time) bool { return now.Before(t.quietUntil) }
 
-// Send says whether an order to b may be sent at this very moment, and by when
-// it must have ended. It marks b as busy until Answered is called or the
-// deadline has passed: an unanswered order may still arrive until then and would
-// undo a newer one.
+// Send reports whether an order to b may be sent now, and the deadline by which it must
+// have ended. It marks b as busy until b's answer is recorded or the deadline has
+// passed: until then an unanswered order may still arrive, and would undo a newer one.
 func (t *Tenure) Send(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
 	deadline = now.Add(t.policy.OrderDeadline)
-	if deadline.After(t.until) {
+	if deadline.After(t.validUntil) {
 		return time.Time{}, false
 	}
 	if !b.ChecksFence && t.Quiet(now) {
 		return time.Time{}, false
 	}
-	if now.Before(t.busy[b.ID]) {
+	if now.Before(t.busyUntil[b.ID]) {
 		return time.Time{}, false
 	}
-	// One nanosecond more than the deadline, so that both can't coincide.
-	t.busy[b.ID] = deadline.Add(1)
+	// One nanosecond after the deadline, so that an order that arrives exactly at its
+	// deadline can't coincide with the next one.
+	t.busyUntil[b.ID] = deadline.Add(1)
 	return deadline, true
 }
 
-// Answered notes that b has answered its last order, so that it may get another.
-func (t *Tenure) Answered(b fleet.Backend) { delete(t.busy, b.ID) }
+// Answered records that b has answered its last order, so that it may get another one.
+func (t *Tenure) Answered(b fleet.Backend) { delete(t.busyUntil, b.ID) }
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -13,36 +13,36 @@
 
 var policy = Policy{TTL: 12 * time.Second, OrderDeadline: 2 * time.Second}
 
-// world is one engine that checks fences and one that doesn't, a service that
-// holds the lease, and two routers that give orders.
-type world struct {
-	t       *rapid.T
-	now     time.Time
-	holders [2]*holder
-	owner   int       // who has the lease at the service; -1 for nobody
-	expires time.Time // of the lease at the service
-	fence   uint64
-	newest  int // the newest plan
-	engines [2]*engine
-	wires   []*wire
-	calmed  bool // answers and orders are no longer lost
+// simulation simulates one engine that checks fencing numbers and one that doesn't, a
+// service that holds the lease, and two routers that send orders.
+type simulation struct {
+	t           *rapid.T
+	now         time.Time
+	holders     [2]*holder
+	owner       int       // index of the router that has the lease at the service; -1 for none
+	expires     time.Time // of the lease at the service
+	fence       uint64
+	newest      int // number of the newest plan
+	engines     [2]*engine
+	sentOrders  []*sentOrder
+	faultsEnded bool // responses and orders are no longer lost
 }
 
 type holder struct {
 	tenure *Tenure
-	plan   int // the newest plan that it knows
+	plan   int // number of the newest plan that this router knows
 }
 
 type engine struct {
 	fleet.Backend
-	seen    uint64 // highest fence seen
-	applied uint64 // fence of the last order applied
-	serial  int    // of the last order applied
+	seen    uint64 // highest fencing number received
+	applied uint64 // fencing number of the last order applied
+	serial  int    // serial number of the last order applied
 	plan    int
 }
 
-// wire is an order under way; it arrives by its deadline or not at all.
-type wire struct {
+// sentOrder is an order on its way; it arrives by its deadline or not at all.
+type sentOrder struct {
 	to       *engine
 	fence    uint64
 	serial   int
@@ -50,61 +50,61 @@
 	deadline time.Time
 }
 
-func (w *world) advance() {
-	w.pass(time.Duration(rapid.SampledFrom([]int{1, 500, 1500, 4000, 9000}).Draw(w.t, "ms")) * time.Millisecond)
+func (sim *simulation) advance() {
+	sim.passTime(time.Duration(rapid.SampledFrom([]int{1, 500, 1500, 4000, 9000}).Draw(sim.t, "ms")) * time.Millisecond)
 }
 
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	if w.owner >= 0 && !w.now.Before(w.expires) {
-		w.owner = -1
+func (sim *simulation) passTime(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	if sim.owner >= 0 && !sim.now.Before(sim.expires) {
+		sim.owner = -1
 	}
 }
 
-// keep is what the executor does before each round.
-func (w *world) keep(i int) {
-	h := w.holders[i]
-	if h.tenure != nil && h.tenure.Lapsed(w.now) {
+// keepLease does what the executor does before each round.
+func (sim *simulation) keepLease(i int) {
+	h := sim.holders[i]
+	if h.tenure != nil && h.tenure.Lapsed(sim.now) {
 		h.tenure = nil
 	}
 	switch {
-	case h.tenure == nil && w.owner < 0:
-		w.fence++
-		w.owner, w.expires = i, w.now.Add(policy.TTL)
-		h.tenure = Begin(policy, w.fence, w.now, w.now)
-	case h.tenure != nil && h.tenure.RenewDue(w.now) && w.owner == i && h.tenure.Fence == w.fence:
-		w.expires = w.now.Add(policy.TTL)
-		if !w.calmed && rapid.IntRange(0, 3).Draw(w.t, "answer of the renewal is lost if 3") == 3 {
+	case h.tenure == nil && sim.owner < 0:
+		sim.fence++
+		sim.owner, sim.expires = i, sim.now.Add(policy.TTL)
+		h.tenure = Begin(policy, sim.fence, sim.now, sim.now)
+	case h.tenure != nil && h.tenure.RenewDue(sim.now) && sim.owner == i && h.tenure.Fence == sim.fence:
+		sim.expires = sim.now.Add(policy.TTL)
+		if !sim.faultsEnded && rapid.IntRange(0, 3).Draw(sim.t, "answer of the renewal is lost if 3") == 3 {
 			return
 		}
-		h.tenure.Renewed(w.now)
-	case h.tenure != nil && h.tenure.RenewDue(w.now):
+		h.tenure.Renewed(sim.now)
+	case h.tenure != nil && h.tenure.RenewDue(sim.now):
 		h.tenure = nil
 	}
-	h.plan = w.newest
+	h.plan = sim.newest
 }
 
-// order sends without keeping the lease first: a holder that was paused.
-func (w *world) order(i int, e *engine) {
-	h := w.holders[i]
+// order sends an order without renewing the lease first, like a holder that was paused.
+func (sim *simulation) order(i int, e *engine) {
+	h := sim.holders[i]
 	if h.tenure == nil {
 		return
 	}
-	deadline, ok := h.tenure.Send(w.now, e.Backend)
+	deadline, ok := h.tenure.Send(sim.now, e.Backend)
 	if !ok {
 		return
 	}
-	w.wires = append(w.wires, &wire{to: e, fence: h.tenure.Fence, serial: len(w.wires) + 1, plan: h.plan, deadline: deadline})
-	if w.calmed || rapid.Bool().Draw(w.t, "arrives at once") {
-		w.arrive(w.wires[len(w.wires)-1])
+	sim.sentOrders = append(sim.sentOrders, &sentOrder{to: e, fence: h.tenure.Fence, serial: len(sim.sentOrders) + 1, plan: h.plan, deadline: deadline})
+	if sim.faultsEnded || rapid.Bool().Draw(sim.t, "arrives at once") {
+		sim.arrive(sim.sentOrders[len(sim.sentOrders)-1])
 		h.tenure.Answered(e.Backend)
 	}
 }
 
-func (w *world) arrive(o *wire) {
+func (sim *simulation) arrive(o *sentOrder) {
 	e := o.to
 	o.to = nil
-	if e == nil || w.now.After(o.deadline) {
+	if e == nil || sim.now.After(o.deadline) {
 		return
 	}
 	if e.ChecksFence && o.fence < e.seen {
@@ -112,82 +112,84 @@
 	}
 	e.seen = max(e.seen, o.fence)
 	if o.fence < e.applied || (o.fence == e.applied && o.serial < e.serial) {
-		w.t.Fatalf("%s: order %d of fence %d applied after order %d of fence %d", e.ID, o.serial, o.fence, e.serial, e.applied)
+		sim.t.Fatalf("%s: order %d of fence %d applied after order %d of fence %d", e.ID, o.serial, o.fence, e.serial, e.applied)
 	}
 	e.applied, e.serial, e.plan = o.fence, o.serial, o.plan
 }
 
-func (w *world) step() {
-	switch rapid.IntRange(0, 6).Draw(w.t, "event") {
+func (sim *simulation) step() {
+	switch rapid.IntRange(0, 6).Draw(sim.t, "event") {
 	case 0:
-		w.advance()
+		sim.advance()
 	case 1, 2:
-		i := rapid.IntRange(0, 1).Draw(w.t, "holder")
-		w.keep(i)
-		for range rapid.IntRange(0, 6).Draw(w.t, "rounds, the other being paused") {
-			w.pass(3 * time.Second)
-			w.keep(i)
+		i := rapid.IntRange(0, 1).Draw(sim.t, "holder")
+		sim.keepLease(i)
+		for range rapid.IntRange(0, 6).Draw(sim.t, "rounds, the other being paused") {
+			sim.passTime(3 * time.Second)
+			sim.keepLease(i)
 		}
 	case 3, 4:
-		w.order(rapid.IntRange(0, 1).Draw(w.t, "holder"), rapid.SampledFrom(w.engines[:]).Draw(w.t, "engine"))
+		sim.order(rapid.IntRange(0, 1).Draw(sim.t, "holder"), rapid.SampledFrom(sim.engines[:]).Draw(sim.t, "engine"))
 	case 5:
-		if len(w.wires) > 0 {
-			w.arrive(rapid.SampledFrom(w.wires).Draw(w.t, "order"))
+		if len(sim.sentOrders) > 0 {
+			sim.arrive(rapid.SampledFrom(sim.sentOrders).Draw(sim.t, "order"))
 		}
 	case 6:
-		if rapid.Bool().Draw(w.t, "the service loses the lease") {
-			w.owner = -1
+		if rapid.Bool().Draw(sim.t, "the service loses the lease") {
+			sim.owner = -1
 		}
-		w.newest++
+		sim.newest++
 	}
 }
 
-// Symptom: an engine goes back to an older plan and unloads what traffic was
-// moved to. Sequence: a holder is paused or cut off, its lease lapses or is lost
-// by the service, another takes over; the first wakes and sends, or an order of
-// its is late on the way. Cause: trusting a lease that isn't looked at right
-// before the order, or not waiting out the former holder.
+// Guards against an engine that returns to an older plan and unloads a version that
+// traffic was moved to. A holder is paused or disconnected, its lease expires or is
+// lost by the service, and another one takes over; then the first one resumes and sends
+// an order, or one of its orders is delayed on the way. The holder must check its lease
+// directly before each order, and a new holder must wait until the former one can't
+// send any more.
 func TestNoOlderOrderAfterNewer(t *testing.T) {
-	// The sequences are rare; with fewer checks a broken guard may go unnoticed.
+	// The sequences are rare; with fewer checks the test may not detect a broken guard.
 	if err := flag.Set("rapid.checks", "2000"); err != nil {
 		t.Fatal(err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Unix(1000, 0), owner: -1}
-		for i := range w.holders {
-			w.holders[i] = &holder{}
-			w.engines[i] = &engine{Backend: fleet.Backend{ID: fmt.Sprint("e", i), ChecksFence: i == 0}}
+		sim := &simulation{t: t, now: time.Unix(1000, 0), owner: -1}
+		for i := range sim.holders {
+			sim.holders[i] = &holder{}
+			sim.engines[i] = &engine{Backend: fleet.Backend{ID: fmt.Sprint("e", i), ChecksFence: i == 0}}
 		}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			w.step()
+			sim.step()
 		}
-		w.calm()
+		sim.endFaults()
 	})
 }
 
-// calm ends the faults: one holder goes on, and both engines come to its plan.
-func (w *world) calm() {
-	w.calmed = true
-	w.holders[1].tenure = nil
-	if w.owner == 1 {
-		w.owner = -1
+// endFaults ends the faults: one holder continues, and both engines must reach its
+// plan.
+func (sim *simulation) endFaults() {
+	sim.faultsEnded = true
+	sim.holders[1].tenure = nil
+	if sim.owner == 1 {
+		sim.owner = -1
 	}
 	for range 60 {
-		w.pass(time.Second)
-		h := w.holders[0]
-		if h.tenure != nil && (w.owner != 0 || h.tenure.Fence != w.fence) {
+		sim.passTime(time.Second)
+		h := sim.holders[0]
+		if h.tenure != nil && (sim.owner != 0 || h.tenure.Fence != sim.fence) {
 			h.tenure = nil
 		}
-		w.keep(0)
-		for _, e := range w.engines {
-			if e.plan != w.newest {
-				w.order(0, e)
+		sim.keepLease(0)
+		for _, e := range sim.engines {
+			if e.plan != sim.newest {
+				sim.order(0, e)
 			}
 		}
 	}
-	for _, e := range w.engines {
-		if e.plan != w.newest && w.newest > 0 {
-			w.t.Fatalf("%s is at plan %d, want %d", e.ID, e.plan, w.newest)
+	for _, e := range sim.engines {
+		if e.plan != sim.newest && sim.newest > 0 {
+			sim.t.Fatalf("%s is at plan %d, want %d", e.ID, e.plan, sim.newest)
 		}
 	}
 }
