--- a/intent/fake_test.go
+++ b/intent/fake_test.go
@@ -102,18 +102,18 @@
 
 func (f *fakeLog) Snapshot(context.Context, uint64, []byte) error { return nil }
 
-// fakeSpread connects keepers by name; a keeper that isn't in it can't be reached.
-type fakeSpread map[string]*Keeper
+// fakePeers connects keepers by name; a keeper that isn't in it can't be reached.
+type fakePeers map[string]*Keeper
 
-func (f fakeSpread) Peers() []string {
+func (f fakePeers) Peers() []string {
 	var names []string
 	for n := range f {
 		names = append(names, n)
 	}
 	return names
 }
-func (fakeSpread) Flood(Revision) {}
-func (f fakeSpread) FetchFrom(_ context.Context, node string, from uint64) (Batch, error) {
+func (fakePeers) Flood(Revision) {}
+func (f fakePeers) FetchFrom(_ context.Context, node string, from uint64) (Batch, error) {
 	k, ok := f[node]
 	if !ok {
 		return Batch{}, errors.New("unreachable")
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -174,7 +174,7 @@
 	if s.Revision%k.cfg.Snapshots == 0 {
 		select {
 		case k.snapshotQueue <- s:
-		default: // another snapshot is queued; the next multiple of Snapshots gets one
+		default: // another snapshot is queued; the next multiple of the snapshot interval gets one
 		}
 	}
 }
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -16,7 +16,7 @@
 func TestStateOnlyForwards(t *testing.T) {
 	full := filledLog(t, 8)
 	rapid.Check(t, func(t *rapid.T) {
-		k := NewKeeper(Config{Log: newFakeLog(), Spread: fakeSpread{}})
+		k := NewKeeper(Config{Log: newFakeLog(), Spread: fakePeers{}})
 		k.loaded.Store(true)
 		last := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "arrivals") {
@@ -53,9 +53,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := filledLog(t, 1)
-		a := NewKeeper(Config{Node: "a", Log: log, Spread: fakeSpread{}})
-		b := NewKeeper(Config{Node: "b", Log: log, Spread: fakeSpread{"a": a}})
-		a.cfg.Spread = fakeSpread{"b": b}
+		a := NewKeeper(Config{Node: "a", Log: log, Spread: fakePeers{}})
+		b := NewKeeper(Config{Node: "b", Log: log, Spread: fakePeers{"a": a}})
+		a.cfg.Spread = fakePeers{"b": b}
 		expect := func(what string, k *Keeper, want bool) {
 			t.Helper()
 			if got, why := k.Ready(); got != want {
@@ -96,10 +96,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := filledLog(t, 3)
-		oldNode := NewKeeper(Config{Node: "old", Log: log, Spread: fakeSpread{}})
-		link := &cutLink{fakeSpread: fakeSpread{"old": oldNode}}
+		oldNode := NewKeeper(Config{Node: "old", Log: log, Spread: fakePeers{}})
+		link := &cutLink{fakePeers: fakePeers{"old": oldNode}}
 		newNode := NewKeeper(Config{Node: "young", Log: log, Spread: link})
-		oldNode.cfg.Spread = fakeSpread{"young": newNode}
+		oldNode.cfg.Spread = fakePeers{"young": newNode}
 		oldNode.Sync(ctx)
 		log.down = true
 		go oldNode.Run(ctx)
@@ -122,7 +122,7 @@
 
 // cutLink is a connection to the peers that a test can cut.
 type cutLink struct {
-	fakeSpread
+	fakePeers
 	cut atomic.Bool
 }
 
@@ -130,5 +130,5 @@
 	if c.cut.Load() {
 		return Batch{}, errLost
 	}
-	return c.fakeSpread.FetchFrom(ctx, node, from)
+	return c.fakePeers.FetchFrom(ctx, node, from)
 }
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -15,9 +15,8 @@
 	// engine that changes without a sign of it is corrected within that time and one
 	// round.
 	Sweep = time.Minute
-	// promptRetries is the number of consecutive failures after each of which the
-	// engine is queried again in the next round; after that the delay doubles, up to
-	// Sweep.
+	// promptRetries is the number of consecutive failures after each of which the engine
+	// is queried again in the next round; after that the delay doubles, up to one minute.
 	promptRetries = 3
 	firstBackoff  = 2 * time.Second
 )
@@ -30,7 +29,8 @@
 // an old version would be unloaded just after the new one was lost on another engine.
 // Therefore all engines with something to do, and all hosts of a model with an old
 // version to unload, are queried in the same round that decides. Only engines that have
-// reached their goal are queried less often, within Sweep.
+// reached their goal are queried less often, at
+// least once a minute.
 type Schedule struct {
 	start  time.Time
 	known  map[string]*queryRecord
