--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -217,7 +217,7 @@
 func (l *Log) recordEntry(e Entry) {
 	l.next = e.N + 1
 	l.ids.add(e.N, e.ID)
-	l.unsettled.settle(e.N, e.ID)
+	l.unsettled.resolve(e.N, e.ID)
 	if l.opts.Observe != nil {
 		l.opts.Observe(e)
 	}
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -106,22 +106,22 @@
 // outside the window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := kvtest.NewBench()
+		controller := kvtest.NewBench()
 		opts := kvlog.Options{Window: 2, SettleTries: 1}
-		log := kvlog.New(bench.Client(), "l/", opts)
-		otherLog := kvlog.New(bench.Store, "l/", opts)
+		log := kvlog.New(controller.Client(), "l/", opts)
+		otherLog := kvlog.New(controller.Store, "l/", opts)
 		appendWith := func(id string, faults ...kvtest.Fault) (n uint64, err error) {
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
 				n, err = log.Append(t.Context(), id, nil)
 			}()
-			for synctest.Wait(); bench.Held() > 0; synctest.Wait() {
+			for synctest.Wait(); controller.Held() > 0; synctest.Wait() {
 				f := kvtest.OK
 				if len(faults) > 0 {
 					f, faults = faults[0], faults[1:]
 				}
-				bench.Release(0, f)
+				controller.Release(0, f)
 			}
 			<-done
 			return n, err
--- a/kvlog/unsettled.go
+++ b/kvlog/unsettled.go
@@ -36,8 +36,8 @@
 	u.pos[id] = n
 }
 
-// settle removes the ids at n, after the entry with id winner was found at n.
-func (u *unsettledIDs) settle(n uint64, winner string) {
+// resolve removes the ids at n, after the entry with id winner was found at n.
+func (u *unsettledIDs) resolve(n uint64, winner string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, at := range u.pos {
