--- a/rollout/bounds_test.go
+++ b/rollout/bounds_test.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// rollouts is how many are simulated of each sort and service.
+// rollouts is the number of simulated roll-outs for each sort of version and service.
 var rollouts = flag.Int("rollouts", 2, "simulated roll-outs of each sort and service")
 
-// The two kinds of services: model engines, whose answers take a second to begin, and a
-// plain service, one of whose routes fails one answer in seven at either version.
+// The two kinds of services: model engines, whose answers take a second to start, and a service
+// that is not a model engine, one of whose routes fails one answer in seven at either version.
 var (
-	engines = plan{perSec: 49, replicas: 180, routes: []simRoute{
+	engineService = plan{rate: 49, replicas: 180, routes: []simRoute{
 		{name: "draft", mean: time.Second, pace: 30 * time.Millisecond}, {name: "note", mean: time.Second, pace: 30 * time.Millisecond},
 	}}
-	plain = plan{perSec: 128, replicas: 3, routes: []simRoute{
+	nonEngineService = plan{rate: 128, replicas: 3, routes: []simRoute{
 		{name: "book", mean: 15 * time.Millisecond}, {name: "look", mean: 15 * time.Millisecond, fails: 0.14},
 	}}
 )
 
-func (p plan) with(routers int, d time.Duration, v version, t trouble) plan {
-	p.routerCount, p.version, p.trouble = routers, v, t
+func (p plan) with(routers int, d time.Duration, v version, f faults) plan {
+	p.routerCount, p.version, p.faults = routers, v, f
 	p.order = Order{Service: "s", Target: "v2", Duration: d, Revision: 1}
 	return p
 }
 
-// calm, mild and rough are what may befall a service while its version is replaced.
+// noFaults, someFaults and manyFaults are the faults that affect a service during its roll-out.
 var (
-	calm  = trouble{}
-	mild  = trouble{grey: 0.03, drawn: true, crash: map[time.Duration]string{2 * time.Second: "d0", 6 * time.Second: "d1"}}
-	rough = trouble{grey: 0.14, crash: map[time.Duration]string{2 * time.Second: "d0", 6 * time.Second: "d1"}}
+	noFaults   = faults{}
+	someFaults = faults{failing: 0.03, drawn: true, crash: map[time.Duration]string{2 * time.Second: "d0", 6 * time.Second: "d1"}}
+	manyFaults = faults{failing: 0.14, crash: map[time.Duration]string{2 * time.Second: "d0", 6 * time.Second: "d1"}}
 )
 
-// eachKind plays a number of roll-outs of both kinds of services, in both kinds of trouble.
-func eachKind(t *testing.T, v func(kind string) version, judge func(name string, o outcome)) {
-	for name, p := range map[string]plan{"engines": engines, "plain": plain} {
-		for i, tr := range []trouble{calm, rough} {
+// eachKind simulates roll-outs of both kinds of services, with and without faults.
+func eachKind(t *testing.T, v func(kind string) version, check func(name string, o outcome)) {
+	for name, p := range map[string]plan{"engines": engineService, "plain": nonEngineService} {
+		for i, f := range []faults{noFaults, manyFaults} {
 			for seed := range *rollouts {
-				p := p.with(simRouters, 12*time.Second, v(name), tr)
-				judge(fmt.Sprintf("%s, trouble %d, seed %d", name, i, seed), simulate(t, p, uint64(100*i+seed)))
+				p := p.with(simRouters, 12*time.Second, v(name), f)
+				check(fmt.Sprintf("%s, faults %d, seed %d", name, i, seed), simulate(t, p, uint64(100*i+seed)))
 			}
 		}
 	}
@@ -48,52 +48,52 @@
 
 const simRouters = 24
 
-// Symptom: a sound version is taken back. Sequence: two failure domains crash while it is
-// tried, and some replicas of either version fail two answers in five. Cause: what befalls
-// a domain or a replica is taken for a fault of the version.
+// Guards against rolling back a healthy version because of faults that are not the version's: two
+// failure domains crash during the trial, and some replicas of either version fail two answers in
+// five.
 func TestSoundVersionCompletes(t *testing.T) {
-	back, all := 0, 0
+	rolledBack, all := 0, 0
 	eachKind(t, func(string) version { return version{} }, func(name string, o outcome) {
 		all++
 		switch {
 		case o.stage != Completed:
-			back++
+			rolledBack++
 			t.Logf("%s: %+v", name, o)
 		case o.ended > 12*time.Second:
 			t.Errorf("%s: completed after %v", name, o.ended)
 		}
 	})
-	// One in a hundred may be taken back.
-	if back > all/100 {
-		t.Errorf("%d of %d sound versions were taken back", back, all)
+	// One in a hundred may be rolled back.
+	if rolledBack > all/100 {
+		t.Errorf("%d of %d healthy versions were rolled back", rolledBack, all)
 	}
 }
 
-// The same where nothing befalls the service.
+// The same without any faults.
 func TestSoundVersionCompletesInCalm(t *testing.T) {
-	for name, p := range map[string]plan{"engines": engines, "plain": plain} {
+	for name, p := range map[string]plan{"engines": engineService, "plain": nonEngineService} {
 		for seed := range *rollouts {
-			if o := simulate(t, p.with(simRouters, 12*time.Second, version{}, calm), uint64(seed)); o.stage != Completed {
+			if o := simulate(t, p.with(simRouters, 12*time.Second, version{}, noFaults), uint64(seed)); o.stage != Completed {
 				t.Errorf("%s, seed %d: %+v", name, seed, o)
 			}
 		}
 	}
 }
 
-// Symptom: a sound version of a plain service is not completed. Sequence: one of its three
-// replicas fails two answers in five, and two failure domains crash in the trial. Cause: the
-// doubt of the replica's domain alone kept the trial from being passed.
+// Guards against a healthy version that does not complete: one of the three replicas of a service
+// that is not a model engine fails two answers in five, and two failure domains crash during the
+// trial. The evidence of that replica's failure domain alone kept the trial from passing.
 func TestSoundVersionWithOneFailingReplicaCompletes(t *testing.T) {
 	for _, seed := range []uint64{112, 117} {
-		if o := simulate(t, plain.with(simRouters, 12*time.Second, version{}, mild), seed); o.stage != Completed {
+		if o := simulate(t, nonEngineService.with(simRouters, 12*time.Second, version{}, someFaults), seed); o.stage != Completed {
 			t.Errorf("seed %d: %+v", seed, o)
 		}
 	}
 }
 
-// Symptom: a version that fails keeps its share, or gets all requests. Sequence: it is bad
-// from the first, late in its trial, slow, or on one route only. Cause: it is judged by too
-// few answers, by the sum of all routes, or by what was seen before it turned bad.
+// Guards against a bad version that keeps its share or gets all requests. The version is bad from
+// the start, turns bad during the trial, is slow, or fails on one route only; it is missed if it is
+// evaluated by too few answers, by the sum of all routes, or by answers from before it turned bad.
 func TestBadVersionIsTakenBack(t *testing.T) {
 	route := map[string]string{"engines": "draft", "plain": "book"}
 	for sort, v := range map[string]func(string) version{
@@ -113,50 +113,51 @@
 	}
 }
 
-// checkExposure holds a bad version to the limits of the simulation.
+// checkExposure checks that a bad version got no more requests than the limits of the simulation
+// allow.
 func checkExposure(t *testing.T, name string, o outcome) {
 	if most := 0.1*float64(o.requests) + 50; float64(o.exposed) > most {
 		t.Errorf("%s: %d of %d requests reached it, %.0f may", name, o.exposed, o.requests, most)
 	}
-	if o.lastAfterFiftieth > 5*time.Second {
-		t.Errorf("%s: a request reached it %v after its fiftieth bad answer", name, o.lastAfterFiftieth)
+	if o.exposedAfterFiftieth > 5*time.Second {
+		t.Errorf("%s: a request reached it %v after its fiftieth bad answer", name, o.exposedAfterFiftieth)
 	}
 }
 
-// Symptom: nobody ends a roll-out. Sequence: the router that acts is lost in the trial.
-// Cause: only that one writes.
+// Guards against a roll-out that no router ends: the router that writes the record stops during the
+// trial, and no other router takes over.
 func TestAnotherRouterTakesOver(t *testing.T) {
-	p := plain.with(6, 12*time.Second, version{}, calm)
-	p.kill = 3 * time.Second
+	p := nonEngineService.with(6, 12*time.Second, version{}, noFaults)
+	p.killAt = 3 * time.Second
 	if o := simulate(t, p, 1); o.stage != Completed {
 		t.Errorf("ended as %+v", o)
 	}
-	p = plain.with(6, 12*time.Second, version{fails: 0.4}, calm)
-	p.kill = 2 * time.Second
+	p = nonEngineService.with(6, 12*time.Second, version{fails: 0.4}, noFaults)
+	p.killAt = 2 * time.Second
 	o := simulate(t, p, 1)
 	if o.stage != RolledBack {
 		t.Errorf("ended as %+v", o)
 	}
-	checkExposure(t, "taken over", o)
+	checkExposure(t, "after a takeover", o)
 }
 
-// Symptom: a service with a request now and then never gets its new version. Cause: its
-// trial waits for answers that don't come.
+// Guards against a trial that waits forever for answers at a service that gets a request only now
+// and then.
 func TestFewRequestsComplete(t *testing.T) {
-	p := plain.with(6, 12*time.Second, version{}, calm)
-	p.perSec = 0.5
+	p := nonEngineService.with(6, 12*time.Second, version{}, noFaults)
+	p.rate = 0.5
 	if o := simulate(t, p, 3); o.stage != Completed {
 		t.Errorf("ended as %+v", o)
 	}
 }
 
-// At many routers each sees a few requests only.
+// With many routers each of them sees only a few requests.
 func TestManyRouters(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seconds")
 	}
 	for _, n := range []int{76, 300} {
-		o := simulate(t, engines.with(n, 12*time.Second, version{fails: 0.5}, calm), 1)
+		o := simulate(t, engineService.with(n, 12*time.Second, version{fails: 0.5}, noFaults), 1)
 		if o.stage != RolledBack {
 			t.Errorf("%d routers: ended as %+v", n, o)
 		}
--- /dev/null
+++ b/rollout/evaluator.go
@@ -0,0 +1,209 @@
+package rollout
+
+import (
+	"fmt"
+	"math"
+)
+
+const (
+	// slowBuckets is how many latency buckets above the median of the old version an answer counts
+	// as slow.
+	slowBuckets = 4
+	// minBaseline is the number of timed answers of the old version from which its median is used.
+	minBaseline = 8
+	// priorBad bad answers out of priorAnswers are added to the counts of the old version, as the
+	// assumed share before there are enough answers.
+	priorBad     = 1.0
+	priorAnswers = 25.0
+	// A version is bad if its share of bad answers exceeds that of the old version by badShare.
+	// toleranceFactor and toleranceAdd allow for the difference between two healthy versions.
+	badShare        = 0.22
+	toleranceFactor = 1.25
+	toleranceAdd    = 0.03
+	maxBadShare     = 0.97
+	// badEvidence is the evidence from which a version is bad: the log likelihood ratio of a bad
+	// version against a healthy one, as a cumulative sum that never falls below zero (CUSUM), so
+	// that a version that turns bad after a while is found just as fast.
+	badEvidence = 11.0
+	// maxDomainShare is the part of badEvidence that one failure domain can contribute.
+	maxDomainShare = 0.5
+	// maxOtherEvidence is the evidence, without that of the failure domain that contributes most,
+	// from which a trial does not pass.
+	maxOtherEvidence = 1.0
+	// minAnswers of the new version are needed to pass a trial, unless fewer than fewRequests
+	// arrived during the trial.
+	minAnswers  = 10
+	fewRequests = 20
+)
+
+// evidenceKey identifies one cumulative sum of evidence: one route and aspect, or all of them
+// together.
+type evidenceKey struct {
+	route  string
+	aspect Aspect
+	all    bool
+}
+
+// Verdict is an evaluation of the evidence about the new version.
+type Verdict struct {
+	Bad      bool
+	Route    string // route with the strongest evidence; empty for all routes together
+	Aspect   Aspect
+	Evidence float64
+	Doubt    float64 `json:"Doubt"` // evidence without that of the failure domain that contributes most
+	Answers  int     // answers of the new version
+	BadOnes  int     `json:"BadOnes"` // bad ones among those
+}
+
+func (v Verdict) String() string {
+	on := v.Route
+	if on == "" {
+		on = "all routes"
+	}
+	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadOnes, v.Answers)
+}
+
+// baseline describes the answers of the old version, by one route and aspect.
+type baseline struct {
+	known    bool  // whether there are enough answers to know the median time
+	slowFrom Grade // bucket from which an answer counts as slow
+	badRate  float64
+}
+
+// bad reports whether an answer counts against its version.
+func (b baseline) bad(g Grade) bool { return g == Failed || (b.known && g >= b.slowFrom) }
+
+// baselineOf computes the baseline of one route and aspect from the answers of the old version.
+func baselineOf(old map[Cell]uint32, route string, aspect Aspect) baseline {
+	var buckets [lastGrade + 1]uint32
+	var timed, failed uint32
+	for c, n := range old {
+		switch {
+		case c.Route != route || c.Aspect != aspect:
+		case c.Grade == Failed:
+			failed += n
+		default:
+			buckets[min(c.Grade, lastGrade)] += n
+			timed += n
+		}
+	}
+	b := baseline{known: timed >= minBaseline}
+	slow := uint32(0)
+	if b.known {
+		b.slowFrom = median(buckets[:], timed) + slowBuckets
+		for g := int(b.slowFrom); g <= lastGrade; g++ {
+			slow += buckets[g]
+		}
+	}
+	b.badRate = (float64(failed+slow) + priorBad) / (float64(timed+failed) + priorAnswers)
+	return b
+}
+
+func median(buckets []uint32, total uint32) Grade {
+	seen := uint32(0)
+	for g, n := range buckets {
+		seen += n
+		if 2*seen >= total {
+			return Grade(g)
+		}
+	}
+	return lastGrade
+}
+
+// evaluator accumulates evidence from answers of the new version, compared with those of the old
+// version.
+type evaluator struct {
+	sums       map[evidenceKey]map[string]float64 // evidence, by key and failure domain
+	answers    int
+	badAnswers int
+}
+
+// evidenceGains holds the evidence of a batch of answers, by key and failure domain.
+type evidenceGains map[evidenceKey]map[string]float64
+
+func (g evidenceGains) add(key evidenceKey, domain string, added float64) {
+	if g[key] == nil {
+		g[key] = map[string]float64{}
+	}
+	g[key][domain] += added
+}
+
+// add evaluates answers of the new version that became known together, against the given answers of
+// the old version.
+func (e *evaluator) add(answers map[Cell]uint32, old map[Cell]uint32) {
+	baselines := map[evidenceKey]baseline{}
+	g := evidenceGains{}
+	for c, n := range answers {
+		key := evidenceKey{route: c.Route, aspect: c.Aspect}
+		b, ok := baselines[key]
+		if !ok {
+			b = baselineOf(old, c.Route, c.Aspect)
+			baselines[key] = b
+		}
+		bad := b.bad(c.Grade)
+		added := float64(n) * weight(b.badRate, bad)
+		g.add(key, c.Domain, added)
+		g.add(evidenceKey{all: true}, c.Domain, added)
+		if c.Aspect != Pace {
+			e.answers += int(n)
+		}
+		if bad {
+			e.badAnswers += int(n)
+		}
+	}
+	e.accumulate(g)
+}
+
+func (e *evaluator) accumulate(g evidenceGains) {
+	if e.sums == nil {
+		e.sums = map[evidenceKey]map[string]float64{}
+	}
+	for key, byDomain := range g {
+		if e.sums[key] == nil {
+			e.sums[key] = map[string]float64{}
+		}
+		for domain, added := range byDomain {
+			e.sums[key][domain] = max(e.sums[key][domain]+added, 0)
+		}
+	}
+}
+
+// verdict evaluates the accumulated evidence. domains is the number of failure domains in which the
+// new version has replicas. Where there are several, the evidence of one domain is not sufficient:
+// a domain that crashes, or one replica that fails, is not a fault of the version.
+func (e *evaluator) verdict(domains int) Verdict {
+	v := Verdict{Answers: e.answers, BadOnes: e.badAnswers}
+	domainMax := badEvidence
+	if domains != 1 { // 0: not known yet
+		domainMax = maxDomainShare * badEvidence
+	}
+	for key, byDomain := range e.sums {
+		sum, largest := 0.0, 0.0
+		for _, s := range byDomain {
+			sum += min(s, domainMax)
+			largest = max(largest, min(s, domainMax))
+		}
+		if domains > 1 {
+			v.Doubt = max(v.Doubt, sum-largest)
+		} else {
+			v.Doubt = max(v.Doubt, sum)
+		}
+		if sum > v.Evidence {
+			v.Evidence, v.Route, v.Aspect = sum, key.route, key.aspect
+		}
+	}
+	v.Bad = v.Evidence >= badEvidence
+	return v
+}
+
+// weight returns the evidence of one answer: the logarithm of how much more likely it comes from a
+// bad version than from a healthy one, given that the share badRate of the old version's answers is
+// bad.
+func weight(badRate float64, bad bool) float64 {
+	healthy := min(badRate*toleranceFactor+toleranceAdd, maxBadShare-toleranceAdd)
+	worse := min(healthy+badShare, maxBadShare)
+	if bad {
+		return math.Log(worse / healthy)
+	}
+	return math.Log((1 - worse) / (1 - healthy))
+}
--- a/rollout/events_test.go
+++ b/rollout/events_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// simEvent is something that happens at a moment of a simulation; those of one moment go in
-// the order in which they were set.
+// simEvent is an action at a point in time of a simulation; actions at the same time run in the
+// order in which they were scheduled.
 type simEvent struct {
 	at  time.Duration
 	seq int
@@ -25,4 +25,4 @@
 	return x
 }
 
-var seqOf int
+var lastSeq int
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,108 +5,110 @@
 	"time"
 )
 
-// Aspect is what is judged of an answer.
+// Aspect is the property of an answer that the versions are compared by.
 type Aspect uint8
 
-// The aspects. Each has its own usual time.
+// The aspects. Each has its own baseline.
 const (
-	// Whole is an answer that comes at once.
+	// Whole is the time to an answer that is not streamed.
 	Whole Aspect = iota
-	// First is the first piece of a stream.
+	// First is the time to the first chunk of a stream.
 	First
-	// Pace is the mean time between pieces of a stream.
+	// Pace is the mean time between chunks of a stream.
 	Pace
 )
 
-// Grade is how an answer was: a step of a scale of times, or that it failed.
+// Grade rates one answer: it is the index of a latency bucket on a logarithmic scale, or Failed.
 type Grade uint8
 
 const (
-	// Failed is an answer that says so itself, that is not the request's, or that a replica
-	// broke off which goes on working. One that a crash cut off says nothing.
+	// Failed marks an answer that reports a failure, that does not belong to the request, or that
+	// was cut off by a replica which goes on working. An answer that was cut off by a crash is not
+	// rated.
 	Failed Grade = 255
 
-	// gradeStep is the ratio of two steps that follow each other, and gradeUnit the time
-	// of the first.
-	gradeStep = 1.25
-	gradeUnit = time.Millisecond
-	lastGrade = 100
+	// gradeRatio is the ratio between the bounds of adjacent latency buckets; gradeUnit is the
+	// upper bound of the first bucket.
+	gradeRatio = 1.25
+	gradeUnit  = time.Millisecond
+	lastGrade  = 100
 )
 
-// GradeOf is the grade of an answer that took some time.
+// GradeOf returns the latency bucket of an answer that took d.
 func GradeOf(d time.Duration) Grade {
 	if d <= gradeUnit {
 		return 0
 	}
-	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeStep), lastGrade))
+	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeRatio), lastGrade))
 }
 
-// Cell is one kind of answers that are counted together.
+// Cell identifies a kind of answers that are counted together.
 type Cell struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
-	Domain string `cbor:"3,keyasint,omitempty"` // of the replica; empty for the old version
+	Domain string `cbor:"3,keyasint,omitempty"` // failure domain of the replica; empty for the old version
 	Grade  Grade  `cbor:"4,keyasint,omitempty"`
 }
 
-// Count is a number of answers of one kind.
+// Count is the number of answers of one kind.
 type Count struct {
 	Cell
 	N uint32 `cbor:"5,keyasint"`
 }
 
-// Report is what a router tells the others of the answers that it saw. A later one
-// replaces it, so that one that is lost does no harm.
+// Report holds the answers that one router has seen. Routers broadcast it; each report contains the
+// totals so far and replaces the one before, so a lost report does no harm.
 type Report struct {
 	Service   string  `cbor:"1,keyasint"`
-	Order     int64   `cbor:"2,keyasint"` // revision
-	Life      uint64  `cbor:"8,keyasint"` // of the router's process; its counts begin anew with it
-	Number    uint64  `cbor:"3,keyasint"` // grows with each report of a life
-	ElapsedMS int64   `cbor:"4,keyasint"` // since the order, as the router reckons
+	Order     int64   `cbor:"2,keyasint"` // revision of the order
+	Life      uint64  `cbor:"8,keyasint"` // identifies the run of the router process; its counts start at zero with each run
+	Number    uint64  `cbor:"3,keyasint"` // increases with each report of one run
+	ElapsedMS int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
 	New       []Count `cbor:"5,keyasint,omitempty"`
-	// Old are the answers of the old version of late: what the new is compared with.
+	// Old counts the answers of the old version within the last oldSpan, which are the baseline for
+	// the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
-	// Bad tells that the router takes the new version to be bad.
+	// Bad reports that the router considers the new version bad.
 	Bad bool `cbor:"7,keyasint,omitempty"`
 }
 
-// oldSpan is how long answers of the old version count: load and trouble change in
-// seconds, and both versions are to be judged by the same.
-const oldSpan = 4 * time.Second
+// baselineWindow is how long answers of the old version count. Load and failures change within
+// seconds, and both versions must be compared under the same conditions.
+const baselineWindow = 4 * time.Second
 
-// window counts answers of the last oldSpan.
+// window counts answers within the last baselineWindow, in a ring of time slots.
 type window struct {
-	slots [windowSlots]map[Cell]uint32
-	first int64 // number of the oldest slot in use
+	slots  [windowSlots]map[Cell]uint32
+	latest int64 // number of the latest slot that was started
 }
 
 const (
 	windowSlots = 8
-	slotSpan    = oldSpan / windowSlots
+	slotSpan    = baselineWindow / windowSlots
 )
 
-// turn empties the slots that are over.
-func (w *window) turn(now time.Duration) int64 {
+// advance clears the slots that have expired and returns the number of the current slot.
+func (w *window) advance(now time.Duration) int64 {
 	current := int64(now / slotSpan)
-	from := max(w.first, current-windowSlots) + 1
+	from := max(w.latest, current-windowSlots) + 1
 	for n := from; n <= current; n++ {
 		w.slots[n%windowSlots] = nil
 	}
-	w.first = max(w.first, current)
+	w.latest = max(w.latest, current)
 	return current
 }
 
 func (w *window) add(c Cell, now time.Duration) {
-	at := w.turn(now) % windowSlots
+	at := w.advance(now) % windowSlots
 	if w.slots[at] == nil {
 		w.slots[at] = map[Cell]uint32{}
 	}
 	w.slots[at][c]++
 }
 
-// sum adds what the window holds to a total.
-func (w *window) sum(now time.Duration, to map[Cell]uint32) {
-	w.turn(now)
+// addTo adds the counts of the window to a total.
+func (w *window) addTo(now time.Duration, to map[Cell]uint32) {
+	w.advance(now)
 	for _, slot := range w.slots {
 		for c, n := range slot {
 			to[c] += n
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -12,108 +12,109 @@
 	"wigeondale/fleet"
 )
 
-// version is how the replicas of a new version behave, beside what both versions share.
+// version describes how the replicas of a new version differ from those of the old one.
 type version struct {
 	fails  float64       // share of the answers that are failures
-	slower float64       // times as long; 0 for as long as the old one
+	slower float64       // slowdown factor; 0 for the speed of the old version
 	slow   float64       // share of the answers that are slower
-	after  time.Duration // of the order, when it turns bad
-	busy   int           // requests at a replica from which it is bad; 0 for any
-	route  string        // on which it is bad; empty for all
+	after  time.Duration // time after the order at which it turns bad
+	busy   int           // concurrent requests at a replica from which it is bad; 0 for any number
+	route  string        // route on which it is bad; empty for all
 }
 
-// trouble is what befalls both versions.
-type trouble struct {
-	crash map[time.Duration]string // domains, each away for crashFor
-	// grey is the share of the service's replicas, of both versions together, that fail two
-	// in five answers; each by itself has that chance if drawn is set.
-	grey  float64
-	drawn bool
+// faults describes the faults that affect both versions.
+type faults struct {
+	crash map[time.Duration]string // failure domains by crash time, each down for crashFor
+	// failing is the share of the service's replicas, of both versions together, that fail two
+	// answers in five. If drawn is set, each replica independently is one of them with that
+	// probability.
+	failing float64
+	drawn   bool
 }
 
 const crashFor = 1200 * time.Millisecond
 
-// plan is one simulated roll-out.
+// plan is the setup of one simulated roll-out.
 type plan struct {
 	routerCount int
-	perSec      float64 // requests, over all routers
+	rate        float64 // requests per second over all routers
 	routes      []simRoute
-	replicas    int // of each version
+	replicas    int // replicas of each version
 	order       Order
 	version     version
-	trouble     trouble
-	kill        time.Duration // when the router that acts is lost; 0 for never
+	faults      faults
+	killAt      time.Duration // time at which the router that writes the record stops; 0 for never
 }
 
-// simRoute is how a route is answered.
+// simRoute describes the answers of a route.
 type simRoute struct {
 	name  string
 	mean  time.Duration
-	fails float64 // at either version
+	fails float64 // share of failures at either version
 	pace  time.Duration
 }
 
-// outcome of a simulated roll-out.
+// outcome is the result of a simulated roll-out.
 type outcome struct {
-	requests, exposed int
-	badAnswers        int
-	lastAfterFiftieth time.Duration // of a request for the new version, after its fiftieth bad answer
-	stage             Stage
-	ended             time.Duration
-	reason            string
-	bytes             int // of reports, at one router
+	requests, exposed    int
+	badAnswers           int
+	exposedAfterFiftieth time.Duration // time from the fiftieth bad answer of the new version to the last request for it
+	stage                Stage
+	ended                time.Duration
+	reason               string
+	bytes                int // bytes of reports sent, over all routers
 }
 
-// simulation runs roll-outs on a fake clock, without goroutines.
+// simulation runs a roll-out on a fake clock, without goroutines.
 type simulation struct {
 	plan
-	rng     *rand.Rand
-	now     time.Duration
-	events  eventHeap
-	routers []*simRouter
-	old     []*simReplica
-	fresh   []*simReplica
-	tried   map[string]bool
-	record  Record
-	rev     int64
-	out     outcome
-	fifty   time.Duration
+	rng           *rand.Rand
+	now           time.Duration
+	events        eventHeap
+	routers       []*simRouter
+	old           []*simReplica
+	newer         []*simReplica
+	trialSet      map[string]bool
+	record        Record
+	rev           int64
+	out           outcome
+	fiftiethBadAt time.Duration
 }
 
 type simRouter struct {
-	ro    *Rollout
-	open  []*simRun // in the order of their begin
-	gone  bool
-	due   time.Duration // since when a change is due
-	isDue bool
+	ro       *Rollout
+	open     []*simRun // in the order in which they started
+	stopped  bool
+	dueSince time.Duration // time since which a change of the record is due
+	isDue    bool
 }
 
-// simRun is an attempt whose answer has not come.
+// simRun is an attempt that has no answer yet.
 type simRun struct {
-	cell  Cell
-	isNew bool
-	began time.Duration
-	noted bool
+	cell      Cell
+	isNew     bool
+	startedAt time.Duration
+	observed  bool
 }
 
 type simReplica struct {
-	b    fleet.Backend
-	busy int
-	grey bool
+	b       fleet.Backend
+	busy    int
+	failing bool
 }
 
 func (s *simulation) after(d time.Duration, do func()) {
-	seqOf++
-	heap.Push(&s.events, simEvent{s.now + d, seqOf, do})
+	lastSeq++
+	heap.Push(&s.events, simEvent{s.now + d, lastSeq, do})
 }
 
-// lost stands for an answer that a crash cut off.
-const lost Grade = 200
+// cutOff marks an answer that was cut off by a crash.
+const cutOff Grade = 200
 
 const (
-	simTick   = 100 * time.Millisecond
-	takeOver  = 600 * time.Millisecond
-	simDomain = 3
+	simTick       = 100 * time.Millisecond
+	takeOverAfter = 600 * time.Millisecond
+	simDomains    = 3
 )
 
 func simulate(t *testing.T, p plan, seed uint64) outcome {
@@ -124,27 +125,27 @@
 	}
 	for i := range p.replicas {
 		s.old = append(s.old, s.replica("old", "v1", i))
-		s.fresh = append(s.fresh, s.replica("new", p.order.Target, i))
+		s.newer = append(s.newer, s.replica("new", p.order.Target, i))
 	}
-	s.turnGrey()
+	s.makeFailing()
 	var list []fleet.Backend
-	for _, r := range s.fresh {
+	for _, r := range s.newer {
 		list = append(list, r.b)
 	}
 	limits := Limits{Share: 0.1, Burst: 50}
-	s.tried = TrialSet(list, limits)
+	s.trialSet = TrialSet(list, limits)
 	for i := range p.routerCount {
 		ro := New(Config{Limits: limits, Chart: c, Routers: func() int { return p.routerCount }, Random: s.rng.Float64, Life: uint64(i + 1)})
 		s.routers = append(s.routers, &simRouter{ro: ro})
 	}
 	start := s.now
-	s.everyone(func(r *simRouter) { r.ro.Ordered(p.order, s.now) })
+	s.notifyRouters(func(r *simRouter) { r.ro.Ordered(p.order, s.now) })
 	for _, r := range s.routers {
 		s.after(time.Duration(s.rng.Int64N(int64(simTick))), func() { s.tick(r, start) })
 	}
 	s.after(0, func() { s.arrive(start) })
-	if p.kill > 0 {
-		s.after(p.kill, func() { s.routers[0].gone = true })
+	if p.killAt > 0 {
+		s.after(p.killAt, func() { s.routers[0].stopped = true })
 	}
 	end := start + p.order.Duration
 	for len(s.events) > 0 && s.events[0].at < end {
@@ -158,45 +159,45 @@
 
 func (s *simulation) replica(kind, version string, i int) *simReplica {
 	return &simReplica{
-		b:    fleet.Backend{ID: fmt.Sprint(kind, i), FailureDomain: fmt.Sprint("d", i%simDomain), Version: version},
-		grey: s.trouble.drawn && s.rng.Float64() < s.trouble.grey,
+		b:       fleet.Backend{ID: fmt.Sprint(kind, i), FailureDomain: fmt.Sprint("d", i%simDomains), Version: version},
+		failing: s.faults.drawn && s.rng.Float64() < s.faults.failing,
 	}
 }
 
-// turnGrey has a share of all replicas fail, whichever version they are of.
-func (s *simulation) turnGrey() {
-	if s.trouble.drawn {
+// makeFailing makes a share of all replicas fail answers, whichever version they have.
+func (s *simulation) makeFailing() {
+	if s.faults.drawn {
 		return
 	}
-	all := append(slices.Clone(s.old), s.fresh...)
+	all := append(slices.Clone(s.old), s.newer...)
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, r := range all[:int(math.Round(s.trouble.grey*float64(len(all))))] {
-		r.grey = true
+	for _, r := range all[:int(math.Round(s.faults.failing*float64(len(all))))] {
+		r.failing = true
 	}
 }
 
-// everyone has each router learn something from the store, one after the other.
-func (s *simulation) everyone(learn func(*simRouter)) {
+// notifyRouters delivers a change of the store to each router, after a random delay for each.
+func (s *simulation) notifyRouters(notify func(*simRouter)) {
 	for _, r := range s.routers {
 		lag := 20*time.Millisecond + time.Duration(s.rng.Int64N(int64(900*time.Millisecond)))
-		s.after(lag, func() { learn(r) })
+		s.after(lag, func() { notify(r) })
 	}
 }
 
-// tick is what each router does now and then.
+// tick runs the periodic work of a router.
 func (s *simulation) tick(r *simRouter, start time.Duration) {
-	if r.gone {
+	if r.stopped {
 		return
 	}
 	s.after(simTick, func() { s.tick(r, start) })
 	for _, run := range r.open {
-		if waited := s.now - run.began; !run.noted && r.ro.Overdue(run.cell.Route, run.cell.Aspect, waited, s.now) {
-			run.noted = true
+		if waited := s.now - run.startedAt; !run.observed && r.ro.Overdue(run.cell.Route, run.cell.Aspect, waited, s.now) {
+			run.observed = true
 			run.cell.Grade = GradeOf(waited)
 			r.ro.Observe(run.cell, run.isNew, s.now)
 		}
 	}
-	if rep := r.ro.Tick(s.now, true, min(simDomain, s.replicas)); rep != nil {
+	if rep := r.ro.Tick(s.now, true, min(simDomains, s.replicas)); rep != nil {
 		s.out.bytes += 12 * (len(rep.New) + len(rep.Old) + 3)
 		for i, other := range s.routers {
 			if other != r {
@@ -205,18 +206,19 @@
 			}
 		}
 	}
-	s.act(r, start)
+	s.writeDue(r, start)
 }
 
-// act writes what is due, the first router at once, the others when nobody did for a while.
-func (s *simulation) act(r *simRouter, start time.Duration) {
-	next, rev, due := r.ro.Next(s.now, Ready{New: s.replicas, Old: s.replicas, Domains: simDomain})
+// writeDue writes the change of the record that is due: the first router at once, each further one
+// if the routers before it have not written for a while.
+func (s *simulation) writeDue(r *simRouter, start time.Duration) {
+	next, rev, due := r.ro.Next(s.now, Ready{New: s.replicas, Old: s.replicas, Domains: simDomains})
 	if !due {
 		r.isDue = false
 		return
 	}
 	if !r.isDue {
-		r.isDue, r.due = true, s.now
+		r.isDue, r.dueSince = true, s.now
 	}
 	rank := 0
 	for i, other := range s.routers {
@@ -224,7 +226,7 @@
 			rank = i
 		}
 	}
-	if rank > 5 || s.now-r.due < time.Duration(rank)*takeOver || rev != s.rev {
+	if rank > 5 || s.now-r.dueSince < time.Duration(rank)*takeOverAfter || rev != s.rev {
 		return
 	}
 	s.rev++
@@ -233,15 +235,15 @@
 		s.out.ended = s.now - start
 	}
 	written, at := next, s.rev
-	s.everyone(func(o *simRouter) { o.ro.Recorded(written, at, s.now) })
+	s.notifyRouters(func(o *simRouter) { o.ro.Recorded(written, at, s.now) })
 	r.ro.Recorded(written, at, s.now)
 }
 
 func (s *simulation) arrive(start time.Duration) {
-	gap := s.rng.ExpFloat64() / s.perSec
+	gap := s.rng.ExpFloat64() / s.rate
 	s.after(time.Duration(gap*float64(time.Second)), func() { s.arrive(start) })
 	r := s.routers[s.rng.IntN(len(s.routers))]
-	if r.gone {
+	if r.stopped {
 		return
 	}
 	s.out.requests++
@@ -256,13 +258,14 @@
 // send runs a request at a replica that the rule allows.
 func (s *simulation) send(r *simRouter, route simRoute, rule Rule, trial bool, start time.Duration) {
 	var able []*simReplica
-	for _, rep := range append(s.old, s.fresh...) {
-		// Its replicas register after the order, and news come in the order of changes.
+	for _, rep := range append(s.old, s.newer...) {
+		// The new replicas register after the order, and a router sees changes of the store in
+		// their order.
 		unknown := rule.Stage == None && rep.b.Version == s.order.Target
-		if unknown || s.away(rep, start) {
+		if unknown || s.down(rep, start) {
 			continue
 		}
-		if (trial && rule.Tries(&rep.b) && s.tried[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
+		if (trial && rule.Tries(&rep.b) && s.trialSet[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
 			able = append(able, rep)
 		}
 	}
@@ -273,19 +276,19 @@
 	isNew := rep.b.Version == s.order.Target
 	if isNew {
 		s.out.exposed++
-		if s.fifty > 0 {
-			s.out.lastAfterFiftieth = max(s.out.lastAfterFiftieth, s.now-s.fifty)
+		if s.fiftiethBadAt > 0 {
+			s.out.exposedAfterFiftieth = max(s.out.exposedAfterFiftieth, s.now-s.fiftiethBadAt)
 		}
 	}
 	rep.busy++
 	took, grade := s.answer(rep, route, isNew, start)
-	run := &simRun{cell: Cell{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, began: s.now}
+	run := &simRun{cell: Cell{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, startedAt: s.now}
 	r.open = append(r.open, run)
 	s.after(took, func() { s.answered(r, rep, route, run, start) })
 }
 
-func (s *simulation) away(rep *simReplica, start time.Duration) bool {
-	for at, domain := range s.trouble.crash {
+func (s *simulation) down(rep *simReplica, start time.Duration) bool {
+	for at, domain := range s.faults.crash {
 		if since := s.now - start - at; domain == rep.b.FailureDomain && since >= 0 && since < crashFor {
 			return true
 		}
@@ -302,34 +305,34 @@
 	if route.pace > 0 {
 		took *= time.Duration(max(rep.busy, 1)) // prompts are read one after the other
 	}
-	failed := s.rng.Float64() < route.fails || (rep.grey && s.rng.Float64() < 0.4)
+	failed := s.rng.Float64() < route.fails || (rep.failing && s.rng.Float64() < 0.4)
 	v := s.version
 	if isNew && s.now-start >= v.after && (v.busy == 0 || rep.busy >= v.busy) && (v.route == "" || v.route == route.name) {
 		failed = failed || s.rng.Float64() < v.fails
 		if s.rng.Float64() < v.slow {
 			took = time.Duration(float64(took) * v.slower)
-			s.bad()
+			s.countBad()
 		}
 	}
 	if failed {
 		if isNew {
-			s.bad()
+			s.countBad()
 		}
 		return took, Failed
 	}
-	for at, domain := range s.trouble.crash {
+	for at, domain := range s.faults.crash {
 		if left := start + at - s.now; domain == rep.b.FailureDomain && left > 0 && left < took {
-			return left, lost
+			return left, cutOff
 		}
 	}
 	return took, GradeOf(took)
 }
 
-// bad counts a bad answer as the operator would.
-func (s *simulation) bad() {
+// countBad counts a bad answer as an operator would.
+func (s *simulation) countBad() {
 	s.out.badAnswers++
 	if s.out.badAnswers == 50 {
-		s.fifty = s.now
+		s.fiftiethBadAt = s.now
 	}
 }
 
@@ -343,7 +346,7 @@
 func (s *simulation) answered(r *simRouter, rep *simReplica, route simRoute, run *simRun, start time.Duration) {
 	rep.busy--
 	r.open = slices.DeleteFunc(r.open, func(o *simRun) bool { return o == run })
-	if run.cell.Grade != lost && !run.noted {
+	if run.cell.Grade != cutOff && !run.observed {
 		r.ro.Observe(run.cell, run.isNew, s.now)
 	}
 	if run.cell.Grade == Failed && run.isNew {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,22 +1,28 @@
-// Package rollout moves a service to replicas of another version, and takes the service
-// back if that version answers worse than the one before.
+// Package rollout moves a service to replicas of another version, and back if that version answers
+// worse than the one before.
 //
-// Failure stories. A bad version that gets its share as soon as its replicas register
-// fails half of all requests: so it gets nothing before a trial, and a small share in it.
-// A version that is bad on one route, late, or only slow hides in the sum of all answers:
-// so new and old answers of the same moment are compared by route and by kind, over all
-// routers. One replica or failure domain that fails is no fault of the version: the worst
-// domain doesn't count. A router that decides alone sees too few answers, and one that
-// decides for all may be cut off: so routers tell each other what the new version
-// answered, each of them may stop sending, and only the progress from stage to stage is
-// written to one place under a condition. When a roll-out completes, the old replicas stop
-// at once: so their runs are moved before that is written.
+// The design guards against these failures:
 //
-// The package does no input or output. Times are on a clock that the caller reads.
+//   - A bad version that gets its share of requests as soon as its replicas register fails half of
+//     all requests. It therefore gets no requests before a trial, and a small share during the
+//     trial.
+//   - A version that is bad on one route only, turns bad after a while, or is only slow does not
+//     stand out in the sum of all answers. Answers of both versions from the same period are
+//     therefore compared by route and by kind of measurement, over all routers.
+//   - One failing replica or failure domain is not a fault of the version. Where there are several
+//     failure domains, one of them alone is not sufficient evidence.
+//   - A router that decides on its own observations sees too few answers, and a single deciding
+//     router may be cut off. Routers therefore broadcast what the new version answered, and each of
+//     them may stop sending to it; only the progress from stage to stage is written to one place,
+//     the store, with a conditional write.
+//   - The old replicas stop as soon as a roll-out is recorded as completed. Their runs are
+//     therefore moved before that is written.
+//
+// The package does no input or output. Times are read by the caller, on one clock.
 package rollout
 
 import (
-	_ "embed" // the state chart
+	_ "embed" // embeds the state chart
 	"slices"
 	"time"
 
@@ -32,36 +38,36 @@
 type Order struct {
 	Service  string
 	Target   string        // version that the service is to run
-	Duration time.Duration // within which the roll-out is to end
-	Revision int64         // of the order; a later one replaces it
+	Duration time.Duration // time within which the roll-out is to end
+	Revision int64         // store revision of the order; an order with a later revision replaces it
 }
 
-// Stage is how far a roll-out has come.
+// Stage is the progress of a roll-out.
 type Stage string
 
-// The stages, as the state chart names them.
+// The stages, named as in the state chart.
 const (
-	// None is the stage where nothing was ordered.
+	// None: no roll-out was ever ordered.
 	None Stage = ""
-	// Waiting gives the new version nothing.
+	// Waiting: the new version gets no requests.
 	Waiting Stage = "waiting"
-	// Trial gives it a small share of the requests.
+	// Trial: the new version gets a small share of the requests.
 	Trial Stage = "trial"
-	// Moving gives it all new work, and what runs at the old version moves to it.
+	// Moving: the new version gets all new work, and runs at the old version move to it.
 	Moving Stage = "moving"
-	// Completed tells that the old replicas have stopped.
+	// Completed: the old replicas have stopped.
 	Completed Stage = "completed"
-	// RolledBack gives the new version nothing any more.
+	// RolledBack: the new version gets no requests any more.
 	RolledBack Stage = "rolled-back"
 )
 
-// Open tells whether the stage is one that another follows.
+// Open reports whether the roll-out has started and not ended.
 func (s Stage) Open() bool { return s == Trial || s == Moving }
 
 //go:embed rollout.json
 var chartJSON []byte
 
-// LoadChart reads the state chart of a roll-out.
+// LoadChart parses the embedded state chart of a roll-out.
 func LoadChart() (*chart.Chart, error) {
 	c, err := chart.Load(chartJSON)
 	return c, Error.Wrap(err)
@@ -75,20 +81,21 @@
 	eventFailed = "failed"
 )
 
-// Record is what all routers go by. It lies in one place, and each change of it is made
-// under the condition that it is still as its writer knew it.
+// Record is the state of a roll-out that all routers share. It is one item of the store; each
+// change is written on condition that the item is still at the revision that the writer knows.
 type Record struct {
 	Order     int64  `json:"order"` // revision of the order
 	Target    string `json:"target"`
 	Stage     Stage  `json:"stage"`
-	ElapsedMS int64  `json:"elapsed_ms"` // since the order, when this was written
-	// Barred versions get nothing: those of earlier orders that did not complete.
+	ElapsedMS int64  `json:"elapsed_ms"` // time since the order, when this record was written
+	// Barred versions get no requests: they are the targets of earlier orders that did not
+	// complete.
 	Barred []string `json:"barred,omitempty"`
-	Reason string   `json:"reason,omitempty"` // of a roll-back
+	Reason string   `json:"reason,omitempty"` // why it was rolled back
 }
 
-// succeed returns the record with which a later order begins.
-func (r Record) succeed(o Order) Record {
+// forOrder returns the record with which a later order starts.
+func (r Record) forOrder(o Order) Record {
 	next := Record{Order: o.Revision, Target: o.Target, Stage: Waiting}
 	if r.Stage == Completed {
 		return next
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -6,52 +6,52 @@
 )
 
 const (
-	// tellBad is how soon other routers are told of a bad answer, and tellGood of others.
-	tellBad  = 200 * time.Millisecond
-	tellGood = time.Second
-	// tellOld is how often some routers tell of the old version, and tellers how many they
-	// are: what the new version is compared with must be known before its first answers.
-	tellOld = time.Second
-	tellers = 8
-	// tellVerdict is how often it is told again that the new version is bad: a message may
-	// be lost.
-	tellVerdict = 500 * time.Millisecond
+	// badReportDelay is how soon a bad answer is reported to the other routers, goodReportDelay how
+	// soon any other answer is.
+	badReportDelay  = 200 * time.Millisecond
+	goodReportDelay = time.Second
+	// oldReportInterval is how often some routers report the answers of the old version, and
+	// oldReporters the expected number of those routers. The baseline must be known before the
+	// first answers of the new version.
+	oldReportInterval = time.Second
+	oldReporters      = 8
+	// verdictInterval is how often the report that the new version is bad is repeated, since a
+	// message may be lost.
+	verdictInterval = 500 * time.Millisecond
 )
 
-// evidence is what is known of the answers of both versions: those seen here, and those
-// that other routers told of.
+// evidence holds the known answers of both versions: those seen by this router, and those reported
+// by other routers.
 type evidence struct {
-	judge judge
-	own   map[Cell]uint32 // of the new version, seen here
-	old   window          // of the old version, seen here
-	heard map[string]heardReport
-	// pooled are the answers of the old version of late that other routers told of.
-	pooled map[Cell]uint32
-	// frozen are those that count once all work has moved: nothing comes from the old
-	// version any more.
-	//
-	// What goes wrong without it: what is usual is forgotten within seconds, and a route on
-	// which either version fails now and then convicts a sound version while it moves.
-	frozen map[Cell]uint32
-	teller bool // this router tells of the old version, also without news of the new
+	evaluator   evaluator
+	local       map[Cell]uint32 // answers of the new version seen by this router
+	localOld    window          // answers of the old version seen by this router
+	peerReports map[string]peerReport
+	// peerOld counts the recent answers of the old version that other routers reported.
+	peerOld map[Cell]uint32
+	// frozenOld is the baseline while all work moves to the new version, when the old version gives
+	// no answers any more. Without it the baseline expires within seconds, and a route on which
+	// either version fails now and then makes a healthy version appear bad while work moves.
+	frozenOld map[Cell]uint32
+	sendsOld  bool // this router reports answers of the old version even without new answers of the new one
 
-	untold    bool // own has more than was told
-	untoldBad bool
-	last      time.Duration // of the report told last
-	number    uint64
+	unsent    bool // local has answers that were not reported yet
+	unsentBad bool
+	lastSent  time.Duration // time of the last report sent
+	sequence  uint64
 }
 
-// heardReport is the latest report of another router.
-type heardReport struct {
-	at     time.Duration
-	life   uint64
-	number uint64
-	new    map[Cell]uint32
-	old    []Count
+// peerReport is the latest report of another router.
+type peerReport struct {
+	receivedAt  time.Duration
+	incarnation uint64
+	sequence    uint64
+	new         map[Cell]uint32
+	old         []Count
 }
 
-// Observe counts an answer that this router saw. Only first attempts count: one that
-// follows a failure is sent where the first did not go.
+// Observe counts an answer that this router saw. Only the first attempt of a request counts: an
+// attempt that follows a failure is sent where the first one was not.
 func (r *Rollout) Observe(c Cell, ofNew bool, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,130 +61,131 @@
 	e := &r.evidence
 	if !ofNew {
 		c.Domain = ""
-		e.old.add(c, now)
+		e.localOld.add(c, now)
 		return
 	}
-	if e.own == nil {
-		e.own = map[Cell]uint32{}
+	if e.local == nil {
+		e.local = map[Cell]uint32{}
 	}
-	e.own[c]++
-	old := e.pooledOld(now)
-	e.judge.take(map[Cell]uint32{c: 1}, old)
-	e.untold = true
-	e.untoldBad = e.untoldBad || usualOf(old, c.Route, c.Aspect).bad(c.Grade)
-	r.weigh()
+	e.local[c]++
+	old := e.recentOld(now)
+	e.evaluator.add(map[Cell]uint32{c: 1}, old)
+	e.unsent = true
+	e.unsentBad = e.unsentBad || baselineOf(old, c.Route, c.Aspect).bad(c.Grade)
+	r.evaluate()
 }
 
-// Overdue tells whether an answer that has not come after some time counts as bad already.
+// Overdue reports whether an answer that has not come after the given time counts as bad already.
 func (r *Rollout) Overdue(route string, aspect Aspect, waited, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	u := usualOf(r.evidence.pooledOld(now), route, aspect)
-	return u.known && GradeOf(waited) >= u.slow
+	b := baselineOf(r.evidence.recentOld(now), route, aspect)
+	return b.known && GradeOf(waited) >= b.slowFrom
 }
 
-// Hear takes in what another router tells.
+// Hear applies a report from another router.
 func (r *Rollout) Hear(from string, rep Report, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || rep.Order != r.order.Revision {
 		return
 	}
-	r.began = min(r.began, now-time.Duration(rep.ElapsedMS)*time.Millisecond)
-	r.evidence.hear(from, rep, now)
+	r.orderedAt = min(r.orderedAt, now-time.Duration(rep.ElapsedMS)*time.Millisecond)
+	r.evidence.merge(from, rep, now)
 	if rep.Bad && !r.bad {
 		r.bad = true
 		r.epoch++
 	}
-	r.weigh()
+	r.evaluate()
 }
 
-func (e *evidence) hear(from string, rep Report, now time.Duration) {
-	before := e.heard[from]
-	if before.life != rep.Life {
-		before = heardReport{}
+func (e *evidence) merge(from string, rep Report, now time.Duration) {
+	before := e.peerReports[from]
+	if before.incarnation != rep.Life {
+		before = peerReport{}
 	}
-	if rep.Number <= before.number {
+	if rep.Number <= before.sequence {
 		return
 	}
-	h := heardReport{at: now, life: rep.Life, number: rep.Number, new: map[Cell]uint32{}, old: rep.Old}
-	e.forget(e.heard[from].old)
-	e.pool(rep.Old)
-	more := map[Cell]uint32{}
+	latest := peerReport{receivedAt: now, incarnation: rep.Life, sequence: rep.Number, new: map[Cell]uint32{}, old: rep.Old}
+	e.removePeerOld(e.peerReports[from].old)
+	e.addPeerOld(rep.Old)
+	added := map[Cell]uint32{}
 	for _, c := range rep.New {
-		h.new[c.Cell] = c.N
+		latest.new[c.Cell] = c.N
 		if c.N > before.new[c.Cell] {
-			more[c.Cell] = c.N - before.new[c.Cell]
+			added[c.Cell] = c.N - before.new[c.Cell]
 		}
 	}
-	if e.heard == nil {
-		e.heard = map[string]heardReport{}
+	if e.peerReports == nil {
+		e.peerReports = map[string]peerReport{}
 	}
-	e.heard[from] = h
-	if len(more) > 0 {
-		e.judge.take(more, e.pooledOld(now))
+	e.peerReports[from] = latest
+	if len(added) > 0 {
+		e.evaluator.add(added, e.recentOld(now))
 	}
 }
 
-func (e *evidence) pool(old []Count) {
-	if e.pooled == nil {
-		e.pooled = map[Cell]uint32{}
+func (e *evidence) addPeerOld(old []Count) {
+	if e.peerOld == nil {
+		e.peerOld = map[Cell]uint32{}
 	}
 	for _, c := range old {
-		e.pooled[c.Cell] += c.N
+		e.peerOld[c.Cell] += c.N
 	}
 }
 
-func (e *evidence) forget(old []Count) {
+func (e *evidence) removePeerOld(old []Count) {
 	for _, c := range old {
-		if e.pooled[c.Cell] -= c.N; e.pooled[c.Cell] == 0 {
-			delete(e.pooled, c.Cell)
+		if e.peerOld[c.Cell] -= c.N; e.peerOld[c.Cell] == 0 {
+			delete(e.peerOld, c.Cell)
 		}
 	}
 }
 
-// expire forgets what others told of the old version a while ago.
+// expire drops the answers of the old version in reports older than baselineWindow.
 func (e *evidence) expire(now time.Duration) {
-	for from, h := range e.heard {
-		if h.old != nil && now-h.at > oldSpan {
-			e.forget(h.old)
-			h.old = nil
-			e.heard[from] = h
+	for from, rep := range e.peerReports {
+		if rep.old != nil && now-rep.receivedAt > baselineWindow {
+			e.removePeerOld(rep.old)
+			rep.old = nil
+			e.peerReports[from] = rep
 		}
 	}
 }
 
-// pooledOld are the answers of the old version of late, over the routers that told.
-func (e *evidence) pooledOld(now time.Duration) map[Cell]uint32 {
-	if e.frozen != nil {
-		return e.frozen
+// recentOld returns the recent answers of the old version, seen by this router or reported by
+// others.
+func (e *evidence) recentOld(now time.Duration) map[Cell]uint32 {
+	if e.frozenOld != nil {
+		return e.frozenOld
 	}
-	sum := maps.Clone(e.pooled)
+	sum := maps.Clone(e.peerOld)
 	if sum == nil {
 		sum = map[Cell]uint32{}
 	}
-	e.old.sum(now, sum)
+	e.localOld.addTo(now, sum)
 	return sum
 }
 
-// report returns what is to be told now, or nil.
-func (e *evidence) report(r *Rollout, now time.Duration) *Report {
-	since := now - e.last
+// nextReport returns the report that is due now, or nil.
+func (e *evidence) nextReport(r *Rollout, now time.Duration) *Report {
+	since := now - e.lastSent
 	e.expire(now)
 	switch {
-	case e.teller && since >= tellOld:
-	case e.untoldBad && since >= tellBad:
-	case e.untold && since >= tellGood:
-	case r.bad && since >= tellVerdict:
+	case e.sendsOld && since >= oldReportInterval:
+	case e.unsentBad && since >= badReportDelay:
+	case e.unsent && since >= goodReportDelay:
+	case r.bad && since >= verdictInterval:
 	default:
 		return nil
 	}
-	e.last, e.untold, e.untoldBad = now, false, false
-	e.number++
+	e.lastSent, e.unsent, e.unsentBad = now, false, false
+	e.sequence++
 	old := map[Cell]uint32{}
-	e.old.sum(now, old)
+	e.localOld.addTo(now, old)
 	return &Report{
-		Service: r.order.Service, Order: r.order.Revision, Life: r.cfg.Life, Number: e.number, ElapsedMS: (now - r.began).Milliseconds(),
-		New: counts(e.own), Old: counts(old), Bad: r.bad,
+		Service: r.order.Service, Order: r.order.Revision, Life: r.cfg.Life, Number: e.sequence, ElapsedMS: (now - r.orderedAt).Milliseconds(),
+		New: counts(e.local), Old: counts(old), Bad: r.bad,
 	}
 }
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Next says how the record is to change now, if it is to. The event that causes it, by the
-// state chart, is decided by this router's knowledge; whether the change is made, by the
-// condition that the record is still the one that it knows.
+// Next returns the change of the record that is due now, if any. Which event of the state chart has
+// occurred is decided by this router's knowledge; whether the change is made depends on the
+// condition that the record is still at the given revision.
 func (r *Rollout) Next(now time.Duration, ready Ready) (next Record, revision int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -17,23 +17,23 @@
 	}
 	next = r.record
 	if r.order != nil && r.record.Order != r.order.Revision {
-		next = r.record.succeed(*r.order)
+		next = r.record.forOrder(*r.order)
 	}
 	to, err := r.cfg.Chart.Next(string(next.Stage), event)
 	if err != nil {
-		return Record{}, 0, false // another router was first
+		return Record{}, 0, false // another router made the change first
 	}
 	next.Stage, next.Reason = Stage(to), reason
 	if r.order != nil {
-		next.ElapsedMS = (now - r.began).Milliseconds()
+		next.ElapsedMS = (now - r.orderedAt).Milliseconds()
 	}
 	return next, r.revision, true
 }
 
 func (r *Rollout) event(now time.Duration, ready Ready) (event, reason string) {
 	if r.order == nil {
-		// News of the order may be later than those of the record that it caused.
-		if r.record.Stage.Open() && (r.withdrawn || now-r.staged >= settle) {
+		// The order may become known later than the record that it caused.
+		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
 			return eventFailed, "the order was withdrawn"
 		}
 		return "", ""
@@ -47,7 +47,7 @@
 	case r.bad:
 		return eventFailed, "the new version answers worse: " + r.verdict.String()
 	case r.record.Stage == Moving:
-		if now-r.staged >= settle {
+		if now-r.stagedAt >= settleTime {
 			return eventMoved, ""
 		}
 		return "", ""
@@ -55,57 +55,56 @@
 	return r.endTrial(now, ready)
 }
 
-// endTrial decides how a trial ends whose time is over.
+// endTrial decides the result of a trial whose time has passed.
 func (r *Rollout) endTrial(now time.Duration, ready Ready) (event, reason string) {
-	elapsed := now - r.began
-	if elapsed < r.order.moveAt() {
+	elapsed := now - r.orderedAt
+	if elapsed < r.order.trialEnd() {
 		return "", ""
 	}
-	missing := r.missing(ready, now)
+	missing := r.trialBlocker(ready, now)
 	switch {
 	case missing == "":
 		return eventPassed, ""
-	case elapsed >= r.order.lateAt():
+	case elapsed >= r.order.giveUpAt():
 		return eventFailed, "not ready in time: " + missing
 	}
 	return "", ""
 }
 
-// enoughReady is the part of the old replicas that the new ones have to be, so that all
-// work can move to them.
+// enoughReady is the ratio of new to old replicas from which all work can move to the new ones.
 const enoughReady = 0.7
 
-// missing tells what a trial lacks to be passed, "" for nothing.
-func (r *Rollout) missing(ready Ready, now time.Duration) string {
+// trialBlocker returns why a trial can't pass, "" if it can.
+func (r *Rollout) trialBlocker(ready Ready, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
 	case r.stale:
 		return "this router does not hear the store"
-	case now-r.staged < r.order.leastTrial():
+	case now-r.stagedAt < r.order.minTrialAfterStart():
 		return "the trial has just begun"
 	case float64(ready.New) < enoughReady*float64(ready.Old) || ready.New == 0:
 		return fmt.Sprintf("%d new replicas are ready, %d old ones", ready.New, ready.Old)
-	case r.verdict.Doubt >= doubtAt:
+	case r.verdict.Doubt >= maxOtherEvidence:
 		return "doubt: " + r.verdict.String()
-	case answers < minAnswers && !r.hardlyAsked():
+	case answers < minAnswers && !r.lowTraffic():
 		return fmt.Sprintf("%d answers of the new version", answers)
 	}
 	return ""
 }
 
-// hardlyAsked tells that the service has so few requests that a trial has no answers.
+// lowTraffic reports whether the service has so few requests that a trial may get no answers.
 //
-// What goes wrong if that is concluded from the answers that were heard of: a router that
-// has just started, or whose links are slow, has heard of few, and ends a trial of which
-// others know that it fails. It shows as a bad version that gets all requests for a second.
-func (r *Rollout) hardlyAsked() bool { return r.asked*r.cfg.Routers() < fewRequests }
+// It counts requests at this router, not the answers reported by others: a router that has just
+// started, or whose links are slow, knows of few answers and would pass a trial that other routers
+// know to fail. The bad version would then get all requests for a second.
+func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
-// Missing tells why a trial that is over does not pass, "" if it does or is not over.
+// Missing returns why a trial whose time has passed does not pass, "" if it passes or is not over.
 func (r *Rollout) Missing(now time.Duration, ready Ready) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.order == nil || r.stage() != Trial || now-r.began < r.order.moveAt() {
+	if r.order == nil || r.stage() != Trial || now-r.orderedAt < r.order.trialEnd() {
 		return ""
 	}
-	return r.missing(ready, now)
+	return r.trialBlocker(ready, now)
 }
--- /dev/null
+++ b/rollout/quota.go
@@ -0,0 +1,106 @@
+package rollout
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"wigeondale/fleet"
+)
+
+// Limits bound the requests that reach a version that may turn out to be bad, over all routers
+// together.
+type Limits struct {
+	Share float64 // share of the requests for the service
+	Burst float64 // number of requests in addition to the share
+}
+
+const (
+	// usedShare and usedBurst are the parts of the limits that a trial uses. The rest is reserved
+	// for requests sent between the first bad answers and the moment the last router stops.
+	usedShare = 0.6
+	usedBurst = 0.7
+	// firstShare is the part of the used share at the start of a trial, and firstFor how long it
+	// applies.
+	firstShare = 0.25
+	firstFor   = 1500 * time.Millisecond
+	// trialReplicaFactor is the ratio between the share of the new replicas that take part in a
+	// trial and the share of the requests they get. The burst comes on top of the share, and
+	// replicas with more load than the old ones would appear slow.
+	trialReplicaFactor = 3
+)
+
+// share returns the part of the requests that goes to the new version at the given time since the
+// start of the trial.
+func (l Limits) share(trial time.Duration) float64 {
+	if trial < firstFor {
+		return firstShare * usedShare * l.Share
+	}
+	return usedShare * l.Share
+}
+
+// quota limits one router's requests to the version on trial. Each router counts only its own
+// requests; the quotas of all routers add up to the share of all requests, whichever router they
+// arrive at.
+//
+// Each quota starts at a random fraction of one request. If all routers rounded the same way, then
+// with many routers that see a few requests each, rounding down would send nothing to the new
+// version, and rounding up would send it one request for each router.
+type quota struct {
+	allowed float64 // requests allowed so far by the share
+	extra   float64 // requests allowed in addition, by the end of the trial
+	sent    int
+}
+
+// newQuota returns the quota of one of several routers; random is uniform in [0, 1).
+func newQuota(l Limits, routers int, random float64) *quota {
+	return &quota{allowed: random, extra: usedBurst * l.Burst / float64(max(routers, 1))}
+}
+
+// admit counts one request and reports whether it goes to the new version. over is the elapsed part
+// of the trial, 0 to 1: the requests in addition to the share are spread over the trial, since a
+// version may turn bad after a while.
+func (q *quota) admit(share, elapsed float64) bool {
+	q.allowed += share
+	if float64(q.sent+1) > q.allowed+q.extra*min(elapsed, 1) {
+		return false
+	}
+	q.sent++
+	return true
+}
+
+// undo returns the quota of a request that was not sent to the new version after all.
+func (q *quota) undo() { q.sent-- }
+
+// TrialSet chooses the replicas of the new version that take part in a trial: at least one in each
+// failure domain, and so few that each has about as much load as it will have after the roll-out,
+// so that a version that fails under load shows it. All routers choose the same replicas.
+func TrialSet(replicas []fleet.Backend, l Limits) map[string]bool {
+	byDomain := map[string][]string{}
+	for i := range replicas {
+		b := &replicas[i]
+		byDomain[b.FailureDomain] = append(byDomain[b.FailureDomain], b.ID)
+	}
+	set := map[string]bool{}
+	for _, ids := range byDomain {
+		slices.SortFunc(ids, byHash)
+		n := int(math.Ceil(trialReplicaFactor * usedShare * l.Share * float64(len(ids))))
+		for _, id := range ids[:max(n, 1)] {
+			set[id] = true
+		}
+	}
+	return set
+}
+
+func byHash(a, b string) int {
+	x, y := xxhash.Sum64String(a), xxhash.Sum64String(b)
+	switch {
+	case x < y:
+		return -1
+	case x > y:
+		return 1
+	}
+	return 0
+}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -7,57 +7,57 @@
 	"wigeondale/chart"
 )
 
-// Config of a Rollout.
+// Config holds the parameters of a Rollout.
 type Config struct {
 	Limits  Limits
 	Chart   *chart.Chart
-	Routers func() int     // how many routers share the requests
-	Random  func() float64 // 0 to 1
-	Life    uint64         // of this process, drawn at its start
+	Routers func() int     // number of routers that share the requests
+	Random  func() float64 // uniform in [0, 1)
+	Life    uint64         // random number drawn at process start; identifies this run of the router
 }
 
-// Ready counts replicas that take work.
+// Ready counts the replicas of a service that accept work.
 type Ready struct {
 	New, Old int
-	Domains  int // with replicas of the new version
+	Domains  int // failure domains that have replicas of the new version
 }
 
-// Rollout is the roll-out of one service as one router sees it. Its methods may be called
-// from any goroutine; now never goes back.
+// Rollout is the state of one service's roll-out, as one router knows it. Its methods are safe for
+// concurrent use; the time passed as now must never go back.
 type Rollout struct {
 	cfg Config
 
 	mu    sync.Mutex
 	epoch uint64
 	order *Order
-	// withdrawn tells that there was an order and is none any more.
+	// withdrawn is set when the order in force was removed and not replaced.
 	withdrawn bool
-	began     time.Duration // of the order, as far as known
+	orderedAt time.Duration // estimated time at which the order was given
 	record    Record
-	revision  int64 // of the record, 0 for none
-	staged    time.Duration
+	revision  int64 // store revision of record, 0 if there is no record yet
+	stagedAt  time.Duration
 	stale     bool
-	bad       bool // this router's verdict, or another one's that it heard
+	bad       bool // the new version was found bad, by this router or in a report from another one
 	verdict   Verdict
 	domains   int
-	ration    *ration               // nil before the first request of the trial
-	asked     int                   // requests that came to this router in the trial
-	assigned  map[string]assignment // requests that were drawn and are not sent yet
+	quota     *quota                // nil before the first request of the trial
+	requests  int                   // requests that arrived at this router during the trial
+	assigned  map[string]assignment // requests that are assigned to a version and not sent yet
 	evidence  evidence
 }
 
-// assignment is whether a request is part of the trial, and when it was drawn.
+// assignment records whether a request is part of the trial, and when that was decided.
 type assignment struct {
 	trial bool
 	at    time.Duration
 }
 
-// New returns a Rollout without an order.
+// New returns a Rollout that has no order.
 func New(cfg Config) *Rollout {
 	return &Rollout{cfg: cfg, assigned: map[string]assignment{}}
 }
 
-// Ordered takes in the order in force.
+// Ordered sets the order in force. A new revision discards all evidence about the previous order.
 func (r *Rollout) Ordered(o Order, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,15 +65,15 @@
 		return
 	}
 	r.order, r.withdrawn = &o, false
-	r.began = now - newsLag
-	r.bad, r.verdict, r.ration, r.asked = false, Verdict{}, nil, 0
-	r.evidence = evidence{teller: r.cfg.Random()*float64(r.cfg.Routers()) < tellers}
+	r.orderedAt = now - storeLag
+	r.bad, r.verdict, r.quota, r.requests = false, Verdict{}, nil, 0
+	r.evidence = evidence{sendsOld: r.cfg.Random()*float64(r.cfg.Routers()) < oldReporters}
 	clear(r.assigned)
-	r.reckon(now)
+	r.adjustStart(now)
 	r.epoch++
 }
 
-// Withdrawn takes note that there is no order any more.
+// Withdrawn removes the order in force.
 func (r *Rollout) Withdrawn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,37 +83,39 @@
 	}
 }
 
-// Recorded takes in the record, and the revision that it has.
+// Recorded applies a record read from the store, unless its revision is older than the one already
+// known.
 func (r *Rollout) Recorded(rec Record, revision int64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision <= r.revision {
 		return
 	}
-	r.record, r.revision, r.staged = rec, revision, now
+	r.record, r.revision, r.stagedAt = rec, revision, now
 	if rec.Stage == Moving {
-		r.evidence.frozen = r.evidence.pooledOld(now)
+		r.evidence.frozenOld = r.evidence.recentOld(now)
 	}
-	r.reckon(now)
+	r.adjustStart(now)
 	r.epoch++
 }
 
-// reckon corrects when the order began by what the record says.
-func (r *Rollout) reckon(now time.Duration) {
+// adjustStart moves the estimated time of the order back if the record reports more elapsed time.
+func (r *Rollout) adjustStart(now time.Duration) {
 	if r.order != nil && r.record.Order == r.order.Revision {
-		r.began = min(r.began, now-time.Duration(r.record.ElapsedMS)*time.Millisecond)
+		r.orderedAt = min(r.orderedAt, now-time.Duration(r.record.ElapsedMS)*time.Millisecond)
 	}
 }
 
-// Stage is the stage that this router acts by.
+// Stage returns the stage by which this router acts.
 func (r *Rollout) Stage() Stage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stage()
 }
 
-// stage never goes beyond the record, but back at once: who takes the new version to be
-// bad does not wait until that is written.
+// stage returns the recorded stage, except that a roll-back takes effect at once: a router that
+// found the new version bad, or whose order was withdrawn, does not wait until that is written to
+// the store.
 func (r *Rollout) stage() Stage {
 	switch {
 	case r.order == nil && r.record.Stage.Open():
@@ -126,13 +128,13 @@
 	return r.record.Stage
 }
 
-// Rule says which replicas may be used.
+// Rule returns the rule by which replicas may be used at present.
 func (r *Rollout) Rule() Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rule := Rule{Epoch: r.epoch, Stage: r.stage(), Target: r.record.Target, Barred: r.record.Barred, Stale: r.stale}
 	if r.order != nil && r.record.Order != r.order.Revision {
-		next := r.record.succeed(*r.order)
+		next := r.record.forOrder(*r.order)
 		rule.Target, rule.Barred = next.Target, next.Barred
 	}
 	if rule.Stage == Completed {
@@ -141,14 +143,14 @@
 	return rule
 }
 
-// Record returns the record as this router knows it.
+// Record returns the latest record that this router knows.
 func (r *Rollout) Record() Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.record
 }
 
-// Order returns the order in force.
+// Order returns the order in force, and false if there is none.
 func (r *Rollout) Order() (Order, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,39 +160,39 @@
 	return *r.order, true
 }
 
-// assignedFor bounds how long it is remembered that a request is to be tried.
-const assignedFor = 30 * time.Second
+// assignmentTTL bounds how long the assignment of a request that was never sent is kept.
+const assignmentTTL = 30 * time.Second
 
-// Assign tells whether a request, which is new here, is part of the trial. Asked again for
-// the same request it says the same, until Sent or Unassign.
+// Assign reports whether a request that is new at this router is part of the trial. Further calls
+// for the same request return the same result until the request is sent or taken out of the trial.
 func (r *Rollout) Assign(request string, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.stage() != Trial || r.stale {
 		return false
 	}
-	if known, again := r.assigned[request]; again {
+	if known, ok := r.assigned[request]; ok {
 		return known.trial
 	}
-	if r.ration == nil {
-		r.ration = newRation(r.cfg.Limits, r.cfg.Routers(), r.cfg.Random())
+	if r.quota == nil {
+		r.quota = newQuota(r.cfg.Limits, r.cfg.Routers(), r.cfg.Random())
 	}
-	r.asked++
-	tried := now - r.staged
-	trial := r.ration.next(r.cfg.Limits.share(tried), float64(tried)/float64(r.order.moveAt()))
+	r.requests++
+	trialTime := now - r.stagedAt
+	trial := r.quota.admit(r.cfg.Limits.share(trialTime), float64(trialTime)/float64(r.order.trialEnd()))
 	r.assigned[request] = assignment{trial, now}
 	return trial
 }
 
-// Sent tells that a request was sent.
+// Sent drops the assignment of a request that was sent.
 func (r *Rollout) Sent(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.assigned, request)
 }
 
-// Unassign tells that a request could not be sent to the new version. It returns false if
-// it was not part of the trial.
+// Unassign takes a request that could not be sent to the new version out of the trial. It returns
+// false if the request was not part of the trial.
 func (r *Rollout) Unassign(request string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,47 +202,48 @@
 	}
 	known.trial = false
 	r.assigned[request] = known
-	r.ration.giveBack()
+	r.quota.undo()
 	return true
 }
 
-// Tick follows the passing of time: fresh tells whether this router hears the store, and
-// domains in how many failure domains the new version has replicas. It returns what the
-// other routers are to be told, or nil.
-func (r *Rollout) Tick(now time.Duration, fresh bool, domains int) *Report {
+// Tick updates the roll-out at the given time. current reports whether this router's copy of the
+// store is up to date; domains is the number of failure domains with replicas of the new version.
+// It returns the report to broadcast to the other routers, or nil.
+func (r *Rollout) Tick(now time.Duration, current bool, domains int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.stale == fresh {
-		r.stale = !fresh
+	if r.stale == current {
+		r.stale = !current
 		r.epoch++
 	}
 	r.domains = domains
 	for id, a := range r.assigned {
-		if now-a.at > assignedFor {
+		if now-a.at > assignmentTTL {
 			delete(r.assigned, id)
 		}
 	}
 	if r.order == nil || !r.record.Stage.Open() || r.record.Order != r.order.Revision {
 		return nil
 	}
-	r.weigh()
-	return r.evidence.report(r, now)
+	r.evaluate()
+	return r.evidence.nextReport(r, now)
 }
 
-// weigh takes the new version to be bad if the evidence says so. It never takes that back:
-// a version that failed once is not to be tried again without another order.
-func (r *Rollout) weigh() {
+// evaluate marks the new version as bad if the evidence is sufficient. The decision is never
+// reversed: a version that failed once is not tried again without another order.
+func (r *Rollout) evaluate() {
 	if r.bad {
 		return
 	}
-	r.verdict = r.evidence.judge.verdict(r.domains)
+	r.verdict = r.evidence.evaluator.verdict(r.domains)
 	if r.verdict.Bad {
 		r.bad = true
 		r.epoch++
 	}
 }
 
-// Verdict is what this router takes the new version for, and whether that is bad.
+// Verdict returns this router's evaluation of the new version, and whether the version is
+// considered bad.
 func (r *Rollout) Verdict() (Verdict, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -27,11 +27,11 @@
 	})
 }
 
-var someOrder = Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Revision: 7}
+var testOrder = Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 
-// Symptom: a bad version gets a multiple of its share. Sequence: requests come to few of
-// the routers, or by turns to others, while routers end and start again. Cause: each router
-// rounds its part up.
+// Guards against a bad version that gets a multiple of its share because each router rounds its
+// quota up. Requests arrive at few of the routers or alternately at others, while routers stop and
+// start again.
 func TestSharesOfAllRoutersAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.SampledFrom([]int{1, 6, 76, 300}).Draw(t, "routers")
@@ -41,72 +41,71 @@
 			seed = seed*6364136223846793005 + 1442695040888963407
 			return float64(seed>>11) / (1 << 53)
 		}
-		rations := make([]*ration, routers)
-		for i := range rations {
-			rations[i] = newRation(limits, routers, random())
+		quotas := make([]*quota, routers)
+		for i := range quotas {
+			quotas[i] = newQuota(limits, routers, random())
 		}
 		sent, requests, starts := 0, rapid.IntRange(0, 5000).Draw(t, "requests"), 0
 		busy := rapid.IntRange(1, routers).Draw(t, "busy")
 		for k := range requests {
 			i := int(random() * float64(busy))
-			if rations[i].next(usedShare*limits.Share, float64(k)/float64(requests)) {
+			if quotas[i].admit(usedShare*limits.Share, float64(k)/float64(requests)) {
 				sent++
 			}
-			if random() < 0.0005 { // the router starts again
-				rations[i] = newRation(limits, routers, random())
+			if random() < 0.0005 { // the router restarts
+				quotas[i] = newQuota(limits, routers, random())
 				starts++
 			}
 		}
 		mean := usedShare*limits.Share*float64(requests) + usedBurst*limits.Burst*(1+float64(starts)/float64(routers)) + 0.5*float64(starts)
-		// The parts of many routers are rounded each by itself.
+		// The quota of each router is rounded independently.
 		if most := mean + 6*math.Sqrt(float64(routers)/4+1); float64(sent) > most {
-			t.Fatalf("%d of %d requests were sent, %.1f are due in the mean", sent, requests, mean)
+			t.Fatalf("%d of %d requests were sent, %.1f are expected on average", sent, requests, mean)
 		}
 	})
 }
 
-// Symptom: a new version gets requests of which nobody ordered a trial. Sequence: its
-// replicas register; the order and the record come later, one by one. Cause: what is not
-// known counts as allowed.
+// Guards against a new version that gets requests before any trial: its replicas register first,
+// and the order and the record become known later, one by one.
 func TestNewVersionWaitsForItsTrial(t *testing.T) {
 	r := newRollout(t)
-	old, fresh := fleet.Backend{Version: "v1"}, fleet.Backend{Version: "v2"}
-	if rule := r.Rule(); !rule.Allows(&fresh) || !rule.Allows(&old) {
-		t.Error("without an order all versions are used")
+	old, newer := fleet.Backend{Version: "v1"}, fleet.Backend{Version: "v2"}
+	if rule := r.Rule(); !rule.Allows(&newer) || !rule.Allows(&old) {
+		t.Error("without an order all versions must be allowed")
 	}
-	r.Ordered(someOrder, 0)
-	if rule := r.Rule(); rule.Allows(&fresh) || rule.Tries(&fresh) || !rule.Allows(&old) {
+	r.Ordered(testOrder, 0)
+	if rule := r.Rule(); rule.Allows(&newer) || rule.Tries(&newer) || !rule.Allows(&old) {
 		t.Errorf("ordered: %+v", rule)
 	}
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if rule := r.Rule(); rule.Allows(&fresh) || !rule.Tries(&fresh) || !rule.Allows(&old) {
+	if rule := r.Rule(); rule.Allows(&newer) || !rule.Tries(&newer) || !rule.Allows(&old) {
 		t.Errorf("on trial: %+v", rule)
 	}
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 8*time.Second)
-	if rule := r.Rule(); !rule.Allows(&fresh) || rule.Allows(&old) || !rule.Moves(&old) {
+	if rule := r.Rule(); !rule.Allows(&newer) || rule.Allows(&old) || !rule.Moves(&old) {
 		t.Errorf("moving: %+v", rule)
 	}
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Completed}, 20, 10*time.Second)
 	later := fleet.Backend{Version: "v3", Started: 21}
-	if rule := r.Rule(); !rule.Allows(&fresh) || rule.Allows(&old) || !rule.Allows(&later) {
+	if rule := r.Rule(); !rule.Allows(&newer) || rule.Allows(&old) || !rule.Allows(&later) {
 		t.Errorf("completed: %+v", rule)
 	}
 }
 
-// Symptom: a version that was taken back gets requests again. Sequence: news of the trial
-// come after those of its end; another version is ordered. Cause: the latest news count,
-// and the version of an earlier order counts as an old one.
+// Guards against a rolled-back version that gets requests again: the record of its trial arrives
+// after that of its end, or another version is ordered and the version of the earlier order counts
+// as an old one.
 func TestTakenBackStaysSo(t *testing.T) {
 	r := newRollout(t)
-	fresh := fleet.Backend{Version: "v2"}
-	r.Ordered(someOrder, 0)
+	newer := fleet.Backend{Version: "v2"}
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: RolledBack}, 9, 2*time.Second)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 3*time.Second)
-	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&fresh) || rule.Tries(&fresh) {
+	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&newer) || rule.Tries(&newer) {
 		t.Errorf("got %+v", rule)
 	}
 	r.Ordered(Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}, 4*time.Second)
-	if rule := r.Rule(); rule.Allows(&fresh) || rule.Target != "v3" {
+	if rule := r.Rule(); rule.Allows(&newer) || rule.Target != "v3" {
 		t.Errorf("the next order: %+v", rule)
 	}
 	next, rev, due := r.Next(4*time.Second, Ready{New: 1, Old: 1, Domains: 1})
@@ -115,51 +114,51 @@
 	}
 }
 
-// Symptom: a router that hears nothing more of the store goes on with a trial that others
-// have ended. Cause: what it knew last counts for ever.
+// Guards against a router whose copy of the store is out of date and that goes on with a trial
+// which other routers have ended.
 func TestTrialEndsWhereTheStoreIsNotHeard(t *testing.T) {
 	r := newRollout(t)
-	fresh, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
-	r.Ordered(someOrder, 0)
+	newer, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	r.Tick(2*time.Second, false, 1)
 	for i := range 100 {
 		if r.Assign(fmt.Sprint(i), 3*time.Second) {
-			t.Fatal("a request was tried")
+			t.Fatal("a request was assigned to the trial")
 		}
 	}
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 4*time.Second)
-	if rule := r.Rule(); !rule.Allows(&fresh) || !rule.Allows(&old) || rule.Moves(&old) {
-		t.Errorf("moving, unheard: %+v", rule)
+	if rule := r.Rule(); !rule.Allows(&newer) || !rule.Allows(&old) || rule.Moves(&old) {
+		t.Errorf("moving, with a stale store: %+v", rule)
 	}
 }
 
-// Symptom: a request that waits for an engine is counted once for each look. Cause: it is
-// drawn anew each time.
+// Guards against a waiting request that is assigned anew, and counted, each time it looks for an
+// engine.
 func TestRequestIsDrawnOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
-	q := ""
-	for i := 0; q == ""; i++ {
+	inTrial := ""
+	for i := 0; inTrial == ""; i++ {
 		if id := fmt.Sprint(i); r.Assign(id, 3*time.Second) {
-			q = id
+			inTrial = id
 		}
 	}
 	for range 100 {
-		if !r.Assign(q, 3*time.Second) || r.Assign("0", 3*time.Second) != (q == "0") {
-			t.Fatal("the same request was drawn another way")
+		if !r.Assign(inTrial, 3*time.Second) || r.Assign("0", 3*time.Second) != (inTrial == "0") {
+			t.Fatal("the same request was assigned differently")
 		}
 	}
-	if !r.Unassign(q) || r.Unassign(q) {
-		t.Error("it is given back once")
+	if !r.Unassign(inTrial) || r.Unassign(inTrial) {
+		t.Error("a request must be unassigned exactly once")
 	}
 }
 
-// Symptom: an order that is withdrawn goes on. Cause: only a bad version is taken back.
+// Guards against a withdrawn order that goes on because only bad versions are rolled back.
 func TestWithdrawnOrderIsTakenBack(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	r.Withdrawn()
 	next, _, due := r.Next(2*time.Second, Ready{New: 1, Old: 1, Domains: 1})
@@ -168,40 +167,40 @@
 	}
 }
 
-// Symptom: a roll-out completes with a third of the replicas that the service needs.
-// Sequence: a failure domain of the new version is away when the trial is over. Cause: the
-// answers alone are judged.
+// Guards against a roll-out that completes with a third of the replicas that the service needs: a
+// failure domain of the new version is down at the end of the trial, and only the answers are
+// evaluated.
 func TestTooFewReplicasDoNotComplete(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if next, _, due := r.Next(someOrder.moveAt(), Ready{New: 1, Old: 3, Domains: 1}); due {
+	if next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 1, Old: 3, Domains: 1}); due {
 		t.Errorf("got %+v", next)
 	}
-	next, _, due := r.Next(someOrder.lateAt(), Ready{New: 1, Old: 3, Domains: 1})
+	next, _, due := r.Next(testOrder.giveUpAt(), Ready{New: 1, Old: 3, Domains: 1})
 	if !due || next.Stage != RolledBack {
 		t.Errorf("at the end of its time: %+v, due %v", next, due)
 	}
 }
 
-// A trial takes all the time that is left by what follows it.
+// A trial takes all the time that the steps after it leave.
 func TestTimesOfAnOrder(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 5 * time.Second, 12 * time.Second, time.Minute, time.Hour} {
 		o := Order{Duration: d}
-		if at := o.moveAt(); at > d || at < time.Duration(minTrialShare*float64(d)) {
+		if at := o.trialEnd(); at > d || at < time.Duration(minTrialShare*float64(d)) {
 			t.Errorf("%v: moves at %v", d, at)
 		}
-		if d >= 10*time.Second && o.moveAt()+settle > d-time.Second {
+		if d >= 10*time.Second && o.trialEnd()+settleTime > d-time.Second {
 			t.Errorf("%v: no margin", d)
 		}
 	}
 }
 
-// Symptom: a report that is lost, comes twice or late makes a version bad. Cause: its counts
-// are added, not taken for the whole.
+// Guards against a version that appears bad because a report was lost, repeated or delayed: counts
+// in reports are totals, not increments.
 func TestReportsCountOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	report := func(number uint64, n uint32) Report {
 		return Report{Service: "s", Order: 7, Life: 3, Number: number, New: []Count{{Cell{Route: "r", Domain: "d0", Grade: Failed}, n}}}
@@ -215,13 +214,12 @@
 	}
 }
 
-// Symptom: a sound version is taken back when a failure domain has a fault. Sequence: all
-// answers of its replicas in one domain fail, those in two others are well. Cause: the
-// domain's answers convict the version alone.
+// Guards against rolling back a healthy version when one failure domain has a fault: all answers of
+// its replicas in one domain fail, those in the two other domains are good.
 func TestOneDomainAloneDoesNotConvict(t *testing.T) {
 	for _, failing := range []int{1, 2} {
 		r := newRollout(t)
-		r.Ordered(someOrder, 0)
+		r.Ordered(testOrder, 0)
 		r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 		for i := range 30 {
 			for d := range 3 {
@@ -240,40 +238,40 @@
 	}
 }
 
-// Symptom: a bad version gets all requests for a second. Sequence: a trial is over; a router
-// whose links are slow has heard of no answer. Cause: it takes the service for one that has
-// hardly any requests, though requests came to it.
+// Guards against a bad version that gets all requests for a second: at the end of a trial a router
+// with slow links has received no reports, and takes the service for one with hardly any requests
+// although requests arrived at this router itself.
 func TestTrialIsNotPassedUnheard(t *testing.T) {
 	r := New(Config{Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 4 }, Random: func() float64 { return 0.5 }})
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 12 {
 		r.Assign(fmt.Sprint(i), 2*time.Second)
 	}
-	if next, _, due := r.Next(someOrder.moveAt(), Ready{New: 3, Old: 3, Domains: 3}); due {
+	if next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 3, Old: 3, Domains: 3}); due {
 		t.Errorf("got %+v", next)
 	}
 }
 
-// Symptom: a version that turns bad a second after its begin gets all requests. Sequence:
-// the store answers late, so the trial begins when most of the time before the move is
-// over. Cause: the trial ends by the time of the order alone.
+// Guards against a version that turns bad a second after its start and gets all requests: the store
+// answers late, so the trial starts when most of its time is over, and would end by the time of the
+// order alone.
 func TestTrialThatBeginsLateLastsAWhile(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	begin := someOrder.moveAt() - 100*time.Millisecond
+	r.Ordered(testOrder, 0)
+	begin := testOrder.trialEnd() - 100*time.Millisecond
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, begin)
 	ready := Ready{New: 3, Old: 3, Domains: 3}
-	for at := begin; at < begin+someOrder.leastTrial() && at < someOrder.lateAt()-newsLag; at += simTick {
+	for at := begin; at < begin+testOrder.minTrialAfterStart() && at < testOrder.giveUpAt()-storeLag; at += simTick {
 		if next, _, due := r.Next(at, ready); due {
 			t.Fatalf("after %v: %+v", at-begin, next)
 		}
 	}
 }
 
-// Symptom: a sound version of engines seems slow and is taken back. Sequence: its trial goes
-// to two engines of sixty in a domain, where prompts wait for each other. Cause: fewer
-// replicas take part than the requests of the trial need.
+// Guards against a healthy version of engines that appears slow and is rolled back: its trial uses
+// two engines out of sixty in a domain, where prompts wait for each other. More replicas have to
+// take part for the requests of the trial.
 func TestTrialHasReplicasEnough(t *testing.T) {
 	limits := Limits{Share: 0.1, Burst: 50}
 	for _, each := range []int{1, 3, 60, 1000} {
@@ -298,12 +296,12 @@
 	}
 }
 
-// Symptom: a sound version is taken back while all work moves to it. Sequence: nothing comes
-// from the old version any more; a route fails one answer in four, as it did there. Cause:
-// what is usual is forgotten after some seconds.
+// Guards against rolling back a healthy version while all work moves to it: the old version gives
+// no answers any more, a route fails one answer in four as it did there, and the baseline expired
+// after some seconds.
 func TestUsualIsKeptWhileWorkMoves(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	grade := func(i int) Grade {
 		if i%4 == 0 {
@@ -316,19 +314,19 @@
 	}
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 2*time.Second)
 	for i := range 140 {
-		r.Observe(Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*oldSpan)
+		r.Observe(Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*baselineWindow)
 	}
-	r.Tick(2*time.Second+2*oldSpan, true, 3)
+	r.Tick(2*time.Second+2*baselineWindow, true, 3)
 	if v, bad := r.Verdict(); bad || v.BadOnes != 35 {
 		t.Errorf("bad %v: %+v", bad, v)
 	}
 }
 
-// Symptom: a trial is not passed for a replica that fails, whatever the others answer. Cause:
-// the doubt of its domain counts.
+// Guards against a trial that does not pass because of one failing replica, whatever the other
+// replicas answer: the evidence of a single failure domain must not block it.
 func TestOneDomainIsNoDoubt(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.Ordered(testOrder, 0)
 	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 60 {
 		c := Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: 10}
@@ -339,7 +337,7 @@
 		r.Observe(c, true, 2*time.Second)
 	}
 	r.Tick(2*time.Second, true, 3)
-	next, _, due := r.Next(someOrder.moveAt(), Ready{New: 3, Old: 3, Domains: 3})
+	next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 3, Old: 3, Domains: 3})
 	if !due || next.Stage != Moving {
 		t.Errorf("due %v: %+v", due, next)
 	}
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -6,22 +6,23 @@
 	"wigeondale/fleet"
 )
 
-// Rule says which replicas of a service an attempt may use. It is a value of one moment.
+// Rule determines which replicas of a service an attempt may use. It is a snapshot.
 type Rule struct {
-	// Epoch grows with each change of the rule.
+	// Epoch increases with each change of the rule.
 	Epoch  uint64
 	Stage  Stage
 	Target string
-	// Barred versions get nothing.
+	// Barred versions get no requests.
 	Barred []string
-	// Since is the number from which replicas of any version count again, once a
-	// roll-out has completed: those that started before it have stopped.
+	// Since is the store revision at which the roll-out was recorded as completed. Replicas created
+	// after it may be used whatever their version; those created before it have stopped.
 	Since int64
-	// Stale tells that this router does not hear the store: what it knows may be over.
+	// Stale reports that this router's copy of the store is out of date: the roll-out may have
+	// advanced or ended meanwhile.
 	Stale bool
 }
 
-// Allows tells whether an attempt that is not part of a trial may use a replica.
+// Allows reports whether an attempt that is not part of a trial may use a replica.
 func (r *Rule) Allows(b *fleet.Backend) bool {
 	if slices.Contains(r.Barred, b.Version) {
 		return false
@@ -31,7 +32,8 @@
 	case Waiting, Trial, RolledBack:
 		return !isNew
 	case Moving:
-		// It may have completed or been taken back meanwhile: both versions are tried.
+		// It may have completed or been rolled back meanwhile: replicas of both versions may be
+		// used.
 		return isNew || r.Stale
 	case Completed:
 		return isNew || b.Started > r.Since
@@ -39,12 +41,12 @@
 	return true
 }
 
-// Tries tells whether a trial may use a replica.
+// Tries reports whether an attempt that is part of the trial may use a replica.
 func (r *Rule) Tries(b *fleet.Backend) bool {
 	return r.Stage == Trial && !r.Stale && b.Version == r.Target && !slices.Contains(r.Barred, b.Version)
 }
 
-// Moves tells whether runs at a replica are to go on elsewhere.
+// Moves reports whether runs at a replica have to continue elsewhere.
 func (r *Rule) Moves(b *fleet.Backend) bool {
 	if r.Stale || (r.Stage != Moving && r.Stage != RolledBack) {
 		return false
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -3,43 +3,44 @@
 import "time"
 
 const (
-	// newsLag is how long an order may have been there when this router learns of it.
-	newsLag = time.Second
-	// settle is the time from the decision that all work moves to the word that the old
-	// replicas may stop. Other routers learn of the decision within newsLag, and move
-	// their runs MoveGrace later.
-	settle = 1700 * time.Millisecond
-	// MoveGrace is how long runs stay where they are once they are to move, so that a
-	// copy of each can be made where it goes on.
+	// storeLag is the assumed age of an order when this router learns of it.
+	storeLag = time.Second
+	// settleTime is the time from the decision that all work moves to the record that the old
+	// replicas may stop. Other routers learn of the decision within storeLag and move their runs
+	// MoveGrace later.
+	settleTime = 1700 * time.Millisecond
+	// MoveGrace is how long runs stay where they are after the decision that they move, so that a
+	// copy of each can be made at the replica where it continues.
 	MoveGrace = 600 * time.Millisecond
-	// marginShare of an order's time, and minMargin at least, is kept for a store that
-	// answers late and for a router that takes over from another one.
+	// marginShare of an order's duration, and minMargin at least, is reserved for a slow store and
+	// for a router that takes over from another one.
 	marginShare = 0.12
 	minMargin   = 1500 * time.Millisecond
-	// minTrialShare of an order's time goes to the trial, however short the time is.
+	// minTrialShare of an order's duration goes to the trial, however short the duration is.
 	minTrialShare = 0.4
-	// leastTrial is how long a trial lasts at least once it has begun, and leastTrialShare
-	// the part of the order's time, if that is less: where the store answered late, what is
-	// left by the order's time may be too short to see an answer.
-	leastTrial      = 2 * time.Second
-	leastTrialShare = 0.25
-	// lastCall is how long before the end of its time a roll-out that has not passed its
-	// trial is taken back.
-	lastCall = settle + 200*time.Millisecond
+	// minTrialAfterStart is the minimum duration of a trial, or minTrialAfterStartShare of the
+	// order's duration if that is less. If the trial starts late because the store answered late,
+	// the time until the planned end may be too short to see an answer.
+	minTrialAfterStart      = 2 * time.Second
+	minTrialAfterStartShare = 0.25
+	// rollbackMargin is how long before the end of its time a roll-out whose trial has not passed
+	// is rolled back.
+	rollbackMargin = settleTime + 200*time.Millisecond
 )
 
-// moveAt is when, after the order, the trial ends. A version that turns bad late is found
-// only while the trial lasts, so it takes all the time that there is.
-func (o Order) moveAt() time.Duration {
+// trialEnd returns the time from the order to the end of the trial. A version that turns bad after
+// a while is found only during the trial, so the trial takes all the time there is.
+func (o Order) trialEnd() time.Duration {
 	margin := max(minMargin, time.Duration(marginShare*float64(o.Duration)))
 	least := time.Duration(minTrialShare * float64(o.Duration))
-	return max(o.Duration-margin-settle, least)
+	return max(o.Duration-margin-settleTime, least)
 }
 
-// lateAt is when a roll-out that has not passed its trial can't complete in time.
-func (o Order) lateAt() time.Duration { return max(o.Duration-lastCall, o.moveAt()) }
+// giveUpAt returns the time from the order after which a roll-out whose trial has not passed can't
+// complete in time.
+func (o Order) giveUpAt() time.Duration { return max(o.Duration-rollbackMargin, o.trialEnd()) }
 
-// leastTrial is how long its trial lasts at least.
-func (o Order) leastTrial() time.Duration {
-	return min(leastTrial, time.Duration(leastTrialShare*float64(o.Duration)))
+// minTrialAfterStart returns the minimum duration of the order's trial.
+func (o Order) minTrialAfterStart() time.Duration {
+	return min(minTrialAfterStart, time.Duration(minTrialAfterStartShare*float64(o.Duration)))
 }
