--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -11,60 +11,60 @@
 	"wigeondale/succession"
 )
 
-// While the store is away, successors of crashed replicas are adopted: few nodes look
-// for them (package succession) and tell the others. What the store says once it is
-// back goes first: an adopted replica that it does not list is dropped.
+// While the store is unavailable, replacements of crashed replicas are adopted: a few nodes search
+// for them (package succession) and broadcast what they find. The store has precedence once it is
+// back: an adopted replica that it does not list is removed.
 //
-// Only a service that is the configuration's one service of model engines is looked
-// after: then an engine with as much memory, at the address of a lost one, is one of its
-// replicas. Addresses pass to other services, and a request must not run there.
+// Replicas are adopted only for a service that is the configuration's only service of model
+// engines: then an engine with the same amount of memory, at the address of an unreachable one, is
+// one of its replicas. Addresses are reused by other services, and a request must not run there.
 const (
-	// adoptEvery is the interval of the search.
-	adoptEvery = 500 * time.Millisecond
-	// adoptTold is how often the adopted replicas are told again: messages get lost,
-	// and nodes start while the store is away.
-	adoptTold = 4 * time.Second
-	// listedWithin is how long after the store's return an adopted replica may be
-	// missing there. Entries that lapsed are back within about two seconds.
+	// adoptInterval is the interval of the search.
+	adoptInterval = 500 * time.Millisecond
+	// adoptedInterval is how often the adopted replicas are broadcast again: messages get lost, and
+	// nodes start while the store is unavailable.
+	adoptedInterval = 4 * time.Second
+	// listedWithin is how long after the store's return an adopted replica may be missing there.
+	// Expired entries are back within about two seconds.
 	listedWithin = 3 * time.Second
 	floodAdopted = "hosted.adopted"
 )
 
-// adoptedMessage names replicas that were found at the addresses of lost ones.
+// adoptedMessage names replicas that were found at the addresses of unreachable ones.
 type adoptedMessage struct {
 	Replicas []adoptedReplica `cbor:"1,keyasint"`
 }
 
-// adoptedReplica is one of them. All else is as it was with the lost one.
+// adoptedReplica is one of them. All other properties are those of the replica that it replaces.
 type adoptedReplica struct {
-	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"`
-	Born int64  `cbor:"3,keyasint,omitempty"`
+	Name      string `cbor:"1,keyasint"`
+	Addr      string `cbor:"2,keyasint"`
+	StartedAt int64  `cbor:"3,keyasint,omitempty"`
 }
 
-func (a *adoptedReplica) lifetime() fleet.Lifetime {
-	return fleet.Lifetime{Name: a.Name, Born: a.Born}
+func (a *adoptedReplica) incarnation() fleet.Lifetime {
+	return fleet.Lifetime{Name: a.Name, Born: a.StartedAt}
 }
 
 func adoptedOf(b *fleet.Backend) adoptedReplica {
-	return adoptedReplica{Name: b.Name(), Addr: b.Addr, Born: b.Lifetime.Born}
+	return adoptedReplica{Name: b.Name(), Addr: b.Addr, StartedAt: b.Lifetime.Born}
 }
 
-// adopter looks for successors while the store is away. Each node that reads the store
-// looks, so that the cost grows with the replicas that are lost and with the failure
-// domains, not with the nodes.
+// adopter searches for replacements while the store is unavailable. Only the nodes that are to read
+// the store search, so the cost grows with the number of unreachable replicas and of failure
+// domains, not with the number of nodes.
 type adopter struct {
-	view   *view
-	news   *news
-	seeker *succession.Seeker
-	tell   func(m adoptedMessage)
+	view      *view
+	storeSync *storeSync
+	finder    *succession.Seeker
+	broadcast func(m adoptedMessage)
 
-	told  time.Time
-	fresh time.Time // since when the store's word is new; zero while it is away
+	lastBroadcast time.Time
+	currentSince  time.Time // since when the copy of the store is up to date; zero while the store is unavailable
 }
 
 func (a *adopter) run(ctx context.Context) error {
-	tick := time.NewTicker(adoptEvery)
+	tick := time.NewTicker(adoptInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -77,51 +77,53 @@
 }
 
 func (a *adopter) step(ctx context.Context, now time.Time) {
-	if a.news.age(now) <= staleAfter {
+	if a.storeSync.age(now) <= staleAfter {
 		a.confirm(now)
 		return
 	}
-	a.fresh = time.Time{}
-	service, ok := a.view.engine()
-	if !ok || !a.news.reader() {
+	a.currentSince = time.Time{}
+	service, ok := a.view.engineService()
+	if !ok || !a.storeSync.isReader() {
 		return
 	}
-	found := a.seeker.Seek(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Found) bool {
+	found := a.finder.Seek(ctx, a.view.unreachable(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Found) bool {
 		return f.Memory == service.Memory
 	})
-	var toTell []adoptedReplica
+	var toBroadcast []adoptedReplica
 	for i := range found {
-		toTell = append(toTell, adoptedOf(&found[i]))
+		toBroadcast = append(toBroadcast, adoptedOf(&found[i]))
 	}
-	a.view.adopt(toTell)
-	if now.Sub(a.told) >= adoptTold {
-		a.told = now
-		toTell = a.view.allAdopted()
+	a.view.adopt(toBroadcast)
+	if now.Sub(a.lastBroadcast) >= adoptedInterval {
+		a.lastBroadcast = now
+		toBroadcast = a.view.allAdopted()
 	}
-	if len(toTell) > 0 {
-		a.tell(adoptedMessage{toTell})
+	if len(toBroadcast) > 0 {
+		a.broadcast(adoptedMessage{toBroadcast})
 	}
 }
 
-// hear takes in what another node found. A node that hears the store goes by that.
-func (a *adopter) hear(m adoptedMessage) {
-	if a.news.age(time.Now()) > staleAfter {
+// handleAdopted applies what another node found, unless this node's copy of the store is up to
+// date.
+func (a *adopter) handleAdopted(m adoptedMessage) {
+	if a.storeSync.age(time.Now()) > staleAfter {
 		a.view.adopt(m.Replicas)
 	}
 }
 
-// confirm drops what the store does not list although it had time to.
+// confirm removes the adopted replicas that the store still does not list when it has been back for
+// listedWithin.
 func (a *adopter) confirm(now time.Time) {
-	if a.fresh.IsZero() {
-		a.fresh = now
+	if a.currentSince.IsZero() {
+		a.currentSince = now
 	}
-	if now.Sub(a.fresh) >= listedWithin {
+	if now.Sub(a.currentSince) >= listedWithin {
 		a.view.dropAdopted()
 	}
 }
 
-// engine returns the one service of model engines.
-func (v *view) engine() (route.Service, bool) {
+// engineService returns the configuration's only service of model engines.
+func (v *view) engineService() (route.Service, bool) {
 	t := v.table.Get()
 	if t == nil {
 		return route.Service{}, false
@@ -130,14 +132,14 @@
 	return s, ok && s.Memory > 0
 }
 
-// lost returns the replicas of a service that seem to be gone though the store says
-// nothing of it.
-func (v *view) lost(service string) []fleet.Backend {
+// unreachable returns the replicas of a service that seem to have crashed while the store still
+// lists them.
+func (v *view) unreachable(service string) []fleet.Backend {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	var out []fleet.Backend
 	for id, b := range v.replicas {
-		if b.Service != service || b.Leaving || v.at[b.Addr] != id {
+		if b.Service != service || b.Leaving || v.byAddr[b.Addr] != id {
 			continue
 		}
 		if v.dir.Leaving(id) || v.mon.State(id) != health.Healthy {
@@ -147,7 +149,7 @@
 	return out
 }
 
-// adopt takes in replicas that were found at the addresses of lost ones.
+// adopt adds replicas that were found at the addresses of unreachable ones.
 func (v *view) adopt(found []adoptedReplica) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -158,35 +160,35 @@
 }
 
 func (v *view) adoptOne(f *adoptedReplica) {
-	old, ok := v.replicas[v.at[f.Addr]]
-	life := f.lifetime()
-	if !ok || old.Lifetime == life {
+	old, ok := v.replicas[v.byAddr[f.Addr]]
+	inc := f.incarnation()
+	if !ok || old.Lifetime == inc {
 		return
 	}
-	if _, known := v.replicas[life.ID()]; known {
+	if _, known := v.replicas[inc.ID()]; known {
 		return
 	}
-	before, n := v.lives.follow(life)
-	switch n {
+	previous, rel := v.incarnations.update(inc)
+	switch rel {
 	case outdated:
 		return
-	case reborn:
-		v.endLife(before)
+	case restarted:
+		v.endIncarnation(previous)
 	}
 	b := old
-	b.ID, b.Lifetime, b.VM, b.Leaving = life.ID(), life, life.Name, false
-	// It started after all that the store told; the store's own number comes later.
-	b.Started = v.youngest() + 1
+	b.ID, b.Lifetime, b.VM, b.Leaving = inc.ID(), inc, inc.Name, false
+	// It started after all replicas in the store; its creation revision becomes known later.
+	b.Started = v.latestStart() + 1
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
 	v.adopted[b.ID] = true
 	v.mon.Place(b.ID, b.Service, b.FailureDomain)
-	v.succeed(b, 0)
+	v.replaceAtAddress(b, 0)
 	v.changed = true
 }
 
-// youngest is the number of the latest start.
-func (v *view) youngest() int64 {
+// latestStart returns the revision of the latest start.
+func (v *view) latestStart() int64 {
 	var last int64
 	for _, b := range v.replicas {
 		last = max(last, b.Started)
@@ -205,14 +207,14 @@
 	return out
 }
 
-// dropAdopted drops the adopted replicas that the store has not named.
+// dropAdopted removes the adopted replicas that the store has not listed.
 func (v *view) dropAdopted() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for id := range v.adopted {
 		name := v.replicas[id].Lifetime.Name
 		v.drop(id, "the store does not list it")
-		v.lives.forget(name)
+		v.incarnations.forget(name)
 	}
 	v.settle()
 }
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -11,25 +11,24 @@
 	"wigeondale/route"
 )
 
-// Symptom: after a crash while the store is away all work stays on the engines that are
-// left, until the store is back. Sequence: the store falls silent, an engine crashes and
-// another one starts at its address; requests come. Cause: only the store was asked
-// which replicas there are.
+// Guards against work that stays on the remaining engines after a crash while the store is
+// unavailable: the store falls silent, an engine crashes and another one starts at its address. The
+// store must not be the only source of replicas.
 func TestSuccessorIsAdoptedWhileTheStoreIsAway(t *testing.T) {
 	f := newFleet(t)
-	old := f.replica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: freeAddr(t)})
-	n := f.serving()
+	old := f.startReplica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: freeAddr(t)})
+	n := f.startServingNode()
 	f.store.Silent(true)
 	old.Crash()
-	young := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: old.Addr()}
-	if err := young.Start(f.at); err != nil {
+	successor := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: old.Addr()}
+	if err := successor.Start(f.replicaAt); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(young.Crash)
-	asked := 0
-	await(t, "an answer of the new engine", func() bool {
-		asked++
-		resp, err := n.send(t.Context(), "/draft/x", fmt.Sprint("q", asked), key)
+	t.Cleanup(successor.Crash)
+	sent := 0
+	await(t, "a response of the new engine", func() bool {
+		sent++
+		resp, err := n.send(t.Context(), "/draft/x", fmt.Sprint("q", sent), key)
 		if err != nil {
 			return false
 		}
@@ -37,16 +36,16 @@
 		text, err := io.ReadAll(resp.Body)
 		return err == nil && resp.StatusCode == http.StatusOK && len(text) > 0
 	})
-	f.store.Register(young, false)
+	f.store.Register(successor, false)
 	f.store.Silent(false)
-	await(t, "the store's word", func() bool { return n.news.age(time.Now()) < staleAfter })
-	time.Sleep(listedWithin + 2*adoptEvery) // nothing is to happen to it
+	await(t, "an up-to-date copy of the store", func() bool { return n.storeSync.age(time.Now()) < staleAfter })
+	time.Sleep(listedWithin + 2*adoptInterval) // nothing must happen to it
 	if n.dir.Leaving("e1") {
-		t.Error("the new engine is taken for gone though the store lists it")
+		t.Error("the new engine is leaving although the store lists it")
 	}
 }
 
-// adoptingView knows the engine i-a at one address.
+// adoptingView returns a view that knows the engine i-a at one address.
 func adoptingView(engines ...string) *view {
 	v := newTestView()
 	cfg := &route.Config{Version: 2, Services: []route.Service{{Name: "app"}}}
@@ -59,14 +58,13 @@
 	return v
 }
 
-// Symptom: work goes to a replica that does not exist. Sequence: a replica was adopted
-// and ended before the store was back. Cause: what was found once counts for ever. The
-// store's word goes first, in both directions.
+// Guards against work for a replica that does not exist: it was adopted and exited before the store
+// was back. The store has precedence, for removals and for additions.
 func TestAdoptedReplicaNeedsTheStoresWord(t *testing.T) {
 	v := adoptingView("llm")
 	v.adopt([]adoptedReplica{{Name: "i-b", Addr: "10.0.0.1:80"}, {Name: "i-x", Addr: "10.0.0.9:80"}})
 	if !v.dir.Leaving("i-a") || v.dir.Leaving("i-b") || !v.dir.Leaving("i-x") {
-		t.Fatalf("leaving: lost %v, found %v, at an unknown address %v", v.dir.Leaving("i-a"), v.dir.Leaving("i-b"), v.dir.Leaving("i-x"))
+		t.Fatalf("leaving: unreachable %v, found %v, at an unknown address %v", v.dir.Leaving("i-a"), v.dir.Leaving("i-b"), v.dir.Leaving("i-x"))
 	}
 	v.dropAdopted()
 	if !v.dir.Leaving("i-b") {
@@ -77,18 +75,18 @@
 	v.Settled()
 	v.dropAdopted()
 	if v.dir.Leaving("i-c") {
-		t.Error("a replica that the store lists is dropped")
+		t.Error("a replica that the store lists was removed")
 	}
 }
 
-// Symptom: a request runs at a service that its route does not name. Sequence: an address
-// passes to another service of engines. Cause: engines of two services can't be told
-// apart by what they say of themselves.
+// Guards against a request that runs at a service which its route does not name: an address passes
+// to another service of engines, and engines of two services can't be told apart by what they
+// report.
 func TestNothingIsAdoptedBesideAnotherEngineService(t *testing.T) {
-	if s, ok := adoptingView("llm").engine(); !ok || s.Name != "llm" {
+	if s, ok := adoptingView("llm").engineService(); !ok || s.Name != "llm" {
 		t.Errorf("the only service of engines is %q, %v", s.Name, ok)
 	}
-	if s, ok := adoptingView("llm", "other").engine(); ok {
-		t.Errorf("%q is looked after beside another service of engines", s.Name)
+	if s, ok := adoptingView("llm", "other").engineService(); ok {
+		t.Errorf("%q is used although there is another service of engines", s.Name)
 	}
 }
--- a/hosted/budgets.go
+++ b/hosted/budgets.go
@@ -9,38 +9,38 @@
 	"wigeondale/settings"
 )
 
-// openDoor admits all requests: the platform sets no limits of accounts.
-type openDoor struct{}
+// admitAll admits all requests: the platform sets no limits for accounts.
+type admitAll struct{}
 
-func (openDoor) Admit(context.Context, generation.Ticket) (func(), error) { return nil, nil }
+func (admitAll) Admit(context.Context, generation.Ticket) (func(), error) { return nil, nil }
 
-// budgets hold one retry budget for each service. The platform bounds the sum
-// over all nodes: a share of the requests, and a burst that the nodes divide.
+// budgets holds one retry budget for each service. The platform bounds the sum over all nodes: a
+// share of the requests, and a burst that the nodes divide.
 type budgets struct {
 	share float64
-	burst func() float64 // of one node
+	burst func() float64 // burst of one node
 
-	mu    sync.Mutex
-	known map[string]*admission.RetryBudget
+	mu        sync.Mutex
+	byService map[string]*admission.RetryBudget
 }
 
-// budgetMargin is the part of the platform's bound that is used. The rest is for
-// nodes that don't know yet how many they are, and for uneven shares.
+// budgetMargin is the part of the platform's bound that is used. The rest is for nodes that don't
+// know the number of nodes yet, and for uneven shares.
 const budgetMargin = 0.8
 
 const (
-	// minBurst keeps a node of many able to try a request once more.
+	// minBurst lets a node retry a request even if there are many nodes.
 	minBurst = 2
-	// continueDepth is how far answers that have begun may overdraw: a crash of a failure
+	// continueDepth is how far started responses may overdraw the budget: the crash of a failure
 	// domain hits several at one node.
 	continueDepth = 6
 )
 
 func newBudgets(h *settings.Hosted, nodes func() int) *budgets {
 	return &budgets{
-		share: budgetMargin * h.RetryShare,
-		burst: func() float64 { return max(budgetMargin*h.RetryBurst/float64(nodes()), minBurst) },
-		known: map[string]*admission.RetryBudget{},
+		share:     budgetMargin * h.RetryShare,
+		burst:     func() float64 { return max(budgetMargin*h.RetryBurst/float64(nodes()), minBurst) },
+		byService: map[string]*admission.RetryBudget{},
 	}
 }
 
@@ -48,13 +48,13 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	burst := b.burst()
-	one := b.known[service]
-	if one == nil {
-		one = admission.NewRetryBudget(b.share, burst)
-		b.known[service] = one
+	budget := b.byService[service]
+	if budget == nil {
+		budget = admission.NewRetryBudget(b.share, burst)
+		b.byService[service] = budget
 	}
-	one.Resize(burst)
-	return one
+	budget.Resize(burst)
+	return budget
 }
 
 // First implements relay.Budgets.
--- a/hosted/fleet_test.go
+++ b/hosted/fleet_test.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	key      = "key-of-acc"
-	patience = 10 * time.Second // bound of every wait; no verdict depends on it
+	key         = "key-of-acc"
+	testTimeout = 10 * time.Second // bound of every wait; no result depends on it
 )
 
-// fleet is a store, replicas and nodes on loopback.
+// testFleet is a store, replicas and nodes on loopback.
 type testFleet struct {
 	t        *testing.T
 	store    *fakes.Store
@@ -41,15 +41,15 @@
 	return f
 }
 
-func (f *testFleet) at(addr string) *fakes.Replica {
+func (f *testFleet) replicaAt(addr string) *fakes.Replica {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replicas[addr]
 }
 
-func (f *testFleet) replica(r *fakes.Replica) *fakes.Replica {
+func (f *testFleet) startReplica(r *fakes.Replica) *fakes.Replica {
 	f.t.Helper()
-	if err := r.Start(f.at); err != nil {
+	if err := r.Start(f.replicaAt); err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(r.Crash)
@@ -60,33 +60,33 @@
 	return r
 }
 
-// engines starts n engines in two failure domains.
-func (f *testFleet) engines(n, pieces int, gap time.Duration) []*fakes.Replica {
+// startEngines starts n engines in two failure domains.
+func (f *testFleet) startEngines(n, chunks int, gap time.Duration) []*fakes.Replica {
 	var out []*fakes.Replica
 	for i := range n {
-		out = append(out, f.replica(&fakes.Replica{
-			ID: fmt.Sprintf("e%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Pieces: pieces, Gap: gap,
+		out = append(out, f.startReplica(&fakes.Replica{
+			ID: fmt.Sprintf("e%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Pieces: chunks, Gap: gap,
 		}))
 	}
 	return out
 }
 
-// app starts a replica of the plain service.
-func (f *testFleet) app(id, domain string) *fakes.Replica {
+// startApp starts a replica of the service that is not a model engine.
+func (f *testFleet) startApp(id, domain string) *fakes.Replica {
 	f.t.Helper()
-	return f.replica(&fakes.Replica{ID: id, Service: "app", Domain: domain})
+	return f.startReplica(&fakes.Replica{ID: id, Service: "app", Domain: domain})
 }
 
-// serving starts a node with a first configuration, and waits until it is ready.
-func (f *testFleet) serving() *testNode {
+// startServingNode starts a node with a first configuration, and waits until it is ready.
+func (f *testFleet) startServingNode() *testNode {
 	f.t.Helper()
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(f.t, "readiness", n.ready)
 	return n
 }
 
-// configure writes the next version with these keys of the account.
+// configure writes the next version of the configuration, with these keys of the account.
 func (f *testFleet) configure(keys ...string) {
 	f.version++
 	route := func(name, kind, service string, timeout time.Duration, attempts int) fakes.Route {
@@ -120,13 +120,13 @@
 	done    chan struct{}
 }
 
-func (f *testFleet) node(id string) *testNode {
+func (f *testFleet) startNode(id string) *testNode {
 	f.t.Helper()
-	return f.nodeAt(id, f.store.Addr())
+	return f.startNodeAt(id, f.store.Addr())
 }
 
-// nodeAt starts a node that reaches the store at an address of its own.
-func (f *testFleet) nodeAt(id, store string) *testNode {
+// startNodeAt starts a node that reaches the store at the given address.
+func (f *testFleet) startNodeAt(id, store string) *testNode {
 	f.t.Helper()
 	set, err := settings.Parse(fmt.Appendf(nil, `{
 		"node": {"id": %q, "vm": %q, "failure_domain": "d0", "region": "r", "incarnation": "1"},
@@ -161,7 +161,7 @@
 
 func (n *testNode) ready() bool { return n.readyStatus() == http.StatusOK }
 
-// readyStatus is 0 when nobody answers.
+// readyStatus returns the status of the readiness endpoint, 0 without a response.
 func (n *testNode) readyStatus() int {
 	resp, err := http.Get("http://" + n.node.ready.Addr().String() + "/readyz")
 	if err != nil {
@@ -173,17 +173,17 @@
 
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for !ok() {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// draft asks for a draft, whose answer is open until the test ends.
-func (n *testNode) draft(id string) *http.Response {
+// requestGeneration requests a generation whose response stays open until the test ends.
+func (n *testNode) requestGeneration(id string) *http.Response {
 	n.t.Helper()
 	resp, err := n.send(n.t.Context(), "/draft/x", id, key)
 	if err != nil {
@@ -193,18 +193,18 @@
 	return resp
 }
 
-// begunDraft asks for a draft and reads its first three pieces.
-func (n *testNode) begunDraft(id string) (resp *http.Response, first string) {
+// startedGeneration requests a generation and reads its first three chunks.
+func (n *testNode) startedGeneration(id string) (resp *http.Response, first string) {
 	n.t.Helper()
-	resp = n.draft(id)
-	pieces := make([]byte, len(draft(id, 3)))
-	if _, err := io.ReadFull(resp.Body, pieces); err != nil {
+	resp = n.requestGeneration(id)
+	chunks := make([]byte, len(generationText(id, 3)))
+	if _, err := io.ReadFull(resp.Body, chunks); err != nil {
 		n.t.Fatal(err)
 	}
-	return resp, string(pieces)
+	return resp, string(chunks)
 }
 
-// send makes a request with its own id through the node.
+// send sends a request with the given id through the node.
 func (n *testNode) send(ctx context.Context, path, id, apiKey string) (*http.Response, error) {
 	req, err := fakes.Ask{
 		Addr: n.front.Addr().String(), Path: path, ID: id, Key: apiKey, Budget: 15 * time.Second, Prompt: "aa:40," + id + ":60",
@@ -230,9 +230,9 @@
 	return resp.StatusCode, string(data)
 }
 
-func draft(id string, pieces int) string {
+func generationText(id string, chunks int) string {
 	s := ""
-	for n := 1; n <= pieces; n++ {
+	for n := 1; n <= chunks; n++ {
 		s += fakes.Piece(id, n)
 	}
 	return s
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -13,22 +13,23 @@
 	"wigeondale/quarantine"
 )
 
-// holdPrefix begins the keys of requests that are held back, in the store.
+// holdPrefix starts the keys of the records of quarantined requests in the store.
 const holdPrefix = "wigeondale/quarantine/"
 
 const (
-	// holdTimeout bounds one write, and holdRetry the pause after one that failed.
+	// holdTimeout bounds one write; holdRetry is the pause after a failed one.
 	holdTimeout = time.Second
 	holdRetry   = 2 * time.Second
-	// othersWait and othersSpread are when a node writes a hold that another one found and
-	// that isn't in the store yet.
-	othersWait   = 3 * time.Second
-	othersSpread = 5 * time.Second
-	// expirySpread spreads the removal of a record whose hold has ended: one node's is enough.
+	// peerHoldWait and peerHoldSpread determine when a node writes a hold that another node found
+	// and that isn't in the store yet.
+	peerHoldWait   = 3 * time.Second
+	peerHoldSpread = 5 * time.Second
+	// expirySpread spreads the removal of a record whose hold has ended over the nodes: one removal
+	// is enough.
 	expirySpread = time.Minute
 )
 
-// holdStore is the part of the store that holds use.
+// holdStore is the part of the store that holds uses.
 type holdStore interface {
 	Create(ctx context.Context, key string, data []byte) (bool, error)
 	Remove(ctx context.Context, key string) error
@@ -40,7 +41,7 @@
 	UntilUnixMS int64  `json:"until_unix_ms"`
 }
 
-// holds keeps the requests that are held back in the store, so that they outlive all routers.
+// holds stores the quarantined requests, so that they outlive all routers.
 type holds struct {
 	store holdStore
 	guard *quarantine.Guard
@@ -48,15 +49,15 @@
 	wake  chan struct{}
 
 	mu     sync.Mutex
-	stored map[quarantine.Digest]time.Time // and when the hold of the record ends
+	stored map[quarantine.Digest]time.Time // when the hold of the stored record ends
 	tasks  map[quarantine.Digest]*holdTask
 }
 
-// holdTask is a record that is to be written, or removed.
+// holdTask is the pending write or removal of a record.
 type holdTask struct {
 	due    time.Time
 	remove bool
-	found  bool // by this node
+	local  bool // this node found the request
 }
 
 func newHolds(store holdStore, log *event.Log) *holds {
@@ -66,25 +67,25 @@
 	}
 }
 
-// held takes in that a request is held back, which the store may not know yet.
-func (h *holds) held(n quarantine.HeldNews, found bool) {
+// quarantined records that a request is quarantined, which may not be in the store yet.
+func (h *holds) quarantined(hold quarantine.HeldNews, local bool) {
 	due := time.Now()
-	if !found {
-		due = due.Add(othersWait + rand.N(othersSpread))
+	if !local {
+		due = due.Add(peerHoldWait + rand.N(peerHoldSpread))
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	until, known := h.stored[n.Digest]
+	until, known := h.stored[hold.Digest]
 	switch {
 	case !known:
-		h.add(n.Digest, &holdTask{due: due, found: found})
+		h.add(hold.Digest, &holdTask{due: due, local: local})
 	case !time.Now().Before(until):
-		// The ended record is in the way of a new one, which its removal brings.
-		h.add(n.Digest, &holdTask{due: due, found: found, remove: true})
+		// The expired record blocks a new one; its removal triggers the new one.
+		h.add(hold.Digest, &holdTask{due: due, local: local, remove: true})
 	}
 }
 
-// lifted takes in that a request is sent on again.
+// lifted records that a request may be sent again.
 func (h *holds) lifted(d quarantine.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// put takes in an item of the store, and tells whether it is one of these.
+// put applies an item of the store and reports whether the item is the record of a hold.
 func (h *holds) put(item infra.Value) bool {
 	name, ok := strings.CutPrefix(item.Key, holdPrefix)
 	if !ok || h == nil {
@@ -127,16 +128,16 @@
 	return true
 }
 
-// gone takes in that an item of the store was removed. A record whose hold has not ended is
-// removed to lift it.
-func (h *holds) gone(key string) {
+// removed handles the removal of an item from the store. The removal of a record whose hold has not
+// ended lifts the hold.
+func (h *holds) removed(key string) {
 	name, ok := strings.CutPrefix(key, holdPrefix)
 	if !ok || h == nil {
 		return
 	}
 	d, err := quarantine.ParseDigest(name)
 	if err != nil {
-		return // it named no request
+		return // the item named no request
 	}
 	h.mu.Lock()
 	until, known := h.stored[d]
@@ -145,8 +146,8 @@
 	h.mu.Unlock()
 	if !known || time.Now().Before(until) {
 		h.guard.RecordGone(d)
-	} else if again, held := h.guard.HoldOf(d); held {
-		h.held(again, false)
+	} else if hold, ok := h.guard.HoldOf(d); ok {
+		h.quarantined(hold, false)
 	}
 }
 
@@ -165,19 +166,19 @@
 	}
 }
 
-// step does what is due and returns the time to the next task.
+// step executes the tasks that are due and returns the time to the next one.
 func (h *holds) step(ctx context.Context) time.Duration {
 	for {
-		d, t, wait := h.first()
+		d, t, wait := h.nextTask()
 		if t == nil || wait > 0 {
 			return wait
 		}
-		h.do(ctx, d, t)
+		h.execute(ctx, d, t)
 	}
 }
 
-// first returns the task that is due first, and how long until then.
-func (h *holds) first() (d quarantine.Digest, first *holdTask, wait time.Duration) {
+// nextTask returns the task that is due first, and the time until then.
+func (h *holds) nextTask() (d quarantine.Digest, first *holdTask, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for digest, t := range h.tasks {
@@ -186,17 +187,17 @@
 		}
 	}
 	if first == nil {
-		return d, nil, time.Hour // a new task wakes
+		return d, nil, time.Hour // a new task wakes run earlier
 	}
 	return d, first, time.Until(first.due)
 }
 
-func (h *holds) do(ctx context.Context, d quarantine.Digest, t *holdTask) {
+func (h *holds) execute(ctx context.Context, d quarantine.Digest, t *holdTask) {
 	err := h.write(ctx, d, t)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.tasks[d] != t {
-		return // the store or a lift was faster
+		return // replaced meanwhile by an item of the store or a lift
 	}
 	if err == nil {
 		delete(h.tasks, d)
@@ -204,7 +205,7 @@
 	}
 	t.due = time.Now().Add(holdRetry)
 	h.log.Emit(event.HoldNotStored, "digest", d.String(), "remove", t.remove, "err", err)
-	if t.found {
+	if t.local {
 		h.guard.Repeat(d)
 	}
 }
@@ -216,12 +217,12 @@
 	if t.remove {
 		return h.store.Remove(ctx, key)
 	}
-	n, held := h.guard.HoldOf(d)
-	if !held {
-		return nil // it was lifted meanwhile
+	hold, ok := h.guard.HoldOf(d)
+	if !ok {
+		return nil // lifted meanwhile
 	}
-	left := time.Duration(n.LeftMS) * time.Millisecond
-	data, err := json.Marshal(holdRecord{Account: n.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
+	left := time.Duration(hold.LeftMS) * time.Millisecond
+	data, err := json.Marshal(holdRecord{Account: hold.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -1,10 +1,10 @@
-// Package hosted wires one wigeond on the users' platform: routes, accounts and
-// replicas come from the platform's store, requests are passed on unread, and
-// nothing lasts on the machine. Decisions live in the other packages; package
-// platform translates.
+// Package hosted wires one wigeond on the users' platform: routes, accounts and replicas come from
+// the platform's store, requests are passed on without parsing their content, and nothing is kept
+// on the machine's disk. Decisions are made in the other packages; package platform translates
+// between the platform's formats and theirs.
 //
-// The parts of the product's own interface (claims, plans, orders, cursors) are
-// not built here, so they cost nothing.
+// The parts of the product's own interface (claims, plans, orders, cursors) are not created here,
+// so they cost nothing.
 package hosted
 
 import (
@@ -49,30 +49,30 @@
 	log   *event.Log
 	meter *metrics.Set
 
-	leaving  atomic.Bool
-	table    *route.Current
-	dir      *directory.Directory
-	mon      *health.Monitor
-	view     *view
-	peers    *peers
-	news     *news
-	adopter  *adopter
-	rollouts *rollouts
-	guard    *quarantine.Guard
-	holds    *holds
-	dumps    dump.Registry
-	mirror   *mirror.Mirror
+	leaving   atomic.Bool
+	table     *route.Current
+	dir       *directory.Directory
+	mon       *health.Monitor
+	view      *view
+	peers     *peers
+	storeSync *storeSync
+	adopter   *adopter
+	rollouts  *rollouts
+	guard     *quarantine.Guard
+	holds     *holds
+	dumps     dump.Registry
+	mirror    *mirror.Mirror
 
 	front, ready, stats *listen.Server
 }
 
 // Run serves until one of the signals has ended the process gracefully.
-func Run(set *settings.Settings, told <-chan os.Signal, log *event.Log) error {
+func Run(set *settings.Settings, sigs <-chan os.Signal, log *event.Log) error {
 	n, err := newNode(set, log)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(n.run(told))
+	return Error.Wrap(n.run(sigs))
 }
 
 func newNode(set *settings.Settings, log *event.Log) (*node, error) {
@@ -85,19 +85,19 @@
 	}
 	n.mon = health.NewMonitor(policyOf(set.Hosted), log, n.meter)
 	store := platform.NewStore(set.Hosted.StoreAddress)
-	n.news = newNews(set.Node.ID, set.Node.FailureDomain, log)
-	n.peers = newPeers(set, store, n.dir, n.mon, n.news, log)
+	n.storeSync = newStoreSync(set.Node.ID, set.Node.FailureDomain, log)
+	n.peers = newPeers(set, store, n.dir, n.mon, n.storeSync, log)
 	var err error
 	if n.rollouts, err = newRollouts(set.Hosted, store, n.dir, n.mon, log, n.meter); err != nil {
 		return nil, err
 	}
-	n.rollouts.join(n.peers, n.news)
+	n.rollouts.connect(n.peers, n.storeSync)
 	n.peers.rollouts = n.rollouts
 	n.holds = newHolds(store, n.log)
 	n.view = newView(n.table, n.dir, n.mon, n.peers, n.rollouts, log)
 	n.view.holds = n.holds
-	n.mirror = mirror.New(store, n.view, mirror.Config{Reads: n.news.reads, OnNews: n.news.say, Log: log, Set: n.meter})
-	n.news.mirror = n.mirror
+	n.mirror = mirror.New(store, n.view, mirror.Config{Reads: n.storeSync.readsStore, OnNews: n.storeSync.broadcast, Log: log, Set: n.meter})
+	n.storeSync.mirror = n.mirror
 	relay, err := n.newRelay()
 	if err != nil {
 		return nil, err
@@ -107,38 +107,38 @@
 
 func (n *node) newRelay() (*relay.Relay, error) {
 	replicas := platform.NewReplicas()
-	replicas.OnLoad = n.view.load
-	n.adopter = &adopter{view: n.view, news: n.news, seeker: succession.New(replicas), tell: n.peers.tellAdopted}
+	replicas.OnLoad = n.view.recordLoad
+	n.adopter = &adopter{view: n.view, storeSync: n.storeSync, finder: succession.New(replicas), broadcast: n.peers.broadcastAdopted}
 	n.peers.adopter = n.adopter
-	ask := inquirer{n.dir, replicas}
-	n.mon.Inquirer = ask
-	n.guard = n.newGuard(ask)
+	queryRuns := runQuerier{n.dir, replicas}
+	n.mon.Inquirer = queryRuns
+	n.guard = n.newGuard(queryRuns)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
-	find := holders.New(replicas, holders.Config{Set: n.meter})
-	asks, err := newSurvey(replicas, n.dir, n.meter)
+	finder := holders.New(replicas, holders.Config{Set: n.meter})
+	queryLoads, err := newLoadQuerier(replicas, n.dir, n.meter)
 	if err != nil {
 		return nil, err
 	}
-	pick, err := newPicker(n.table, n.dir, n.mon, find, asks, n.log)
+	pick, err := newPicker(n.table, n.dir, n.mon, finder, queryLoads, n.log)
 	if err != nil {
 		return nil, err
 	}
-	pick.tellSoon = n.peers.tellSoon
+	pick.broadcastSoon = n.peers.broadcastSoon
 	pick.rollouts = n.rollouts
 	pick.refusal = admission.Refusal(n.set.Hosted.Decisions.Refusing)
-	budgets := newBudgets(n.set.Hosted, n.peers.nodes)
+	budgets := newBudgets(n.set.Hosted, n.peers.registeredNodes)
 	runner, err := generation.New(generation.Deps{
-		Admitter: openDoor{},
+		Admitter: admitAll{},
 		Picker:   pick,
 		Watcher:  placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
-		Engines:  observed{replicas, n.rollouts},
+		Engines:  observedEngines{replicas, n.rollouts},
 		Budget:   budgets,
 		Copier:   replicas,
 		Inquirer: replicas,
 		Guard:    n.guard,
 	}, generation.Options{
 		Node:            n.set.Node.ID,
-		StartedPatience: startedPatience,
+		StartedPatience: startedMaxWait,
 		RetryAfter:      refusedRetry,
 		MaxFruitless:    maxFruitless,
 		Rand:            rand.Float64,
@@ -171,11 +171,11 @@
 	return err
 }
 
-// inspection serves metrics and the state dump.
+// inspection returns the handler for metrics and the state dump.
 func (n *node) inspection() http.Handler {
 	n.dumps.Add("settings", func() any { return json.RawMessage(n.set.Printable()) })
 	n.dumps.Add("table", func() any { return n.tableState() })
-	n.dumps.Add("store", func() any { return n.news.state() })
+	n.dumps.Add("store", func() any { return n.storeSync.state() })
 	n.dumps.Add("backends", func() any { return n.dir.Dump() })
 	n.dumps.Add("health", func() any { return n.mon.Dump() })
 	n.dumps.Add("rollouts", func() any { return n.rollouts.state() })
@@ -187,7 +187,7 @@
 	return mux
 }
 
-// tableState is what the dump shows of the configuration in force.
+// tableState returns the part of the state dump about the configuration in force.
 func (n *node) tableState() any {
 	t := n.table.Get()
 	if t == nil {
@@ -196,7 +196,7 @@
 	return struct{ Version int64 }{t.Version}
 }
 
-// readiness says why this node takes no new connections.
+// readiness returns why this node accepts no new connections, nil if it does.
 func (n *node) readiness() error {
 	switch {
 	case n.leaving.Load():
@@ -209,7 +209,7 @@
 	return nil
 }
 
-func (n *node) run(told <-chan os.Signal) error {
+func (n *node) run(sigs <-chan os.Signal) error {
 	var g run.Group
 	for _, part := range []func(context.Context) error{n.mirror.Run, n.mon.Run, n.peers.run, n.adopter.run, n.holds.run} {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -219,21 +219,21 @@
 		g.Add(listen.Actor(l))
 	}
 	stop := make(chan struct{})
-	g.Add(func() error { return n.untilSignal(told, stop) }, func(error) { close(stop) })
+	g.Add(func() error { return n.untilSignal(sigs, stop) }, func(error) { close(stop) })
 	n.log.Emit(event.Started, "front", n.front.Addr(), "ready", n.ready.Addr(), "store", n.set.Hosted.StoreAddress)
 	return g.Run()
 }
 
-// untilSignal waits for the signal to end and then for the end of all requests.
-func (n *node) untilSignal(told <-chan os.Signal, stop <-chan struct{}) error {
-	if signals.Wait(told, stop, n.set, n.log) {
+// untilSignal waits for the signal to end and then until all open requests have ended.
+func (n *node) untilSignal(sigs <-chan os.Signal, stop <-chan struct{}) error {
+	if signals.Wait(sigs, stop, n.set, n.log) {
 		n.shutdown()
 	}
 	return nil
 }
 
-// shutdown takes no new connections and lets the open requests end, as long as
-// the platform lets the process live.
+// shutdown accepts no new connections and lets the open requests finish, for as long as the
+// platform lets the process run.
 func (n *node) shutdown() {
 	n.log.Emit(event.ShutdownBegun)
 	n.leaving.Store(true)
@@ -244,8 +244,8 @@
 	}
 }
 
-// grace is how long open requests may take after a signal to end: the platform
-// kills the process a little later.
+// grace returns how long open requests may take to finish after a signal; the platform kills the
+// process killMargin later.
 func (n *node) grace() time.Duration {
 	return millis(n.set.Hosted.GraceMS) - killMargin
 }
--- a/hosted/hosted_test.go
+++ b/hosted/hosted_test.go
@@ -15,11 +15,11 @@
 	"wigeondale/settings"
 )
 
-// Symptom: a node that knows nothing yet denies what is allowed, and the client
+// Guards against a node without a configuration that denies an allowed request, so that the client
 // does not come back.
 func TestWithoutConfigurationARequestIsRefused(t *testing.T) {
 	f := newFleet(t)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	resp, err := n.send(t.Context(), "/draft/x", "q0", key)
 	if err != nil {
 		t.Fatal(err)
@@ -31,18 +31,18 @@
 	if n.ready() {
 		t.Error("ready without a configuration")
 	}
-	f.engines(2, 3, 0)
+	f.startEngines(2, 3, 0)
 	f.configure(key)
 	await(t, "readiness", n.ready)
-	if status, body := n.get("/draft/x", "q1", key); status != 200 || body != draft("q1", 3) {
+	if status, body := n.get("/draft/x", "q1", key); status != 200 || body != generationText("q1", 3) {
 		t.Errorf("got %d %q", status, body)
 	}
 }
 
 func TestRoutesAndKeys(t *testing.T) {
 	f := newFleet(t)
-	app := f.app("a0", "d0")
-	n := f.serving()
+	app := f.startApp("a0", "d0")
+	n := f.startServingNode()
 	for _, c := range []struct {
 		path, key string
 		want      int
@@ -57,9 +57,8 @@
 	}
 }
 
-// Symptom: a draft is cut when its engine crashes, or falls silent without a word.
-// Sequence: the engine ends, or stands still, in the middle of a stream whose copy
-// lies in the other failure domain.
+// Guards against a generation that is cut off when its engine crashes or falls silent without
+// closing the connection, in the middle of a stream whose copy is in the other failure domain.
 func TestDraftOutlivesItsEngine(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -67,39 +66,39 @@
 	}{{"crash", (*fakes.Replica).Crash}, {"silence", (*fakes.Replica).Freeze}} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t)
-			engines := f.engines(4, 40, 10*time.Millisecond)
-			n := f.serving()
-			resp, first := n.begunDraft("q1")
+			engines := f.startEngines(4, 40, 10*time.Millisecond)
+			n := f.startServingNode()
+			resp, first := n.startedGeneration("q1")
 			lost := running(engines, "q1")
 			c.end(lost)
 			rest, err := io.ReadAll(resp.Body)
 			lost.Thaw()
-			if err != nil || first+string(rest) != draft("q1", 40) {
+			if err != nil || first+string(rest) != generationText("q1", 40) {
 				t.Fatalf("%v: got %q", err, first+string(rest))
 			}
-			held := 0
+			fromCopy := 0
 			for _, e := range engines {
 				for _, a := range e.Arrivals() {
 					if a.Ran && a.FromCopy() {
-						held++
+						fromCopy++
 						if e.Domain == lost.Domain {
-							t.Error("the copy lay in the failure domain of the run")
+							t.Error("the copy was in the failure domain of the run")
 						}
 					}
 				}
 			}
-			if held != 1 {
-				t.Errorf("%d runs went on from a copy", held)
+			if fromCopy != 1 {
+				t.Errorf("%d runs continued from a copy", fromCopy)
 			}
 		})
 	}
 }
 
-// Symptom: engines work for nobody. Cause: a run goes on after its client left.
+// Guards against runs that go on after their client has disconnected.
 func TestClientLeaves(t *testing.T) {
 	f := newFleet(t)
-	engines := f.engines(2, 100000, 5*time.Millisecond)
-	n := f.serving()
+	engines := f.startEngines(2, 100000, 5*time.Millisecond)
+	n := f.startServingNode()
 	ctx, leave := context.WithCancel(t.Context())
 	resp, err := n.send(ctx, "/draft/x", "q1", key)
 	if err != nil {
@@ -111,18 +110,18 @@
 	await(t, "the end of the run", func() bool { return e.Open() == 0 })
 }
 
-// Symptom: a request is sent to a replica that leaves, seconds after the node
-// heard of it.
+// Guards against requests that are sent to a leaving replica seconds after the node received the
+// update.
 func TestLeavingReplicaGetsNothing(t *testing.T) {
 	f := newFleet(t)
-	a := f.app("a0", "d0")
-	b := f.app("a1", "d1")
-	n := f.serving()
+	a := f.startApp("a0", "d0")
+	b := f.startApp("a1", "d1")
+	n := f.startServingNode()
 	await(t, "both replicas", func() bool { return len(n.dir.IDs()) == 2 })
 	f.store.Register(a, true)
 	f.store.Register(b, false)
-	await(t, "the news", func() bool { return n.dir.Leaving("a0") })
-	f.store.Register(a, false) // older news that comes late
+	await(t, "the update", func() bool { return n.dir.Leaving("a0") })
+	f.store.Register(a, false) // an older update that arrives late
 	for i := range 20 {
 		if status, _ := n.get("/look/x", fmt.Sprint("q", i), key); status != 200 {
 			t.Fatalf("got %d", status)
@@ -133,8 +132,8 @@
 	}
 }
 
-// linked tells whether any other node is linked.
-func (p *peers) linked() bool {
+// hasLink reports whether any other node is linked.
+func (p *peers) hasLink() bool {
 	p.mu.Lock()
 	mesh := p.mesh
 	p.mu.Unlock()
@@ -145,18 +144,18 @@
 	return ok
 }
 
-// Symptom: an account whose key was taken away is served by a node that the store
-// turns away. Sequence: the store answers the other node only; the key is taken
-// away. The node must hear of it from the other.
+// Guards against a revoked key that is still accepted by a node which the store rejects: the store
+// responds to the other node only when the key is revoked, so the node must get the update from the
+// other one.
 func TestRevocationIsHeardThroughAnotherNode(t *testing.T) {
 	f := newFleet(t)
-	f.app("a0", "d0")
+	f.startApp("a0", "d0")
 	f.configure(key, "other")
 	door := f.store.NewDoor()
 	t.Cleanup(door.Close)
-	n1, n2 := f.node("n1"), f.nodeAt("n2", door.Addr())
+	n1, n2 := f.startNode("n1"), f.startNodeAt("n2", door.Addr())
 	await(t, "readiness", func() bool { return n1.ready() && n2.ready() })
-	await(t, "the link", func() bool { return n2.peers.linked() })
+	await(t, "the link", func() bool { return n2.peers.hasLink() })
 	door.Shut()
 	f.configure("other")
 	await(t, "the revocation at the other node", func() bool {
@@ -165,61 +164,61 @@
 	})
 }
 
-// Symptom: a rolling restart cuts drafts. Sequence: the signal comes while a
-// stream is open; the node must be unready at once, end the stream, and then go.
+// Guards against a rolling restart that cuts off generations: when the signal comes while a stream
+// is open, the node must be unready at once, finish the stream, and then exit.
 func TestShutdownCutsNothing(t *testing.T) {
 	f := newFleet(t)
-	f.engines(2, 60, 10*time.Millisecond)
-	n := f.serving()
-	resp := n.draft("q1")
+	f.startEngines(2, 60, 10*time.Millisecond)
+	n := f.startServingNode()
+	resp := n.requestGeneration("q1")
 	n.signals <- syscall.SIGTERM
 	await(t, "unreadiness", func() bool { return n.readyStatus() == http.StatusServiceUnavailable })
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || string(body) != draft("q1", 60) {
+	if err != nil || string(body) != generationText("q1", 60) {
 		t.Errorf("%v: got %d bytes", err, len(body))
 	}
 	<-n.done
 }
 
-// Symptom: the process ends at a signal that only says that its settings changed.
+// Guards against a process that exits at a signal which only means that its settings changed.
 func TestReloadCutsNothing(t *testing.T) {
 	f := newFleet(t)
-	f.app("a0", "d0")
-	n := f.serving()
+	f.startApp("a0", "d0")
+	n := f.startServingNode()
 	n.signals <- syscall.SIGHUP
 	if status, _ := n.get("/look/x", "q", key); status != 200 || !n.ready() {
 		t.Errorf("got %d", status)
 	}
 }
 
-// Symptom: a request stays unanswered beyond its route's time. Cause: the answer
-// of a silent replica is waited for until the client's own time is over.
+// Guards against a request that gets no answer within its route's timeout because a silent replica
+// is waited for until the client's own time is over.
 func TestAnswerAtTheRoutesTimeout(t *testing.T) {
 	f := newFleet(t)
-	a := f.app("a0", "d0")
+	a := f.startApp("a0", "d0")
 	a.Set(fakes.Faults{Silent: true})
-	n := f.serving()
+	n := f.startServingNode()
 	if status, _ := n.get("/short/x", "q", key); status != http.StatusGatewayTimeout {
 		t.Errorf("got %d", status)
 	}
 }
 
-// Symptom: a client whose router was lost pays for its prompt again. Cause: it is
-// sent anywhere, though a replica still holds the prompt.
+// Guards against reading a prompt again: a client whose router crashed must be sent to the replica
+// that has its prompt cached.
 func TestReturningClientFindsItsPrompt(t *testing.T) {
 	f := newFleet(t)
-	engines := f.engines(6, 5, 0)
+	engines := f.startEngines(6, 5, 0)
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(t, "all replicas", func() bool { return len(n.dir.IDs()) == 6 })
 	await(t, "readiness", n.ready)
 	if status, _ := n.get("/draft/x", "q1", key); status != 200 {
 		t.Fatalf("got %d", status)
 	}
-	var held string
+	var cachedAt string
 	for _, e := range engines {
 		if len(e.Arrivals()) > 0 {
-			held = e.ID
+			cachedAt = e.ID
 		}
 	}
 	req, err := fakes.Ask{
@@ -239,22 +238,22 @@
 	}
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
-			if a.ID == "q2" && e.ID != held {
-				t.Errorf("ran at %s, the prompt lies at %s", e.ID, held)
+			if a.ID == "q2" && e.ID != cachedAt {
+				t.Errorf("ran at %s, the prompt is cached at %s", e.ID, cachedAt)
 			}
 		}
 	}
 }
 
-// Symptom: one bad item of the store ends a node, or takes its configuration away.
+// Guards against one invalid item of the store that ends a node or removes its configuration.
 func TestBadItemsLeaveTheLastGoodValue(t *testing.T) {
 	f := newFleet(t)
-	f.app("a0", "d0")
-	n := f.serving()
+	f.startApp("a0", "d0")
+	n := f.startServingNode()
 	f.store.Put(fakes.ConfigKey, []byte("{"))
 	f.store.Put("servers/a1", []byte(`{"service":1}`))
 	f.configure(key, "late")
-	await(t, "the next good version", func() bool {
+	await(t, "the next valid version", func() bool {
 		status, _ := n.get("/look/x", "q", "late")
 		return status == 200
 	})
@@ -274,11 +273,11 @@
 	}
 }
 
-// An operator sees a node's state without its logs; no key may be in it.
+// An operator sees a node's state without its logs; the state must contain no key.
 func TestInspection(t *testing.T) {
 	f := newFleet(t)
-	f.app("a0", "d0")
-	n := f.serving()
+	f.startApp("a0", "d0")
+	n := f.startServingNode()
 	n.get("/look/x", "q", key)
 	page := func(path string) string {
 		resp, err := http.Get("http://" + n.stats.Addr().String() + path)
@@ -292,7 +291,7 @@
 		}
 		return string(data)
 	}
-	// The request is counted once it has ended, which is after its answer came.
+	// The request is counted when it has ended, which is after its response arrived.
 	await(t, "the metric", func() bool {
 		return strings.Contains(page("/metrics"), `wigeon_relayed_total{kind="repeatable",result="complete"} 1`)
 	})
@@ -307,13 +306,13 @@
 	}
 }
 
-// Symptom: a node that was replaced at another address gets no links. Cause: its
-// entry in the store is still that of the node before it.
+// Guards against a node at a new address that gets no links because its entry in the store still
+// has the address of the node before it.
 func TestNodeRegistersItsNewAddress(t *testing.T) {
 	f := newFleet(t)
 	f.store.Put(nodePrefix+"n1", []byte("127.0.0.1:1"))
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(t, "the entry", func() bool {
 		i, ok := f.store.Get(nodePrefix + "n1")
 		return ok && string(i.Value) == n.set.Hosted.PeerAddress && i.Lease > 0
--- /dev/null
+++ b/hosted/incarnation_test.go
@@ -0,0 +1,244 @@
+package hosted
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	fakes "wigeondale/fakes/hosted"
+	"wigeondale/fleet"
+	"wigeondale/health"
+	"wigeondale/infra"
+	"wigeondale/route"
+)
+
+// entryStartedAt returns a store entry of the incarnation of name that started at startedAt.
+func entryStartedAt(name string, startedAt, revision int64, state string) infra.Value {
+	return infra.Value{
+		Key: "servers/" + name, CreateRev: 5, ModRev: revision,
+		Data: fmt.Appendf(nil, `{"service": "llm", "address": "10.0.0.1:80", "zone": "d0", "version": "v1", "slots": 8, "state": %q,
+			"cold_left_ms": 0, "sequence": 1, "born": %d}`, state, startedAt),
+	}
+}
+
+// apply puts a single item into the view.
+func (v *view) apply(item infra.Value) {
+	v.Put(item)
+	v.Settled()
+}
+
+func idOf(name string, at int64) string { return fleet.Lifetime{Name: name, Born: at}.ID() }
+
+// Guards against a healthy replica that gets no work, or a run that is waited for although it is
+// lost: a replica restarts under its name, and state of the earlier incarnation (a mark of leaving,
+// an open stream, a suspicion) is applied to the later one.
+func TestLaterLifetimeStartsAnew(t *testing.T) {
+	v := newTestView()
+	v.apply(entryStartedAt("i", 1000, 5, "ready"))
+	ctx, cancel := context.WithCancelCause(t.Context())
+	s := v.mon.Watch(idOf("i", 1000), health.Work{}, cancel)
+	defer s.Close()
+	v.apply(entryStartedAt("i", 1000, 6, "draining"))
+	if !v.dir.Leaving(idOf("i", 1000)) {
+		t.Fatal("a leaving replica gets work")
+	}
+	v.apply(entryStartedAt("i", 2000, 7, "ready"))
+	if v.dir.Leaving(idOf("i", 2000)) {
+		t.Error("the later incarnation inherits the mark of leaving")
+	}
+	if !v.dir.Leaving(idOf("i", 1000)) {
+		t.Error("the earlier incarnation still gets work")
+	}
+	if context.Cause(ctx) != health.ErrEnded {
+		t.Errorf("the run of the earlier incarnation is waited for: %v", context.Cause(ctx))
+	}
+}
+
+// Guards against requests to an incarnation that has ended: a heartbeat from before the crash is
+// written after the first one of the next start, or the machine's clock was set back so that the
+// later start has the earlier start time. Reports must not be ordered by start time.
+func TestNewerWordWins(t *testing.T) {
+	v := newTestView()
+	v.Put(entryStartedAt("i", 2000, 5, "ready"))
+	v.Put(entryStartedAt("i", 1000, 6, "ready")) // the clock was set back
+	v.Settled()
+	if v.dir.Leaving(idOf("i", 1000)) || !v.dir.Leaving(idOf("i", 2000)) {
+		t.Error("a later start with an earlier start time is ignored")
+	}
+	v.Put(entryStartedAt("i", 2000, 7, "ready")) // a heartbeat that was in flight
+	v.Settled()
+	if v.dir.Leaving(idOf("i", 1000)) || !v.dir.Leaving(idOf("i", 2000)) {
+		t.Error("a replaced incarnation is current again")
+	}
+}
+
+// Guards against a restarted replica that gets no work while the store is unavailable: it is found
+// at its own address under its own name with a later start time, and the known name was taken for a
+// known replica. Older entries of the store must not undo what was found before the store listed
+// it.
+func TestRebornReplicaIsAdopted(t *testing.T) {
+	v := newTestView()
+	v.apply(entryStartedAt("i", 1000, 5, "ready"))
+	v.adopt([]adoptedReplica{{Name: "i", Addr: "10.0.0.1:80", StartedAt: 2000}})
+	if v.dir.Leaving(idOf("i", 2000)) || !v.dir.Leaving(idOf("i", 1000)) {
+		t.Fatal("the later incarnation was not adopted")
+	}
+	v.Put(entryStartedAt("i", 1000, 6, "ready"))
+	v.adopt([]adoptedReplica{{Name: "i", Addr: "10.0.0.1:80", StartedAt: 1000}})
+	v.Settled()
+	if v.dir.Leaving(idOf("i", 2000)) || !v.dir.Leaving(idOf("i", 1000)) {
+		t.Error("an older report undid the adoption")
+	}
+	v.apply(entryStartedAt("i", 2000, 7, "ready"))
+	v.dropAdopted()
+	if v.dir.Leaving(idOf("i", 2000)) {
+		t.Error("removed although the store lists it")
+	}
+}
+
+// Guards against a generation that pauses for seconds, or ends, after its engine restarted under
+// its name: the engine's connections are blocked, it crashes, restarts and registers, and the
+// generation's own connection shows no sign of it.
+func TestDraftGoesOnWhenItsEngineIsReborn(t *testing.T) {
+	f := newFleet(t)
+	var engines []*fakes.Replica
+	for i := range 4 {
+		engines = append(engines, f.startReplica(&fakes.Replica{
+			ID: fmt.Sprintf("e%d", i), Born: 1000, Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true,
+			Pieces: 40, Gap: 10 * time.Millisecond, Listen: freeAddr(t),
+		}))
+	}
+	n := f.startServingNode()
+	resp, first := n.startedGeneration("q1")
+	lost := running(engines, "q1")
+	lost.Freeze()
+	defer lost.Thaw()
+	later := lost.Entry("ready")
+	later["born"] = 2000
+	f.store.PutJSON("servers/"+lost.ID, later)
+	rest, err := io.ReadAll(resp.Body)
+	if err != nil || first+string(rest) != generationText("q1", 40) {
+		t.Fatalf("%v: got %q", err, first+string(rest))
+	}
+}
+
+// invalidEntries returns invalid entries, made from a valid one: none of them names a usable replica.
+func invalidEntries() map[string]string {
+	valid := string(entryStartedAt("x", 1000, 1, "ready").Data)
+	with := func(old, new string) string { return strings.Replace(valid, old, new, 1) }
+	return map[string]string{
+		"nothing":           "",
+		"no JSON":           "\xff\xfe{",
+		"a list":            "[1, 2]",
+		"null":              "null",
+		"no service":        with(`"service"`, `"servant"`),
+		"name in capitals":  with(`"service"`, `"Service"`),
+		"service a number":  with(`"llm"`, `7`),
+		"unnamed service":   with(`"llm"`, `"other"`),
+		"unknown state":     with(`"ready"`, `"warming"`),
+		"state null":        with(`"ready"`, `null`),
+		"no slots":          with(`"slots": 8, `, ``),
+		"slots as text":     with(`"slots": 8`, `"slots": "8"`),
+		"born a fraction":   with(`1000`, `1000.5`),
+		"born as text":      with(`1000`, `"1000"`),
+		"no port":           with(`10.0.0.1:80`, `10.0.0.1`),
+		"a host name":       with(`10.0.0.1:80`, `somewhere:80`),
+		"no zone":           with(`"d0"`, `""`),
+		"sequence an array": with(`"sequence": 1`, `"sequence": [1]`),
+	}
+}
+
+// Guards against requests to an address without a replica, or a healthy replica without requests:
+// another program writes entries next to those of the replicas, with their addresses. A partly
+// understood entry must not be used, and must not take over the address.
+func TestForeignEntriesNameNoReplica(t *testing.T) {
+	for name, data := range invalidEntries() {
+		t.Run(name, func(t *testing.T) {
+			v := newTestView()
+			v.Put(entryStartedAt("i", 1000, 5, "ready"))
+			v.apply(infra.Value{Key: "servers/x", CreateRev: 9, ModRev: 9, Data: []byte(data)})
+			if v.dir.Leaving(idOf("i", 1000)) {
+				t.Error("the healthy replica gets no work")
+			}
+			if got := v.dir.IDs(); len(got) != 1 {
+				t.Errorf("known are %v", got)
+			}
+			v.Gone("servers/x")
+		})
+	}
+}
+
+// Guards against a replica that gets requests because of an entry that isn't its own, or that never
+// gets requests again: another program overwrites its entry, and some seconds later the replica's
+// own heartbeat restores it. A broken rewrite must withhold new work, and only until the entry is
+// valid again.
+func TestBrokenRewriteWithholdsWork(t *testing.T) {
+	broken := invalidEntries()
+	broken["no time of birth"] = string(replicaEntry("i", "10.0.0.1:80", 6).Data)
+	for name, data := range broken {
+		t.Run(name, func(t *testing.T) {
+			v := newTestView()
+			v.apply(entryStartedAt("i", 1000, 5, "ready"))
+			v.apply(infra.Value{Key: "servers/i", CreateRev: 5, ModRev: 6, Data: []byte(data)})
+			if !v.dir.Leaving(idOf("i", 1000)) {
+				t.Error("it gets new work")
+			}
+			v.apply(entryStartedAt("i", 1000, 7, "ready"))
+			if v.dir.Leaving(idOf("i", 1000)) {
+				t.Error("it gets no work although its entry is valid again")
+			}
+		})
+	}
+}
+
+// Guards against replicas of a new service that get no work: they register before the configuration
+// that names their service is in force, and their entries are not looked at again.
+func TestServiceIsNamedLater(t *testing.T) {
+	v := newTestView()
+	v.apply(infra.Value{Key: "servers/x", CreateRev: 9, ModRev: 9, Data: []byte(invalidEntries()["unnamed service"])})
+	v.table.Install(route.NewTable(&route.Config{Version: 2, Services: []route.Service{{Name: "llm"}, {Name: "other"}}}))
+	v.retryUnknownServices()
+	v.Settled()
+	if len(v.dir.IDs()) != 1 {
+		t.Error("the replica is not known")
+	}
+}
+
+// Whatever invalid entries exist alongside valid ones, and in whatever order, exactly the replicas
+// with valid entries are known.
+func TestSoundEntriesHoldBesideForeignOnes(t *testing.T) {
+	bad := invalidEntries()
+	names := slices.Sorted(maps.Keys(bad))
+	rapid.Check(t, func(rt *rapid.T) {
+		v := newTestView()
+		want := map[string]bool{}
+		for i := range rapid.IntRange(1, 12).Draw(rt, "entries") {
+			key := fmt.Sprintf("i-%d", i)
+			item := replicaEntry(key, fmt.Sprintf("10.0.0.%d:80", i+1), int64(i+1))
+			if rapid.Bool().Draw(rt, "foreign") {
+				item.Data = []byte(bad[rapid.SampledFrom(names).Draw(rt, "which")])
+			} else {
+				want[key] = true
+			}
+			v.Put(item)
+		}
+		v.Settled()
+		for _, id := range v.dir.IDs() {
+			if !want[id] {
+				rt.Errorf("%s is known", id)
+			}
+		}
+		for id := range want {
+			if v.dir.Leaving(id) {
+				rt.Errorf("%s gets no work", id)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/hosted/incarnations.go
@@ -0,0 +1,75 @@
+package hosted
+
+import (
+	"slices"
+
+	"wigeondale/fleet"
+)
+
+// incarnations decides which of two reports about a replica's name is newer.
+//
+// Reports arrive late and out of order: an old page of the store, an update from a neighbour, or a
+// heartbeat that was in flight when the replica crashed. Start times don't order them, since the
+// clock of a machine may be set back between two starts. So the report received last counts,
+// reports from the store in the order of their revisions, but an incarnation that another one has
+// replaced never becomes current again.
+type incarnations struct {
+	current  map[string]fleet.Lifetime   // current incarnation by name
+	replaced map[string][]fleet.Lifetime // replaced incarnations by name, the latest last
+}
+
+// maxReplaced is the number of replaced incarnations that are remembered for a name. A report older
+// than that many starts does not arrive any more: the history of the store covers fewer.
+const maxReplaced = 16
+
+func newIncarnations() incarnations {
+	return incarnations{current: map[string]fleet.Lifetime{}, replaced: map[string][]fleet.Lifetime{}}
+}
+
+// relation is the relation of a reported incarnation to the current one of its name.
+type relation uint8
+
+const (
+	firstSeen relation = iota // the name was not known
+	unchanged                 // the current incarnation
+	restarted                 // a later incarnation
+	outdated                  // an earlier incarnation
+)
+
+// update records a reported incarnation. It returns the incarnation that was current before, and
+// how the reported one relates to it.
+func (l *incarnations) update(reported fleet.Lifetime) (before fleet.Lifetime, rel relation) {
+	known, ok := l.current[reported.Name]
+	switch {
+	case !ok:
+		l.current[reported.Name] = reported
+		return known, firstSeen
+	case known == reported:
+		return known, unchanged
+	case slices.Contains(l.replaced[reported.Name], reported):
+		return known, outdated
+	}
+	l.current[reported.Name] = reported
+	l.markReplaced(known)
+	return known, restarted
+}
+
+func (l *incarnations) markReplaced(inc fleet.Lifetime) {
+	kept := append(l.replaced[inc.Name], inc)
+	if len(kept) > maxReplaced {
+		kept = kept[len(kept)-maxReplaced:]
+	}
+	l.replaced[inc.Name] = kept
+}
+
+// get returns the current incarnation of a name.
+func (l *incarnations) get(name string) (fleet.Lifetime, bool) {
+	inc, ok := l.current[name]
+	return inc, ok
+}
+
+// forget drops a name whose entry was removed.
+func (l *incarnations) forget(name string) {
+	delete(l.current, name)
+	delete(l.replaced, name)
+}
--- /dev/null
+++ b/hosted/load_query.go
@@ -0,0 +1,167 @@
+package hosted
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/cespare/xxhash/v2"
+
+	"wigeondale/directory"
+	"wigeondale/event"
+	"wigeondale/fleet"
+	"wigeondale/generation"
+	"wigeondale/routing"
+)
+
+// Where there are too many routers to broadcast their loads to each other, a router queries a few
+// engines, drawn at random, before it chooses one of them (power of d choices). The cost does not
+// depend on the number of routers and engines.
+
+const (
+	// queriedEngines is how many engines are queried for a prompt. With more of them, more routers
+	// find the same free capacity at the same moment; with fewer, free capacity is not found.
+	queriedEngines = 3
+	// preferredEngines is the number of preferred engines of a request, from which those are drawn
+	// that are queried first. The client may come back through another router, which finds the
+	// cached prompt by querying twice that many engines instead of all of them. With fewer, the
+	// crash of a failure domain leaves too few to choose from.
+	preferredEngines = 8
+	// queryMaxWait bounds the wait for the responses, which take a few ms; waiting for a lost
+	// packet would cost more time than a badly placed prompt.
+	queryMaxWait = 80 * time.Millisecond
+	// queryTimeout ends a query. A response that comes later is outdated.
+	queryTimeout = 250 * time.Millisecond
+	// queryInterval is how often the waiting requests of this router have engines queried, all of
+	// them together. Between two reports of an engine, each router that queries it sees the same
+	// free capacity and sends a prompt there.
+	queryInterval = 400 * time.Millisecond
+)
+
+// stateReader queries an engine for its load.
+type stateReader interface {
+	State(ctx context.Context, b fleet.Backend) (fleet.EngineState, error)
+}
+
+// loadQuerier queries engines for their loads.
+type loadQuerier struct {
+	states  stateReader // nil: no engine is queried
+	sampler *routing.Router
+	dir     *directory.Directory
+
+	queried, responded *metrics.Counter
+}
+
+// querySteps select the engines to query: those that could be chosen and did not respond just now.
+var querySteps = withCommonSteps(
+	routing.StepConfig{Name: routing.FilterUsable},
+	routing.StepConfig{Name: routing.FilterStale},
+)
+
+func newLoadQuerier(states stateReader, dir *directory.Directory, set *metrics.Set) (*loadQuerier, error) {
+	sampler, err := newRouter(querySteps)
+	if err != nil {
+		return nil, err
+	}
+	return &loadQuerier{
+		states: states, sampler: sampler, dir: dir,
+		queried:   set.NewCounter("wigeon_engines_asked_total"),
+		responded: set.NewCounter("wigeon_engines_answered_total"),
+	}, nil
+}
+
+// needed reports whether engines are to be queried, since the other routers don't broadcast their
+// loads.
+func (s *loadQuerier) needed() bool { return s.states != nil && !s.dir.OthersTell() }
+
+// sample returns the engines to query for a request with the given key: some of its preferred
+// engines, or of a larger set if those are too few or were queried before.
+func (s *loadQuerier) sample(candidates []routing.Candidate, req routing.Ask, key uint64, earlier int) []routing.Candidate {
+	req.Now = time.Now()
+	for n := preferredEngines * (1 + earlier); ; n *= 2 {
+		drawn := s.sampler.Draw(routing.Homes(candidates, key, n), req, queriedEngines)
+		if len(drawn) == queriedEngines || n >= len(candidates) {
+			return drawn
+		}
+	}
+}
+
+// query queries engines and waits for their responses, at most queryMaxWait. It returns how many
+// responded.
+func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.Usual) (answered int) {
+	answers := make(chan bool, len(drawn))
+	for _, c := range drawn {
+		go func() { answers <- s.queryOne(context.WithoutCancel(ctx), c.Backend, typical) }()
+	}
+	timer := time.NewTimer(queryMaxWait)
+	defer timer.Stop()
+	for range drawn {
+		select {
+		case ok := <-answers:
+			if ok {
+				answered++
+			}
+		case <-timer.C:
+			return answered
+		case <-ctx.Done():
+			return answered
+		}
+	}
+	return answered
+}
+
+// queryOne records the load that one engine reports. An engine without a response is not chosen
+// now; whether it works is decided by its runs.
+func (s *loadQuerier) queryOne(ctx context.Context, b fleet.Backend, typical directory.Usual) bool {
+	s.queried.Inc()
+	ctx, stop := context.WithTimeout(ctx, queryTimeout)
+	defer stop()
+	state, err := s.states.State(ctx, b)
+	if err != nil {
+		return false
+	}
+	s.responded.Inc()
+	s.dir.Observe(b.ID, state, typical, time.Now())
+	return true
+}
+
+// queryGate limits how often the requests that wait for a service have engines queried.
+type queryGate struct {
+	mu   sync.Mutex
+	next time.Time
+}
+
+// due reports whether it is time for a query. A request that has just arrived always queries.
+func (g *queryGate) due(isNew bool, now time.Time) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !isNew && now.Before(g.next) {
+		return false
+	}
+	g.next = now.Add(queryInterval)
+	return true
+}
+
+// queryEngines queries engines for a request near the head of the queue, which has waited for the
+// given time.
+func (p *picker) queryEngines(ctx context.Context, a generation.Ask, q *queue, waited time.Duration) {
+	if !p.loadQuerier.needed() || !q.queryGate.due(waited == 0, time.Now()) {
+		return
+	}
+	startedAt := time.Now()
+	req := p.pickRequest(a)
+	req.OtherDomain = a.LostDomain
+	drawn := p.loadQuerier.sample(p.candidates(a), req, preferredKey(a), int(waited/queryInterval))
+	answered := p.loadQuerier.query(ctx, drawn, q.typicalSize.get())
+	p.log.Emit(event.EnginesSurveyed, "request", a.Request, "service", a.Service,
+		"asked", len(drawn), "answered", answered, "took_ms", time.Since(startedAt).Milliseconds())
+}
+
+// preferredKey returns the key that determines a request's preferred engines.
+func preferredKey(a generation.Ask) uint64 {
+	if a.Own == "" {
+		return xxhash.Sum64String(a.Request)
+	}
+	return xxhash.Sum64String(a.Own)
+}
--- a/hosted/survey_test.go
+++ b/hosted/load_query_test.go
@@ -11,26 +11,26 @@
 	"wigeondale/holders"
 )
 
-// idleStates answers for engines that have nothing to do.
+// idleStates reports for each engine that it is idle.
 type idleStates struct{}
 
 func (idleStates) State(context.Context, fleet.Backend) (fleet.EngineState, error) {
 	return fleet.EngineState{}, nil
 }
 
-// heldParts says which engine holds which part, and counts the questions.
-type heldParts struct {
-	mu    sync.Mutex
-	at    map[string]string
-	asked int
+// cachedParts reports which engine has which part cached, and counts the queries.
+type cachedParts struct {
+	mu       sync.Mutex
+	engineOf map[string]string
+	queries  int
 }
 
-func (h *heldParts) Held(_ context.Context, b fleet.Backend) (map[string]int, error) {
+func (h *cachedParts) Held(_ context.Context, b fleet.Backend) (map[string]int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.asked++
+	h.queries++
 	out := map[string]int{}
-	for part, id := range h.at {
+	for part, id := range h.engineOf {
 		if id == b.ID {
 			out[part] = replayPrompt
 		}
@@ -38,15 +38,15 @@
 	return out, nil
 }
 
-// Symptom: after all routers ended, engines answer thousands of questions in a moment and
-// make tokens late. Sequence: clients come back through other routers, each of which asks
-// all engines who holds the prompt. Cause: a prompt could be anywhere. Where engines are
-// asked before they are chosen it is at one of its homes.
+// Guards against engines that answer thousands of queries at once, which delays tokens, after a
+// restart of all routers: clients come back through other routers, each of which queries all
+// engines for the prompt. Where engines are queried before they are chosen, the prompt is at one of
+// its preferred engines.
 func TestReturningClientIsFoundAtItsHomes(t *testing.T) {
 	list := engineList(160, 5)
 	before, after := pickerOf(t, list, 55000), pickerOf(t, list, 55000)
-	before.survey.states, after.survey.states = idleStates{}, idleStates{}
-	held := &heldParts{at: map[string]string{}}
+	before.loadQuerier.states, after.loadQuerier.states = idleStates{}, idleStates{}
+	parts := &cachedParts{engineOf: map[string]string{}}
 	for i := range 50 {
 		own := fmt.Sprint("part", i)
 		a := generation.Ask{Request: fmt.Sprint("q", i), Service: "llm", Size: replayPrompt, Answer: replayAnswer, Target: replayTarget, Own: own}
@@ -54,18 +54,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		held.at[own] = b.ID
+		parts.engineOf[own] = b.ID
 	}
-	for own, id := range held.at {
-		after.holders = holders.New(held, holders.Config{})
-		held.asked = 0
+	for own, id := range parts.engineOf {
+		after.cacheFinder = holders.New(parts, holders.Config{})
+		parts.queries = 0
 		a := generation.Ask{Request: "back", Service: "llm", Size: replayPrompt, Answer: replayAnswer, Target: replayTarget, Own: own, Parts: []string{own}}
 		b, share, err := after.Pick(t.Context(), a)
 		if err != nil || b.ID != id {
 			t.Errorf("%s is at %s, found %s, %v", own, id, b.ID, err)
 		}
-		if held.asked > 2*homes {
-			t.Errorf("%d engines were asked", held.asked)
+		if parts.queries > 2*preferredEngines {
+			t.Errorf("%d engines were queried", parts.queries)
 		}
 		share.End()
 	}
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -7,57 +7,57 @@
 	"wigeondale/directory"
 )
 
-// Routers that are all linked to each other tell what they have under way at each replica;
-// package directory adds it to what a router knows itself. Where they are too many for
-// that they tell nothing, and ask engines (survey.go).
+// Routers that are all linked to each other broadcast their open requests at each replica; package
+// directory adds them to the router's own. Where there are too many routers for a full mesh they
+// broadcast no loads, and query engines instead (load_query.go).
 //
-// What goes wrong if routers tell some of the others: each knows a part of the loads, takes
-// it for all, and ignores what engines say. Nobody sees an overload. Telling all through
-// others costs each router messages that grow with the square of their number, which fill
-// its line.
+// If routers sent their loads to some of the others only, each would know a part of the loads, take
+// it for the total, and ignore what engines report; overloads would go unnoticed. Forwarding all
+// loads to all routers costs each router messages that grow with the square of the number of
+// routers, which saturate its network link.
 const (
-	// tellEvery bounds how late other routers learn what this one sent where. A
-	// prompt is read in about a second.
-	tellEvery = 40 * time.Millisecond
-	// tellSoonAfter is how late they learn of a prompt that was sent or read. Where
-	// engines are full, each router that doesn't know yet sends one more to the engine
-	// that has just become free.
-	tellSoonAfter = 2 * time.Millisecond
-	// tellAll repeats everything, since messages may be lost.
-	tellAll = 2 * time.Second
-	// loadsLife is how long a router's word counts when it falls silent.
-	loadsLife = 3 * tellAll
-	tellLoads = "hosted.loads"
+	// loadsInterval bounds the delay until other routers know what this router sent where. A prompt
+	// takes about a second to read.
+	loadsInterval = 40 * time.Millisecond
+	// loadsSoonDelay is the delay until other routers know that a prompt was sent or read. When
+	// engines are full, each router that does not know about such a change yet sends one more
+	// request to the engine that has just become free.
+	loadsSoonDelay = 2 * time.Millisecond
+	// loadsFullInterval is how often all loads are repeated, since messages may be lost.
+	loadsFullInterval = 2 * time.Second
+	// loadsTTL is how long the loads of a router count after its last message.
+	loadsTTL = 3 * loadsFullInterval
+	msgLoads = "hosted.loads"
 )
 
-// toldLoads is the last word of one router.
-type toldLoads struct {
-	at    time.Time
-	loads directory.PeerLoads
+// peerLoads is the latest loads received from one router.
+type peerLoads struct {
+	receivedAt time.Time
+	loads      directory.PeerLoads
 }
 
-// loadsMessage is what a router tells the others.
+// loadsMessage holds a router's loads, or those that changed.
 type loadsMessage struct {
 	Loads directory.PeerLoads `cbor:"1,keyasint"`
-	// All tells that nothing else is under way at the router.
+	// All reports that the router has no other open requests.
 	All bool `cbor:"2,keyasint,omitempty"`
 }
 
-// tellAlways sends what this router has under way whenever it changes, while all others
-// hear it, and takes in what they sent. after follows each time.
-func (p *peers) tellAlways(ctx context.Context, send func(loadsMessage), after func(now time.Time)) {
-	tick := time.NewTicker(tellEvery)
+// broadcastLoop broadcasts this router's loads whenever they change, as long as it is linked to all
+// others, and applies the loads they sent. It calls after at the end of each round.
+func (p *peers) broadcastLoop(ctx context.Context, send func(loadsMessage), after func(now time.Time)) {
+	tick := time.NewTicker(loadsInterval)
 	defer tick.Stop()
-	var soon <-chan time.Time // set while a change is to be told at once
+	var soon <-chan time.Time // set while a change is to be broadcast at once
 	var last directory.PeerLoads
-	var all time.Time
+	var lastFull time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.soon:
-			if soon == nil { // a change that follows must not put off the one before it
-				soon = time.After(tellSoonAfter)
+			if soon == nil { // a later change must not delay an earlier one
+				soon = time.After(loadsSoonDelay)
 			}
 			continue
 		case <-soon:
@@ -65,37 +65,37 @@
 		}
 		soon = nil
 		now := time.Now()
-		if p.full() {
-			last, all = p.tellNow(now, last, all, send)
+		if p.fullyLinked() {
+			last, lastFull = p.broadcastLoads(now, last, lastFull, send)
 		}
-		p.sum(now)
+		p.applyPeerLoads(now)
 		after(now)
 	}
 }
 
-// tellNow tells all that is under way, or what has changed since it was told last, and
-// returns what was told and when it was all.
-func (p *peers) tellNow(now time.Time, last directory.PeerLoads, all time.Time, send func(loadsMessage)) (directory.PeerLoads, time.Time) {
-	own := p.dir.OwnLoads()
-	if now.Sub(all) >= tellAll {
-		send(loadsMessage{Loads: own, All: true})
-		return own, now
+// broadcastLoads sends all loads, or those that changed since last, and returns the loads sent and
+// the time when all were sent last.
+func (p *peers) broadcastLoads(now time.Time, last directory.PeerLoads, lastFull time.Time, send func(loadsMessage)) (directory.PeerLoads, time.Time) {
+	local := p.dir.OwnLoads()
+	if now.Sub(lastFull) >= loadsFullInterval {
+		send(loadsMessage{Loads: local, All: true})
+		return local, now
 	}
-	if changed := changes(last, own); len(changed) > 0 {
+	if changed := changes(last, local); len(changed) > 0 {
 		send(loadsMessage{Loads: changed})
 	}
-	return own, all
+	return local, lastFull
 }
 
-// tellSoon has the neighbours told at once, not with the next tick.
-func (p *peers) tellSoon() {
+// broadcastSoon makes this router broadcast its loads at once instead of at the next tick.
+func (p *peers) broadcastSoon() {
 	select {
 	case p.soon <- struct{}{}:
 	default:
 	}
 }
 
-// changes returns the entries of now that differ, with 0 for those that ended.
+// changes returns the entries of now that differ from before, and 0 for those that now lacks.
 func changes(before, now directory.PeerLoads) directory.PeerLoads {
 	out := directory.PeerLoads{}
 	for id, v := range now {
@@ -111,15 +111,15 @@
 	return out
 }
 
-// takeLoads takes in a router's word. One that names all ends what it leaves out: it may
-// have ended since the word before, or the word that it ended may have been lost.
-//
-// What goes wrong otherwise: such requests count at their engines until the router uses
-// the same engine again. Where that is seldom, more and more engines seem busy that idle.
-func (p *peers) takeLoads(from string, m loadsMessage) {
+// handleLoads applies a message from another router. A message with all loads also ends the
+// requests that it does not list: they may have ended since the previous message, or the message
+// about their end may have been lost. Otherwise such requests would count at their engines until
+// the router used the same engine again; where that is rare, more and more idle engines would seem
+// busy.
+func (p *peers) handleLoads(from string, m loadsMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	t := p.loads[from]
+	t := p.received[from]
 	if t.loads == nil {
 		t.loads = directory.PeerLoads{}
 	}
@@ -136,24 +136,26 @@
 		t.loads[id] = v
 	}
 	p.dir.AddPeerLoads(change)
-	t.at = time.Now()
-	p.loads[from] = t
+	t.receivedAt = time.Now()
+	p.received[from] = t
 }
 
-// sum hands what the others told to the directory, if all of them tell.
+// applyPeerLoads passes the sum of the other routers' loads to the directory, if this router is
+// linked to all of them.
 //
-// What goes wrong if some do: after a start of all, a node knows few others for a second,
-// and takes them for all. What these told counts for seconds, and engines aren't asked.
-func (p *peers) sum(now time.Time) {
+// If the loads of some routers were used: after a start of all nodes a node knows few others for
+// about a second and would take them for all of them. Their loads would count for seconds, and
+// engines would not be queried.
+func (p *peers) applyPeerLoads(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.full() {
-		clear(p.loads)
+	if !p.fullyLinked() {
+		clear(p.received)
 	}
 	var sum directory.PeerLoads
-	for from, t := range p.loads {
-		if now.Sub(t.at) > loadsLife {
-			delete(p.loads, from)
+	for from, t := range p.received {
+		if now.Sub(t.receivedAt) > loadsTTL {
+			delete(p.received, from)
 			continue
 		}
 		if sum == nil {
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -11,43 +11,43 @@
 	"wigeondale/settings"
 )
 
-// Symptom: the longer routers run, the more engines seem busy that are idle, most of all
-// where a router seldom uses the same engine twice. Sequence: a request ends just before a
-// router repeats all that it has under way; or the word that it ended is lost. Cause: the
-// repetition named what is under way only, and what it left out counted on.
+// Guards against idle engines that seem busy, more and more of them the longer routers run, above
+// all where a router rarely uses the same engine twice: a request ends just before a router repeats
+// all its loads, or the message about its end is lost. The repetition must also end the requests
+// that it does not list.
 func TestWhatEndedIsForgottenByTheOthers(t *testing.T) {
 	for name, lost := range map[string]bool{"ends before a repetition": false, "its word is lost": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
 				list := engineList(1, 1)
-				own, other := pickerOf(t, list, 50000), pickerOf(t, list, 50000)
+				local, remote := pickerOf(t, list, 50000), pickerOf(t, list, 50000)
 				peersOf := func(p *picker) *peers {
-					return newPeers(&settings.Settings{Hosted: &settings.Hosted{}}, nil, p.dir, p.mon, newNews("n", "d", nil), nil)
+					return newPeers(&settings.Settings{Hosted: &settings.Hosted{}}, nil, p.dir, p.mon, newStoreSync("n", "d", nil), nil)
 				}
-				from, to := peersOf(own), peersOf(other)
-				all := func() bool { return true }
-				from.full, to.full = all, all
-				var deaf atomic.Bool
-				go from.tellAlways(ctx, func(m loadsMessage) {
-					if !deaf.Load() {
-						to.takeLoads("from", m)
+				from, to := peersOf(local), peersOf(remote)
+				linked := func() bool { return true }
+				from.fullyLinked, to.fullyLinked = linked, linked
+				var dropping atomic.Bool
+				go from.broadcastLoop(ctx, func(m loadsMessage) {
+					if !dropping.Load() {
+						to.handleLoads("from", m)
 					}
-				}, to.sum)
-				time.Sleep(tellEvery + time.Millisecond) // the first repetition
-				share := own.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Held: 6000})
-				time.Sleep(tellAll - tellEvery) // just before the next one
-				if other.dir.Reading("e0") != 5000 {
-					t.Fatal("the request was not heard of")
+				}, to.applyPeerLoads)
+				time.Sleep(loadsInterval + time.Millisecond) // the first repetition
+				share := local.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Held: 6000})
+				time.Sleep(loadsFullInterval - loadsInterval) // just before the next one
+				if remote.dir.Reading("e0") != 5000 {
+					t.Fatal("the other router does not know the request")
 				}
-				deaf.Store(lost)
+				dropping.Store(lost)
 				share.End()
 				if lost {
-					time.Sleep(tellAll / 2)
-					deaf.Store(false)
+					time.Sleep(loadsFullInterval / 2)
+					dropping.Store(false)
 				}
-				time.Sleep(tellAll + tellEvery)
-				if got := other.dir.Reading("e0"); got != 0 {
+				time.Sleep(loadsFullInterval + loadsInterval)
+				if got := remote.dir.Reading("e0"); got != 0 {
 					t.Errorf("%v tokens are still to be read", got)
 				}
 				stop()
@@ -57,27 +57,27 @@
 	}
 }
 
-// Symptom: after all of many routers started, they place prompts for six seconds as if most
-// engines were idle. Sequence: a router is linked to the first few others and hears what
-// they have under way; then it learns that there are many more. Cause: the word of a few
-// counted for all, and engines were not asked.
+// Guards against prompts that are placed for six seconds as if most engines were idle, after a
+// start of many routers: a router is linked to the first few others and receives their loads, then
+// finds out that there are many more. The loads of a few must not count for all of them; engines
+// must be queried.
 func TestWordOfAFewIsDroppedWhenThereAreMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		pick := pickerOf(t, engineList(1, 1), 50000)
-		p := newPeers(&settings.Settings{Hosted: &settings.Hosted{}}, nil, pick.dir, pick.mon, newNews("n", "d", nil), nil)
+		p := newPeers(&settings.Settings{Hosted: &settings.Hosted{}}, nil, pick.dir, pick.mon, newStoreSync("n", "d", nil), nil)
 		var many atomic.Bool
-		p.full = func() bool { return !many.Load() }
-		go p.tellAlways(ctx, func(loadsMessage) {}, func(time.Time) {})
-		p.takeLoads("other", loadsMessage{All: true, Loads: directory.PeerLoads{"e0": {Requests: 1, Reading: 5000}}})
-		time.Sleep(2 * tellEvery)
+		p.fullyLinked = func() bool { return !many.Load() }
+		go p.broadcastLoop(ctx, func(loadsMessage) {}, func(time.Time) {})
+		p.handleLoads("other", loadsMessage{All: true, Loads: directory.PeerLoads{"e0": {Requests: 1, Reading: 5000}}})
+		time.Sleep(2 * loadsInterval)
 		if !pick.dir.OthersTell() || pick.dir.Reading("e0") != 5000 {
-			t.Fatal("the word of one that is all others doesn't count")
+			t.Fatal("the loads of the only other router don't count")
 		}
 		many.Store(true)
-		time.Sleep(2 * tellEvery)
+		time.Sleep(2 * loadsInterval)
 		if pick.dir.OthersTell() || pick.dir.Reading("e0") != 0 {
-			t.Error("the word of a few counts")
+			t.Error("the loads of a few routers count")
 		}
 		stop()
 		synctest.Wait()
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -18,43 +18,44 @@
 )
 
 const (
-	// pacePieces is after how many pieces the pace of a stream is judged, at its end
-	// sooner.
-	pacePieces    = 20
-	minPacePieces = 5
-	// cutCheck is how long after an answer was broken off its replica must work for the
-	// answer to count as a failure. One that crashed is known by then.
-	cutCheck = 1500 * time.Millisecond
+	// paceChunks is the number of chunks after which the pace of a stream is rated. A stream that
+	// ends sooner is rated at its end, if it has minPaceChunks.
+	paceChunks    = 20
+	minPaceChunks = 5
+	// cutOffCheck is the delay between the cut-off of an answer and the check whether its replica
+	// still works. If it does, the answer counts as a failure; a replica that crashed is known by
+	// then.
+	cutOffCheck = 1500 * time.Millisecond
 )
 
-// observed are the replicas as roll-outs see them: what each first attempt gave is counted,
-// and runs can be ended so that they go on at another version.
-type observed struct {
+// observedEngines wraps the replicas for roll-outs: it counts the result of each first attempt, and
+// lets runs be ended so that they continue at another version.
+type observedEngines struct {
 	generation.Engines
 	rollouts *rollouts
 }
 
 // Open implements generation.Engines.
-func (o observed) Open(ctx context.Context, b fleet.Backend, r backend.StartRequest) (generation.Stream, error) {
+func (o observedEngines) Open(ctx context.Context, b fleet.Backend, r backend.StartRequest) (generation.Stream, error) {
 	if r.Opaque == nil {
 		return o.Engines.Open(ctx, b, r)
 	}
-	one := o.rollouts.of(b.Service)
-	if one == nil && !r.Opaque.Streaming {
+	ro := o.rollouts.of(b.Service)
+	if ro == nil && !r.Opaque.Streaming {
 		return o.Engines.Open(ctx, b, r)
 	}
-	run := newObservedRun(b, &r, one)
+	run := newObservedRun(b, &r, ro)
 	ctx, run.cancel = context.WithCancelCause(ctx)
 	run.ctx = ctx
 	o.rollouts.runs.add(run)
 	s, err := o.Engines.Open(ctx, b, r)
 	if err != nil {
-		err = run.failed(o.rollouts, err)
+		err = run.observeFailure(o.rollouts, err)
 		run.end(o.rollouts)
 		return nil, err
 	}
 	if !r.Opaque.Streaming {
-		run.timed(o.rollouts, rollout.Whole)
+		run.observeTime(o.rollouts, rollout.Whole)
 		run.end(o.rollouts)
 		return s, nil
 	}
@@ -65,97 +66,97 @@
 type observedRun struct {
 	b         fleet.Backend
 	route     string
-	resumable bool // it may go on elsewhere
+	resumable bool // it can continue at another replica
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 
-	// Set while the attempt counts for a roll-out.
-	one    *serviceRollout
-	began  time.Duration
-	aspect rollout.Aspect // that is waited for
-	noted  atomic.Bool    // the wait for it has been judged
-	first  time.Duration  // piece, since when the pace is judged
-	pieces int
+	// Set if the attempt counts for a roll-out.
+	rollout     *serviceRollout
+	startedAt   time.Duration
+	aspect      rollout.Aspect // aspect of the answer that comes next
+	timeCounted atomic.Bool    // the time to it was counted
+	firstAt     time.Duration  // time of the first chunk, from which the pace is measured; 0 before it and once the pace is rated
+	chunks      int
 }
 
-// newObservedRun judges first attempts only: what follows one goes to the old version, and
-// often after a crash.
-func newObservedRun(b fleet.Backend, r *backend.StartRequest, one *serviceRollout) *observedRun {
+// newObservedRun rates only the first attempt of a request: a later attempt goes to the old
+// version, and often follows a crash.
+func newObservedRun(b fleet.Backend, r *backend.StartRequest, ro *serviceRollout) *observedRun {
 	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.Last}
-	if one == nil || !r.First || r.Copies.Held || !one.Stage().Open() {
+	if ro == nil || !r.First || r.Copies.Held || !ro.Stage().Open() {
 		return run
 	}
-	run.one, run.began = one, clock.Boot()
+	run.rollout, run.startedAt = ro, clock.Boot()
 	if r.Opaque.Streaming {
 		run.aspect = rollout.First
 	}
 	return run
 }
 
-// observe counts what the attempt gave.
+// observe counts one rated answer of the attempt.
 func (r *observedRun) observe(s *rollouts, aspect rollout.Aspect, grade rollout.Grade) {
-	if r.one == nil {
+	if r.rollout == nil {
 		return
 	}
-	rule := r.one.Rule()
-	s.judged.Inc()
-	r.one.Observe(rollout.Cell{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
+	rule := r.rollout.Rule()
+	s.rated.Inc()
+	r.rollout.Observe(rollout.Cell{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
 		r.b.Version == rule.Target, clock.Boot())
 }
 
-// timed counts how long the answer, or its first piece, took.
-func (r *observedRun) timed(s *rollouts, aspect rollout.Aspect) {
-	if r.one != nil && !r.noted.Swap(true) {
-		r.observe(s, aspect, rollout.GradeOf(clock.Boot()-r.began))
+// observeTime counts the time to the answer, or to its first chunk.
+func (r *observedRun) observeTime(s *rollouts, aspect rollout.Aspect) {
+	if r.rollout != nil && !r.timeCounted.Swap(true) {
+		r.observe(s, aspect, rollout.GradeOf(clock.Boot()-r.startedAt))
 	}
 }
 
-// overdue counts an answer as slow that has not come yet.
-func (r *observedRun) overdue(s *rollouts, now time.Duration) {
-	if r.one == nil || r.noted.Load() {
+// observeOverdue counts an answer that has not come yet as slow.
+func (r *observedRun) observeOverdue(s *rollouts, now time.Duration) {
+	if r.rollout == nil || r.timeCounted.Load() {
 		return
 	}
-	if waited := now - r.began; r.one.Overdue(r.route, r.aspect, waited, now) && !r.noted.Swap(true) {
+	if waited := now - r.startedAt; r.rollout.Overdue(r.route, r.aspect, waited, now) && !r.timeCounted.Swap(true) {
 		r.observe(s, r.aspect, rollout.GradeOf(waited))
 	}
 }
 
-// failed counts how the attempt ended, and returns the error that says so.
-func (r *observedRun) failed(s *rollouts, err error) error {
+// observeFailure counts the end of the attempt and returns the error to pass on.
+func (r *observedRun) observeFailure(s *rollouts, err error) error {
 	if errors.Is(context.Cause(r.ctx), generation.ErrMoved) {
 		return Error.Wrap(generation.ErrMoved)
 	}
-	if r.one == nil {
+	if r.rollout == nil {
 		return err
 	}
 	_, answered := errors.AsType[*backend.FailedAnswer](err)
 	_, refused := errors.AsType[*backend.Refused](err)
 	switch {
 	case answered || errors.Is(err, backend.ErrMismatch):
-		r.noted.Store(true)
+		r.timeCounted.Store(true)
 		r.observe(s, r.aspect, rollout.Failed)
 	case refused || errors.Is(err, backend.ErrDial) || r.ctx.Err() != nil:
-		// It did not run, or was ended from here.
+		// It did not run, or this router ended it.
 	default:
-		time.AfterFunc(cutCheck, func() { r.cut(s) })
+		time.AfterFunc(cutOffCheck, func() { r.observeCutOff(s) })
 	}
 	return err
 }
 
-// cut counts an answer that was broken off, if its replica goes on working.
-func (r *observedRun) cut(s *rollouts) {
-	if s.dir.Leaving(r.b.ID) || s.mon.State(r.b.ID) != health.Healthy || s.ended(r.b) {
+// observeCutOff counts an answer that was cut off, if its replica goes on working.
+func (r *observedRun) observeCutOff(s *rollouts) {
+	if s.dir.Leaving(r.b.ID) || s.mon.State(r.b.ID) != health.Healthy || s.crashed(r.b) {
 		return
 	}
 	r.observe(s, r.aspect, rollout.Failed)
 }
 
-// ended tells whether a replica has crashed, which the failure detector learns only by the
+// crashed probes whether a replica has crashed, which the failure detector finds out only with the
 // next attempts there.
-func (s *rollouts) ended(b fleet.Backend) bool {
+func (s *rollouts) crashed(b fleet.Backend) bool {
 	ctx, stop := context.WithTimeout(context.Background(), quarantine.LookTimeout)
 	defer stop()
-	return s.looker.Look(ctx, b) == quarantine.Ended
+	return s.prober.Look(ctx, b) == quarantine.Ended
 }
 
 func (r *observedRun) end(s *rollouts) {
@@ -168,63 +169,63 @@
 	generation.Stream
 	run      *observedRun
 	rollouts *rollouts
-	ended    sync.Once
+	endOnce  sync.Once
 }
 
 // Next implements generation.Stream.
 func (s *observedStream) Next() (backend.Token, error) {
 	t, err := s.Stream.Next()
 	if err == nil {
-		s.run.piece(s.rollouts)
+		s.run.countChunk(s.rollouts)
 		return t, nil
 	}
 	if errors.Is(err, io.EOF) {
-		s.run.paced(s.rollouts, minPacePieces)
+		s.run.observePace(s.rollouts, minPaceChunks)
 		return t, err
 	}
-	return t, s.run.failed(s.rollouts, err)
+	return t, s.run.observeFailure(s.rollouts, err)
 }
 
-// piece counts one piece.
-func (r *observedRun) piece(s *rollouts) {
-	if r.one == nil {
+// countChunk counts one chunk.
+func (r *observedRun) countChunk(s *rollouts) {
+	if r.rollout == nil {
 		return
 	}
-	r.pieces++
-	switch r.pieces {
+	r.chunks++
+	switch r.chunks {
 	case 1:
-		r.timed(s, rollout.First)
-		r.first = clock.Boot()
-	case pacePieces:
-		r.paced(s, pacePieces)
+		r.observeTime(s, rollout.First)
+		r.firstAt = clock.Boot()
+	case paceChunks:
+		r.observePace(s, paceChunks)
 	}
 }
 
-// paced judges the pace once, from a number of pieces on.
-func (r *observedRun) paced(s *rollouts, least int) {
-	if r.one == nil || r.pieces < least || r.first == 0 {
+// observePace rates the pace once, from the given number of chunks on.
+func (r *observedRun) observePace(s *rollouts, least int) {
+	if r.rollout == nil || r.chunks < least || r.firstAt == 0 {
 		return
 	}
-	r.observe(s, rollout.Pace, rollout.GradeOf((clock.Boot()-r.first)/time.Duration(r.pieces-1)))
-	r.first = 0
+	r.observe(s, rollout.Pace, rollout.GradeOf((clock.Boot()-r.firstAt)/time.Duration(r.chunks-1)))
+	r.firstAt = 0
 }
 
 // Close implements generation.Stream.
 func (s *observedStream) Close() error {
 	err := s.Stream.Close()
-	s.ended.Do(func() { s.run.end(s.rollouts) })
+	s.endOnce.Do(func() { s.run.end(s.rollouts) })
 	return err
 }
 
-// runBook holds the runs under way at this node.
-type runBook struct {
+// runSet holds the runs in progress at this node.
+type runSet struct {
 	mu        sync.Mutex
 	byService map[string]map[*observedRun]struct{}
 }
 
-func newRunBook() *runBook { return &runBook{byService: map[string]map[*observedRun]struct{}{}} }
+func newRunSet() *runSet { return &runSet{byService: map[string]map[*observedRun]struct{}{}} }
 
-func (k *runBook) add(r *observedRun) {
+func (k *runSet) add(r *observedRun) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	runs := k.byService[r.b.Service]
@@ -235,14 +236,14 @@
 	runs[r] = struct{}{}
 }
 
-func (k *runBook) remove(r *observedRun) {
+func (k *runSet) remove(r *observedRun) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.byService[r.b.Service], r)
 }
 
 // of returns the runs of a service.
-func (k *runBook) of(service string) []*observedRun {
+func (k *runSet) of(service string) []*observedRun {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	out := make([]*observedRun, 0, len(k.byService[service]))
@@ -252,8 +253,8 @@
 	return out
 }
 
-// move ends the runs of a service that are to go on elsewhere, and returns how many.
-func (k *runBook) move(service string, rule *rollout.Rule) (n int) {
+// move ends the runs of a service that have to continue elsewhere, and returns their number.
+func (k *runSet) move(service string, rule *rollout.Rule) (n int) {
 	if rule.Stage != rollout.Moving && rule.Stage != rollout.RolledBack {
 		return 0
 	}
@@ -266,12 +267,12 @@
 	return n
 }
 
-// overdue judges the attempts of a service that wait for their answers.
-func (s *rollouts) overdue(one *serviceRollout, now time.Duration) {
-	if !one.Stage().Open() {
+// observeOverdue rates the attempts of a service that still wait for their answers.
+func (s *rollouts) observeOverdue(ro *serviceRollout, now time.Duration) {
+	if !ro.Stage().Open() {
 		return
 	}
-	for _, r := range s.runs.of(one.service) {
-		r.overdue(s, now)
+	for _, r := range s.runs.of(ro.service) {
+		r.observeOverdue(s, now)
 	}
 }
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -19,13 +19,14 @@
 
 // Keys of this program in the store.
 const (
-	nodePrefix = "wigeondale/nodes/"   // addresses of the peer listeners, by node
-	peerKeyKey = "wigeondale/peer-key" // shared key of the links
+	nodePrefix = "wigeondale/nodes/"   // prefix of the addresses of the peer listeners, by node
+	peerKeyKey = "wigeondale/peer-key" // shared key with which all links authenticate
 )
 
 const (
 	peerKeyBytes = 32
-	// heartbeat of a link. Several are missed before a node counts as gone.
+	// peerHeartbeat is the heartbeat interval of a link. A node counts as dead only after several
+	// missed heartbeats.
 	peerHeartbeat   = time.Second
 	peerDialTimeout = 500 * time.Millisecond
 	peerMaxBackoff  = 2 * time.Second
@@ -33,97 +34,97 @@
 
 // Kinds of messages between routers.
 const (
-	floodCrash = "hosted.domain-crash"
-	floodGone  = "hosted.replica-gone"
+	floodCrash   = "hosted.domain-crash"
+	floodRemoved = "hosted.replica-gone"
 )
 
-// peers joins this node with the others. It is idle until the store has given
-// the key that all links prove.
+// peers connects this node with the other nodes. It is idle until the key with which all links
+// authenticate has been read from the store.
 type peers struct {
-	set      *settings.Settings
-	reg      *registration
-	dir      *directory.Directory
-	mon      *health.Monitor
-	log      *event.Log
-	news     *news
-	adopter  *adopter          // set before run
-	rollouts *rollouts         // set before run
-	guard    *quarantine.Guard // set before run
+	set       *settings.Settings
+	reg       *registration
+	dir       *directory.Directory
+	mon       *health.Monitor
+	log       *event.Log
+	storeSync *storeSync
+	adopter   *adopter          // set before run
+	rollouts  *rollouts         // set before run
+	guard     *quarantine.Guard // set before run
 
-	mu    sync.Mutex
-	key   []byte
-	addrs map[string]string // by node, from the store
-	moved bool              // addrs has more than the mesh was told
-	mesh  *peer.Mesh
-	loads map[string]toldLoads // by router
-	soon  chan struct{}        // neighbours are to be told at once
-	full  func() bool          // this node is linked to all others; set before run
-	found chan struct{}        // closed when the key is known
-	read  chan struct{}        // closed when the store has been read once
-	first sync.Once            // of those reads
-	own   infra.Value          // this node's entry, as last seen
+	mu           sync.Mutex
+	key          []byte
+	addrs        map[string]string // by node, from the store
+	addrsChanged bool              // addrs has changes that were not passed to the mesh
+	mesh         *peer.Mesh
+	received     map[string]peerLoads // latest loads received, by router
+	soon         chan struct{}        // signals that changed loads are to be broadcast at once
+	fullyLinked  func() bool          // reports whether this node is linked to all others; set before run
+	keyKnown     chan struct{}        // closed when the key is known
+	storeRead    chan struct{}        // closed when the store has been read once
+	firstRead    sync.Once            // guards the closing of storeRead
+	localEntry   infra.Value          // this node's entry in the store, as last read
 }
 
-// crashMessage names a failure domain that a router takes to have crashed.
+// crashMessage names a failure domain that a router considers crashed.
 type crashMessage struct {
 	Domain string `cbor:"1,keyasint"`
 }
 
-// goneMessage names a replica whose address another one has.
-type goneMessage struct {
+// removedMessage names a replica whose address another replica has taken.
+type removedMessage struct {
 	Replica string `cbor:"1,keyasint"`
 }
 
-func newPeers(set *settings.Settings, store *platform.Store, dir *directory.Directory, mon *health.Monitor, n *news, log *event.Log) *peers {
+func newPeers(set *settings.Settings, store *platform.Store, dir *directory.Directory, mon *health.Monitor, n *storeSync, log *event.Log) *peers {
 	p := &peers{
-		set: set, dir: dir, mon: mon, news: n, log: log,
-		addrs: map[string]string{}, loads: map[string]toldLoads{}, soon: make(chan struct{}, 1), found: make(chan struct{}),
-		full: func() bool { return false }, read: make(chan struct{}),
+		set: set, dir: dir, mon: mon, storeSync: n, log: log,
+		addrs: map[string]string{}, received: map[string]peerLoads{}, soon: make(chan struct{}, 1), keyKnown: make(chan struct{}),
+		fullyLinked: func() bool { return false }, storeRead: make(chan struct{}),
 	}
-	p.reg = &registration{set: set, store: store, log: log, read: p.read, known: p.known}
-	mon.OnDomain = p.crashed
-	dir.OnLeaving = p.leaving
+	p.reg = &registration{set: set, store: store, log: log, storeRead: p.storeRead, state: p.registrationState}
+	mon.OnDomain = p.broadcastCrash
+	dir.OnLeaving = p.broadcastRemoved
 	return p
 }
 
-// joined is the mesh, nil before it is up.
-func (p *peers) joined() *peer.Mesh {
+// currentMesh returns the mesh, nil before it is up.
+func (p *peers) currentMesh() *peer.Mesh {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mesh
 }
 
-// leaving tells the others of a replica whose address turned out to be another's.
-// The registry tells them too, but not while the store is away: then each router
-// would find out by a request of its own, which counts as one more arrival.
-func (p *peers) leaving(id, _ string, source directory.Source) {
+// broadcastRemoved broadcasts that a replica's address turned out to belong to another replica. The
+// registry distributes that too, but not while the store is unavailable: then each router would
+// find out only by sending a request there, and each such request counts as one more arrival.
+func (p *peers) broadcastRemoved(id, _ string, source directory.Source) {
 	if source != directory.FromRefusal {
 		return
 	}
-	if mesh := p.joined(); mesh != nil {
-		// Not delivered means only that others find out for themselves.
-		_ = mesh.Flood(floodGone, goneMessage{id})
+	if mesh := p.currentMesh(); mesh != nil {
+		// If it is not delivered, the other routers find out on their own.
+		_ = mesh.Flood(floodRemoved, removedMessage{id})
 	}
 }
 
-// crashed tells the others of a failure domain that this router, or one that told
-// it, takes to have crashed. Each router passes it on once.
-func (p *peers) crashed(domain string) {
-	if mesh := p.joined(); mesh != nil {
-		// Not delivered means only that others find out for themselves.
+// broadcastCrash broadcasts a failure domain that this router, or a router that reported it,
+// considers crashed. Each router forwards it once.
+func (p *peers) broadcastCrash(domain string) {
+	if mesh := p.currentMesh(); mesh != nil {
+		// If it is not delivered, the other routers find out on their own.
 		_ = mesh.Tell(floodCrash, crashMessage{domain})
 	}
 }
 
-// tellAdopted names adopted replicas to all nodes.
-func (p *peers) tellAdopted(m adoptedMessage) {
-	if mesh := p.joined(); mesh != nil {
-		// Told again while the store is away.
+// broadcastAdopted broadcasts adopted replicas to all nodes.
+func (p *peers) broadcastAdopted(m adoptedMessage) {
+	if mesh := p.currentMesh(); mesh != nil {
+		// Repeated while the store is unavailable.
 		_ = mesh.Flood(floodAdopted, m)
 	}
 }
 
-// put takes in an item of this program.
+// put applies an item of the store that belongs to this program's links.
 func (p *peers) put(item infra.Value) {
 	if item.Key == peerKeyKey {
 		p.setKey(item.Data)
@@ -136,40 +137,40 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addrs[id] = string(item.Data)
-	p.moved = true
+	p.addrsChanged = true
 	if id == p.set.Node.ID {
-		p.own = item
+		p.localEntry = item
 	}
 }
 
-// settled follows a series of put and gone.
+// settled is called after a series of put and removed.
 func (p *peers) settled() {
-	p.first.Do(func() { close(p.read) })
+	p.firstRead.Do(func() { close(p.storeRead) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.moved {
-		p.seed()
+	if p.addrsChanged {
+		p.updateSeeds()
 	}
 }
 
-func (p *peers) gone(key string) {
+func (p *peers) removed(key string) {
 	if id, ok := strings.CutPrefix(key, nodePrefix); ok {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		delete(p.addrs, id)
 		if id == p.set.Node.ID {
-			p.own = infra.Value{}
+			p.localEntry = infra.Value{}
 		}
 	}
 }
 
-// known tells whether the key of the links is known, and the lease of this node's entry if
-// that names its address.
-func (p *peers) known() (key bool, lease infra.LeaseID) {
+// registrationState returns whether the key of the links is known, and the lease of this node's
+// entry if the entry has this node's address.
+func (p *peers) registrationState() (key bool, lease infra.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if string(p.own.Data) == p.set.Hosted.PeerAddress {
-		lease = p.own.Lease
+	if string(p.localEntry.Data) == p.set.Hosted.PeerAddress {
+		lease = p.localEntry.Lease
 	}
 	return p.key != nil, lease
 }
@@ -182,15 +183,15 @@
 	}
 	p.key = key
 	p.guard.SetKey(key)
-	close(p.found)
+	close(p.keyKnown)
 }
 
-// seed tells the mesh where other nodes listen.
-func (p *peers) seed() {
+// updateSeeds passes the addresses of the other nodes to the mesh.
+func (p *peers) updateSeeds() {
 	if p.mesh == nil {
 		return
 	}
-	p.moved = false
+	p.addrsChanged = false
 	var addrs []string
 	for id, addr := range p.addrs {
 		if id != p.set.Node.ID {
@@ -200,16 +201,16 @@
 	p.mesh.AddSeeds(addrs)
 }
 
-// nodes is the number of nodes that are registered, this one included.
-func (p *peers) nodes() int {
+// registeredNodes returns the number of registered nodes, this one included.
+func (p *peers) registeredNodes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(len(p.addrs), 1)
 }
 
-// living are the nodes that are taken to work, this one included.
-func (p *peers) living() []string {
-	mesh := p.joined()
+// liveNodes returns the nodes that are considered working, this one included.
+func (p *peers) liveNodes() []string {
+	mesh := p.currentMesh()
 	if mesh == nil {
 		return nil
 	}
@@ -222,11 +223,11 @@
 	return out
 }
 
-// run registers this node and keeps its links until ctx ends.
+// run registers this node and maintains its links until ctx ends.
 func (p *peers) run(ctx context.Context) error {
 	go p.reg.run(ctx)
 	select {
-	case <-p.found:
+	case <-p.keyKnown:
 	case <-ctx.Done():
 		return nil
 	}
@@ -239,17 +240,17 @@
 		return err
 	}
 	go func() {
-		// It ends with the listener, at the end of this function.
+		// Serve returns when the listener is closed, at the end of this function.
 		if err := l.Serve(); err != nil && ctx.Err() == nil {
 			p.log.Emit(event.PeerListenerFailed, "err", err)
 		}
 	}()
 	defer l.Close()
-	p.full = mesh.Full
-	go p.tellAlways(ctx, func(m loadsMessage) {
-		_ = mesh.Tell(tellLoads, m) // one that is lost is repeated with all the others
+	p.fullyLinked = mesh.Full
+	go p.broadcastLoop(ctx, func(m loadsMessage) {
+		_ = mesh.Tell(msgLoads, m) // a lost message is repeated with the next full one
 	}, func(now time.Time) {
-		p.news.tick(now)
+		p.storeSync.tick(now)
 		p.rollouts.tick(now)
 	})
 	return mesh.Run(ctx)
@@ -268,23 +269,23 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	peer.Handle(mesh, tellLoads, p.takeLoads)
+	peer.Handle(mesh, msgLoads, p.handleLoads)
 	peer.Handle(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.DomainRumour(m.Domain) })
-	peer.Handle(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
-	peer.Handle(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.hear(m) })
-	peer.Handle(mesh, floodRollout, p.rollouts.hear)
+	peer.Handle(mesh, floodRemoved, func(_ string, m removedMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
+	peer.Handle(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.handleAdopted(m) })
+	peer.Handle(mesh, floodRollout, p.rollouts.handleReport)
 	peer.Handle(mesh, quarantine.FloodNews, p.guard.Hear)
-	p.news.join(mesh)
+	p.storeSync.join(mesh)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mesh = mesh
-	p.seed()
+	p.updateSeeds()
 	return mesh, nil
 }
 
-// state is what the dump shows of the other nodes.
+// state returns the part of the state dump about the other nodes.
 func (p *peers) state() any {
-	mesh := p.joined()
+	mesh := p.currentMesh()
 	if mesh == nil {
 		return nil
 	}
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -17,47 +17,48 @@
 )
 
 const (
-	// typicalPrompt and typicalAnswer are the tokens of a request that does not say: those
-	// of an ordinary draft on the first deployments.
+	// typicalPrompt and typicalAnswer are the tokens assumed for a request that does not state its
+	// size: those of an ordinary generation on the first deployments.
 	typicalPrompt = 5000
 	typicalAnswer = 1000
-	// waitForReplica is how long a request waits before it looks again whether a
-	// replica has come up.
+	// waitForReplica is how long a request waits before it is checked again whether a replica has
+	// come up.
 	waitForReplica = 50 * time.Millisecond
-	// unreadByCopy is the part of a prompt that is read again after a run goes on from
-	// its copy: what had not arrived there.
+	// unreadByCopy is the part of a prompt that an engine reads again when a run continues from its
+	// copy: what had not been copied yet.
 	unreadByCopy = 0.05
 )
 
-// idleOnly is a bound on the backlog that only an engine keeps which reads no prompt.
+// idleOnly is a bound on the backlog, in tokens, that only an engine without any prompt to read
+// meets.
 const idleOnly = 1
 
-// picker chooses replicas and standbys.
+// picker chooses replicas for attempts and standbys for the copies of runs.
 type picker struct {
-	table   *route.Current
-	dir     *directory.Directory
-	mon     *health.Monitor
-	plain   *routing.Router // of plain services
-	work    *routing.Router // of engines
-	home    *routing.Router // of engines, among a request's homes
-	standby *routing.Router
-	holders *holders.Finder
-	log     *event.Log
-	queues  queues
-	survey  *survey
-	// rollouts say which versions attempts may use; nil for any.
+	table           *route.Current
+	dir             *directory.Directory
+	mon             *health.Monitor
+	nonEngine       *routing.Router // for services that are not model engines
+	anyEngine       *routing.Router // for engines
+	preferredEngine *routing.Router // for engines, among the preferred ones of a request
+	standby         *routing.Router
+	cacheFinder     *holders.Finder
+	log             *event.Log
+	queues          queues
+	loadQuerier     *loadQuerier
+	// rollouts determines which versions attempts may use; nil for any version.
 	rollouts *rollouts
 	refusal  admission.Refusal
-	// tellSoon has other routers told at once of a change.
-	tellSoon func()
+	// broadcastSoon makes this router broadcast its changed loads at once.
+	broadcastSoon func()
 }
 
-func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, find *holders.Finder, asks *survey, log *event.Log) (*picker, error) {
-	p := &picker{refusal: admission.RefuseLate, survey: asks, table: table, dir: dir, mon: mon, holders: find, log: log, tellSoon: func() {}}
+func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, finder *holders.Finder, queryLoads *loadQuerier, log *event.Log) (*picker, error) {
+	p := &picker{refusal: admission.RefuseLate, loadQuerier: queryLoads, table: table, dir: dir, mon: mon, cacheFinder: finder, log: log, broadcastSoon: func() {}}
 	for _, r := range []struct {
 		to    **routing.Router
 		steps []routing.StepConfig
-	}{{&p.plain, plainSteps}, {&p.work, workSteps}, {&p.home, homeSteps}, {&p.standby, standbySteps}} {
+	}{{&p.nonEngine, nonEngineSteps}, {&p.anyEngine, anyEngineSteps}, {&p.preferredEngine, preferredSteps}, {&p.standby, standbySteps}} {
 		router, err := newRouter(r.steps)
 		if err != nil {
 			return nil, err
@@ -67,24 +68,24 @@
 	return p, nil
 }
 
-// memoryWeight has free memory decide between engines that cause the same delay: a copy
-// more or less is just more than what counts as equally good, and less than a run beside.
+// memoryWeight lets free memory decide between engines with equal delay: one more copy at an engine
+// weighs slightly more than the difference that counts as equal, and less than one more run.
 //
-// What goes wrong without it: work goes to engines that keep many copies, whose memory
-// runs out where a router knows a part of the loads only. It shows as runs that are put off.
+// Without it, work goes to engines that keep many copies. Where a router knows only part of the
+// loads, their memory runs out and runs are preempted.
 const memoryWeight = 0.25
 
-// plainSteps choose the replica of a plain service, workSteps the engine on which an
-// attempt runs, standbySteps the one where its copy is kept. A copy is never the probe of
-// a replica under suspicion: one that isn't made is noticed only when it is needed.
+// nonEngineSteps choose the replica of a service that is not a model engine, anyEngineSteps the
+// engine that runs an attempt, standbySteps the engine that keeps its copy. A copy is never used as
+// the probe of a suspected replica: a copy that isn't made would be noticed only when it is needed.
 var (
-	plainSteps = guarded(
+	nonEngineSteps = withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
 		routing.StepConfig{Name: routing.ScoreLoad},
 	)
-	workSteps    = engineSteps(routing.FilterFresh)
-	homeSteps    = engineSteps(routing.FilterFreshOnly)
-	standbySteps = guarded(
+	anyEngineSteps = engineSteps(routing.FilterFresh)
+	preferredSteps = engineSteps(routing.FilterFreshOnly)
+	standbySteps   = withCommonSteps(
 		routing.StepConfig{Name: routing.FilterHealthy},
 		routing.StepConfig{Name: routing.FilterFresh},
 		routing.StepConfig{Name: routing.FilterRoom},
@@ -92,10 +93,10 @@
 	)
 )
 
-// engineSteps choose the engine that is to run an attempt, among those that a filter by the
-// age of their reports keeps.
+// engineSteps returns the steps that choose the engine for an attempt, among the engines kept by a
+// filter on the age of their reports.
 func engineSteps(byAge string) []routing.StepConfig {
-	return guarded(
+	return withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
 		routing.StepConfig{Name: byAge},
 		routing.StepConfig{Name: routing.FilterRoom},
@@ -105,8 +106,8 @@
 	)
 }
 
-// guarded puts what holds for each choice around the steps of one.
-func guarded(steps ...routing.StepConfig) []routing.StepConfig {
+// withCommonSteps adds the steps that every choice has before and after the given steps.
+func withCommonSteps(steps ...routing.StepConfig) []routing.StepConfig {
 	all := []routing.StepConfig{
 		{Name: routing.FilterServes},
 		{Name: routing.FilterLeaving},
@@ -120,49 +121,49 @@
 // Lookup implements generation.Picker.
 func (p *picker) Lookup(id string) (fleet.Backend, bool) { return p.dir.Backend(id) }
 
-// Pick implements generation.Picker. Whether a replica is leaving is looked up
-// once more at the moment of sending.
+// Pick implements generation.Picker. Whether a replica is leaving is checked once more at the
+// moment of sending.
 func (p *picker) Pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
 	b, share, err := p.pick(ctx, a)
-	one := p.rollouts.of(a.Service)
+	ro := p.rollouts.of(a.Service)
 	switch {
-	case one == nil:
+	case ro == nil:
 	case err == nil:
-		one.Sent(a.Request)
-	case one.Unassign(a.Request): // the version on trial can't take it
+		ro.Sent(a.Request)
+	case ro.Unassign(a.Request): // the version on trial has no replica for it
 		return p.Pick(ctx, a)
 	}
 	return b, share, err
 }
 
 func (p *picker) pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
-	if b, share, ok := p.preferred(a); ok {
+	if b, share, ok := p.replicaWithCopy(a); ok {
 		return b, share, nil
 	}
-	if b, share, ok := p.holder(ctx, a); ok {
+	if b, share, ok := p.replicaWithPrompt(ctx, a); ok {
 		return b, share, nil
 	}
 	if p.capacity(a.Service) > 0 {
-		return p.engine(ctx, a)
+		return p.pickEngine(ctx, a)
 	}
-	return p.choose(p.plain, p.candidates(a), a, directory.Load{Requests: 1})
+	return p.choose(p.nonEngine, p.candidates(a), a, directory.Load{Requests: 1})
 }
 
-// choose looks in other failure domains first than that of the attempt that was lost.
+// choose prefers failure domains other than that of the attempt that was lost.
 func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.Ask, load directory.Load) (fleet.Backend, generation.Share, error) {
-	ask := p.ask(a)
-	ask.OtherDomain = a.LostDomain
+	req := p.pickRequest(a)
+	req.OtherDomain = a.LostDomain
 	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: waitForReplica}
-	b, share, err := chooser.Pick(router, among, ask, load)
-	if err == nil || ask.OtherDomain == "" {
+	b, share, err := chooser.Pick(router, among, req, load)
+	if err == nil || req.OtherDomain == "" {
 		return b, share, err
 	}
-	ask.OtherDomain = "" // better there than nowhere
-	return chooser.Pick(router, among, ask, load)
+	req.OtherDomain = "" // fall back to that failure domain
+	return chooser.Pick(router, among, req, load)
 }
 
-// preferred is the replica that holds a copy of the run, if it takes work.
-func (p *picker) preferred(a generation.Ask) (fleet.Backend, generation.Share, bool) {
+// replicaWithCopy returns the replica that has a copy of the run, if it accepts work.
+func (p *picker) replicaWithCopy(a generation.Ask) (fleet.Backend, generation.Share, bool) {
 	if a.Prefer == "" || a.Exclude[a.Prefer] || p.dir.Leaving(a.Prefer) || !p.allowed(a.Prefer) {
 		return fleet.Backend{}, nil, false
 	}
@@ -175,19 +176,20 @@
 	return b, p.dir.Begin(b.ID, loadOf(a, int((1-unreadByCopy)*float64(prompt)))), true
 }
 
-// holder is the replica that still holds the prompt of a client that came back.
-func (p *picker) holder(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, bool) {
+// replicaWithPrompt returns the replica that still has the prompt of a returning client in its
+// cache.
+func (p *picker) replicaWithPrompt(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, bool) {
 	if len(a.Parts) == 0 {
 		return fleet.Backend{}, nil, false
 	}
-	var up []fleet.Backend
-	for _, c := range p.mayHold(a) {
+	var live []fleet.Backend
+	for _, c := range p.cacheCandidates(a) {
 		if !p.dir.Leaving(c.Backend.ID) && p.healthy(c.Backend.ID) {
-			up = append(up, c.Backend)
+			live = append(live, c.Backend)
 		}
 	}
-	id, tokens := p.holders.Find(ctx, up, a.Parts)
-	p.log.Emit(event.HolderSought, "request", a.Request, "asked", len(up), "backend", id, "tokens", tokens)
+	id, tokens := p.cacheFinder.Find(ctx, live, a.Parts)
+	p.log.Emit(event.HolderSought, "request", a.Request, "asked", len(live), "backend", id, "tokens", tokens)
 	if tokens == 0 || p.dir.Leaving(id) {
 		return fleet.Backend{}, nil, false
 	}
@@ -198,18 +200,17 @@
 	return b, p.dir.Begin(id, loadOf(a, tokens)), true
 }
 
-// mayHold are the replicas that may hold the prompt of a client that came back: its homes,
-// where prompts are placed by them, or all.
+// cacheCandidates returns the replicas that may have the prompt of a returning client in their
+// caches: the preferred engines of the request if prompts are placed by them, else all replicas.
 //
-// What goes wrong if all are asked: when all routers end, all clients come back in one
-// second, and each router asks each engine. It shows as engines whose work is delayed by
-// thousands of questions.
-func (p *picker) mayHold(a generation.Ask) []routing.Candidate {
+// If each router queried all engines, then after a restart of all routers, when all clients return
+// within one second, thousands of queries would delay the work of the engines.
+func (p *picker) cacheCandidates(a generation.Ask) []routing.Candidate {
 	all := p.allowedReplicas(a.Service)
-	if !p.survey.needed() || a.Own == "" {
+	if !p.loadQuerier.needed() || a.Own == "" {
 		return all
 	}
-	return routing.Homes(all, homeKey(a), 2*homes)
+	return routing.Homes(all, preferredKey(a), 2*preferredEngines)
 }
 
 // Keeps implements generation.Picker.
@@ -217,23 +218,23 @@
 	return p.healthy(id) && !p.dir.Leaving(id) && p.allowed(id)
 }
 
-// Standby implements generation.Picker: a replica of another failure domain
-// than b, so that the loss of one domain doesn't take the run and its copy.
+// Standby implements generation.Picker. It chooses a replica in another failure domain than b's, so
+// that the loss of one domain does not take both the run and its copy.
 func (p *picker) Standby(a generation.Ask, b fleet.Backend) (fleet.Backend, generation.Share, bool) {
-	ask := p.ask(a)
-	ask.Now = time.Now()
-	ask.Exclude = placement.With(a.Exclude, b.ID)
-	ask.OtherDomain = b.FailureDomain
-	ask.Capacity = int(p.queues.of(a.Service).losses.CopyShare(ask.Now) * float64(ask.Capacity))
-	c, _, err := p.standby.Pick(p.allowedReplicas(a.Service), ask)
+	req := p.pickRequest(a)
+	req.Now = time.Now()
+	req.Exclude = placement.With(a.Exclude, b.ID)
+	req.OtherDomain = b.FailureDomain
+	req.Capacity = int(p.queues.of(a.Service).losses.CopyShare(req.Now) * float64(req.Capacity))
+	c, _, err := p.standby.Pick(p.allowedReplicas(a.Service), req)
 	if err != nil {
 		return fleet.Backend{}, nil, false
 	}
-	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Held: float64(ask.Holds)}), true
+	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Held: float64(req.Holds)}), true
 }
 
-func (p *picker) ask(a generation.Ask) routing.Ask {
-	ask := routing.Ask{
+func (p *picker) pickRequest(a generation.Ask) routing.Ask {
+	req := routing.Ask{
 		Priority:   a.Priority,
 		Exclude:    a.Exclude,
 		Resume:     a.Resume,
@@ -241,17 +242,18 @@
 		Usable:     p.mon.Usable,
 		Healthy:    p.healthy,
 	}
-	ask.Capacity = p.capacity(a.Service)
-	ask.Backlog = p.queues.of(a.Service).backlog(a)
+	req.Capacity = p.capacity(a.Service)
+	req.Backlog = p.queues.of(a.Service).backlog(a)
 	if a.Late {
-		ask.Backlog = idleOnly
+		req.Backlog = idleOnly
 	}
 	prompt, answer := tokensOf(a)
-	ask.Tokens, ask.Holds = prompt, prompt+answer
-	return ask
+	req.Tokens, req.Holds = prompt, prompt+answer
+	return req
 }
 
-// capacity is how many tokens an engine of the service holds, 0 for a plain service.
+// capacity returns how many tokens an engine of the service can hold in memory, 0 for a service
+// that is not a model engine.
 func (p *picker) capacity(service string) int {
 	if t := p.table.Get(); t != nil {
 		return t.Service(service).Memory
@@ -269,12 +271,13 @@
 	return a.Size, a.Answer
 }
 
-// loadOf is what a run takes of an engine that holds some tokens of its prompt.
-func loadOf(a generation.Ask, held int) directory.Load {
+// loadOf returns the load of a run on an engine that has the given number of tokens of its prompt
+// cached.
+func loadOf(a generation.Ask, cached int) directory.Load {
 	prompt, answer := tokensOf(a)
 	return directory.Load{
 		Requests: 1,
-		Reading:  float64(max(prompt-held, 1)),
+		Reading:  float64(max(prompt-cached, 1)),
 		Held:     float64(prompt + answer),
 	}
 }
--- a/hosted/picker_test.go
+++ b/hosted/picker_test.go
@@ -14,7 +14,7 @@
 	"wigeondale/settings"
 )
 
-// engineList is n engines of the service llm, in some failure domains by turns.
+// engineList returns n engines of the service llm, alternating between the failure domains.
 func engineList(n, domains int) []fleet.Backend {
 	var list []fleet.Backend
 	for i := range n {
@@ -26,7 +26,8 @@
 	return list
 }
 
-// pickerOf is the picker of a router that knows these engines, which hold so many tokens.
+// pickerOf returns the picker of a router that knows these engines, each with memory for the given
+// number of tokens.
 func pickerOf(t testing.TB, list []fleet.Backend, memory int) *picker {
 	t.Helper()
 	h := &settings.Hosted{}
@@ -38,11 +39,11 @@
 	dir.Update(list, time.Now())
 	table := &route.Current{}
 	table.Install(route.NewTable(&route.Config{Version: 1, Services: []route.Service{{Name: "llm", Engine: true, Memory: memory}}}))
-	ask, err := newSurvey(nil, dir, metrics.NewSet())
+	queryLoads, err := newLoadQuerier(nil, dir, metrics.NewSet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := newPicker(table, dir, mon, nil, ask, nil)
+	p, err := newPicker(table, dir, mon, nil, queryLoads, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	// startedPatience is how long an answer that has begun waits for a replica
-	// to go on at: a little less than clients bear.
-	startedPatience = 5 * time.Second
-	// refusedRetry is told with a refusal when nothing better is known: replicas that
-	// crash are back within seconds.
+	// startedMaxWait is how long a response that has started waits for a replica to continue at: a
+	// little less than clients tolerate.
+	startedMaxWait = 5 * time.Second
+	// refusedRetry is the time to come back that is sent with a refusal when nothing better is
+	// known: crashed replicas are back within seconds.
 	refusedRetry = 600 * time.Millisecond
-	// maxFruitless bounds attempts in a row without a piece.
+	// maxFruitless bounds consecutive attempts without a chunk.
 	maxFruitless = 8
-	// killMargin is how long before the platform's kill the process ends.
+	// killMargin is how long before the platform's kill the process exits.
 	killMargin = 300 * time.Millisecond
-	// lapsedBeats is after how many heartbeats an entry lapses, as the platform documents. A
-	// replica under suspicion gets a first request again then: a crashed one is off the
-	// registry by that time, and the replica that follows is another lifetime.
-	lapsedBeats = 3
-	// prefillFactor and queueFactor stretch the bound on a first piece: prompts are
-	// read one after the other. A replica that lost the run is found by asking it.
+	// expiryHeartbeats is the number of missed heartbeats after which an entry expires, as the
+	// platform documents. A suspected replica gets its first request again after that time: a
+	// crashed replica is out of the registry by then, and its successor is another incarnation.
+	expiryHeartbeats = 3
+	// prefillFactor and queueFactor extend the bound on the time to a first chunk, since prompts
+	// are read one after the other. A replica that lost the run is found by querying it.
 	prefillFactor = 5
 	queueFactor   = 2
-	// typicalGap between the pieces of one stream, before any was observed: more than
-	// alone, less than beside a prompt that is read.
+	// typicalGap is the assumed time between the chunks of one stream before any was observed: more
+	// than without other work, less than while a prompt is read.
 	typicalGap = 60 * time.Millisecond
-	// tick is the interval of judgement; it adds to the time of each detection.
+	// tick is the interval of evaluation; it adds to the time of each detection.
 	tick = 10 * time.Millisecond
 )
 
-// policyOf fits the failure detector to replicas that often crash by failure domain, and
-// to clients for whom a short pause is late.
+// policyOf adapts the failure detector to replicas that often crash by failure domain, and to
+// clients for whom a short pause is too long.
 func policyOf(h *settings.Hosted) health.Policy {
 	p := health.DefaultPolicy()
 	p.FailuresPerHour = h.FailuresPerHour
@@ -48,19 +48,19 @@
 	p.MinPrefill = millis(h.MinPrefillMS)
 	p.PrefillFactor = prefillFactor
 	p.QueueFactor = queueFactor
-	p.MinBackoff = lapsedBeats * millis(h.HeartbeatMS)
+	p.MinBackoff = expiryHeartbeats * millis(h.HeartbeatMS)
 	p.TypicalGap = typicalGap
 	p.Tick = tick
 	return p
 }
 
-// inquirer has replicas asked about their runs. It implements health.Inquirer.
-type inquirer struct {
+// runQuerier queries replicas for their runs. It implements health.Inquirer.
+type runQuerier struct {
 	dir      *directory.Directory
 	replicas generation.Inquirer
 }
 
-func (q inquirer) Ask(ctx context.Context, id string) (health.Word, error) {
+func (q runQuerier) Ask(ctx context.Context, id string) (health.Word, error) {
 	b, ok := q.dir.Backend(id)
 	if !ok {
 		return nil, Error.New("replica %s is not known", id)
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -15,37 +15,40 @@
 	"wigeondale/routing"
 )
 
-// Requests wait at the router for an engine that can take them: there they can still go
-// to whichever is free first, and be told at once when their turn would come too late.
+// Requests wait at the router for an engine that can take them: there they can still go to
+// whichever engine is free first, and be refused at once if their position in the queue is too far
+// back.
 const (
-	// readingShare is the part of the time to a late first piece within which an engine
-	// is to have read what it was sent. The rest is for the wait at the router, where
-	// a request can still go to another engine.
+	// readingShare is the part of the time to a late first chunk within which an engine should have
+	// read the prompts sent to it. The rest is for the wait at the router, where a request can
+	// still go to another engine.
 	readingShare = 0.5
-	// turnEvery is how often the first in the line asks for its turn; those behind it
-	// ask less often, by their place.
-	turnEvery = 10 * time.Millisecond
-	// turnPlaces bounds that.
-	turnPlaces = 8
-	// lookers is how many of the line look for an engine at once. With the first alone a
-	// request that is too large for what is free anywhere holds up all behind it.
-	lookers = 3
-	// adviceSpread spreads the return of those that are refused together.
+	// retryInterval is how often the first request of the queue tries again; the ones behind it try
+	// less often, by their position.
+	retryInterval = 10 * time.Millisecond
+	// maxRetryFactor bounds that: the interval is at most 1+maxRetryFactor times as long.
+	maxRetryFactor = 8
+	// activeWaiters is how many requests at the head of the queue look for an engine at the same
+	// time. With the first one only, a request that needs more memory than is free anywhere blocks
+	// all requests behind it.
+	activeWaiters = 3
+	// adviceSpread spreads the return of clients that are refused at the same time.
 	adviceSpread = 0.5
 	// codeOverloaded is the code of a refusal because the wait would be too long.
 	codeOverloaded = "overloaded"
 )
 
-// queue is what waits for the engines of one service, and what was learnt of them.
+// queue holds the requests waiting for the engines of one service, and estimates about those
+// engines.
 type queue struct {
-	line    *admission.Line
-	reading admission.Reading
-	losses  *admission.Losses
-	gate    surveyGate
-	usual   usualSize
+	waitQueue   *admission.Line
+	reading     admission.Reading
+	losses      *admission.Losses
+	queryGate   queryGate
+	typicalSize typicalSize
 }
 
-// queues hold one queue for each service.
+// queues holds one queue for each service.
 type queues struct {
 	mu        sync.Mutex
 	byService map[string]*queue
@@ -54,126 +57,129 @@
 func (q *queues) of(service string) *queue {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	one := q.byService[service]
-	if one == nil {
-		one = &queue{line: admission.NewLine(), losses: admission.NewLosses(time.Now())}
+	sq := q.byService[service]
+	if sq == nil {
+		sq = &queue{waitQueue: admission.NewLine(), losses: admission.NewLosses(time.Now())}
 		if q.byService == nil {
 			q.byService = map[string]*queue{}
 		}
-		q.byService[service] = one
+		q.byService[service] = sq
 	}
-	return one
+	return sq
 }
 
-// backlog bounds the tokens that an engine is to have yet to read.
+// backlog returns the bound on the tokens that an engine has still to read.
 func (q *queue) backlog(a generation.Ask) float64 {
 	return q.reading.Within(time.Duration(readingShare * float64(a.Target)))
 }
 
-// engine chooses an engine for a run whose turn it is, or says when to ask again.
-func (p *picker) engine(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+// pickEngine chooses an engine for a request that is near the head of the queue, or returns when to
+// try again.
+func (p *picker) pickEngine(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
 	q := p.queues.of(a.Service)
 	rank := admission.RankNew
 	if sentBefore(a) {
 		rank = admission.RankStarted
 	}
 	now := time.Now()
-	turn := q.line.Wait(a.Request, rank, a.Age, now)
-	a.Late = turn.Late
-	if turn.Ahead >= lookers {
-		return fleet.Backend{}, nil, p.waitOrRefuse(q, a, turn, now)
+	pos := q.waitQueue.Wait(a.Request, rank, a.Age, now)
+	a.Late = pos.Late
+	if pos.Ahead >= activeWaiters {
+		return fleet.Backend{}, nil, p.waitOrRefuse(q, a, pos, now)
 	}
-	p.look(ctx, a, q, turn.Waited)
-	b, share, err := p.place(a)
+	p.queryEngines(ctx, a, q, pos.Waited)
+	b, share, err := p.chooseEngine(a)
 	if err == nil {
-		q.usual.add(tokensOf(a))
-		q.line.Had(a.Request, now)
+		q.typicalSize.add(tokensOf(a))
+		q.waitQueue.Had(a.Request, now)
 		if a.Resume {
 			q.losses.Lost(now)
 		}
-		p.logChoice(a, b.ID, turn, now)
+		p.logChoice(a, b.ID, pos, now)
 		return b, p.timed(q, b.ID, share), nil
 	}
 	if u, ok := errors.AsType[*generation.Unavailable](err); !ok || !u.Retryable {
-		q.line.Leave(a.Request)
+		q.waitQueue.Leave(a.Request)
 		return fleet.Backend{}, nil, err
 	}
-	return fleet.Backend{}, nil, p.waitOrRefuse(q, a, turn, now)
+	return fleet.Backend{}, nil, p.waitOrRefuse(q, a, pos, now)
 }
 
-// logChoice tells what an engine was chosen by.
-func (p *picker) logChoice(a generation.Ask, id string, turn admission.Turn, now time.Time) {
-	load, age, said := p.dir.Estimate(id, now)
+// logChoice logs the chosen engine and the load it was chosen by.
+func (p *picker) logChoice(a generation.Ask, id string, pos admission.Turn, now time.Time) {
+	load, age, known := p.dir.Estimate(id, now)
 	ageMS := int64(-1)
-	if said {
+	if known {
 		ageMS = max(age.Milliseconds(), 0)
 	}
-	p.log.Emit(event.EngineChosen, "request", a.Request, "backend", id, "waited_ms", turn.Waited.Milliseconds(),
+	p.log.Emit(event.EngineChosen, "request", a.Request, "backend", id, "waited_ms", pos.Waited.Milliseconds(),
 		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Held), "age_ms", ageMS)
 }
 
-// place chooses an engine for a run: one of its homes if any of them can take it.
-func (p *picker) place(a generation.Ask) (fleet.Backend, generation.Share, error) {
+// chooseEngine chooses an engine for a run: a preferred one of the request if any of them can take
+// it.
+func (p *picker) chooseEngine(a generation.Ask) (fleet.Backend, generation.Share, error) {
 	all, load := p.candidates(a), loadOf(a, 0)
-	if p.survey.needed() {
-		b, share, err := p.choose(p.home, routing.Homes(all, homeKey(a), homes), a, load)
+	if p.loadQuerier.needed() {
+		b, share, err := p.choose(p.preferredEngine, routing.Homes(all, preferredKey(a), preferredEngines), a, load)
 		if err == nil {
 			return b, share, nil
 		}
 	}
-	return p.choose(p.work, all, a, load)
+	return p.choose(p.anyEngine, all, a, load)
 }
 
-// waitOrRefuse says when a request is to ask again, or refuses it, by the way of refusal
-// that is set. One that an engine had is never refused here.
-func (p *picker) waitOrRefuse(q *queue, a generation.Ask, turn admission.Turn, now time.Time) error {
-	wait := p.waitOf(q, a, turn, now)
+// waitOrRefuse returns when a request is to try again, or refuses it, by the configured refusal
+// policy. A request that an engine has received is never refused here.
+func (p *picker) waitOrRefuse(q *queue, a generation.Ask, pos admission.Turn, now time.Time) error {
+	wait := p.waitState(q, a, pos, now)
 	if !sentBefore(a) {
-		if back, refused := p.refusal.Refuses(wait); refused {
-			q.line.Leave(a.Request)
-			return p.refuse(a, wait, back)
+		if retryAfter, refused := p.refusal.Refuses(wait); refused {
+			q.waitQueue.Leave(a.Request)
+			return p.refuse(a, wait, retryAfter)
 		}
-		if !wait.InTime() && !turn.Late {
-			turn = q.line.Late(a.Request, now)
+		if !wait.InTime() && !pos.Late {
+			pos = q.waitQueue.Late(a.Request, now)
 		}
 	}
-	if turn.Waited == 0 {
-		p.log.Emit(event.RequestWaits, "request", a.Request, "service", a.Service, "ahead", turn.Ahead, "late", turn.Late,
+	if pos.Waited == 0 {
+		p.log.Emit(event.RequestWaits, "request", a.Request, "service", a.Service, "ahead", pos.Ahead, "late", pos.Late,
 			"expect_ms", wait.Expect.Milliseconds(), "backlog_tokens", int(q.backlog(a)))
 	}
-	next := turnEvery * time.Duration(1+min(turn.Ahead, turnPlaces))
+	next := retryInterval * time.Duration(1+min(pos.Ahead, maxRetryFactor))
 	return &generation.Unavailable{Retryable: true, RetryAfter: next, Err: errOverloaded}
 }
 
-// waitOf is what is known of a request that waits.
-func (p *picker) waitOf(q *queue, a generation.Ask, turn admission.Turn, now time.Time) admission.Wait {
-	expect, _ := q.line.Expect(turn.Ahead+1, now) // none while no pace is known
-	return admission.Wait{Turn: turn, Expect: expect, Target: a.Target, Left: a.Left}
+// waitState returns what is known of a waiting request.
+func (p *picker) waitState(q *queue, a generation.Ask, pos admission.Turn, now time.Time) admission.Wait {
+	expect, _ := q.waitQueue.Expect(pos.Ahead+1, now) // 0 while no rate is known
+	return admission.Wait{Turn: pos, Expect: expect, Target: a.Target, Left: a.Left}
 }
 
-// refuse tells a client when to come back.
-func (p *picker) refuse(a generation.Ask, w admission.Wait, back time.Duration) error {
-	advice := back + time.Duration(adviceSpread*rand.Float64()*float64(back))
+// refuse returns a refusal with the time after which the client should come back.
+func (p *picker) refuse(a generation.Ask, w admission.Wait, retryAfter time.Duration) error {
+	advice := retryAfter + time.Duration(adviceSpread*rand.Float64()*float64(retryAfter))
 	p.log.Emit(event.RequestOverload, "request", a.Request, "service", a.Service, "ahead", w.Ahead,
 		"waited_ms", w.Waited.Milliseconds(), "expect_ms", w.Expect.Milliseconds(), "advice_ms", advice.Milliseconds())
 	return &generation.Unavailable{Code: codeOverloaded, RetryAfter: advice, Err: errOverloaded}
 }
 
-// sentBefore tells whether an engine had the request and was lost, or left for another
-// version: nobody can say any more that it has not run, so that a refusal would be a
-// failure without advice.
+// sentBefore reports whether the request was sent to an engine that was lost, or from which it was
+// moved to another version. It is then no longer certain that the request has not run, so a refusal
+// would be a failure without a time to come back.
 func sentBefore(a generation.Ask) bool { return a.Reached || a.Resume || a.LostDomain != "" }
 
 var errOverloaded = Error.New("all engines have as much work as they can take")
 
-// timedShare learns from the time to the first piece how fast prompts are read.
+// timedShare measures the time to the first chunk, from which the reading speed of engines is
+// estimated.
 type timedShare struct {
 	*directory.Share
-	queue  *queue
-	tokens float64 // that were to be read when it began, its own among them
-	began  time.Time
-	first  sync.Once // piece
-	tell   func()
+	queue         *queue
+	tokens        float64 // tokens that the engine had to read at the start, including this prompt
+	startedAt     time.Time
+	firstChunk    sync.Once // guards the first chunk
+	broadcastSoon func()
 }
 
 func (p *picker) timed(q *queue, id string, s generation.Share) generation.Share {
@@ -181,21 +187,21 @@
 	if !ok {
 		return s
 	}
-	p.tellSoon()
-	return &timedShare{Share: share, queue: q, tokens: p.dir.Reading(id), began: time.Now(), tell: p.tellSoon}
+	p.broadcastSoon()
+	return &timedShare{Share: share, queue: q, tokens: p.dir.Reading(id), startedAt: time.Now(), broadcastSoon: p.broadcastSoon}
 }
 
 // Begun implements generation.Share.
 func (t *timedShare) Begun() {
-	t.first.Do(func() {
+	t.firstChunk.Do(func() {
 		t.Share.Begun()
-		t.queue.reading.Observe(t.tokens, time.Since(t.began))
-		t.tell()
+		t.queue.reading.Observe(t.tokens, time.Since(t.startedAt))
+		t.broadcastSoon()
 	})
 }
 
 // End implements generation.Share.
 func (t *timedShare) End() {
 	t.Share.End()
-	t.tell()
+	t.broadcastSoon()
 }
--- a/hosted/queue_test.go
+++ b/hosted/queue_test.go
@@ -10,7 +10,8 @@
 	"wigeondale/generation"
 )
 
-// fullPicker has two engines, whose memory is full but for some tokens at each.
+// fullPicker returns a picker with two engines, whose memory is full except for some tokens at
+// each.
 func fullPicker(t *testing.T, free int) *picker {
 	const memory = 50000
 	list := engineList(2, 2)
@@ -21,40 +22,40 @@
 	return p
 }
 
-func draftAsk(id string, tokens int) generation.Ask {
+func newPickRequest(id string, tokens int) generation.Ask {
 	return generation.Ask{Request: id, Service: "llm", Size: tokens, Answer: 500, Target: 4 * time.Second}
 }
 
-// Symptom: requests are refused although engines have memory for them. Sequence: a request
-// that is larger than what is free anywhere came first. Cause: those behind it only wait.
+// Guards against requests that are refused although engines have memory for them, because a request
+// larger than the free memory of any engine arrived first and blocks them.
 func TestLargeRequestHoldsUpNobody(t *testing.T) {
 	p := fullPicker(t, 8000)
-	_, _, err := p.Pick(t.Context(), draftAsk("large", 20000))
+	_, _, err := p.Pick(t.Context(), newPickRequest("large", 20000))
 	if u, ok := errors.AsType[*generation.Unavailable](err); !ok || !u.Retryable {
 		t.Fatalf("the large one: %v", err)
 	}
-	if _, _, err := p.Pick(t.Context(), draftAsk("small", 5000)); err != nil {
+	if _, _, err := p.Pick(t.Context(), newPickRequest("small", 5000)); err != nil {
 		t.Errorf("the small one: %v", err)
 	}
 }
 
-// Symptom: a client waits for seconds and is refused then. Sequence: engines are full, ten
-// wait and get places at one a second; one more comes. Cause: it is let into the line. It
-// must be told at once, with when its turn would come.
+// Guards against a client that waits for seconds and is refused then: engines are full, ten
+// requests wait and one is admitted each second; one more arrives. It must be refused at once, with
+// the time at which its position would be reached.
 func TestTooLateATurnIsRefusedAtOnce(t *testing.T) {
 	p := fullPicker(t, 0)
-	line := p.queues.of("llm").line
+	waitQueue := p.queues.of("llm").waitQueue
 	now := time.Now()
 	for i := range 10 {
-		line.Wait(fmt.Sprint("q", i), 1, 0, now)
+		waitQueue.Wait(fmt.Sprint("q", i), 1, 0, now)
 	}
 	for i := range 3 {
 		id := fmt.Sprint("had", i)
-		line.Wait(id, 0, 0, now.Add(-4*time.Second))
-		line.Wait(id, 0, 0, now.Add(-4*time.Second))
-		line.Had(id, now.Add(time.Duration(i-3)*time.Second))
+		waitQueue.Wait(id, 0, 0, now.Add(-4*time.Second))
+		waitQueue.Wait(id, 0, 0, now.Add(-4*time.Second))
+		waitQueue.Had(id, now.Add(time.Duration(i-3)*time.Second))
 	}
-	_, _, err := p.Pick(t.Context(), draftAsk("late", 5000))
+	_, _, err := p.Pick(t.Context(), newPickRequest("late", 5000))
 	u, ok := errors.AsType[*generation.Unavailable](err)
 	if !ok || u.Retryable || u.Code != codeOverloaded {
 		t.Fatalf("got %v", err)
@@ -62,7 +63,7 @@
 	if u.RetryAfter < 10*time.Second || u.RetryAfter > 18*time.Second {
 		t.Errorf("told to come back after %v", u.RetryAfter)
 	}
-	started, lost, moved := draftAsk("started", 5000), draftAsk("lost", 5000), draftAsk("moved", 5000)
+	started, lost, moved := newPickRequest("started", 5000), newPickRequest("lost", 5000), newPickRequest("moved", 5000)
 	started.Resume, lost.LostDomain, moved.Reached = true, "d0", true
 	for _, a := range []generation.Ask{started, lost, moved} {
 		_, _, err = p.Pick(t.Context(), a)
@@ -72,14 +73,14 @@
 	}
 }
 
-// Symptom: runs are put off for lack of memory while other engines have plenty. Sequence:
-// two engines are idle, one of them keeps a copy. Cause: copies counted for nothing, and
-// what other routers keep there is known in part.
+// Guards against runs that are preempted for lack of memory while other engines have plenty: two
+// engines are idle, one of them keeps a copy. Copies must count, since only part of the copies of
+// other routers is known.
 func TestIdleEngineWithoutCopiesGoesFirst(t *testing.T) {
 	p := fullPicker(t, 50000)
 	p.dir.Begin("e0", directory.Load{Held: 6000})
 	for i := range 20 {
-		b, share, err := p.Pick(t.Context(), draftAsk(fmt.Sprint("q", i), 5000))
+		b, share, err := p.Pick(t.Context(), newPickRequest(fmt.Sprint("q", i), 5000))
 		if err != nil || b.ID != "e1" {
 			t.Fatalf("got %s, %v", b.ID, err)
 		}
--- a/hosted/registration.go
+++ b/hosted/registration.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// nodeLease is how long a node that is gone stays registered: the longest that
-	// the store grants, since each renewal is a call of each node.
+	// nodeLease is how long a dead node stays registered. It is the longest lease that the store
+	// grants, since each renewal is one call by each node.
 	nodeLease = 10 * time.Minute
 	renewal   = nodeLease / 3
-	// registerTimeout bounds one call, registerRetry the pause after a failure.
+	// registerTimeout bounds one call; registerRetry is the pause after a failed one.
 	registerTimeout = time.Second
 	registerRetry   = 500 * time.Millisecond
-	// readPatience is how long a registration waits for the first read of the store, which
-	// takes some tenths of a second when all nodes start at once.
-	readPatience = 2 * time.Second
-	// keySpread is the time over which nodes that all start for the first time spread the
-	// creation of the key: the first of them creates it, and most others hear of it.
+	// readWait is how long a registration waits for the first read of the store, which takes some
+	// tenths of a second when all nodes start at once.
+	readWait = 2 * time.Second
+	// keySpread is the time over which nodes that all start for the first time spread the creation
+	// of the key: the first one creates it, and most others read it before they try.
 	keySpread = 200 * time.Millisecond
 )
 
@@ -36,16 +36,16 @@
 	KeepAlive(ctx context.Context, lease infra.LeaseID) error
 }
 
-// registration keeps this node's address in the store, and creates the key that
-// all links prove if there is none.
+// registration maintains this node's address in the store, and creates the key with which all links
+// authenticate if there is none.
 type registration struct {
 	set   *settings.Settings
 	store registry
 	log   *event.Log
-	// read is closed when the store has been read once; then known tells whether the key
-	// is there, and the lease of this node's entry, 0 if there is none with its address.
-	read  <-chan struct{}
-	known func() (key bool, lease infra.LeaseID)
+	// storeRead is closed when the store has been read once. After that, state returns whether the key
+	// exists, and the lease of this node's entry, 0 if no entry has this node's address.
+	storeRead <-chan struct{}
+	state     func() (key bool, lease infra.LeaseID)
 }
 
 // run registers and renews until ctx ends.
@@ -53,7 +53,7 @@
 	if !r.awaitRead(ctx) {
 		return
 	}
-	lease, renewed := r.takeUp(ctx)
+	lease, renewed := r.resumeLease(ctx)
 	for {
 		if renewed && !r.renew(ctx, lease) {
 			return
@@ -69,39 +69,40 @@
 	}
 }
 
-// awaitRead waits until the store has been read, for a while: what is there need not be
-// written. It returns false when ctx has ended.
+// awaitRead waits up to readWait until the store has been read, since what exists there need not be
+// written again. It returns false when ctx has ended.
 func (r *registration) awaitRead(ctx context.Context) bool {
-	patience := time.NewTimer(readPatience)
-	defer patience.Stop()
+	timer := time.NewTimer(readWait)
+	defer timer.Stop()
 	select {
-	case <-r.read:
-	case <-patience.C:
+	case <-r.storeRead:
+	case <-timer.C:
 	case <-ctx.Done():
 		return false
 	}
-	if key, _ := r.known(); key {
+	if key, _ := r.state(); key {
 		return true
 	}
 	return clock.Sleep(ctx, rand.N(keySpread))
 }
 
-// takeUp renews the lease of the entry that this node left when it ended last.
+// resumeLease renews the lease of the entry that this node left behind when it stopped.
 //
-// What goes wrong without it: all nodes end at once and start again, and each of them makes
-// three writes for what is in the store already, while all read it. It shows as the largest
-// part of the calls to the store when all nodes end.
-func (r *registration) takeUp(ctx context.Context) (infra.LeaseID, bool) {
-	_, lease := r.known()
+// Without it, when all nodes stop and start again, each of them makes three writes for what is in
+// the store already, while all of them read it. Those writes would be the largest part of the calls
+// to the store.
+func (r *registration) resumeLease(ctx context.Context) (infra.LeaseID, bool) {
+	_, lease := r.state()
 	if lease == 0 {
 		return 0, false
 	}
 	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
-	return lease, r.store.KeepAlive(ctx, lease) == nil // it is registered anew otherwise
+	return lease, r.store.KeepAlive(ctx, lease) == nil // the node registers anew otherwise
 }
 
-// renew returns true when the lease may have ended, and false when ctx has.
+// renew renews the lease. It returns true when the lease may have expired, and false when ctx has
+// ended.
 func (r *registration) renew(ctx context.Context, lease infra.LeaseID) bool {
 	for clock.Sleep(ctx, renewal) {
 		ctx, stop := context.WithTimeout(ctx, registerTimeout)
@@ -115,8 +116,8 @@
 	return false
 }
 
-// register writes this node's address. A key that another node created first
-// comes through the mirror.
+// register writes this node's address. A key that another node created first arrives through the
+// mirror.
 func (r *registration) register(ctx context.Context) (infra.LeaseID, error) {
 	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
@@ -132,7 +133,7 @@
 
 // createKey creates the key of the links if none is known.
 func (r *registration) createKey(ctx context.Context) error {
-	if key, _ := r.known(); key {
+	if key, _ := r.state(); key {
 		return nil
 	}
 	key := make([]byte, peerKeyBytes)
--- a/hosted/registration_test.go
+++ b/hosted/registration_test.go
@@ -14,9 +14,9 @@
 
 // countedRegistry counts the calls of a registration.
 type countedRegistry struct {
-	mu    sync.Mutex
-	calls map[string]int
-	ended bool // the old lease
+	mu      sync.Mutex
+	calls   map[string]int
+	expired bool // the old lease has expired
 }
 
 func (c *countedRegistry) count(call string) {
@@ -42,16 +42,16 @@
 
 func (c *countedRegistry) KeepAlive(_ context.Context, lease infra.LeaseID) error {
 	c.count("keep")
-	if c.ended && lease != 9 {
+	if c.expired && lease != 9 {
 		return errors.New("the lease has ended")
 	}
 	return nil
 }
 
-// Symptom: when all nodes end and start again, most calls to the store say what is there
-// already. Sequence: a node starts; the store holds the key of the links, and the node's
-// entry under a lease that goes on, has ended, or is of another address. Cause: a start
-// was taken for the first one. A store that can't be read must not keep it from registering.
+// Guards against restarts of all nodes in which most calls to the store write what is there
+// already. The store contains the key of the links, and the node's entry under a lease that is
+// valid, has expired, or belongs to another address. A store that can't be read must not keep a
+// node from registering.
 func TestRestartRenewsItsEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		items []infra.Value
@@ -73,8 +73,8 @@
 				ctx, stop := context.WithCancel(t.Context())
 				pick := pickerOf(t, engineList(1, 1), 1)
 				set := &settings.Settings{Node: settings.Node{ID: "n"}, Hosted: &settings.Hosted{PeerAddress: "addr"}}
-				p := newPeers(set, nil, pick.dir, pick.mon, newNews("n", "d", nil), nil)
-				store := &countedRegistry{calls: map[string]int{}, ended: c.ended}
+				p := newPeers(set, nil, pick.dir, pick.mon, newStoreSync("n", "d", nil), nil)
+				store := &countedRegistry{calls: map[string]int{}, expired: c.ended}
 				p.reg.store = store
 				go p.reg.run(ctx)
 				for _, item := range c.items {
@@ -83,7 +83,7 @@
 				if c.items != nil {
 					p.settled()
 				}
-				time.Sleep(readPatience + keySpread)
+				time.Sleep(readWait + keySpread)
 				synctest.Wait()
 				for call, want := range c.want {
 					if store.calls[call] != want {
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -15,33 +15,34 @@
 	"wigeondale/settings"
 )
 
-// The routers of these tests are the program's own: they choose, count what is under way
-// and tell each other as it does. Only engines and the time that a word takes to another
-// router are modelled.
+// The routers of these tests are the program's own: they choose engines, count their open requests
+// and broadcast them as in production. Only the engines and the delay of messages between routers
+// are modelled.
 const (
 	replayRouters = 6
 	replayPrompt  = 5000
 	replayAnswer  = 300
 	replayTarget  = 4500 * time.Millisecond
-	replayTime    = 25 * time.Second // of a client
-	wordDelay     = time.Millisecond // to another router
+	clientTimeout = 25 * time.Second // timeout of a client
+	messageDelay  = time.Millisecond // delay of a message to another router
 )
 
 var replayEngine = replay.Config{
 	ReadPerSecond: 5000, Chunk: 125, Step: 6 * time.Millisecond, StepPerRun: 45 * time.Microsecond, Memory: 55000,
 }
 
-// replaySize is how many take part.
+// replaySize is the size of a simulated fleet.
 type replaySize struct {
 	routers, engines, domains int
-	// hear is how many of the others hear what a router tells; 0 for all.
-	hear int
-	// seeds are played one after the other.
+	// linked is the number of other routers that receive a router's messages; 0 for all.
+	linked int
+	// seeds is the number of runs, one after the other.
 	seeds int
-	// work is what requests and engines are; the zero value stands for usualWork.
+	// work sets the size of requests and the speed of engines; the zero value stands for
+	// typicalWork.
 	work replayWork
-	// change sets what a test compares.
-	change func(*picker)
+	// modify modifies the picker for a comparison.
+	modify func(*picker)
 }
 
 // replayWork is the size of the requests and the speed of the engines.
@@ -50,31 +51,31 @@
 	engine         replay.Config
 }
 
-var usualWork = replayWork{replayPrompt, replayAnswer, replayEngine}
+var typicalWork = replayWork{replayPrompt, replayAnswer, replayEngine}
 
 func (s replaySize) workOf() replayWork {
 	if s.work == (replayWork{}) {
-		return usualWork
+		return typicalWork
 	}
 	return s.work
 }
 
-// fewRouters all hear each other. Routers that choose at the same moment choose at
-// random, and bounds on the sum of fewer seeds were passed and failed by turns.
+// fewRouters are all linked to each other. Routers that choose at the same moment choose at random;
+// with fewer seeds the bounds on the sums passed and failed by turns.
 var fewRouters = replaySize{routers: replayRouters, engines: 12, domains: 4, seeds: 12}
 
-// replayed is a fleet under load.
-type replayed struct {
+// replayFleet is a simulated fleet under load.
+type replayFleet struct {
 	size    replaySize
 	engines map[string]*replay.Engine
 	list    []fleet.Backend
 	routers []*replayRouter
 
-	mu      sync.Mutex
-	served  []time.Duration // until the first piece
-	began   []time.Duration // of those, from the start
-	refused []time.Duration // until the refusal
-	lost    int
+	mu        sync.Mutex
+	served    []time.Duration // time to the first chunk, of served requests
+	arrivedAt []time.Duration // arrival of those requests, from the start of the replay
+	refused   []time.Duration // time to the refusal, of refused requests
+	lost      int
 }
 
 type replayRouter struct {
@@ -84,8 +85,8 @@
 	peers *peers
 }
 
-func newReplay(t *testing.T, ctx context.Context, size replaySize) *replayed {
-	f := &replayed{size: size, engines: map[string]*replay.Engine{}, list: engineList(size.engines, size.domains)}
+func newReplayFleet(t *testing.T, ctx context.Context, size replaySize) *replayFleet {
+	f := &replayFleet{size: size, engines: map[string]*replay.Engine{}, list: engineList(size.engines, size.domains)}
 	for _, b := range f.list {
 		f.engines[b.ID] = replay.NewEngine(size.workOf().engine)
 		go f.engines[b.ID].Serve(ctx)
@@ -94,72 +95,72 @@
 		f.routers = append(f.routers, f.router(t, fmt.Sprint("r", i)))
 	}
 	for _, r := range f.routers {
-		go r.peers.tellAlways(ctx, func(m loadsMessage) { f.tell(r, m) }, func(time.Time) {})
+		go r.peers.broadcastLoop(ctx, func(m loadsMessage) { f.deliver(r, m) }, func(time.Time) {})
 	}
 	return f
 }
 
-func (f *replayed) router(t *testing.T, id string) *replayRouter {
+func (f *replayFleet) router(t *testing.T, id string) *replayRouter {
 	pick := pickerOf(t, f.list, f.size.workOf().engine.Memory)
-	if f.size.change != nil {
-		f.size.change(pick)
+	if f.size.modify != nil {
+		f.size.modify(pick)
 	}
 	set := &settings.Settings{Hosted: &settings.Hosted{}}
-	r := &replayRouter{id: id, index: len(f.routers), pick: pick, peers: newPeers(set, nil, pick.dir, pick.mon, newNews(id, "d0", nil), nil)}
-	pick.tellSoon = r.peers.tellSoon
-	pick.survey.states = f
-	r.peers.full = func() bool { return f.size.hear == 0 }
+	r := &replayRouter{id: id, index: len(f.routers), pick: pick, peers: newPeers(set, nil, pick.dir, pick.mon, newStoreSync(id, "d0", nil), nil)}
+	pick.broadcastSoon = r.peers.broadcastSoon
+	pick.loadQuerier.states = f
+	r.peers.fullyLinked = func() bool { return f.size.linked == 0 }
 	return r
 }
 
-// tell passes a router's word on to those who hear it.
-func (f *replayed) tell(from *replayRouter, m loadsMessage) {
-	time.AfterFunc(wordDelay, func() {
+// deliver passes a router's message to the routers linked to it.
+func (f *replayFleet) deliver(from *replayRouter, m loadsMessage) {
+	time.AfterFunc(messageDelay, func() {
 		for _, other := range f.routers {
-			if other != from && f.hears(from, other) {
-				other.peers.takeLoads(from.id, m)
+			if other != from && f.isLinked(from, other) {
+				other.peers.handleLoads(from.id, m)
 			}
 		}
 	})
 }
 
-// State implements stateAsker.
-func (f *replayed) State(_ context.Context, b fleet.Backend) (fleet.EngineState, error) {
-	time.Sleep(2 * wordDelay)
+// State implements stateReader.
+func (f *replayFleet) State(_ context.Context, b fleet.Backend) (fleet.EngineState, error) {
+	time.Sleep(2 * messageDelay)
 	return f.engines[b.ID].Report(), nil
 }
 
-// hears tells whether two routers are linked: each to those that follow it and those that
-// it follows.
-func (f *replayed) hears(from, to *replayRouter) bool {
+// isLinked reports whether two routers are linked: each is linked to the routers that follow it and
+// precede it in a ring.
+func (f *replayFleet) isLinked(from, to *replayRouter) bool {
 	n := len(f.routers)
 	after := (to.index - from.index + n) % n
-	return f.size.hear == 0 || min(after, n-after) <= f.size.hear/2
+	return f.size.linked == 0 || min(after, n-after) <= f.size.linked/2
 }
 
-// request carries one request to its end at a router.
-func (f *replayed) request(ctx context.Context, r *replayRouter, id string, since time.Time) {
+// request runs one request at a router until its end.
+func (f *replayFleet) request(ctx context.Context, r *replayRouter, id string, start time.Time) {
 	began := time.Now()
 	work := f.size.workOf()
 	ask := generation.Ask{Request: id, Service: "llm", Size: work.prompt, Answer: work.answer, Target: replayTarget}
 	first := time.Duration(0)
 	for ctx.Err() == nil {
-		ask.Left = max(replayTime-time.Since(began), 1)
+		ask.Left = max(clientTimeout-time.Since(began), 1)
 		b, share, err := r.pick.Pick(ctx, ask)
 		if err != nil {
 			u, ok := errors.AsType[*generation.Unavailable](err)
 			if !ok || !u.Retryable || (!ask.Resume && time.Since(began)+u.RetryAfter > r.pick.refusal.Patience(replayTarget)) {
-				f.note(&f.refused, time.Since(began))
+				f.record(&f.refused, time.Since(began))
 				return
 			}
 			time.Sleep(max(u.RetryAfter, 20*time.Millisecond))
 			continue
 		}
-		kept := 0
+		cached := 0
 		if ask.Prefer == b.ID {
-			kept = work.prompt * 19 / 20
+			cached = work.prompt * 19 / 20
 		}
-		run := replay.NewRun(work.prompt, kept, work.answer)
+		run := replay.NewRun(work.prompt, cached, work.answer)
 		f.engines[b.ID].Begin(run)
 		standby, copied, hasCopy := r.pick.Standby(ask, b)
 		if hasCopy {
@@ -184,9 +185,9 @@
 		}
 		if !lost {
 			f.mu.Lock()
-			f.began = append(f.began, began.Sub(since))
+			f.arrivedAt = append(f.arrivedAt, began.Sub(start))
 			f.mu.Unlock()
-			f.note(&f.served, first)
+			f.record(&f.served, first)
 			return
 		}
 		f.mu.Lock()
@@ -199,25 +200,25 @@
 	}
 }
 
-func (f *replayed) note(to *[]time.Duration, d time.Duration) {
+func (f *replayFleet) record(to *[]time.Duration, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	*to = append(*to, d)
 }
 
-// crash loses a domain's engines. All routers hear of it, and at one moment that they
-// are back.
-func (f *replayed) crash(domain string, down time.Duration) {
-	gone := map[string]bool{}
+// crash makes a domain's engines crash. All routers are notified at once, both of the crash and of
+// the return.
+func (f *replayFleet) crash(domain string, down time.Duration) {
+	crashed := map[string]bool{}
 	for _, b := range f.list {
 		if b.FailureDomain == domain {
-			gone[b.VM] = true
+			crashed[b.VM] = true
 		}
 	}
 	for _, r := range f.routers {
-		r.pick.dir.SetIntent(gone)
+		r.pick.dir.SetIntent(crashed)
 	}
-	for id := range gone {
+	for id := range crashed {
 		f.engines[id].Crash()
 	}
 	time.Sleep(down)
@@ -226,8 +227,8 @@
 	}
 }
 
-// play runs arrivals over the routers in turn, and crashes of domains at their moments.
-func (f *replayed) play(ctx context.Context, arrivals []time.Duration, crashes map[time.Duration]string) {
+// play sends the arrivals to the routers in turn, and makes domains crash at the given times.
+func (f *replayFleet) play(ctx context.Context, arrivals []time.Duration, crashes map[time.Duration]string) {
 	var group sync.WaitGroup
 	start := time.Now()
 	for at, domain := range crashes {
@@ -245,10 +246,10 @@
 	group.Wait()
 }
 
-// figures of a replay.
-type figures struct{ inTime, late, refused, lost, vain, longest int } // longest: most prompts that waited at one engine
+// figures are the results of a replay.
+type figures struct{ inTime, late, refused, lost, reread, longestQueue int } // longestQueue: largest number of prompts that waited at one engine
 
-func (f *replayed) figures() figures {
+func (f *replayFleet) figures() figures {
 	out := figures{refused: len(f.refused), lost: f.lost}
 	for _, first := range f.served {
 		if first <= replayTarget {
@@ -258,13 +259,13 @@
 		}
 	}
 	for _, e := range f.engines {
-		out.vain += e.Vain()
-		out.longest = max(out.longest, e.Longest())
+		out.reread += e.Vain()
+		out.longestQueue = max(out.longestQueue, e.Longest())
 	}
 	return out
 }
 
-// load is a pattern that is played with several seeds.
+// load is a pattern of arrivals and crashes that is replayed with several seeds.
 type load struct {
 	end     time.Duration
 	rates   []replay.Rate
@@ -272,18 +273,18 @@
 }
 
 // play returns the sum over the seeds.
-func (l load) play(t *testing.T, size replaySize, each func(f *replayed)) (sum figures, all int) {
+func (l load) play(t *testing.T, size replaySize, each func(f *replayFleet)) (sum figures, all int) {
 	for seed := range size.seeds {
 		arrivals := replay.Arrivals(uint64(seed+1), l.end, l.rates...)
 		all += len(arrivals)
 		synctest.Test(t, func(t *testing.T) {
 			ctx, stop := context.WithCancel(t.Context())
-			f := newReplay(t, ctx, size)
+			f := newReplayFleet(t, ctx, size)
 			f.play(ctx, arrivals, l.crashes)
 			sum.add(f.figures())
 			each(f)
 			stop()
-			time.Sleep(time.Second) // all that sleep see the end
+			time.Sleep(time.Second) // sleeping goroutines see the end
 		})
 	}
 	t.Logf("of %d: %+v", all, sum)
@@ -295,6 +296,6 @@
 	f.late += o.late
 	f.refused += o.refused
 	f.lost += o.lost
-	f.vain += o.vain
-	f.longest += o.longest
+	f.reread += o.reread
+	f.longestQueue += o.longestQueue
 }
--- a/hosted/replay_size_test.go
+++ b/hosted/replay_size_test.go
@@ -7,13 +7,14 @@
 	"wigeondale/replay"
 )
 
-// manyRouters hear a few others each: words to all would fill their lines.
-var manyRouters = replaySize{routers: 95, engines: 160, domains: 5, hear: 8, seeds: 2}
+// manyRouters are linked to a few others each: messages to all of them would saturate their network
+// links.
+var manyRouters = replaySize{routers: 95, engines: 160, domains: 5, linked: 8, seeds: 2}
 
-// Symptom: half of the drafts are late, none is refused, engines read twice what they would
-// have to, and it goes on long after the burst. Sequence: for nine seconds more drafts come
-// than the engines read; two failure domains crash in it. Cause: a router knew of its own requests and those of eight others, a tenth of all,
-// so that every engine seemed to have room.
+// Guards against a burst in which half of the generations are late, none is refused, and engines
+// read twice as much as necessary, for long after the burst: for nine seconds more generations are
+// requested than the engines read, and two failure domains crash. A router that knows only its own
+// requests and those of eight others, a tenth of all, takes every engine for free.
 func TestBurstOverManyRouters(t *testing.T) {
 	const burstEnd = 14 * time.Second
 	burst := load{
@@ -22,8 +23,8 @@
 		crashes: map[time.Duration]string{8 * time.Second: "d1", 9500 * time.Millisecond: "d3"},
 	}
 	slowAfter := 0
-	got, all := burst.play(t, manyRouters, func(f *replayed) {
-		for i, began := range f.began {
+	got, all := burst.play(t, manyRouters, func(f *replayFleet) {
+		for i, began := range f.arrivedAt {
 			if began > burstEnd+4*time.Second && f.served[i] > replayTarget*3/4 {
 				slowAfter++
 			}
@@ -32,20 +33,20 @@
 	if got.inTime < all*7/10 || got.late > all/16 {
 		t.Errorf("of %d: %+v", all, got)
 	}
-	if got.vain > all*replayPrompt/10 {
-		t.Errorf("%d tokens were read again", got.vain)
+	if got.reread > all*replayPrompt/10 {
+		t.Errorf("%d tokens were read again", got.reread)
 	}
 	if slowAfter > all/100 {
-		t.Errorf("%d first pieces were slow long after the burst", slowAfter)
+		t.Errorf("%d first chunks were slow long after the burst", slowAfter)
 	}
 }
 
-// Symptom: requests are refused or late although engines idle. Sequence: a usual load, with
-// a crash, whose runs look for other engines at once. Cause: a router that knows of a few
-// engines only takes them for all.
+// Guards against requests that are refused or late although engines idle: under a normal load with
+// a crash, whose runs look for other engines at once, a router that knows only a few engines must
+// not take them for all of them.
 func TestNothingIsRefusedByManyRoutersWhileThereIsRoom(t *testing.T) {
 	usual := load{end: 10 * time.Second, rates: []replay.Rate{{PerSecond: 48}}, crashes: map[time.Duration]string{4 * time.Second: "d2"}}
-	got, all := usual.play(t, manyRouters, func(*replayed) {})
+	got, all := usual.play(t, manyRouters, func(*replayFleet) {})
 	if got.refused > 0 || got.late > all/100 {
 		t.Errorf("of %d: %+v", all, got)
 	}
--- a/hosted/replay_test.go
+++ b/hosted/replay_test.go
@@ -7,23 +7,23 @@
 	"wigeondale/replay"
 )
 
-// Symptom: in a burst of drafts most are late, for long after it, and engines read twice
-// what they would have to. Sequence: four times as many prompts come as usual, for eight
-// seconds, more than the engines read. Cause: all were let in, copies and runs crowded
-// each other out of memory, and nobody was told to come back later.
+// Guards against a burst in which most generations are late, for long after it, while engines read
+// twice as much as necessary: four times the normal number of prompts arrives for eight seconds,
+// more than the engines read. If all are admitted, copies and runs displace each other from memory
+// and no client is asked to come back later.
 func TestBurstIsServedByChoice(t *testing.T) {
 	const burstEnd = 12 * time.Second
 	burst := load{end: 22 * time.Second, rates: []replay.Rate{
 		{PerSecond: 3}, {From: 4 * time.Second, PerSecond: 13}, {From: burstEnd, PerSecond: 3},
 	}}
 	slowAfter := 0
-	got, all := burst.play(t, fewRouters, func(f *replayed) {
+	got, all := burst.play(t, fewRouters, func(f *replayFleet) {
 		for _, after := range f.refused {
-			if after > replayTarget/2+turnEvery*turnPlaces {
-				t.Errorf("a request was held for %v and then refused", after)
+			if after > replayTarget/2+retryInterval*maxRetryFactor {
+				t.Errorf("a request waited for %v and was then refused", after)
 			}
 		}
-		for i, began := range f.began {
+		for i, began := range f.arrivedAt {
 			if began > burstEnd+3*time.Second && f.served[i] > replayTarget*3/4 {
 				slowAfter++
 			}
@@ -32,33 +32,32 @@
 	if got.inTime < all*4/5 || got.late > all/16 {
 		t.Errorf("of %d: %+v", all, got)
 	}
-	// Routers that have not heard of each other may take one place at once.
-	if got.vain > fewRouters.seeds*2*replayRouters*replayPrompt {
-		t.Errorf("%d tokens were read again", got.vain)
+	// Routers that have not received each other's loads yet may use the same free capacity at once.
+	if got.reread > fewRouters.seeds*2*replayRouters*replayPrompt {
+		t.Errorf("%d tokens were read again", got.reread)
 	}
 	if slowAfter > all/100 {
-		t.Errorf("%d first pieces were slow long after the burst", slowAfter)
+		t.Errorf("%d first chunks were slow long after the burst", slowAfter)
 	}
 }
 
-// Symptom: drafts wait for half a minute at an engine that has just come back, while
-// others idle. Sequence: a domain crashes in a burst; its engines are back at one moment
-// for all routers, whose waiting requests all go there. Cause: memory alone said how much
-// an engine may be sent, and others' requests were heard of too late.
+// Guards against generations that wait for half a minute at an engine that has just come back,
+// while others idle: a domain crashes in a burst, and its engines come back at the same moment for
+// all routers, whose waiting requests all go there. Memory alone must not limit what an engine is
+// sent, and the loads of other routers must arrive in time.
 func TestEngineThatIsBackIsNotSwamped(t *testing.T) {
 	crash := load{end: 16 * time.Second, rates: []replay.Rate{{PerSecond: 3}, {From: 4 * time.Second, PerSecond: 12}},
 		crashes: map[time.Duration]string{8 * time.Second: "d1"}}
-	got, all := crash.play(t, fewRouters, func(*replayed) {})
-	if got.longest > fewRouters.seeds*(replayRouters+2) || got.inTime < all*7/10 || got.late > all/16 {
+	got, all := crash.play(t, fewRouters, func(*replayFleet) {})
+	if got.longestQueue > fewRouters.seeds*(replayRouters+2) || got.inTime < all*7/10 || got.late > all/16 {
 		t.Errorf("of %d: %+v", all, got)
 	}
 }
 
-// Symptom: requests are refused although engines idle. Sequence: a usual load, with a
-// crash. Cause: a fear of overload.
+// Guards against requests that are refused although engines idle, under a normal load with a crash.
 func TestNothingIsRefusedWhileThereIsRoom(t *testing.T) {
 	usual := load{end: 15 * time.Second, rates: []replay.Rate{{PerSecond: 3}}, crashes: map[time.Duration]string{6 * time.Second: "d2"}}
-	got, all := usual.play(t, fewRouters, func(*replayed) {})
+	got, all := usual.play(t, fewRouters, func(*replayFleet) {})
 	if got.refused > 0 || got.late > 0 || got.inTime != all {
 		t.Errorf("of %d: %+v", all, got)
 	}
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -26,58 +26,60 @@
 )
 
 const (
-	// rolloutPrefix of the keys under which the records of roll-outs lie, by service.
+	// rolloutPrefix starts the keys of the records of roll-outs; the service follows.
 	rolloutPrefix = "wigeondale/rollouts/"
-	// rolloutTick is how often roll-outs are looked at.
+	// rolloutTick is how often roll-outs are updated.
 	rolloutTick = 100 * time.Millisecond
-	// rolloutFresh is the age of a node's knowledge of the store up to which it goes on
-	// with a trial.
-	rolloutFresh = 3 * time.Second
-	// takeOverAfter is how long a change may be due before the next node in the order of
-	// ranks writes it, and takeOverRanks how many nodes take part.
+	// rolloutMaxAge is the age of a node's copy of the store up to which the node continues a
+	// trial.
+	rolloutMaxAge = 3 * time.Second
+	// takeOverAfter is how long a change may be due before the next node in rank order writes it,
+	// and takeOverRanks how many nodes take part.
 	takeOverAfter = 600 * time.Millisecond
 	takeOverRanks = 12
-	// rolloutWrite bounds one write, rolloutRetry is the pause after one that failed.
+	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed one.
 	rolloutWrite = time.Second
 	rolloutRetry = 400 * time.Millisecond
-	// rolloutHeard is how long after its write a node waits to hear of it from the store.
-	rolloutHeard = 1500 * time.Millisecond
+	// rolloutEcho is how long after a write the node waits until the change comes back from the
+	// store.
+	rolloutEcho  = 1500 * time.Millisecond
 	floodRollout = "hosted.rollout"
 )
 
-// rolloutWriter writes a roll-out's record and tells the operator.
+// rolloutWriter writes a roll-out's record and reports the state to the operator.
 type rolloutWriter interface {
 	WriteRollout(ctx context.Context, service, key string, rec rollout.Record, revision int64) (bool, error)
 }
 
-// rollouts are the roll-outs of all services at this node.
+// rollouts holds the roll-outs of all services at this node.
 //
-// Each node follows the record of a service in the store, counts what its own attempts
-// saw, and tells the others. The node that a rendezvous hash puts first writes what is due;
-// when it does not, the next one does. Two that write at once are told apart by the store.
+// Each node follows the record of a service in the store, counts the results of its own attempts,
+// and broadcasts them. The node that ranks first by rendezvous hash writes the change that is due;
+// if it does not, the next one does. If two nodes write at once, the conditional write lets only
+// one succeed.
 type rollouts struct {
-	writer rolloutWriter
-	dir    *directory.Directory
-	mon    *health.Monitor
-	log    *event.Log
-	chart  *chart.Chart
-	limits rollout.Limits
-	life   uint64
-	runs   *runBook
-	looker quarantine.Prober
+	writer      rolloutWriter
+	dir         *directory.Directory
+	mon         *health.Monitor
+	log         *event.Log
+	chart       *chart.Chart
+	limits      rollout.Limits
+	incarnation uint64
+	runs        *runSet
+	prober      quarantine.Prober
 
 	// Set before use.
 	routers func() int
-	age     func(time.Time) time.Duration // of what is known of the store
-	rank    func(service string) int      // of this node among those that may write
+	age     func(time.Time) time.Duration // age of this node's copy of the store
+	rank    func(service string) int      // rank of this node among those that may write
 	flood   func(rollout.Report)
 
 	mu        sync.RWMutex
 	byService map[string]*serviceRollout
-	ticked    time.Duration
+	lastTick  time.Duration
 
-	judged *metrics.Counter
-	moved  *metrics.Counter
+	rated *metrics.Counter
+	moved *metrics.Counter
 }
 
 func newRollouts(h *settings.Hosted, w rolloutWriter, dir *directory.Directory, mon *health.Monitor, log *event.Log, set *metrics.Set) (*rollouts, error) {
@@ -87,17 +89,17 @@
 	}
 	return &rollouts{
 		writer: w, dir: dir, mon: mon, log: log, chart: c,
-		limits:    rollout.Limits{Share: h.RolloutShare, Burst: h.RolloutBurst},
-		life:      rand.Uint64(),
-		runs:      newRunBook(),
-		looker:    backend.Looker{},
-		routers:   func() int { return 1 },
-		age:       func(time.Time) time.Duration { return 0 },
-		rank:      func(string) int { return 0 },
-		flood:     func(rollout.Report) {},
-		byService: map[string]*serviceRollout{},
-		judged:    set.NewCounter("wigeon_rollout_answers_total"),
-		moved:     set.NewCounter("wigeon_rollout_runs_moved_total"),
+		limits:      rollout.Limits{Share: h.RolloutShare, Burst: h.RolloutBurst},
+		incarnation: rand.Uint64(),
+		runs:        newRunSet(),
+		prober:      backend.Looker{},
+		routers:     func() int { return 1 },
+		age:         func(time.Time) time.Duration { return 0 },
+		rank:        func(string) int { return 0 },
+		flood:       func(rollout.Report) {},
+		byService:   map[string]*serviceRollout{},
+		rated:       set.NewCounter("wigeon_rollout_answers_total"),
+		moved:       set.NewCounter("wigeon_rollout_runs_moved_total"),
 	}, nil
 }
 
@@ -117,21 +119,21 @@
 	return slices.Collect(maps.Values(s.byService))
 }
 
-// forService returns the roll-out of a service, a new one if there was none.
+// forService returns the roll-out of a service and creates it if there is none.
 func (s *rollouts) forService(service string) *serviceRollout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	one := s.byService[service]
-	if one == nil {
-		one = &serviceRollout{service: service, Rollout: rollout.New(rollout.Config{
-			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Life: s.life,
+	ro := s.byService[service]
+	if ro == nil {
+		ro = &serviceRollout{service: service, Rollout: rollout.New(rollout.Config{
+			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Life: s.incarnation,
 		})}
-		s.byService[service] = one
+		s.byService[service] = ro
 	}
-	return one
+	return ro
 }
 
-// put takes in an item of the store; it returns false for one that is not about roll-outs.
+// put applies an item of the store; it returns false if the item is not about roll-outs.
 func (s *rollouts) put(item infra.Value) bool {
 	if s == nil {
 		return false
@@ -164,8 +166,8 @@
 	s.forService(service).Ordered(order, clock.Boot())
 }
 
-// gone takes note of an item that was removed.
-func (s *rollouts) gone(key string) {
+// removed handles the removal of an item from the store.
+func (s *rollouts) removed(key string) {
 	if s == nil {
 		return
 	}
@@ -173,32 +175,32 @@
 	if !ok {
 		return
 	}
-	if one := s.of(service); one != nil {
+	if ro := s.of(service); ro != nil {
 		s.log.Emit(event.RolloutOrdered, "service", service, "target", "")
-		one.Withdrawn()
+		ro.Withdrawn()
 	}
 }
 
-// hear takes in what another node tells.
-func (s *rollouts) hear(from string, rep rollout.Report) {
-	if one := s.of(rep.Service); one != nil {
-		one.Hear(from, rep, clock.Boot())
+// handleReport applies a report from another node.
+func (s *rollouts) handleReport(from string, rep rollout.Report) {
+	if ro := s.of(rep.Service); ro != nil {
+		ro.Hear(from, rep, clock.Boot())
 	}
 }
 
-// join has a node take part with the others.
-func (s *rollouts) join(p *peers, n *news) {
-	s.routers, s.age = p.nodes, n.age
-	s.rank = func(service string) int { return rankIn(p.living(), p.set.Node.ID, service) }
+// connect connects the roll-outs to the other nodes.
+func (s *rollouts) connect(p *peers, n *storeSync) {
+	s.routers, s.age = p.registeredNodes, n.age
+	s.rank = func(service string) int { return rankIn(p.liveNodes(), p.set.Node.ID, service) }
 	s.flood = func(rep rollout.Report) {
-		if mesh := p.joined(); mesh != nil {
-			// A report that is lost is followed by one that holds the same and more.
+		if mesh := p.currentMesh(); mesh != nil {
+			// A lost report is followed by one that contains at least the same counts.
 			_ = mesh.Flood(floodRollout, rep)
 		}
 	}
 }
 
-// state is what the dump shows.
+// state returns the part of the state dump about roll-outs.
 func (s *rollouts) state() any {
 	type shown struct {
 		Order   rollout.Order
@@ -208,10 +210,10 @@
 		Ready   rollout.Ready
 	}
 	out := map[string]shown{}
-	for _, one := range s.all() {
-		order, _ := one.Order()
-		verdict, _ := one.Verdict()
-		out[one.service] = shown{order, one.Record(), one.Stage(), verdict, s.ready(one)}
+	for _, ro := range s.all() {
+		order, _ := ro.Order()
+		verdict, _ := ro.Verdict()
+		out[ro.service] = shown{order, ro.Record(), ro.Stage(), verdict, s.ready(ro)}
 	}
 	return out
 }
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -13,7 +13,7 @@
 	"wigeondale/routing"
 )
 
-// tick follows the passing of time.
+// tick updates the roll-outs, at most once every rolloutTick.
 func (s *rollouts) tick(now time.Time) {
 	s.mu.RLock()
 	none := len(s.byService) == 0
@@ -22,46 +22,46 @@
 		return
 	}
 	at := clock.Boot()
-	if at-s.ticked < rolloutTick {
+	if at-s.lastTick < rolloutTick {
 		return
 	}
-	s.ticked = at
-	fresh := s.age(now) <= rolloutFresh
-	for _, one := range s.all() {
-		if !one.atRest(at) {
-			s.follow(one, at, fresh)
+	s.lastTick = at
+	current := s.age(now) <= rolloutMaxAge
+	for _, ro := range s.all() {
+		if !ro.idle(at) {
+			s.update(ro, at, current)
 		}
 	}
 }
 
-// restAfter is how long after its end a roll-out is still looked at: runs move until then.
-const restAfter = 5 * time.Second
+// idleAfter is how long after its end a roll-out is still updated: runs move until then.
+const idleAfter = 5 * time.Second
 
-// atRest tells that a roll-out ended a while ago.
-func (o *serviceRollout) atRest(now time.Duration) bool {
+// idle reports whether a roll-out ended a while ago.
+func (o *serviceRollout) idle(now time.Duration) bool {
 	stage := o.Stage()
-	return stage == o.logged && now-o.stageSince > restAfter && (stage == rollout.Completed || stage == rollout.RolledBack) &&
+	return stage == o.logged && now-o.stageSince > idleAfter && (stage == rollout.Completed || stage == rollout.RolledBack) &&
 		stage == o.Record().Stage
 }
 
-// follow looks at one roll-out.
-func (s *rollouts) follow(one *serviceRollout, now time.Duration, fresh bool) {
-	ready := s.ready(one)
-	if report := one.Tick(now, fresh, ready.Domains); report != nil {
+// update updates one roll-out.
+func (s *rollouts) update(ro *serviceRollout, now time.Duration, current bool) {
+	ready := s.ready(ro)
+	if report := ro.Tick(now, current, ready.Domains); report != nil {
 		s.flood(*report)
 	}
-	s.overdue(one, now)
-	s.logChanges(one, now, ready)
-	s.move(one, now)
-	s.act(one, now, ready)
+	s.observeOverdue(ro, now)
+	s.logChanges(ro, now, ready)
+	s.moveRuns(ro, now)
+	s.writeIfDue(ro, now, ready)
 }
 
-// ready counts the replicas of a service that take work.
-func (s *rollouts) ready(one *serviceRollout) rollout.Ready {
-	rule := one.Rule()
+// ready counts the replicas of a service that accept work.
+func (s *rollouts) ready(ro *serviceRollout) rollout.Ready {
+	rule := ro.Rule()
 	domains := map[string]bool{}
 	var out rollout.Ready
-	for _, c := range s.dir.Service(one.service) {
+	for _, c := range s.dir.Service(ro.service) {
 		b := &c.Backend
 		if s.dir.Leaving(b.ID) || s.mon.State(b.ID) != health.Healthy {
 			continue
@@ -77,86 +77,86 @@
 	return out
 }
 
-// logChanges logs what has changed.
-func (s *rollouts) logChanges(one *serviceRollout, now time.Duration, ready rollout.Ready) {
-	stage := one.Stage()
-	if stage != one.logged {
-		one.logged, one.stageSince = stage, now
-		rec := one.Record()
-		s.log.Emit(event.RolloutStage, "service", one.service, "stage", string(stage), "target", rec.Target,
+// logChanges logs what has changed since the last call.
+func (s *rollouts) logChanges(ro *serviceRollout, now time.Duration, ready rollout.Ready) {
+	stage := ro.Stage()
+	if stage != ro.logged {
+		ro.logged, ro.stageSince = stage, now
+		rec := ro.Record()
+		s.log.Emit(event.RolloutStage, "service", ro.service, "stage", string(stage), "target", rec.Target,
 			"elapsed_ms", rec.ElapsedMS, "new", ready.New, "old", ready.Old, "reason", rec.Reason)
 	}
-	verdict, bad := one.Verdict()
-	if bad && !one.loggedBad {
-		s.log.Emit(event.RolloutJudged, "service", one.service, "route", verdict.Route, "evidence", verdict.Evidence,
+	verdict, bad := ro.Verdict()
+	if bad && !ro.loggedBad {
+		s.log.Emit(event.RolloutJudged, "service", ro.service, "route", verdict.Route, "evidence", verdict.Evidence,
 			"answers", verdict.Answers, "bad", verdict.BadOnes)
 	}
-	one.loggedBad = bad
-	if why := one.Missing(now, ready); why != one.loggedMissing {
-		one.loggedMissing = why
-		if why != "" {
-			s.log.Emit(event.RolloutHeld, "service", one.service, "reason", why)
+	ro.loggedBad = bad
+	if blocker := ro.Missing(now, ready); blocker != ro.loggedBlocker {
+		ro.loggedBlocker = blocker
+		if blocker != "" {
+			s.log.Emit(event.RolloutHeld, "service", ro.service, "reason", blocker)
 		}
 	}
 }
 
-// move ends the runs here that are to go on at another version, once each had the time for
-// a copy where it goes on.
-func (s *rollouts) move(one *serviceRollout, now time.Duration) {
-	if now-one.stageSince < rollout.MoveGrace {
+// moveRuns ends the runs at this node that have to continue at another version, once there was time
+// to copy each to the replica where it continues.
+func (s *rollouts) moveRuns(ro *serviceRollout, now time.Duration) {
+	if now-ro.stageSince < rollout.MoveGrace {
 		return
 	}
-	rule := one.Rule()
-	if n := s.runs.move(one.service, &rule); n > 0 {
+	rule := ro.Rule()
+	if n := s.runs.move(ro.service, &rule); n > 0 {
 		s.moved.Add(n)
-		s.log.Emit(event.RunsMoved, "service", one.service, "stage", string(rule.Stage), "runs", n)
+		s.log.Emit(event.RunsMoved, "service", ro.service, "stage", string(rule.Stage), "runs", n)
 	}
 }
 
-// act has this node write what is due, if it is its turn.
-func (s *rollouts) act(one *serviceRollout, now time.Duration, ready rollout.Ready) {
-	next, revision, due := one.Next(now, ready)
+// writeIfDue writes the change of the record that is due, if this node's rank allows it by now.
+func (s *rollouts) writeIfDue(ro *serviceRollout, now time.Duration, ready rollout.Ready) {
+	next, revision, due := ro.Next(now, ready)
 	if !due {
-		one.dueSince = 0
+		ro.dueSince = 0
 		return
 	}
-	if one.dueSince == 0 {
-		one.dueSince = now
+	if ro.dueSince == 0 {
+		ro.dueSince = now
 	}
-	if one.writing.Load() || now < time.Duration(one.retryAt.Load()) {
+	if ro.writing.Load() || now < time.Duration(ro.retryAt.Load()) {
 		return
 	}
-	rank := s.rank(one.service)
-	if rank >= takeOverRanks || now-one.dueSince < time.Duration(rank)*takeOverAfter {
+	rank := s.rank(ro.service)
+	if rank >= takeOverRanks || now-ro.dueSince < time.Duration(rank)*takeOverAfter {
 		return
 	}
-	one.retryAt.Store(int64(now + rolloutRetry))
-	one.writing.Store(true)
+	ro.retryAt.Store(int64(now + rolloutRetry))
+	ro.writing.Store(true)
 	go func() {
-		defer one.writing.Store(false)
-		s.write(one, next, revision)
+		defer ro.writing.Store(false)
+		s.write(ro, next, revision)
 	}()
 }
 
-func (s *rollouts) write(one *serviceRollout, next rollout.Record, revision int64) {
+func (s *rollouts) write(ro *serviceRollout, next rollout.Record, revision int64) {
 	ctx, stop := context.WithTimeout(context.Background(), rolloutWrite)
 	defer stop()
-	done, err := s.writer.WriteRollout(ctx, one.service, rolloutPrefix+one.service, next, revision)
+	done, err := s.writer.WriteRollout(ctx, ro.service, rolloutPrefix+ro.service, next, revision)
 	if err != nil || !done {
-		s.log.Emit(event.RolloutNotWritten, "service", one.service, "stage", string(next.Stage), "revision", revision, "err", err)
+		s.log.Emit(event.RolloutNotWritten, "service", ro.service, "stage", string(next.Stage), "revision", revision, "err", err)
 		return
 	}
-	// It counts here too once the store tells of it: by the revision that it has there.
-	one.retryAt.Store(int64(clock.Boot() + rolloutHeard))
+	// It takes effect here when it comes back from the store, with the revision that it has there.
+	ro.retryAt.Store(int64(clock.Boot() + rolloutEcho))
 }
 
-// rankIn is how many nodes come before this one in the order in which they write.
-func rankIn(members []string, own, service string) int {
+// rankIn returns the number of nodes that come before this one in the order in which they write.
+func rankIn(members []string, local, service string) int {
 	key := xxhash.Sum64String(service)
-	mine := routing.Rendezvous(key, own)
+	localWeight := routing.Rendezvous(key, local)
 	rank := 0
 	for _, id := range members {
-		if id != own && routing.Rendezvous(key, id) > mine {
+		if id != local && routing.Rendezvous(key, id) > localWeight {
 			rank++
 		}
 	}
--- a/hosted/rollouts_test.go
+++ b/hosted/rollouts_test.go
@@ -12,11 +12,11 @@
 	fakes "wigeondale/fakes/hosted"
 )
 
-// ofVersion starts replicas of the plain service, or engines, of a version.
-func (f *testFleet) ofVersion(service, version string, n int) []*fakes.Replica {
+// startVersion starts replicas of a version, engines if the service is the engines' one.
+func (f *testFleet) startVersion(service, version string, n int) []*fakes.Replica {
 	var out []*fakes.Replica
 	for i := range n {
-		out = append(out, f.replica(&fakes.Replica{
+		out = append(out, f.startReplica(&fakes.Replica{
 			ID: fmt.Sprintf("%s-%s-%d", service, version, i), Service: service, Domain: fmt.Sprintf("d%d", i%2),
 			Version: version, Engine: service == "llm", Pieces: 400, Gap: 10 * time.Millisecond,
 		}))
@@ -24,9 +24,9 @@
 	return out
 }
 
-// steady sends look-ups until stop is called, which returns how many there were and how
-// many of them were not answered well.
-func steady(nodes []*testNode, path string) (stop func() (sent, failed int)) {
+// sendSteadily sends calls until stop is called, which returns how many there were and how many of
+// them did not succeed.
+func sendSteadily(nodes []*testNode, path string) (stop func() (sent, failed int)) {
 	var sent, bad atomic.Int64
 	var group sync.WaitGroup
 	done := make(chan struct{})
@@ -59,53 +59,51 @@
 
 const rolloutTime = 6 * time.Second
 
-// Symptom: nobody tells the operator how a roll-out went, and the new replicas get half of
-// all requests from the first. Sequence: an order, then replicas of the version. Cause: the
-// order is not known.
+// Guards against a roll-out whose result the operator does not learn, and whose new replicas get
+// half of all requests from the start: the order comes first, then replicas of the version.
 func TestGoodVersionCompletes(t *testing.T) {
 	f := newFleet(t)
-	f.ofVersion("app", "v1", 2)
-	nodes := []*testNode{f.serving(), f.node("n2")}
+	f.startVersion("app", "v1", 2)
+	nodes := []*testNode{f.startServingNode(), f.startNode("n2")}
 	await(t, "readiness", nodes[1].ready)
 	f.store.OrderRollout("app", "v2", rolloutTime)
-	fresh := f.ofVersion("app", "v2", 2)
-	stop := steady(nodes, "/look/x")
+	newReplicas := f.startVersion("app", "v2", 2)
+	stop := sendSteadily(nodes, "/look/x")
 	awaitState(t, f, "app", "in_progress")
 	time.Sleep(time.Second)
-	if n := fakes.Ran(fresh); n > 30 {
+	if n := fakes.Ran(newReplicas); n > 30 {
 		t.Errorf("%d requests reached the new version in the first second", n)
 	}
 	awaitState(t, f, "app", "completed")
 	if _, target := f.store.RolloutState("app"); target != "v2" {
 		t.Errorf("the target is %q", target)
 	}
-	if sent, failed := stop(); failed > 0 || fakes.Ran(fresh) == 0 {
-		t.Errorf("%d of %d requests failed, %d ran at the new version", failed, sent, fakes.Ran(fresh))
+	if sent, failed := stop(); failed > 0 || fakes.Ran(newReplicas) == 0 {
+		t.Errorf("%d of %d requests failed, %d ran at the new version", failed, sent, fakes.Ran(newReplicas))
 	}
 }
 
-// Symptom: callers get a bad version's failures for as long as it is there. Sequence: the
-// new version fails each request. Cause: its answers are not judged, or each node judges by
-// its own.
+// Guards against clients that get a bad version's failures for as long as it runs: the new version
+// fails each request, and its answers are not evaluated, or each node evaluates only its own.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	f := newFleet(t)
-	f.ofVersion("app", "v1", 2)
-	nodes := []*testNode{f.serving(), f.node("n2"), f.node("n3")}
+	f.startVersion("app", "v1", 2)
+	nodes := []*testNode{f.startServingNode(), f.startNode("n2"), f.startNode("n3")}
 	for _, n := range nodes {
 		await(t, "readiness", n.ready)
 	}
 	f.store.OrderRollout("app", "v2", 20*time.Second)
-	fresh := f.ofVersion("app", "v2", 2)
-	for _, r := range fresh {
+	newReplicas := f.startVersion("app", "v2", 2)
+	for _, r := range newReplicas {
 		r.Set(fakes.Faults{FailStatus: 500})
 	}
-	stop := steady(nodes, "/look/x")
+	stop := sendSteadily(nodes, "/look/x")
 	awaitState(t, f, "app", "rolled_back")
-	time.Sleep(time.Second) // the last node has heard
-	before := fakes.Ran(fresh)
+	time.Sleep(time.Second) // the last node has received the change
+	before := fakes.Ran(newReplicas)
 	time.Sleep(500 * time.Millisecond)
-	if after := fakes.Ran(fresh); after != before {
-		t.Errorf("%d requests reached the new version after it was taken back", after-before)
+	if after := fakes.Ran(newReplicas); after != before {
+		t.Errorf("%d requests reached the new version after it was rolled back", after-before)
 	}
 	sent, failed := stop()
 	if failed > 0 {
@@ -116,15 +114,15 @@
 	}
 }
 
-// Symptom: drafts end in the middle when a roll-out completes. Sequence: drafts run at old
-// replicas, which stop when the word is written. Cause: they were not moved before.
+// Guards against generations that are cut off when a roll-out completes: they run at old replicas,
+// which stop when the completion is written, so they must be moved before.
 func TestRunsMoveBeforeTheOldVersionStops(t *testing.T) {
 	f := newFleet(t)
-	old := f.ofVersion("llm", "v1", 2)
-	f.app("a", "d0")
-	n := f.serving()
+	old := f.startVersion("llm", "v1", 2)
+	f.startApp("a", "d0")
+	n := f.startServingNode()
 	f.store.OrderRollout("llm", "v2", rolloutTime)
-	f.ofVersion("llm", "v2", 2)
+	f.startVersion("llm", "v2", 2)
 	awaitState(t, f, "llm", "in_progress")
 	var group sync.WaitGroup
 	for i := range 6 {
@@ -138,8 +136,8 @@
 			}
 			defer resp.Body.Close()
 			body, err := io.ReadAll(resp.Body)
-			if got := string(body); err != nil || got != draft(id, 400) {
-				t.Errorf("%s: %d pieces of 400, %v", id, strings.Count(got, "id:"), err)
+			if got := string(body); err != nil || got != generationText(id, 400) {
+				t.Errorf("%s: %d chunks of 400, %v", id, strings.Count(got, "id:"), err)
 			}
 		})
 	}
@@ -154,50 +152,49 @@
 	group.Wait()
 }
 
-// Symptom: a roll-out stops half way. Sequence: the order is withdrawn during the trial.
-// Cause: only its progress is looked after.
+// Guards against a roll-out that stops half way when its order is withdrawn during the trial.
 func TestWithdrawnRolloutIsRolledBack(t *testing.T) {
 	f := newFleet(t)
-	f.ofVersion("app", "v1", 2)
-	n := f.serving()
+	f.startVersion("app", "v1", 2)
+	n := f.startServingNode()
 	f.store.OrderRollout("app", "v2", time.Minute)
-	fresh := f.ofVersion("app", "v2", 2)
+	newReplicas := f.startVersion("app", "v2", 2)
 	awaitState(t, f, "app", "in_progress")
 	f.store.WithdrawRollout("app")
 	awaitState(t, f, "app", "rolled_back")
-	before := fakes.Ran(fresh)
+	before := fakes.Ran(newReplicas)
 	for i := range 50 {
 		if status, _ := n.get("/look/x", fmt.Sprint("w", i), key); status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
-	if after := fakes.Ran(fresh); after != before {
+	if after := fakes.Ran(newReplicas); after != before {
 		t.Errorf("%d requests reached a version whose order was withdrawn", after-before)
 	}
 }
 
-// Guards against: a request under which replicas crash has the version on trial rolled back.
-// Sequence: a replica of the new version ends in mid-answer; few others use it, so that the
+// Guards against rolling back the version on trial because of a request that crashes replicas: a
+// replica of the new version crashes in the middle of an answer; few other requests use it, so the
 // failure detector does not know yet.
 func TestCrashIsNoBadAnswerOfAVersion(t *testing.T) {
 	f := newFleet(t)
-	f.ofVersion("app", "v1", 2)
-	n := f.serving()
+	f.startVersion("app", "v1", 2)
+	n := f.startServingNode()
 	f.store.OrderRollout("app", "v2", rolloutTime)
-	fresh := f.ofVersion("app", "v2", 2)
+	newReplicas := f.startVersion("app", "v2", 2)
 	awaitState(t, f, "app", "in_progress")
 	await(t, "the replicas", func() bool { return len(n.dir.Service("app")) == 4 })
-	fresh[0].Crash()
-	for i, want := range []uint64{0, 1} { // crashed, and cut by one that works
-		b, ok := n.dir.Backend(fresh[i].ID)
+	newReplicas[0].Crash()
+	for i, want := range []uint64{0, 1} { // crashed, and cut off by one that works
+		b, ok := n.dir.Backend(newReplicas[i].ID)
 		if !ok {
 			t.Fatal("the replica is not known")
 		}
-		before := n.rollouts.judged.Get()
-		run := &observedRun{b: b, route: "look", one: n.rollouts.of("app")}
-		run.cut(n.rollouts)
-		if got := n.rollouts.judged.Get() - before; got != want {
-			t.Errorf("replica %d: %d answers were judged, want %d", i, got, want)
+		before := n.rollouts.rated.Get()
+		run := &observedRun{b: b, route: "look", rollout: n.rollouts.of("app")}
+		run.observeCutOff(n.rollouts)
+		if got := n.rollouts.rated.Get() - before; got != want {
+			t.Errorf("replica %d: %d answers were rated, want %d", i, got, want)
 		}
 	}
 }
