--- /dev/null
+++ b/hosted/store_sync.go
@@ -0,0 +1,190 @@
+package hosted
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"wigeondale/event"
+	"wigeondale/mirror"
+	"wigeondale/peer"
+	"wigeondale/routing"
+)
+
+const (
+	// readersPerDomain is how many nodes of a failure domain read the store; the others get its
+	// contents from their neighbours.
+	readersPerDomain = 1
+	// syncInterval is how often a node sends how current its copy of the store is.
+	syncInterval = 400 * time.Millisecond
+	// staleAfter is the age of its copy from which a node reads the store itself: more than the age
+	// it sees while a reader works, and less than the time within which a configuration has to be
+	// in force.
+	staleAfter = 1700 * time.Millisecond
+	// pullTimeout bounds one query to a neighbour. A page shares the network link with the
+	// requests.
+	pullTimeout = time.Second
+)
+
+const (
+	msgSync   = "hosted.news"
+	callDelta = "hosted.delta"
+)
+
+// syncMessage states how current a node's copy of the store is.
+type syncMessage struct {
+	Newest int64 `cbor:"1,keyasint"` // revision of the latest change
+	AgeMS  int64 `cbor:"2,keyasint"` // time since the store last confirmed it, directly or through other nodes
+}
+
+// storeSync distributes the contents of the store, which only a few nodes read. A node sends how
+// current its copy is, at once when that changes; a neighbour with an older copy requests the
+// difference and sends its own state in turn, so that updates pass through any set of links.
+//
+// If all nodes read the store, the number of calls, which are priced and limited, would grow with
+// the number of nodes. With few readers, a node could rely on one that is cut off from the store
+// without noticing, and revoked keys would go on working. Therefore each copy has an age; a node
+// whose copy is stale reads the store itself, and so does a node that the others can't reach.
+type storeSync struct {
+	id, domain string
+	mirror     *mirror.Mirror // set before join
+	log        *event.Log
+
+	mu       sync.Mutex
+	mesh     *peer.Mesh
+	received map[string]receivedSync // latest message by neighbour
+	lastSent time.Time               // time of this node's last message
+	pulling  bool
+}
+
+type receivedSync struct {
+	receivedAt time.Time
+	newest     int64
+	age        time.Duration
+}
+
+func newStoreSync(id, domain string, log *event.Log) *storeSync {
+	return &storeSync{id: id, domain: domain, log: log, received: map[string]receivedSync{}}
+}
+
+func (n *storeSync) join(mesh *peer.Mesh) {
+	peer.Handle(mesh, msgSync, n.handleSync)
+	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.Question) (mirror.Delta, error) {
+		return n.mirror.Delta(q), nil
+	})
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.mesh = mesh
+}
+
+// readsStore reports whether this node reads the store itself.
+func (n *storeSync) readsStore() bool {
+	now := time.Now()
+	return n.age(now) > staleAfter || n.isReader()
+}
+
+// isReader reports whether this node is one of the nodes of its failure domain that read the store.
+func (n *storeSync) isReader() bool {
+	n.mu.Lock()
+	mesh := n.mesh
+	n.mu.Unlock()
+	if mesh == nil {
+		return true
+	}
+	key := xxhash.Sum64String(n.domain)
+	localWeight := routing.Rendezvous(key, n.id)
+	ahead := 0
+	for _, m := range mesh.Members() {
+		if !m.Self && m.Alive && !m.Suspect && !m.Leaving && m.FailureDomain == n.domain && routing.Rendezvous(key, m.ID) > localWeight {
+			ahead++
+		}
+	}
+	return ahead < readersPerDomain
+}
+
+// age returns the time since the store confirmed the contents of this node's copy, to this node or
+// to one whose message reached it.
+func (n *storeSync) age(now time.Time) time.Duration {
+	age := n.mirror.Age(now)
+	localNewest := n.mirror.Newest()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for from, t := range n.received {
+		since := now.Sub(t.receivedAt)
+		if since > staleAfter {
+			delete(n.received, from)
+			continue
+		}
+		// A neighbour with an older copy can't confirm this node's copy.
+		if t.newest >= localNewest {
+			age = min(age, t.age+since)
+		}
+	}
+	return age
+}
+
+// tick sends this node's state if syncInterval has passed since the last time.
+func (n *storeSync) tick(now time.Time) {
+	n.mu.Lock()
+	due := now.Sub(n.lastSent) >= syncInterval
+	n.mu.Unlock()
+	if due {
+		n.broadcast()
+	}
+}
+
+// broadcast sends how current this node's copy is to the neighbours.
+func (n *storeSync) broadcast() {
+	now := time.Now()
+	m := syncMessage{Newest: n.mirror.Newest(), AgeMS: n.age(now).Milliseconds()}
+	n.mu.Lock()
+	mesh := n.mesh
+	n.lastSent = now
+	n.mu.Unlock()
+	if mesh != nil {
+		// Sent again soon; a neighbour that misses it reads the store itself.
+		_ = mesh.Tell(msgSync, m)
+	}
+}
+
+// handleSync applies a neighbour's message, and requests the difference if the neighbour's copy is
+// newer.
+func (n *storeSync) handleSync(from string, m syncMessage) {
+	behind := m.Newest > n.mirror.Newest()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.received[from] = receivedSync{receivedAt: time.Now(), newest: m.Newest, age: time.Duration(m.AgeMS) * time.Millisecond}
+	if !behind || n.pulling {
+		return
+	}
+	n.pulling = true
+	mesh := n.mesh
+	go n.pull(mesh, from)
+}
+
+// pull requests and applies the difference to a neighbour's newer copy.
+func (n *storeSync) pull(mesh *peer.Mesh, from string) {
+	err := n.mirror.Pull(from, func(q mirror.Question) (mirror.Delta, error) {
+		ctx, stop := context.WithTimeout(context.Background(), pullTimeout)
+		defer stop()
+		return peer.Call[mirror.Question, mirror.Delta](ctx, mesh, from, callDelta, q)
+	})
+	if err != nil {
+		n.log.Emit(event.PeerAskFailed, "peer", from, "err", err)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.pulling = false
+}
+
+// state returns the part of the state dump about this node's copy of the store.
+func (n *storeSync) state() any {
+	now := time.Now()
+	return struct {
+		Newest int64
+		AgeMS  int64
+		Reads  bool
+	}{n.mirror.Newest(), n.age(now).Milliseconds(), n.readsStore()}
+}
--- /dev/null
+++ b/hosted/store_sync_size_test.go
@@ -0,0 +1,226 @@
+//go:build !race
+
+// Excluded under the race detector, whose own bookkeeping fails at times with the thousands of
+// goroutines of these nodes ("ThreadSanitizer: CHECK failed"). make test runs this file without it.
+
+package hosted
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"wigeondale/infra"
+	"wigeondale/mirror"
+	"wigeondale/peer"
+	"wigeondale/peer/peertest"
+)
+
+// changeLog is a store with one item that changes repeatedly.
+type changeLog struct {
+	mu      sync.Mutex
+	rev     int64
+	at      map[int64]time.Time // time of each revision
+	changed chan struct{}
+}
+
+func newChangeLog() *changeLog {
+	return &changeLog{rev: 1, at: map[int64]time.Time{1: time.Now()}, changed: make(chan struct{})}
+}
+
+func (c *changeLog) change() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.rev++
+	c.at[c.rev] = time.Now()
+	close(c.changed)
+	c.changed = make(chan struct{})
+}
+
+func (c *changeLog) item() (infra.Value, chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return infra.Value{Key: "op/config", CreateRev: 1, ModRev: c.rev}, c.changed
+}
+
+// nodeStore is the store as seen by one node, which it can reject.
+type nodeStore struct {
+	*changeLog
+	rejected *atomic.Bool
+}
+
+const storeDelay = 4 * time.Millisecond
+
+var errRejected = errors.New("the store rejects this node")
+
+func (s nodeStore) Page(context.Context, string, string, bool) (infra.Page, error) {
+	time.Sleep(storeDelay)
+	if s.rejected.Load() {
+		return infra.Page{}, errRejected
+	}
+	v, _ := s.item()
+	return infra.Page{Values: []infra.Value{v}, Revision: v.ModRev}, nil
+}
+
+func (s nodeStore) Changes(ctx context.Context, _ string, after int64, wait time.Duration) ([]infra.WatchEvent, int64, error) {
+	time.Sleep(storeDelay)
+	if s.rejected.Load() {
+		return nil, 0, errRejected
+	}
+	v, changed := s.item()
+	if v.ModRev == after {
+		select {
+		case <-ctx.Done():
+			return nil, 0, ctx.Err()
+		case <-time.After(wait):
+		case <-changed:
+		}
+		v, _ = s.item()
+	}
+	if s.rejected.Load() {
+		return nil, 0, errRejected
+	}
+	if v.ModRev == after {
+		return nil, after, nil
+	}
+	return []infra.WatchEvent{{Value: v}}, v.ModRev, nil
+}
+
+func (nodeStore) Reset() {}
+
+// lagRecorder records the delay with which a node receives the changes.
+type lagRecorder struct {
+	log    *changeLog
+	mu     sync.Mutex
+	latest int64
+	lag    []time.Duration
+}
+
+func (h *lagRecorder) Put(v infra.Value) {
+	now := time.Now()
+	h.log.mu.Lock()
+	defer h.log.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for rev := h.latest + 1; rev <= v.ModRev; rev++ {
+		h.lag = append(h.lag, now.Sub(h.log.at[rev]))
+	}
+	h.latest = max(h.latest, v.ModRev)
+}
+
+func (*lagRecorder) Gone(string) {}
+func (*lagRecorder) Settled()    {}
+
+// syncNode is one node with its links and its copy of the store.
+type syncNode struct {
+	storeSync *storeSync
+	recorder  *lagRecorder
+	rejected  *atomic.Bool
+}
+
+func syncNodeID(i int) string { return fmt.Sprintf("n%03d", i) }
+
+func startSyncNode(t *testing.T, ctx context.Context, f *peertest.Fabric, log *changeLog, seeds []string, i, domains int) *syncNode {
+	id, domain := syncNodeID(i), fmt.Sprint("d", i%domains)
+	n := &syncNode{recorder: &lagRecorder{log: log}, rejected: &atomic.Bool{}}
+	mesh, err := peer.New(peer.Config{
+		ID: id, Addr: id, FailureDomain: domain, Dial: f.Dial(id),
+		Heartbeat: peerHeartbeat, DialTimeout: peerDialTimeout, MaxBackoff: peerMaxBackoff,
+		Topology: peer.Topology{FullMeshLimit: 24, NearLinks: 3, FarLinks: 3},
+	}, make([]byte, peerKeyBytes), nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	mesh.AddSeeds(seeds) // as read from the store
+	storeSync := newStoreSync(id, domain, nil)
+	storeSync.mirror = mirror.New(nodeStore{log, n.rejected}, n.recorder, mirror.Config{Reads: storeSync.readsStore, OnNews: storeSync.broadcast, Set: metrics.NewSet()})
+	n.storeSync = storeSync
+	storeSync.join(mesh)
+	srv := &http.Server{Handler: mesh, ReadHeaderTimeout: time.Second}
+	go srv.Serve(f.Listen(id))
+	go mesh.Run(ctx)
+	go storeSync.mirror.Run(ctx)
+	go func() {
+		tick := time.NewTicker(loadsInterval)
+		defer tick.Stop()
+		for {
+			select {
+			case <-ctx.Done():
+				srv.Close()
+				return
+			case now := <-tick.C:
+				storeSync.tick(now)
+			}
+		}
+	}()
+	return n
+}
+
+// syncBound is the largest allowed delay of a change at a node while some neighbour that it reaches
+// has the change: a configuration has to be in force two seconds after it was accepted.
+const syncBound = 2 * time.Second
+
+// Guards against nodes that go on with revoked keys: the store rejects a third of the nodes for
+// nine seconds, all its readers among them, and changes every half second. A node must not wait for
+// its own reads, or for a reader that is rejected too. Messages take no time here: the test
+// measures the waits of the program.
+func TestNewsReachNodesThatTheStoreTurnsAway(t *testing.T) {
+	for _, size := range []int{95, 300} {
+		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testRejectedNodes(t, size, 5) })
+		})
+	}
+}
+
+func testRejectedNodes(t *testing.T, size, domains int) {
+	ctx, stop := context.WithCancel(t.Context())
+	f, log := peertest.NewFabric(), newChangeLog()
+	var nodes []*syncNode
+	var seeds []string
+	for i := range size {
+		seeds = append(seeds, syncNodeID(i))
+	}
+	for i := range size {
+		nodes = append(nodes, startSyncNode(t, ctx, f, log, seeds, i, domains))
+	}
+	time.Sleep(15 * time.Second) // all links are up
+	for i, n := range nodes {
+		n.recorder.mu.Lock()
+		n.recorder.lag = nil
+		n.recorder.mu.Unlock()
+		n.rejected.Store(i%3 == 0 || n.storeSync.isReader())
+	}
+	for range 18 {
+		log.change()
+		time.Sleep(500 * time.Millisecond)
+	}
+	time.Sleep(syncBound)
+	var all []time.Duration
+	for i, n := range nodes {
+		n.recorder.mu.Lock()
+		if n.recorder.latest != log.rev {
+			t.Errorf("node %d is at revision %d of %d", i, n.recorder.latest, log.rev)
+		}
+		all = append(all, n.recorder.lag...)
+		n.recorder.mu.Unlock()
+	}
+	if len(all) == 0 {
+		t.Fatal("no node received any change")
+	}
+	slices.Sort(all)
+	t.Logf("%d changes received: p50 %v, p99 %v, last %v", len(all), all[len(all)/2], all[len(all)*99/100], all[len(all)-1])
+	if last := all[len(all)-1]; last > syncBound {
+		t.Errorf("a change was received after %v", last)
+	}
+	stop()
+	time.Sleep(10 * time.Second) // links close
+}
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -9,45 +9,45 @@
 	"wigeondale/quarantine"
 )
 
-// looker finds out whether replicas have ended, also where another lifetime listens at
-// the address. It implements quarantine.Prober.
-type looker struct {
+// crashProber finds out whether replicas have crashed, also if another incarnation listens at the
+// address. It implements quarantine.Prober.
+type crashProber struct {
 	backend.Looker
-	ask inquirer
+	querier runQuerier
 }
 
 // Look implements quarantine.Prober.
-func (l looker) Look(ctx context.Context, b fleet.Backend) quarantine.State {
+func (l crashProber) Look(ctx context.Context, b fleet.Backend) quarantine.State {
 	state := l.Looker.Look(ctx, b)
 	if state != quarantine.Working || b.Lifetime.Born == 0 {
 		return state
 	}
-	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Reborn {
+	if report, err := l.querier.replicas.Runs(ctx, b); err == nil && report.Reborn {
 		return quarantine.Ended
 	}
 	return state
 }
 
-func (n *node) newGuard(ask inquirer) *quarantine.Guard {
+func (n *node) newGuard(querier runQuerier) *quarantine.Guard {
 	return quarantine.NewGuard(quarantine.Config{
-		Prober:     looker{ask: ask},
+		Prober:     crashProber{querier: querier},
 		Leaving:    n.dir.Leaving,
 		Neighbours: placement.Neighbours(n.dir, n.mon),
-		CutOff:     n.peers.cutOff,
-		Tell:       n.peers.tellSuspects,
-		OnHold:     n.holds.held,
+		CutOff:     n.peers.isolated,
+		Tell:       n.peers.broadcastSuspects,
+		OnHold:     n.holds.quarantined,
 		OnLift:     n.holds.lifted,
 		Log:        n.log,
 		Set:        n.meter,
 	})
 }
 
-// cutOff tells whether other nodes are registered and none is linked.
-func (p *peers) cutOff() bool {
-	if p.nodes() <= 1 {
+// isolated reports whether other nodes are registered and none is linked.
+func (p *peers) isolated() bool {
+	if p.registeredNodes() <= 1 {
 		return false
 	}
-	mesh := p.joined()
+	mesh := p.currentMesh()
 	if mesh == nil {
 		return true
 	}
@@ -55,10 +55,11 @@
 	return !linked
 }
 
-// tellSuspects sends news of suspected requests to all nodes.
-func (p *peers) tellSuspects(m quarantine.News) {
-	if mesh := p.joined(); mesh != nil {
-		// A node that misses it hears of the next crash, or reads of the hold in the store.
+// broadcastSuspects broadcasts an update about suspected requests to all nodes.
+func (p *peers) broadcastSuspects(m quarantine.News) {
+	if mesh := p.currentMesh(); mesh != nil {
+		// A node that misses it receives the update after the next crash, or reads the hold from
+		// the store.
 		_ = mesh.Flood(quarantine.FloodNews, m)
 	}
 }
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -12,11 +12,11 @@
 	"wigeondale/quarantine"
 )
 
-// crashing is a fleet whose replicas are back some time after each crash, as new lifetimes
+// crashingFleet is a fleet whose replicas come back some time after each crash, as new incarnations
 // at the same addresses.
-type crashing struct {
+type crashingFleet struct {
 	*testFleet
-	back time.Duration
+	downFor time.Duration
 
 	mu      sync.Mutex
 	all     []*fakes.Replica
@@ -24,27 +24,27 @@
 	pending sync.WaitGroup
 }
 
-func newCrashing(t *testing.T) *crashing {
-	c := &crashing{testFleet: newFleet(t), back: 300 * time.Millisecond}
+func newCrashingFleet(t *testing.T) *crashingFleet {
+	c := &crashingFleet{testFleet: newFleet(t), downFor: 300 * time.Millisecond}
 	t.Cleanup(c.pending.Wait)
 	return c
 }
 
-func (c *crashing) add(r *fakes.Replica) {
+func (c *crashingFleet) add(r *fakes.Replica) {
 	r.OnCrash = c.crashed
 	c.mu.Lock()
 	c.all = append(c.all, r)
 	c.mu.Unlock()
-	c.replica(r)
+	c.startReplica(r)
 }
 
-func (c *crashing) crashed(r *fakes.Replica) {
+func (c *crashingFleet) crashed(r *fakes.Replica) {
 	c.mu.Lock()
 	c.crashes++
 	n := c.crashes
 	c.mu.Unlock()
 	c.pending.Go(func() {
-		time.Sleep(c.back)
+		time.Sleep(c.downFor)
 		c.store.Lapse(r)
 		c.add(&fakes.Replica{
 			ID: fmt.Sprintf("%s-%d", r.ID, n), Service: r.Service, Domain: r.Domain, Engine: r.Engine,
@@ -53,8 +53,8 @@
 	})
 }
 
-// reached counts the arrivals of requests with the mark.
-func (c *crashing) reached() (n int) {
+// markedArrivals counts the arrivals of requests with the crash mark.
+func (c *crashingFleet) markedArrivals() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range c.all {
@@ -67,7 +67,7 @@
 	return n
 }
 
-// sendBody makes one try with a body, and returns its final answer.
+// sendBody sends a request with a body once, and returns its final status.
 func (n *testNode) sendBody(path, id, body string) (status int, retryAfter string) {
 	n.t.Helper()
 	req, err := fakes.Ask{
@@ -84,8 +84,8 @@
 	return resp.StatusCode, resp.Header.Get("Retry-After")
 }
 
-// Guards against: a request that crashes each replica that runs it goes on to the next one,
-// try after try, through all routers.
+// Guards against a request that crashes each replica that runs it and is sent to the next one,
+// retry after retry, through all routers.
 func TestRequestThatCrashesReplicasIsNotSentOn(t *testing.T) {
 	const tries, most = 8, 6 // three crashes, and three more over all routers
 	for _, c := range []struct {
@@ -95,10 +95,10 @@
 	}{
 		{"/draft/x", true, 0},
 		{"/look/x", false, 0},
-		{"/book/x", false, 100 * time.Millisecond}, // one replica a try: they are told apart by their times
+		{"/book/x", false, 100 * time.Millisecond}, // one replica a try: they are distinguished by their times
 	} {
 		t.Run(strings.Trim(c.path, "/x"), func(t *testing.T) {
-			f := newCrashing(t)
+			f := newCrashingFleet(t)
 			for i := range 8 {
 				f.add(&fakes.Replica{
 					ID: fmt.Sprintf("r%d", i), Service: map[bool]string{true: "llm", false: "app"}[c.engine],
@@ -106,10 +106,10 @@
 				})
 			}
 			f.configure(key)
-			nodes := []*testNode{f.node("n1"), f.node("n2")}
+			nodes := []*testNode{f.startNode("n1"), f.startNode("n2")}
 			for _, n := range nodes {
 				await(t, "readiness", n.ready)
-				await(t, "links", n.peers.linked)
+				await(t, "links", n.peers.hasLink)
 			}
 			var status int
 			var retryAfter string
@@ -117,11 +117,11 @@
 				time.Sleep(c.pause)
 				status, retryAfter = nodes[i%2].sendBody(c.path, fmt.Sprint("q", i), "it "+fakes.CrashMark)
 			}
-			if got := f.reached(); got > most {
+			if got := f.markedArrivals(); got > most {
 				t.Errorf("it reached replicas %d times, want %d at most", got, most)
 			}
 			if status != http.StatusInternalServerError || retryAfter != "" {
-				t.Errorf("the last answer is %d with %q to come back: want one that invites nobody back", status, retryAfter)
+				t.Errorf("the last response is %d with Retry-After %q: want one without Retry-After", status, retryAfter)
 			}
 			for i, n := range nodes {
 				if status, _ := n.get(c.path, fmt.Sprint("other", i), key); status != http.StatusOK {
@@ -132,57 +132,57 @@
 	}
 }
 
-// knows tells whether the store has a record of a request.
-func (h *holds) knows(d quarantine.Digest) bool {
+// isStored reports whether the store has a record of a request.
+func (h *holds) isStored(d quarantine.Digest) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_, ok := h.stored[d]
 	return ok
 }
 
-// held are the requests that a node holds back.
-func (n *testNode) held() int { return len(n.guard.Held()) }
+// quarantined returns the number of requests that the node quarantines.
+func (n *testNode) quarantined() int { return len(n.guard.Held()) }
 
-// Guards against: all nodes end, and a request that they held back crashes its way through the
-// replicas again. An operator lifts a hold by removing its record.
+// Guards against a quarantined request that crashes replicas again after a restart of all nodes. An
+// operator lifts a hold by removing its record.
 func TestHoldsOutliveAllNodes(t *testing.T) {
-	f := newCrashing(t)
+	f := newCrashingFleet(t)
 	for i := range 6 {
 		f.add(&fakes.Replica{ID: fmt.Sprintf("r%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Pieces: 3})
 	}
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(t, "readiness", n.ready)
-	await(t, "the shared key", func() bool { return n.peers.joined() != nil })
+	await(t, "the shared key", func() bool { return n.peers.currentMesh() != nil })
 	const body = "it " + fakes.CrashMark
 	await(t, "the hold", func() bool {
 		n.sendBody("/draft/x", "q", body)
-		return n.held() == 1
+		return n.quarantined() == 1
 	})
 	record := holdPrefix + n.guard.List()[0].Digest
 	await(t, "its record", func() bool { _, ok := f.store.Get(record); return ok })
 	n.stop()
 
-	before := f.reached()
-	n = f.node("n2")
+	before := f.markedArrivals()
+	n = f.startNode("n2")
 	await(t, "readiness", n.ready)
-	if status, _ := n.sendBody("/draft/x", "q2", body); status != http.StatusInternalServerError || f.reached() != before {
-		t.Errorf("a node that has just started answers %d, and it reached replicas %d times more", status, f.reached()-before)
+	if status, _ := n.sendBody("/draft/x", "q2", body); status != http.StatusInternalServerError || f.markedArrivals() != before {
+		t.Errorf("a node that has just started answers %d, and it reached replicas %d times more", status, f.markedArrivals()-before)
 	}
 	f.store.Delete(record)
-	await(t, "the lift", func() bool { return n.held() == 0 })
+	await(t, "the lift", func() bool { return n.quarantined() == 0 })
 	n.sendBody("/draft/x", "q3", body)
-	if f.reached() == before {
-		t.Error("it is still held back")
+	if f.markedArrivals() == before {
+		t.Error("it is still quarantined")
 	}
 }
 
-// Guards against: the store is away when a request is found, and a node that starts later
-// knows nothing of it.
+// Guards against a node that starts later and does not know a quarantined request, because the
+// store was unavailable when the request was found.
 func TestHoldsAreStoredOnceTheStoreIsBack(t *testing.T) {
-	f := newCrashing(t)
+	f := newCrashingFleet(t)
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(t, "readiness of the table", func() bool { return n.table.Get() != nil })
 	f.store.Down(true)
 	d, err := quarantine.ParseDigest(strings.Repeat("ab", 16))
@@ -191,20 +191,20 @@
 	}
 	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
 	n.guard.Hold(h, "test")
-	n.holds.held(h, true)
+	n.holds.quarantined(h, true)
 	time.Sleep(200 * time.Millisecond)
 	f.store.Down(false)
 	await(t, "its record", func() bool { _, ok := f.store.Get(holdPrefix + d.String()); return ok })
 	f.store.PutJSON(holdPrefix+strings.Repeat("cd", 16), holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(time.Minute).UnixMilli()})
-	await(t, "another node's hold", func() bool { return n.held() == 2 })
+	await(t, "another node's hold", func() bool { return n.quarantined() == 2 })
 }
 
-// Guards against: a request is found once more while the record of its last hold, which has
-// ended, is still in the store, and the removal of that record is taken for an operator's lift.
+// Guards against a removal taken for an operator's lift: a request is found once more while the
+// expired record of its previous hold is still in the store, and then that record is removed.
 func TestRemovalOfAnEndedRecordLiftsNothing(t *testing.T) {
-	f := newCrashing(t)
+	f := newCrashingFleet(t)
 	f.configure(key)
-	n := f.node("n1")
+	n := f.startNode("n1")
 	await(t, "readiness of the table", func() bool { return n.table.Get() != nil })
 	d, err := quarantine.ParseDigest(strings.Repeat("ab", 16))
 	if err != nil {
@@ -212,17 +212,17 @@
 	}
 	record := holdPrefix + d.String()
 	f.store.PutJSON(record, holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(-time.Second).UnixMilli()})
-	await(t, "the ended record", func() bool { return n.holds.knows(d) })
+	await(t, "the expired record", func() bool { return n.holds.isStored(d) })
 	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
 	n.guard.Hold(h, "test")
-	n.holds.held(h, false)
+	n.holds.quarantined(h, false)
 	f.store.Delete(record)
 	await(t, "a record of the new hold", func() bool { _, ok := f.store.Get(record); return ok })
-	if n.held() != 1 {
-		t.Error("it is held back no more")
+	if n.quarantined() != 1 {
+		t.Error("it is not quarantined any more")
 	}
 	await(t, "the removal of that record to be due", func() bool {
-		_, task, wait := n.holds.first()
+		_, task, wait := n.holds.nextTask()
 		return task != nil && task.remove && wait > 0 && wait <= time.Minute+expirySpread
 	})
 }
--- /dev/null
+++ b/hosted/typical_size.go
@@ -0,0 +1,37 @@
+package hosted
+
+import (
+	"sync"
+
+	"wigeondale/directory"
+)
+
+// typicalSize estimates the typical size of a service's requests from those that start.
+type typicalSize struct {
+	mu   sync.Mutex
+	mean directory.Usual
+}
+
+// sizeWeight is the weight of the latest request: about twenty requests make up most of the mean.
+const sizeWeight = 0.05
+
+func (u *typicalSize) add(prompt, answer int) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.mean == (directory.Usual{}) {
+		u.mean = directory.Usual{Prompt: float64(prompt), Answer: float64(answer)}
+		return
+	}
+	u.mean.Prompt += sizeWeight * (float64(prompt) - u.mean.Prompt)
+	u.mean.Answer += sizeWeight * (float64(answer) - u.mean.Answer)
+}
+
+// get returns the estimate, or a default before the first request.
+func (u *typicalSize) get() directory.Usual {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.mean == (directory.Usual{}) {
+		return directory.Usual{Prompt: typicalPrompt, Answer: typicalAnswer}
+	}
+	return u.mean
+}
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -11,58 +11,58 @@
 	"wigeondale/routing"
 )
 
-// serviceRollout is the roll-out of one service, with what this node does about it.
+// serviceRollout is the roll-out of one service, with this node's part in it.
 type serviceRollout struct {
 	*rollout.Rollout
-	service string
-	split   atomic.Pointer[split]
-	others  atomic.Bool // replicas of another version than the target were seen
-	writing atomic.Bool
-	retryAt atomic.Int64 // on the boot clock
+	service         string
+	partition       atomic.Pointer[partition]
+	sawOtherVersion atomic.Bool // replicas of a version other than the target were seen
+	writing         atomic.Bool
+	retryAt         atomic.Int64 // time on the boot clock
 
-	// Of the goroutine that ticks: what was logged last, and what is due.
+	// Used by the goroutine that calls tick only: what was logged last, and what is due.
 	logged        rollout.Stage
-	stageSince    time.Duration // of the stage that was logged last
+	stageSince    time.Duration // start of the stage that was logged last
 	loggedBad     bool
-	loggedMissing string
-	dueSince      time.Duration // a change of the record; 0 while none is due
+	loggedBlocker string
+	dueSince      time.Duration // since when a change of the record is due; 0 while none is
 }
 
-// split is the replicas of a service, divided by a rule.
-type split struct {
+// partition holds the replicas of a service, divided by a rule.
+type partition struct {
 	of      []routing.Candidate
 	epoch   uint64
-	allowed []routing.Candidate // to all attempts but those on trial
-	tried   []routing.Candidate // by those on trial
+	allowed []routing.Candidate // for attempts that are not part of the trial
+	trial   []routing.Candidate // for attempts that are part of the trial
 }
 
-// among returns the replicas that an attempt may use. It is made anew only when the
-// replicas or the rule have changed.
-func (o *serviceRollout) among(all []routing.Candidate, trial bool, limits rollout.Limits) []routing.Candidate {
+// candidates returns the replicas that an attempt may use. The partition is computed anew only when
+// the replicas or the rule have changed.
+func (o *serviceRollout) candidates(all []routing.Candidate, trial bool, limits rollout.Limits) []routing.Candidate {
 	rule := o.Rule()
-	s := o.split.Load()
+	s := o.partition.Load()
 	if s == nil || s.epoch != rule.Epoch || !sameList(s.of, all) {
-		s = o.divide(all, &rule, limits)
-		o.split.Store(s)
+		s = o.partitionBy(all, &rule, limits)
+		o.partition.Store(s)
 	}
 	if trial {
-		return s.tried
+		return s.trial
 	}
 	return s.allowed
 }
 
-// sameList tells whether two lists are one and the same; lists are never changed in place.
+// sameList reports whether two slices share their elements; lists are never modified in place.
 func sameList(a, b []routing.Candidate) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-func (o *serviceRollout) divide(all []routing.Candidate, rule *rollout.Rule, limits rollout.Limits) *split {
-	s := &split{of: all, epoch: rule.Epoch}
+func (o *serviceRollout) partitionBy(all []routing.Candidate, rule *rollout.Rule, limits rollout.Limits) *partition {
+	s := &partition{of: all, epoch: rule.Epoch}
 	var ofTarget []fleet.Backend
 	for i := range all {
 		b := &all[i].Backend
 		if b.Version != rule.Target {
-			o.others.Store(true)
+			o.sawOtherVersion.Store(true)
 		}
 		if rule.Tries(b) {
 			ofTarget = append(ofTarget, *b)
@@ -71,49 +71,50 @@
 			s.allowed = append(s.allowed, all[i])
 		}
 	}
-	if len(s.allowed) == 0 && !o.others.Load() {
+	if len(s.allowed) == 0 && !o.sawOtherVersion.Load() {
 		s.allowed = all // the service never had another version
 	}
 	set := rollout.TrialSet(ofTarget, limits)
 	for i := range all {
 		if set[all[i].Backend.ID] {
-			s.tried = append(s.tried, all[i])
+			s.trial = append(s.trial, all[i])
 		}
 	}
 	return s
 }
 
-// candidates are the replicas that the next attempt of a request may use.
+// candidates returns the replicas that the next attempt of a request may use.
 func (p *picker) candidates(a generation.Ask) []routing.Candidate {
 	all := p.dir.Service(a.Service)
-	one := p.rollouts.of(a.Service)
-	if one == nil {
+	ro := p.rollouts.of(a.Service)
+	if ro == nil {
 		return all
 	}
-	// What follows a lost attempt, and a client that came back, goes where it surely is served.
-	first := !a.Again && !a.Resume && len(a.Parts) == 0
-	return one.among(all, first && one.Assign(a.Request, clock.Boot()), p.rollouts.limits)
+	// An attempt after a lost one, and the attempt of a returning client, go to a version that is
+	// known to work.
+	firstAttempt := !a.Again && !a.Resume && len(a.Parts) == 0
+	return ro.candidates(all, firstAttempt && ro.Assign(a.Request, clock.Boot()), p.rollouts.limits)
 }
 
-// allowedReplicas are those that any attempt may use that is not on trial.
+// allowedReplicas returns the replicas that an attempt may use that is not part of a trial.
 func (p *picker) allowedReplicas(service string) []routing.Candidate {
 	all := p.dir.Service(service)
-	if one := p.rollouts.of(service); one != nil {
-		return one.among(all, false, p.rollouts.limits)
+	if ro := p.rollouts.of(service); ro != nil {
+		return ro.candidates(all, false, p.rollouts.limits)
 	}
 	return all
 }
 
-// allowed tells whether any attempt may use a replica that is not on trial.
+// allowed reports whether an attempt that is not part of a trial may use a replica.
 func (p *picker) allowed(id string) bool {
 	b, ok := p.dir.Backend(id)
 	if !ok {
 		return false
 	}
-	one := p.rollouts.of(b.Service)
-	if one == nil {
+	ro := p.rollouts.of(b.Service)
+	if ro == nil {
 		return true
 	}
-	rule := one.Rule()
-	return rule.Allows(&b) || !one.others.Load()
+	rule := ro.Rule()
+	return rule.Allows(&b) || !ro.sawOtherVersion.Load()
 }
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -13,45 +13,45 @@
 	"wigeondale/route"
 )
 
-// view turns the items of the store into the table in force and the directory
-// of replicas. It implements mirror.Receiver.
+// view builds the table in force and the directory of replicas from the items of the store. It
+// implements mirror.Receiver.
 type view struct {
 	table *route.Current
 	dir   *directory.Directory
 	mon   *health.Monitor
 	peers *peers
-	// rollouts take in the orders to move services to other versions.
+	// rollouts handles the orders to move services to other versions.
 	rollouts *rollouts
-	// holds take in the requests that are held back; nil for none.
+	// holds handles the stored records of quarantined requests; nil for none.
 	holds *holds
 	log   *event.Log
 
-	began time.Time // of this node; see load
+	startedAt time.Time // start time of this node; see recordLoad
 
-	mu       sync.Mutex
-	replicas map[string]fleet.Backend // by id
-	lives    lifetimes
-	adopted  map[string]bool        // ids of those that the registry has not named yet; see adopt
-	withheld map[string]bool        // names whose entries can't be used any more
-	unnamed  map[string]infra.Value // entries, by name, of services that the configuration doesn't name
-	at       map[string]string      // id of the youngest replica that has an address
-	found    []fleet.Backend        // new since the last Settled
-	changed  bool
+	mu              sync.Mutex
+	replicas        map[string]fleet.Backend // by id
+	incarnations    incarnations
+	adopted         map[string]bool        // ids of adopted replicas that the registry has not listed yet; see adopt
+	withheld        map[string]bool        // names of known replicas whose entries are unusable at present
+	unknownServices map[string]infra.Value // entries, by name, whose service is not in the configuration
+	byAddr          map[string]string      // id of the replica started last, by address
+	added           []fleet.Backend        // replicas added since the last Settled
+	changed         bool
 }
 
-// maxNamed is how many replicas that became known together get a line each. A
-// router that starts reads thousands, whose lines would crowd out all others.
-const maxNamed = 20
+// maxLogged is the largest number of replicas added together that are logged one by one. A router
+// that starts reads thousands of replicas, whose log lines would crowd out all others.
+const maxLogged = 20
 
 func newView(table *route.Current, dir *directory.Directory, mon *health.Monitor, p *peers, ro *rollouts, log *event.Log) *view {
 	return &view{
-		table: table, dir: dir, mon: mon, peers: p, rollouts: ro, log: log, began: time.Now(),
-		replicas: map[string]fleet.Backend{},
-		lives:    newLifetimes(),
-		adopted:  map[string]bool{},
-		withheld: map[string]bool{},
-		unnamed:  map[string]infra.Value{},
-		at:       map[string]string{},
+		table: table, dir: dir, mon: mon, peers: p, rollouts: ro, log: log, startedAt: time.Now(),
+		replicas:        map[string]fleet.Backend{},
+		incarnations:    newIncarnations(),
+		adopted:         map[string]bool{},
+		withheld:        map[string]bool{},
+		unknownServices: map[string]infra.Value{},
+		byAddr:          map[string]string{},
 	}
 }
 
@@ -82,7 +82,7 @@
 	if v.table.Install(route.NewTable(cfg)) {
 		v.log.Emit(event.TableInForce, "version", cfg.Version, "revision", item.ModRev,
 			"routes", len(cfg.Routes), "accounts", len(cfg.Accounts))
-		v.putUnnamed()
+		v.retryUnknownServices()
 	}
 }
 
@@ -97,35 +97,35 @@
 	}
 	t := v.table.Get()
 	if t == nil {
-		v.unnamed[name] = item
+		v.unknownServices[name] = item
 		return
 	}
 	if !t.HasService(b.Service) {
-		v.unnamed[name] = item
-		v.withhold(name, item, errUnnamed)
+		v.unknownServices[name] = item
+		v.withhold(name, item, errUnknownService)
 		return
 	}
-	delete(v.unnamed, name)
-	before, n := v.lives.follow(b.Lifetime)
-	if n == outdated {
-		v.log.Emit(event.ReplicaWordOutdated, "backend", b.ID, "known", before.ID(), "revision", item.ModRev)
+	delete(v.unknownServices, name)
+	previous, rel := v.incarnations.update(b.Lifetime)
+	if rel == outdated {
+		v.log.Emit(event.ReplicaWordOutdated, "backend", b.ID, "known", previous.ID(), "revision", item.ModRev)
 		return
 	}
 	v.release(name)
-	if n == reborn {
-		v.endLife(before)
+	if rel == restarted {
+		v.endIncarnation(previous)
 	}
-	v.takeIn(b, item, n)
+	v.addReplica(b, item, rel)
 }
 
-// takeIn holds a sound entry.
-func (v *view) takeIn(b fleet.Backend, item infra.Value, n newness) {
+// addReplica stores a valid entry.
+func (v *view) addReplica(b fleet.Backend, item infra.Value, rel relation) {
 	old, known := v.replicas[b.ID]
 	b.Started = item.CreateRev
 	switch {
 	case known && !v.adopted[b.ID]:
 		b.Started = old.Started
-	case n == reborn:
+	case rel == restarted:
 		b.Started = item.ModRev
 	}
 	delete(v.adopted, b.ID)
@@ -134,39 +134,40 @@
 	v.changed = true
 	switch {
 	case b.Leaving && !old.Leaving:
-		v.leave(b.ID, "it announced it", item.ModRev)
+		v.markLeaving(b.ID, "announced by the replica", item.ModRev)
 	case !known:
-		v.found = append(v.found, b)
-		v.succeed(b, item.ModRev)
+		v.added = append(v.added, b)
+		v.replaceAtAddress(b, item.ModRev)
 	}
 }
 
 var (
-	errUnnamed = Error.New("its service is not in the configuration")
-	errUnborn  = Error.New("it lacks the time of birth that it had")
+	errUnknownService = Error.New("its service is not in the configuration")
+	errNoStartTime    = Error.New("the entry lacks the start time that it had before")
 )
 
-// checkRewrite tells whether an entry can be the replica's own, by what it said before.
+// checkRewrite returns an error if an entry can't have been written by the replica itself, given
+// what its earlier entries said.
 func (v *view) checkRewrite(b fleet.Backend) error {
-	if known, ok := v.lives.of(b.Lifetime.Name); ok && known.Born != 0 && b.Lifetime.Born == 0 {
-		return errUnborn
+	if known, ok := v.incarnations.get(b.Lifetime.Name); ok && known.Born != 0 && b.Lifetime.Born == 0 {
+		return errNoStartTime
 	}
 	return nil
 }
 
-// withhold takes note of an entry that names no replica to use. If it replaces a
-// replica's entry, that one gets no new work until its entry is sound again: what
-// runs there goes on. Its address and its place stay its own. The directory is told by
-// a level, which can be taken back; a mark of leaving can't.
+// withhold handles an entry that describes no usable replica. If it replaces the entry of a known
+// replica, that replica gets no new work until its entry is valid again; its runs go on, and it
+// keeps its address and its place in the directory. The directory is updated by SetIntent, which
+// can be undone; a mark that a replica is leaving can't.
 func (v *view) withhold(name string, item infra.Value, err error) {
 	v.log.Emit(event.ItemUnreadable, "key", item.Key, "revision", item.ModRev, "err", err)
-	if _, known := v.lives.of(name); known && !v.withheld[name] {
+	if _, known := v.incarnations.get(name); known && !v.withheld[name] {
 		v.withheld[name] = true
 		v.dir.SetIntent(v.withheld)
 	}
 }
 
-// release ends withhold.
+// release undoes withhold.
 func (v *view) release(name string) {
 	if v.withheld[name] {
 		delete(v.withheld, name)
@@ -174,57 +175,57 @@
 	}
 }
 
-// putUnnamed looks again at entries whose services the configuration names now.
-func (v *view) putUnnamed() {
-	for name, item := range v.unnamed {
+// retryUnknownServices retries the entries whose services were not in the previous configuration.
+func (v *view) retryUnknownServices() {
+	for name, item := range v.unknownServices {
 		v.putReplica(name, item)
 	}
 }
 
-// endLife drops a lifetime that another one has followed: its runs are lost, and what
-// was known of it says nothing of its successor.
-func (v *view) endLife(life fleet.Lifetime) {
-	v.mon.Ended(life.ID())
-	v.drop(life.ID(), "it has started again")
+// endIncarnation removes an incarnation of a replica that a later one has replaced: its runs are
+// lost, and what is known about it does not apply to its successor.
+func (v *view) endIncarnation(inc fleet.Lifetime) {
+	v.mon.Ended(inc.ID())
+	v.drop(inc.ID(), "restarted")
 }
 
-// succeed marks a replica as gone whose address a younger one has taken.
-func (v *view) succeed(b fleet.Backend, revision int64) {
-	other, taken := v.replicas[v.at[b.Addr]]
+// replaceAtAddress marks a replica as leaving whose address a replica started later has taken.
+func (v *view) replaceAtAddress(b fleet.Backend, revision int64) {
+	other, taken := v.replicas[v.byAddr[b.Addr]]
 	if taken && other.ID != b.ID && other.Addr == b.Addr {
 		if other.Started > b.Started {
-			v.leave(b.ID, "its address is another replica's", revision)
+			v.markLeaving(b.ID, "another replica has its address", revision)
 			return
 		}
-		v.leave(other.ID, "its address is another replica's", revision)
+		v.markLeaving(other.ID, "another replica has its address", revision)
 	}
-	v.at[b.Addr] = b.ID
+	v.byAddr[b.Addr] = b.ID
 }
 
 // Gone implements mirror.Receiver.
 func (v *view) Gone(key string) {
 	name, ok := platform.ReplicaID(key)
 	if !ok {
-		v.rollouts.gone(key)
-		v.holds.gone(key)
-		v.peers.gone(key)
+		v.rollouts.removed(key)
+		v.holds.removed(key)
+		v.peers.removed(key)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	delete(v.unnamed, name)
+	delete(v.unknownServices, name)
 	v.release(name)
-	if life, known := v.lives.of(name); known {
-		v.drop(life.ID(), "its entry is gone")
-		v.lives.forget(name)
+	if inc, known := v.incarnations.get(name); known {
+		v.drop(inc.ID(), "its entry was removed")
+		v.incarnations.forget(name)
 	}
 }
 
-// drop takes a replica out.
+// drop removes a replica.
 func (v *view) drop(id, reason string) {
-	v.leave(id, reason, 0)
-	if b := v.replicas[id]; v.at[b.Addr] == id {
-		delete(v.at, b.Addr)
+	v.markLeaving(id, reason, 0)
+	if b := v.replicas[id]; v.byAddr[b.Addr] == id {
+		delete(v.byAddr, b.Addr)
 	}
 	delete(v.replicas, id)
 	delete(v.adopted, id)
@@ -232,15 +233,15 @@
 	v.changed = true
 }
 
-// leave takes effect at once, not with the next Settled.
-func (v *view) leave(id, reason string, revision int64) {
+// markLeaving marks a replica as leaving, in effect at once and not with the next Settled.
+func (v *view) markLeaving(id, reason string, revision int64) {
 	if v.dir.Leaving(id) {
 		if _, known := v.dir.Backend(id); known {
 			return
 		}
 	}
 	v.log.Emit(event.ReplicaLeaving, "backend", id, "reason", reason, "revision", revision)
-	// The directory may not know it yet: then the next Settled tells it.
+	// The directory may not know it yet; then the next Settled passes the mark on.
 	if b, ok := v.replicas[id]; ok {
 		b.Leaving = true
 		v.replicas[id] = b
@@ -261,7 +262,7 @@
 		return
 	}
 	v.changed = false
-	v.tellFound()
+	v.logAdded()
 	list := make([]fleet.Backend, 0, len(v.replicas))
 	for _, b := range v.replicas {
 		list = append(list, b)
@@ -269,22 +270,22 @@
 	v.dir.Update(list, time.Now())
 }
 
-// tellFound logs the replicas that became known.
-func (v *view) tellFound() {
-	if len(v.found) > maxNamed {
-		v.log.Emit(event.ReplicasKnown, "replicas", len(v.found), "all", len(v.replicas))
-		v.found = nil
+// logAdded logs the replicas that were added.
+func (v *view) logAdded() {
+	if len(v.added) > maxLogged {
+		v.log.Emit(event.ReplicasKnown, "replicas", len(v.added), "all", len(v.replicas))
+		v.added = nil
 	}
-	for _, b := range v.found {
+	for _, b := range v.added {
 		v.log.Emit(event.ReplicaKnown, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr)
 	}
-	v.found = v.found[:0]
+	v.added = v.added[:0]
 }
 
-// load takes in what a replica said of its load with an answer. Its time runs on
-// from the start of this node: the clock of the day may be set.
-func (v *view) load(id string, l platform.Load) {
-	now := v.began.Add(time.Since(v.began))
+// recordLoad records the load that a replica stated in a response. The time is measured from the
+// start of this node, since the system clock may be set.
+func (v *view) recordLoad(id string, l platform.Load) {
+	now := v.startedAt.Add(time.Since(v.startedAt))
 	v.dir.Report(id, fleet.LoadReport{
 		AsOfUnixMS: now.UnixMilli(),
 		Running:    l.Running,
--- a/hosted/view_test.go
+++ b/hosted/view_test.go
@@ -14,7 +14,7 @@
 func newTestView() *view {
 	dir, mon := directory.New(nil), health.NewMonitor(health.DefaultPolicy(), nil, nil)
 	set := &settings.Settings{Hosted: &settings.Hosted{}}
-	v := newView(&route.Current{}, dir, mon, newPeers(set, nil, dir, mon, newNews("n", "d", nil), nil), nil, nil)
+	v := newView(&route.Current{}, dir, mon, newPeers(set, nil, dir, mon, newStoreSync("n", "d", nil), nil), nil, nil)
 	v.table.Install(route.NewTable(&route.Config{Version: 1, Services: []route.Service{{Name: "llm", Engine: true}}}))
 	return v
 }
@@ -27,11 +27,11 @@
 	}
 }
 
-// Symptom: a router that has just started sends requests to a replica that is gone,
-// which another one at its address refuses. Sequence: a replica crashed and a new
-// one took its address; the old entry has not lapsed; a router starts and reads
-// both, in the order of their ids. Cause: the one that came later in that order was
-// taken for the successor, and a mark on one that isn't in the directory yet is lost.
+// Guards against a router that sends requests to a crashed replica after its start, which the
+// replica now at that address refuses: a replica crashed and a new one took its address; the old
+// entry has not expired; a router starts and reads both, in the order of their ids. The later one
+// in that order must not be taken for the successor, and a mark on a replica that isn't in the
+// directory yet must not be lost.
 func TestOlderEntryOfAnAddressLeaves(t *testing.T) {
 	for name, order := range map[string][]infra.Value{
 		"older first":   {replicaEntry("i-a", "10.0.0.1:80", 5), replicaEntry("i-b", "10.0.0.1:80", 9)},
@@ -44,19 +44,19 @@
 			}
 			v.Settled()
 			if !v.dir.Leaving("i-a") || v.dir.Leaving("i-b") {
-				t.Errorf("leaving: old %v, young %v", v.dir.Leaving("i-a"), v.dir.Leaving("i-b"))
+				t.Errorf("leaving: old %v, new %v", v.dir.Leaving("i-a"), v.dir.Leaving("i-b"))
 			}
 			v.Gone("servers/i-a")
 			v.Put(replicaEntry("i-c", "10.0.0.1:80", 12))
 			v.Settled()
 			if !v.dir.Leaving("i-b") || v.dir.Leaving("i-c") {
-				t.Errorf("leaving: old %v, young %v", v.dir.Leaving("i-b"), v.dir.Leaving("i-c"))
+				t.Errorf("leaving: old %v, new %v", v.dir.Leaving("i-b"), v.dir.Leaving("i-c"))
 			}
 		})
 	}
 }
 
-// BenchmarkFirstRead measures taking in 3,000 replicas at a start.
+// BenchmarkFirstRead measures adding 3,000 replicas at a start.
 func BenchmarkFirstRead(b *testing.B) {
 	var items []infra.Value
 	for i := range 3000 {
