--- a/placement/neighbours.go
+++ b/placement/neighbours.go
@@ -10,8 +10,8 @@
 	"wigeondale/health"
 )
 
-// Neighbours returns a function that finds up to n other backend servers of b's service and
-// failure domain, those first that are taken to work.
+// Neighbours returns a function that finds up to n other backend servers of b's service and failure
+// domain, in the order of their health states, working ones first.
 func Neighbours(dir *directory.Directory, mon *health.Monitor) func(b fleet.Backend, n int) []fleet.Backend {
 	return func(b fleet.Backend, n int) []fleet.Backend { return neighbours(dir, mon, b, n) }
 }
@@ -32,8 +32,8 @@
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	slices.SortStableFunc(all, func(a, b neighbour) int { return cmp.Compare(a.state, b.state) })
 	out := make([]fleet.Backend, 0, n)
-	for _, one := range all[:min(n, len(all))] {
-		out = append(out, one.Backend)
+	for _, nb := range all[:min(n, len(all))] {
+		out = append(out, nb.Backend)
 	}
 	return out
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement places attempts: it joins the choice among backend servers
-// (routing), what is known of them (directory) and whether they work (health).
+// Package placement places attempts: it combines the choice among backend servers (routing), their
+// known state (directory) and their health (health).
 //
-// Failure story: between the choice and the sending a backend server turns out to
-// be leaving, or another attempt has just been given to it as its only probe. The
-// request would reach a server that is to get nothing. So both are looked up once
-// more at the moment of sending, and the choice is repeated without it.
+// Between the choice and the sending, a backend server may start leaving, or another attempt may be
+// sent to it as its only probe; the request would then reach a server that must get nothing. Both
+// are therefore checked once more at the moment of sending, and the choice is repeated without that
+// server.
 package placement
 
 import (
@@ -20,36 +20,37 @@
 	"wigeondale/routing"
 )
 
-// tries bounds choices repeated because the chosen one was just taken away.
-const tries = 4
+// maxTries bounds how often a choice is repeated because the chosen server became unavailable
+// meanwhile.
+const maxTries = 4
 
-// Chooser chooses among candidates.
+// Chooser chooses a backend server among candidates.
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
-	// Wait is told when a backend server is expected back soon.
+	// Wait is the retry time that is returned when a backend server is expected back soon.
 	Wait time.Duration
 }
 
-// Pick chooses by router and counts the attempt, with its load, until its share
-// ends. Without a choice the error is a *generation.Unavailable.
-func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, ask routing.Ask, load directory.Load) (b fleet.Backend, s generation.Share, err error) {
-	for range tries {
-		ask.Now = time.Now()
-		chosen, _, err := router.Pick(candidates, ask)
+// Pick chooses with the router and counts the attempt, with its load, until the share ends. If no
+// backend server can be chosen, the error is a *generation.Unavailable.
+func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.Ask, load directory.Load) (b fleet.Backend, s generation.Share, err error) {
+	for range maxTries {
+		req.Now = time.Now()
+		chosen, _, err := router.Pick(candidates, req)
 		if err != nil {
-			return fleet.Backend{}, nil, c.none(err)
+			return fleet.Backend{}, nil, c.unavailable(err)
 		}
 		id := chosen.Backend.ID
 		if !c.Dir.Leaving(id) && c.Mon.Allow(id) {
 			return chosen.Backend, c.Dir.Begin(id, load), nil
 		}
-		ask.Exclude = With(ask.Exclude, id)
+		req.Exclude = With(req.Exclude, id)
 	}
 	return fleet.Backend{}, nil, &generation.Unavailable{Retryable: true, RetryAfter: c.Wait}
 }
 
-func (c Chooser) none(err error) error {
+func (c Chooser) unavailable(err error) error {
 	none, ok := errors.AsType[*routing.NoCandidate](err)
 	if !ok {
 		return &generation.Unavailable{Err: err}
@@ -57,7 +58,7 @@
 	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.Wait, Err: err}
 }
 
-// With returns the set with one more id; set is not changed.
+// With returns a copy of set with one more id.
 func With(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k, v := range set {
@@ -67,23 +68,22 @@
 	return out
 }
 
-// Watcher puts attempts under the failure detector.
+// Watcher makes the failure detector watch attempts.
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
-	// Leaves is the code of the refusal by which a backend server says that it
-	// takes no more work.
+	// Leaves is the code of the refusal with which a backend server reports that it accepts no more
+	// work.
 	Leaves string
 }
 
-// Watch begins to watch one attempt.
+// Watch starts to watch one attempt.
 func (w Watcher) Watch(id string, work health.Work, cancel context.CancelCauseFunc) generation.Watch {
 	return w.Monitor.Watch(id, work, cancel)
 }
 
-// Result reports how an attempt began. Only a connection error counts against a
-// backend server: a refusal shows that it is alive. One that refuses because it
-// is leaving gets nothing more.
+// Result reports how an attempt started. Only a connection error counts against a backend server: a
+// refusal shows that it is alive. One that refuses because it is leaving gets no more requests.
 func (w Watcher) Result(id string, err error) {
 	refused, ok := errors.AsType[*backend.Refused](err)
 	if !ok {
