--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -40,7 +40,7 @@
 }{
 	{"long prompts", replaySize{routers: 10, engines: 24, domains: 3, linked: 4, seeds: 3, work: longWork}, overload(6.5, 2.8)},
 	{"slow engines", replaySize{routers: 10, engines: 24, domains: 3, linked: 4, seeds: slowSeeds, work: slowWork}, overload(4.8, 2)},
-	{"routers that hear each other", replaySize{routers: 6, engines: 12, domains: 4, seeds: 3}, overload(3, 4)},
+	{"linked routers", replaySize{routers: 6, engines: 12, domains: 4, seeds: 3}, overload(3, 4)},
 }
 
 // Guards against a client that gets no answer where a late one would do: more prompts arrive than
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -181,7 +181,7 @@
 // valid again.
 func TestBrokenRewriteWithholdsWork(t *testing.T) {
 	broken := invalidEntries()
-	broken["no time of birth"] = string(replicaEntry("i", "10.0.0.1:80", 6).Data)
+	broken["no start time"] = string(replicaEntry("i", "10.0.0.1:80", 6).Data)
 	for name, data := range broken {
 		t.Run(name, func(t *testing.T) {
 			v := newTestView()
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -16,7 +16,7 @@
 // all its loads, or the message about its end is lost. The repetition must also end the requests
 // that it does not list.
 func TestWhatEndedIsForgottenByTheOthers(t *testing.T) {
-	for name, lost := range map[string]bool{"ends before a repetition": false, "its word is lost": true} {
+	for name, lost := range map[string]bool{"ends before a repetition": false, "its message is lost": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
--- a/hosted/replay_size_test.go
+++ b/hosted/replay_size_test.go
@@ -45,8 +45,8 @@
 // a crash, whose runs look for other engines at once, a router that knows only a few engines must
 // not take them for all of them.
 func TestNothingIsRefusedByManyRoutersWhileThereIsRoom(t *testing.T) {
-	usual := load{end: 10 * time.Second, rates: []replay.Rate{{PerSecond: 48}}, crashes: map[time.Duration]string{4 * time.Second: "d2"}}
-	got, all := usual.play(t, manyRouters, func(*replayFleet) {})
+	normal := load{end: 10 * time.Second, rates: []replay.Rate{{PerSecond: 48}}, crashes: map[time.Duration]string{4 * time.Second: "d2"}}
+	got, all := normal.play(t, manyRouters, func(*replayFleet) {})
 	if got.refused > 0 || got.late > all/100 {
 		t.Errorf("of %d: %+v", all, got)
 	}
--- a/hosted/replay_test.go
+++ b/hosted/replay_test.go
@@ -56,8 +56,8 @@
 
 // Guards against requests that are refused although engines idle, under a normal load with a crash.
 func TestNothingIsRefusedWhileThereIsRoom(t *testing.T) {
-	usual := load{end: 15 * time.Second, rates: []replay.Rate{{PerSecond: 3}}, crashes: map[time.Duration]string{6 * time.Second: "d2"}}
-	got, all := usual.play(t, fewRouters, func(*replayFleet) {})
+	normal := load{end: 15 * time.Second, rates: []replay.Rate{{PerSecond: 3}}, crashes: map[time.Duration]string{6 * time.Second: "d2"}}
+	got, all := normal.play(t, fewRouters, func(*replayFleet) {})
 	if got.refused > 0 || got.late > 0 || got.inTime != all {
 		t.Errorf("of %d: %+v", all, got)
 	}
