--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -42,12 +42,12 @@
 	StartedAt int64  `cbor:"3,keyasint,omitempty"`
 }
 
-func (a *adoptedReplica) incarnation() fleet.Lifetime {
-	return fleet.Lifetime{Name: a.Name, Born: a.StartedAt}
+func (a *adoptedReplica) incarnation() fleet.Incarnation {
+	return fleet.Incarnation{Name: a.Name, StartedAt: a.StartedAt}
 }
 
 func adoptedOf(b *fleet.Backend) adoptedReplica {
-	return adoptedReplica{Name: b.Name(), Addr: b.Addr, StartedAt: b.Lifetime.Born}
+	return adoptedReplica{Name: b.Name(), Addr: b.Addr, StartedAt: b.Incarnation.StartedAt}
 }
 
 // adopter searches for replacements while the store is unavailable. Only the nodes that are to read
@@ -56,7 +56,7 @@
 type adopter struct {
 	view      *view
 	storeSync *storeSync
-	finder    *succession.Seeker
+	finder    *succession.Finder
 	broadcast func(m adoptedMessage)
 
 	lastBroadcast time.Time
@@ -86,8 +86,8 @@
 	if !ok || !a.storeSync.isReader() {
 		return
 	}
-	found := a.finder.Seek(ctx, a.view.unreachable(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Found) bool {
-		return f.Memory == service.Memory
+	found := a.finder.Find(ctx, a.view.unreachable(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Replica) bool {
+		return f.MemoryTokens == service.Memory
 	})
 	var toBroadcast []adoptedReplica
 	for i := range found {
@@ -162,7 +162,7 @@
 func (v *view) adoptOne(f *adoptedReplica) {
 	old, ok := v.replicas[v.byAddr[f.Addr]]
 	inc := f.incarnation()
-	if !ok || old.Lifetime == inc {
+	if !ok || old.Incarnation == inc {
 		return
 	}
 	if _, known := v.replicas[inc.ID()]; known {
@@ -176,13 +176,13 @@
 		v.endIncarnation(previous)
 	}
 	b := old
-	b.ID, b.Lifetime, b.VM, b.Leaving = inc.ID(), inc, inc.Name, false
+	b.ID, b.Incarnation, b.VM, b.Leaving = inc.ID(), inc, inc.Name, false
 	// It started after all replicas in the store; its creation revision becomes known later.
 	b.Started = v.latestStart() + 1
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
 	v.adopted[b.ID] = true
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.replaceAtAddress(b, 0)
 	v.changed = true
 }
@@ -212,7 +212,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for id := range v.adopted {
-		name := v.replicas[id].Lifetime.Name
+		name := v.replicas[id].Incarnation.Name
 		v.drop(id, "the store does not list it")
 		v.incarnations.forget(name)
 	}
--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -50,7 +50,7 @@
 	for _, c := range overloadedFleets {
 		var got [2]figures
 		all := 0
-		for i, policy := range []admission.Refusal{admission.RefuseLate, admission.RefuseUnservable} {
+		for i, policy := range []admission.RefusalPolicy{admission.RefuseLate, admission.RefuseUnservable} {
 			size := c.size
 			size.modify = refusing(policy)
 			got[i], all = c.load.play(t, size, func(*replayFleet) {})
@@ -67,6 +67,6 @@
 }
 
 // refusing sets a refusal policy.
-func refusing(policy admission.Refusal) func(*picker) {
+func refusing(policy admission.RefusalPolicy) func(*picker) {
 	return func(p *picker) { p.refusal = policy }
 }
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -68,7 +68,7 @@
 }
 
 // quarantined records that a request is quarantined, which may not be in the store yet.
-func (h *holds) quarantined(hold quarantine.HeldNews, local bool) {
+func (h *holds) quarantined(hold quarantine.HoldUpdate, local bool) {
 	due := time.Now()
 	if !local {
 		due = due.Add(peerHoldWait + rand.N(peerHoldSpread))
@@ -124,7 +124,7 @@
 	h.stored[d] = until
 	h.add(d, &holdTask{due: time.Now().Add(max(left, 0) + rand.N(expirySpread)), remove: true})
 	h.mu.Unlock()
-	h.guard.Hold(quarantine.HeldNews{Digest: d, Account: r.Account, LeftMS: left.Milliseconds()}, "store")
+	h.guard.Hold(quarantine.HoldUpdate{Digest: d, Account: r.Account, RemainingMS: left.Milliseconds()}, "store")
 	return true
 }
 
@@ -145,7 +145,7 @@
 	delete(h.tasks, d)
 	h.mu.Unlock()
 	if !known || time.Now().Before(until) {
-		h.guard.RecordGone(d)
+		h.guard.RecordRemoved(d)
 	} else if hold, ok := h.guard.HoldOf(d); ok {
 		h.quarantined(hold, false)
 	}
@@ -206,7 +206,7 @@
 	t.due = time.Now().Add(holdRetry)
 	h.log.Emit(event.HoldNotStored, "digest", d.String(), "remove", t.remove, "err", err)
 	if t.local {
-		h.guard.Repeat(d)
+		h.guard.RebroadcastHold(d)
 	}
 }
 
@@ -221,7 +221,7 @@
 	if !ok {
 		return nil // lifted meanwhile
 	}
-	left := time.Duration(hold.LeftMS) * time.Millisecond
+	left := time.Duration(hold.RemainingMS) * time.Millisecond
 	data, err := json.Marshal(holdRecord{Account: hold.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
 	if err != nil {
 		return Error.Wrap(err)
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -96,7 +96,7 @@
 	n.holds = newHolds(store, n.log)
 	n.view = newView(n.table, n.dir, n.mon, n.peers, n.rollouts, log)
 	n.view.holds = n.holds
-	n.mirror = mirror.New(store, n.view, mirror.Config{Reads: n.storeSync.readsStore, OnNews: n.storeSync.broadcast, Log: log, Set: n.meter})
+	n.mirror = mirror.New(store, n.view, mirror.Config{IsReader: n.storeSync.readsStore, OnUpdate: n.storeSync.broadcast, Log: log, Set: n.meter})
 	n.storeSync.mirror = n.mirror
 	relay, err := n.newRelay()
 	if err != nil {
@@ -111,7 +111,7 @@
 	n.adopter = &adopter{view: n.view, storeSync: n.storeSync, finder: succession.New(replicas), broadcast: n.peers.broadcastAdopted}
 	n.peers.adopter = n.adopter
 	queryRuns := runQuerier{n.dir, replicas}
-	n.mon.Inquirer = queryRuns
+	n.mon.RunQuerier = queryRuns
 	n.guard = n.newGuard(queryRuns)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
 	finder := holders.New(replicas, holders.Config{Set: n.meter})
@@ -125,31 +125,31 @@
 	}
 	pick.broadcastSoon = n.peers.broadcastSoon
 	pick.rollouts = n.rollouts
-	pick.refusal = admission.Refusal(n.set.Hosted.Decisions.Refusing)
+	pick.refusal = admission.RefusalPolicy(n.set.Hosted.Decisions.Refusing)
 	budgets := newBudgets(n.set.Hosted, n.peers.registeredNodes)
 	runner, err := generation.New(generation.Deps{
-		Admitter: admitAll{},
-		Picker:   pick,
-		Watcher:  placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
-		Engines:  observedEngines{replicas, n.rollouts},
-		Budget:   budgets,
-		Copier:   replicas,
-		Inquirer: replicas,
-		Guard:    n.guard,
+		Admitter:   admitAll{},
+		Picker:     pick,
+		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
+		Engines:    observedEngines{replicas, n.rollouts},
+		Budget:     budgets,
+		Copier:     replicas,
+		RunQuerier: replicas,
+		Guard:      n.guard,
 	}, generation.Options{
-		Node:            n.set.Node.ID,
-		StartedPatience: startedMaxWait,
-		RetryAfter:      refusedRetry,
-		MaxFruitless:    maxFruitless,
-		Rand:            rand.Float64,
-		Log:             n.log,
-		Metrics:         n.meter,
+		Node:                 n.set.Node.ID,
+		StartedMaxWait:       startedMaxWait,
+		RetryAfter:           refusedRetry,
+		MaxTokenlessAttempts: maxFruitless,
+		Rand:                 rand.Float64,
+		Log:                  n.log,
+		Metrics:              n.meter,
 	})
 	if err != nil {
 		return nil, err
 	}
 	return relay.New(relay.Config{
-		Table: n.table, Runner: runner, Budgets: budgets, Patience: pick.refusal.Patience, Log: n.log, Set: n.meter,
+		Table: n.table, Runner: runner, Budgets: budgets, StreamMaxWait: pick.refusal.MaxWait, Log: n.log, Set: n.meter,
 	}), nil
 }
 
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -31,10 +31,10 @@
 // apply puts a single item into the view.
 func (v *view) apply(item infra.Value) {
 	v.Put(item)
-	v.Settled()
+	v.BatchDone()
 }
 
-func idOf(name string, at int64) string { return fleet.Lifetime{Name: name, Born: at}.ID() }
+func idOf(name string, at int64) string { return fleet.Incarnation{Name: name, StartedAt: at}.ID() }
 
 // Guards against a healthy replica that gets no work, or a run that is waited for although it is
 // lost: a replica restarts under its name, and state of the earlier incarnation (a mark of leaving,
@@ -56,7 +56,7 @@
 	if !v.dir.Leaving(idOf("i", 1000)) {
 		t.Error("the earlier incarnation still gets work")
 	}
-	if context.Cause(ctx) != health.ErrEnded {
+	if context.Cause(ctx) != health.ErrRestarted {
 		t.Errorf("the run of the earlier incarnation is waited for: %v", context.Cause(ctx))
 	}
 }
@@ -68,12 +68,12 @@
 	v := newTestView()
 	v.Put(entryStartedAt("i", 2000, 5, "ready"))
 	v.Put(entryStartedAt("i", 1000, 6, "ready")) // the clock was set back
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(idOf("i", 1000)) || !v.dir.Leaving(idOf("i", 2000)) {
 		t.Error("a later start with an earlier start time is ignored")
 	}
 	v.Put(entryStartedAt("i", 2000, 7, "ready")) // a heartbeat that was in flight
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(idOf("i", 1000)) || !v.dir.Leaving(idOf("i", 2000)) {
 		t.Error("a replaced incarnation is current again")
 	}
@@ -92,7 +92,7 @@
 	}
 	v.Put(entryStartedAt("i", 1000, 6, "ready"))
 	v.adopt([]adoptedReplica{{Name: "i", Addr: "10.0.0.1:80", StartedAt: 1000}})
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(idOf("i", 2000)) || !v.dir.Leaving(idOf("i", 1000)) {
 		t.Error("an older report undid the adoption")
 	}
@@ -170,7 +170,7 @@
 			if got := v.dir.IDs(); len(got) != 1 {
 				t.Errorf("known are %v", got)
 			}
-			v.Gone("servers/x")
+			v.Removed("servers/x")
 		})
 	}
 }
@@ -205,7 +205,7 @@
 	v.apply(infra.Value{Key: "servers/x", CreateRev: 9, ModRev: 9, Data: []byte(invalidEntries()["unnamed service"])})
 	v.table.Install(route.NewTable(&route.Config{Version: 2, Services: []route.Service{{Name: "llm"}, {Name: "other"}}}))
 	v.retryUnknownServices()
-	v.Settled()
+	v.BatchDone()
 	if len(v.dir.IDs()) != 1 {
 		t.Error("the replica is not known")
 	}
@@ -229,7 +229,7 @@
 			}
 			v.Put(item)
 		}
-		v.Settled()
+		v.BatchDone()
 		for _, id := range v.dir.IDs() {
 			if !want[id] {
 				rt.Errorf("%s is known", id)
--- a/hosted/incarnations.go
+++ b/hosted/incarnations.go
@@ -14,8 +14,8 @@
 // reports from the store in the order of their revisions, but an incarnation that another one has
 // replaced never becomes current again.
 type incarnations struct {
-	current  map[string]fleet.Lifetime   // current incarnation by name
-	replaced map[string][]fleet.Lifetime // replaced incarnations by name, the latest last
+	current  map[string]fleet.Incarnation   // current incarnation by name
+	replaced map[string][]fleet.Incarnation // replaced incarnations by name, the latest last
 }
 
 // maxReplaced is the number of replaced incarnations that are remembered for a name. A report older
@@ -23,7 +23,7 @@
 const maxReplaced = 16
 
 func newIncarnations() incarnations {
-	return incarnations{current: map[string]fleet.Lifetime{}, replaced: map[string][]fleet.Lifetime{}}
+	return incarnations{current: map[string]fleet.Incarnation{}, replaced: map[string][]fleet.Incarnation{}}
 }
 
 // relation is the relation of a reported incarnation to the current one of its name.
@@ -38,7 +38,7 @@
 
 // update records a reported incarnation. It returns the incarnation that was current before, and
 // how the reported one relates to it.
-func (l *incarnations) update(reported fleet.Lifetime) (before fleet.Lifetime, rel relation) {
+func (l *incarnations) update(reported fleet.Incarnation) (before fleet.Incarnation, rel relation) {
 	known, ok := l.current[reported.Name]
 	switch {
 	case !ok:
@@ -54,7 +54,7 @@
 	return known, restarted
 }
 
-func (l *incarnations) markReplaced(inc fleet.Lifetime) {
+func (l *incarnations) markReplaced(inc fleet.Incarnation) {
 	kept := append(l.replaced[inc.Name], inc)
 	if len(kept) > maxReplaced {
 		kept = kept[len(kept)-maxReplaced:]
@@ -63,7 +63,7 @@
 }
 
 // get returns the current incarnation of a name.
-func (l *incarnations) get(name string) (fleet.Lifetime, bool) {
+func (l *incarnations) get(name string) (fleet.Incarnation, bool) {
 	inc, ok := l.current[name]
 	return inc, ok
 }
--- a/hosted/load_query.go
+++ b/hosted/load_query.go
@@ -73,14 +73,14 @@
 
 // needed reports whether engines are to be queried, since the other routers don't broadcast their
 // loads.
-func (s *loadQuerier) needed() bool { return s.states != nil && !s.dir.OthersTell() }
+func (s *loadQuerier) needed() bool { return s.states != nil && !s.dir.PeersSendLoads() }
 
 // sample returns the engines to query for a request with the given key: some of its preferred
 // engines, or of a larger set if those are too few or were queried before.
-func (s *loadQuerier) sample(candidates []routing.Candidate, req routing.Ask, key uint64, earlier int) []routing.Candidate {
+func (s *loadQuerier) sample(candidates []routing.Candidate, req routing.PickRequest, key uint64, earlier int) []routing.Candidate {
 	req.Now = time.Now()
 	for n := preferredEngines * (1 + earlier); ; n *= 2 {
-		drawn := s.sampler.Draw(routing.Homes(candidates, key, n), req, queriedEngines)
+		drawn := s.sampler.Draw(routing.PreferredEngines(candidates, key, n), req, queriedEngines)
 		if len(drawn) == queriedEngines || n >= len(candidates) {
 			return drawn
 		}
@@ -89,7 +89,7 @@
 
 // query queries engines and waits for their responses, at most queryMaxWait. It returns how many
 // responded.
-func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.Usual) (answered int) {
+func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.RequestSize) (answered int) {
 	answers := make(chan bool, len(drawn))
 	for _, c := range drawn {
 		go func() { answers <- s.queryOne(context.WithoutCancel(ctx), c.Backend, typical) }()
@@ -113,7 +113,7 @@
 
 // queryOne records the load that one engine reports. An engine without a response is not chosen
 // now; whether it works is decided by its runs.
-func (s *loadQuerier) queryOne(ctx context.Context, b fleet.Backend, typical directory.Usual) bool {
+func (s *loadQuerier) queryOne(ctx context.Context, b fleet.Backend, typical directory.RequestSize) bool {
 	s.queried.Inc()
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
 	defer stop()
@@ -145,7 +145,7 @@
 
 // queryEngines queries engines for a request near the head of the queue, which has waited for the
 // given time.
-func (p *picker) queryEngines(ctx context.Context, a generation.Ask, q *queue, waited time.Duration) {
+func (p *picker) queryEngines(ctx context.Context, a generation.PickRequest, q *queue, waited time.Duration) {
 	if !p.loadQuerier.needed() || !q.queryGate.due(waited == 0, time.Now()) {
 		return
 	}
@@ -154,14 +154,14 @@
 	req.OtherDomain = a.LostDomain
 	drawn := p.loadQuerier.sample(p.candidates(a), req, preferredKey(a), int(waited/queryInterval))
 	answered := p.loadQuerier.query(ctx, drawn, q.typicalSize.get())
-	p.log.Emit(event.EnginesSurveyed, "request", a.Request, "service", a.Service,
+	p.log.Emit(event.EnginesSurveyed, "request", a.RequestID, "service", a.Service,
 		"asked", len(drawn), "answered", answered, "took_ms", time.Since(startedAt).Milliseconds())
 }
 
 // preferredKey returns the key that determines a request's preferred engines.
-func preferredKey(a generation.Ask) uint64 {
-	if a.Own == "" {
-		return xxhash.Sum64String(a.Request)
+func preferredKey(a generation.PickRequest) uint64 {
+	if a.UniquePart == "" {
+		return xxhash.Sum64String(a.RequestID)
 	}
-	return xxhash.Sum64String(a.Own)
+	return xxhash.Sum64String(a.UniquePart)
 }
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -76,7 +76,7 @@
 // broadcastLoads sends all loads, or those that changed since last, and returns the loads sent and
 // the time when all were sent last.
 func (p *peers) broadcastLoads(now time.Time, last directory.PeerLoads, lastFull time.Time, send func(loadsMessage)) (directory.PeerLoads, time.Time) {
-	local := p.dir.OwnLoads()
+	local := p.dir.LocalLoads()
 	if now.Sub(lastFull) >= loadsFullInterval {
 		send(loadsMessage{Loads: local, All: true})
 		return local, now
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -35,7 +35,7 @@
 					}
 				}, to.applyPeerLoads)
 				time.Sleep(loadsInterval + time.Millisecond) // the first repetition
-				share := local.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Held: 6000})
+				share := local.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Memory: 6000})
 				time.Sleep(loadsFullInterval - loadsInterval) // just before the next one
 				if remote.dir.Reading("e0") != 5000 {
 					t.Fatal("the other router does not know the request")
@@ -71,12 +71,12 @@
 		go p.broadcastLoop(ctx, func(loadsMessage) {}, func(time.Time) {})
 		p.handleLoads("other", loadsMessage{All: true, Loads: directory.PeerLoads{"e0": {Requests: 1, Reading: 5000}}})
 		time.Sleep(2 * loadsInterval)
-		if !pick.dir.OthersTell() || pick.dir.Reading("e0") != 5000 {
+		if !pick.dir.PeersSendLoads() || pick.dir.Reading("e0") != 5000 {
 			t.Fatal("the loads of the only other router don't count")
 		}
 		many.Store(true)
 		time.Sleep(2 * loadsInterval)
-		if pick.dir.OthersTell() || pick.dir.Reading("e0") != 0 {
+		if pick.dir.PeersSendLoads() || pick.dir.Reading("e0") != 0 {
 			t.Error("the loads of a few routers count")
 		}
 		stop()
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -154,9 +154,9 @@
 // crashed probes whether a replica has crashed, which the failure detector finds out only with the
 // next attempts there.
 func (s *rollouts) crashed(b fleet.Backend) bool {
-	ctx, stop := context.WithTimeout(context.Background(), quarantine.LookTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
-	return s.prober.Look(ctx, b) == quarantine.Ended
+	return s.prober.Probe(ctx, b) == quarantine.Exited
 }
 
 func (r *observedRun) end(s *rollouts) {
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -112,7 +112,7 @@
 func (p *peers) broadcastCrash(domain string) {
 	if mesh := p.currentMesh(); mesh != nil {
 		// If it is not delivered, the other routers find out on their own.
-		_ = mesh.Tell(floodCrash, crashMessage{domain})
+		_ = mesh.SendToLinked(floodCrash, crashMessage{domain})
 	}
 }
 
@@ -198,7 +198,7 @@
 			addrs = append(addrs, addr)
 		}
 	}
-	p.mesh.AddSeeds(addrs)
+	p.mesh.SetDiscoveredSeeds(addrs)
 }
 
 // registeredNodes returns the number of registered nodes, this one included.
@@ -246,9 +246,9 @@
 		}
 	}()
 	defer l.Close()
-	p.fullyLinked = mesh.Full
+	p.fullyLinked = mesh.IsFullMesh
 	go p.broadcastLoop(ctx, func(m loadsMessage) {
-		_ = mesh.Tell(msgLoads, m) // a lost message is repeated with the next full one
+		_ = mesh.SendToLinked(msgLoads, m) // a lost message is repeated with the next full one
 	}, func(now time.Time) {
 		p.storeSync.tick(now)
 		p.rollouts.tick(now)
@@ -264,17 +264,17 @@
 		Heartbeat:     peerHeartbeat,
 		DialTimeout:   peerDialTimeout,
 		MaxBackoff:    peerMaxBackoff,
-		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, NearLinks: p.set.Peers.LinksInside, FarLinks: p.set.Peers.LinksAcross},
+		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, SameDomainLinks: p.set.Peers.LinksInside, OtherDomainLinks: p.set.Peers.LinksAcross},
 	}, p.key, p.log, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	peer.Handle(mesh, msgLoads, p.handleLoads)
-	peer.Handle(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.DomainRumour(m.Domain) })
-	peer.Handle(mesh, floodRemoved, func(_ string, m removedMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
-	peer.Handle(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.handleAdopted(m) })
-	peer.Handle(mesh, floodRollout, p.rollouts.handleReport)
-	peer.Handle(mesh, quarantine.FloodNews, p.guard.Hear)
+	peer.HandleFlood(mesh, msgLoads, p.handleLoads)
+	peer.HandleFlood(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.HandleDomainReport(m.Domain) })
+	peer.HandleFlood(mesh, floodRemoved, func(_ string, m removedMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromPeerReport) })
+	peer.HandleFlood(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.handleAdopted(m) })
+	peer.HandleFlood(mesh, floodRollout, p.rollouts.handleReport)
+	peer.HandleFlood(mesh, quarantine.FloodUpdate, p.guard.HandleUpdate)
 	p.storeSync.join(mesh)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -48,7 +48,7 @@
 	loadQuerier     *loadQuerier
 	// rollouts determines which versions attempts may use; nil for any version.
 	rollouts *rollouts
-	refusal  admission.Refusal
+	refusal  admission.RefusalPolicy
 	// broadcastSoon makes this router broadcast its changed loads at once.
 	broadcastSoon func()
 }
@@ -88,7 +88,7 @@
 	standbySteps   = withCommonSteps(
 		routing.StepConfig{Name: routing.FilterHealthy},
 		routing.StepConfig{Name: routing.FilterFresh},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.ScoreMemory},
 	)
 )
@@ -99,7 +99,7 @@
 	return withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
 		routing.StepConfig{Name: byAge},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.FilterBacklog},
 		routing.StepConfig{Name: routing.ScoreDelay},
 		routing.StepConfig{Name: routing.ScoreMemory, Weight: memoryWeight},
@@ -123,20 +123,20 @@
 
 // Pick implements generation.Picker. Whether a replica is leaving is checked once more at the
 // moment of sending.
-func (p *picker) Pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) Pick(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	b, share, err := p.pick(ctx, a)
 	ro := p.rollouts.of(a.Service)
 	switch {
 	case ro == nil:
 	case err == nil:
-		ro.Sent(a.Request)
-	case ro.Unassign(a.Request): // the version on trial has no replica for it
+		ro.Sent(a.RequestID)
+	case ro.Unassign(a.RequestID): // the version on trial has no replica for it
 		return p.Pick(ctx, a)
 	}
 	return b, share, err
 }
 
-func (p *picker) pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) pick(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	if b, share, ok := p.replicaWithCopy(a); ok {
 		return b, share, nil
 	}
@@ -150,7 +150,7 @@
 }
 
 // choose prefers failure domains other than that of the attempt that was lost.
-func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.Ask, load directory.Load) (fleet.Backend, generation.Share, error) {
+func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.PickRequest, load directory.Load) (fleet.Backend, generation.LoadShare, error) {
 	req := p.pickRequest(a)
 	req.OtherDomain = a.LostDomain
 	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: waitForReplica}
@@ -163,7 +163,7 @@
 }
 
 // replicaWithCopy returns the replica that has a copy of the run, if it accepts work.
-func (p *picker) replicaWithCopy(a generation.Ask) (fleet.Backend, generation.Share, bool) {
+func (p *picker) replicaWithCopy(a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
 	if a.Prefer == "" || a.Exclude[a.Prefer] || p.dir.Leaving(a.Prefer) || !p.allowed(a.Prefer) {
 		return fleet.Backend{}, nil, false
 	}
@@ -172,14 +172,14 @@
 		return fleet.Backend{}, nil, false
 	}
 	prompt, _ := tokensOf(a)
-	p.queues.of(a.Service).losses.Lost(time.Now())
+	p.queues.of(a.Service).losses.RecordLoss(time.Now())
 	return b, p.dir.Begin(b.ID, loadOf(a, int((1-unreadByCopy)*float64(prompt)))), true
 }
 
 // replicaWithPrompt returns the replica that still has the prompt of a returning client in its
 // cache.
-func (p *picker) replicaWithPrompt(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, bool) {
-	if len(a.Parts) == 0 {
+func (p *picker) replicaWithPrompt(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
+	if len(a.PromptParts) == 0 {
 		return fleet.Backend{}, nil, false
 	}
 	var live []fleet.Backend
@@ -188,8 +188,8 @@
 			live = append(live, c.Backend)
 		}
 	}
-	id, tokens := p.cacheFinder.Find(ctx, live, a.Parts)
-	p.log.Emit(event.HolderSought, "request", a.Request, "asked", len(live), "backend", id, "tokens", tokens)
+	id, tokens := p.cacheFinder.Find(ctx, live, a.PromptParts)
+	p.log.Emit(event.HolderSought, "request", a.RequestID, "asked", len(live), "backend", id, "tokens", tokens)
 	if tokens == 0 || p.dir.Leaving(id) {
 		return fleet.Backend{}, nil, false
 	}
@@ -205,22 +205,22 @@
 //
 // If each router queried all engines, then after a restart of all routers, when all clients return
 // within one second, thousands of queries would delay the work of the engines.
-func (p *picker) cacheCandidates(a generation.Ask) []routing.Candidate {
+func (p *picker) cacheCandidates(a generation.PickRequest) []routing.Candidate {
 	all := p.allowedReplicas(a.Service)
-	if !p.loadQuerier.needed() || a.Own == "" {
+	if !p.loadQuerier.needed() || a.UniquePart == "" {
 		return all
 	}
-	return routing.Homes(all, preferredKey(a), 2*preferredEngines)
+	return routing.PreferredEngines(all, preferredKey(a), 2*preferredEngines)
 }
 
-// Keeps implements generation.Picker.
-func (p *picker) Keeps(id string) bool {
+// KeepsCopy implements generation.Picker.
+func (p *picker) KeepsCopy(id string) bool {
 	return p.healthy(id) && !p.dir.Leaving(id) && p.allowed(id)
 }
 
 // Standby implements generation.Picker. It chooses a replica in another failure domain than b's, so
 // that the loss of one domain does not take both the run and its copy.
-func (p *picker) Standby(a generation.Ask, b fleet.Backend) (fleet.Backend, generation.Share, bool) {
+func (p *picker) Standby(a generation.PickRequest, b fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	req := p.pickRequest(a)
 	req.Now = time.Now()
 	req.Exclude = placement.With(a.Exclude, b.ID)
@@ -230,11 +230,11 @@
 	if err != nil {
 		return fleet.Backend{}, nil, false
 	}
-	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Held: float64(req.Holds)}), true
+	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Memory: float64(req.MemoryTokens)}), true
 }
 
-func (p *picker) pickRequest(a generation.Ask) routing.Ask {
-	req := routing.Ask{
+func (p *picker) pickRequest(a generation.PickRequest) routing.PickRequest {
+	req := routing.PickRequest{
 		Priority:   a.Priority,
 		Exclude:    a.Exclude,
 		Resume:     a.Resume,
@@ -248,7 +248,7 @@
 		req.Backlog = idleOnly
 	}
 	prompt, answer := tokensOf(a)
-	req.Tokens, req.Holds = prompt, prompt+answer
+	req.PromptTokens, req.MemoryTokens = prompt, prompt+answer
 	return req
 }
 
@@ -264,20 +264,20 @@
 func (p *picker) healthy(id string) bool { return p.mon.State(id) == health.Healthy }
 
 // tokensOf returns the tokens of a request's prompt and answer.
-func tokensOf(a generation.Ask) (prompt, answer int) {
-	if a.Size <= 0 {
+func tokensOf(a generation.PickRequest) (prompt, answer int) {
+	if a.PromptTokens <= 0 {
 		return typicalPrompt, typicalAnswer
 	}
-	return a.Size, a.Answer
+	return a.PromptTokens, a.MaxAnswerTokens
 }
 
 // loadOf returns the load of a run on an engine that has the given number of tokens of its prompt
 // cached.
-func loadOf(a generation.Ask, cached int) directory.Load {
+func loadOf(a generation.PickRequest, cached int) directory.Load {
 	prompt, answer := tokensOf(a)
 	return directory.Load{
 		Requests: 1,
 		Reading:  float64(max(prompt-cached, 1)),
-		Held:     float64(prompt + answer),
+		Memory:   float64(prompt + answer),
 	}
 }
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -41,9 +41,9 @@
 // queue holds the requests waiting for the engines of one service, and estimates about those
 // engines.
 type queue struct {
-	waitQueue   *admission.Line
-	reading     admission.Reading
-	losses      *admission.Losses
+	waitQueue   *admission.WaitQueue
+	reading     admission.PrefillRate
+	losses      *admission.LossHistory
 	queryGate   queryGate
 	typicalSize typicalSize
 }
@@ -59,7 +59,7 @@
 	defer q.mu.Unlock()
 	sq := q.byService[service]
 	if sq == nil {
-		sq = &queue{waitQueue: admission.NewLine(), losses: admission.NewLosses(time.Now())}
+		sq = &queue{waitQueue: admission.NewWaitQueue(), losses: admission.NewLossHistory(time.Now())}
 		if q.byService == nil {
 			q.byService = map[string]*queue{}
 		}
@@ -69,20 +69,20 @@
 }
 
 // backlog returns the bound on the tokens that an engine has still to read.
-func (q *queue) backlog(a generation.Ask) float64 {
-	return q.reading.Within(time.Duration(readingShare * float64(a.Target)))
+func (q *queue) backlog(a generation.PickRequest) float64 {
+	return q.reading.TokensWithin(time.Duration(readingShare * float64(a.FirstChunkTarget)))
 }
 
 // pickEngine chooses an engine for a request that is near the head of the queue, or returns when to
 // try again.
-func (p *picker) pickEngine(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) pickEngine(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	q := p.queues.of(a.Service)
 	rank := admission.RankNew
 	if sentBefore(a) {
 		rank = admission.RankStarted
 	}
 	now := time.Now()
-	pos := q.waitQueue.Wait(a.Request, rank, a.Age, now)
+	pos := q.waitQueue.Poll(a.RequestID, rank, a.SinceFirstTry, now)
 	a.Late = pos.Late
 	if pos.Ahead >= activeWaiters {
 		return fleet.Backend{}, nil, p.waitOrRefuse(q, a, pos, now)
@@ -91,37 +91,37 @@
 	b, share, err := p.chooseEngine(a)
 	if err == nil {
 		q.typicalSize.add(tokensOf(a))
-		q.waitQueue.Had(a.Request, now)
+		q.waitQueue.RecordGrant(a.RequestID, now)
 		if a.Resume {
-			q.losses.Lost(now)
+			q.losses.RecordLoss(now)
 		}
 		p.logChoice(a, b.ID, pos, now)
 		return b, p.timed(q, b.ID, share), nil
 	}
 	if u, ok := errors.AsType[*generation.Unavailable](err); !ok || !u.Retryable {
-		q.waitQueue.Leave(a.Request)
+		q.waitQueue.Remove(a.RequestID)
 		return fleet.Backend{}, nil, err
 	}
 	return fleet.Backend{}, nil, p.waitOrRefuse(q, a, pos, now)
 }
 
 // logChoice logs the chosen engine and the load it was chosen by.
-func (p *picker) logChoice(a generation.Ask, id string, pos admission.Turn, now time.Time) {
+func (p *picker) logChoice(a generation.PickRequest, id string, pos admission.Position, now time.Time) {
 	load, age, known := p.dir.Estimate(id, now)
 	ageMS := int64(-1)
 	if known {
 		ageMS = max(age.Milliseconds(), 0)
 	}
-	p.log.Emit(event.EngineChosen, "request", a.Request, "backend", id, "waited_ms", pos.Waited.Milliseconds(),
-		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Held), "age_ms", ageMS)
+	p.log.Emit(event.EngineChosen, "request", a.RequestID, "backend", id, "waited_ms", pos.Waited.Milliseconds(),
+		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Memory), "age_ms", ageMS)
 }
 
 // chooseEngine chooses an engine for a run: a preferred one of the request if any of them can take
 // it.
-func (p *picker) chooseEngine(a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) chooseEngine(a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	all, load := p.candidates(a), loadOf(a, 0)
 	if p.loadQuerier.needed() {
-		b, share, err := p.choose(p.preferredEngine, routing.Homes(all, preferredKey(a), preferredEngines), a, load)
+		b, share, err := p.choose(p.preferredEngine, routing.PreferredEngines(all, preferredKey(a), preferredEngines), a, load)
 		if err == nil {
 			return b, share, nil
 		}
@@ -131,43 +131,43 @@
 
 // waitOrRefuse returns when a request is to try again, or refuses it, by the configured refusal
 // policy. A request that an engine has received is never refused here.
-func (p *picker) waitOrRefuse(q *queue, a generation.Ask, pos admission.Turn, now time.Time) error {
+func (p *picker) waitOrRefuse(q *queue, a generation.PickRequest, pos admission.Position, now time.Time) error {
 	wait := p.waitState(q, a, pos, now)
 	if !sentBefore(a) {
 		if retryAfter, refused := p.refusal.Refuses(wait); refused {
-			q.waitQueue.Leave(a.Request)
+			q.waitQueue.Remove(a.RequestID)
 			return p.refuse(a, wait, retryAfter)
 		}
 		if !wait.InTime() && !pos.Late {
-			pos = q.waitQueue.Late(a.Request, now)
+			pos = q.waitQueue.MarkLate(a.RequestID, now)
 		}
 	}
 	if pos.Waited == 0 {
-		p.log.Emit(event.RequestWaits, "request", a.Request, "service", a.Service, "ahead", pos.Ahead, "late", pos.Late,
-			"expect_ms", wait.Expect.Milliseconds(), "backlog_tokens", int(q.backlog(a)))
+		p.log.Emit(event.RequestWaits, "request", a.RequestID, "service", a.Service, "ahead", pos.Ahead, "late", pos.Late,
+			"expect_ms", wait.Expected.Milliseconds(), "backlog_tokens", int(q.backlog(a)))
 	}
 	next := retryInterval * time.Duration(1+min(pos.Ahead, maxRetryFactor))
 	return &generation.Unavailable{Retryable: true, RetryAfter: next, Err: errOverloaded}
 }
 
 // waitState returns what is known of a waiting request.
-func (p *picker) waitState(q *queue, a generation.Ask, pos admission.Turn, now time.Time) admission.Wait {
-	expect, _ := q.waitQueue.Expect(pos.Ahead+1, now) // 0 while no rate is known
-	return admission.Wait{Turn: pos, Expect: expect, Target: a.Target, Left: a.Left}
+func (p *picker) waitState(q *queue, a generation.PickRequest, pos admission.Position, now time.Time) admission.WaitState {
+	expect, _ := q.waitQueue.ExpectedWait(pos.Ahead+1, now) // 0 while no rate is known
+	return admission.WaitState{Position: pos, Expected: expect, Target: a.FirstChunkTarget, CallerTimeLeft: a.TimeLeft}
 }
 
 // refuse returns a refusal with the time after which the client should come back.
-func (p *picker) refuse(a generation.Ask, w admission.Wait, retryAfter time.Duration) error {
+func (p *picker) refuse(a generation.PickRequest, w admission.WaitState, retryAfter time.Duration) error {
 	advice := retryAfter + time.Duration(adviceSpread*rand.Float64()*float64(retryAfter))
-	p.log.Emit(event.RequestOverload, "request", a.Request, "service", a.Service, "ahead", w.Ahead,
-		"waited_ms", w.Waited.Milliseconds(), "expect_ms", w.Expect.Milliseconds(), "advice_ms", advice.Milliseconds())
+	p.log.Emit(event.RequestOverload, "request", a.RequestID, "service", a.Service, "ahead", w.Ahead,
+		"waited_ms", w.Waited.Milliseconds(), "expect_ms", w.Expected.Milliseconds(), "advice_ms", advice.Milliseconds())
 	return &generation.Unavailable{Code: codeOverloaded, RetryAfter: advice, Err: errOverloaded}
 }
 
 // sentBefore reports whether the request was sent to an engine that was lost, or from which it was
 // moved to another version. It is then no longer certain that the request has not run, so a refusal
 // would be a failure without a time to come back.
-func sentBefore(a generation.Ask) bool { return a.Reached || a.Resume || a.LostDomain != "" }
+func sentBefore(a generation.PickRequest) bool { return a.MayHaveRun || a.Resume || a.LostDomain != "" }
 
 var errOverloaded = Error.New("all engines have as much work as they can take")
 
@@ -182,7 +182,7 @@
 	broadcastSoon func()
 }
 
-func (p *picker) timed(q *queue, id string, s generation.Share) generation.Share {
+func (p *picker) timed(q *queue, id string, s generation.LoadShare) generation.LoadShare {
 	share, ok := s.(*directory.Share)
 	if !ok {
 		return s
@@ -191,10 +191,10 @@
 	return &timedShare{Share: share, queue: q, tokens: p.dir.Reading(id), startedAt: time.Now(), broadcastSoon: p.broadcastSoon}
 }
 
-// Begun implements generation.Share.
-func (t *timedShare) Begun() {
+// PrefillDone implements generation.Share.
+func (t *timedShare) PrefillDone() {
 	t.firstChunk.Do(func() {
-		t.Share.Begun()
+		t.Share.PrefillDone()
 		t.queue.reading.Observe(t.tokens, time.Since(t.startedAt))
 		t.broadcastSoon()
 	})
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -70,8 +70,8 @@
 }
 
 func (n *storeSync) join(mesh *peer.Mesh) {
-	peer.Handle(mesh, msgSync, n.handleSync)
-	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.Question) (mirror.Delta, error) {
+	peer.HandleFlood(mesh, msgSync, n.handleSync)
+	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.DeltaRequest) (mirror.Delta, error) {
 		return n.mirror.Delta(q), nil
 	})
 	n.mu.Lock()
@@ -145,7 +145,7 @@
 	n.mu.Unlock()
 	if mesh != nil {
 		// Sent again soon; a neighbour that misses it reads the store itself.
-		_ = mesh.Tell(msgSync, m)
+		_ = mesh.SendToLinked(msgSync, m)
 	}
 }
 
@@ -166,10 +166,10 @@
 
 // pull requests and applies the difference to a neighbour's newer copy.
 func (n *storeSync) pull(mesh *peer.Mesh, from string) {
-	err := n.mirror.Pull(from, func(q mirror.Question) (mirror.Delta, error) {
+	err := n.mirror.Pull(from, func(q mirror.DeltaRequest) (mirror.Delta, error) {
 		ctx, stop := context.WithTimeout(context.Background(), pullTimeout)
 		defer stop()
-		return peer.Call[mirror.Question, mirror.Delta](ctx, mesh, from, callDelta, q)
+		return peer.Call[mirror.DeltaRequest, mirror.Delta](ctx, mesh, from, callDelta, q)
 	})
 	if err != nil {
 		n.log.Emit(event.PeerAskFailed, "peer", from, "err", err)
--- a/hosted/store_sync_size_test.go
+++ b/hosted/store_sync_size_test.go
@@ -117,8 +117,8 @@
 	h.latest = max(h.latest, v.ModRev)
 }
 
-func (*lagRecorder) Gone(string) {}
-func (*lagRecorder) Settled()    {}
+func (*lagRecorder) Removed(string) {}
+func (*lagRecorder) BatchDone()     {}
 
 // syncNode is one node with its links and its copy of the store.
 type syncNode struct {
@@ -129,20 +129,20 @@
 
 func syncNodeID(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func startSyncNode(t *testing.T, ctx context.Context, f *peertest.Fabric, log *changeLog, seeds []string, i, domains int) *syncNode {
+func startSyncNode(t *testing.T, ctx context.Context, f *peertest.Network, log *changeLog, seeds []string, i, domains int) *syncNode {
 	id, domain := syncNodeID(i), fmt.Sprint("d", i%domains)
 	n := &syncNode{recorder: &lagRecorder{log: log}, rejected: &atomic.Bool{}}
 	mesh, err := peer.New(peer.Config{
 		ID: id, Addr: id, FailureDomain: domain, Dial: f.Dial(id),
 		Heartbeat: peerHeartbeat, DialTimeout: peerDialTimeout, MaxBackoff: peerMaxBackoff,
-		Topology: peer.Topology{FullMeshLimit: 24, NearLinks: 3, FarLinks: 3},
+		Topology: peer.Topology{FullMeshLimit: 24, SameDomainLinks: 3, OtherDomainLinks: 3},
 	}, make([]byte, peerKeyBytes), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mesh.AddSeeds(seeds) // as read from the store
+	mesh.SetDiscoveredSeeds(seeds) // as read from the store
 	storeSync := newStoreSync(id, domain, nil)
-	storeSync.mirror = mirror.New(nodeStore{log, n.rejected}, n.recorder, mirror.Config{Reads: storeSync.readsStore, OnNews: storeSync.broadcast, Set: metrics.NewSet()})
+	storeSync.mirror = mirror.New(nodeStore{log, n.rejected}, n.recorder, mirror.Config{IsReader: storeSync.readsStore, OnUpdate: storeSync.broadcast, Set: metrics.NewSet()})
 	n.storeSync = storeSync
 	storeSync.join(mesh)
 	srv := &http.Server{Handler: mesh, ReadHeaderTimeout: time.Second}
@@ -183,7 +183,7 @@
 
 func testRejectedNodes(t *testing.T, size, domains int) {
 	ctx, stop := context.WithCancel(t.Context())
-	f, log := peertest.NewFabric(), newChangeLog()
+	f, log := peertest.NewNetwork(), newChangeLog()
 	var nodes []*syncNode
 	var seeds []string
 	for i := range size {
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -16,14 +16,14 @@
 	querier runQuerier
 }
 
-// Look implements quarantine.Prober.
-func (l crashProber) Look(ctx context.Context, b fleet.Backend) quarantine.State {
-	state := l.Looker.Look(ctx, b)
-	if state != quarantine.Working || b.Lifetime.Born == 0 {
+// Probe implements quarantine.Prober.
+func (l crashProber) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
+	state := l.Looker.Probe(ctx, b)
+	if state != quarantine.Working || b.Incarnation.StartedAt == 0 {
 		return state
 	}
-	if report, err := l.querier.replicas.Runs(ctx, b); err == nil && report.Reborn {
-		return quarantine.Ended
+	if report, err := l.querier.replicas.Runs(ctx, b); err == nil && report.Restarted {
+		return quarantine.Exited
 	}
 	return state
 }
@@ -33,8 +33,8 @@
 		Prober:     crashProber{querier: querier},
 		Leaving:    n.dir.Leaving,
 		Neighbours: placement.Neighbours(n.dir, n.mon),
-		CutOff:     n.peers.isolated,
-		Tell:       n.peers.broadcastSuspects,
+		Isolated:   n.peers.isolated,
+		Broadcast:  n.peers.broadcastSuspects,
 		OnHold:     n.holds.quarantined,
 		OnLift:     n.holds.lifted,
 		Log:        n.log,
@@ -56,10 +56,10 @@
 }
 
 // broadcastSuspects broadcasts an update about suspected requests to all nodes.
-func (p *peers) broadcastSuspects(m quarantine.News) {
+func (p *peers) broadcastSuspects(m quarantine.Update) {
 	if mesh := p.currentMesh(); mesh != nil {
 		// A node that misses it receives the update after the next crash, or reads the hold from
 		// the store.
-		_ = mesh.Flood(quarantine.FloodNews, m)
+		_ = mesh.Flood(quarantine.FloodUpdate, m)
 	}
 }
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -141,7 +141,7 @@
 }
 
 // quarantined returns the number of requests that the node quarantines.
-func (n *testNode) quarantined() int { return len(n.guard.Held()) }
+func (n *testNode) quarantined() int { return len(n.guard.Holds()) }
 
 // Guards against a quarantined request that crashes replicas again after a restart of all nodes. An
 // operator lifts a hold by removing its record.
@@ -189,7 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.quarantined(h, true)
 	time.Sleep(200 * time.Millisecond)
@@ -213,7 +213,7 @@
 	record := holdPrefix + d.String()
 	f.store.PutJSON(record, holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(-time.Second).UnixMilli()})
 	await(t, "the expired record", func() bool { return n.holds.isStored(d) })
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.quarantined(h, false)
 	f.store.Delete(record)
--- a/hosted/typical_size.go
+++ b/hosted/typical_size.go
@@ -9,7 +9,7 @@
 // typicalSize estimates the typical size of a service's requests from those that start.
 type typicalSize struct {
 	mu   sync.Mutex
-	mean directory.Usual
+	mean directory.RequestSize
 }
 
 // sizeWeight is the weight of the latest request: about twenty requests make up most of the mean.
@@ -18,8 +18,8 @@
 func (u *typicalSize) add(prompt, answer int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.mean == (directory.Usual{}) {
-		u.mean = directory.Usual{Prompt: float64(prompt), Answer: float64(answer)}
+	if u.mean == (directory.RequestSize{}) {
+		u.mean = directory.RequestSize{Prompt: float64(prompt), Answer: float64(answer)}
 		return
 	}
 	u.mean.Prompt += sizeWeight * (float64(prompt) - u.mean.Prompt)
@@ -27,11 +27,11 @@
 }
 
 // get returns the estimate, or a default before the first request.
-func (u *typicalSize) get() directory.Usual {
+func (u *typicalSize) get() directory.RequestSize {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.mean == (directory.Usual{}) {
-		return directory.Usual{Prompt: typicalPrompt, Answer: typicalAnswer}
+	if u.mean == (directory.RequestSize{}) {
+		return directory.RequestSize{Prompt: typicalPrompt, Answer: typicalAnswer}
 	}
 	return u.mean
 }
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -84,7 +84,7 @@
 }
 
 // candidates returns the replicas that the next attempt of a request may use.
-func (p *picker) candidates(a generation.Ask) []routing.Candidate {
+func (p *picker) candidates(a generation.PickRequest) []routing.Candidate {
 	all := p.dir.Service(a.Service)
 	ro := p.rollouts.of(a.Service)
 	if ro == nil {
@@ -92,8 +92,8 @@
 	}
 	// An attempt after a lost one, and the attempt of a returning client, go to a version that is
 	// known to work.
-	firstAttempt := !a.Again && !a.Resume && len(a.Parts) == 0
-	return ro.candidates(all, firstAttempt && ro.Assign(a.Request, clock.Boot()), p.rollouts.limits)
+	firstAttempt := !a.IsRetry && !a.Resume && len(a.PromptParts) == 0
+	return ro.candidates(all, firstAttempt && ro.Assign(a.RequestID, clock.Boot()), p.rollouts.limits)
 }
 
 // allowedReplicas returns the replicas that an attempt may use that is not part of a trial.
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(v.unknownServices, name)
-	previous, rel := v.incarnations.update(b.Lifetime)
+	previous, rel := v.incarnations.update(b.Incarnation)
 	if rel == outdated {
 		v.log.Emit(event.ReplicaWordOutdated, "backend", b.ID, "known", previous.ID(), "revision", item.ModRev)
 		return
@@ -130,7 +130,7 @@
 	}
 	delete(v.adopted, b.ID)
 	v.replicas[b.ID] = b
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.changed = true
 	switch {
 	case b.Leaving && !old.Leaving:
@@ -149,7 +149,7 @@
 // checkRewrite returns an error if an entry can't have been written by the replica itself, given
 // what its earlier entries said.
 func (v *view) checkRewrite(b fleet.Backend) error {
-	if known, ok := v.incarnations.get(b.Lifetime.Name); ok && known.Born != 0 && b.Lifetime.Born == 0 {
+	if known, ok := v.incarnations.get(b.Incarnation.Name); ok && known.StartedAt != 0 && b.Incarnation.StartedAt == 0 {
 		return errNoStartTime
 	}
 	return nil
@@ -184,8 +184,8 @@
 
 // endIncarnation removes an incarnation of a replica that a later one has replaced: its runs are
 // lost, and what is known about it does not apply to its successor.
-func (v *view) endIncarnation(inc fleet.Lifetime) {
-	v.mon.Ended(inc.ID())
+func (v *view) endIncarnation(inc fleet.Incarnation) {
+	v.mon.Restarted(inc.ID())
 	v.drop(inc.ID(), "restarted")
 }
 
@@ -202,8 +202,8 @@
 	v.byAddr[b.Addr] = b.ID
 }
 
-// Gone implements mirror.Receiver.
-func (v *view) Gone(key string) {
+// Removed implements mirror.Receiver.
+func (v *view) Removed(key string) {
 	name, ok := platform.ReplicaID(key)
 	if !ok {
 		v.rollouts.removed(key)
@@ -249,8 +249,8 @@
 	v.dir.MarkLeaving(id, "", directory.FromVMList)
 }
 
-// Settled implements mirror.Receiver.
-func (v *view) Settled() {
+// BatchDone implements mirror.Receiver.
+func (v *view) BatchDone() {
 	v.peers.settled()
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -34,7 +34,7 @@
 
 // Pick chooses with the router and counts the attempt, with its load, until the share ends. If no
 // backend server can be chosen, the error is a *generation.Unavailable.
-func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.Ask, load directory.Load) (b fleet.Backend, s generation.Share, err error) {
+func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range maxTries {
 		req.Now = time.Now()
 		chosen, _, err := router.Pick(candidates, req)
