--- a/routing/delay.go
+++ b/routing/delay.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Names of the steps that place prompts at engines.
+// Names of the steps that choose the engine for a prompt.
 const (
-	// FilterRoom keeps to engines that have memory for the run to its end.
+	// FilterRoom keeps engines that have enough free memory to finish the request.
 	FilterRoom = "room"
-	// FilterBacklog keeps to engines that will soon have read what they were sent.
+	// FilterBacklog keeps engines whose queue of unread prompt tokens is short enough.
 	FilterBacklog = "backlog"
 	// ScoreDelay prefers the engine where the prompt causes the least delay.
 	ScoreDelay = "prompt-delay"
-	// ScoreMemory prefers the engine that has most memory free.
+	// ScoreMemory prefers the engine with the most free memory.
 	ScoreMemory = "memory"
 )
 
-// EngineLoad is a Live that knows what an engine has under way, in tokens.
+// EngineLoad is implemented by a Live that knows an engine's load in tokens.
 type EngineLoad interface {
-	// Reading is how many tokens of prompts are yet to be read.
+	// Reading is the number of prompt tokens that the engine has yet to read.
 	Reading() float64
-	// Running is how many runs make tokens.
+	// Running is the number of runs that are generating tokens.
 	Running() float64
-	// Held is how many tokens of runs and copies are in memory.
+	// Held is the number of tokens in memory, of runs and of copies of runs.
 	Held() float64
-	// Seen is when the engine said what it has under way, zero if it did not.
+	// Seen is when the engine last reported its load; zero if it never did.
 	Seen() time.Time
 }
 
-// idleEngine stands for candidates of which nothing is known.
+// idleEngine is the load of candidates about which nothing is known.
 type idleEngine struct{}
 
 func (idleEngine) Reading() float64 { return 0 }
@@ -34,32 +34,34 @@
 func (idleEngine) Held() float64    { return 0 }
 func (idleEngine) Seen() time.Time  { return time.Time{} }
 
-func (c *Candidate) engine() EngineLoad {
+func (c *Candidate) engineLoad() EngineLoad {
 	if e, ok := c.Live.(EngineLoad); ok {
 		return e
 	}
 	return idleEngine{}
 }
 
-// delayPerRun is the part of the reading time of a prompt by which each run beside it
-// is delayed: a chunk of a prompt takes several times as long as a token.
+// delayPerRun is the share of a prompt's reading time by which each concurrent run is
+// delayed: an engine step that reads a chunk of a prompt takes several times as long as
+// one that only generates a token.
 const delayPerRun = 0.8
 
-// delayScorer rates by the delay, in tokens that are read meanwhile, that the prompt
-// causes: its own wait behind prompts that are yet to be read there, and that of the
-// runs that make tokens there.
+// delayScorer rates by the delay that the prompt causes, expressed in tokens read in
+// that time: its own wait behind prompts that the engine has yet to read, plus the
+// slowdown of the runs that generate tokens there.
 //
-// What goes wrong with a count of requests: a copy, a run that makes tokens and a prompt
-// that is read weigh the same, although only a prompt takes time from others. Prompts
-// are sent to engines that read one, while others read none. It shows as first pieces
-// that come after twice the time that a prompt takes, under usual load.
+// A count of requests is not enough: it gives a stored copy, a run that generates
+// tokens and a prompt that is being read the same weight, although only a prompt takes
+// time from the others. Prompts are then sent to engines that are reading one while
+// other engines read none, and under usual load the first chunks arrive after twice the
+// time that a prompt takes.
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
-	tokens := float64(max(v.ask.Tokens, 1))
+	tokens := float64(max(v.req.Tokens, 1))
 	least := -1.0
 	for k := range out {
-		e := v.at(k).engine()
+		e := v.candidate(k).engineLoad()
 		out[k] = e.Reading() + tokens*(1+delayPerRun*e.Running())
 		if least < 0 || out[k] < least {
 			least = out[k]
@@ -70,34 +72,35 @@
 	}
 }
 
-// shortBacklog tells whether the prompt is read within its time at an engine. An engine
-// that reads no prompt takes one of any length.
+// backlogWithinBound reports whether the engine would finish reading the prompt within
+// the allowed backlog. An engine that reads no prompt accepts one of any length.
 //
-// What goes wrong without it: an engine that has just come back has all its memory
-// free, and every prompt that waits is sent there, to be read one after the other while
-// other engines become free. It shows as answers that are late after a crash.
-func shortBacklog(c *Candidate, ask *Ask) bool {
-	reading := c.engine().Reading()
-	return ask.Backlog <= 0 || reading == 0 || reading+float64(ask.Tokens) <= ask.Backlog
+// Without this filter, an engine that has just restarted has all its memory free, so
+// every waiting prompt is sent there and read one after the other, while other engines
+// become idle. Answers then miss their deadlines after a crash.
+func backlogWithinBound(c *Candidate, req *Ask) bool {
+	reading := c.engineLoad().Reading()
+	return req.Backlog <= 0 || reading == 0 || reading+float64(req.Tokens) <= req.Backlog
 }
 
 // memoryScorer rates by free memory.
 type memoryScorer struct{}
 
 func (memoryScorer) Score(v View, out []float64) {
-	if v.ask.Capacity <= 0 {
+	if v.req.Capacity <= 0 {
 		return
 	}
 	for k := range out {
-		out[k] = max(1-v.at(k).engine().Held()/float64(v.ask.Capacity), 0)
+		out[k] = max(1-v.candidate(k).engineLoad().Held()/float64(v.req.Capacity), 0)
 	}
 }
 
-// hasRoom tells whether an engine has memory for the request to its end.
+// fitsMemory reports whether an engine has enough free memory to finish the request.
 //
-// What goes wrong without it: the memory of an engine runs out in the middle of its
-// runs, which are put off and read their prompts again, for which others are put off.
-// It shows as tokens read for nothing, and as answers that are late long after a burst.
-func hasRoom(c *Candidate, ask *Ask) bool {
-	return ask.Capacity <= 0 || c.engine().Held()+float64(ask.Holds) <= float64(ask.Capacity)
+// Without this filter, an engine runs out of memory in the middle of its runs. Runs are
+// then preempted and read their prompts again later, for which other runs are
+// preempted. Tokens are read in vain, and answers are late long after a burst has
+// ended.
+func fitsMemory(c *Candidate, req *Ask) bool {
+	return req.Capacity <= 0 || c.engineLoad().Held()+float64(req.Holds) <= float64(req.Capacity)
 }
--- a/routing/delay_test.go
+++ b/routing/delay_test.go
@@ -10,18 +10,18 @@
 	"wigeondale/fleet"
 )
 
-// busy is an engine with a known load.
-type busy struct{ reading, running, held float64 }
+// fakeEngine is an engine with a known load.
+type fakeEngine struct{ reading, running, held float64 }
 
-func (b busy) Load(time.Time) float64       { return 0 }
-func (b busy) Leaving() bool                { return false }
-func (b busy) Hits([]uint64, time.Time) int { return 0 }
-func (b busy) Reading() float64             { return b.reading }
-func (b busy) Running() float64             { return b.running }
-func (b busy) Held() float64                { return b.held }
-func (b busy) Seen() time.Time              { return time.Time{} }
+func (e fakeEngine) Load(time.Time) float64       { return 0 }
+func (e fakeEngine) Leaving() bool                { return false }
+func (e fakeEngine) Hits([]uint64, time.Time) int { return 0 }
+func (e fakeEngine) Reading() float64             { return e.reading }
+func (e fakeEngine) Running() float64             { return e.running }
+func (e fakeEngine) Held() float64                { return e.held }
+func (e fakeEngine) Seen() time.Time              { return time.Time{} }
 
-func engines(loads ...busy) []Candidate {
+func engines(loads ...fakeEngine) []Candidate {
 	var out []Candidate
 	for i, l := range loads {
 		out = append(out, Candidate{Backend: fleet.Backend{ID: fmt.Sprint("e", i)}, Live: l})
@@ -40,24 +40,24 @@
 	return r
 }
 
-// Symptom: first pieces come after twice the time that a prompt takes, while engines read
-// none. Sequence: prompts come to engines of which some read a prompt, some make tokens for
-// runs, some keep copies. Cause: a copy, a run and a prompt weighed the same.
+// Guards against first chunks that take twice as long as reading the prompt while other
+// engines read nothing. It happens when a stored copy, a run that generates tokens and
+// a prompt that is being read all count the same.
 func TestPromptGoesWhereItDelaysLeast(t *testing.T) {
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
 	for _, c := range []struct {
 		name  string
-		loads []busy
+		loads []fakeEngine
 		want  string
 	}{
-		{"copies cost nothing", []busy{{0, 1, 5600}, {0, 0, 40000}}, "e1"},
-		{"a prompt costs more than a run", []busy{{5000, 0, 5000}, {0, 1, 5600}}, "e1"},
-		{"two runs cost more than a short prompt", []busy{{1000, 0, 1000}, {0, 2, 11200}}, "e0"},
-		{"memory to the end", []busy{{0, 0, 50000}, {0, 3, 16800}}, "e1"},
-		{"a long backlog", []busy{{6000, 0, 6000}, {0, 9, 40000}}, "e1"},
+		{"copies cost nothing", []fakeEngine{{0, 1, 5600}, {0, 0, 40000}}, "e1"},
+		{"a prompt costs more than a run", []fakeEngine{{5000, 0, 5000}, {0, 1, 5600}}, "e1"},
+		{"two runs cost more than a short prompt", []fakeEngine{{1000, 0, 1000}, {0, 2, 11200}}, "e0"},
+		{"memory to the end", []fakeEngine{{0, 0, 50000}, {0, 3, 16800}}, "e1"},
+		{"a long backlog", []fakeEngine{{6000, 0, 6000}, {0, 9, 40000}}, "e1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, _, err := promptRouter(t).Pick(engines(c.loads...), ask)
+			got, _, err := promptRouter(t).Pick(engines(c.loads...), req)
 			if err != nil || got.Backend.ID != c.want {
 				t.Errorf("got %s, %v, want %s", got.Backend.ID, err, c.want)
 			}
@@ -65,14 +65,14 @@
 	}
 }
 
-// Symptom: a prompt that is longer than the bound is refused for ever, although engines
-// idle. Cause: the bound on the backlog counts the prompt itself.
+// Guards against refusing a prompt for ever although engines are idle: it happens when
+// the prompt alone is longer than the bound on the backlog and the bound includes it.
 func TestIdleEngineTakesAnyPrompt(t *testing.T) {
-	ask := Ask{FleetKnown: true, Tokens: 30000, Holds: 31000, Capacity: 55000, Backlog: 10000}
-	if _, _, err := promptRouter(t).Pick(engines(busy{}), ask); err != nil {
+	req := Ask{FleetKnown: true, Tokens: 30000, Holds: 31000, Capacity: 55000, Backlog: 10000}
+	if _, _, err := promptRouter(t).Pick(engines(fakeEngine{}), req); err != nil {
 		t.Error(err)
 	}
-	_, _, err := promptRouter(t).Pick(engines(busy{reading: 100}), ask)
+	_, _, err := promptRouter(t).Pick(engines(fakeEngine{reading: 100}), req)
 	if none, ok := errors.AsType[*NoCandidate](err); !ok || none.Reason != AllFull || !none.Retryable {
 		t.Errorf("got %v", err)
 	}
@@ -80,39 +80,39 @@
 
 // BenchmarkPickEngine measures the choice among 200 engines.
 func BenchmarkPickEngine(b *testing.B) {
-	var loads []busy
+	var loads []fakeEngine
 	for i := range 200 {
-		loads = append(loads, busy{float64(i%3) * 2000, float64(i % 5), float64(i%7) * 5000})
+		loads = append(loads, fakeEngine{float64(i%3) * 2000, float64(i % 5), float64(i%7) * 5000})
 	}
 	all, r := engines(loads...), promptRouter(b)
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, err := r.Pick(all, ask); err != nil {
+		if _, _, err := r.Pick(all, req); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// seen is a busy engine that said so some time ago; with an age below zero it never did.
-type seen struct {
-	busy
+// fakeReportingEngine last reported its load some time ago; a negative age means never.
+type fakeReportingEngine struct {
+	fakeEngine
 	age time.Duration
 }
 
-func (s seen) Seen() time.Time {
+func (s fakeReportingEngine) Seen() time.Time {
 	if s.age < 0 {
 		return time.Time{}
 	}
 	return time.Unix(1000, 0).Add(-s.age)
 }
 
-// Symptom: prompts go to engines that are busy, while idle ones are known. Sequence: some
-// engines said lately what they have, others long ago or never. Cause: an engine of which
-// nothing is known looks idle.
+// Guards against preferring busy engines to ones that are known to be idle. Some
+// engines reported recently, others long ago or never; an engine without a report must
+// not count as idle.
 func TestKnownEnginesGoFirst(t *testing.T) {
-	never, old, late := seen{busy{}, -1}, seen{busy{}, time.Minute}, seen{busy{reading: 3000, held: 3000}, time.Millisecond}
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
+	never, old, recent := fakeReportingEngine{fakeEngine{}, -1}, fakeReportingEngine{fakeEngine{}, time.Minute}, fakeReportingEngine{fakeEngine{reading: 3000, held: 3000}, time.Millisecond}
+	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
 	r, err := New([]StepConfig{
 		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterFresh}, {Name: FilterRoom},
 		{Name: ScoreDelay}, {Name: PickBest},
@@ -121,26 +121,26 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct {
-		loads []seen
+		loads []fakeReportingEngine
 		want  string
 	}{
-		"one is known":   {[]seen{never, old, late}, "e2"},
-		"none is known":  {[]seen{{busy{reading: 5000}, -1}, old}, "e1"},
-		"known and full": {[]seen{never, {busy{held: 54000}, 0}}, ""},
+		"one is known":   {[]fakeReportingEngine{never, old, recent}, "e2"},
+		"none is known":  {[]fakeReportingEngine{{fakeEngine{reading: 5000}, -1}, old}, "e1"},
+		"known and full": {[]fakeReportingEngine{never, {fakeEngine{held: 54000}, 0}}, ""},
 	} {
 		var all []Candidate
 		for i, l := range c.loads {
 			all = append(all, Candidate{Backend: fleet.Backend{ID: fmt.Sprint("e", i)}, Live: l})
 		}
-		if got, _, _ := r.Pick(all, ask); got.Backend.ID != c.want {
+		if got, _, _ := r.Pick(all, req); got.Backend.ID != c.want {
 			t.Errorf("%s: got %q, want %q", name, got.Backend.ID, c.want)
 		}
 	}
 }
 
-// Who is asked is drawn from all that might be chosen, each at most once.
+// Draw selects at random from all candidates that pass the filters, each at most once.
 func TestDrawTakesEachOnce(t *testing.T) {
-	all := engines(make([]busy, 10)...)
+	all := engines(make([]fakeEngine, 10)...)
 	drawn := map[string]int{}
 	r := promptRouter(t)
 	for range 200 {
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -16,12 +16,12 @@
 	NoneTakes   Reason = "none of those that serve it takes prompts"
 )
 
-// NoCandidate is returned when the filters leave nothing.
+// NoCandidate is returned when the filters leave no candidate.
 type NoCandidate struct {
 	Reason Reason
-	// Retryable is true when time may help: backend servers come back or take
-	// the place of leaving ones. A model that nobody serves won't appear by
-	// repeating the request.
+	// Retryable is true when the request may succeed later: backend servers recover, or
+	// new ones replace those that are leaving. Repeating the request doesn't help when
+	// no backend server serves the model.
 	Retryable bool
 	Trace     Trace
 }
@@ -31,10 +31,10 @@
 	return fmt.Sprintf("routing: %s (considered %d)", e.Reason, e.Trace.Considered)
 }
 
-// noCandidate names the filter that took the last one away.
-func noCandidate(filter string, trace *Trace, ask *Ask) error {
+// noCandidate builds the error from the filter that removed the last candidate.
+func noCandidate(filter string, trace *Trace, req *Ask) error {
 	e := &NoCandidate{Reason: NoneKnown, Retryable: true, Trace: *trace}
-	if trace.Considered == 0 && !ask.FleetKnown {
+	if trace.Considered == 0 && !req.FleetKnown {
 		return e
 	}
 	switch filter {
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -6,25 +6,25 @@
 	"wigeondale/health"
 )
 
-// Filter takes away candidates that must not get the attempt. Keep works on
-// indices in place and returns those that stay.
+// Filter removes candidates that must not get the attempt. Keep filters the indices in
+// place and returns the remaining ones.
 type Filter interface {
 	Name() string
-	Keep(all []Candidate, left []int32, ask *Ask, sc *scratch) []int32
+	Keep(all []Candidate, left []int32, req *Ask, sc *scratch) []int32
 }
 
-// each is a filter that looks at one candidate at a time.
-type each struct {
+// perCandidate is a filter that decides on each candidate separately.
+type perCandidate struct {
 	name string
-	keep func(c *Candidate, ask *Ask) bool
+	keep func(c *Candidate, req *Ask) bool
 }
 
-func (f each) Name() string { return f.name }
+func (f perCandidate) Name() string { return f.name }
 
-func (f each) Keep(all []Candidate, left []int32, ask *Ask, _ *scratch) []int32 {
+func (f perCandidate) Keep(all []Candidate, left []int32, req *Ask, _ *scratch) []int32 {
 	kept := left[:0]
 	for _, i := range left {
-		if f.keep(&all[i], ask) {
+		if f.keep(&all[i], req) {
 			kept = append(kept, i)
 		}
 	}
@@ -38,51 +38,54 @@
 	FilterUsable  = "usable"
 	FilterExclude = "exclude"
 	FilterRole    = "role"
-	// FilterHealthy keeps off those that would get the work as a probe.
+	// FilterHealthy removes backend servers that would get the request as a health
+	// probe.
 	FilterHealthy = "healthy"
-	// FilterOtherDomain keeps a copy apart from what it is a copy of.
+	// FilterOtherDomain keeps a copy in another failure domain than the run that it
+	// copies.
 	FilterOtherDomain = "other-domain"
 )
 
-// roleDecode takes no prompts: it continues what a prefill engine began.
+// roleDecode is the role of an engine that accepts no prompts: it continues runs whose
+// prompt was read by a prefill engine.
 const roleDecode = "decode"
 
-func serves(c *Candidate, ask *Ask) bool {
-	if ask.Ref.Model == "" {
+func serves(c *Candidate, req *Ask) bool {
+	if req.Ref.Model == "" {
 		return true
 	}
-	return slices.Contains(c.Serves, ask.Ref)
+	return slices.Contains(c.Serves, req.Ref)
 }
 
-func stays(c *Candidate, _ *Ask) bool { return !c.leaving() }
+func notLeaving(c *Candidate, _ *Ask) bool { return !c.leaving() }
 
-func notExcluded(c *Candidate, ask *Ask) bool { return !ask.Exclude[c.Backend.ID] }
+func notExcluded(c *Candidate, req *Ask) bool { return !req.Exclude[c.Backend.ID] }
 
-// knownHealthy asks the health monitor, and takes all if it has no objection to any.
-func knownHealthy(c *Candidate, ask *Ask) bool {
-	return ask.Healthy == nil || ask.Healthy(c.Backend.ID)
+// notSuspected queries the health monitor; without one, it keeps every candidate.
+func notSuspected(c *Candidate, req *Ask) bool {
+	return req.Healthy == nil || req.Healthy(c.Backend.ID)
 }
 
-func otherDomain(c *Candidate, ask *Ask) bool {
-	return ask.OtherDomain == "" || c.Backend.FailureDomain != ask.OtherDomain
+func otherDomain(c *Candidate, req *Ask) bool {
+	return req.OtherDomain == "" || c.Backend.FailureDomain != req.OtherDomain
 }
 
 func takesPrompts(c *Candidate, _ *Ask) bool { return c.Role != roleDecode }
 
-// usable asks the health monitor about the whole set at once.
-type usable struct{}
+// usableFilter queries the health monitor about all candidates at once.
+type usableFilter struct{}
 
-func (usable) Name() string { return FilterUsable }
+func (usableFilter) Name() string { return FilterUsable }
 
-func (usable) Keep(all []Candidate, left []int32, ask *Ask, sc *scratch) []int32 {
-	if ask.Usable == nil {
-		return each{FilterUsable, healthy}.Keep(all, left, ask, sc)
+func (usableFilter) Keep(all []Candidate, left []int32, req *Ask, sc *scratch) []int32 {
+	if req.Usable == nil {
+		return perCandidate{FilterUsable, isHealthy}.Keep(all, left, req, sc)
 	}
 	sc.ids = sc.ids[:0]
 	for _, i := range left {
 		sc.ids = append(sc.ids, all[i].Backend.ID)
 	}
-	ok := ask.Usable(sc.ids)
+	ok := req.Usable(sc.ids)
 	if ok == nil {
 		return left
 	}
@@ -95,6 +98,6 @@
 	return kept
 }
 
-func healthy(c *Candidate, _ *Ask) bool {
+func isHealthy(c *Candidate, _ *Ask) bool {
 	return c.State == health.Healthy || c.State == health.Probing
 }
--- a/routing/fresh.go
+++ b/routing/fresh.go
@@ -2,38 +2,40 @@
 
 import "time"
 
-// Names of the filters by the age of what an engine reported of itself.
+// Names of the filters by the age of an engine's load report.
 const (
-	// FilterFresh keeps to engines with a fresh report of what they have under way, if any
-	// has one.
+	// FilterFresh keeps engines with a recent load report; if there are none, it keeps
+	// all.
 	FilterFresh = "fresh"
-	// FilterFreshOnly keeps to such engines, also if there is none.
+	// FilterFreshOnly keeps engines with a recent load report, even if there are none.
 	FilterFreshOnly = "fresh-only"
-	// FilterStale keeps to engines that are worth asking again.
+	// FilterStale keeps engines whose report is missing or so old that they are worth
+	// another query.
 	FilterStale = "stale"
 )
 
 const (
-	// freshFor is how long an engine's report of its state is gone by. Within it an engine reads half
-	// a prompt of usual size; what others send there meanwhile isn't known.
-	freshFor = 600 * time.Millisecond
-	// askAgainAfter is how soon an engine is worth another question: its report changes
-	// a few times a second.
-	askAgainAfter = 300 * time.Millisecond
+	// maxReportAge is how long an engine's load report is used. In that time an engine
+	// reads half a prompt of typical size; what other routers send there meanwhile
+	// isn't known.
+	maxReportAge = 600 * time.Millisecond
+	// queryAgainAfter is the age from which a report is worth another query: an
+	// engine's report changes a few times a second.
+	queryAgainAfter = 300 * time.Millisecond
 )
 
-// fresh keeps to engines with a fresh report, if any has one.
+// freshFilter keeps engines with a recent load report, if there are any.
 //
-// What goes wrong without it: where routers can't tell each other their loads, an engine
-// without a report looks idle, and is preferred to those that have one.
-type fresh struct{}
+// Where routers can't send each other their loads, an engine without a report looks
+// idle. Without this filter it would be preferred to engines that have a report.
+type freshFilter struct{}
 
-func (fresh) Name() string { return FilterFresh }
+func (freshFilter) Name() string { return FilterFresh }
 
-func (fresh) Keep(all []Candidate, left []int32, ask *Ask, _ *scratch) []int32 {
+func (freshFilter) Keep(all []Candidate, left []int32, req *Ask, _ *scratch) []int32 {
 	next := 0
 	for k, i := range left {
-		if !isFresh(&all[i], ask) {
+		if !hasRecentReport(&all[i], req) {
 			continue
 		}
 		left[next], left[k] = left[k], left[next]
@@ -45,10 +47,10 @@
 	return left[:next]
 }
 
-func isFresh(c *Candidate, ask *Ask) bool {
-	return ask.Now.Sub(c.engine().Seen()) <= freshFor
+func hasRecentReport(c *Candidate, req *Ask) bool {
+	return req.Now.Sub(c.engineLoad().Seen()) <= maxReportAge
 }
 
-func isStale(c *Candidate, ask *Ask) bool {
-	return ask.Now.Sub(c.engine().Seen()) > askAgainAfter
+func hasStaleReport(c *Candidate, req *Ask) bool {
+	return req.Now.Sub(c.engineLoad().Seen()) > queryAgainAfter
 }
--- a/routing/hosted_test.go
+++ b/routing/hosted_test.go
@@ -7,7 +7,8 @@
 	"wigeondale/fleet"
 )
 
-// Symptom: a copy is lost together with its run. Cause: both lie in one domain.
+// Guards against losing a copy together with its run, which happens when both are in
+// one failure domain.
 func TestCopyLiesInAnotherDomain(t *testing.T) {
 	r, err := New([]StepConfig{
 		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterOtherDomain}, {Name: FilterHealthy},
@@ -21,19 +22,20 @@
 		{Backend: fleet.Backend{ID: "suspect", FailureDomain: "b"}},
 		{Backend: fleet.Backend{ID: "good", FailureDomain: "b"}, EstLoad: 9},
 	}
-	ask := Ask{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
+	req := Ask{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
 	for range 20 {
-		if c, _, err := r.Pick(all, ask); err != nil || c.Backend.ID != "good" {
+		if c, _, err := r.Pick(all, req); err != nil || c.Backend.ID != "good" {
 			t.Fatalf("got %s, %v", c.Backend.ID, err)
 		}
 	}
-	ask.Healthy = func(string) bool { return false }
-	if _, _, err := r.Pick(all, ask); err == nil {
+	req.Healthy = func(string) bool { return false }
+	if _, _, err := r.Pick(all, req); err == nil {
 		t.Error("a copy at a replica under suspicion")
 	}
 }
 
-// Symptom: engines idle while prompts are read one after the other elsewhere.
+// Guards against prompts that are read one after the other at one engine while equally
+// good engines are idle.
 func TestBestTakesAnIdleOneAtRandom(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	n := map[int]int{}
--- a/routing/pickers.go
+++ b/routing/pickers.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Picker chooses an index by the scores. affinity holds the part of each score
-// that expresses affinity.
+// Picker chooses an index by the scores. affinity holds the part of each score that
+// expresses affinity to that candidate.
 type Picker interface {
 	Choose(score, affinity []float64, rng *rand.Rand) int
 }
@@ -23,8 +23,8 @@
 	PickBest:       best{},
 }
 
-// twoChoices draws two at random, adds the one with the highest affinity if
-// any has some, and takes the best of them by the whole score.
+// twoChoices draws two candidates at random, adds the one with the highest affinity if
+// any has affinity, and takes the one with the best total score.
 type twoChoices struct{}
 
 func (twoChoices) Choose(score, affinity []float64, rng *rand.Rand) int {
@@ -39,8 +39,8 @@
 	return best
 }
 
-// argmax takes the first of the highest scores. All routers with the same
-// view make the same choice, so it serves as a baseline.
+// argmax takes the first of the highest scores. All routers with the same view make the
+// same choice, so it serves as a baseline only.
 type argmax struct{}
 
 func (argmax) Choose(score, _ []float64, _ *rand.Rand) int {
@@ -53,20 +53,20 @@
 	return best
 }
 
-// best takes one of the highest scores, at random among those that are as good.
-// It is for routers that tell each other what they have under way: then two
-// random choices leave idle ones aside, and those that choose at the same moment
-// rarely meet, since many are as good.
+// best takes one of the highest scores, at random among scores that are about equal. It
+// is meant for routers that send each other their loads: two random choices would then
+// miss idle engines, and routers that choose at the same moment rarely pick the same
+// engine, since many are about equal.
 type best struct{}
 
-// asGood is how far below the highest a score still counts as equal.
-const asGood = 0.02
+// scoreTolerance is how far below the highest a score still counts as equal.
+const scoreTolerance = 0.02
 
 func (best) Choose(score, _ []float64, rng *rand.Rand) int {
 	top := score[argmax{}.Choose(score, nil, nil)]
 	chosen, n := 0, 0
 	for k, s := range score {
-		if s < top-asGood {
+		if s < top-scoreTolerance {
 			continue
 		}
 		n++
--- a/routing/homes.go
+++ b/routing/preferred.go
@@ -2,29 +2,30 @@
 
 import "slices"
 
-// Homes returns the n candidates with the highest rendezvous weight for a key. All that see
-// the same candidates find the same ones, and one that goes moves only its own keys.
+// Homes returns the n candidates with the highest rendezvous weight for a key. All
+// routers that see the same candidates get the same result, and removing a candidate
+// changes the result only for keys that it was returned for.
 func Homes(all []Candidate, key uint64, n int) []Candidate {
 	if n >= len(all) {
 		return all
 	}
-	type home struct {
+	type ranked struct {
 		weight uint64
 		index  int
 	}
-	best := make([]home, 0, n+1)
+	best := make([]ranked, 0, n+1)
 	for i := range all {
 		w := Rendezvous(key, all[i].Backend.ID)
 		if len(best) == n && w <= best[n-1].weight {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, w, func(h home, w uint64) int {
+		at, _ := slices.BinarySearchFunc(best, w, func(h ranked, w uint64) int {
 			if h.weight > w {
 				return -1
 			}
 			return 1
 		})
-		best = slices.Insert(best, at, home{w, i})
+		best = slices.Insert(best, at, ranked{w, i})
 		best = best[:min(len(best), n)]
 	}
 	out := make([]Candidate, 0, len(best))
--- a/routing/homes_test.go
+++ b/routing/preferred_test.go
@@ -20,36 +20,36 @@
 	return out
 }
 
-// Whoever sees the same candidates, in any order, finds the same homes of a key; and one
-// that goes takes its own place only.
+// Routers that see the same candidates, in any order, must choose the same preferred
+// engines for a key; and a removed candidate must be the only one replaced.
 func TestHomesAreTheSameForAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := engines(make([]busy, rapid.IntRange(1, 200).Draw(t, "engines"))...)
+		all := engines(make([]fakeEngine, rapid.IntRange(1, 200).Draw(t, "engines"))...)
 		key := rapid.Uint64().Draw(t, "key")
 		n := rapid.IntRange(1, 20).Draw(t, "homes")
-		homes := idsOf(Homes(all, key, n))
-		if len(homes) != min(n, len(all)) {
-			t.Fatalf("%d homes of %d", len(homes), n)
+		preferred := idsOf(Homes(all, key, n))
+		if len(preferred) != min(n, len(all)) {
+			t.Fatalf("%d homes of %d", len(preferred), n)
 		}
 		other := slices.Clone(all)
 		rand.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
-		if got := idsOf(Homes(other, key, n)); !slices.Equal(got, homes) {
-			t.Fatalf("%v, in another order %v", homes, got)
+		if got := idsOf(Homes(other, key, n)); !slices.Equal(got, preferred) {
+			t.Fatalf("%v, in another order %v", preferred, got)
 		}
-		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		left := idsOf(Homes(slices.DeleteFunc(other, func(c Candidate) bool { return c.Backend.ID == all[gone].Backend.ID }), key, n))
-		for _, id := range homes {
-			if id != all[gone].Backend.ID && !slices.Contains(left, id) {
-				t.Fatalf("%s went with %s", id, all[gone].Backend.ID)
+		removed := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
+		remaining := idsOf(Homes(slices.DeleteFunc(other, func(c Candidate) bool { return c.Backend.ID == all[removed].Backend.ID }), key, n))
+		for _, id := range preferred {
+			if id != all[removed].Backend.ID && !slices.Contains(remaining, id) {
+				t.Fatalf("%s went with %s", id, all[removed].Backend.ID)
 			}
 		}
 	})
 }
 
-// Each engine is the home of as many keys as others, within a third of the mean.
+// Each engine is preferred for as many keys as the others, within a third of the mean.
 func TestHomesAreBalanced(t *testing.T) {
 	const keys, n = 8000, 8
-	all := engines(make([]busy, 160)...)
+	all := engines(make([]fakeEngine, 160)...)
 	rng := rand.New(rand.NewPCG(7, 7))
 	count := map[string]int{}
 	for range keys {
@@ -66,7 +66,7 @@
 }
 
 func BenchmarkHomes(b *testing.B) {
-	all := engines(make([]busy, 160)...)
+	all := engines(make([]fakeEngine, 160)...)
 	for i := range all {
 		all[i].Backend = fleet.Backend{ID: fmt.Sprintf("i-%010x", i)}
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,12 +1,12 @@
-// Package routing chooses a backend server for one attempt: filters take away
-// those that must not get it, scorers rate the rest, a picker chooses. Each
-// step is a small pure type; the settings name the steps and their weights.
+// Package routing chooses a backend server for one attempt: filters remove candidates
+// that must not get it, scorers rate the rest, and a picker chooses one. Each step is a
+// small pure type; the settings name the steps and their weights.
 //
-// Failure story: load reports lag, so that all routers see the same idle
-// engine and send to it together. The picker therefore compares a few chosen
-// at random instead of taking the best. A lost failure domain leaves hundreds
-// of streams to resume at the same moment; they are spread by their own scorer
-// and not drawn together by a common prefix.
+// Load reports lag, so all routers may see the same idle engine and send to it
+// together. The default picker therefore compares a few candidates drawn at random
+// instead of taking the best of all. The loss of a failure domain makes hundreds of
+// streams resume at the same moment; a scorer of their own spreads them, and a common
+// prompt prefix doesn't draw them to one engine.
 package routing
 
 import (
@@ -23,14 +23,14 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("routing")
 
-// Live gives the figures of a candidate that change with every request. Its
-// methods are called at the moment of choice and must be cheap.
+// Live provides the figures of a candidate that change with every request. Its methods
+// are called at the time of the choice and must be cheap.
 type Live interface {
 	// Load is the estimated number of requests running and waiting.
 	Load(now time.Time) float64
-	// Leaving tells that it takes no new work.
+	// Leaving reports whether the backend server accepts no new work.
 	Leaving() bool
-	// Hits counts the leading blocks that its cache is known to hold.
+	// Hits counts the leading blocks that are known to be in its cache.
 	Hits(blocks []uint64, now time.Time) int
 }
 
@@ -69,43 +69,44 @@
 	return c.Live.Hits(blocks, now)
 }
 
-// Ask describes the attempt to place.
+// Ask describes the attempt for which a backend server is chosen.
 type Ask struct {
-	Ref           fleet.ModelRef // zero for plain services
+	Ref           fleet.ModelRef // zero for services that are not model engines
 	Priority      fleet.Priority
 	Blocks        []uint64 // leading blocks of the prompt, see fleet.PrefixBlocks
 	Exclude       map[string]bool
 	FailureDomain string // of this router
-	OtherDomain   string // FilterOtherDomain keeps to domains other than this one; empty for any
+	OtherDomain   string // failure domain that FilterOtherDomain removes; empty for none
 	PromptBytes   int
-	// Tokens of the prompt that are to be read, and Holds how many the run takes in
-	// memory at its end. Capacity is how many an engine of the service holds; 0 when
-	// that isn't known.
+	// Tokens is the number of prompt tokens to be read, Holds the number of tokens that
+	// the run occupies in memory at its end, and Capacity the number of tokens that an
+	// engine of the service can hold in memory; 0 when that isn't known.
 	Tokens, Holds, Capacity int
-	// Backlog bounds the tokens that are yet to be read at an engine, this prompt's
-	// among them; 0 for no bound.
+	// Backlog bounds the tokens that an engine has yet to read, including this prompt;
+	// 0 for no bound.
 	Backlog float64
 	Resume  bool
-	Request uint64 // hash of the request id, spreads resumes
+	Request uint64 // hash of the request id, used to spread resumed requests
 	Now     time.Time
-	// FleetKnown tells that the directory has heard from the fleet: then an
-	// empty snapshot means that nobody serves Ref, and not that we just started.
+	// FleetKnown is true once the directory has received a report from any engine: then
+	// an empty snapshot means that no backend server serves Ref. Before, it may only
+	// mean that this router has just started.
 	FleetKnown bool
-	// Usable is health.Monitor.Usable: asked for all candidates at once, since
-	// the bound on ejection is a share of the set. Nil goes by Candidate.State.
+	// Usable is health.Monitor.Usable. It is called for all candidates at once, since
+	// the bound on ejection is a share of the set. If nil, Candidate.State decides.
 	Usable func(ids []string) []bool
-	// Healthy tells whether a backend server is not under any suspicion; it is
-	// asked by FilterHealthy.
+	// Healthy reports whether a backend server is under no suspicion; FilterHealthy
+	// calls it.
 	Healthy func(id string) bool
 }
 
-// Removed counts what one filter took away.
+// Removed counts the candidates that one filter removed.
 type Removed struct {
 	Filter string
 	Count  int
 }
 
-// Trace says how a choice was made, for dumps, tests and errors.
+// Trace describes how a choice was made, for dumps, tests and errors.
 type Trace struct {
 	Considered int
 	Left       int
@@ -116,14 +117,14 @@
 // Router applies the configured steps. Pick may be called concurrently.
 type Router struct {
 	filters []Filter
-	scorers []weighted
+	scorers []weightedScorer
 	picker  Picker
 	mu      sync.Mutex // guards rng
 	rng     *rand.Rand
 	pool    sync.Pool
 }
 
-// scratch holds the buffers of one Pick, reused to keep it free of garbage.
+// scratch holds the buffers of one Pick; they are reused to avoid allocations.
 type scratch struct {
 	left     []int32
 	ids      []string
@@ -142,17 +143,17 @@
 	return s
 }
 
-// Pick chooses among the snapshot. When nothing is left, the error is a
-// *NoCandidate. The snapshot is only read.
-func (r *Router) Pick(snapshot []Candidate, ask Ask) (Candidate, Trace, error) {
+// Pick chooses a candidate from the snapshot, which it only reads. When the filters
+// leave none, the error is a *NoCandidate.
+func (r *Router) Pick(snapshot []Candidate, req Ask) (Candidate, Trace, error) {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	trace := Trace{Considered: len(snapshot)}
-	if last := r.filter(snapshot, &ask, sc, &trace); len(sc.left) == 0 {
-		return Candidate{}, trace, noCandidate(last, &trace, &ask)
+	if last := r.filter(snapshot, &req, sc, &trace); len(sc.left) == 0 {
+		return Candidate{}, trace, noCandidate(last, &trace, &req)
 	}
 	trace.Left = len(sc.left)
-	r.rate(snapshot, &ask, sc)
+	r.rate(snapshot, &req, sc)
 	r.mu.Lock()
 	chosen := r.picker.Choose(sc.score, sc.affinity, r.rng)
 	r.mu.Unlock()
@@ -160,16 +161,16 @@
 	return snapshot[sc.left[chosen]], trace, nil
 }
 
-// filter leaves in sc those that all filters keep, and returns the name of the last filter
-// that was applied.
-func (r *Router) filter(snapshot []Candidate, ask *Ask, sc *scratch, trace *Trace) (last string) {
+// filter stores the candidates that pass all filters in sc, and returns the name of the
+// last filter applied.
+func (r *Router) filter(snapshot []Candidate, req *Ask, sc *scratch, trace *Trace) (last string) {
 	sc.left = sc.left[:0]
 	for i := range snapshot {
 		sc.left = append(sc.left, int32(i))
 	}
 	for _, f := range r.filters {
 		before := len(sc.left)
-		sc.left = f.Keep(snapshot, sc.left, ask, sc)
+		sc.left = f.Keep(snapshot, sc.left, req, sc)
 		last = f.Name()
 		if n := before - len(sc.left); n > 0 {
 			trace.Removed = append(trace.Removed, Removed{last, n})
@@ -181,13 +182,13 @@
 	return last
 }
 
-// Draw returns up to n of those that the filters keep, at random and without rating them:
-// those of which more is to be learnt before one is chosen.
-func (r *Router) Draw(snapshot []Candidate, ask Ask, n int) []Candidate {
+// Draw returns up to n of the candidates that pass the filters, at random and without
+// rating them. The caller queries them for their state before it chooses one.
+func (r *Router) Draw(snapshot []Candidate, req Ask, n int) []Candidate {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	var trace Trace
-	r.filter(snapshot, &ask, sc, &trace)
+	r.filter(snapshot, &req, sc, &trace)
 	n = min(n, len(sc.left))
 	out := make([]Candidate, 0, n)
 	r.mu.Lock()
@@ -200,20 +201,20 @@
 	return out
 }
 
-// rate fills the weighted scores. Scores that express affinity to one
-// candidate are also summed apart: the picker must be able to find that
-// candidate, which two random draws out of many would miss.
-func (r *Router) rate(snapshot []Candidate, ask *Ask, sc *scratch) {
+// rate fills in the weighted scores. Scores that express affinity to a candidate are
+// also summed separately: the picker must be able to find that candidate, which two
+// random draws out of many would miss.
+func (r *Router) rate(snapshot []Candidate, req *Ask, sc *scratch) {
 	n := len(sc.left)
 	sc.loads = resize(sc.loads, n)
 	sc.score = resize(sc.score, n)
 	sc.affinity = resize(sc.affinity, n)
 	for k, i := range sc.left {
-		sc.loads[k] = snapshot[i].load(ask.Now)
+		sc.loads[k] = snapshot[i].load(req.Now)
 	}
 	for _, w := range r.scorers {
 		sc.part = resize(sc.part, n)
-		w.scorer.Score(View{snapshot, sc.left, sc.loads, ask}, sc.part)
+		w.scorer.Score(View{snapshot, sc.left, sc.loads, req}, sc.part)
 		for k, p := range sc.part {
 			sc.score[k] += w.weight * p
 			if w.affinity {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -44,13 +44,13 @@
 	return r
 }
 
-// Each row spoils all candidates in one way. The error must name the cause and
-// say rightly whether trying again can help: callers act on it.
+// Each row makes all candidates unusable in one way. The error must name the cause and
+// report correctly whether a retry can help, since callers act on it.
 func TestNothingLeft(t *testing.T) {
 	other := fleet.ModelRef{Model: "m", Version: "v2"}
 	rows := []struct {
 		name   string
-		spoil  func(c *Candidate, a *Ask)
+		modify func(c *Candidate, a *Ask)
 		reason Reason
 		retry  bool
 	}{
@@ -65,11 +65,11 @@
 		{"decode role", func(c *Candidate, _ *Ask) { c.Role = roleDecode }, NoneTakes, true},
 	}
 	for _, row := range rows {
-		all, ask := candidates(5), Ask{Ref: ref, Exclude: map[string]bool{}}
+		all, req := candidates(5), Ask{Ref: ref, Exclude: map[string]bool{}}
 		for i := range all {
-			row.spoil(&all[i], &ask)
+			row.modify(&all[i], &req)
 		}
-		_, trace, err := router(t).Pick(all, ask)
+		_, trace, err := router(t).Pick(all, req)
 		var none *NoCandidate
 		if !errors.As(err, &none) || none.Reason != row.reason || none.Retryable != row.retry {
 			t.Errorf("%s: %v (want %s, retryable %v)", row.name, err, row.reason, row.retry)
@@ -88,12 +88,12 @@
 	}
 }
 
-// Symptom: work reaches an engine that leaves, failed, was tried before or
-// runs another version. Whatever the scores, a pick passes every filter.
+// Guards against sending work to an engine that is leaving, failed, was tried before or
+// runs another version. Whatever the scores, the chosen candidate passes every filter.
 func TestPickNeverPassesAFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(1, 20).Draw(t, "n"))
-		ask := Ask{Ref: ref, Exclude: map[string]bool{}, Blocks: []uint64{1, 2}, Resume: rapid.Bool().Draw(t, "resume")}
+		req := Ask{Ref: ref, Exclude: map[string]bool{}, Blocks: []uint64{1, 2}, Resume: rapid.Bool().Draw(t, "resume")}
 		good := map[string]bool{}
 		for i := range all {
 			c := &all[i]
@@ -104,7 +104,7 @@
 			case 1:
 				c.State = health.Suspect
 			case 2:
-				ask.Exclude[c.Backend.ID] = true
+				req.Exclude[c.Backend.ID] = true
 			case 3:
 				c.Serves = nil
 			default:
@@ -115,17 +115,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, _, err := r.Pick(all, ask)
+		got, _, err := r.Pick(all, req)
 		if len(good) == 0 && err == nil || len(good) > 0 && !good[got.Backend.ID] {
 			t.Fatalf("picked %q of %v, error %v", got.Backend.ID, good, err)
 		}
 	})
 }
 
-// Symptom: one engine overloads with a popular prompt prefix while others
-// idle. Sequence: requests of one prefix arrive, each adds load to the engine
-// that gets it. The first must meet on few engines, but no load may pass the
-// bound, not even where affinity alone decides.
+// Guards against overloading one engine with a popular prompt prefix while others are
+// idle. Requests with one prefix arrive, and each adds load to the engine that gets it.
+// The first few must be sent to few engines, but no load may exceed the bound, not even
+// where affinity alone decides.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	affinityOnly := []StepConfig{{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: ScoreRendezvous}, {Name: PickArgmax}}
 	for _, steps := range [][]StepConfig{DefaultSteps(), affinityOnly} {
@@ -134,10 +134,10 @@
 			all[i].EstLoad = 0
 			at[all[i].Backend.ID] = i
 		}
-		r, ask := router(t, steps...), Ask{Ref: ref, Blocks: []uint64{7, 8, 9}}
+		r, req := router(t, steps...), Ask{Ref: ref, Blocks: []uint64{7, 8, 9}}
 		first := map[string]int{}
 		for n := range 320 {
-			got, _, err := r.Pick(all, ask)
+			got, _, err := r.Pick(all, req)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -157,16 +157,16 @@
 	}
 }
 
-// Symptom: when a failure domain dies, the streams resumed by all routers at
-// the same moment meet on the one engine that looks idle. Sequence: 300 resumes
-// of one prompt prefix on the same lagging snapshot.
+// Guards against resuming all streams on the one engine that looks idle. After the loss
+// of a failure domain all routers resume their streams at the same moment; here 300
+// requests with one prompt prefix see the same lagging snapshot.
 func TestResumesSpread(t *testing.T) {
 	all := candidates(24)
 	for i := range all {
 		all[i].EstLoad = 5
 	}
 	all[3].EstLoad = 4
-	// With argmax nothing but the scorer spreads them.
+	// With argmax, only the scorer spreads them.
 	argmaxOnly := []StepConfig{{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: ScoreLoad}, {Name: ScoreSpread}, {Name: PickArgmax}}
 	for _, steps := range [][]StepConfig{DefaultSteps(), argmaxOnly} {
 		r, got := router(t, steps...), map[string]int{}
@@ -185,7 +185,7 @@
 	}
 }
 
-// A configuration must not be able to leave out a guard.
+// A configuration must not be able to omit a required filter.
 func TestStepsAreChecked(t *testing.T) {
 	without := func(name string) (out []StepConfig) {
 		for _, s := range DefaultSteps() {
@@ -216,54 +216,54 @@
 	for _, n := range []int{50, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			all, r := candidates(n), router(b)
-			ask := Ask{Ref: ref, Blocks: []uint64{1, 2, 3, 4}}
+			req := Ask{Ref: ref, Blocks: []uint64{1, 2, 3, 4}}
 			b.ReportAllocs()
 			for b.Loop() {
-				_, _, _ = r.Pick(all, ask)
+				_, _, _ = r.Pick(all, req)
 			}
 		})
 	}
 }
 
-// sized is an engine whose reports showed how many requests it runs at once.
-type sized struct{ load, places float64 }
+// fakeSizedEngine is an engine whose reports showed how many requests it runs at once.
+type fakeSizedEngine struct{ load, slots float64 }
 
-func (s sized) Load(time.Time) float64       { return s.load }
-func (s sized) Leaving() bool                { return false }
-func (s sized) Hits([]uint64, time.Time) int { return 0 }
-func (s sized) Places() float64              { return s.places }
+func (s fakeSizedEngine) Load(time.Time) float64       { return s.load }
+func (s fakeSizedEngine) Leaving() bool                { return false }
+func (s fakeSizedEngine) Hits([]uint64, time.Time) int { return 0 }
+func (s fakeSizedEngine) Places() float64              { return s.slots }
 
-// Symptom: work waits at one engine for a long draft to end while others have
-// places free; near full load the fleet saturates with an eighth of them empty.
-// Sequence: the engine that a prefix belongs to has no free place, its load is
-// within the bound around the mean; and the least loaded engines are small and
-// full, while a large one has more requests and places free.
-// Cause: affinity looked at the mean load alone, and loads at no places.
+// Guards against requests that wait at one engine for a long generation to end while
+// other engines have free slots; near full load the fleet saturates with an eighth of
+// its slots empty. It happens when affinity considers only the mean load, and load
+// ignores the number of slots. First, the preferred engine of a prefix has no free slot
+// although its load is within the bound around the mean; then the least loaded engines
+// are small and full, while a large engine has more requests and also free slots.
 func TestWorkGoesWhereAPlaceIsFree(t *testing.T) {
-	r, ask := router(t), Ask{Ref: ref, Blocks: []uint64{7, 8}}
+	r, req := router(t), Ask{Ref: ref, Blocks: []uint64{7, 8}}
 	all := candidates(6)
 	for i := range all {
-		all[i].Live = sized{0, 16}
+		all[i].Live = fakeSizedEngine{0, 16}
 	}
-	home, _, err := r.Pick(all, ask)
+	preferred, _, err := r.Pick(all, req)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range all {
-		all[i].Live = sized{13, 16}
-		if all[i].Backend.ID == home.Backend.ID {
-			all[i].Live = sized{16, 16}
+		all[i].Live = fakeSizedEngine{13, 16}
+		if all[i].Backend.ID == preferred.Backend.ID {
+			all[i].Live = fakeSizedEngine{16, 16}
 		}
 	}
 	for range 100 {
-		if got, _, _ := r.Pick(all, ask); got.Backend.ID == home.Backend.ID {
+		if got, _, _ := r.Pick(all, req); got.Backend.ID == preferred.Backend.ID {
 			t.Fatalf("%s has no free place and gets work for its prefix", got.Backend.ID)
 		}
 	}
 	for i := range all {
-		all[i].Live = sized{18, 16}
+		all[i].Live = fakeSizedEngine{18, 16}
 	}
-	all[2].Live = sized{20, 64}
+	all[2].Live = fakeSizedEngine{20, 64}
 	for range 100 {
 		if got, _, _ := r.Pick(all, Ask{Ref: ref}); got.Backend.ID != all[2].Backend.ID {
 			t.Fatalf("%s has no free place and gets work", got.Backend.ID)
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -4,15 +4,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// View is what a scorer sees: the candidates left, with their loads.
+// View is the input of a scorer: the remaining candidates with their loads.
 type View struct {
 	all   []Candidate
 	left  []int32
 	loads []float64
-	ask   *Ask
+	req   *Ask
 }
 
-func (v *View) at(k int) *Candidate { return &v.all[v.left[k]] }
+func (v *View) candidate(k int) *Candidate { return &v.all[v.left[k]] }
 
 func (v *View) meanLoad() float64 {
 	var sum float64
@@ -38,12 +38,12 @@
 	ScorePlaces     = "free-places"
 )
 
-// loadSlack is how many requests a load is compared with: a continuous batch
-// takes one more of them at little cost, so that on an idle fleet one request
+// loadSlack is added to loads before they are compared. A continuous batch accepts that
+// many more requests at little cost, so on an idle fleet a difference of one request
 // must not outweigh a cached prefix.
 const loadSlack = 4
 
-// loadScorer prefers the least loaded, by ratio.
+// loadScorer prefers the least loaded candidate, by ratio.
 type loadScorer struct{}
 
 func (loadScorer) Score(v View, out []float64) {
@@ -56,102 +56,104 @@
 	}
 }
 
-// Reporter is a Live that also knows what the last report alone said.
+// Reporter is implemented by a Live that also knows the load in the last report alone.
 type Reporter interface {
 	// Reported is the number of requests running and waiting by the last report.
 	Reported() float64
 }
 
-// reportedScorer goes by the last report alone, whatever was sent since. It
-// serves as a baseline.
+// reportedScorer uses the last report alone and ignores what was sent since. It serves
+// as a baseline.
 type reportedScorer struct{}
 
 func (reportedScorer) Score(v View, out []float64) {
 	for k := range out {
 		load := v.loads[k]
-		if r, ok := v.at(k).Live.(Reporter); ok {
+		if r, ok := v.candidate(k).Live.(Reporter); ok {
 			load = r.Reported()
 		}
 		out[k] = loadSlack / (load + loadSlack)
 	}
 }
 
-// boundedLoad is how far above the mean a candidate's load may lie while
-// prefix affinity still draws work to it. Without a bound one popular prefix
-// would overload one engine while others idle.
+// boundedLoad is how far above the mean, as a factor, a candidate's load may be while
+// prefix affinity still draws work to it. Without a bound, one popular prefix would
+// overload one engine while others are idle.
 const boundedLoad = 1.25
 
 func overloaded(load, mean float64) bool { return load > boundedLoad*mean+1 }
 
-// Placer is a Live that knows how many requests its backend server runs at once.
+// Placer is implemented by a Live that knows how many requests its backend server runs
+// at once.
 type Placer interface {
-	// Places is that number as far as reports showed it, 0 when unknown.
+	// Places is that number as shown by the reports, 0 when unknown.
 	Places() float64
 }
 
-func (v *View) places(k int) float64 {
-	p, ok := v.at(k).Live.(Placer)
+func (v *View) slots(k int) float64 {
+	p, ok := v.candidate(k).Live.(Placer)
 	if !ok {
 		return 0
 	}
 	return p.Places()
 }
 
-// fullShare is the part of its places above which a backend server is taken to
-// be full: what other routers sent there shows only in the next report.
+// fullShare is the share of its slots from which a backend server counts as full:
+// requests that other routers sent there show only in the next report.
 const fullShare = 0.9
 
-// full tells that a candidate is known to have no free place. Then no prefix
-// draws work to it.
+// isFull reports whether a candidate is known to have no free slot. Prefix affinity
+// then draws no work to it.
 //
-// What goes wrong without it: near full load the loads of two engines differ by
-// little, and the prefix outweighs that. Work waits at one engine for a long
-// draft to end, to spare some milliseconds of prefill, while others have places
-// free.
-func (v *View) full(k int) bool {
-	places := v.places(k)
-	return places > 0 && v.loads[k] >= fullShare*places
+// Without this check, near full load the loads of two engines differ by little, so the
+// prefix outweighs the difference. Requests then wait at one engine for a long
+// generation to end, to save some milliseconds of prefill, while other engines have
+// free slots.
+func (v *View) isFull(k int) bool {
+	slots := v.slots(k)
+	return slots > 0 && v.loads[k] >= fullShare*slots
 }
 
-// prefixScorer prefers the cache that is known to hold most of the prompt.
+// prefixScorer prefers the cache that is known to contain most of the prompt.
 type prefixScorer struct{}
 
 func (prefixScorer) Score(v View, out []float64) {
-	if len(v.ask.Blocks) == 0 {
+	if len(v.req.Blocks) == 0 {
 		return
 	}
 	mean := v.meanLoad()
-	total := float64(len(v.ask.Blocks))
+	total := float64(len(v.req.Blocks))
 	for k := range out {
-		if overloaded(v.loads[k], mean) || v.full(k) {
+		if overloaded(v.loads[k], mean) || v.isFull(k) {
 			continue
 		}
-		out[k] = float64(v.at(k).hits(v.ask.Blocks, v.ask.Now)) / total
+		out[k] = float64(v.candidate(k).hits(v.req.Blocks, v.req.Now)) / total
 	}
 }
 
-// leadingBlocks is how many blocks of a prompt decide its rendezvous: prompts
-// that share so much come to the same engine.
+// leadingBlocks is how many blocks of a prompt determine its rendezvous key: prompts
+// that have these blocks in common go to the same engine.
 const leadingBlocks = 2
 
-// rendezvousScorer sends equal prefixes to equal engines without any report:
-// the highest hash gets 1, the next 0.5. Overloaded ones pass to the next.
+// rendezvousScorer sends equal prefixes to equal engines without needing any report:
+// the candidate with the highest hash gets 1, the next one 0.5. Overloaded ones are
+// skipped.
 type rendezvousScorer struct{}
 
 func (rendezvousScorer) Score(v View, out []float64) {
-	// Resumed streams of one popular prefix would all meet on one engine.
-	if len(v.ask.Blocks) == 0 || v.ask.Resume {
+	// Otherwise resumed streams with one popular prefix would all go to one engine.
+	if len(v.req.Blocks) == 0 || v.req.Resume {
 		return
 	}
-	key := v.ask.Blocks[min(leadingBlocks, len(v.ask.Blocks))-1]
+	key := v.req.Blocks[min(leadingBlocks, len(v.req.Blocks))-1]
 	mean := v.meanLoad()
 	best, next := -1, -1
 	var bestHash, nextHash uint64
 	for k := range out {
-		if overloaded(v.loads[k], mean) || v.full(k) {
+		if overloaded(v.loads[k], mean) || v.isFull(k) {
 			continue
 		}
-		h := Rendezvous(key, v.at(k).Backend.ID)
+		h := Rendezvous(key, v.candidate(k).Backend.ID)
 		switch {
 		case best < 0 || h > bestHash:
 			next, nextHash = best, bestHash
@@ -168,8 +170,7 @@
 	}
 }
 
-// Rendezvous is the weight of a member for a key, for highest-random-weight
-// hashing.
+// Rendezvous is the weight of a member for a key, for highest-random-weight hashing.
 func Rendezvous(key uint64, id string) uint64 {
 	// The finalizer of SplitMix64 mixes the two without another pass over id.
 	x := xxhash.Sum64String(id) ^ key
@@ -180,40 +181,40 @@
 	return x ^ x>>31
 }
 
-// domainScorer prefers the router's own failure domain.
+// domainScorer prefers candidates in the router's own failure domain.
 type domainScorer struct{}
 
 func (domainScorer) Score(v View, out []float64) {
 	for k := range out {
-		if v.at(k).Backend.FailureDomain == v.ask.FailureDomain {
+		if v.candidate(k).Backend.FailureDomain == v.req.FailureDomain {
 			out[k] = 1
 		}
 	}
 }
 
-// spreadScorer gives each resumed request its own order of the candidates, so
-// that routers which resume together do not all choose the same idle engine.
+// spreadScorer gives each resumed request its own order of the candidates, so that
+// routers that resume requests at the same time don't all choose the same idle engine.
 type spreadScorer struct{}
 
 func (spreadScorer) Score(v View, out []float64) {
-	if !v.ask.Resume {
+	if !v.req.Resume {
 		return
 	}
 	for k := range out {
-		h := Rendezvous(v.ask.Request, v.at(k).Backend.ID)
+		h := Rendezvous(v.req.Request, v.candidate(k).Backend.ID)
 		out[k] = float64(h>>11) / (1 << 53)
 	}
 }
 
-// placesScorer prefers a backend server that has a free place: 1, and less for
-// each request that would wait there ahead of this one.
-type placesScorer struct{}
+// slotsScorer gives 1 to a backend server that has a free slot, and less for each
+// request that would wait there ahead of this one.
+type slotsScorer struct{}
 
-func (placesScorer) Score(v View, out []float64) {
+func (slotsScorer) Score(v View, out []float64) {
 	for k := range out {
 		out[k] = 1
-		if places := v.places(k); places > 0 {
-			queued := max(v.loads[k]+1-places, 0)
+		if slots := v.slots(k); slots > 0 {
+			queued := max(v.loads[k]+1-slots, 0)
 			out[k] = loadSlack / (queued + loadSlack)
 		}
 	}
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -12,31 +12,31 @@
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// weighted is a scorer with its weight; affinity marks scorers that draw an
-// attempt to particular candidates.
-type weighted struct {
+// weightedScorer is a scorer with its weight; affinity marks scorers that draw a
+// request to particular candidates.
+type weightedScorer struct {
 	scorer   Scorer
 	weight   float64
 	affinity bool
 }
 
 var filters = map[string]Filter{
-	FilterServes:  each{FilterServes, serves},
-	FilterLeaving: each{FilterLeaving, stays},
-	FilterUsable:  usable{},
-	FilterExclude: each{FilterExclude, notExcluded},
-	FilterRole:    each{FilterRole, takesPrompts},
+	FilterServes:  perCandidate{FilterServes, serves},
+	FilterLeaving: perCandidate{FilterLeaving, notLeaving},
+	FilterUsable:  usableFilter{},
+	FilterExclude: perCandidate{FilterExclude, notExcluded},
+	FilterRole:    perCandidate{FilterRole, takesPrompts},
 
-	FilterRoom:        each{FilterRoom, hasRoom},
-	FilterBacklog:     each{FilterBacklog, shortBacklog},
-	FilterFresh:       fresh{},
-	FilterFreshOnly:   each{FilterFreshOnly, isFresh},
-	FilterStale:       each{FilterStale, isStale},
-	FilterOtherDomain: each{FilterOtherDomain, otherDomain},
-	FilterHealthy:     each{FilterHealthy, knownHealthy},
+	FilterRoom:        perCandidate{FilterRoom, fitsMemory},
+	FilterBacklog:     perCandidate{FilterBacklog, backlogWithinBound},
+	FilterFresh:       freshFilter{},
+	FilterFreshOnly:   perCandidate{FilterFreshOnly, hasRecentReport},
+	FilterStale:       perCandidate{FilterStale, hasStaleReport},
+	FilterOtherDomain: perCandidate{FilterOtherDomain, otherDomain},
+	FilterHealthy:     perCandidate{FilterHealthy, notSuspected},
 }
 
-var scorers = map[string]weighted{
+var scorers = map[string]weightedScorer{
 	ScoreLoad:       {scorer: loadScorer{}},
 	ScoreReported:   {scorer: reportedScorer{}},
 	ScorePrefix:     {scorer: prefixScorer{}, affinity: true},
@@ -45,12 +45,12 @@
 	ScoreDelay:      {scorer: delayScorer{}},
 	ScoreMemory:     {scorer: memoryScorer{}},
 	ScoreSpread:     {scorer: spreadScorer{}, affinity: true},
-	ScorePlaces:     {scorer: placesScorer{}, affinity: true},
+	ScorePlaces:     {scorer: slotsScorer{}, affinity: true},
 }
 
-// DefaultSteps is the configuration used when the settings name none. ScorePrefix
-// is not among them: ScoreRendezvous sends equal prompts to equal engines without the
-// polls for cache events that it needs.
+// DefaultSteps is the configuration used when the settings name none. ScorePrefix is
+// not included: ScoreRendezvous sends equal prompts to equal engines without the
+// polling for cache events that ScorePrefix needs.
 func DefaultSteps() []StepConfig {
 	return []StepConfig{
 		{Name: FilterServes},
@@ -67,14 +67,14 @@
 	}
 }
 
-// Uses tells whether a step is among the configured ones.
+// Uses reports whether a step is among the configured ones.
 func Uses(steps []StepConfig, name string) bool {
 	return slices.ContainsFunc(steps, func(s StepConfig) bool { return s.Name == name })
 }
 
-// New builds a Router from named steps. Unknown names, a missing or second
-// picker and missing guards (serves, leaving, exclude) are errors: a
-// configuration must not be able to send work to a leaving backend server.
+// New builds a Router from named steps. Unknown names, a missing or second picker and a
+// missing required filter (serves, leaving, exclude) are errors: a configuration must
+// not be able to send work to a leaving backend server.
 func New(steps []StepConfig, rng *rand.Rand) (*Router, error) {
 	r := &Router{rng: rng}
 	r.pool.New = func() any { return &scratch{} }
@@ -88,9 +88,9 @@
 			return nil, Error.Wrap(err)
 		}
 	}
-	for _, must := range []string{FilterServes, FilterLeaving, FilterExclude} {
-		if !named[must] {
-			return nil, Error.New("step %q is missing", must)
+	for _, required := range []string{FilterServes, FilterLeaving, FilterExclude} {
+		if !named[required] {
+			return nil, Error.New("step %q is missing", required)
 		}
 	}
 	if r.picker == nil {
