--- a/directory/batch.go
+++ b/directory/batch.go
@@ -8,114 +8,113 @@
 )
 
 const (
-	// defaultBatch is assumed until an engine's reports tell more.
+	// defaultBatch is assumed until an engine's reports show more.
 	defaultBatch = 64
 	minBatch     = 4
 	maxBatch     = 4096
-	// shrinkFactor bounds how much one report can take off.
+	// shrinkFactor bounds how much one report can reduce the estimate.
 	shrinkFactor = 0.75
-	// growShare is the share of what an engine is thought to take at which it
-	// shows that it may take more, as nothing waits; growFactor is what it is
-	// then given.
+	// growShare is the share of the estimate at which an engine without a queue shows
+	// that it may run more requests; growFactor is the factor by which the estimate
+	// then grows.
 	growShare  = 0.85
 	growFactor = 1.25
-	// growPause is how long a figure that a queue showed is not raised: each try
-	// costs requests that wait at the engine.
+	// growPause is how long an estimate that a queue confirmed is not raised: each
+	// attempt to raise it makes requests wait at the engine.
 	growPause = 30 * time.Second
-	// queueShare is what urgent work is sent on top, as a share: a short queue
-	// at the engine fills a place at its next step instead of after our next
-	// look.
+	// queueShare is how much urgent work is sent beyond the estimate, as a share of it:
+	// a short queue at the engine fills a free slot at the engine's next step instead
+	// of after this router's next poll.
 	queueShare = 0.125
 )
 
-// batchSize learns how many requests an engine runs at once.
+// batchSize estimates how many requests an engine runs at once.
 //
-// What goes wrong without it: with too high a figure, requests queue at the
-// engine, where a client account's share and a deadline count for nothing, and
-// lookups meet drafts that can't be refused any more; with too low a one, the
-// engine idles while callers are refused. Engines do not say how many they
-// take, but a report in which some wait shows it: just those that run.
+// With too high a value, requests queue at the engine, where a client account's share
+// and a deadline have no effect, and calls wait behind long generations that can no
+// longer be refused. With too low a value, the engine idles while requests are refused.
+// Engines do not report how many they run at most, but a report in which some requests
+// wait shows it: it is the number that run.
 type batchSize struct {
-	known  float64
-	queued bool      // in the last report
-	shown  time.Time // when the last report with a queue came
+	learned     float64   // 0 until reports have shown a value
+	hadQueue    bool      // the last report had requests waiting
+	queueSeenAt time.Time // time of the last report with requests waiting
 }
 
 func (b *batchSize) observe(rep fleet.LoadReport, now time.Time) {
 	running, before := float64(rep.Running), b.value()
-	wasQueued := b.queued
-	b.queued = rep.Waiting > 0
+	wasQueued := b.hadQueue
+	b.hadQueue = rep.Waiting > 0
 	switch {
-	case b.queued:
-		b.shown = now
+	case b.hadQueue:
+		b.queueSeenAt = now
 		if running < before && !wasQueued {
-			return // a burst that the engine's next step may take in
+			return // a burst, which the engine's next step may start to run
 		}
-		b.known = max(running, b.known*shrinkFactor)
-	case running >= before*growShare && now.Sub(b.shown) > growPause:
-		b.known = max(running*growFactor, before)
+		b.learned = max(running, b.learned*shrinkFactor)
+	case running >= before*growShare && now.Sub(b.queueSeenAt) > growPause:
+		b.learned = max(running*growFactor, before)
 	}
-	if b.known > 0 {
-		b.known = min(max(b.known, minBatch), maxBatch)
+	if b.learned > 0 {
+		b.learned = min(max(b.learned, minBatch), maxBatch)
 	}
 }
 
-// restart keeps the figure for a new incarnation, which most often runs on the
-// same VM: by the first guess, a whole failure domain that comes back would be
-// overfilled. It may grow at once.
-func (b *batchSize) restart() { *b = batchSize{known: b.known} }
+// restart keeps the estimate for a new incarnation, which usually runs on the same VM:
+// with the default, a whole failure domain that comes back would be overloaded. The
+// estimate may grow at once.
+func (b *batchSize) restart() { *b = batchSize{learned: b.learned} }
 
 func (b *batchSize) value() float64 {
-	if b.known == 0 {
+	if b.learned == 0 {
 		return defaultBatch
 	}
-	return b.known
+	return b.learned
 }
 
-// take is how many requests an engine is to have at once, where only a share
-// of its places is to be filled. The whole is a little more than the places.
-func (b *batchSize) take(share float64) float64 {
+// limit is how many requests an engine should have at once when the given share of its
+// slots may be used. For the full share it is a little more than the slots.
+func (b *batchSize) limit(share float64) float64 {
 	if share >= 1 {
 		return b.value()*(1+queueShare) + 1
 	}
 	return b.value() * share
 }
 
-// LearnedCapacity is Capacity where each candidate takes as many requests as
-// its reports showed, or the share of them that is given: what is left over is
-// for more urgent work.
+// LearnedCapacity is like Capacity, but each candidate takes as many requests as its
+// reports showed, or the given share of them: the rest is left for more urgent work.
 func LearnedCapacity(candidates []routing.Candidate, share float64, now time.Time) int {
-	return capacity(candidates, now, func(r *record) float64 { return r.takes(share) })
+	return capacity(candidates, now, func(r *record) float64 { return r.requestLimit(share) })
 }
 
-func (r *record) takes(share float64) float64 {
+func (r *record) requestLimit(share float64) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.batch.take(share)
+	return r.batch.limit(share)
 }
 
-// capacity sums what is left at each candidate of what it takes.
-func capacity(candidates []routing.Candidate, now time.Time, takes func(*record) float64) int {
+// capacity sums the remaining free capacity of each candidate.
+func capacity(candidates []routing.Candidate, now time.Time, limit func(*record) float64) int {
 	var sum float64
-	taking := false
+	accepting := false
 	for _, c := range candidates {
 		r, ok := c.Live.(*record)
 		if !ok || r.Leaving() {
 			continue
 		}
-		taking = true
-		ours := float64(r.own.requests.Load()) / milli
-		others := r.Load(now) - ours
-		sum += max(takes(r)-others, 0)
+		accepting = true
+		local := float64(r.local.requests.Load()) / milli
+		peers := r.Load(now) - local
+		sum += max(limit(r)-peers, 0)
 	}
-	if !taking {
+	if !accepting {
 		return 0
 	}
 	return max(int(sum), 1)
 }
 
-// Places sums what the candidates take, whoever has it now: perBackend each,
-// or what their reports showed when that is 0.
+// Places sums the slots of all candidates, whichever router uses them now: perBackend
+// for each candidate or, when that is 0, the number that its reports showed.
 func Places(candidates []routing.Candidate, perBackend float64) int {
 	var sum float64
 	for _, c := range candidates {
@@ -125,7 +124,7 @@
 		case perBackend > 0:
 			sum += perBackend
 		default:
-			sum += r.takes(1)
+			sum += r.requestLimit(1)
 		}
 	}
 	return int(sum)
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -15,15 +15,15 @@
 	targetModels   = 7
 )
 
-// bigFleet knows all replicas and has heard the reports of the router's own.
-func bigFleet(heard int) (*Directory, []fleet.Backend) {
+// bigFleet knows all replicas and has received a report from the first ones.
+func bigFleet(reporting int) (*Directory, []fleet.Backend) {
 	d, now := New(nil), time.Now()
 	var list []fleet.Backend
 	for i := range targetReplicas {
 		list = append(list, engine(fmt.Sprintf("engine-%05d", i)))
 	}
 	d.Update(list, now)
-	for i := range heard {
+	for i := range reporting {
 		rep := report("i1", now, 5)
 		rep.Serves = []fleet.ModelRef{{Model: fmt.Sprint("m", i%targetModels), Version: "v1"}}
 		d.Report(list[i].ID, rep, now)
@@ -31,7 +31,7 @@
 	return d, list
 }
 
-// BenchmarkListAt10000 measures taking in one reading of the VM list.
+// BenchmarkListAt10000 measures applying one reading of the VM list.
 func BenchmarkListAt10000(b *testing.B) {
 	d, list := bigFleet(500)
 	for b.Loop() {
@@ -39,8 +39,8 @@
 	}
 }
 
-// BenchmarkRoundAt10000 measures what each round of polls costs beside the
-// polls: choosing whom to ask, twice.
+// BenchmarkRoundAt10000 measures the cost of a polling round without the polls:
+// choosing the engines to poll, twice.
 func BenchmarkRoundAt10000(b *testing.B) {
 	const subset, explore = 32, 8
 	d, _ := bigFleet(500)
--- a/directory/cache.go
+++ b/directory/cache.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// relearn is how long an engine's cache map is not trusted after a gap in
-	// its events: stored blocks are heard of again as they are used anew.
-	relearn = 20 * time.Second
-	// maxBlocks bounds the memory of one engine's map. Further blocks are not
-	// kept, which only costs affinity.
+	// relearnTime is how long an engine's cache map isn't used after a gap in its
+	// events; stored blocks are reported again when they are used again.
+	relearnTime = 20 * time.Second
+	// maxBlocks bounds the memory of one engine's map. Blocks beyond it are not
+	// recorded, which costs only affinity.
 	maxBlocks = 16384
 )
 
-// CacheEvent says that an engine stored or removed one prefix block.
+// CacheEvent reports that an engine stored or removed one prefix block.
 type CacheEvent struct {
 	Seq    uint64
 	Stored bool
 	Block  uint64
 }
 
-// CacheBatch is an answer to a poll for cache events after some number.
+// CacheBatch is the response to a poll for the cache events after a sequence number.
 type CacheBatch struct {
 	Incarnation string
 	Events      []CacheEvent
 }
 
-// cacheMap is what is known of one engine's prefix cache.
+// cacheMap records the blocks known to be in one engine's prefix cache.
 type cacheMap struct {
 	mu          sync.RWMutex
 	incarnation string
 	seq         uint64
 	blocks      map[uint64]struct{}
-	trustFrom   time.Time
+	trustedFrom time.Time
 }
 
-// after is the number from which to ask on.
-func (c *cacheMap) after() uint64 {
+// lastSeq is the sequence number after which the next poll continues.
+func (c *cacheMap) lastSeq() uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.seq
 }
 
-// apply takes in a batch; it returns true when events were missing. Without
-// the check, a lost "removed" would draw prompts to a cache that no longer
-// holds them, for as long as the engine lives.
+// apply applies a batch and returns true when events were missing. Without that check,
+// a lost "removed" event would send prompts to a cache that no longer contains them,
+// for as long as the engine runs.
 func (c *cacheMap) apply(b CacheBatch, now time.Time) (gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if b.Incarnation != c.incarnation {
 		c.incarnation, c.seq = b.Incarnation, 0
 		c.blocks = nil
-		c.trustFrom = now
+		c.trustedFrom = now
 	}
 	for _, e := range b.Events {
 		if e.Seq <= c.seq {
@@ -63,15 +63,15 @@
 		if e.Seq != c.seq+1 {
 			gap = true
 			c.blocks = nil
-			c.trustFrom = now.Add(relearn)
+			c.trustedFrom = now.Add(relearnTime)
 		}
 		c.seq = e.Seq
-		c.change(e)
+		c.applyEvent(e)
 	}
 	return gap
 }
 
-func (c *cacheMap) change(e CacheEvent) {
+func (c *cacheMap) applyEvent(e CacheEvent) {
 	if !e.Stored {
 		delete(c.blocks, e.Block)
 		return
@@ -88,7 +88,7 @@
 func (c *cacheMap) hits(blocks []uint64, now time.Time) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if len(c.blocks) == 0 || now.Before(c.trustFrom) {
+	if len(c.blocks) == 0 || now.Before(c.trustedFrom) {
 		return 0
 	}
 	for n, b := range blocks {
@@ -99,7 +99,7 @@
 	return len(blocks)
 }
 
-// CacheEvents takes in a batch of an engine's cache events.
+// CacheEvents applies a batch of an engine's cache events.
 func (d *Directory) CacheEvents(id string, b CacheBatch, now time.Time) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -110,12 +110,12 @@
 	}
 }
 
-// CacheAfter is the number of the last cache event taken in, from which the
-// next poll asks on.
+// CacheAfter is the sequence number of the last cache event applied, after which the
+// next poll continues.
 func (d *Directory) CacheAfter(id string) uint64 {
 	r := d.table.Load().byID[id]
 	if r == nil {
 		return 0
 	}
-	return r.cache.after()
+	return r.cache.lastSeq()
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,13 +1,12 @@
-// Package directory holds the backend servers as this router knows them. It
-// merges the VM list, load reports, cache events, rumours and the router's own
-// requests under way, each of which is late or incomplete in its own way.
+// Package directory records the backend servers that this router knows of. It merges
+// the VM list, load reports, cache events, reports from other routers and this router's
+// own requests in progress, each of which is late or incomplete in its own way.
 //
-// Failure story: reports lag, so an engine that looks idle may just have been
-// sent a hundred requests; what we sent since is added. An engine that is
-// leaving may look alive in a lagging list; once any source says that an
-// incarnation leaves, that sticks until a new incarnation shows up. Cache
-// events have gaps; after a gap the map of that engine is not trusted until
-// it has been relearned.
+// Reports lag, so an engine that looks idle may just have been sent a hundred requests;
+// the requests sent by this router since the report are added. An engine that is
+// leaving may look alive in a lagging list; once any source reports that an incarnation
+// is leaving, that holds until a new incarnation appears. Cache events have gaps; after
+// a gap the map of that engine isn't used until it has been relearned.
 package directory
 
 import (
@@ -22,30 +21,31 @@
 	"wigeondale/routing"
 )
 
-// PollInterval is the mean interval at which an engine's load is asked for and
-// a reader reads the VM list; each poll is moved by up to PollJitter of it.
+// PollInterval is the mean interval at which a router polls an engine's load and at
+// which a node that reads the VM list reads it; each poll is moved by up to PollJitter
+// of it.
 const (
 	PollInterval = time.Second
 	PollJitter   = 0.25
 )
 
-// RumourDelay bounds how long a rumour takes to reach every router.
+// RumourDelay bounds how long a peer report takes to reach every router.
 const RumourDelay = time.Second
 
-// LeavingBound is the time after which a leaving backend server gets no new
-// work, counted from when the VM list, a report or an engine's refusal would
-// first show it to any router that asks: one poll with its jitter, then the
-// flood, be it of a rumour or, for the VM list, of a reader's news. The readers
-// of the list poll apart, so the first of them mostly has it sooner. What lag the
-// platform's VM list has comes on top; and where a flood is lost, digests bring
-// the news later, within some rounds.
+// LeavingBound is the time after which a leaving backend server gets no new work,
+// counted from when the VM list, a load report or an engine's refusal would first show
+// it to any router that polls: one poll with its jitter, then the flood, either of a
+// peer report or, for the VM list, of a reader's update. The readers of the list poll
+// at different times, so the first of them usually has it sooner. The lag of the
+// platform's VM list comes on top; and when a flood is lost, digests deliver the update
+// later, within some rounds.
 const LeavingBound = PollInterval + PollInterval/4 + RumourDelay
 
-// missingGrace is how long a backend server may be missing from the VM list
-// before it is dropped. The list lags and may be answered by an old replica.
+// missingGrace is how long a backend server may be missing from the VM list before it
+// is removed. The list lags and may be served by an old replica.
 const missingGrace = 30 * time.Second
 
-// Source tells who said that a backend server is leaving.
+// Source names the source of the information that a backend server is leaving.
 type Source string
 
 // Sources of MarkLeaving.
@@ -57,7 +57,7 @@
 	FromRumour  Source = "rumour"
 )
 
-// table is an immutable view of the fleet, replaced as a whole.
+// table is an immutable view of the fleet; changes replace it as a whole.
 type table struct {
 	byID     map[string]*record
 	byRef    map[fleet.ModelRef][]routing.Candidate
@@ -66,83 +66,83 @@
 
 // Directory is safe for concurrent use. Readers take no lock.
 type Directory struct {
-	log   *event.Log
-	table atomic.Pointer[table]
-	heard atomic.Bool
-	loads loadBook
-	// OnLeaving, set before use, is told once for each incarnation that turns
-	// out to be leaving, so that a rumour can be spread.
+	log       *event.Log
+	table     atomic.Pointer[table]
+	anyReport atomic.Bool
+	loads     loadTracker
+	// OnLeaving, set before use, is called once for each incarnation that turns out to
+	// be leaving, so that a peer report can be broadcast.
 	OnLeaving func(id, incarnation string, source Source)
 
 	mu     sync.Mutex // serialises writers
 	subset map[string]bool
-	intent map[string]bool // VMs that the configuration wants to leave
+	intent map[string]bool // VMs that should leave by the configuration
 }
 
 // New returns an empty Directory.
 func New(log *event.Log) *Directory {
-	d := &Directory{log: log, loads: loadBook{busy: map[*record]struct{}{}}}
+	d := &Directory{log: log, loads: loadTracker{busy: map[*record]struct{}{}}}
 	d.table.Store(&table{})
 	return d
 }
 
-// Update takes in a reading of the VM list. Backend servers missing from it
-// are kept for a while, and for as long as they have requests under way.
+// Update applies a reading of the VM list. Backend servers missing from it are kept for
+// a while, and for as long as they have requests of this router in progress.
 func (d *Directory) Update(list []fleet.Backend, now time.Time) {
 	d.mu.Lock()
 	old := d.table.Load()
 	byID := make(map[string]*record, len(list))
-	var left, planned []*record
+	var nowLeaving, nowIntended []*record
 	for _, b := range list {
 		r := old.byID[b.ID]
 		if r == nil {
-			r = newRecord(b, &d.loads.tells)
+			r = newRecord(b, &d.loads.peersSendLoads)
 		}
-		if r.listed(b, now) {
-			left = append(left, r)
+		if r.applyListEntry(b, now) {
+			nowLeaving = append(nowLeaving, r)
 		}
-		// The configuration may be older than this entry of the list: a router
-		// that was started after its revision would otherwise send work there.
+		// The configuration may be older than this entry of the list: without this, a
+		// router that was started after that revision would send work there.
 		if r.setIntent(d.intent[b.VM]) {
-			planned = append(planned, r)
+			nowIntended = append(nowIntended, r)
 		}
 		byID[b.ID] = r
 	}
 	for id, r := range old.byID {
-		if _, ok := byID[id]; !ok && r.keep(now) {
+		if _, ok := byID[id]; !ok && r.keepUnlisted(now) {
 			byID[id] = r
 		}
 	}
 	d.rebuild(byID)
 	d.mu.Unlock()
-	for _, r := range left {
-		d.announce(r.id, r.currentIncarnation(), FromVMList)
+	for _, r := range nowLeaving {
+		d.announceLeaving(r.id, r.currentIncarnation(), FromVMList)
 	}
-	for _, r := range planned {
-		d.announce(r.id, r.currentIncarnation(), FromIntent)
+	for _, r := range nowIntended {
+		d.announceLeaving(r.id, r.currentIncarnation(), FromIntent)
 	}
 }
 
-// Report takes in an engine's load report.
+// Report applies an engine's load report.
 func (d *Directory) Report(id string, rep fleet.LoadReport, now time.Time) {
 	r := d.table.Load().byID[id]
 	if r == nil {
 		return
 	}
-	d.heard.Store(true)
-	changed, left := r.report(rep, now)
+	d.anyReport.Store(true)
+	changed, nowLeaving := r.applyReport(rep, now)
 	if changed {
 		d.mu.Lock()
 		d.rebuild(d.table.Load().byID)
 		d.mu.Unlock()
 	}
-	if left {
-		d.announce(id, rep.Incarnation, FromReport)
+	if nowLeaving {
+		d.announceLeaving(id, rep.Incarnation, FromReport)
 	}
 }
 
-// Select narrows snapshots to a subset of the engines; nil means all. Engines
-// outside the subset are not polled often enough to be judged.
+// Select restricts snapshots to a subset of the engines; nil means all. Engines outside
+// the subset are not polled often enough to know their state.
 func (d *Directory) Select(subset map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -153,8 +153,8 @@
 	d.rebuild(d.table.Load().byID)
 }
 
-// rebuild replaces the table. It runs only when the fleet's shape changes: the
-// figures that change with each request are read through the records.
+// rebuild replaces the table. It runs only when the set of backend servers or what they
+// serve changes: figures that change with each request are read through the records.
 func (d *Directory) rebuild(byID map[string]*record) {
 	t := &table{
 		byID:     byID,
@@ -177,8 +177,8 @@
 	d.table.Store(t)
 }
 
-// Snapshot returns the engines that serve ref. The slice is shared: only read
-// it. It costs one atomic load and one map look-up.
+// Snapshot returns the engines that serve ref. The slice is shared and must only be
+// read. It costs one atomic load and one map look-up.
 func (d *Directory) Snapshot(ref fleet.ModelRef) []routing.Candidate {
 	return d.table.Load().byRef[ref]
 }
@@ -194,13 +194,14 @@
 	return n
 }
 
-// Service returns the backend servers of a plain service, to be read only.
+// Service returns the backend servers of a service that is not a model engine. The
+// slice must only be read.
 func (d *Directory) Service(name string) []routing.Candidate {
 	return d.table.Load().services[name]
 }
 
-// FleetKnown tells whether any engine has reported yet.
-func (d *Directory) FleetKnown() bool { return d.heard.Load() }
+// FleetKnown reports whether any engine has sent a report yet.
+func (d *Directory) FleetKnown() bool { return d.anyReport.Load() }
 
 // Backend returns a backend server by its id.
 func (d *Directory) Backend(id string) (fleet.Backend, bool) {
@@ -211,7 +212,7 @@
 	return r.candidate().Backend, true
 }
 
-// Incarnation returns the one last reported, or "" when none is known.
+// Incarnation returns the last reported incarnation, or "" when none is known.
 func (d *Directory) Incarnation(id string) string {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -225,44 +226,44 @@
 	return slices.Sorted(maps.Keys(d.table.Load().byID))
 }
 
-// MarkLeaving records that one incarnation is leaving. It sticks until the
-// backend server shows a new incarnation. An empty incarnation means the one
-// known now.
+// MarkLeaving records that one incarnation is leaving. That holds until the backend
+// server reports a new incarnation. An empty incarnation means the current one.
 func (d *Directory) MarkLeaving(id, incarnation string, source Source) {
 	r := d.table.Load().byID[id]
 	if r == nil {
 		return
 	}
 	if r.markLeaving(incarnation) {
-		d.announce(id, incarnation, source)
+		d.announceLeaving(id, incarnation, source)
 	}
 }
 
-// SetIntent sets which VMs the configuration in force wants to leave. It is a
-// level, not an edge: a VM taken off it is back unless another source holds.
+// SetIntent sets the VMs that should leave by the configuration in force. It sets a
+// state and records no event: a VM that is no longer in the set gets work again, unless
+// another source reports it as leaving.
 func (d *Directory) SetIntent(leavingVMs map[string]bool) {
 	d.mu.Lock()
 	d.intent = maps.Clone(leavingVMs)
-	var planned []*record
+	var nowIntended []*record
 	for _, r := range d.table.Load().byID {
 		if r.setIntent(leavingVMs[r.candidate().Backend.VM]) {
-			planned = append(planned, r)
+			nowIntended = append(nowIntended, r)
 		}
 	}
 	d.mu.Unlock()
-	for _, r := range planned {
-		d.announce(r.id, r.currentIncarnation(), FromIntent)
+	for _, r := range nowIntended {
+		d.announceLeaving(r.id, r.currentIncarnation(), FromIntent)
 	}
 }
 
-// Leaving is asked again at the moment of dispatch, and for queued work. An
-// unknown backend server counts as leaving.
+// Leaving reports whether a backend server is leaving. It is called again at dispatch,
+// and for queued work. An unknown backend server counts as leaving.
 func (d *Directory) Leaving(id string) bool {
 	r := d.table.Load().byID[id]
 	return r == nil || r.Leaving()
 }
 
-func (d *Directory) announce(id, incarnation string, source Source) {
+func (d *Directory) announceLeaving(id, incarnation string, source Source) {
 	d.log.Emit(event.EngineLeaving, "backend", id, "incarnation", incarnation, "source", string(source))
 	if d.OnLeaving != nil {
 		d.OnLeaving(id, incarnation, source)
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -27,10 +27,10 @@
 	return fleet.LoadReport{Incarnation: incarnation, AsOfUnixMS: asOf.UnixMilli(), Running: running, Serves: []fleet.ModelRef{ref}}
 }
 
-// Symptom: all work goes to the engine whose report is oldest. Sequence: an
-// engine reports 10 running, of which 4 ours; the report is a second late; in
-// that second we send 5 more and 2 of ours end. Cause: a report knows nothing
-// of what was sent since its time.
+// Guards against sending all work to the engine whose report is oldest: a report
+// doesn't include what was sent after it was made. An engine reports 10 running
+// requests, of which 4 were sent by this router; the report arrives a second late, and
+// in that second this router sends 5 more and 2 of its requests end.
 func TestEstimateBringsLateReportsForward(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
@@ -54,13 +54,13 @@
 			t.Errorf("load %g, want 10 + 5 - 2", got)
 		}
 		if got := live.Load(time.Now().Add(time.Minute)); got != 7+6*fadeFloor {
-			t.Errorf("load a minute later %g, want 7 of ours and the others' faded 6", got)
+			t.Errorf("load a minute later %g, want 7 of this router and 6 of others, faded", got)
 		}
 	})
 }
 
-// Symptom: routers together send an engine more than it takes. What others
-// have there is taken off; leaving engines count for nothing.
+// Guards against routers that together send an engine more than it can run. The load of
+// the other routers is subtracted; leaving engines don't count.
 func TestCapacityLeavesRoomForOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
@@ -73,7 +73,7 @@
 	}
 	for _, id := range []string{"e0", "e1", "e2"} {
 		if got := Capacity(d.Snapshot(ref), 1, now); got != 1 {
-			t.Errorf("capacity %d while one takes work, want 1", got)
+			t.Errorf("capacity %d while one engine accepts work, want 1", got)
 		}
 		d.MarkLeaving(id, "", FromRefusal)
 	}
@@ -82,17 +82,17 @@
 	}
 }
 
-// Symptom: requests queue at an engine, or an engine idles while callers are
-// refused. Sequence: an engine that runs 20 at once is taken for one of 64; its
-// reports show a queue; or it is one that runs 200. It is started anew. Cause: engines do
-// not say how many they run.
+// Guards against requests that queue at an engine, and against an engine that idles
+// while requests are refused. Engines don't report how many requests they run at most.
+// The default estimate is 64; the engine runs 20, and its reports show a queue, or it
+// runs 200. Then it restarts.
 func TestReportsShowHowManyAnEngineTakes(t *testing.T) {
-	for _, real := range []int{20, 200} {
-		synctest.Test(t, func(t *testing.T) { learns(t, real) })
+	for _, actual := range []int{20, 200} {
+		synctest.Test(t, func(t *testing.T) { checkLearnedCapacity(t, actual) })
 	}
 }
 
-func learns(t *testing.T, real int) {
+func checkLearnedCapacity(t *testing.T, actual int) {
 	d := New(nil)
 	d.Update([]fleet.Backend{engine("e0")}, time.Now())
 	takes := func() int { return LearnedCapacity(d.Snapshot(ref), 1, time.Now()) }
@@ -100,15 +100,15 @@
 		sent := takes()
 		done := d.Start("e0", float64(sent))
 		time.Sleep(time.Second)
-		rep := report("i1", time.Now(), min(sent, real))
-		rep.Waiting = max(sent-real, 0)
+		rep := report("i1", time.Now(), min(sent, actual))
+		rep.Waiting = max(sent-actual, 0)
 		d.Report("e0", rep, time.Now())
 		done()
 		time.Sleep(time.Second)
 	}
 	d.Report("e0", report("i1", time.Now(), 0), time.Now())
-	if got := takes(); got < real || got > real+real/3 {
-		t.Errorf("an engine that runs %d is given %d", real, got)
+	if got := takes(); got < actual || got > actual+actual/3 {
+		t.Errorf("an engine that runs %d gets %d", actual, got)
 	}
 	before := takes()
 	d.Report("e0", report("i2", time.Now(), 0), time.Now())
@@ -117,10 +117,10 @@
 	}
 }
 
-// Symptom: new work reaches a VM that is about to go. Sequence: any order of
-// lagging news from the VM list, reports and rumours. Once a source said that
-// an incarnation leaves, nothing but another incarnation's report may bring
-// the engine back.
+// Guards against sending new work to a VM that is about to stop. The VM list, load
+// reports and peer reports arrive late and in any order. Once a source reported that an
+// incarnation is leaving, only a report of another incarnation may bring the engine
+// back.
 func TestLeavingSticksToItsIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -163,28 +163,28 @@
 	})
 }
 
-// Symptom: an engine that was marked before its first report takes work.
+// Guards against sending work to an engine that was marked before its first report.
 func TestMarkBeforeFirstReport(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
-	var told []string
-	d.OnLeaving = func(id, incarnation string, s Source) { told = append(told, fmt.Sprint(id, incarnation, s)) }
+	var announced []string
+	d.OnLeaving = func(id, incarnation string, s Source) { announced = append(announced, fmt.Sprint(id, incarnation, s)) }
 	b := engine("e0")
 	b.Leaving = true
 	d.Update([]fleet.Backend{b}, now)
 	d.Report("e0", report("i1", now, 0), now)
-	d.Update([]fleet.Backend{engine("e0")}, now) // an older replica of the list
+	d.Update([]fleet.Backend{engine("e0")}, now) // from a lagging replica of the list
 	if !d.Leaving("e0") || !d.Leaving("never-heard-of") {
-		t.Error("the mark of the VM list was lost, or an unknown one takes work")
+		t.Error("the leaving mark from the VM list was lost, or an unknown backend server takes work")
 	}
 	d.SetIntent(map[string]bool{"vm-e0": true})
-	if len(told) != 1 {
-		t.Errorf("announced %v, want once", told)
+	if len(announced) != 1 {
+		t.Errorf("announced %v, want once", announced)
 	}
 }
 
-// Symptom: prompts are drawn to a cache that dropped their blocks. Sequence:
-// the event "removed" is lost, shown only by a gap in the numbers.
+// Guards against sending prompts to a cache that removed their blocks: the event
+// "removed" is lost, which shows only as a gap in the sequence numbers.
 func TestCacheGapDropsTrust(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
@@ -203,12 +203,12 @@
 		t.Fatalf("hits %d, want 2", hits(now))
 	}
 	feed(4)
-	if hits(now) != 0 || hits(now.Add(relearn)) != 0 {
-		t.Error("blocks from before the gap are still believed")
+	if hits(now) != 0 || hits(now.Add(relearnTime)) != 0 {
+		t.Error("blocks from before the gap are still used")
 	}
 	d.CacheEvents("e0", CacheBatch{Incarnation: "i1", Events: []CacheEvent{{5, true, 1}, {6, true, 2}, {7, false, 2}}}, now)
-	if hits(now) != 0 || hits(now.Add(relearn)) != 1 {
-		t.Errorf("relearned map: now %d, later %d; want 0, then 1", hits(now), hits(now.Add(relearn)))
+	if hits(now) != 0 || hits(now.Add(relearnTime)) != 1 {
+		t.Errorf("relearned map: now %d, later %d; want 0, then 1", hits(now), hits(now.Add(relearnTime)))
 	}
 }
 
@@ -231,7 +231,7 @@
 			}
 		}
 		if kept < 10 {
-			t.Errorf("%s kept %d of 20 when a tenth of the fleet went", name, kept)
+			t.Errorf("%s kept %d of 20 when a tenth of the fleet was removed", name, kept)
 		}
 	}
 	for id, n := range count {
@@ -241,28 +241,28 @@
 	}
 }
 
-// platform plays the VM list and the engines; it counts calls under way.
-type platform struct {
-	events      atomic.Int64 // polls for cache events
-	mu          sync.Mutex
-	fleet       []fleet.Backend
-	asked       map[string]int
-	under, most int
+// fakePlatform serves the VM list and the engines, and counts calls in progress.
+type fakePlatform struct {
+	events                atomic.Int64 // polls for cache events
+	mu                    sync.Mutex
+	fleet                 []fleet.Backend
+	polled                map[string]int
+	inFlight, maxInFlight int
 }
 
-func (p *platform) Backends(context.Context) ([]fleet.Backend, error) {
+func (p *fakePlatform) Backends(context.Context) ([]fleet.Backend, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.fleet), nil
 }
 
-func (p *platform) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
+func (p *fakePlatform) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
 	p.mu.Lock()
-	p.asked[b.ID]++
-	p.under++
-	p.most = max(p.most, p.under)
+	p.polled[b.ID]++
+	p.inFlight++
+	p.maxInFlight = max(p.maxInFlight, p.inFlight)
 	p.mu.Unlock()
-	defer func() { p.mu.Lock(); p.under--; p.mu.Unlock() }()
+	defer func() { p.mu.Lock(); p.inFlight--; p.mu.Unlock() }()
 	if b.ID == "frozen" {
 		<-ctx.Done()
 		return fleet.LoadReport{}, ctx.Err()
@@ -271,17 +271,17 @@
 	return report("i1", time.Now(), 1), nil
 }
 
-func (p *platform) CacheEvents(context.Context, fleet.Backend, uint64) (CacheBatch, error) {
+func (p *fakePlatform) CacheEvents(context.Context, fleet.Backend, uint64) (CacheBatch, error) {
 	p.events.Add(1)
 	return CacheBatch{}, errors.New("none")
 }
 
-// Symptom: a leaving VM gets work for longer than stated, since the poller is
-// held up by frozen engines; or every router polls every engine. Sequence: 200
-// engines, one of them frozen; after the fleet is known, one VM leaves.
+// Guards against sending work to a leaving VM for longer than LeavingBound because
+// frozen engines delay the poller, and against every router polling every engine. There
+// are 200 engines and a frozen one; once the fleet is known, one VM leaves.
 func TestPollerKeepsItsBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &platform{asked: map[string]int{}, fleet: []fleet.Backend{engine("frozen")}}
+		p := &fakePlatform{polled: map[string]int{}, fleet: []fleet.Backend{engine("frozen")}}
 		for i := range 200 {
 			p.fleet = append(p.fleet, engine(fmt.Sprint("e", i)))
 		}
@@ -296,14 +296,14 @@
 		}
 		total := 0
 		p.mu.Lock()
-		for _, n := range p.asked {
+		for _, n := range p.polled {
 			total += n
 		}
 		if n := p.events.Load(); n > 0 {
 			t.Errorf("%d polls for cache events that no scorer uses", n)
 		}
-		if p.most > 4 || total > 40*(10+4)+20 {
-			t.Errorf("%d polls at once and %d in 30 s", p.most, total)
+		if p.maxInFlight > 4 || total > 40*(10+4)+20 {
+			t.Errorf("%d polls at once and %d in 30 s", p.maxInFlight, total)
 		}
 		p.fleet[5].Leaving = true
 		id := p.fleet[5].ID
@@ -347,11 +347,11 @@
 	}
 }
 
-// Symptom: an engine that leaves goes on getting work, and its load stays what it
-// was an hour ago; another is polled in every round, so that others are not.
-// Sequence: the engine's clock is set back by an hour while it runs. Cause: its
-// reports count as overtaken ones, and the time of its last report is taken from its
-// own clock.
+// Guards against ignoring an engine whose clock is set back by an hour while it runs.
+// It happens when its reports count as out of order and when the time of its last
+// report is taken from its own clock: it then still gets work when it leaves, its load
+// stays as it was an hour ago, and it is polled in every round in place of other
+// engines.
 func TestEngineClockIsSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
@@ -364,22 +364,22 @@
 		d.Report("e0", report("i1", back(), 3), time.Now())
 		r := d.table.Load().byID["e0"]
 		if got := r.Load(time.Now()); got > 4 {
-			t.Errorf("load %v by a report from before the clock was set", got)
+			t.Errorf("load %v by a report from before the clock was set back", got)
 		}
 		if first := d.Unheard("r1", map[string]bool{}, 1); len(first) != 1 || first[0] != "e1" {
-			t.Errorf("%v is polled first, want e1, which was heard from longest ago", first)
+			t.Errorf("%v is polled first, want e1, whose report is oldest", first)
 		}
 		leaving := report("i1", back(), 3)
 		leaving.Leaving = true
 		d.Report("e0", leaving, time.Now())
 		if !d.Leaving("e0") {
-			t.Error("the engine's word that it leaves is not heard")
+			t.Error("the engine's report that it is leaving is ignored")
 		}
 	})
 }
 
-// A report that another one overtook tells nothing of the load, but that the engine
-// leaves holds.
+// A report that arrives after a newer one doesn't change the load, but its leaving flag
+// still counts.
 func TestOvertakenReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
--- a/directory/dump.go
+++ b/directory/dump.go
@@ -19,7 +19,7 @@
 	CacheBlocks int              `json:"cache_blocks_known"`
 }
 
-// Dump returns what is known of each backend server, by id.
+// Dump returns the known state of each backend server, by id.
 func (d *Directory) Dump() map[string]BackendDump {
 	now := time.Now()
 	d.mu.Lock()
@@ -42,7 +42,7 @@
 		Backend:     r.backend,
 		Report:      r.last,
 		Load:        r.Load(now),
-		Takes:       r.batch.take(1),
+		Takes:       r.batch.limit(1),
 		Leaving:     r.Leaving(),
 		Marks:       append([]string(nil), r.marks...),
 		CacheBlocks: blocks,
@@ -55,10 +55,10 @@
 	return len(c.blocks)
 }
 
-// Capacity is how many requests this router may have under way at the given
-// candidates, as a Snapshot returns them, when each takes perBackend at once:
-// what others have there is taken off. At least one is granted while any
-// candidate takes work, since other routers' reported load lags.
+// Capacity is how many requests this router may have in progress at the given
+// candidates of a Snapshot when each runs perBackend at once; the load of other routers
+// is subtracted. The result is at least 1 while any candidate accepts work, since the
+// reported load of other routers lags.
 func Capacity(candidates []routing.Candidate, perBackend float64, now time.Time) int {
 	return capacity(candidates, now, func(*record) float64 { return perBackend })
 }
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -6,91 +6,93 @@
 	"wigeondale/fleet"
 )
 
-// What an engine says of itself when it is asked, brought forward to the present.
+// This file records the state that an engine reports when it is queried, corrected by
+// the requests that this router started since.
 //
-// What goes wrong without it: where routers are too many to tell each other what they
-// have under way, each knows of its own requests only. Every engine seems to have room,
-// nothing waits and nothing is refused, and prompts crowd each other out of memory. It
-// shows as drafts that are late by the half in a burst, none of them refused.
-
-// reportLag is how old the state in an engine's report is taken to be when it comes. What
-// this router began there since may not be in it, and is added. Taken for too long a time,
-// a request may count twice for a moment; for too short a time, an engine to which this
-// router has just sent a prompt seems idle.
+// Where there are too many routers to send each other their loads, each router knows
+// only its own requests. Without the engines' own reports, every engine seems to have
+// free capacity, nothing waits, nothing is refused, and prompts crowd each other out of
+// memory. In a burst, generations then take half as long again, and none is refused.
+
+// reportLag is the assumed age of an engine's report when it arrives. Requests that
+// this router started within that time may not be included and are added. If the value
+// is too high, a request may count twice for a moment; if it is too low, an engine to
+// which this router has just sent a prompt seems idle.
 const reportLag = 300 * time.Millisecond
 
-// Usual is the size in tokens of a service's ordinary request: reports name the runs, not
-// how large they will be.
+// Usual is the size in tokens of a typical request of a service: reports list the runs,
+// but not how large they will become.
 type Usual struct{ Prompt, Answer float64 }
 
-// observation is what an engine said.
+// observation is the peers' load derived from one report of an engine.
 type observation struct {
 	at time.Time
-	// others is what requests of other routers take. It may be below zero while the report
-	// holds less than this router has under way.
-	others Load
+	// peers is the load of other routers' requests. It may be negative while the report
+	// contains less than this router has in progress.
+	peers Load
 }
 
-// begun is what this router began at a moment.
-type begun struct {
+// recentStart is the load of a request that this router started recently.
+type recentStart struct {
 	at   time.Time
 	load Load
 }
 
-// Observe takes in what an engine says of itself.
-func (d *Directory) Observe(id string, s fleet.EngineState, usual Usual, now time.Time) {
+// Observe applies an engine's report of its state.
+func (d *Directory) Observe(id string, s fleet.EngineState, size Usual, now time.Time) {
 	if r := d.table.Load().byID[id]; r != nil {
-		r.observe(loadIn(s, usual), now)
+		r.observe(loadFromState(s, size), now)
 	}
 }
 
-// loadIn is what the requests in a report are going to take: what waits, and the rest of
-// the prompts that are being read and of the answers that are being made, come on top of
-// what is in memory. How far a prompt has been read isn't said: it counts whole.
-func loadIn(s fleet.EngineState, usual Usual) Load {
-	holds := usual.Prompt + usual.Answer
-	queued := float64(s.Queued) * usual.Prompt
+// loadFromState returns the load that the requests in a report will cause. What waits,
+// and the rest of the prompts being read and of the answers being generated, are added
+// to what is in memory. Reports don't include how far a prompt has been read, so it
+// counts in full.
+func loadFromState(s fleet.EngineState, size Usual) Load {
+	total := size.Prompt + size.Answer
+	queued := float64(s.Queued) * size.Prompt
 	if s.Next > 0 {
-		queued += float64(s.Next) - usual.Prompt
+		queued += float64(s.Next) - size.Prompt
 	}
 	out := Load{
 		Requests: float64(s.Queued + s.Reading + len(s.Runs)),
-		Reading:  queued + float64(s.Reading)*usual.Prompt,
+		Reading:  queued + float64(s.Reading)*size.Prompt,
 		Running:  float64(len(s.Runs)),
-		Held:     float64(s.Used) + queued + float64(s.Queued)*usual.Answer,
+		Held:     float64(s.Used) + queued + float64(s.Queued)*size.Answer,
 	}
-	beingRead := float64(s.Used - s.Copies) // what the prompts that are being read have in memory
+	beingRead := float64(s.Used - s.Copies) // memory taken by the prompts that are being read
 	for _, run := range s.Runs {
-		out.Held += max(holds-float64(run.Held), 0)
+		out.Held += max(total-float64(run.Held), 0)
 		beingRead -= float64(run.Held)
 	}
-	out.Held += max(float64(s.Reading)*holds-max(beingRead, 0), 0)
+	out.Held += max(float64(s.Reading)*total-max(beingRead, 0), 0)
 	return out
 }
 
-func (r *record) observe(there Load, now time.Time) {
+func (r *record) observe(reported Load, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.begun {
+	for _, b := range r.recentStarts {
 		if now.Sub(b.at) <= reportLag {
-			there = there.Plus(b.load)
+			reported = reported.Plus(b.load)
 		}
 	}
-	r.observed.Store(&observation{at: now, others: there.Minus(r.own.load())})
+	r.observed.Store(&observation{at: now, peers: reported.Minus(r.local.load())})
 }
 
-// remember keeps what began until every report holds it. r.mu is held.
-func (r *record) remember(l Load, now time.Time) {
-	kept := r.begun[:0]
-	for _, b := range r.begun {
+// rememberStart keeps a started request until every report includes it. r.mu is held.
+func (r *record) rememberStart(l Load, now time.Time) {
+	kept := r.recentStarts[:0]
+	for _, b := range r.recentStarts {
 		if now.Sub(b.at) <= reportLag {
 			kept = append(kept, b)
 		}
 	}
-	r.begun = append(kept, begun{now, l})
+	r.recentStarts = append(kept, recentStart{now, l})
 }
 
-// Seen is when the engine last said what it has under way; zero if it never did.
+// Seen is when the engine last reported its state; zero if it never did.
 func (r *record) Seen() time.Time {
 	if o := r.observed.Load(); o != nil {
 		return o.at
@@ -98,21 +100,21 @@
 	return time.Time{}
 }
 
-// othersLoad is what requests of other routers take: as these tell or, if they don't, as
-// the engine said.
-func (r *record) othersLoad() Load {
-	if r.told.Load() {
+// peerLoad is the load of other routers' requests: as they send it or, if they don't,
+// as the engine reported it.
+func (r *record) peerLoad() Load {
+	if r.peersSendLoads.Load() {
 		return r.peers.load()
 	}
 	if o := r.observed.Load(); o != nil {
-		return o.others
+		return o.peers
 	}
 	return Load{}
 }
 
-// estimated is this router's own requests and those of others.
-func (r *record) estimated() Load {
-	sum := r.own.load().Plus(r.othersLoad())
+// estimatedLoad is the load of this router's requests and those of its peers.
+func (r *record) estimatedLoad() Load {
+	sum := r.local.load().Plus(r.peerLoad())
 	return Load{
 		Requests: max(sum.Requests, 0),
 		Reading:  max(sum.Reading, 0),
@@ -121,17 +123,17 @@
 	}
 }
 
-// Estimate is what an engine is taken to have under way, and how long ago it reported that
-// itself; reported is false if it never did.
+// Estimate is the estimated load of an engine and the age of the engine's own report;
+// reported is false if it never sent one.
 func (d *Directory) Estimate(id string, now time.Time) (l Load, age time.Duration, reported bool) {
 	r := d.table.Load().byID[id]
 	if r == nil {
 		return Load{}, 0, false
 	}
 	seen := r.Seen()
-	return r.estimated(), now.Sub(seen), !seen.IsZero()
+	return r.estimatedLoad(), now.Sub(seen), !seen.IsZero()
 }
 
-// OthersTell tells whether other routers tell what they have under way. If not, engines
-// are to be asked.
-func (d *Directory) OthersTell() bool { return d.loads.tells.Load() }
+// OthersTell reports whether other routers send their loads. If not, engines must be
+// queried for them.
+func (d *Directory) OthersTell() bool { return d.loads.peersSendLoads.Load() }
--- a/directory/observed_test.go
+++ b/directory/observed_test.go
@@ -8,11 +8,11 @@
 	"wigeondale/fleet"
 )
 
-var usual = Usual{Prompt: 5000, Answer: 1000}
+var typical = Usual{Prompt: 5000, Answer: 1000}
 
-// Symptom: a prompt is sent to an engine that reads one, while others idle. Sequence: an
-// engine reports one request in its batch and no run. Cause: only runs were counted, and a
-// request is none before its prompt is read.
+// Guards against sending a prompt to an engine that is reading one while others are
+// idle. An engine reports one request in its batch and no run; a request must count
+// before its prompt is read, too.
 func TestReportCountsWhatIsToCome(t *testing.T) {
 	for name, c := range map[string]struct {
 		state fleet.EngineState
@@ -25,27 +25,26 @@
 		"two wait":          {fleet.EngineState{Queued: 2, Next: 8000}, Load{Requests: 2, Reading: 13000, Held: 15000}},
 		"copies are no run": {fleet.EngineState{Used: 20000, Copies: 20000, Reading: 1}, Load{Requests: 1, Reading: 5000, Held: 26000}},
 	} {
-		if got := loadIn(c.state, usual); got != c.want {
+		if got := loadFromState(c.state, typical); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-// Symptom: a router sends a second prompt to the engine that it has just sent one, and
-// another counts its run twice. Sequence: reports come that hold the router's request, and
-// that don't yet; then it ends. Cause: reports are old when they come.
+// Guards against counting a request of this router twice, or not at all. Reports are
+// old when they arrive: some already include the request and some don't; then it ends.
 func TestReportAndOwnRequestsAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
 		d.Update([]fleet.Backend{{ID: "e", Kind: fleet.Service, Service: "llm"}}, time.Now())
 		r := d.table.Load().byID["e"]
 		share := d.Begin("e", Load{Requests: 1, Reading: 5000, Held: 6000})
-		d.Observe("e", fleet.EngineState{}, usual, time.Now())
+		d.Observe("e", fleet.EngineState{}, typical, time.Now())
 		if r.Reading() != 5000 || r.Held() != 6000 {
 			t.Errorf("a report without it: %v, %v", r.Reading(), r.Held())
 		}
 		time.Sleep(reportLag + time.Millisecond)
-		d.Observe("e", fleet.EngineState{Reading: 1, Used: 3000}, usual, time.Now())
+		d.Observe("e", fleet.EngineState{Reading: 1, Used: 3000}, typical, time.Now())
 		if r.Reading() != 5000 || r.Held() != 6000 {
 			t.Errorf("a report with it: %v, %v", r.Reading(), r.Held())
 		}
@@ -58,7 +57,7 @@
 			t.Errorf("after its end: %v, %v", r.Reading(), r.Held())
 		}
 		if d.OthersTell() || time.Since(r.Seen()) != 0 {
-			t.Error("others tell, or the report isn't new")
+			t.Error("peers send their loads, or the report isn't new")
 		}
 	})
 }
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -5,15 +5,15 @@
 	"sync/atomic"
 )
 
-// What other routers have under way at each backend server, as they tell it.
+// This file records the load that other routers have at each backend server, as they
+// broadcast it.
 //
-// What goes wrong without it: each router sees its own requests, and those of
-// the others only by reports that come a second late. Several send their next
-// long prompt to the same idle engine at the same moment, which reads them one
-// after the other, while others idle. It shows as drafts that take half as long
-// again as they need.
+// Without it, each router knows its own requests, and those of the others only from
+// reports that arrive a second late. Several routers then send their next long prompt
+// to the same idle engine at the same moment, which reads the prompts one after the
+// other while other engines are idle: generations take half as long again as necessary.
 
-// PeerLoads is what one router has under way, by backend server.
+// PeerLoads is the load that routers have in progress, by backend server.
 type PeerLoads map[string]Load
 
 // loadCounter is a Load that changes with every request, in thousandths.
@@ -44,30 +44,30 @@
 	}
 }
 
-// loadBook is the state behind OwnLoads and SetPeerLoads. Both are called many
-// times a second, so they look only at backend servers with anything under way.
-type loadBook struct {
-	tells atomic.Bool // other routers tell what they have under way
+// loadTracker is the state behind OwnLoads and SetPeerLoads. Both are called many times
+// a second, so they visit only backend servers that have any load.
+type loadTracker struct {
+	peersSendLoads atomic.Bool // other routers send their loads
 
-	mu   sync.Mutex
-	busy map[*record]struct{} // with own requests, or until lately
-	told PeerLoads            // as last set
+	mu        sync.Mutex
+	busy      map[*record]struct{} // with requests of this router, now or recently
+	peerLoads PeerLoads            // as last set
 }
 
-// note remembers that a request of this router is under way at r.
-func (p *loadBook) note(r *record) {
+// markBusy records that a request of this router is in progress at r.
+func (p *loadTracker) markBusy(r *record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busy[r] = struct{}{}
 }
 
-// OwnLoads returns what this router has under way.
+// OwnLoads returns the load of this router's requests.
 func (d *Directory) OwnLoads() PeerLoads {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
 	out := PeerLoads{}
 	for r := range d.loads.busy {
-		l := r.own.load()
+		l := r.local.load()
 		if l == (Load{}) {
 			delete(d.loads.busy, r)
 			continue
@@ -77,29 +77,30 @@
 	return out
 }
 
-// AddPeerLoads changes what other routers have under way, until SetPeerLoads sums it up.
+// AddPeerLoads adds a change to the load of other routers; the next SetPeerLoads
+// replaces the sum.
 func (d *Directory) AddPeerLoads(change PeerLoads) {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
-	if d.loads.told == nil {
+	if d.loads.peerLoads == nil {
 		return
 	}
 	byID := d.table.Load().byID
 	for id, l := range change {
 		if r := byID[id]; r != nil {
 			r.peers.add(l)
-			d.loads.told[id] = d.loads.told[id].Plus(l)
+			d.loads.peerLoads[id] = d.loads.peerLoads[id].Plus(l)
 		}
 	}
 }
 
-// SetPeerLoads replaces what other routers have under way, summed over them. Nil
-// means that they don't tell: then reports count again.
+// SetPeerLoads replaces the load of other routers, summed over them. Nil means that
+// they don't send it: then engines' reports are used again.
 func (d *Directory) SetPeerLoads(sum PeerLoads) {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
 	byID := d.table.Load().byID
-	for id := range d.loads.told {
+	for id := range d.loads.peerLoads {
 		if r := byID[id]; r != nil && sum[id] == (Load{}) {
 			r.peers.store(Load{})
 		}
@@ -109,6 +110,6 @@
 			r.peers.store(load)
 		}
 	}
-	d.loads.told = sum
-	d.loads.tells.Store(sum != nil)
+	d.loads.peerLoads = sum
+	d.loads.peersSendLoads.Store(sum != nil)
 }
--- a/directory/peers_test.go
+++ b/directory/peers_test.go
@@ -10,11 +10,11 @@
 	"wigeondale/fleet"
 )
 
-// Symptom: a router's processor time grows with the backend servers that it knows.
-// Sequence: 3,000 are known, a few have requests; what is under way is told and
-// summed 25 times a second, each time with a look at every one.
-// Cause: the walks went over all known ones. Here what is told and what counts must
-// be the same as by a walk over everything, whatever comes in whatever order.
+// Guards against a processor load that grows with the number of known backend servers.
+// 3,000 are known and a few have requests; loads are broadcast and summed 25 times a
+// second. The code used to visit all known servers each time. The loads sent and
+// counted must equal those found by visiting all of them, in whatever order events
+// come.
 func TestLoadsAreThoseOfAWalkOverEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(nil)
@@ -26,8 +26,8 @@
 			return list
 		}
 		d.Update(listed(3), time.Now())
-		want := map[string]int{} // own requests
-		var peers PeerLoads      // as last told
+		want := map[string]int{} // requests of this router
+		var peers PeerLoads      // as last received
 		var open []func()
 		t.Repeat(map[string]func(*rapid.T){
 			"start": func(t *rapid.T) {
@@ -53,14 +53,14 @@
 			"silent": func(*rapid.T) { peers = nil; d.SetPeerLoads(nil) },
 			"listed": func(*rapid.T) { d.Update(listed(4), time.Now()); d.SetPeerLoads(peers) },
 			"": func(t *rapid.T) {
-				own := PeerLoads{}
+				local := PeerLoads{}
 				for id, n := range want {
 					if n > 0 {
-						own[id] = Load{Requests: float64(n)}
+						local[id] = Load{Requests: float64(n)}
 					}
 				}
-				if got := d.OwnLoads(); !maps.Equal(got, own) {
-					t.Fatalf("tells %v, has %v", got, own)
+				if got := d.OwnLoads(); !maps.Equal(got, local) {
+					t.Fatalf("broadcasts %v, has %v", got, local)
 				}
 				for id, r := range d.table.Load().byID {
 					if got, should := r.Load(time.Now()), float64(want[id])+peers[id].Requests; got != should {
@@ -72,8 +72,8 @@
 	})
 }
 
-// BenchmarkPeerLoads measures one round of telling and summing with few of many
-// backend servers in use.
+// BenchmarkPeerLoads measures one round of collecting and summing loads when few of
+// many backend servers are in use.
 func BenchmarkPeerLoads(b *testing.B) {
 	d, list := bigFleet(0)
 	sum := PeerLoads{}
--- a/directory/poll.go
+++ b/directory/poll.go
@@ -13,32 +13,32 @@
 	"wigeondale/fleet"
 )
 
-// VMLister reads the VM list: engines and plain services with their addresses.
+// VMLister reads the VM list: the addresses of engines and other backend servers.
 type VMLister interface {
 	Backends(ctx context.Context) ([]fleet.Backend, error)
 }
 
-// EngineProbe asks one engine about itself.
+// EngineProbe queries one engine for its state.
 type EngineProbe interface {
 	Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error)
 	CacheEvents(ctx context.Context, b fleet.Backend, after uint64) (CacheBatch, error)
 }
 
-// PollConfig sizes a Poller. Zero values take the defaults.
+// PollConfig sizes a Poller. Zero values mean the defaults.
 type PollConfig struct {
-	Router      string        // id of this node, decides its subset
+	Router      string        // id of this node, determines its subset
 	SubsetSize  int           // engines per model (default 32)
-	Explore     int           // engines outside the subset asked per round (default 8)
-	Concurrency int           // polls under way at once (default 16)
+	Explore     int           // engines outside the subset polled per round (default 8)
+	Concurrency int           // polls in progress at once (default 16)
 	Interval    time.Duration // between polls of an engine (default PollInterval)
-	// ListInterval is that between looks at the VM list (default Interval).
+	// ListInterval is the interval between reads of the VM list (default Interval).
 	ListInterval time.Duration
-	// ListChanged has the list looked at without waiting; nil never does. With
-	// it, a lister that is told of changes needs no short ListInterval.
+	// ListChanged triggers a read of the list without waiting; nil never does. With it,
+	// a lister that is notified of changes needs no short ListInterval.
 	ListChanged <-chan struct{}
 	Timeout     time.Duration // of one poll (default half of Interval)
-	// CacheEvents has engines asked for their cache events too. Only a scorer
-	// that goes by them is worth the second call of each poll, and the memory.
+	// CacheEvents enables polling engines for their cache events. Only a scorer that
+	// uses them justifies the second call of each poll and the memory.
 	CacheEvents bool
 }
 
@@ -52,9 +52,9 @@
 	return c
 }
 
-// Poller keeps a Directory up to date. Each router polls a subset of the
-// engines: if all of hundreds of routers polled all of thousands of engines,
-// the polls alone would be millions a second.
+// Poller keeps a Directory up to date. Each router polls a subset of the engines: if
+// all of hundreds of routers polled all of thousands of engines, there would be
+// millions of polls a second.
 type Poller struct {
 	cfg   PollConfig
 	dir   *Directory
@@ -62,13 +62,13 @@
 	probe EngineProbe
 }
 
-// NewPoller returns a Poller; Run does the work.
+// NewPoller returns a Poller; Run starts polling.
 func NewPoller(cfg PollConfig, dir *Directory, vms VMLister, probe EngineProbe) *Poller {
 	return &Poller{cfg: cfg.withDefaults(), dir: dir, vms: vms, probe: probe}
 }
 
-// Run polls until ctx ends. A failed poll leaves what was known before. The VM
-// list has its own loop: engines that time out must not delay the news that
+// Run polls until ctx ends. A failed poll leaves the recorded state as it was. The VM
+// list has its own loop: engines that time out must not delay the information that
 // others are leaving.
 func (p *Poller) Run(ctx context.Context) error {
 	p.List(ctx)
@@ -78,7 +78,7 @@
 	return group.Wait()
 }
 
-// minListGap is the least time between two looks at the VM list.
+// minListGap is the minimum time between two reads of the VM list.
 const minListGap = 100 * time.Millisecond
 
 // loop runs f at jittered intervals, counted from start to start, and when woken.
@@ -90,20 +90,20 @@
 		select {
 		case <-ctx.Done():
 		case <-wake:
-			// A storm of changes must not fill the time with looks.
+			// Many changes at once must not cause continuous reads of the list.
 			time.Sleep(time.Until(started.Add(minListGap)))
 		case <-time.After(time.Until(next)):
 		}
 	}
 }
 
-// jitter moves an interval by up to PollJitter either way, so that routers
-// started together do not poll in step. u is uniform in [0,1).
+// jitter moves an interval by up to PollJitter either way, so that routers started
+// together do not poll in step. u is uniform in [0,1).
 func jitter(d time.Duration, u float64) time.Duration {
 	return time.Duration(float64(d) * (1 + PollJitter*(2*u-1)))
 }
 
-// Engines asks the engines of the subset, and a few others, once.
+// Engines polls the engines of the subset, and a few others, once.
 func (p *Poller) Engines(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(p.cfg.Concurrency)
@@ -116,7 +116,7 @@
 	ids := slices.Collect(maps.Keys(members))
 	ids = append(ids, p.dir.Unheard(p.cfg.Router, members, explore)...)
 	for _, id := range ids {
-		group.Go(func() error { p.engine(ctx, id, members[id]); return nil })
+		group.Go(func() error { p.pollEngine(ctx, id, members[id]); return nil })
 	}
 	_ = group.Wait() // no poll returns an error
 	p.dir.Select(p.dir.Members(p.cfg.Router, p.cfg.SubsetSize))
@@ -128,12 +128,12 @@
 	defer cancel()
 	list, err := p.vms.Backends(ctx)
 	if err != nil || len(list) == 0 {
-		return // an empty list is taken for a fault of the platform
+		return // an empty list is assumed to be a fault of the platform
 	}
 	p.dir.Update(list, time.Now())
 }
 
-func (p *Poller) engine(ctx context.Context, id string, member bool) {
+func (p *Poller) pollEngine(ctx context.Context, id string, member bool) {
 	b, ok := p.dir.Backend(id)
 	if !ok || b.Kind != fleet.Engine {
 		return
--- a/directory/record.go
+++ b/directory/record.go
@@ -14,72 +14,73 @@
 const (
 	// milli is the fixed-point unit of costs, so that they add up exactly.
 	milli = 1000
-	// fadeTime is the age at which what a report said of other routers' work is
-	// down to fadeFloor of itself: old news of load is worth less, but an engine
-	// must not look idle only because its reports stopped.
+	// fadeTime is the age of a report at which the other routers' load in it counts for
+	// only fadeFloor: an old load is less reliable, but an engine must not look idle
+	// only because its reports stopped.
 	fadeTime  = 10 * time.Second
 	fadeFloor = 0.5
-	// keptMarks is how many leaving incarnations are remembered.
-	keptMarks = 4
+	// maxMarks is how many leaving incarnations are remembered.
+	maxMarks = 4
 )
 
 // record is one backend server. It is the routing.Live of its candidates.
 type record struct {
-	id      string
-	own     loadCounter   // what this router's requests take
-	peers   loadCounter   // what other routers' requests take, as they tell
-	others  atomic.Uint64 // load not ours at the report's time, float64 bits
-	asOf    atomic.Int64  // time of the report, Unix milliseconds
-	places  atomic.Uint64 // what batch knows, float64 bits
-	leaving atomic.Bool
-	cache   cacheMap
-	told    *atomic.Bool // other routers tell what they have under way
+	id               string
+	local            loadCounter   // load of this router's requests
+	peers            loadCounter   // load of other routers' requests, as they send it
+	reportedPeerLoad atomic.Uint64 // load of other routers at the time of the report, float64 bits
+	asOf             atomic.Int64  // time of the report, Unix milliseconds
+	slots            atomic.Uint64 // batch.learned, float64 bits
+	leaving          atomic.Bool
+	cache            cacheMap
+	peersSendLoads   *atomic.Bool // other routers send their loads
 	// observed is the engine's last report of its state, nil before the first.
 	observed atomic.Pointer[observation]
 
-	mu      sync.Mutex
-	backend fleet.Backend
-	last    fleet.LoadReport
-	heard   time.Time // when the last report came, zero if none did
-	seen    time.Time // last time on the VM list
-	sent    timeline
-	begun   []begun // of late, by this router
-	batch   batchSize
-	marks   []string // incarnations known to be leaving
-	intent  bool
+	mu            sync.Mutex
+	backend       fleet.Backend
+	last          fleet.LoadReport
+	reportedAt    time.Time // when the last report arrived, zero if none did
+	listedAt      time.Time // last time on the VM list
+	recentChanges timeline
+	recentStarts  []recentStart // requests started recently by this router
+	batch         batchSize
+	marks         []string // incarnations known to be leaving
+	intent        bool
 }
 
-func newRecord(b fleet.Backend, told *atomic.Bool) *record {
-	r := &record{id: b.ID, backend: b, told: told}
-	r.backend.Leaving = false // listed takes note of it
+func newRecord(b fleet.Backend, peersSendLoads *atomic.Bool) *record {
+	r := &record{id: b.ID, backend: b, peersSendLoads: peersSendLoads}
+	r.backend.Leaving = false // applyListEntry sets it
 	return r
 }
 
-// listed takes in the VM list's entry; it returns true when the backend server
-// turns out to be leaving by it.
-func (r *record) listed(b fleet.Backend, now time.Time) bool {
+// applyListEntry applies the VM list's entry; it returns true when the entry shows that
+// the backend server is now leaving.
+func (r *record) applyListEntry(b fleet.Backend, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// Only the first word marks the incarnation known then: a new one that
-	// starts while the list still lags must not be marked for its whole life.
+	// Only the first entry that shows it marks the incarnation known at that time: a
+	// new incarnation that starts while the list still lags must not stay marked for as
+	// long as it runs.
 	if b.Leaving && !r.backend.Leaving {
 		r.mark(r.last.Incarnation)
 	}
 	r.backend = b
-	r.seen = now
-	return r.settleLeaving()
+	r.listedAt = now
+	return r.updateLeaving()
 }
 
-// keep tells whether a backend server missing from the VM list is kept.
-func (r *record) keep(now time.Time) bool {
+// keepUnlisted reports whether a backend server missing from the VM list is kept.
+func (r *record) keepUnlisted(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.seen) < missingGrace || r.own.requests.Load() > 0
+	return now.Sub(r.listedAt) < missingGrace || r.local.requests.Load() > 0
 }
 
-// report takes in a load report. changed tells that the candidate differs,
-// left that the backend server turns out to be leaving.
-func (r *record) report(rep fleet.LoadReport, now time.Time) (changed, left bool) {
+// applyReport applies a load report. changed reports that the candidate differs,
+// nowLeaving that the backend server is now leaving.
+func (r *record) applyReport(rep fleet.LoadReport, now time.Time) (changed, nowLeaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sameIncarnation := r.last.Incarnation == rep.Incarnation
@@ -87,66 +88,66 @@
 		r.mark(rep.Incarnation)
 	}
 	if sameIncarnation && overtaken(rep, r.last) {
-		return false, r.settleLeaving()
+		return false, r.updateLeaving()
 	}
 	if !sameIncarnation && r.last.Incarnation == "" && slices.Contains(r.marks, "") {
-		// What was marked before its incarnation was known is this one.
+		// The mark was set before the incarnation was known; it applies to this one.
 		r.mark(rep.Incarnation)
 	}
-	changed = r.heard.IsZero() || !sameIncarnation || rep.Role != r.last.Role || !slices.Equal(rep.Serves, r.last.Serves)
+	changed = r.reportedAt.IsZero() || !sameIncarnation || rep.Role != r.last.Role || !slices.Equal(rep.Serves, r.last.Serves)
 	if !sameIncarnation {
 		r.batch.restart()
 	}
 	r.batch.observe(rep, now)
-	r.places.Store(math.Float64bits(r.batch.known))
+	r.slots.Store(math.Float64bits(r.batch.learned))
 	r.last = rep
-	r.heard = now
-	r.estimate(now)
-	return changed, r.settleLeaving()
+	r.reportedAt = now
+	r.estimatePeerLoad(now)
+	return changed, r.updateLeaving()
 }
 
-// reorderSpan is how much later than a newer one a report may come. It is far
-// above the time of a poll; an engine's clock that is set is seldom so by less.
+// reorderSpan is how much later than a newer report a report may arrive. It is far
+// above the duration of a poll; an engine's clock is seldom set back by less.
 const reorderSpan = 2 * time.Second
 
-// overtaken tells whether a report describes an earlier moment than the last one.
-// One that is much earlier comes from an engine whose clock was set back. Taken for
-// overtaken, its reports would not be heard until its clock is where it was.
+// overtaken reports whether a report describes an earlier moment than the last one. A
+// much earlier one comes from an engine whose clock was set back: if it counted as
+// overtaken, the engine's reports would be ignored until its clock caught up.
 func overtaken(rep, last fleet.LoadReport) bool {
 	by := time.Duration(last.AsOfUnixMS-rep.AsOfUnixMS) * time.Millisecond
 	return by > 0 && by <= reorderSpan
 }
 
-// estimate splits the reported load into ours and others'. The report knows of
-// our requests only as they were at its time, so what we sent and finished
-// since is taken off what we have under way now.
-func (r *record) estimate(now time.Time) {
+// estimatePeerLoad splits the reported load into this router's and other routers'. The
+// report includes this router's requests as they were at its time, so requests started
+// and ended since are subtracted from the current ones.
+func (r *record) estimatePeerLoad(now time.Time) {
 	asOf := r.last.AsOf()
 	if asOf.After(now) || now.Sub(asOf) > timelineSpan {
-		asOf = now // its clock is off or the report is too old to tell
+		asOf = now // the engine's clock is off, or the report is too old to use
 	}
-	oursNow := float64(r.own.requests.Load()) / milli
-	oursThen := oursNow - r.sent.since(asOf)/milli
+	localNow := float64(r.local.requests.Load()) / milli
+	localThen := localNow - r.recentChanges.changeSince(asOf)/milli
 	total := float64(r.last.Running + r.last.Waiting)
-	others := max(total-max(oursThen, 0), 0)
-	r.others.Store(math.Float64bits(others))
+	peers := max(total-max(localThen, 0), 0)
+	r.reportedPeerLoad.Store(math.Float64bits(peers))
 	r.asOf.Store(asOf.UnixMilli())
 }
 
-// Load estimates the requests running and waiting: what others had there by
-// the last report, faded by its age, and what we have there now.
+// Load estimates the requests running and waiting: the load of other routers by the
+// last report, faded by its age, plus this router's current load.
 func (r *record) Load(now time.Time) float64 {
-	ours := float64(r.own.requests.Load()) / milli
-	if r.told.Load() {
-		return ours + float64(r.peers.requests.Load())/milli
+	local := float64(r.local.requests.Load()) / milli
+	if r.peersSendLoads.Load() {
+		return local + float64(r.peers.requests.Load())/milli
 	}
-	others := math.Float64frombits(r.others.Load())
-	if others == 0 {
-		return ours
+	peers := math.Float64frombits(r.reportedPeerLoad.Load())
+	if peers == 0 {
+		return local
 	}
 	age := float64(now.UnixMilli()-r.asOf.Load()) / float64(fadeTime.Milliseconds())
 	fade := min(max(age, 0), 1) * (1 - fadeFloor)
-	return ours + others*(1-fade)
+	return local + peers*(1-fade)
 }
 
 // Reported is the load by the last report alone.
@@ -156,38 +157,38 @@
 	return float64(r.last.Running + r.last.Waiting)
 }
 
-// Places is how many requests it runs at once, as far as its reports showed
-// that; 0 when they did not.
-func (r *record) Places() float64 { return math.Float64frombits(r.places.Load()) }
+// Places is how many requests the backend server runs at once, as far as its reports
+// showed it; 0 when they did not.
+func (r *record) Places() float64 { return math.Float64frombits(r.slots.Load()) }
 
-// Leaving tells that no new work may go there.
+// Leaving reports that no new work may be sent there.
 func (r *record) Leaving() bool { return r.leaving.Load() }
 
-// Hits counts the leading blocks in the cache, as far as that is known.
+// Hits counts the leading blocks known to be in the cache.
 func (r *record) Hits(blocks []uint64, now time.Time) int { return r.cache.hits(blocks, now) }
 
-// count changes what this router has under way.
-func (r *record) count(change Load) {
+// addLocal changes the load of this router's requests.
+func (r *record) addLocal(change Load) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own.add(change)
+	r.local.add(change)
 	if change.Held > 0 {
-		r.remember(change, now)
+		r.rememberStart(change, now)
 	}
 	if units := int64(change.Requests * milli); units != 0 {
-		r.sent.add(now, units)
+		r.recentChanges.add(now, units)
 	}
 }
 
-// Reading is how many tokens of prompts are yet to be read, as far as is known.
-func (r *record) Reading() float64 { return r.estimated().Reading }
+// Reading is the estimated number of prompt tokens that are yet to be read.
+func (r *record) Reading() float64 { return r.estimatedLoad().Reading }
 
-// Running is how many runs make tokens.
-func (r *record) Running() float64 { return r.estimated().Running }
+// Running is the number of runs that are generating tokens.
+func (r *record) Running() float64 { return r.estimatedLoad().Running }
 
-// Held is how many tokens runs and copies take in memory, at the end of the runs.
-func (r *record) Held() float64 { return r.estimated().Held }
+// Held is the number of tokens that runs, at their ends, and copies take in memory.
+func (r *record) Held() float64 { return r.estimatedLoad().Held }
 
 func (r *record) serves(ref fleet.ModelRef) bool {
 	r.mu.Lock()
--- a/directory/share.go
+++ b/directory/share.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// Load is what requests take of a backend server.
+// Load is the load that requests put on a backend server.
 type Load struct {
 	Requests float64 `cbor:"1,keyasint,omitempty"` // in units of an ordinary one
 	Reading  float64 `cbor:"2,keyasint,omitempty"` // tokens of prompts that are yet to be read
-	Running  float64 `cbor:"3,keyasint,omitempty"` // runs that make tokens
+	Running  float64 `cbor:"3,keyasint,omitempty"` // runs that are generating tokens
 	Held     float64 `cbor:"4,keyasint,omitempty"` // tokens of runs and copies in memory
 }
 
@@ -20,34 +20,34 @@
 	return Load{l.Requests - o.Requests, l.Reading - o.Reading, l.Running - o.Running, l.Held - o.Held}
 }
 
-// Share is a request's part in the load of its backend server. Its methods may be
+// Share is one request's part of the load of its backend server. Its methods may be
 // called by any goroutine.
 type Share struct {
-	record *record // nil for a backend server that isn't known
+	record *record // nil for an unknown backend server
 
 	mu    sync.Mutex
 	load  Load
 	ended bool
 }
 
-// Begin counts what a request takes of a backend server until End of its share.
+// Begin adds a request's load to a backend server until End is called on its share.
 func (d *Directory) Begin(id string, l Load) *Share {
 	r := d.table.Load().byID[id]
 	if r == nil {
 		return &Share{}
 	}
-	r.count(l)
-	d.loads.note(r)
+	r.addLocal(l)
+	d.loads.markBusy(r)
 	return &Share{record: r, load: l}
 }
 
-// Start counts one request, in units of an ordinary one. Call done once, when it ended;
-// more calls do nothing.
+// Start adds one request, in units of an ordinary one. Call done once when it has
+// ended; more calls do nothing.
 func (d *Directory) Start(id string, cost float64) (done func()) {
 	return d.Begin(id, Load{Requests: cost}).End
 }
 
-// Reading is how many tokens of prompts are yet to be read at a backend server.
+// Reading is the number of prompt tokens that a backend server has yet to read.
 func (d *Directory) Reading(id string) float64 {
 	if r := d.table.Load().byID[id]; r != nil {
 		return r.Reading()
@@ -55,7 +55,8 @@
 	return 0
 }
 
-// Begun tells that the request's prompt has been read: it makes tokens from now on.
+// Begun records that the request's prompt has been read and that it now generates
+// tokens.
 func (s *Share) Begun() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,10 +65,10 @@
 	}
 	change := Load{Reading: -s.load.Reading, Running: 1}
 	s.load = s.load.Plus(change)
-	s.record.count(change)
+	s.record.addLocal(change)
 }
 
-// End takes the share off; further calls do nothing.
+// End removes the request's load; further calls do nothing.
 func (s *Share) End() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,5 +76,5 @@
 		return
 	}
 	s.ended = true
-	s.record.count(Load{}.Minus(s.load))
+	s.record.addLocal(Load{}.Minus(s.load))
 }
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -12,8 +12,8 @@
 	"wigeondale/routing"
 )
 
-// Subset chooses size of the ids for one router by rendezvous hash: routers
-// spread evenly over the fleet, and a changed fleet changes few choices.
+// Subset chooses size of the ids for one router by rendezvous hash: routers spread
+// evenly over the fleet, and a changed fleet changes few choices.
 func Subset(router string, ids []string, size int) []string {
 	if size <= 0 || len(ids) <= size {
 		return slices.Clone(ids)
@@ -24,10 +24,10 @@
 		all[i] = ranked{id: id, weight: routing.Rendezvous(key, id)}
 	}
 	slices.SortFunc(all, ranked.compare)
-	return first(all, size)
+	return firstIDs(all, size)
 }
 
-// ranked is an engine with what it is sorted by: first by age, then by weight.
+// ranked is an engine with its sort keys: age first, then weight.
 type ranked struct {
 	id     string
 	age    int64
@@ -38,7 +38,7 @@
 	return cmp.Or(cmp.Compare(a.age, b.age), cmp.Compare(b.weight, a.weight))
 }
 
-func first(all []ranked, n int) []string {
+func firstIDs(all []ranked, n int) []string {
 	ids := make([]string, 0, n)
 	for _, r := range all[:min(n, len(all))] {
 		ids = append(ids, r.id)
@@ -46,9 +46,9 @@
 	return ids
 }
 
-// Members returns the engines that this router talks to: for each model the
-// subset of those known to serve it. Engines that never reported are explored
-// apart, see Unheard.
+// Members returns the engines that this router polls regularly: for each model, the
+// subset of the engines known to serve it. Engines that never reported are polled
+// separately, see Unheard.
 func (d *Directory) Members(router string, size int) map[string]bool {
 	byModel := map[string][]string{}
 	for id, r := range d.table.Load().byID {
@@ -65,9 +65,9 @@
 	return members
 }
 
-// Unheard returns up to n engines outside members to be asked what they serve:
-// those that never reported first, in this router's own order, then the rest
-// by the age of their reports, so that changes of placement are noticed.
+// Unheard returns up to n engines outside members to be polled for what they serve:
+// first those that never reported, in this router's own order, then the others with the
+// oldest report first, so that changes of placement are noticed.
 func (d *Directory) Unheard(router string, members map[string]bool, n int) []string {
 	key := xxhash.Sum64String(router)
 	var all []ranked
@@ -75,22 +75,22 @@
 		if members[id] || r.candidate().Backend.Kind != fleet.Engine {
 			continue
 		}
-		all = append(all, ranked{id, r.heardAt(), routing.Rendezvous(key, id)})
+		all = append(all, ranked{id, r.lastReportMS(), routing.Rendezvous(key, id)})
 	}
 	slices.SortFunc(all, ranked.compare)
-	return first(all, n)
+	return firstIDs(all, n)
 }
 
-// heardAt is when the last report came, in Unix milliseconds of this router, before
-// all others for an engine that never reported. By the engines' own clocks, one that
-// is behind would be asked in each round.
-func (r *record) heardAt() int64 {
+// lastReportMS is when the last report arrived, in Unix milliseconds by this router's
+// clock; an engine that never reported comes before all others. By the engines' own
+// clocks, an engine whose clock is behind would be polled in each round.
+func (r *record) lastReportMS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.heard.IsZero() {
+	if r.reportedAt.IsZero() {
 		return math.MinInt64
 	}
-	return r.heard.UnixMilli()
+	return r.reportedAt.UnixMilli()
 }
 
 func (r *record) models() []string {
--- a/directory/timeline.go
+++ b/directory/timeline.go
@@ -3,37 +3,37 @@
 import "time"
 
 const (
-	slotWidth    = 100 * time.Millisecond
-	slots        = 64
-	timelineSpan = slots * slotWidth
+	bucketWidth  = 100 * time.Millisecond
+	bucketCount  = 64
+	timelineSpan = bucketCount * bucketWidth
 )
 
-// timeline keeps, for the last seconds, how much own work began less how much
-// ended in each tenth of a second. With it a late report is brought forward to
-// the present.
+// timeline records, for the last seconds, the requests of this router that started
+// minus those that ended in each tenth of a second. It is used to correct a late report
+// for what happened since.
 type timeline struct {
-	slot  [slots]int32 // net change in thousandths of a request
-	stamp [slots]uint32
+	netChange [bucketCount]int32 // net change in thousandths of a request
+	stamp     [bucketCount]uint32
 }
 
-func slotOf(t time.Time) uint32 { return uint32(t.UnixMilli() / slotWidth.Milliseconds()) }
+func bucketOf(t time.Time) uint32 { return uint32(t.UnixMilli() / bucketWidth.Milliseconds()) }
 
 func (l *timeline) add(now time.Time, units int64) {
-	n := slotOf(now)
-	i := n % slots
+	n := bucketOf(now)
+	i := n % bucketCount
 	if l.stamp[i] != n {
-		l.stamp[i], l.slot[i] = n, 0
+		l.stamp[i], l.netChange[i] = n, 0
 	}
-	l.slot[i] += int32(units)
+	l.netChange[i] += int32(units)
 }
 
-// since is the net change after t, to the width of a slot.
-func (l *timeline) since(t time.Time) float64 {
-	from := slotOf(t)
+// changeSince is the net change after t, to the width of a bucket.
+func (l *timeline) changeSince(t time.Time) float64 {
+	from := bucketOf(t)
 	var sum int64
-	for i := range l.slot {
+	for i := range l.netChange {
 		if l.stamp[i] > from {
-			sum += int64(l.slot[i])
+			sum += int64(l.netChange[i])
 		}
 	}
 	return float64(sum)
