--- a/mirror/config.go
+++ b/mirror/config.go
@@ -12,46 +12,47 @@
 
 // Store is the part of the platform's store that a Mirror reads.
 type Store interface {
-	// Page reads items under prefix whose keys are after one. With stale it may be
-	// seconds old, which the store can answer at far less cost.
+	// Page reads items under prefix whose keys come after the given key. With stale the
+	// data may be seconds old, which the store can serve at far less cost.
 	Page(ctx context.Context, prefix, after string, stale bool) (infra.Page, error)
 	// Changes waits up to wait for changes after a revision. It fails with
-	// infra.ErrCompacted when they are no longer known.
+	// infra.ErrCompacted when the store no longer has them.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (events []infra.WatchEvent, at int64, err error)
-	// Reset drops all connections, so that the next call has a fresh one.
+	// Reset drops all connections, so that the next call opens a new one.
 	Reset()
 }
 
-// Receiver is told what the mirror holds. Calls come one at a time, and must not
-// call the Mirror.
+// Receiver is notified of the items in the mirror. Calls come one at a time, and must
+// not call the Mirror.
 type Receiver interface {
-	// Put tells of a new or changed item.
+	// Put is called for a new or changed item.
 	Put(v infra.Value)
-	// Gone tells that the item has been removed.
+	// Gone is called when the item has been removed.
 	Gone(key string)
-	// Settled follows each batch of Put and Gone calls.
+	// Settled is called after each batch of Put and Gone calls.
 	Settled()
 }
 
 // Config of a Mirror. Zero durations mean the defaults.
 type Config struct {
 	Prefix string
-	// Wait is how long one call may wait for a change. It bounds the age of what
-	// a reader knows, and with it that of what it tells others.
+	// Wait is how long one call may wait for a change. It bounds the age of a reader's
+	// state, and with it the age of the state that it sends to other nodes.
 	Wait time.Duration
-	// Slack is added to Wait for the answer to arrive.
+	// Slack is added to Wait for the response to arrive.
 	Slack time.Duration
-	// Pause between two calls joins changes that come in series.
+	// Pause between two calls batches changes that come in quick succession.
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
-	// Keep is how long the pages of a read that failed are of use. It must be less
-	// than the time for which the store remembers changes.
+	// Keep is how long the pages of a failed read may be used. It must be less than the
+	// time for which the store keeps its history of changes.
 	Keep time.Duration
-	// Doubt is how long after an outage a missing item may still come back.
+	// Doubt is how long after an outage of the store a missing item may still come
+	// back.
 	Doubt time.Duration
-	// Reads tells whether this node reads the store; nil means always. Until it
-	// has read everything once, it does in any case.
+	// Reads reports whether this node reads the store; nil means always. A node that
+	// has not yet read everything once reads it in any case.
 	Reads func() bool
 	// OnNews, if set, is called after changes; it must not block.
 	OnNews func()
@@ -61,14 +62,15 @@
 
 // Defaults of Config.
 const (
-	defaultWait    = 800 * time.Millisecond
-	defaultSlack   = 400 * time.Millisecond
-	defaultPause   = 300 * time.Millisecond
-	defaultTimeout = 1500 * time.Millisecond
-	defaultKeep    = 10 * time.Second
-	defaultDoubt   = 2 * time.Second
-	// idle is how often a node that doesn't read looks whether it has to.
-	idle     = 100 * time.Millisecond
+	defaultWait         = 800 * time.Millisecond
+	defaultSlack        = 400 * time.Millisecond
+	defaultPause        = 300 * time.Millisecond
+	defaultTimeout      = 1500 * time.Millisecond
+	defaultKeep         = 10 * time.Second
+	defaultConfirmAfter = 2 * time.Second
+	// idlePoll is how often a node that doesn't read the store checks whether it has
+	// to.
+	idlePoll = 100 * time.Millisecond
 	minRetry = 100 * time.Millisecond
 	maxRetry = 800 * time.Millisecond
 )
@@ -84,7 +86,7 @@
 	set(&c.Pause, defaultPause)
 	set(&c.Timeout, defaultTimeout)
 	set(&c.Keep, defaultKeep)
-	set(&c.Doubt, defaultDoubt)
+	set(&c.Doubt, defaultConfirmAfter)
 	if c.Reads == nil {
 		c.Reads = func() bool { return true }
 	}
--- a/mirror/fake_test.go
+++ b/mirror/fake_test.go
@@ -13,21 +13,21 @@
 	"wigeondale/infra"
 )
 
-// fakeStore answers from memory; err, when set, is the answer to every call.
+// fakeStore serves items from memory; err, when set, is returned by every call.
 type fakeStore struct {
-	mu      sync.Mutex
-	items   map[string]infra.Value
-	events  []infra.WatchEvent
-	rev     int64
-	oldest  int64 // changes up to it are forgotten
-	err     error
-	resets  int
-	changed chan struct{}
-
-	old       *infra.Page // answer to reads that may be old, if set
+	mu          sync.Mutex
+	items       map[string]infra.Value
+	events      []infra.WatchEvent
+	rev         int64
+	compactedAt int64 // changes up to this revision have been compacted
+	err         error
+	resets      int
+	changed     chan struct{}
+
+	stalePage *infra.Page // response to stale reads, if set
 	pageSize  int
 	pages     int
-	failEvery int // one page in so many fails
+	failEvery int // every so many pages one fails; 0 for none
 }
 
 func newFakeStore() *fakeStore {
@@ -55,7 +55,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rev++
-	s.oldest = s.rev
+	s.compactedAt = s.rev
 	s.wake()
 }
 
@@ -68,8 +68,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pages++
-	if stale && s.old != nil {
-		return *s.old, nil
+	if stale && s.stalePage != nil {
+		return *s.stalePage, nil
 	}
 	if s.err != nil || (s.failEvery > 0 && s.pages%s.failEvery == 0) {
 		return infra.Page{}, cmp.Or(s.err, errors.New("once in a while"))
@@ -99,12 +99,12 @@
 				out = append(out, e)
 			}
 		}
-		lost, rev := after < s.oldest, s.rev
+		compacted, rev := after < s.compactedAt, s.rev
 		s.mu.Unlock()
 		switch {
 		case err != nil:
 			return nil, 0, err
-		case lost:
+		case compacted:
 			return nil, 0, infra.ErrCompacted
 		case len(out) > 0:
 			return out, rev, nil
@@ -125,47 +125,47 @@
 	s.resets++
 }
 
-// seen records what a Mirror tells.
-type seen struct {
-	mu  sync.Mutex
-	now map[string]int64
-	log []string
+// recorder records the calls that a Mirror makes to its Receiver.
+type recorder struct {
+	mu    sync.Mutex
+	items map[string]int64
+	calls []string
 }
 
-func (r *seen) Put(v infra.Value) {
+func (r *recorder) Put(v infra.Value) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v.ModRev < r.now[v.Key] {
-		r.log = append(r.log, "BACK "+v.Key)
+	if v.ModRev < r.items[v.Key] {
+		r.calls = append(r.calls, "BACK "+v.Key)
 	}
-	r.now[v.Key] = v.ModRev
-	r.log = append(r.log, "put "+v.Key)
+	r.items[v.Key] = v.ModRev
+	r.calls = append(r.calls, "put "+v.Key)
 }
 
-func (r *seen) Gone(key string) {
+func (r *recorder) Gone(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.now, key)
-	r.log = append(r.log, "gone "+key)
+	delete(r.items, key)
+	r.calls = append(r.calls, "gone "+key)
 }
 
-func (r *seen) Settled() {}
+func (r *recorder) Settled() {}
 
-func (r *seen) has(key string) bool {
+func (r *recorder) has(key string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, ok := r.now[key]
+	_, ok := r.items[key]
 	return ok
 }
 
-// follow runs a Mirror under a fake clock until the test ends.
-func follow(t *testing.T, s *fakeStore) *seen {
-	out, _ := followAs(t, s, Config{})
+// startMirror runs a Mirror under a fake clock until the test ends.
+func startMirror(t *testing.T, s *fakeStore) *recorder {
+	out, _ := startMirrorWith(t, s, Config{})
 	return out
 }
 
-func followAs(t *testing.T, s *fakeStore, cfg Config) (*seen, *Mirror) {
-	out := &seen{now: map[string]int64{}}
+func startMirrorWith(t *testing.T, s *fakeStore, cfg Config) (*recorder, *Mirror) {
+	out := &recorder{items: map[string]int64{}}
 	m := New(s, out, cfg)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,17 +1,18 @@
-// Package mirror keeps a copy of all that lies under a prefix of the platform's
-// store, and tells of each change.
+// Package mirror keeps a copy of all items under a prefix of the platform's store, and
+// notifies a Receiver of each change.
 //
-// Failure story: a call that waits for changes is the place where a node loses
-// touch without a word. The store drops its history; a connection falls silent
-// for good while new ones work; the store is down, or turns away this node and
-// serves others. So each call has a bound of its own, a failed one is followed
-// by a fresh connection, and after lost history the whole prefix is read anew.
-// Entries that lapsed while the store was away come back with it: what went
-// missing then is held to be doubtful for a while, not gone.
+// A call that waits for changes is where a node can lose contact without noticing it.
+// The store drops its history; a connection stays silent for good while new ones work;
+// the store is down, or rejects this node and serves others. So each call has a bound
+// of its own, a failed call is followed by a new connection, and after a loss of
+// history the whole prefix is read again. Entries that expired during an outage of the
+// store come back when it does: items missing after an outage are unconfirmed removals
+// for a while, and only then count as removed.
 //
-// Few nodes read the store; the others are told by their neighbours (Delta,
-// Merge), which also serves a node that the store turns away. Age says how old a
-// node's knowledge may be, so that one that nobody tells reads by itself.
+// Few nodes read the store; the others get changes from their neighbours (Delta,
+// Merge). This also serves a node that the store rejects. Age is how old a node's state
+// may be, so that a node that gets no changes from neighbours can read the store
+// itself.
 package mirror
 
 import (
@@ -35,29 +36,29 @@
 
 // Mirror follows one prefix.
 type Mirror struct {
-	cfg   Config
-	store Store
-	retry time.Duration // of Run's goroutine, as is pages
-	pages *reading      // nil unless all items are being read
-	lost  atomic.Bool   // the latest call failed
-	due   atomic.Bool   // Catch asked for a call
-
-	mu       sync.Mutex
-	state    state
-	synced   bool      // the state is complete up to state.newest
-	answered time.Time // of the last answer of the store
-	doubts   doubts    // of what goes missing now
+	cfg           Config
+	store         Store
+	retryDelay    time.Duration // used by Run's goroutine only, as is partial
+	partial       *fullRead     // nil unless a read of all items is in progress
+	failing       atomic.Bool   // the latest call failed
+	callRequested atomic.Bool   // Catch requested a call
+
+	mu            sync.Mutex
+	state         state
+	synced        bool          // the state is complete up to state.newest
+	lastAnswer    time.Time     // when the store last answered
+	missingPolicy removalPolicy // how items are treated that go missing now
 
 	calls, failures *metrics.Counter
 }
 
-// New returns a Mirror that tells out what it finds, once Run is called.
+// New returns a Mirror that passes items to out once Run is called.
 func New(store Store, out Receiver, cfg Config) *Mirror {
 	cfg = cfg.withDefaults()
 	return &Mirror{
 		cfg:      cfg,
 		store:    store,
-		state:    newState(contained{out, cfg.Log}),
+		state:    newState(panicGuard{out, cfg.Log}),
 		calls:    cfg.Set.GetOrCreateCounter("wigeon_mirror_calls_total"),
 		failures: cfg.Set.GetOrCreateCounter("wigeon_mirror_failures_total"),
 	}
@@ -66,11 +67,11 @@
 // Run follows the prefix until ctx ends.
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause := idle
-		if m.due.Swap(false) || !m.Synced() || m.cfg.Reads() {
+		pause := idlePoll
+		if m.callRequested.Swap(false) || !m.Synced() || m.cfg.Reads() {
 			pause = m.read(ctx)
 		}
-		m.settleDoubt(time.Now())
+		m.confirmRemovals(time.Now())
 		clock.Sleep(ctx, pause)
 	}
 	return nil
@@ -79,19 +80,19 @@
 // read makes one call and returns how long to wait before the next.
 func (m *Mirror) read(ctx context.Context) time.Duration {
 	m.calls.Inc()
-	err := m.step(ctx)
+	err := m.fetch(ctx)
 	switch {
 	case ctx.Err() != nil:
 		return 0
 	case err != nil:
-		return m.failed(err)
+		return m.callFailed(err)
 	}
-	m.regained()
+	m.callSucceeded()
 	return m.cfg.Pause
 }
 
-func (m *Mirror) step(ctx context.Context) error {
-	if m.pages != nil || !m.Synced() {
+func (m *Mirror) fetch(ctx context.Context) error {
+	if m.partial != nil || !m.Synced() {
 		return m.readAll(ctx)
 	}
 	m.mu.Lock()
@@ -107,47 +108,49 @@
 	if err != nil {
 		return err
 	}
-	m.change(func() { m.apply(events, now) })
+	m.update(func() { m.apply(events, now) })
 	return nil
 }
 
-// apply takes in the changes up to a revision.
+// apply applies the changes up to a revision.
 func (m *Mirror) apply(events []infra.WatchEvent, upTo int64) {
-	m.answered = time.Now()
+	m.lastAnswer = time.Now()
 	for _, e := range events {
 		if e.Deleted {
-			m.state.remove(e.Value.Key, e.Value.ModRev, m.doubts)
+			m.state.remove(e.Value.Key, e.Value.ModRev, m.missingPolicy)
 		} else {
 			m.state.put(e.Value)
 		}
 	}
-	m.state.reach(upTo)
+	m.state.advance(upTo)
 }
 
-// Catch has Run make one call soon, also at a node that doesn't read.
-func (m *Mirror) Catch() { m.due.Store(true) }
+// Catch makes Run call the store once soon, even at a node that doesn't read it.
+func (m *Mirror) Catch() { m.callRequested.Store(true) }
 
-// change applies f, and tells of what it changed.
-func (m *Mirror) change(f func()) {
+// update runs f with the state locked, then tells the receiver that the batch is complete
+// and, if the revision advanced, calls OnNews.
+func (m *Mirror) update(f func()) {
 	m.mu.Lock()
 	before := m.state.newest
 	f()
-	m.state.settle()
-	news := m.state.newest != before
+	m.state.flush()
+	advanced := m.state.newest != before
 	m.mu.Unlock()
-	if news {
+	if advanced {
 		m.cfg.OnNews()
 	}
 }
 
-// Synced tells whether everything has been read once, here or by a neighbour.
+// Synced reports whether all items have been received once, from the store or a
+// neighbour.
 func (m *Mirror) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.synced
 }
 
-// Newest is the revision up to which this node knows all changes.
+// Newest is the revision up to which this node has all changes.
 func (m *Mirror) Newest() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -158,69 +161,69 @@
 func (m *Mirror) Age(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.answered.IsZero() {
+	if m.lastAnswer.IsZero() {
 		return neverAnswered
 	}
-	return now.Sub(m.answered)
+	return now.Sub(m.lastAnswer)
 }
 
-// neverAnswered is the age of what the store has never told.
+// neverAnswered is the age when the store has never answered.
 const neverAnswered = time.Hour
 
-// Delta answers a neighbour's question. It is empty when this node has nothing
+// Delta responds to a neighbour's request. It is empty when this node has nothing
 // newer, or isn't complete itself.
-func (m *Mirror) Delta(q Question) Delta {
+func (m *Mirror) Delta(req Question) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.synced || m.state.newest <= q.After {
+	if !m.synced || m.state.newest <= req.After {
 		return Delta{}
 	}
-	return m.state.delta(q)
+	return m.state.delta(req)
 }
 
-// Merge takes in a neighbour's Delta, which was made for this node's Newest or an
-// earlier one. One that is Full must hold all pages; one that is Uncovered holds
+// Merge applies a neighbour's Delta, which was made for this node's Newest or an
+// earlier revision. A Full one must contain all pages; an Uncovered one contains
 // nothing.
 func (m *Mirror) Merge(d Delta) {
-	m.change(func() {
+	m.update(func() {
 		m.state.merge(d, time.Now().Add(m.cfg.Doubt))
 		m.synced = m.synced || d.Full
 	})
 }
 
-// settleDoubt takes for gone what did not come back.
-func (m *Mirror) settleDoubt(now time.Time) {
-	m.change(func() {
-		if !m.doubts.end.IsZero() && !now.Before(m.doubts.end) {
-			m.doubts = doubts{}
+// confirmRemovals removes the items that have not come back in time.
+func (m *Mirror) confirmRemovals(now time.Time) {
+	m.update(func() {
+		if !m.missingPolicy.until.IsZero() && !now.Before(m.missingPolicy.until) {
+			m.missingPolicy = removalPolicy{}
 		}
-		m.state.dropDoubted(now)
+		m.state.confirmExpired(now)
 	})
 }
 
-// failed notes a failed call and returns how long to wait before the next.
-func (m *Mirror) failed(err error) time.Duration {
+// callFailed records a failed call and returns how long to wait before the next.
+func (m *Mirror) callFailed(err error) time.Duration {
 	m.failures.Inc()
 	m.store.Reset()
-	if !m.lost.Swap(true) {
+	if !m.failing.Swap(true) {
 		m.cfg.Log.Emit(event.StoreLost, "newest", m.Newest(), "err", err)
-		m.retry = minRetry
+		m.retryDelay = minRetry
 	}
 	m.mu.Lock()
-	m.doubts = doubts{on: true}
+	m.missingPolicy = removalPolicy{unconfirmed: true}
 	m.mu.Unlock()
-	m.retry = min(2*m.retry, maxRetry)
-	// Nodes that failed together come back apart.
-	return m.retry/2 + rand.N(m.retry/2)
+	m.retryDelay = min(2*m.retryDelay, maxRetry)
+	// Spreads the retries of nodes whose calls failed at the same time.
+	return m.retryDelay/2 + rand.N(m.retryDelay/2)
 }
 
-func (m *Mirror) regained() {
-	if !m.lost.Swap(false) {
+func (m *Mirror) callSucceeded() {
+	if !m.failing.Swap(false) {
 		return
 	}
 	m.mu.Lock()
-	m.doubts.end = time.Now().Add(m.cfg.Doubt)
-	m.state.setDoubtEnd(m.doubts.end)
+	m.missingPolicy.until = time.Now().Add(m.cfg.Doubt)
+	m.state.setUnconfirmedEnd(m.missingPolicy.until)
 	m.mu.Unlock()
 	m.cfg.Log.Emit(event.StoreRegained, "newest", m.Newest())
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -10,36 +10,35 @@
 	"wigeondale/infra"
 )
 
-// Symptom: a node acts on a route that was removed long ago. Sequence: watches
-// hear nothing while changes are made; then the store drops its history. Cause:
-// the watch goes on from the newest revision and what lies between is missed.
+// Guards against acting on a route that was removed long ago. Watches receive nothing
+// while changes are made, and then the store drops its history. A watch that continues
+// from the newest revision would miss the changes between.
 func TestLostHistoryIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a")
 		s.put("b")
-		out := follow(t, s)
+		out := startMirror(t, s)
 		s.mu.Lock()
 		delete(s.items, "a") // without an event
 		s.mu.Unlock()
 		s.compact()
 		time.Sleep(time.Second)
 		if out.has("a") || !out.has("b") {
-			t.Errorf("got %v", out.log)
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
 
-// Symptom: after an outage of the store all replicas count as gone, and every
-// request is refused. Sequence: entries lapse while the store is away and are
-// back within two seconds. Cause: what is missing at the first read is taken for
-// gone at once.
+// Guards against counting all replicas as removed after an outage of the store, so that
+// every request is refused. Entries expire during the outage and come back within two
+// seconds; items missing from the first read after it must not be removed at once.
 func TestLapsedEntriesMayComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("back")
 		s.put("lost")
-		out := follow(t, s)
+		out := startMirror(t, s)
 		s.fail(errors.New("down"))
 		time.Sleep(3 * time.Second)
 		s.mu.Lock()
@@ -49,87 +48,88 @@
 		s.fail(nil)
 		time.Sleep(1200 * time.Millisecond)
 		if !out.has("back") || !out.has("lost") {
-			t.Fatalf("taken for gone at once: %v", out.log)
+			t.Fatalf("removed at once: %v", out.calls)
 		}
 		s.put("back")
 		time.Sleep(3 * time.Second)
 		if !out.has("back") || out.has("lost") {
-			t.Errorf("got %v", out.log)
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
 
-// Symptom: news of the store stays away for good after a cut. Cause: the next
-// call waits on a connection that fell silent.
+// Guards against missing all further changes after a broken connection, which happens
+// when the next call waits on a connection that stays silent.
 func TestFailedCallGetsAFreshConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		out := follow(t, s)
+		out := startMirror(t, s)
 		s.fail(errors.New("silent"))
 		time.Sleep(4 * time.Second)
 		s.fail(nil)
 		s.put("new")
 		time.Sleep(1500 * time.Millisecond)
 		if s.resets == 0 || !out.has("new") {
-			t.Errorf("resets %d, got %v", s.resets, out.log)
+			t.Errorf("resets %d, got %v", s.resets, out.calls)
 		}
 	})
 }
 
-// Symptom: keys that were taken away work for seconds at one node. Sequence: the
-// store turns that node away and serves the others; keys are taken away, and a
-// neighbour tells. Cause: the node waits for the store.
+// Guards against keys that work for seconds at one node after they were revoked. The
+// store rejects that node and serves the others; keys are revoked, and a neighbour
+// sends the change. The node must not wait for the store.
 func TestNeighbourIsHeardWhileTheStoreTurnsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("kept")
 		s.put("taken")
-		out, m := followAs(t, s, Config{})
+		out, m := startMirrorWith(t, s, Config{})
 		s.fail(errors.New("turned away"))
 		time.Sleep(time.Second)
 		m.Merge(Delta{Newest: 90, Items: []infra.Value{{Key: "kept", ModRev: 80}}, Removed: []Removal{{Key: "taken", Rev: 90}}})
-		if out.has("taken") || out.now["kept"] != 80 {
-			t.Errorf("got %v", out.log)
+		if out.has("taken") || out.items["kept"] != 80 {
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
 
-// Symptom: the store is asked by every node, or by none. Cause: who reads is not
-// decided anew at each call.
+// Guards against a store that every node calls, or none: each call must decide again
+// whether this node reads the store.
 func TestOnlyReadersCallTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a")
 		var reads atomic.Bool
-		out, m := followAs(t, s, Config{Reads: reads.Load})
+		out, m := startMirrorWith(t, s, Config{Reads: reads.Load})
 		if !out.has("a") {
 			t.Fatal("the first read was not made")
 		}
 		s.put("b")
 		time.Sleep(5 * time.Second)
 		if out.has("b") || m.Age(time.Now()) < 5*time.Second {
-			t.Fatalf("read without being a reader: %v", out.log)
+			t.Fatalf("read without being a reader: %v", out.calls)
 		}
 		reads.Store(true)
 		time.Sleep(time.Second)
 		if !out.has("b") || m.Age(time.Now()) > 2*time.Second {
-			t.Errorf("got %v", out.log)
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
 
-// Symptom: a replica that crashed during an outage of the store gets work for ever
-// at nodes that don't read the store. Sequence: its entry lapses while the store is
-// away; a reader doubts that, tells of later changes, and takes it for gone after a
-// while. Cause: nobody asks again for what was before a change that is known.
+// Guards against sending work for ever to a replica that crashed during an outage of
+// the store, at nodes that don't read the store. Its entry expires during the outage; a
+// reader holds the removal as unconfirmed, passes on later changes, and confirms the
+// removal after a while. A node that has a newer revision doesn't ask for earlier
+// changes again, so the unconfirmed removal must be sent along.
 func TestDoubtReachesNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		for _, key := range []string{"lost", "back"} {
 			s.put(key)
 		}
-		_, reader := followAs(t, s, Config{})
-		out, other := followAs(t, s, Config{Reads: func() bool { return false }})
+		_, reader := startMirrorWith(t, s, Config{})
+		out, other := startMirrorWith(t, s, Config{Reads: func() bool { return false }})
 		s.fail(errors.New("down"))
 		time.Sleep(time.Second)
 		s.mu.Lock()
@@ -140,58 +140,58 @@
 		s.fail(nil)
 		time.Sleep(1500 * time.Millisecond)
 		pull := func() {
-			if err := other.Pull("reader", func(q Question) (Delta, error) { return reader.Delta(q), nil }); err != nil {
+			if err := other.Pull("reader", func(req Question) (Delta, error) { return reader.Delta(req), nil }); err != nil {
 				t.Fatal(err)
 			}
 		}
 		pull()
 		if !out.has("new") || !out.has("lost") || !out.has("back") {
-			t.Fatalf("taken for gone at once: %v", out.log)
+			t.Fatalf("removed at once: %v", out.calls)
 		}
 		s.put("back")
 		time.Sleep(time.Second)
 		pull()
 		time.Sleep(2 * time.Second)
 		if out.has("lost") || !out.has("back") {
-			t.Errorf("got %v", out.log)
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
 
-// Symptom: a start of many nodes at once fills their lines with copies of
-// everything. Sequence: a node is told of something newer by one that began later,
-// and so can't say what was removed in between. Cause: the node was given
-// everything, though the store had the few changes.
+// Guards against a start of many nodes that fills their network links with copies of
+// all items. A node gets a newer revision from a neighbour that started later and
+// therefore doesn't know what was removed in between. The node must get the few changes
+// from the store, and all items from the neighbour only while the store is unavailable.
 func TestStoreIsAskedWhereNeighbourKnowsNoRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a")
-		out, m := followAs(t, s, Config{Reads: func() bool { return false }})
+		out, m := startMirrorWith(t, s, Config{Reads: func() bool { return false }})
 		s.put("b")
-		_, later := followAs(t, s, Config{})
-		var asked []Question
-		ask := func(q Question) (Delta, error) {
-			asked = append(asked, q)
-			return later.Delta(q), nil
+		_, later := startMirrorWith(t, s, Config{})
+		var requests []Question
+		request := func(req Question) (Delta, error) {
+			requests = append(requests, req)
+			return later.Delta(req), nil
 		}
-		if err := m.Pull("later", ask); err != nil {
+		if err := m.Pull("later", request); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if !out.has("b") || len(asked) != 1 || asked[0].All {
-			t.Fatalf("asked %v, got %v", asked, out.log)
+		if !out.has("b") || len(requests) != 1 || requests[0].All {
+			t.Fatalf("requests %v, got %v", requests, out.calls)
 		}
 		s.put("c")
 		s.fail(errors.New("turned away"))
 		m.Catch()
 		time.Sleep(time.Second)
-		third := New(nil, &seen{now: map[string]int64{}}, Config{})
+		third := New(nil, &recorder{items: map[string]int64{}}, Config{})
 		third.Merge(Delta{Newest: 90, Full: true, Items: []infra.Value{{Key: "c", ModRev: 80}}})
-		if err := m.Pull("third", func(q Question) (Delta, error) { return third.Delta(q), nil }); err != nil {
+		if err := m.Pull("third", func(req Question) (Delta, error) { return third.Delta(req), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !out.has("c") || out.has("a") {
-			t.Errorf("got %v", out.log)
+			t.Errorf("got %v", out.calls)
 		}
 	})
 }
--- /dev/null
+++ b/mirror/panicguard.go
@@ -0,0 +1,40 @@
+package mirror
+
+import (
+	"fmt"
+	"runtime/debug"
+
+	"wigeondale/event"
+	"wigeondale/infra"
+)
+
+// panicGuard passes items on to a Receiver and recovers from its panics: otherwise an
+// item that makes one node panic would do so on every node, again at each start.
+type panicGuard struct {
+	out Receiver
+	log *event.Log
+}
+
+// Put implements Receiver.
+func (g panicGuard) Put(v infra.Value) {
+	defer g.recoverPanic(v.Key)
+	g.out.Put(v)
+}
+
+// Gone implements Receiver.
+func (g panicGuard) Gone(key string) {
+	defer g.recoverPanic(key)
+	g.out.Gone(key)
+}
+
+// Settled implements Receiver.
+func (g panicGuard) Settled() {
+	defer g.recoverPanic("")
+	g.out.Settled()
+}
+
+func (g panicGuard) recoverPanic(key string) {
+	if p := recover(); p != nil {
+		g.log.Emit(event.StoreItemFailed, "key", key, "err", fmt.Sprint(p), "stack", string(debug.Stack()))
+	}
+}
--- a/mirror/pull.go
+++ b/mirror/pull.go
@@ -2,19 +2,20 @@
 
 import "wigeondale/event"
 
-// Ask puts a question to one neighbour.
+// Ask sends a request to one neighbour.
 type Ask func(Question) (Delta, error)
 
-// Pull asks a neighbour until it has nothing newer, and takes in what it says.
+// Pull requests changes from a neighbour until it has nothing newer, and applies them.
 //
-// Where the neighbour doesn't know the changes since, everything is asked for only
-// while the store is away: the store's own pages cost no node its line. A router
-// that has just started knows no removals from before, so that after a start of many
-// at once each would ask its neighbours for everything.
-func (m *Mirror) Pull(from string, ask Ask) error {
+// When the neighbour doesn't have all changes since this node's revision, all items are
+// requested from it only while the store is unavailable: reading the store's own pages
+// uses no other node's network link. A router that has just started knows no earlier
+// removals, so after a start of many at once each would request everything from its
+// neighbours.
+func (m *Mirror) Pull(from string, request Ask) error {
 	for {
 		before := m.Newest()
-		d, err := collect(ask, Question{After: before, All: m.lost.Load()})
+		d, err := fetchAll(request, Question{After: before, All: m.failing.Load()})
 		if err != nil {
 			return err
 		}
@@ -32,13 +33,13 @@
 	}
 }
 
-// collect joins the pages of an answer that has several. What changes meanwhile is
-// newer than the first page, so that the next question brings it.
-func collect(ask Ask, q Question) (Delta, error) {
-	all, err := ask(q)
+// fetchAll joins the pages of a response. Changes made meanwhile are newer than the
+// first page, so the next request fetches them.
+func fetchAll(request Ask, req Question) (Delta, error) {
+	all, err := request(req)
 	for d := all; err == nil && d.More && len(d.Items) > 0; {
-		q.Last = d.Items[len(d.Items)-1].Key
-		if d, err = ask(q); err == nil {
+		req.Last = d.Items[len(d.Items)-1].Key
+		if d, err = request(req); err == nil {
 			all.Items = append(all.Items, d.Items...)
 		}
 	}
--- a/mirror/read_test.go
+++ b/mirror/read_test.go
@@ -11,10 +11,9 @@
 	"wigeondale/infra"
 )
 
-// Symptom: nodes that all start at once are not ready for half a minute. Sequence:
-// each reads all items; the store's line is shared, so that no node has all pages
-// in time; each failure begins anew. Cause: the pages that had come were thrown
-// away.
+// Guards against nodes that all start at once and are not ready for half a minute. Each
+// reads all items, and the store's bandwidth is shared, so that no node gets all pages
+// in time. A failed read must keep the pages it has and not start again.
 func TestFailedReadGoesOnWhereItStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -22,17 +21,17 @@
 			s.put(strconv.Itoa(i))
 		}
 		s.failEvery = 3 // of ten pages
-		out, m := followAs(t, s, Config{})
+		out, m := startMirrorWith(t, s, Config{})
 		time.Sleep(5 * time.Second)
-		if !m.Synced() || len(out.now) != 100 {
-			t.Errorf("synced %v with %d of 100 items", m.Synced(), len(out.now))
+		if !m.Synced() || len(out.items) != 100 {
+			t.Errorf("synced %v with %d of 100 items", m.Synced(), len(out.items))
 		}
 	})
 }
 
-// Symptom: changes made while all is read are missing for ever. Sequence: a read
-// fails, goes on much later, and the store has dropped the changes since its first
-// page. Cause: pages are of use only while the changes since are remembered.
+// Guards against missing the changes made during a read of all items. A read fails and
+// continues much later, when the store has dropped the changes since its first page.
+// Pages may be used only while the changes since are available.
 func TestOldPagesAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -40,7 +39,7 @@
 			s.put(strconv.Itoa(i))
 		}
 		s.failEvery = 2
-		out, m := followAs(t, s, Config{}) // has the first page
+		out, m := startMirrorWith(t, s, Config{}) // has the first page
 		s.fail(errors.New("down"))
 		time.Sleep(defaultKeep + time.Second)
 		s.mu.Lock()
@@ -49,16 +48,16 @@
 		s.failEvery = 0
 		s.fail(nil)
 		time.Sleep(2 * time.Second)
-		if !m.Synced() || out.has("0") || len(out.now) != 19 {
-			t.Errorf("synced %v with %v", m.Synced(), out.now)
+		if !m.Synced() || out.has("0") || len(out.items) != 19 {
+			t.Errorf("synced %v with %v", m.Synced(), out.items)
 		}
 	})
 }
 
-// Symptom: a node starts with a configuration that was replaced seconds ago, and
-// accepts keys that were taken away. Sequence: its first read is answered from what
-// the store knew before; the changes since are known, or were dropped. Cause: old
-// pages counted before the changes since were taken in.
+// Guards against starting with a configuration that was replaced seconds ago and
+// accepting keys that were revoked. The first read is served from stale data; the
+// changes since are available, or were dropped. Stale pages must not be used before the
+// changes since have been applied.
 func TestFirstReadIsBroughtUpToDate(t *testing.T) {
 	for name, compacted := range map[string]bool{"changes known": false, "changes dropped": true} {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +65,7 @@
 				s := newFakeStore()
 				s.put("taken")
 				s.put("config")
-				s.old = &infra.Page{Revision: 3, Values: []infra.Value{{Key: "taken", ModRev: 2}, {Key: "config", ModRev: 3}}}
+				s.stalePage = &infra.Page{Revision: 3, Values: []infra.Value{{Key: "taken", ModRev: 2}, {Key: "config", ModRev: 3}}}
 				s.put("config")
 				s.mu.Lock()
 				delete(s.items, "taken")
@@ -76,13 +75,13 @@
 				if compacted {
 					s.compact()
 				}
-				out := follow(t, s)
+				out := startMirror(t, s)
 				time.Sleep(time.Second)
-				if !out.has("config") || out.has("taken") || slices.Contains(out.log, "put taken") && compacted {
-					t.Errorf("got %v", out.log)
+				if !out.has("config") || out.has("taken") || slices.Contains(out.calls, "put taken") && compacted {
+					t.Errorf("got %v", out.calls)
 				}
-				if out.now["config"] != 4 {
-					t.Errorf("configuration of revision %d, want 4", out.now["config"])
+				if out.items["config"] != 4 {
+					t.Errorf("configuration of revision %d, want 4", out.items["config"])
 				}
 			})
 		})
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -9,155 +9,157 @@
 	"wigeondale/infra"
 )
 
-// keptRemovals is how many removals are remembered for neighbours that lag. With
-// more in between they are given everything.
-const keptRemovals = 256
+// defaultMaxRemovals is how many removals are remembered for neighbours that lag. A
+// neighbour that lags by more removals has to read all items.
+const defaultMaxRemovals = 256
 
-// Removal says that an item was gone at a revision.
+// Removal records that an item was missing at a revision.
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Doubtful says that it went missing by an outage and may come back.
+	// Doubtful marks an item that went missing by an outage and may come back.
 	Doubtful bool `cbor:"3,keyasint,omitempty"`
-	// DoubtMS is how much longer that is held possible; 0 while it isn't known.
+	// DoubtMS is for how much longer it may come back; 0 while that isn't known.
 	DoubtMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// doubtEnd is until when the removal is doubtful; unknown is for when it can't say.
-func (r Removal) doubtEnd(unknown time.Time) time.Time {
+// unconfirmedUntil is until when the removal is unconfirmed; unknown is used when it
+// doesn't say.
+func (r Removal) unconfirmedUntil(unknown time.Time) time.Time {
 	if r.DoubtMS == 0 {
 		return unknown
 	}
 	return time.Now().Add(time.Duration(r.DoubtMS) * time.Millisecond)
 }
 
-// Question asks for what changed after a revision.
+// Question requests the changes after a revision.
 type Question struct {
 	After int64 `cbor:"1,keyasint"`
-	// All asks for everything where the changes since aren't known, page by page:
-	// the items whose keys follow Last.
+	// All requests all items if the changes since aren't available, page by page: the
+	// items whose keys come after Last.
 	All  bool   `cbor:"2,keyasint,omitempty"`
 	Last string `cbor:"3,keyasint,omitempty"`
 }
 
-// Delta is what changed between two revisions. A long one is cut at a revision:
-// the rest is asked for once it was taken in.
+// Delta holds the changes between two revisions. A long one is cut at a revision: the
+// rest is requested once it has been applied.
 type Delta struct {
 	Newest  int64         `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all that there is
+	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all items
 	Items   []infra.Value `cbor:"3,keyasint,omitempty"`
 	Removed []Removal     `cbor:"4,keyasint,omitempty"`
-	// Uncovered says that removals since the asked revision aren't known, so that
-	// only everything would do.
+	// Uncovered reports that removals since the requested revision aren't known, so
+	// that only a read of all items would help.
 	Uncovered bool `cbor:"5,keyasint,omitempty"`
 	More      bool `cbor:"6,keyasint,omitempty"` // more pages follow
 }
 
-// pageBytes is the size from which a Delta is cut. A page holds up a slow line for a
-// moment only, and stays far below the size of a message between nodes.
+// pageBytes is the size from which a Delta is cut. A page of this size occupies a slow
+// network link only for a moment, and is far smaller than the maximum message between
+// nodes.
 const pageBytes = 256 << 10
 
-// doubts say how what goes missing is taken: for gone, or for what may come back
-// until end. A zero end isn't known yet.
-type doubts struct {
-	on  bool
-	end time.Time
+// removalPolicy defines how missing items are treated: as removed, or as unconfirmed
+// removals until the given time. A zero time means that it isn't known yet.
+type removalPolicy struct {
+	unconfirmed bool
+	until       time.Time
 }
 
-// doubted is an item that went missing and may come back.
-type doubted struct {
-	rev int64 // at which it was missing
-	end time.Time
+// unconfirmedRemoval is an item that went missing and may come back.
+type unconfirmedRemoval struct {
+	rev   int64 // at which it was missing
+	until time.Time
 }
 
-// leftMS is how much longer the item may come back, 0 when that isn't known.
-func (d doubted) leftMS() int64 {
-	if d.end.IsZero() {
+// remainingMS is for how much longer the item may come back, 0 when that isn't known.
+func (d unconfirmedRemoval) remainingMS() int64 {
+	if d.until.IsZero() {
 		return 0
 	}
-	return max(time.Until(d.end).Milliseconds(), 1)
+	return max(time.Until(d.until).Milliseconds(), 1)
 }
 
-// state is what is known of the prefix. An item never goes back to an earlier
-// revision, in whatever order news of it come.
+// state is the known content of the prefix. An item never goes back to an earlier
+// revision, in whatever order changes arrive.
 type state struct {
-	out     Receiver
-	items   map[string]infra.Value
-	doubted map[string]doubted // missing since an outage; not told as gone
-	removed []Removal          // the latest, in the order in which they were learnt
-	tombs   map[string]int64   // the same by key, so that an older item doesn't come back
-	newest  int64              // all changes up to this revision are known
-	floor   int64              // removals up to it are not in removed
-	keep    int                // removals that are remembered
+	receiver      Receiver
+	items         map[string]infra.Value
+	unconfirmed   map[string]unconfirmedRemoval // missing since an outage; not yet reported as removed
+	removed       []Removal                     // the latest, in the order of their arrival
+	tombstones    map[string]int64              // the same by key, so that an older item doesn't come back
+	newest        int64                         // all changes up to this revision are known
+	removalsFloor int64                         // removals up to it are not in removed
+	maxRemovals   int                           // removals that are remembered
 	// pageBytes is the size from which a Delta is cut.
 	pageBytes int
-	dirty     bool // out was told of something since the last settle
+	dirty     bool // receiver was notified since the last flush
 }
 
 func newState(out Receiver) state {
-	return state{out: out, keep: keptRemovals, pageBytes: pageBytes, items: map[string]infra.Value{}, doubted: map[string]doubted{}, tombs: map[string]int64{}}
+	return state{receiver: out, maxRemovals: defaultMaxRemovals, pageBytes: pageBytes, items: map[string]infra.Value{}, unconfirmed: map[string]unconfirmedRemoval{}, tombstones: map[string]int64{}}
 }
 
-// reach notes that all changes up to a revision are known. Neighbours ask for what
-// is newer, so a revision that only some change has must not count: what lies
-// before it would be missing for ever at a node that doesn't read the store.
-func (s *state) reach(rev int64) { s.newest = max(s.newest, rev) }
+// advance records that all changes up to a revision are known. Neighbours request what
+// is newer, so the revision of a single change must not count: a node that doesn't read
+// the store would never get the changes before it.
+func (s *state) advance(rev int64) { s.newest = max(s.newest, rev) }
 
 func (s *state) put(v infra.Value) {
-	if s.items[v.Key].ModRev >= v.ModRev || s.tombs[v.Key] >= v.ModRev {
+	if s.items[v.Key].ModRev >= v.ModRev || s.tombstones[v.Key] >= v.ModRev {
 		return
 	}
-	delete(s.doubted, v.Key)
-	delete(s.tombs, v.Key)
+	delete(s.unconfirmed, v.Key)
+	delete(s.tombstones, v.Key)
 	s.items[v.Key] = v
 	s.dirty = true
-	s.out.Put(v)
+	s.receiver.Put(v)
 }
 
-// remove takes an item out that was gone at rev. One that may come back is held
-// to be doubtful instead.
-func (s *state) remove(key string, rev int64, d doubts) {
-	held, ok := s.items[key]
-	if held.ModRev > rev {
+// remove removes an item that was missing at rev. An item that may come back becomes an
+// unconfirmed removal instead.
+func (s *state) remove(key string, rev int64, d removalPolicy) {
+	current, ok := s.items[key]
+	if current.ModRev > rev {
 		return
 	}
 	if !ok {
-		s.bury(key, rev)
+		s.addTombstone(key, rev)
 		return
 	}
-	if d.on {
-		s.doubted[key] = doubted{rev, d.end}
+	if d.unconfirmed {
+		s.unconfirmed[key] = unconfirmedRemoval{rev, d.until}
 		return
 	}
 	delete(s.items, key)
-	delete(s.doubted, key)
-	s.bury(key, rev)
+	delete(s.unconfirmed, key)
+	s.addTombstone(key, rev)
 	s.dirty = true
-	s.out.Gone(key)
+	s.receiver.Gone(key)
 }
 
-// bury remembers that an item was gone at rev.
-func (s *state) bury(key string, rev int64) {
-	if s.tombs[key] >= rev {
+// addTombstone remembers that an item was removed at rev.
+func (s *state) addTombstone(key string, rev int64) {
+	if s.tombstones[key] >= rev {
 		return
 	}
-	s.tombs[key] = rev
+	s.tombstones[key] = rev
 	s.removed = append(s.removed, Removal{Key: key, Rev: rev})
-	if len(s.removed) <= s.keep {
+	if len(s.removed) <= s.maxRemovals {
 		return
 	}
 	oldest := s.removed[0]
 	s.removed = slices.Delete(s.removed, 0, 1)
-	s.floor = max(s.floor, oldest.Rev)
-	if s.tombs[oldest.Key] == oldest.Rev {
-		delete(s.tombs, oldest.Key)
+	s.removalsFloor = max(s.removalsFloor, oldest.Rev)
+	if s.tombstones[oldest.Key] == oldest.Rev {
+		delete(s.tombstones, oldest.Key)
 	}
 }
 
-// replace takes in everything as it was at a revision.
-func (s *state) replace(items []infra.Value, at int64, d doubts) {
+// replace applies the complete list of items at a revision.
+func (s *state) replace(items []infra.Value, at int64, d removalPolicy) {
 	if s.newest == 0 {
-		s.floor = at
+		s.removalsFloor = at
 	}
 	found := make(map[string]bool, len(items))
 	for _, v := range items {
@@ -169,41 +171,41 @@
 			s.remove(key, at, d)
 		}
 	}
-	s.reach(at)
+	s.advance(at)
 }
 
-// setDoubtEnd says until when those may come back for which that wasn't known.
-func (s *state) setDoubtEnd(end time.Time) {
-	for key, d := range s.doubted {
-		if d.end.IsZero() {
-			d.end = end
-			s.doubted[key] = d
+// setUnconfirmedEnd sets the end of the unconfirmed removals for which it wasn't known.
+func (s *state) setUnconfirmedEnd(end time.Time) {
+	for key, d := range s.unconfirmed {
+		if d.until.IsZero() {
+			d.until = end
+			s.unconfirmed[key] = d
 		}
 	}
 }
 
-// dropDoubted takes out what did not come back in time.
-func (s *state) dropDoubted(now time.Time) {
-	for key, d := range s.doubted {
-		if !d.end.IsZero() && !now.Before(d.end) {
-			s.remove(key, d.rev, doubts{})
+// confirmExpired removes the items that did not come back in time.
+func (s *state) confirmExpired(now time.Time) {
+	for key, d := range s.unconfirmed {
+		if !d.until.IsZero() && !now.Before(d.until) {
+			s.remove(key, d.rev, removalPolicy{})
 		}
 	}
 }
 
-// delta answers a neighbour that knows all changes up to q.After.
-func (s *state) delta(q Question) Delta {
-	if q.After >= s.floor {
-		return s.changesAfter(q.After)
+// delta responds to a neighbour that has all changes up to the requested revision.
+func (s *state) delta(req Question) Delta {
+	if req.After >= s.removalsFloor {
+		return s.changesAfter(req.After)
 	}
-	if !q.All {
+	if !req.All {
 		return Delta{Newest: s.newest, Uncovered: true}
 	}
-	return s.page(q.Last)
+	return s.page(req.Last)
 }
 
-// changesAfter holds changes in the order of their revisions. Newest is the last of
-// them where it is cut.
+// changesAfter returns the changes in the order of their revisions. When they are cut,
+// Newest is the revision before the first change left out.
 func (s *state) changesAfter(after int64) Delta {
 	d := Delta{Newest: s.newest}
 	for _, v := range s.items {
@@ -212,7 +214,7 @@
 		}
 	}
 	slices.SortFunc(d.Items, func(a, b infra.Value) int { return cmp.Compare(a.ModRev, b.ModRev) })
-	if n := wholeRevisions(d.Items, fitting(d.Items, s.pageBytes)); n < len(d.Items) {
+	if n := cutAtRevision(d.Items, countFitting(d.Items, s.pageBytes)); n < len(d.Items) {
 		d.Newest = d.Items[n].ModRev - 1
 		d.Items = d.Items[:n]
 	}
@@ -221,25 +223,25 @@
 			d.Removed = append(d.Removed, r)
 		}
 	}
-	d.Removed = append(d.Removed, s.doubtful(after, d.Newest)...)
+	d.Removed = append(d.Removed, s.unconfirmedRemovals(after, d.Newest)...)
 	return d
 }
 
-// doubtful are the removals after a revision that may be none. They are told like
-// others: once a node knows of something newer, nobody tells it of them again.
-func (s *state) doubtful(after, upTo int64) []Removal {
+// unconfirmedRemovals returns the unconfirmed removals after a revision. They must be
+// sent with the others: a node that has a newer revision never requests them again.
+func (s *state) unconfirmedRemovals(after, upTo int64) []Removal {
 	var out []Removal
-	for key, d := range s.doubted {
+	for key, d := range s.unconfirmed {
 		if d.rev > after && d.rev <= upTo {
-			out = append(out, Removal{Key: key, Rev: d.rev, Doubtful: true, DoubtMS: d.leftMS()})
+			out = append(out, Removal{Key: key, Rev: d.rev, Doubtful: true, DoubtMS: d.remainingMS()})
 		}
 	}
 	return out
 }
 
-// wholeRevisions moves a cut at n so that it parts no revision, and leaves one at
-// least before it.
-func wholeRevisions(items []infra.Value, n int) int {
+// cutAtRevision moves a cut at n so that it doesn't split a revision and at least one
+// revision comes before it.
+func cutAtRevision(items []infra.Value, n int) int {
 	if n == len(items) {
 		return n
 	}
@@ -256,7 +258,7 @@
 	return n
 }
 
-// page holds items in the order of their keys.
+// page returns items in the order of their keys.
 func (s *state) page(last string) Delta {
 	d := Delta{Newest: s.newest, Full: true}
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -264,15 +266,15 @@
 			d.Items = append(d.Items, s.items[key])
 		}
 	}
-	n := fitting(d.Items, s.pageBytes)
+	n := countFitting(d.Items, s.pageBytes)
 	d.More = n < len(d.Items)
 	d.Items = d.Items[:n]
-	d.Removed = s.doubtful(0, d.Newest)
+	d.Removed = s.unconfirmedRemovals(0, d.Newest)
 	return d
 }
 
-// fitting is the number of leading items that make a page: one at least.
-func fitting(items []infra.Value, bound int) int {
+// countFitting is the number of leading items that make a page: at least one.
+func countFitting(items []infra.Value, bound int) int {
 	size := 0
 	for i, v := range items {
 		size += len(v.Key) + len(v.Data)
@@ -283,32 +285,33 @@
 	return len(items)
 }
 
-// merge takes in what a neighbour knows. What it doubts may come back until it says
-// so, or until end if it can't say.
+// merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the
+// time that the neighbour gives, or until end if it gives none.
 //
-// What goes wrong when each node doubts for the whole time anew: the store is back for
-// a while, a replica leaves, and the one reader that still doubts it a little tells
-// the others first. They go on sending it work for two seconds.
+// Otherwise each node would hold a removal as unconfirmed for the whole time again.
+// When the store has been back for a while and a replica leaves, the one reader that
+// still holds that removal as unconfirmed for a moment may notify the others first:
+// they would then go on sending work to the replica for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
 	if d.Newest <= s.newest || d.Uncovered {
 		return
 	}
 	if d.Full {
-		s.replace(d.Items, d.Newest, doubts{})
+		s.replace(d.Items, d.Newest, removalPolicy{})
 	}
 	for _, v := range d.Items {
 		s.put(v)
 	}
 	for _, r := range d.Removed {
-		s.remove(r.Key, r.Rev, doubts{on: r.Doubtful, end: r.doubtEnd(end)})
+		s.remove(r.Key, r.Rev, removalPolicy{unconfirmed: r.Doubtful, until: r.unconfirmedUntil(end)})
 	}
-	s.reach(d.Newest)
+	s.advance(d.Newest)
 }
 
-func (s *state) settle() {
+func (s *state) flush() {
 	if !s.dirty {
 		return
 	}
 	s.dirty = false
-	s.out.Settled()
+	s.receiver.Settled()
 }
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -13,13 +13,13 @@
 	"wigeondale/infra"
 )
 
-// Symptom: an old configuration is back, or a replica that is gone gets work again.
-// Sequence: news come through a neighbour; an answer of the store that was under
-// way brings what was before. Cause: the later arrival wins. What holds in the end
-// is the newest change of each item, in whatever order they came.
+// Guards against the return of an old configuration, or of work sent to a removed
+// replica. Changes arrive through a neighbour, and then a delayed response of the store
+// brings the state before them. The result must be the newest change of each item,
+// whatever the order of arrival.
 func TestItemsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		out := &seen{now: map[string]int64{}}
+		out := &recorder{items: map[string]int64{}}
 		s := newState(out)
 		n := rapid.IntRange(1, 30).Draw(t, "changes")
 		revs := rapid.Permutation(slices.Collect(func(yield func(int64) bool) {
@@ -32,9 +32,9 @@
 		keys := rapid.SampledFrom([]string{"a", "b", "c"})
 		newest, want := map[string]int64{}, map[string]int64{}
 		for _, rev := range revs {
-			key, gone := keys.Draw(t, "key"), rapid.Bool().Draw(t, "gone")
-			if gone {
-				s.remove(key, rev, doubts{})
+			key, removed := keys.Draw(t, "key"), rapid.Bool().Draw(t, "gone")
+			if removed {
+				s.remove(key, rev, removalPolicy{})
 			} else {
 				s.put(infra.Value{Key: key, ModRev: rev})
 			}
@@ -43,27 +43,27 @@
 			}
 			newest[key] = rev
 			delete(want, key)
-			if !gone {
+			if !removed {
 				want[key] = rev
 			}
 		}
-		if !maps.Equal(out.now, want) {
-			t.Fatalf("got %v, want %v", out.now, want)
+		if !maps.Equal(out.items, want) {
+			t.Fatalf("got %v, want %v", out.items, want)
 		}
 	})
 }
 
-// Symptom: nodes differ for ever. Sequence: changes and removals reach one node;
-// others learn of them by differences that are made at any moment, of a node that
-// lags by any amount, in pages of any size, with changes between two pages. Each
-// must end with just what the first holds.
+// Guards against nodes that differ for ever. Changes and removals reach one node;
+// another one gets them as deltas, made at any time, for a node that lags by any
+// amount, in pages of any size, with changes between two pages. Both must end with the
+// same items.
 func TestDifferencesMakeNodesEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first, second := New(nil, &seen{now: map[string]int64{}}, Config{}), New(nil, &seen{now: map[string]int64{}}, Config{})
+		first, second := New(nil, &recorder{items: map[string]int64{}}, Config{}), New(nil, &recorder{items: map[string]int64{}}, Config{})
 		first.synced = true
-		first.state.keep = 5 // so that a lag beyond it comes up
+		first.state.maxRemovals = 5 // so that a larger lag occurs
 		first.state.pageBytes = rapid.IntRange(1, 30).Draw(t, "page")
-		second.lost.Store(true) // so that it asks for everything where it must
+		second.failing.Store(true) // so that it requests all items where needed
 		rev := int64(0)
 		keys := rapid.Custom(func(t *rapid.T) string { return strconv.Itoa(rapid.IntRange(0, 40).Draw(t, "number")) })
 		change := func() {
@@ -72,13 +72,13 @@
 				if rapid.Bool().Draw(t, "put") {
 					first.state.put(infra.Value{Key: key, ModRev: rev})
 				} else {
-					first.state.remove(key, rev, doubts{})
+					first.state.remove(key, rev, removalPolicy{})
 				}
 			}
-			first.state.reach(rev)
+			first.state.advance(rev)
 		}
-		ask := func(q Question) (Delta, error) {
-			d := first.Delta(q)
+		request := func(req Question) (Delta, error) {
+			d := first.Delta(req)
 			if rapid.IntRange(0, 3).Draw(t, "meanwhile") == 0 {
 				change()
 			}
@@ -87,14 +87,14 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			if rapid.IntRange(0, 5).Draw(t, "step") > 0 {
 				change()
-			} else if err := second.Pull("first", ask); err != nil {
+			} else if err := second.Pull("first", request); err != nil {
 				t.Fatal(err)
 			}
 		}
 		rev++
 		first.state.put(infra.Value{Key: "last", ModRev: rev})
-		first.state.reach(rev)
-		if err := second.Pull("first", func(q Question) (Delta, error) { return first.Delta(q), nil }); err != nil {
+		first.state.advance(rev)
+		if err := second.Pull("first", func(req Question) (Delta, error) { return first.Delta(req), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !maps.EqualFunc(first.state.items, second.state.items, func(a, b infra.Value) bool { return a.ModRev == b.ModRev }) {
@@ -103,74 +103,75 @@
 	})
 }
 
-// Symptom: nodes that don't read the store miss a change for ever. Sequence: while
-// a node reads page after page, one item changes that was read already, and then
-// one that wasn't. Cause: the newest change that it saw was taken for the revision
-// up to which it knows all.
+// Guards against changes that never reach nodes that don't read the store. While a node
+// reads page after page, an item changes that was already read, and then one that
+// wasn't. The revision of the newest item must not count as the revision up to which
+// all changes are known.
 func TestLaterPagesDoNotHideChanges(t *testing.T) {
-	s := newState(&seen{now: map[string]int64{}})
-	s.replace([]infra.Value{{Key: "a", ModRev: 3}, {Key: "z", ModRev: 9}}, 5, doubts{})
+	s := newState(&recorder{items: map[string]int64{}})
+	s.replace([]infra.Value{{Key: "a", ModRev: 3}, {Key: "z", ModRev: 9}}, 5, removalPolicy{})
 	if s.newest != 5 {
-		t.Errorf("claims to know all up to %d, want 5", s.newest)
+		t.Errorf("has all changes up to %d, want 5", s.newest)
 	}
 }
 
-// Symptom: a replica gets work more than two seconds after the store acknowledged that
-// it is gone. Sequence: the store is back for a second and a half when a replica leaves;
-// the reader that had lost the store holds that to be doubtful for half a second more,
-// and tells its neighbours before another reader does.
-// Cause: each neighbour doubted for the whole time anew.
+// Guards against sending work to a replica more than two seconds after the store
+// acknowledged its removal. The store has been back for a second and a half when a
+// replica leaves; the reader that had lost the store holds that removal as unconfirmed
+// for half a second more, and notifies its neighbours before another reader does. The
+// neighbours must not hold it as unconfirmed for the whole time again.
 func TestDoubtEndsEverywhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const left, whole = 500 * time.Millisecond, 2 * time.Second
-		reader, out := newState(&seen{now: map[string]int64{}}), &seen{now: map[string]int64{}}
+		const remaining, full = 500 * time.Millisecond, 2 * time.Second
+		reader, out := newState(&recorder{items: map[string]int64{}}), &recorder{items: map[string]int64{}}
 		neighbour := newState(out)
 		for _, s := range []*state{&reader, &neighbour} {
 			s.put(infra.Value{Key: "a", ModRev: 1})
-			s.reach(1)
+			s.advance(1)
 		}
-		reader.remove("a", 2, doubts{on: true, end: time.Now().Add(left)})
-		reader.reach(2)
-		neighbour.merge(reader.delta(Question{After: 1}), time.Now().Add(whole))
-		time.Sleep(left - 10*time.Millisecond)
-		neighbour.dropDoubted(time.Now())
-		if len(out.now) != 1 {
-			t.Error("it is gone while it may come back")
+		reader.remove("a", 2, removalPolicy{unconfirmed: true, until: time.Now().Add(remaining)})
+		reader.advance(2)
+		neighbour.merge(reader.delta(Question{After: 1}), time.Now().Add(full))
+		time.Sleep(remaining - 10*time.Millisecond)
+		neighbour.confirmExpired(time.Now())
+		if len(out.items) != 1 {
+			t.Error("it is removed while it may come back")
 		}
 		time.Sleep(20 * time.Millisecond)
-		neighbour.dropDoubted(time.Now())
-		if len(out.now) != 0 {
-			t.Error("the neighbour doubts for longer than the reader")
+		neighbour.confirmExpired(time.Now())
+		if len(out.items) != 0 {
+			t.Error("the removal stays unconfirmed for longer than at the reader")
 		}
 	})
 }
 
-// fragile fails on some items.
-type fragile struct{ seen }
+// panickingReceiver panics on some items.
+type panickingReceiver struct{ recorder }
 
-func (f *fragile) Put(v infra.Value) {
+func (r *panickingReceiver) Put(v infra.Value) {
 	if v.Key == "bad" {
 		panic("as asked")
 	}
-	f.seen.Put(v)
+	r.recorder.Put(v)
 }
 
-func (f *fragile) Gone(key string) {
+func (r *panickingReceiver) Gone(key string) {
 	if key == "bad" {
 		panic("as asked")
 	}
-	f.seen.Gone(key)
+	r.recorder.Gone(key)
 }
 
-// Guards against: one item that makes its reader panic ends every node, again at each start.
+// Guards against an item that makes its receiver panic and so stops every node, again
+// at each start.
 func TestItemThatFailsItsReaderEndsNoNode(t *testing.T) {
-	out := &fragile{seen{now: map[string]int64{}}}
-	s := newState(contained{out: out})
+	out := &panickingReceiver{recorder{items: map[string]int64{}}}
+	s := newState(panicGuard{out: out})
 	s.put(infra.Value{Key: "bad", ModRev: 1})
 	s.put(infra.Value{Key: "good", ModRev: 2})
-	s.remove("bad", 3, doubts{})
-	s.settle()
-	if !maps.Equal(out.now, map[string]int64{"good": 2}) {
-		t.Errorf("got %v", out.now)
+	s.remove("bad", 3, removalPolicy{})
+	s.flush()
+	if !maps.Equal(out.items, map[string]int64{"good": 2}) {
+		t.Errorf("got %v", out.items)
 	}
 }
