--- a/inventory/bench_test.go
+++ b/inventory/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// targetRecords is the size that docs/CAPACITY.md works out: 10,000 replicas
-// and 830 nodes.
+// targetRecords is the size that docs/CAPACITY.md works out: 10,000 replicas and 830
+// nodes.
 const targetRecords = 10_830
 
 func targetList() []Item {
@@ -39,8 +39,8 @@
 	return float64(len(data))
 }
 
-// BenchmarkReading measures what a reading costs a reader beside fetching and
-// parsing it, when one entry changed.
+// BenchmarkReading measures the cost of a reading for a reader, without fetching and
+// parsing the list, when one entry changed.
 func BenchmarkReading(b *testing.B) {
 	list := targetList()
 	s, o, now := targetState(list)
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkDelta measures a change of one entry at a node that hears of it.
+// BenchmarkDelta measures a change of one entry at a node that receives it.
 func BenchmarkDelta(b *testing.B) {
 	list := targetList()
 	s, _, now := targetState(list)
@@ -66,16 +66,16 @@
 	b.ReportMetric(encoded(b, d), "B/delta")
 }
 
-// BenchmarkDigest measures a digest round in which nothing differs, both ends.
+// BenchmarkDigest measures a digest round in which nothing differs, at both ends.
 func BenchmarkDigest(b *testing.B) {
 	s, _, _ := targetState(targetList())
-	var question, answer Digest
+	var request, answer Digest
 	for b.Loop() {
-		question = s.Digest()
-		answer = s.Answer(question)
+		request = s.Digest()
+		answer = s.Answer(request)
 		s.Differing(answer)
 	}
-	b.ReportMetric(encoded(b, question)+encoded(b, answer), "B/round")
+	b.ReportMetric(encoded(b, request)+encoded(b, answer), "B/round")
 }
 
 // BenchmarkExchange measures a digest round in which one record differs.
@@ -88,27 +88,27 @@
 	for b.Loop() {
 		r.At++
 		s.Merge([]Record{r}, now)
-		question := other.Digest()
-		answer := s.Answer(question)
+		request := other.Digest()
+		answer := s.Answer(request)
 		batch := other.Batch(other.Differing(answer))
 		reply, _ := s.Exchange(batch, now)
 		other.Merge(reply.Records, now)
-		bytes = encoded(b, question) + encoded(b, answer) + encoded(b, batch) + encoded(b, reply)
+		bytes = encoded(b, request) + encoded(b, answer) + encoded(b, batch) + encoded(b, reply)
 	}
 	b.ReportMetric(bytes, "B/round")
 }
 
-// BenchmarkTakeAll measures a start: the whole inventory from a neighbour.
+// BenchmarkTakeAll measures a start: a node gets the whole inventory from a neighbour.
 func BenchmarkTakeAll(b *testing.B) {
 	s, _, now := targetState(targetList())
 	var bytes float64
 	for b.Loop() {
-		fresh := NewState()
-		asked := fresh.Differing(s.Answer(fresh.Digest()))
+		empty := NewState()
+		buckets := empty.Differing(s.Answer(empty.Digest()))
 		bytes = 0
-		for len(asked) > 0 {
-			batch := fresh.Batch(asked)
-			batch.Asked = asked[:batch.Done]
+		for len(buckets) > 0 {
+			batch := empty.Batch(buckets)
+			batch.Asked = buckets[:batch.Done]
 			reply, _ := s.Exchange(batch, now)
 			data, err := cbor.Marshal(reply)
 			if err != nil {
@@ -119,14 +119,14 @@
 			if err := cbor.Unmarshal(data, &got); err != nil {
 				b.Fatal(err)
 			}
-			fresh.Merge(got.Records, now)
-			asked = asked[got.Done:]
+			empty.Merge(got.Records, now)
+			buckets = buckets[got.Done:]
 		}
 	}
 	b.ReportMetric(bytes, "B/start")
 }
 
-// BenchmarkRecordMemory measures a record as it comes from a neighbour.
+// BenchmarkRecordMemory measures the memory of a record received from a neighbour.
 func BenchmarkRecordMemory(b *testing.B) {
 	s, _, now := targetState(targetList())
 	data, err := cbor.Marshal(s.Live())
@@ -137,16 +137,16 @@
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		fresh := NewState()
+		empty := NewState()
 		var got []Record
 		if err := cbor.Unmarshal(data, &got); err != nil {
 			b.Fatal(err)
 		}
-		fresh.Merge(got, now)
+		empty.Merge(got, now)
 		got = nil
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/targetRecords, "B/record")
-		runtime.KeepAlive(fresh)
+		runtime.KeepAlive(empty)
 	}
 }
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -10,39 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-// world is a fleet of nodes on a fake clock, of which the first ones read the
-// list, each through a replica with a lag of its own.
-type world struct {
+// testFleet is a set of nodes on a fake clock. The first ones read the list, each
+// through a replica with a lag of its own.
+type testFleet struct {
 	*rapid.T
 	now     time.Time
-	list    [][]Item // the list second by second
+	list    [][]Item // the list at each second
 	nodes   []*State
 	readers []*Observer
 	lags    []int // seconds
 }
 
 const (
-	worldNodes   = 5
-	worldReaders = 3
+	fleetNodes   = 5
+	fleetReaders = 3
 )
 
-func newWorld(t *rapid.T) *world {
-	w := &world{T: t, now: time.Unix(1_000_000, 0), list: [][]Item{nil}}
+func newTestFleet(t *rapid.T) *testFleet {
+	w := &testFleet{T: t, now: time.Unix(1_000_000, 0), list: [][]Item{nil}}
 	for i := range 6 {
 		w.list[0] = append(w.list[0], Item{ID: fmt.Sprint("x", i), VM: fmt.Sprint("v", i), Role: "engine"})
 	}
-	for range worldNodes {
+	for range fleetNodes {
 		w.nodes = append(w.nodes, NewState())
 	}
-	for i := range worldReaders {
+	for i := range fleetReaders {
 		w.readers = append(w.readers, NewObserver(fmt.Sprint("r", i)))
 		w.lags = append(w.lags, rapid.IntRange(0, 5).Draw(t, "lag"))
 	}
 	return w
 }
 
-// second passes, in which one entry of the list may change.
-func (w *world) second() {
+// advanceSecond advances the clock by a second; one entry of the list may change.
+func (w *testFleet) advanceSecond() {
 	w.now = w.now.Add(time.Second)
 	list := slices.Clone(w.list[len(w.list)-1])
 	n := rapid.IntRange(0, len(list)-1).Draw(w.T, "entry")
@@ -64,7 +64,7 @@
 	w.list = append(w.list, list)
 }
 
-func (w *world) read(i, lag int) {
+func (w *testFleet) read(i, lag int) {
 	shown := w.list[max(len(w.list)-1-lag, 0)]
 	changes, _ := w.readers[i].Observe(w.nodes[i], shown, w.now)
 	w.nodes[i].Merge(changes, w.now)
@@ -75,31 +75,31 @@
 	}
 }
 
-func (w *world) digest(a, b int) {
-	asked := w.nodes[a].Differing(w.nodes[b].Answer(w.nodes[a].Digest()))
-	for len(asked) > 0 {
-		batch := w.nodes[a].Batch(asked)
-		batch.Asked = asked[:batch.Done]
+func (w *testFleet) digest(a, b int) {
+	buckets := w.nodes[a].Differing(w.nodes[b].Answer(w.nodes[a].Digest()))
+	for len(buckets) > 0 {
+		batch := w.nodes[a].Batch(buckets)
+		batch.Asked = buckets[:batch.Done]
 		answer, _ := w.nodes[b].Exchange(batch, w.now)
 		w.nodes[a].Merge(answer.Records, w.now)
-		asked = asked[answer.Done:]
+		buckets = buckets[answer.Done:]
 	}
 }
 
-func (w *world) restart(i int) {
+func (w *testFleet) restart(i int) {
 	w.nodes[i] = NewState()
-	if i < worldReaders {
+	if i < fleetReaders {
 		w.readers[i] = NewObserver(fmt.Sprint("r", i))
 	}
 }
 
-func (w *world) step() {
-	node := rapid.IntRange(0, worldNodes-1)
+func (w *testFleet) step() {
+	node := rapid.IntRange(0, fleetNodes-1)
 	switch rapid.SampledFrom([]string{"second", "read", "read", "read", "digest", "restart"}).Draw(w.T, "step") {
 	case "second":
-		w.second()
+		w.advanceSecond()
 	case "read":
-		i := rapid.IntRange(0, worldReaders-1).Draw(w.T, "reader")
+		i := rapid.IntRange(0, fleetReaders-1).Draw(w.T, "reader")
 		w.read(i, w.lags[i])
 	case "digest":
 		w.digest(node.Draw(w.T, "a"), node.Draw(w.T, "b"))
@@ -108,34 +108,33 @@
 	}
 }
 
-// calm lets the list stand still until each reader has seen the end of it, and
-// has borne a difference for longer than settle.
-func (w *world) calm() {
-	for _, pause := range []time.Duration{time.Second, time.Second, settle, settle} {
+// settleAll leaves the list unchanged until each reader has seen its final state and
+// has had a mismatch for longer than mismatchTimeout.
+func (w *testFleet) settleAll() {
+	for _, pause := range []time.Duration{time.Second, time.Second, mismatchTimeout, mismatchTimeout} {
 		w.now = w.now.Add(pause)
-		for i := range worldReaders {
+		for i := range fleetReaders {
 			w.read(i, 0)
 		}
 		for range 2 {
-			for a := range worldNodes {
-				w.digest(a, (a+1)%worldNodes)
+			for a := range fleetNodes {
+				w.digest(a, (a+1)%fleetNodes)
 			}
 		}
 	}
 }
 
-// Symptom: one node goes on sending work to a VM that is gone, or never to a
-// new one, while the others know better. Sequence: readers with different lags,
-// floods lost, nodes and readers restarted, in any order; then the list stands
-// still. Cause: a change that no reader told, or an order that lets an older
-// reading win for good.
+// Guards against a node that goes on sending work to a VM that was removed, or sends
+// none to a new one, while the others know better. Readers have different lags, floods
+// are lost, nodes and readers restart, in any order; then the list stays unchanged. It
+// happens when no reader sends a change, or when an older reading prevails for good.
 func TestAllConvergeToTheNewestReading(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newTestFleet(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			w.step()
 		}
-		w.calm()
+		w.settleAll()
 		want := map[string]Item{}
 		for _, i := range w.list[len(w.list)-1] {
 			want[i.key()] = i
@@ -149,7 +148,7 @@
 				t.Fatalf("node %d has %v, want %v", n, got, want)
 			}
 			if s.Digest().Root != w.nodes[0].Digest().Root {
-				t.Fatalf("node %d has another digest for the same list", n)
+				t.Fatalf("node %d has a different digest for the same list", n)
 			}
 		}
 	})
@@ -163,22 +162,22 @@
 	return list
 }
 
-// Symptom: the whole fleet loses its backend servers. Sequence: the VM list is
-// restarted and shows nothing, then a part. Cause: a reading is believed at once
-// however much it lacks. The rows are readings a second or more apart.
+// Guards against losing all backend servers of the fleet. The service of the VM list
+// restarts and shows nothing at first, then a part of the list; a reading that lacks a
+// lot must not be applied at once. The rows are readings a second or more apart.
 func TestShrunkReadingIsHeldBack(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shown []int // entries of each reading, 6 s apart
-		want  []int // live records after each
+		want  []int // live records after each reading
 	}{
-		"empty for ever":            {[]int{0, 0, 0, 0}, []int{10, 10, 10, 10}},
-		"half gone is believed":     {[]int{5}, []int{5}},
-		"more only when confirmed":  {[]int{4, 4, 4}, []int{10, 10, 4}},
-		"back before confirmed":     {[]int{4, 10, 4, 4}, []int{10, 10, 10, 10}},
-		"empty confirms nothing":    {[]int{4, 0, 4, 4}, []int{10, 10, 10, 10}},
-		"a list that fills up":      {[]int{1, 2, 3, 4, 9}, []int{10, 10, 10, 10, 9}},
-		"a list that shrinks on":    {[]int{4, 3, 2}, []int{10, 10, 2}},
-		"a removal of one needs no": {[]int{9}, []int{9}},
+		"empty for ever":              {[]int{0, 0, 0, 0}, []int{10, 10, 10, 10}},
+		"half missing is accepted":    {[]int{5}, []int{5}},
+		"more only when confirmed":    {[]int{4, 4, 4}, []int{10, 10, 4}},
+		"back before confirmed":       {[]int{4, 10, 4, 4}, []int{10, 10, 10, 10}},
+		"empty confirms nothing":      {[]int{4, 0, 4, 4}, []int{10, 10, 10, 10}},
+		"a list that fills up":        {[]int{1, 2, 3, 4, 9}, []int{10, 10, 10, 10, 9}},
+		"a list that keeps shrinking": {[]int{4, 3, 2}, []int{10, 10, 2}},
+		"a removal of one needs none": {[]int{9}, []int{9}},
 	} {
 		s, o, now := NewState(), NewObserver("r1"), time.Unix(1_000_000, 0)
 		observe := func(n int) {
@@ -196,10 +195,10 @@
 	}
 }
 
-// Symptom: a change comes, goes and comes again on all nodes, for as long as
-// one replica of the list lags. Sequence: r1 sees a removal; r2, through the
-// replica behind, still lists the VM, in each of its readings; then r2 restarts.
-// Cause: a reader puts whatever it reads in force.
+// Guards against a change that is undone and repeated on all nodes for as long as one
+// replica of the list lags. r1 sees a removal; r2, through the lagging replica, still
+// lists the VM in each of its readings; then r2 restarts. It happens when a reader puts
+// whatever it reads into force.
 func TestLaggingReaderUndoesNothing(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
@@ -224,11 +223,11 @@
 	}
 }
 
-// Symptom: a change is undone for a moment, or comes half a minute late.
-// Sequence: r1, whose clock is ahead, tells that an engine has moved; a reading
-// of r2 that began before shows an older move; the list then moves it again.
-// Cause: a reading answered late is taken for a new one; or what it showed is
-// taken for told.
+// Guards against a change that is undone for a moment or arrives half a minute late.
+// r1, whose clock is ahead, reports that an engine has moved; a reading of r2 that
+// started before shows an older move; the list then moves the engine again. It happens
+// when a reading that was answered late counts as a new one, or when what it showed
+// counts as already reported.
 func TestLateReading(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
@@ -243,19 +242,20 @@
 	read(r2, "a:0", 0)
 	read(r1, "a:2", 5*time.Second)
 	if got := read(r2, "a:1", 4*time.Second); got != "a:2" {
-		t.Errorf("a reading that began before puts %s in force", got)
+		t.Errorf("a reading that started before puts %s in force", got)
 	}
 	read(r2, "a:3", 4*time.Second)
 	if got := read(r2, "a:3", 6*time.Second); got != "a:3" {
-		t.Errorf("%s is still in force when the other clock was passed", got)
+		t.Errorf("%s is still in force after the time of the other clock", got)
 	}
 }
 
-// Symptom: as in TestLeavingIsNotUndone. Sequence: r2 tells of another change of
-// the VM, which it still sees live, before it hears that r1 saw it leaving.
+// Guards against the failure in TestLeavingIsNotUndone: r2 reports another change of
+// the VM, which it still sees live, before it receives r1's report that the VM is
+// leaving.
 func TestLeavingIsKeptBesideAnotherChange(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	told := func(reader string, at time.Duration, change func(*Item)) []Record {
+	changesOf := func(reader string, at time.Duration, change func(*Item)) []Record {
 		s, o, list := NewState(), NewObserver(reader), engines(1)
 		first, _ := o.Observe(s, list, now)
 		s.Merge(first, now)
@@ -263,9 +263,9 @@
 		changes, _ := o.Observe(s, list, now.Add(at))
 		return changes
 	}
-	left := told("r1", time.Second, func(i *Item) { i.Leaving = true })
-	live := told("r2", 2*time.Second, func(i *Item) { i.ChecksFence = true })
+	left := changesOf("r1", time.Second, func(i *Item) { i.Leaving = true })
+	live := changesOf("r2", 2*time.Second, func(i *Item) { i.ChecksFence = true })
 	if r := Merge(left[0], live[0]); r.Item.Leaving || !r.MarkedLeaving() {
-		t.Errorf("no trace of it: %+v", r)
+		t.Errorf("the leaving mark is lost: %+v", r)
 	}
 }
--- a/inventory/dump.go
+++ b/inventory/dump.go
@@ -8,7 +8,7 @@
 
 // meters holds the counters of one Inventory.
 type meters struct {
-	readOK, readHeld, readFailed              *metrics.Counter
+	readOK, readWithheld, readFailed          *metrics.Counter
 	byReading, byFlood, byDigest              *metrics.Counter
 	digestEqual, digestDiffered, digestFailed *metrics.Counter
 }
@@ -27,7 +27,7 @@
 	count := set.GetOrCreateCounter
 	return &meters{
 		readOK:         count(`wigeon_inventory_readings_total{result="taken"}`),
-		readHeld:       count(`wigeon_inventory_readings_total{result="held"}`),
+		readWithheld:   count(`wigeon_inventory_readings_total{result="held"}`),
 		readFailed:     count(`wigeon_inventory_readings_total{result="failed"}`),
 		byReading:      count(`wigeon_inventory_changes_total{from="reading"}`),
 		byFlood:        count(`wigeon_inventory_changes_total{from="flood"}`),
@@ -58,16 +58,16 @@
 	Reader   string `json:"reader"`
 }
 
-// Dump returns the state; records are named b/ID for backend servers and e/ID
-// for entry VMs.
+// Dump returns the state. Records are keyed b/ID for backend servers and e/ID for entry
+// VMs.
 func (v *Inventory) Dump() any {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := Dump{
 		Duty:         v.duty.String(),
 		Readings:     v.readings,
-		HeldBack:     v.held,
-		HeardSeconds: time.Since(v.heard).Seconds(),
+		HeldBack:     v.withholding,
+		HeardSeconds: time.Since(v.lastReadingAt).Seconds(),
 		Records:      make(map[string]RecordDump, len(v.state.records)),
 	}
 	for key, r := range v.state.records {
--- a/inventory/exchange.go
+++ b/inventory/exchange.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maxFlood is the largest number of records in one flood, maxFloods that of
-	// floods after one reading. What is beyond goes by digests.
+	// maxFlood is the maximum number of records in one flood, maxFloods the maximum
+	// number of floods after one reading. Records beyond that are sent by digests.
 	maxFlood  = 256
 	maxFloods = 4
-	// maxExchange bounds the bytes of records in one message, by recordBytes;
-	// it is far below the bound of package peer.
+	// maxExchange bounds the bytes of records in one message, estimated by
+	// Record.bytes; it is far below the bound of package peer.
 	maxExchange = 256 << 10
-	// overhead is what a record takes beside its texts, at most, encoded.
+	// overhead is the maximum encoded size of a record without its texts.
 	overhead = 60
 )
 
@@ -26,7 +26,7 @@
 	Records []Record
 }
 
-// Digest compares two inventories. Buckets is sent only where Root differs.
+// Digest compares two inventories. Buckets is sent only if Root differs.
 type Digest struct {
 	_       struct{} `cbor:",toarray"`
 	Root    uint64
@@ -34,11 +34,11 @@
 	Buckets []uint64
 }
 
-// Batch holds all records of some buckets, of as many as fit.
+// Batch holds all records of as many buckets as fit.
 type Batch struct {
 	_       struct{} `cbor:",toarray"`
-	Asked   []uint16 // in a question: buckets that differ
-	Done    int      // how many of them, from the first, Records covers
+	Asked   []uint16 // in a request: buckets that differ
+	Done    int      // how many of them, from the first, are covered by Records
 	Records []Record
 }
 
@@ -55,11 +55,11 @@
 	return d.Sum64()
 }
 
-// Digest describes the whole state in a few bytes.
-func (s *State) Digest() Digest { return Digest{Root: s.root(), Heard: s.heard} }
+// Digest summarises the whole state in a few bytes.
+func (s *State) Digest() Digest { return Digest{Root: s.root(), Heard: s.newest} }
 
-// Answer describes it to one whose digest is given, bucket by bucket where the
-// two differ.
+// Answer returns the digest of this state for a node that sent its own, with the hash
+// of each bucket if the two differ.
 func (s *State) Answer(theirs Digest) Digest {
 	d := s.Digest()
 	if d.Root != theirs.Root {
@@ -68,7 +68,7 @@
 	return d
 }
 
-// Differing lists the buckets in which an answer differs from the state.
+// Differing lists the buckets in which a node's answer differs from this state.
 func (s *State) Differing(answer Digest) []uint16 {
 	if len(answer.Buckets) != bucketCount {
 		return nil
@@ -82,8 +82,8 @@
 	return out
 }
 
-// Batch gathers the records of the buckets, in their order, while they fit. The
-// first bucket is always whole, so that an exchange gets on.
+// Batch collects the records of the buckets, in their order, as far as they fit. The
+// first bucket is always included completely, so that an exchange makes progress.
 func (s *State) Batch(buckets []uint16) Batch {
 	var wanted [bucketCount]bool
 	for _, b := range buckets {
@@ -110,8 +110,8 @@
 	return out
 }
 
-// Exchange merges a neighbour's batch and answers with what is known now of
-// the buckets that it covered.
+// Exchange merges a neighbour's batch and returns the current records of the buckets
+// that the batch covered.
 func (s *State) Exchange(b Batch, now time.Time) (answer Batch, changed []Record) {
 	changed = s.Merge(b.Records, now)
 	covered := b.Asked[:min(max(b.Done, 0), len(b.Asked), bucketCount)]
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,16 +1,16 @@
-// Package inventory keeps the VM list on every node while few nodes read it.
+// Package inventory keeps a copy of the VM list on every node while few nodes read it.
 //
-// Two nodes of each failure domain read the list. What changed between two
-// readings is flooded; digests between neighbours mend what a flood missed.
+// Two nodes of each failure domain read the list. What changed between two readings is
+// flooded; digests between neighbours repair what a flood missed.
 //
-// Failure story: if each of hundreds of nodes read a list of thousands of
-// entries every second, the list would be the first service to fall, and each
-// node would spend its budget on parsing it. With few readers, the failures to
-// guard against are these. Readers lag differently, and messages cross: records
-// merge by the time of their reading, in any order (Merge, Observer). A flood is
-// lost, a partition heals, a node starts: digests (State.Differing). The readers
-// die, or can't read: others notice the silence and read (Choose). The list is
-// down, empty or half empty: nothing is removed by it (Observer.judge).
+// If each of hundreds of nodes read a list of thousands of entries every second, the
+// list would be the first service to fail, and each node would spend its budget on
+// parsing it. With few readers, these failures must be handled. Readers lag by
+// different times, and messages arrive out of order: records merge by the time of their
+// reading, in any order (Merge, Observer). A flood is lost, a partition heals, a node
+// starts: digests repair the difference (State.Differing). The readers crash, or can't
+// read: other nodes notice the silence and read the list (Choose). The list is down,
+// empty or half empty: it removes nothing (Observer.evaluate).
 package inventory
 
 import (
@@ -34,16 +34,17 @@
 const (
 	// digestInterval is the mean time between digests with a random neighbour.
 	digestInterval = 5 * time.Second
-	// aloneInterval is the mean time between readings of a node that isn't one
-	// of the readers: while the list is down for all, every node is one.
-	aloneInterval = 30 * time.Second
+	// fallbackInterval is the mean time between readings of a node that isn't one of
+	// the chosen readers: while the list is down for all, every node is a fallback
+	// reader.
+	fallbackInterval = 30 * time.Second
 	// callTimeout bounds one call to a neighbour.
 	callTimeout = 2 * time.Second
-	// jitterShare moves each interval either way.
+	// jitterShare is the share by which each interval is moved either way.
 	jitterShare = 0.25
 )
 
-// Peers reaches the other nodes.
+// Peers connects to the other nodes.
 type Peers interface {
 	// Members lists the visible nodes, this one included.
 	Members() []peer.Member
@@ -54,7 +55,7 @@
 	Exchange(ctx context.Context, node string, b Batch) (Batch, error)
 }
 
-// Config wires an Inventory.
+// Config configures an Inventory.
 type Config struct {
 	Node          string
 	FailureDomain string
@@ -71,41 +72,40 @@
 	cfg          Config
 	met          *meters
 	changed      chan struct{}
-	membersMoved atomic.Bool // the members changed since they were last copied
+	membersStale atomic.Bool // the members changed since they were last copied
 
-	mu       sync.Mutex
-	state    *State
-	observer *Observer
-	heard    time.Time // when the last news of a reading came
-	duty     Duty
-	members  []peer.Member
-	held     bool
-	readings int
-	alone    time.Time // next reading of a node that reads alone
-	standing bool      // it has read alone, and no chosen reader was heard since
+	mu             sync.Mutex
+	state          *State
+	observer       *Observer
+	lastReadingAt  time.Time // when the latest update about a reading arrived
+	duty           Duty
+	members        []peer.Member
+	withholding    bool
+	readings       int
+	nextFallback   time.Time // next reading as a fallback reader
+	fallbackActive bool      // has read as a fallback, and no chosen reader has reported since
 }
 
-// New returns an Inventory; Run does the work.
+// New returns an Inventory; Run starts reading and comparing.
 func New(cfg Config) *Inventory {
 	v := &Inventory{
-		cfg:      cfg,
-		changed:  make(chan struct{}, 1),
-		state:    NewState(),
-		observer: NewObserver(cfg.Node),
-		heard:    time.Now(),
-		duty:     Reads,
+		cfg:           cfg,
+		changed:       make(chan struct{}, 1),
+		state:         NewState(),
+		observer:      NewObserver(cfg.Node),
+		lastReadingAt: time.Now(),
+		duty:          Reads,
 	}
-	v.membersMoved.Store(true)
+	v.membersStale.Store(true)
 	v.met = newMeters(cfg.Metrics, v)
 	return v
 }
 
-// Run reads the list when it is this node's turn, and compares digests, until
-// ctx ends.
+// Run reads the list when it is this node's task, and compares digests, until ctx ends.
 func (v *Inventory) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { every(ctx, v.cfg.ReadInterval, v.readIfDue); return nil })
-	group.Go(func() error { every(ctx, digestInterval, v.round); return nil })
+	group.Go(func() error { every(ctx, digestInterval, v.digestRound); return nil })
 	return group.Wait()
 }
 
@@ -125,11 +125,11 @@
 	return time.Duration(float64(d) * (1 + jitterShare*(2*rand.Float64()-1)))
 }
 
-// Changed gets a value after what is known has changed.
+// Changed receives a value after the known records have changed.
 func (v *Inventory) Changed() <-chan struct{} { return v.changed }
 
-// MembersChanged makes the next turn look at the members anew.
-func (v *Inventory) MembersChanged() { v.membersMoved.Store(true) }
+// MembersChanged makes the next check of the duty read the members again.
+func (v *Inventory) MembersChanged() { v.membersStale.Store(true) }
 
 // Live returns the records on the list, in no order.
 func (v *Inventory) Live() []Record {
@@ -138,14 +138,14 @@
 	return v.state.Live()
 }
 
-// Duty tells whether this node reads the list.
+// Duty reports whether and why this node reads the list.
 func (v *Inventory) Duty() Duty {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.duty
 }
 
-// readIfDue reads the list if this node is to.
+// readIfDue reads the list if it is this node's task now.
 func (v *Inventory) readIfDue(ctx context.Context) {
 	if !v.due(time.Now()) {
 		return
@@ -153,93 +153,94 @@
 	started := time.Now()
 	list, err := v.cfg.Read(ctx)
 	if err != nil {
-		v.failed()
+		v.readFailed()
 		return
 	}
-	for _, d := range v.read(list, started) {
+	for _, d := range v.applyReading(list, started) {
 		v.cfg.Peers.Flood(d)
 	}
 }
 
-func (v *Inventory) failed() {
+func (v *Inventory) readFailed() {
 	v.met.readFailed.Inc()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.standing = false
+	v.fallbackActive = false
 }
 
-// due chooses the duty anew and tells whether to read now.
+// due chooses the duty again and reports whether to read now.
 func (v *Inventory) due(now time.Time) bool {
 	var members []peer.Member
-	moved := v.membersMoved.Swap(false)
-	if moved {
+	stale := v.membersStale.Swap(false)
+	if stale {
 		members = v.cfg.Peers.Members()
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if moved {
+	if stale {
 		v.members = members
 	}
 	before := v.duty
-	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.heard), v.standing})
+	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.lastReadingAt), v.fallbackActive})
 	if v.duty == Alone && before != Alone {
-		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.heard).String())
-		// Spread: a silence begins for all nodes at once.
-		v.alone = now.Add(time.Duration(rand.Float64() * float64(aloneInterval)))
+		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.lastReadingAt).String())
+		// Spreads the readings: all nodes notice the silence at the same time.
+		v.nextFallback = now.Add(time.Duration(rand.Float64() * float64(fallbackInterval)))
 	}
 	if v.duty == Rests && before != Rests {
 		v.observer.Reset()
 	}
 	if v.duty == Alone {
-		return v.aloneDue(now)
+		return v.fallbackDue(now)
 	}
 	return v.duty == Reads
 }
 
-func (v *Inventory) aloneDue(now time.Time) bool {
-	if now.Before(v.alone) {
+func (v *Inventory) fallbackDue(now time.Time) bool {
+	if now.Before(v.nextFallback) {
 		return false
 	}
-	v.alone = now.Add(jitter(aloneInterval))
+	v.nextFallback = now.Add(jitter(fallbackInterval))
 	return true
 }
 
-// read takes a reading in and returns what is to be flooded.
-func (v *Inventory) read(list []Item, started time.Time) []Delta {
+// applyReading applies a reading and returns the deltas to be flooded.
+func (v *Inventory) applyReading(list []Item, started time.Time) []Delta {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.readings++
-	changes, verdict := v.observer.Observe(v.state, list, started)
-	v.logVerdict(verdict, len(list))
-	first := v.noteReading(started)
+	changes, decision := v.observer.Observe(v.state, list, started)
+	v.logDecision(decision, len(list))
+	first := v.recordReading(started)
 	v.merge(changes, v.met.byReading)
-	out := deltas(v.state.heard, changes)
+	out := deltas(v.state.newest, changes)
 	if first && len(out) == 0 {
-		// Others that would read alone hear at once that they need not.
-		out = append(out, Delta{Heard: v.state.heard})
+		// Other nodes that would read as a fallback find out at once that they need
+		// not.
+		out = append(out, Delta{Heard: v.state.newest})
 	}
 	return out
 }
 
-// noteReading makes this reading the newest one; true if it is the first one of
-// a node that reads alone.
-func (v *Inventory) noteReading(started time.Time) (first bool) {
-	h := Heard{Reading: v.state.stamp(started)}
+// recordReading records this reading as the newest one; it returns true if it is the
+// first one of a fallback reader.
+func (v *Inventory) recordReading(started time.Time) (first bool) {
+	h := Heard{Reading: v.state.nextStamp(started)}
 	if v.duty == Reads {
 		h.Chosen = h.Reading
 	}
-	v.hear(h)
-	first = v.duty == Alone && !v.standing
-	v.standing = v.duty == Alone
+	v.recordReadings(h)
+	first = v.duty == Alone && !v.fallbackActive
+	v.fallbackActive = v.duty == Alone
 	return first
 }
 
-// logVerdict logs when readings begin to be held back, and how that ends.
-func (v *Inventory) logVerdict(verdict Verdict, shown int) {
-	switch verdict {
+// logDecision logs when this node starts to withhold readings, and how that ends.
+func (v *Inventory) logDecision(decision Verdict, shown int) {
+	switch decision {
 	case Held:
-		v.met.readHeld.Inc()
-		if !v.held {
+		v.met.readWithheld.Inc()
+		if !v.withholding {
 			v.cfg.Events.Emit(event.InventoryHeld, "shown", shown, "known", len(v.state.Live()))
 		}
 	case Confirmed:
@@ -248,25 +249,25 @@
 	default:
 		v.met.readOK.Inc()
 	}
-	v.held = verdict == Held
+	v.withholding = decision == Held
 }
 
-// merge takes records in and counts those that were news. Callers hold v.mu.
+// merge merges records and counts those that changed something. Callers hold v.mu.
 func (v *Inventory) merge(records []Record, from *metrics.Counter) int {
-	news := v.state.Merge(records, time.Now())
-	if len(news) == 0 {
+	changed := v.state.Merge(records, time.Now())
+	if len(changed) == 0 {
 		return 0
 	}
-	from.Add(len(news))
+	from.Add(len(changed))
 	select {
 	case v.changed <- struct{}{}:
 	default:
 	}
-	return len(news)
+	return len(changed)
 }
 
-// deltas cuts changes into floods. Records that nobody saw to change are left
-// to digests: every node that starts makes the same ones.
+// deltas splits changes into floods. Records that no node saw change are left to
+// digests: every node that starts makes the same ones.
 func deltas(h Heard, changes []Record) []Delta {
 	var out []Delta
 	d := Delta{Heard: h}
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -16,8 +16,8 @@
 	"wigeondale/peer"
 )
 
-// network plays the links between some inventories, and the VM list.
-type network struct {
+// fakeNetwork connects some inventories, and serves the VM list.
+type fakeNetwork struct {
 	mu      sync.Mutex
 	nodes   map[string]*Inventory
 	members []peer.Member
@@ -25,23 +25,23 @@
 	broken  map[string]bool // nodes that can't read the list
 	reads   map[string]int
 	lossy   bool // floods are lost
-	largest int  // bytes of one message
+	largest int  // bytes of the largest message
 }
 
-func newNetwork(n int, list []Item) *network {
-	w := &network{nodes: map[string]*Inventory{}, broken: map[string]bool{}, reads: map[string]int{}, list: list}
+func newFakeNetwork(n int, list []Item) *fakeNetwork {
+	w := &fakeNetwork{nodes: map[string]*Inventory{}, broken: map[string]bool{}, reads: map[string]int{}, list: list}
 	for i := range n {
 		w.members = append(w.members, peer.Member{ID: fmt.Sprint("n", i), FailureDomain: "a", Alive: true})
 	}
 	for _, m := range w.members {
-		p := &port{w, m.ID}
+		p := &fakePeers{w, m.ID}
 		w.nodes[m.ID] = New(Config{Node: m.ID, FailureDomain: "a", ReadInterval: directory.PollInterval, Read: p.read, Peers: p})
 	}
 	return w
 }
 
-// run runs all nodes until stop.
-func (w *network) run(t *testing.T) (stop func()) {
+// run runs all nodes until stop is called.
+func (w *fakeNetwork) run(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	for _, v := range w.nodes {
@@ -50,7 +50,7 @@
 	return func() { cancel(); done.Wait() }
 }
 
-func (w *network) sent(message any) {
+func (w *fakeNetwork) sent(message any) {
 	b, err := cbor.Marshal(message)
 	if err != nil {
 		panic(err)
@@ -61,14 +61,14 @@
 }
 
 // set changes the list.
-func (w *network) set(change func()) {
+func (w *fakeNetwork) set(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-// duties counts the nodes by duty and names one that rests.
-func (w *network) duties() (count map[Duty]int, rests *Inventory) {
+// duties counts the nodes by duty and returns one that doesn't read.
+func (w *fakeNetwork) duties() (count map[Duty]int, rests *Inventory) {
 	count = map[Duty]int{}
 	for _, v := range w.nodes {
 		d := v.Duty()
@@ -80,12 +80,12 @@
 	return count, rests
 }
 
-type port struct {
-	w    *network
+type fakePeers struct {
+	w    *fakeNetwork
 	self string
 }
 
-func (p *port) read(context.Context) ([]Item, error) {
+func (p *fakePeers) read(context.Context) ([]Item, error) {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	p.w.reads[p.self]++
@@ -95,7 +95,7 @@
 	return slices.Clone(p.w.list), nil
 }
 
-func (p *port) Members() []peer.Member {
+func (p *fakePeers) Members() []peer.Member {
 	all := slices.Clone(p.w.members)
 	for i := range all {
 		all[i].Self = all[i].ID == p.self
@@ -103,7 +103,7 @@
 	return all
 }
 
-func (p *port) Neighbour() (string, bool) {
+func (p *fakePeers) Neighbour() (string, bool) {
 	for id := range p.w.nodes { // in random order
 		if id != p.self {
 			return id, true
@@ -112,7 +112,7 @@
 	return "", false
 }
 
-func (p *port) Flood(d Delta) {
+func (p *fakePeers) Flood(d Delta) {
 	p.w.sent(d)
 	for id, v := range p.w.nodes {
 		if id != p.self && !p.w.lossy {
@@ -121,13 +121,13 @@
 	}
 }
 
-func (p *port) Compare(_ context.Context, node string, d Digest) (Digest, error) {
+func (p *fakePeers) Compare(_ context.Context, node string, d Digest) (Digest, error) {
 	answer := p.w.nodes[node].Answer(d)
 	p.w.sent(answer)
 	return answer, nil
 }
 
-func (p *port) Exchange(_ context.Context, node string, b Batch) (Batch, error) {
+func (p *fakePeers) Exchange(_ context.Context, node string, b Batch) (Batch, error) {
 	p.w.sent(b)
 	answer := p.w.nodes[node].Exchange(b)
 	p.w.sent(answer)
@@ -138,12 +138,12 @@
 	return slices.ContainsFunc(v.Live(), func(r Record) bool { return r.Item.ID == id && r.Item.Leaving })
 }
 
-// Symptom: a VM that leaves is sent new work for longer than stated, by routers
-// that don't read the list. Sequence: it shows as leaving to the readers. Cause:
-// their news isn't told at once. Then the same with every flood lost: digests.
+// Guards against sending new work to a leaving VM for longer than LeavingBound, by
+// routers that don't read the list. The readers see the VM leaving and must send that
+// update at once. Then the same when all floods are lost: digests must deliver it.
 func TestLeavingIsKnownWithinItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(10, engines(20))
+		w := newFakeNetwork(10, engines(20))
 		defer w.run(t)()
 		time.Sleep(30 * time.Second)
 		count, rests := w.duties()
@@ -158,18 +158,18 @@
 		w.set(func() { w.lossy, w.list[4].Leaving = true, true })
 		time.Sleep(directory.LeavingBound + 10*digestInterval)
 		if !rests.knowsLeaving("x4") {
-			t.Error("a lost flood is not mended")
+			t.Error("a lost flood is not repaired")
 		}
 	})
 }
 
-// Symptom: a fleet whose readers can't read the list goes blind, or reads it
-// with all nodes at every poll. Sequence: the readers are cut off from the list,
-// then every node is. Cause: living members are taken for able ones; or each
-// node that isn't heard begins to poll.
+// Guards against a fleet without up-to-date data when its readers can't read the list,
+// and against all nodes reading it at every poll. First the readers can't reach the
+// list, then no node can. Being alive doesn't mean that a member can read; and a node
+// that receives no updates must not start to poll at the readers' rate.
 func TestSilentReadersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(10, engines(20))
+		w := newFakeNetwork(10, engines(20))
 		defer w.run(t)()
 		time.Sleep(30 * time.Second)
 		for id, v := range w.nodes {
@@ -178,7 +178,7 @@
 			}
 		}
 		w.set(func() { w.list[3].Leaving = true })
-		time.Sleep(silence + 5*aloneInterval)
+		time.Sleep(silence + 5*fallbackInterval)
 		for id, v := range w.nodes {
 			if !v.knowsLeaving("x3") {
 				t.Errorf("%s doesn't know what others could read", id)
@@ -193,20 +193,21 @@
 		_, most := w.duties()
 		before := 0
 		w.set(func() { before = sum(w.reads, w.nodes) })
-		time.Sleep(10 * aloneInterval)
+		time.Sleep(10 * fallbackInterval)
 		w.set(func() {
-			// 8 nodes that aren't readers, each aloneInterval with its jitter.
+			// 8 nodes that aren't chosen readers, each at fallbackInterval with its
+			// jitter.
 			if n := sum(w.reads, w.nodes) - before; n > 8*14 || n < 8*6 {
-				t.Errorf("%d readings in an outage, by nodes that rest otherwise", n)
+				t.Errorf("%d readings in an outage, by nodes that normally don't read", n)
 			}
 		})
 		if most != nil {
-			t.Error("a node rests that hears no reader")
+			t.Error("a node that gets no updates from readers does not read")
 		}
 	})
 }
 
-// sum counts the readings of those that aren't chosen readers.
+// sum counts the readings of the nodes that aren't chosen readers.
 func sum(reads map[string]int, nodes map[string]*Inventory) int {
 	n := 0
 	for id, v := range nodes {
@@ -217,37 +218,37 @@
 	return n
 }
 
-// Symptom: a new node is not ready while the VM list is down; or a link is
-// closed since a message is too large. Sequence: one node knows 10,000 entries;
-// another starts and can't read. Cause: only the list itself can tell; or the
-// whole inventory is sent at once.
+// Guards against a new node that isn't ready while the VM list is down, and against
+// closing a link because a message is too large. One node knows 10,000 entries; another
+// starts and can't read the list. It must get the inventory from its neighbour, and not
+// in one message.
 func TestStartTakesInventoryFromNeighbour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(2, engines(10_000))
-		old, fresh := w.nodes["n0"], w.nodes["n1"]
+		w := newFakeNetwork(2, engines(10_000))
+		old, started := w.nodes["n0"], w.nodes["n1"]
 		old.readIfDue(t.Context())
-		fresh.Sync(t.Context(), "n0")
-		if n := len(fresh.Live()); n != 10_000 {
+		started.Sync(t.Context(), "n0")
+		if n := len(started.Live()); n != 10_000 {
 			t.Errorf("%d of 10000 entries", n)
 		}
 		if w.largest > maxExchange {
 			t.Errorf("a message of %d bytes", w.largest)
 		}
-		// A new reader that reads the same list has no news for anyone.
+		// A new reader that reads the same list has no updates for other nodes.
 		before := old.state.Digest().Root
-		fresh.readIfDue(t.Context())
-		if fresh.state.Digest().Root != before {
-			t.Error("a start changes the version of what it reads")
+		started.readIfDue(t.Context())
+		if started.state.Digest().Root != before {
+			t.Error("a start changes the version of unchanged entries")
 		}
 	})
 }
 
-// Symptom: a restart of the fleet sends the whole inventory over every link.
-// Sequence: nodes start one after another and read the same list before they
-// meet. Cause: each gives what it reads a version of its own.
+// Guards against sending the whole inventory over every link when the fleet restarts.
+// Nodes start one after another and read the same list before they connect; they must
+// not each give the same entries a version of their own.
 func TestStartsAgreeWithoutExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newNetwork(2, engines(100))
+		w := newFakeNetwork(2, engines(100))
 		w.lossy = true
 		w.nodes["n0"].readIfDue(t.Context())
 		time.Sleep(time.Second)
@@ -258,33 +259,33 @@
 	})
 }
 
-// Symptom: nothing that a reader sees is believed any more. Sequence: a faulty
-// peer sends a record from the end of time. Cause: it wins over every later one.
+// Guards against a faulty peer that sends a record with a time far in the future: it
+// would prevail over all later readings.
 func TestRecordsOfAFaultyPeerAreRefused(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	good := Record{Item: Item{ID: "x", Role: "engine"}, At: now.UnixMilli(), Reader: "r"}
-	for name, spoil := range map[string]func(*Record){
-		"time far ahead": func(r *Record) { r.At = 1 << 62 },
-		"life far ahead": func(r *Record) { r.Born = 1 << 62 },
-		"mark far ahead": func(r *Record) { r.Left = 1 << 62 },
-		"negative time":  func(r *Record) { r.At = -1 },
-		"no id":          func(r *Record) { r.Item.ID = "" },
-		"long address":   func(r *Record) { r.Item.Addr = string(make([]byte, maxNameBytes+1)) },
-		"old tombstone":  func(r *Record) { r.Gone, r.At = true, now.Add(-2*tombstoneKeep).UnixMilli() },
+	for name, modify := range map[string]func(*Record){
+		"time far ahead":  func(r *Record) { r.At = 1 << 62 },
+		"start far ahead": func(r *Record) { r.Born = 1 << 62 },
+		"mark far ahead":  func(r *Record) { r.Left = 1 << 62 },
+		"negative time":   func(r *Record) { r.At = -1 },
+		"no id":           func(r *Record) { r.Item.ID = "" },
+		"long address":    func(r *Record) { r.Item.Addr = string(make([]byte, maxNameBytes+1)) },
+		"old tombstone":   func(r *Record) { r.Gone, r.At = true, now.Add(-2*tombstoneKeep).UnixMilli() },
 	} {
 		s, r := NewState(), good
-		spoil(&r)
+		modify(&r)
 		if len(s.Merge([]Record{r}, now)) != 0 {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	s := NewState()
-	if len(s.Merge([]Record{good}, now)) != 1 || heard(s, 1<<62, now) {
-		t.Error("a good record is refused, or a reading from the end of time believed")
+	if len(s.Merge([]Record{good}, now)) != 1 || recorded(s, 1<<62, now) {
+		t.Error("a good record is refused, or a reading from the far future accepted")
 	}
 }
 
-func heard(s *State, reading int64, now time.Time) bool {
-	news, chosen := s.Hear(Heard{Reading: reading, Chosen: reading}, now)
-	return news || chosen
+func recorded(s *State, reading int64, now time.Time) bool {
+	newer, chosen := s.Hear(Heard{Reading: reading, Chosen: reading}, now)
+	return newer || chosen
 }
--- a/inventory/merge_test.go
+++ b/inventory/merge_test.go
@@ -10,8 +10,8 @@
 	"wigeondale/peer"
 )
 
-// drawn draws from so few values that ties and conflicts are common.
-var drawn = rapid.Custom(func(t *rapid.T) Record {
+// genRecord generates records from so few values that ties and conflicts are common.
+var genRecord = rapid.Custom(func(t *rapid.T) Record {
 	return Record{
 		Item: Item{
 			ID: "x", Role: "engine", VM: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "vm"),
@@ -25,12 +25,12 @@
 	}
 })
 
-// Symptom: two nodes differ for ever about one VM. Sequence: they hear the same
-// readings in another order, or one of them twice. Cause: a merge whose result
-// depends on order or repetition.
+// Guards against two nodes that differ for ever about one VM. They receive the same
+// readings in a different order, or one of them twice; the result of a merge must not
+// depend on order or repetition.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawn.Draw(t, "a"), drawn.Draw(t, "b"), drawn.Draw(t, "c")
+		a, b, c := genRecord.Draw(t, "a"), genRecord.Draw(t, "b"), genRecord.Draw(t, "c")
 		if Merge(a, a) != a {
 			t.Fatal("not idempotent")
 		}
@@ -43,29 +43,29 @@
 	})
 }
 
-// Symptom: a VM about to go is sent new work. Sequence: one reader sees it
-// leaving; an older reading, or a later one through a replica that lags, shows
-// it live; the two cross on their way. Cause: the later message is believed.
+// Guards against sending new work to a VM that is about to stop. One reader sees it
+// leaving; an older reading, or a later one through a lagging replica, shows it live;
+// the two messages arrive out of order. The later arrival must not undo the mark.
 func TestLeavingIsNotUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leaving := drawn.Draw(t, "leaving")
+		leaving := genRecord.Draw(t, "leaving")
 		leaving.Item.Leaving, leaving.Gone = true, false
 		leaving.At = max(leaving.At, 1)
 		leaving.Born = min(leaving.Born, leaving.At)
 		leaving.Left = leaving.At
-		other := drawn.Draw(t, "other")
+		other := genRecord.Draw(t, "other")
 		if got := Merge(other, leaving); other.At < leaving.At && !got.Item.Leaving {
-			t.Fatalf("an older reading undid it: %+v", got)
+			t.Fatalf("an older reading removed the leaving mark: %+v", got)
 		}
 		other.Gone, other.Left, other.Born = false, 0, leaving.Born
 		if got := Merge(other, leaving); !got.MarkedLeaving() {
-			t.Fatalf("no trace of it: %+v", got)
+			t.Fatalf("the leaving mark is lost: %+v", got)
 		}
 	})
 }
 
-// Symptom: no node reads the list, or hundreds do. Sequence and cause: each
-// row's name.
+// Guards against no node reading the list, or hundreds. The name of each row is the
+// situation.
 func TestChoose(t *testing.T) {
 	members := func(self, n int, change func(*peer.Member)) []peer.Member {
 		var out []peer.Member
@@ -98,13 +98,13 @@
 		standing bool
 		want     Duty
 	}{
-		"others are dead":                  {func(m *peer.Member) { m.Alive = false }, 0, false, Reads},
-		"others are leaving":               {func(m *peer.Member) { m.Leaving = true }, 0, false, Reads},
-		"others are elsewhere":             {func(m *peer.Member) { m.FailureDomain = "b" }, 0, false, Reads},
-		"readers live but can't read":      {keep, silence, false, Alone},
-		"readers' news came a moment ago":  {keep, silence - 1, false, Rests},
-		"others are suspect, still living": {func(m *peer.Member) { m.Suspect = true }, 0, false, Rests},
-		"stands in, heard by itself alone": {keep, 0, true, Alone},
+		"others are dead":                   {func(m *peer.Member) { m.Alive = false }, 0, false, Reads},
+		"others are leaving":                {func(m *peer.Member) { m.Leaving = true }, 0, false, Reads},
+		"others are elsewhere":              {func(m *peer.Member) { m.FailureDomain = "b" }, 0, false, Reads},
+		"readers live but can't read":       {keep, silence, false, Alone},
+		"readers' update came a moment ago": {keep, silence - 1, false, Rests},
+		"others are suspect, still living":  {func(m *peer.Member) { m.Suspect = true }, 0, false, Rests},
+		"fallback, no reading but its own":  {keep, 0, true, Alone},
 	} {
 		if got := Choose(View{members(resting, 40, tc.change), "a", tc.silent, tc.standing}); got != tc.want {
 			t.Errorf("%s: %v, want %v", name, got, tc.want)
@@ -113,7 +113,7 @@
 	own := members(resting, 40, keep)
 	own[resting].Leaving = true
 	if got := Choose(View{own, "a", 0, false}); got != Rests {
-		t.Errorf("a node that rests and is leaving: %v", got)
+		t.Errorf("a node that doesn't read and is leaving: %v", got)
 	}
 	if got := Choose(View{own[resting : resting+1], "a", 0, false}); got != Reads {
 		t.Errorf("a lone node that is leaving: %v", got)
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -3,60 +3,60 @@
 import "time"
 
 const (
-	// settle is how long a reader bears that the inventory says otherwise than
-	// its own unchanged reading, which may come from a lagging replica of the
-	// list, before it puts its reading in force.
-	settle = 30 * time.Second
-	// confirmAfter is the least time between a much smaller reading and the one
-	// that confirms it; every reading between them must be as small.
+	// mismatchTimeout is how long the inventory may differ from a reader's unchanged
+	// reading before the reader puts its reading into force. Until then, the reading
+	// may come from a lagging replica of the list.
+	mismatchTimeout = 30 * time.Second
+	// confirmAfter is the minimum time between a much smaller reading and the one that
+	// confirms it; every reading between them must be as small.
 	confirmAfter = 10 * time.Second
-	// shownShare: a reading that lacks more than one in so many is held back.
-	shownShare = 2
+	// missingDivisor: a reading that lacks more than 1/missingDivisor of the entries is
+	// withheld.
+	missingDivisor = 2
 )
 
-// Observer turns one reader's readings into changes of the inventory. It is
-// pure but for its own memory.
+// Observer turns one reader's readings into changes of the inventory. It has no side
+// effects except on its own memory.
 //
-// Failure story: the list has no version, and two readers may see it through
-// replicas that lag differently. If a reader compared its reading with the
-// inventory alone, the one behind would undo each change that the other one
-// brings, in turn, for as long as the lag lasts. So what counts is a change
-// between two readings of the same reader; a lasting difference without such a
-// change (a reader that died with half of its news untold) counts only after
-// settle.
+// The list has no version, and two readers may see it through replicas that lag by
+// different times. If a reader compared its reading with the inventory alone, the one
+// that is behind would undo each change that the other one makes, in turn, for as long
+// as the lag lasts. So only a change between two readings of the same reader counts; a
+// lasting difference without such a change (a reader that crashed before it sent all
+// its updates) counts only after mismatchTimeout.
 type Observer struct {
-	self    string
-	last    map[string]Item    // own last reading; nil before the first
-	differs map[string]dispute // by key
-	small   time.Time          // first of the small readings held back; zero: none
-	lacked  int                // entries that the last one of them lacked
+	self        string
+	last        map[string]Item     // this reader's last reading; nil before the first
+	mismatches  map[string]mismatch // by key
+	smallSince  time.Time           // first of the small readings withheld; zero: none
+	lastMissing int                 // entries that the last one of them lacked
 }
 
-// dispute is a record that says otherwise than this reader's reading.
-type dispute struct {
+// mismatch is a record that differs from this reader's reading.
+type mismatch struct {
 	record Record
 	since  time.Time
 }
 
-// Verdict says what became of a reading.
+// Verdict is the decision on a reading.
 type Verdict int
 
-// The verdicts of Observe.
+// The decisions of Observe.
 const (
 	Taken     Verdict = iota
-	Held              // much smaller than the inventory: nothing follows from it
+	Held              // much smaller than the inventory: nothing is changed by it
 	Confirmed         // much smaller, but so were the readings before it
 )
 
-// NewObserver returns the Observer of the reader self.
+// NewObserver returns the Observer of the reader with the id self.
 func NewObserver(self string) *Observer { return &Observer{self: self} }
 
-// Reset forgets the last reading. A node that reads again after a while must
-// not take for a change of now what changed long ago.
-func (o *Observer) Reset() { o.last, o.differs, o.small = nil, nil, time.Time{} }
+// Reset forgets the last reading. A node that reads again after a while must not report
+// as changed now what changed long ago.
+func (o *Observer) Reset() { o.last, o.mismatches, o.smallSince = nil, nil, time.Time{} }
 
-// Observe returns the records to be merged into s after a reading that began
-// at started.
+// Observe returns the records to be merged into s after a reading that started at
+// started.
 func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Verdict) {
 	reading := make(map[string]Item, len(list))
 	for _, i := range list {
@@ -64,15 +64,15 @@
 			reading[i.key()] = i
 		}
 	}
-	verdict := o.judge(s, reading, started)
-	if verdict == Held {
-		return nil, verdict
+	decision := o.evaluate(s, reading, started)
+	if decision == Held {
+		return nil, decision
 	}
-	news := &findings{Observer: o, state: s, started: started, disputes: map[string]dispute{}}
+	found := &findings{Observer: o, state: s, started: started, newMismatches: map[string]mismatch{}}
 	next := make(map[string]Item, len(reading))
 	for key, i := range reading {
 		before, seen := o.last[key]
-		news.compare(key, i, true, seen && before == i)
+		found.compare(key, i, true, seen && before == i)
 		next[key] = i
 	}
 	for key, r := range s.records {
@@ -80,102 +80,102 @@
 			continue
 		}
 		_, seen := o.last[key]
-		news.compare(key, r.Item, false, !seen)
+		found.compare(key, r.Item, false, !seen)
 	}
-	news.postpone(next)
-	o.last, o.differs = next, news.disputes
-	return news.changes, verdict
+	found.keepPrevious(next)
+	o.last, o.mismatches = next, found.newMismatches
+	return found.changes, decision
 }
 
-// judge holds back a reading that lacks more than half of the inventory, or is
-// empty: an outage of the list must not take the fleet out of service. An empty
-// one is never believed, since the reader itself stands on the list.
-func (o *Observer) judge(s *State, reading map[string]Item, now time.Time) Verdict {
-	live, gone := 0, 0
+// evaluate withholds a reading that is empty or lacks more than half of the inventory:
+// an outage of the list must not take the fleet out of service. An empty reading is
+// never accepted, since the reader itself is on the list.
+func (o *Observer) evaluate(s *State, reading map[string]Item, now time.Time) Verdict {
+	live, missing := 0, 0
 	for key, r := range s.records {
 		if r.Gone {
 			continue
 		}
 		live++
 		if _, listed := reading[key]; !listed {
-			gone++
+			missing++
 		}
 	}
-	if len(reading) > 0 && shownShare*gone <= live {
-		o.small = time.Time{}
+	if len(reading) > 0 && missingDivisor*missing <= live {
+		o.smallSince = time.Time{}
 		return Taken
 	}
 	if len(reading) == 0 {
-		o.small = time.Time{}
+		o.smallSince = time.Time{}
 		return Held
 	}
-	// A list that fills up again after a restart of its service starts anew.
-	if o.small.IsZero() || gone < o.lacked {
-		o.small = now
+	// When a list fills up again after a restart of its service, the wait starts again.
+	if o.smallSince.IsZero() || missing < o.lastMissing {
+		o.smallSince = now
 	}
-	o.lacked = gone
-	if now.Sub(o.small) < confirmAfter {
+	o.lastMissing = missing
+	if now.Sub(o.smallSince) < confirmAfter {
 		return Held
 	}
-	o.small = time.Time{}
+	o.smallSince = time.Time{}
 	return Confirmed
 }
 
-// findings collects what one reading changes.
+// findings collects the changes that one reading makes.
 type findings struct {
 	*Observer
-	state    *State
-	started  time.Time
-	changes  []Record
-	disputes map[string]dispute
-	late     []string // keys whose record is newer than this reading
+	state         *State
+	started       time.Time
+	changes       []Record
+	newMismatches map[string]mismatch
+	outdated      []string // keys whose record is newer than this reading
 }
 
-// compare holds an entry against its record. same tells that this reader's last
+// compare compares an entry with its record. same reports that this reader's previous
 // reading showed it as this one does.
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
-	case known && r.Gone && !listed, known && listed && r.shows(i):
+	case known && r.Gone && !listed, known && listed && r.matches(i):
 		return
 	case !known && f.last == nil:
-		f.changes = append(f.changes, first(i))
+		f.changes = append(f.changes, firstRecord(i))
 		return
 	case known && f.newer(r):
-		f.late = append(f.late, key)
+		f.outdated = append(f.outdated, key)
 		return
 	}
-	if known && (same || f.last == nil) && !f.settled(key, r) {
+	if known && (same || f.last == nil) && !f.mismatchLasted(key, r) {
 		return
 	}
-	f.changes = append(f.changes, f.change(r, known, i, listed))
+	f.changes = append(f.changes, f.changedRecord(r, known, i, listed))
 }
 
-// newer tells that the record came from a reading that began after this one.
-// One far ahead comes from a wrong clock and is overtaken, see State.stamp.
+// newer reports whether the record came from a reading that started after this one. A
+// time far ahead comes from a wrong clock and is overtaken, see State.nextStamp.
 func (f *findings) newer(r Record) bool {
 	ahead := r.At - f.started.UnixMilli()
-	return ahead > 0 && ahead < settle.Milliseconds()
+	return ahead > 0 && ahead < mismatchTimeout.Milliseconds()
 }
 
-func (f *findings) settled(key string, r Record) bool {
-	d, ok := f.differs[key]
+func (f *findings) mismatchLasted(key string, r Record) bool {
+	d, ok := f.mismatches[key]
 	if !ok || d.record != r {
-		d = dispute{r, f.started}
+		d = mismatch{r, f.started}
 	}
-	f.disputes[key] = d
-	return f.started.Sub(d.since) >= settle
+	f.newMismatches[key] = d
+	return f.started.Sub(d.since) >= mismatchTimeout
 }
 
-// first is the record of an entry that nobody has seen to change. Every reader
-// of the same list makes the same one, so that a whole fleet that starts has
-// nothing to exchange; and anything that was seen to change goes before it.
-func first(i Item) Record { return Record{Item: i} }
+// firstRecord is the record of an entry that no reader has seen change. Every reader of
+// the same list makes the same one, so that a fleet that starts has nothing to
+// exchange; and any record that was seen to change prevails over it.
+func firstRecord(i Item) Record { return Record{Item: i} }
 
-func (f *findings) change(old Record, known bool, i Item, listed bool) Record {
-	at := f.state.stamp(f.started)
+func (f *findings) changedRecord(old Record, known bool, i Item, listed bool) Record {
+	at := f.state.nextStamp(f.started)
 	next := Record{Item: i, Gone: !listed, At: at, Reader: f.self, Born: at, Left: old.Left}
-	if known && !old.Gone && old.Item.sameLife(i) {
+	if known && !old.Gone && old.Item.sameIncarnation(i) {
 		next.Born = old.Born
 	}
 	if known && !old.Gone && old.Item.Leaving {
@@ -187,10 +187,10 @@
 	return next
 }
 
-// postpone leaves what is late as the last reading had it, so that the next
-// reading still finds the change.
-func (f *findings) postpone(next map[string]Item) {
-	for _, key := range f.late {
+// keepPrevious keeps the previous reading's version of outdated entries, so that the
+// next reading still detects the change.
+func (f *findings) keepPrevious(next map[string]Item) {
+	for _, key := range f.outdated {
 		before, seen := f.last[key]
 		if seen {
 			next[key] = before
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// readersPerDomain is how many nodes of each failure domain read the list:
-	// one may be down or cut off without anybody noticing.
+	// readersPerDomain is how many nodes of each failure domain read the list: one may
+	// be down or cut off without its peers noticing.
 	readersPerDomain = 2
-	// silence is how long a node waits for news of any reader's reading. It is
-	// several times what that news takes over the whole fleet by digests.
+	// silence is how long a node waits for an update about any reader's reading. It is
+	// several times the time that such an update takes to reach the whole fleet by
+	// digests.
 	silence = time.Minute
 )
 
-// Duty says whether a node reads the VM list itself.
+// Duty is the part that a node has in reading the VM list.
 type Duty int
 
 // The duties of a node.
 const (
 	Rests Duty = iota // others read
-	Reads             // it is one of the readers of its failure domain
-	Alone             // it should not have to, but hears of no reader
+	Reads             // it is one of the chosen readers of its failure domain
+	Alone             // fallback: it isn't chosen, but gets no updates from a chosen reader
 )
 
 // String names the duty in dumps.
@@ -30,23 +31,23 @@
 
 // View is what a node knows when it chooses its duty.
 type View struct {
-	Members       []peer.Member // all that are visible, this node among them
+	Members       []peer.Member // all visible members, including this node
 	FailureDomain string
-	// Unheard is how long ago the last news of a reading came, by this node's
-	// own clock; readers' clocks need not agree with it.
+	// Unheard is how long ago the last update about a reading arrived, by this node's
+	// own clock; the readers' clocks need not agree with it.
 	Unheard time.Duration
-	// Standing tells that this node has read alone, and that no chosen reader
-	// was heard since.
+	// Standing reports that this node has read as a fallback, and that no chosen reader
+	// has reported a reading since.
 	Standing bool
 }
 
-// Choose gives a node its duty. A reader that is leaving reads to its end, when
-// the others have chosen another one already. Nodes that see different members
-// choose differently, which costs some extra readings; a node that hears of no
-// reader reads by itself, since the chosen ones may be up and unable to read. It
-// goes on until one of them is heard: if it stopped at its own news, or at that
-// of another node that reads alone, no node would read twice, and only two
-// readings of one node show a change.
+// Choose determines a node's duty. A reader that is leaving reads until it stops, when
+// the others have already chosen another one. Nodes that see different members choose
+// differently, which costs some extra readings. A node that gets no updates reads as a
+// fallback, since the chosen readers may be up and unable to read. It goes on until a
+// chosen reader reports: if it stopped at its own update, or at that of another
+// fallback reader, no node would read twice, and only two readings of one node show a
+// change.
 func Choose(v View) Duty {
 	var near []peer.Member
 	for _, m := range v.Members {
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -8,14 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RoleEntry is the Role of the VMs that run this program; every other role is
-// one of a backend server.
+// RoleEntry is the Role of the VMs that run this program; every other role belongs to a
+// backend server.
 const RoleEntry = "entry"
 
 const (
-	// maxNameBytes bounds each text of an Item that comes from a peer.
+	// maxNameBytes bounds each text of an Item received from a peer.
 	maxNameBytes = 256
-	// maxAhead is how far a reader's clock may be ahead of this node's.
+	// maxAhead is how far a reader's clock may be ahead of this node's clock.
 	maxAhead = 24 * time.Hour
 )
 
@@ -27,12 +27,12 @@
 	Addr          string // host:port
 	FailureDomain string
 	Role          string
-	Service       string // name of the plain service, for such a backend server
+	Service       string // name of the service, for a backend server that is not a model engine
 	ChecksFence   bool
 	Leaving       bool
 }
 
-// key tells entries apart: a node and a backend server may have the same id.
+// key identifies an entry: a node and a backend server may have the same id.
 func (i Item) key() string {
 	if i.Role == RoleEntry {
 		return "e/" + i.ID
@@ -53,26 +53,26 @@
 	)
 }
 
-// sameLife tells whether both are the same VM at the same address.
-func (i Item) sameLife(o Item) bool { return i.VM == o.VM && i.Addr == o.Addr }
+// sameIncarnation reports whether both are the same VM at the same address.
+func (i Item) sameIncarnation(o Item) bool { return i.VM == o.VM && i.Addr == o.Addr }
 
-// Record is what is known of one entry of the VM list. (At, Reader) orders the
-// readings that it came from; Left grows by itself, see Merge.
+// Record is the known state of one entry of the VM list. (At, Reader) orders the
+// readings that it came from; Left grows independently, see Merge.
 type Record struct {
 	_    struct{} `cbor:",toarray"`
 	Item Item
 	Gone bool // removed from the list: a tombstone
-	// At is when the reader began the reading that first showed it this way, in
-	// Unix milliseconds by a hybrid clock. 0 means that nobody saw it change: it
-	// stood on the first list that a node read.
+	// At is when the reader started the reading that first showed this state, in Unix
+	// milliseconds of a hybrid clock. 0 means that no reader saw the entry change: it
+	// was on the first list that a node read.
 	At     int64
 	Reader string
-	// Born is the At with which this life of the VM began, Left the last At at
-	// which any reader saw it leaving; 0 is never.
+	// Born is the At at which this incarnation of the VM was first seen, Left the last
+	// At at which any reader saw it leaving; 0 means never.
 	Born, Left int64
 }
 
-// compare is a total order of everything but Left, newest reading last.
+// compare is a total order of everything but Left, the newest reading last.
 func (r Record) compare(o Record) int {
 	return cmp.Or(
 		cmp.Compare(r.At, o.At),
@@ -83,14 +83,14 @@
 	)
 }
 
-// Merge joins two records of one key. The newer reading holds as a whole; Left
-// is the greater one, whichever reading it came with.
+// Merge joins two records of one key. The newer reading prevails completely; Left is
+// the greater of both, whichever reading it came with.
 //
-// What goes wrong without the order: readers see the list through replicas that
-// lag differently, and messages cross, so a node would keep whatever came last,
-// and two nodes would differ for ever. What goes wrong without Left: a node that
-// missed "leaving", and then hears only the falsely later "live", sends new work
-// to a VM about to go.
+// Readers see the list through replicas that lag by different times, and messages
+// arrive out of order: without the order, a node would keep whatever arrived last, and
+// two nodes would differ for ever. Without Left, a node that missed "leaving" and then
+// receives only a "live" that is newer by its time but outdated would send new work to
+// a VM that is about to stop.
 func Merge(a, b Record) Record {
 	left := max(a.Left, b.Left)
 	if a.compare(b) < 0 {
@@ -100,16 +100,16 @@
 	return a
 }
 
-// MarkedLeaving tells that a reader has seen this life of the VM leaving, also
-// when the newest reading shows it live again: that may be the older news.
+// MarkedLeaving reports that a reader has seen this incarnation of the VM leaving, even
+// when the newest reading shows it live again: that may be older information.
 func (r Record) MarkedLeaving() bool {
 	return !r.Gone && (r.Item.Leaving || r.Left > 0 && r.Left >= r.Born)
 }
 
-// shows tells whether the record says the same as a reading.
-func (r Record) shows(i Item) bool { return !r.Gone && r.Item == i }
+// matches reports whether the record has the state that a reading shows.
+func (r Record) matches(i Item) bool { return !r.Gone && r.Item == i }
 
-// hash covers all fields, so that two nodes that differ in any notice it.
+// hash covers all fields, so that two nodes that differ in any field notice it.
 func (r Record) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -132,8 +132,8 @@
 	return d.Sum64()
 }
 
-// valid bounds what a peer may send. A time far ahead would win over every
-// later reading, and near the greatest number leave none to come after it.
+// valid checks what a peer sent. A time far ahead would prevail over every later
+// reading, and a time near the maximum would leave no greater one.
 func (r Record) valid(now time.Time) bool {
 	if ahead := max(r.At, r.Born, r.Left) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
 		return false
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -10,10 +10,10 @@
 	// bucketCount is the number of parts that two nodes compare: many, so that a part
 	// that differs costs few records each way.
 	bucketCount = 256
-	// tombstoneKeep is how long a removal is remembered. A node cut off for
+	// tombstoneKeep is how long a removal is remembered. A node that is cut off for
 	// longer brings the entry back, and a reader removes it again, see Observer.
 	tombstoneKeep = time.Hour
-	// maxRecords bounds what faulty peers can fill memory with.
+	// maxRecords bounds the memory that faulty peers can fill.
 	maxRecords = 65_536
 )
 
@@ -21,11 +21,11 @@
 type State struct {
 	records map[string]Record
 	buckets [bucketCount]uint64 // xor of the records' hashes
-	clock   int64               // highest At or reading seen
-	heard   Heard
+	clock   int64               // highest At or reading time seen
+	newest  Heard
 }
 
-// Heard names the newest readings that a node knows of, by their times.
+// Heard holds the times of the newest readings known to a node.
 type Heard struct {
 	_       struct{} `cbor:",toarray"`
 	Reading int64    // by any node
@@ -37,7 +37,7 @@
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// Merge takes records in and returns those that changed what is known.
+// Merge merges records and returns those that changed the state.
 func (s *State) Merge(in []Record, now time.Time) []Record {
 	var changed []Record
 	for _, r := range in {
@@ -78,7 +78,7 @@
 	s.clock = max(s.clock, next.At)
 }
 
-// Expire forgets old tombstones.
+// Expire removes old tombstones.
 func (s *State) Expire(now time.Time) {
 	for key, r := range s.records {
 		if expired(r, now) {
@@ -92,22 +92,22 @@
 	return r.Gone && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
 }
 
-// Hear takes in which readings another node knows of, and tells which of the
-// two are news.
+// Hear records the newest readings known to another node, and reports which of the two
+// are newer than those known here.
 func (s *State) Hear(h Heard, now time.Time) (reading, chosen bool) {
 	if max(h.Reading, h.Chosen)-now.UnixMilli() > maxAhead.Milliseconds() {
 		return false, false
 	}
-	reading, chosen = h.Reading > s.heard.Reading, h.Chosen > s.heard.Chosen
-	s.heard.Reading = max(s.heard.Reading, h.Reading)
-	s.heard.Chosen = max(s.heard.Chosen, h.Chosen)
-	s.clock = max(s.clock, s.heard.Reading)
+	reading, chosen = h.Reading > s.newest.Reading, h.Chosen > s.newest.Chosen
+	s.newest.Reading = max(s.newest.Reading, h.Reading)
+	s.newest.Chosen = max(s.newest.Chosen, h.Chosen)
+	s.clock = max(s.clock, s.newest.Reading)
 	return reading, chosen
 }
 
-// stamp is a time above all that were seen, so that a reader whose clock is
-// behind still wins with what it sees after them.
-func (s *State) stamp(started time.Time) int64 {
+// nextStamp is a time after all that were seen, so that a reader whose clock is behind
+// still prevails with what it sees after them.
+func (s *State) nextStamp(started time.Time) int64 {
 	s.clock = max(started.UnixMilli(), s.clock+1)
 	return s.clock
 }
--- a/inventory/sync.go
+++ b/inventory/sync.go
@@ -7,22 +7,22 @@
 	"wigeondale/event"
 )
 
-// Take takes in a flood.
+// Take handles a flood.
 func (v *Inventory) Take(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(d.Heard)
+	v.recordReadings(d.Heard)
 	v.merge(d.Records, v.met.byFlood)
 }
 
-// hear notes news of readings. Callers hold v.mu.
-func (v *Inventory) hear(h Heard) {
+// recordReadings records updates about readings. Callers hold v.mu.
+func (v *Inventory) recordReadings(h Heard) {
 	reading, chosen := v.state.Hear(h, time.Now())
 	if reading {
-		v.heard = time.Now()
+		v.lastReadingAt = time.Now()
 	}
 	if chosen {
-		v.standing = false
+		v.fallbackActive = false
 	}
 }
 
@@ -30,7 +30,7 @@
 func (v *Inventory) Answer(d Digest) Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(d.Heard)
+	v.recordReadings(d.Heard)
 	return v.state.Answer(d)
 }
 
@@ -43,9 +43,9 @@
 	return answer
 }
 
-// round compares with a random neighbour. It also looks at the members anew,
-// should a change have gone unnoticed, and drops old tombstones.
-func (v *Inventory) round(ctx context.Context) {
+// digestRound compares with a random neighbour. It also makes the members be read
+// again, in case a change went unnoticed, and removes old tombstones.
+func (v *Inventory) digestRound(ctx context.Context) {
 	v.MembersChanged()
 	v.mu.Lock()
 	v.state.Expire(time.Now())
@@ -55,8 +55,8 @@
 	}
 }
 
-// Sync compares with a node and exchanges what differs. A failure is left to
-// the next round.
+// Sync compares digests with a node and exchanges the records that differ. A failure is
+// left to the next round.
 func (v *Inventory) Sync(ctx context.Context, node string) {
 	wasEmpty := v.size() == 0
 	differed, err := v.sync(ctx, node)
@@ -74,12 +74,12 @@
 }
 
 func (v *Inventory) sync(ctx context.Context, node string) (differed bool, err error) {
-	asked, err := v.compare(ctx, node)
-	differed = len(asked) > 0
-	for err == nil && len(asked) > 0 {
+	buckets, err := v.compare(ctx, node)
+	differed = len(buckets) > 0
+	for err == nil && len(buckets) > 0 {
 		var done int
-		done, err = v.exchangeBuckets(ctx, node, asked)
-		asked = asked[done:]
+		done, err = v.exchangeBuckets(ctx, node, buckets)
+		buckets = buckets[done:]
 	}
 	return differed, err
 }
@@ -88,26 +88,26 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	v.mu.Lock()
-	mine := v.state.Digest()
+	local := v.state.Digest()
 	v.mu.Unlock()
-	answer, err := v.cfg.Peers.Compare(ctx, node, mine)
+	answer, err := v.cfg.Peers.Compare(ctx, node, local)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(answer.Heard)
+	v.recordReadings(answer.Heard)
 	return v.state.Differing(answer), nil
 }
 
 // exchangeBuckets exchanges as many of the buckets as fit into messages both ways.
-func (v *Inventory) exchangeBuckets(ctx context.Context, node string, asked []uint16) (done int, err error) {
+func (v *Inventory) exchangeBuckets(ctx context.Context, node string, buckets []uint16) (done int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	v.mu.Lock()
-	batch := v.state.Batch(asked)
+	batch := v.state.Batch(buckets)
 	v.mu.Unlock()
-	batch.Asked = asked[:batch.Done]
+	batch.Asked = buckets[:batch.Done]
 	answer, err := v.cfg.Peers.Exchange(ctx, node, batch)
 	if err != nil {
 		return 0, Error.Wrap(err)
