--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet holds the identities and values that every other package
-// speaks in: models, backend servers, requests, outcomes. It does no I/O.
+// Package fleet defines the identities and values that all other packages use: models,
+// backend servers, requests, outcomes. It does no I/O.
 package fleet
 
 import (
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// ModelRef names exactly what an engine runs. Two generations may be joined
-// into one answer only when all three parts are equal.
+// ModelRef names exactly what an engine runs. Two generations may be joined into one
+// answer only when all three parts are equal.
 type ModelRef struct {
 	Model   string `json:"model" cbor:"1,keyasint"`
 	Version string `json:"version" cbor:"2,keyasint"`
 	Adapter string `json:"adapter,omitempty" cbor:"3,keyasint,omitempty"`
 }
 
-// String renders model@version or model@version+adapter.
+// String returns model@version or model@version+adapter.
 func (m ModelRef) String() string {
 	s := m.Model + "@" + m.Version
 	if m.Adapter != "" {
@@ -24,13 +24,13 @@
 	return s
 }
 
-// Priority orders work that competes for the same backend servers.
+// Priority orders requests that compete for the same backend servers.
 type Priority uint8
 
 const (
-	// Batch is work that may wait: long drafts.
+	// Batch is work that may wait: long generations.
 	Batch Priority = iota
-	// Interactive is work that is lost when late: small lookups.
+	// Interactive is work that is useless when late: short calls.
 	Interactive
 )
 
@@ -42,7 +42,7 @@
 	return "batch"
 }
 
-// ParsePriority reads a name written by String.
+// ParsePriority parses a name returned by String.
 func ParsePriority(s string) (Priority, error) {
 	switch s {
 	case "batch":
@@ -53,15 +53,15 @@
 	return Batch, fmt.Errorf("priority %q: want interactive or batch", s)
 }
 
-// Outcome says what became of a request, in terms its caller may act on.
+// Outcome is the result of a request, in terms on which the client may act.
 type Outcome string
 
 const (
 	// Complete means that the whole answer was delivered.
 	Complete Outcome = "complete"
 	// NotRun means that no backend server has run any of the request. It may be
-	// said only while no byte of the request can have reached a backend server,
-	// or when the backend server itself refused it before starting.
+	// reported only while no byte of the request can have reached a backend server, or
+	// when the backend server itself refused the request before starting it.
 	NotRun Outcome = "not-run"
 	// Failed means that the request ran at least in part and will not complete.
 	Failed Outcome = "failed"
@@ -69,40 +69,41 @@
 	Unknown Outcome = "unknown"
 )
 
-// Kind tells model engines from plain services.
+// Kind distinguishes model engines from services that are not model engines.
 type Kind string
 
 const (
 	// Engine is a model engine that streams tokens.
 	Engine Kind = "engine"
-	// Service is a plain HTTP service that stands beside the engines.
+	// Service is an HTTP service that runs alongside the engines.
 	Service Kind = "service"
 )
 
-// Backend is a backend server as the VM list announces it.
+// Backend is a backend server as announced in the VM list.
 type Backend struct {
 	ID string `json:"id"`
-	// Lifetime is set where backend servers start again under the same name; ID is
-	// its ID then.
+	// Lifetime is set where a backend server may restart under the same name; ID is
+	// then the ID of this value.
 	Lifetime      Lifetime `json:"-"`
 	Addr          string   `json:"addr"` // host:port
 	VM            string   `json:"vm"`
 	FailureDomain string   `json:"failure_domain"`
 	Kind          Kind     `json:"kind"`
 	Service       string   `json:"service,omitempty"` // name under /services/, for Kind Service
-	// Version is that of its software, where a roll-out may replace it; empty elsewhere.
+	// Version is that of its software, where a roll-out may replace it; empty
+	// elsewhere.
 	Version string `json:"-"`
-	// ChecksFence is true when the backend server refuses an order whose fencing
-	// number is lower than one that it has already seen.
+	// ChecksFence is true when the backend server refuses an order whose fencing number
+	// is lower than one that it has already seen.
 	ChecksFence bool `json:"checks_fence"`
-	// Started orders the starts of backend servers: a later one has a higher
-	// number. 0 when that is not known.
+	// Started orders the starts of backend servers: a later start has a higher number.
+	// 0 when that isn't known.
 	Started int64 `json:"started,omitempty"`
-	// Leaving is true once the VM list says that the VM is going away.
+	// Leaving is true once the VM list shows that the VM is about to be removed.
 	Leaving bool `json:"leaving"`
 }
 
-// Name is how the backend server is addressed.
+// Name is the name by which the backend server is addressed.
 func (b *Backend) Name() string {
 	if b.Lifetime.Name != "" {
 		return b.Lifetime.Name
@@ -110,7 +111,7 @@
 	return b.ID
 }
 
-// LoadReport is an engine's own, lagging account of itself.
+// LoadReport is an engine's own report of its load, which lags.
 type LoadReport struct {
 	Incarnation string     `json:"incarnation"` // new at each start of the engine
 	AsOfUnixMS  int64      `json:"as_of_unix_ms"`
@@ -123,22 +124,22 @@
 	Serves      []ModelRef `json:"serves"`
 }
 
-// AsOf is the moment that the report describes.
+// AsOf is the time that the report describes.
 func (r LoadReport) AsOf() time.Time { return time.UnixMilli(r.AsOfUnixMS) }
 
-// EngineState is what an engine says of its work and memory when it is asked. It
+// EngineState is an engine's report of its work and memory, made when it is queried. It
 // describes a moment some tenths of a second ago.
 type EngineState struct {
-	Queued  int        // requests that wait for a place in the batch
-	Next    int        // tokens of the prompt of the first of them, 0 if none waits
+	Queued  int        // requests that wait for a slot in the batch
+	Next    int        // prompt tokens of the first of them, 0 if none waits
 	Reading int        // requests in the batch whose prompts are being read
-	Used    int        // tokens in memory that can't be dropped
-	Copies  int        // of those, tokens of copies of runs elsewhere
+	Used    int        // tokens in memory that can't be evicted
+	Copies  int        // of those, tokens of copies of runs of other engines
 	Runs    []RunState // in the batch, with their prompts read
 }
 
 // RunState is one run in an EngineState.
 type RunState struct {
 	Held int // tokens in memory
-	Made int // pieces of its answer
+	Made int // chunks of its answer
 }
--- a/route/current.go
+++ b/route/current.go
@@ -2,9 +2,8 @@
 
 import "sync/atomic"
 
-// Current is the Table in force in this process. Its version only grows: a
-// stale read of the store, a watch that was taken up again or another router
-// may bring an older one later.
+// Current is the Table in force in this process. Its version only grows: a stale read
+// of the store, a restarted watch or another router may deliver an older one later.
 type Current struct {
 	table atomic.Pointer[Table]
 }
@@ -12,7 +11,7 @@
 // Get returns the table in force, or nil before the first.
 func (c *Current) Get() *Table { return c.table.Load() }
 
-// Install puts a newer table in force; false means that it isn't newer.
+// Install puts a newer table into force; it returns false if the table isn't newer.
 func (c *Current) Install(t *Table) bool {
 	for {
 		old := c.table.Load()
--- a/route/route.go
+++ b/route/route.go
@@ -1,11 +1,10 @@
-// Package route holds the routes, services and client accounts of one version
-// of the configuration, and finds the route and the account of a request.
+// Package route holds the routes, services and client accounts of one version of the
+// configuration, and finds the route and the account of a request.
 //
-// Failure story: a request is handled by an older version than one whose effect
-// has already been seen. It shows as an access that was taken away and works
-// again, or as an answer of a service from which a route was moved. A Table is
-// therefore immutable, a request uses one Table from its begin to its end, and
-// Current only ever moves to a higher version.
+// It guards against handling a request by a version older than one whose effect has
+// already been seen: a revoked access would work again, or a service would answer from
+// which a route was moved away. A Table is therefore immutable, a request uses one
+// Table from start to end, and Current only ever moves to a higher version.
 package route
 
 import (
@@ -18,7 +17,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("route")
 
-// Kind says what may be repeated.
+// Kind defines whether the requests of a route may be repeated.
 type Kind uint8
 
 // The kinds of a route.
@@ -27,7 +26,7 @@
 	Once Kind = iota
 	// Repeatable is a request that may run more than once.
 	Repeatable
-	// Stream is answered by numbered pieces.
+	// Stream is answered by numbered chunks.
 	Stream
 )
 
@@ -48,7 +47,7 @@
 	Weight  int
 }
 
-// Route says how the requests of one host and path prefix are handled.
+// Route defines how the requests for one host and path prefix are handled.
 type Route struct {
 	Name        string
 	Host        string
@@ -56,15 +55,15 @@
 	Service     string // when Split is empty
 	Split       []Share
 	Kind        Kind
-	Resumable   bool          // a stream may go on at another replica
-	Timeout     time.Duration // a request has its final answer by then; 0 is none
-	Target      time.Duration // an answer, or a stream's first piece, is on time until then
+	Resumable   bool          // a stream may continue at another replica
+	Timeout     time.Duration // a request has its final answer by then; 0 means none
+	Target      time.Duration // deadline for an answer, or for a stream's first chunk, to be on time
 	MaxAttempts int
 	Priority    int  // 0 is the highest
 	Open        bool // no key is needed
 }
 
-// Replayable tells that more than one backend server may run a request.
+// Replayable reports whether more than one backend server may run a request.
 func (r *Route) Replayable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
@@ -88,16 +87,17 @@
 	return r.Service
 }
 
-// Service is what the configuration says of the replicas of one service.
+// Service is the configuration of the replicas of one service.
 type Service struct {
 	Name       string
-	HealthPath string // where its replicas answer checks
-	// Engine tells that its replicas are model engines, of which each holds Memory
+	HealthPath string // where its replicas answer health checks
+	// Engine reports that its replicas are model engines. Each has memory for Memory
 	// tokens of the requests that it runs.
 	Engine bool
 	Memory int
-	// KeepsCopies tells that a replica keeps a copy of a run up to date at another one
-	// from its begin, and MakesCopies that it makes one when asked.
+	// KeepsCopies reports that a replica keeps an up-to-date copy of a run at another
+	// replica from the start of the run, and MakesCopies that it makes a copy on
+	// request.
 	KeepsCopies, MakesCopies bool
 }
 
@@ -105,12 +105,12 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route, if HasPriority.
+	// Priority overrides that of the route, if HasPriority.
 	Priority    int
 	HasPriority bool
 }
 
-// Limits bound what a client may send.
+// Limits bounds what a client may send.
 type Limits struct {
 	BodyBytes int64
 }
@@ -121,8 +121,7 @@
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// Keyless tells that the configuration knows no accounts: no request needs
-	// a key.
+	// Keyless reports that the configuration has no accounts: no request needs a key.
 	Keyless bool
 	Limits  Limits
 }
@@ -175,7 +174,7 @@
 	return best, best != nil
 }
 
-// hostOf strips the port and the case of a Host header.
+// hostOf removes the port from a Host header and makes it lower case.
 func hostOf(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i > strings.LastIndexByte(host, ']') {
 		host = host[:i]
@@ -183,13 +182,14 @@
 	return strings.ToLower(host)
 }
 
-// Account returns the client account that holds the key.
+// Account returns the client account to which the key belongs.
 func (t *Table) Account(key string) (*Account, bool) {
 	a, ok := t.keys[key]
 	return a, ok && key != ""
 }
 
-// OnlyEngine returns the service whose replicas are model engines, if just one is.
+// OnlyEngine returns the service whose replicas are model engines, if there is exactly
+// one.
 func (t *Table) OnlyEngine() (Service, bool) {
 	var only Service
 	n := 0
@@ -205,7 +205,7 @@
 // Service returns a service by its name; the zero value when it isn't known.
 func (t *Table) Service(name string) Service { return t.services[name] }
 
-// HasService tells whether the configuration names a service.
+// HasService reports whether the configuration names a service.
 func (t *Table) HasService(name string) bool {
 	_, ok := t.services[name]
 	return ok
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a request runs at the service of a shorter prefix, after a route was
-// added below it. Cause: the first match is taken instead of the longest.
+// Guards against sending a request to the service of a shorter prefix after a route was
+// added below it, which happens when the first match is used instead of the longest.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -34,9 +34,9 @@
 	})
 }
 
-// Symptom: an account whose key was taken away is served again. Sequence: the
-// new version is in force; a stale read brings the one before it. Cause: the
-// latest arrival is put in force instead of the highest version.
+// Guards against serving an account again whose key was revoked. The new version is in
+// force, and a stale read delivers the one before it: the highest version must be in
+// force, not the latest arrival.
 func TestVersionOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Current
