--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -95,9 +95,9 @@
 func checkLearnedCapacity(t *testing.T, actual int) {
 	d := New(nil)
 	d.Update([]fleet.Backend{engine("e0")}, time.Now())
-	takes := func() int { return LearnedCapacity(d.Snapshot(ref), 1, time.Now()) }
+	learned := func() int { return LearnedCapacity(d.Snapshot(ref), 1, time.Now()) }
 	for range 60 {
-		sent := takes()
+		sent := learned()
 		done := d.Start("e0", float64(sent))
 		time.Sleep(time.Second)
 		rep := report("i1", time.Now(), min(sent, actual))
@@ -107,12 +107,12 @@
 		time.Sleep(time.Second)
 	}
 	d.Report("e0", report("i1", time.Now(), 0), time.Now())
-	if got := takes(); got < actual || got > actual+actual/3 {
+	if got := learned(); got < actual || got > actual+actual/3 {
 		t.Errorf("an engine that runs %d gets %d", actual, got)
 	}
-	before := takes()
+	before := learned()
 	d.Report("e0", report("i2", time.Now(), 0), time.Now())
-	if got := takes(); got != before {
+	if got := learned(); got != before {
 		t.Errorf("%d for a new incarnation, %d before", got, before)
 	}
 }
@@ -175,7 +175,7 @@
 	d.Report("e0", report("i1", now, 0), now)
 	d.Update([]fleet.Backend{engine("e0")}, now) // from a lagging replica of the list
 	if !d.Leaving("e0") || !d.Leaving("never-heard-of") {
-		t.Error("the leaving mark from the VM list was lost, or an unknown backend server takes work")
+		t.Error("the leaving mark from the VM list was lost, or an unknown backend server accepts work")
 	}
 	d.SetIntent(map[string]bool{"vm-e0": true})
 	if len(announced) != 1 {
--- a/inventory/merge_test.go
+++ b/inventory/merge_test.go
@@ -110,12 +110,12 @@
 			t.Errorf("%s: %v, want %v", name, got, tc.want)
 		}
 	}
-	own := members(resting, 40, keep)
-	own[resting].Leaving = true
-	if got := Choose(View{own, "a", 0, false}); got != Rests {
+	leavingSelf := members(resting, 40, keep)
+	leavingSelf[resting].Leaving = true
+	if got := Choose(View{leavingSelf, "a", 0, false}); got != Rests {
 		t.Errorf("a node that doesn't read and is leaving: %v", got)
 	}
-	if got := Choose(View{own[resting : resting+1], "a", 0, false}); got != Reads {
+	if got := Choose(View{leavingSelf[resting : resting+1], "a", 0, false}); got != Reads {
 		t.Errorf("a lone node that is leaving: %v", got)
 	}
 }
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -150,14 +150,14 @@
 
 func (r *panickingReceiver) Put(v infra.Value) {
 	if v.Key == "bad" {
-		panic("as asked")
+		panic("panics on purpose")
 	}
 	r.recorder.Put(v)
 }
 
 func (r *panickingReceiver) Gone(key string) {
 	if key == "bad" {
-		panic("as asked")
+		panic("panics on purpose")
 	}
 	r.recorder.Gone(key)
 }
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -70,7 +70,7 @@
 	return req.OtherDomain == "" || c.Backend.FailureDomain != req.OtherDomain
 }
 
-func takesPrompts(c *Candidate, _ *Ask) bool { return c.Role != roleDecode }
+func acceptsPrompts(c *Candidate, _ *Ask) bool { return c.Role != roleDecode }
 
 // usableFilter queries the health monitor about all candidates at once.
 type usableFilter struct{}
--- a/routing/pickers.go
+++ b/routing/pickers.go
@@ -40,7 +40,7 @@
 }
 
 // argmax takes the first of the highest scores. All routers with the same view make the
-// same choice, so it serves as a baseline only.
+// same choice, so it serves as a baseline.
 type argmax struct{}
 
 func (argmax) Choose(score, _ []float64, _ *rand.Rand) int {
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -29,7 +29,7 @@
 		n := rapid.IntRange(1, 20).Draw(t, "homes")
 		preferred := idsOf(Homes(all, key, n))
 		if len(preferred) != min(n, len(all)) {
-			t.Fatalf("%d homes of %d", len(preferred), n)
+			t.Fatalf("%d preferred engines, want %d", len(preferred), n)
 		}
 		other := slices.Clone(all)
 		rand.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
@@ -40,7 +40,7 @@
 		remaining := idsOf(Homes(slices.DeleteFunc(other, func(c Candidate) bool { return c.Backend.ID == all[removed].Backend.ID }), key, n))
 		for _, id := range preferred {
 			if id != all[removed].Backend.ID && !slices.Contains(remaining, id) {
-				t.Fatalf("%s went with %s", id, all[removed].Backend.ID)
+				t.Fatalf("%s was replaced although only %s was removed", id, all[removed].Backend.ID)
 			}
 		}
 	})
@@ -60,7 +60,7 @@
 	mean := keys * n / len(all)
 	for i := range all {
 		if got := count[fmt.Sprint("e", i)]; got < mean*2/3 || got > mean*4/3 {
-			t.Errorf("e%d is the home of %d keys, the mean is %d", i, got, mean)
+			t.Errorf("e%d is preferred for %d keys, the mean is %d", i, got, mean)
 		}
 	}
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -56,7 +56,7 @@
 	}{
 		{"other version only", func(c *Candidate, _ *Ask) { c.Serves = []fleet.ModelRef{other} }, NoneServes, false},
 		{"marked leaving", func(c *Candidate, _ *Ask) { c.Leaving = true }, AllLeaving, true},
-		{"VM list says leaving", func(c *Candidate, _ *Ask) { c.Backend.Leaving = true }, AllLeaving, true},
+		{"VM list shows leaving", func(c *Candidate, _ *Ask) { c.Backend.Leaving = true }, AllLeaving, true},
 		{"down", func(c *Candidate, _ *Ask) { c.State = health.Down }, AllDown, true},
 		{"not usable", func(_ *Candidate, a *Ask) {
 			a.Usable = func(ids []string) []bool { return make([]bool, len(ids)) }
@@ -257,7 +257,7 @@
 	}
 	for range 100 {
 		if got, _, _ := r.Pick(all, req); got.Backend.ID == preferred.Backend.ID {
-			t.Fatalf("%s has no free place and gets work for its prefix", got.Backend.ID)
+			t.Fatalf("%s has no free slot and gets work for its prefix", got.Backend.ID)
 		}
 	}
 	for i := range all {
@@ -266,7 +266,7 @@
 	all[2].Live = fakeSizedEngine{20, 64}
 	for range 100 {
 		if got, _, _ := r.Pick(all, Ask{Ref: ref}); got.Backend.ID != all[2].Backend.ID {
-			t.Fatalf("%s has no free place and gets work", got.Backend.ID)
+			t.Fatalf("%s has no free slot and gets work", got.Backend.ID)
 		}
 	}
 }
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -136,8 +136,8 @@
 const leadingBlocks = 2
 
 // rendezvousScorer sends equal prefixes to equal engines without needing any report:
-// the candidate with the highest hash gets 1, the next one 0.5. Overloaded ones are
-// skipped.
+// the candidate with the highest hash gets 1, the next one 0.5. Overloaded and
+// full ones are skipped.
 type rendezvousScorer struct{}
 
 func (rendezvousScorer) Score(v View, out []float64) {
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -25,7 +25,7 @@
 	FilterLeaving: perCandidate{FilterLeaving, notLeaving},
 	FilterUsable:  usableFilter{},
 	FilterExclude: perCandidate{FilterExclude, notExcluded},
-	FilterRole:    perCandidate{FilterRole, takesPrompts},
+	FilterRole:    perCandidate{FilterRole, acceptsPrompts},
 
 	FilterRoom:        perCandidate{FilterRoom, fitsMemory},
 	FilterBacklog:     perCandidate{FilterBacklog, backlogWithinBound},
