--- a/directory/share.go
+++ b/directory/share.go
@@ -55,9 +55,9 @@
 	return 0
 }
 
-// Begun records that the request's prompt has been read and that it now generates
+// PrefillDone records that the request's prompt has been read and that it now generates
 // tokens.
-func (s *Share) Begun() {
+func (s *Share) PrefillDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.record == nil || s.ended || s.load.Reading == 0 {
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -41,7 +41,7 @@
 	lost      map[string]bool // backend servers that keep no copies any more
 	copies    int
 	excluded  []map[string]bool
-	asks      []Ask
+	asks      []PickRequest
 	results   []error     // that the failure detector was told
 	running   func() bool // answer to a question about a run
 	full      bool        // nobody takes the request; it is to ask again soon
@@ -56,7 +56,7 @@
 
 func (w *world) Admit(context.Context, Ticket) (func(), error) { return nil, nil }
 func (w *world) Lookup(string) (fleet.Backend, bool)           { return fleet.Backend{}, false }
-func (w *world) Keeps(id string) bool                          { return !w.lost[id] }
+func (w *world) KeepsCopy(id string) bool                      { return !w.lost[id] }
 func (w *world) Add(backend.Abandoned)                         {}
 
 func (w *world) Take(string) bool {
@@ -69,7 +69,7 @@
 	return w.overdraft >= 0 || w.Take("")
 }
 
-func (w *world) Pick(_ context.Context, a Ask) (fleet.Backend, Share, error) {
+func (w *world) Pick(_ context.Context, a PickRequest) (fleet.Backend, LoadShare, error) {
 	w.excluded = append(w.excluded, a.Exclude)
 	w.asks = append(w.asks, a)
 	if w.full {
@@ -82,7 +82,7 @@
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "d" + id}, &fakeShare{}, nil
 }
 
-func (w *world) Standby(_ Ask, b fleet.Backend) (fleet.Backend, Share, bool) {
+func (w *world) Standby(_ PickRequest, b fleet.Backend) (fleet.Backend, LoadShare, bool) {
 	id := fmt.Sprintf("s%d-%d", len(w.opened), w.copies)
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "other"}, &fakeShare{}, true
 }
@@ -149,7 +149,7 @@
 	slow   time.Duration // taken by each piece
 }
 
-func (a *answer) Begin(_ Place, h *backend.Head) error {
+func (a *answer) Begin(_ Position, h *backend.Head) error {
 	if a.text == "" {
 		a.status = h.Status
 	}
@@ -170,14 +170,14 @@
 }
 
 func (w *world) runTo(t testing.TB, out *answer, change func(*Request)) Result {
-	d := Deps{Admitter: w, Picker: w, Watcher: worldWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, Inquirer: w}
-	r, err := New(d, Options{StartedPatience: time.Second})
+	d := Deps{Admitter: w, Picker: w, Watcher: worldWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, RunQuerier: w}
+	r, err := New(d, Options{StartedMaxWait: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := Request{ID: "q", Opaque: &Opaque{
-		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", First: 1, MaxAttempts: 5,
-		Patience: time.Second, Copies: Copying{Kept: true, OnDemand: true},
+		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", FirstChunk: 1, MaxAttempts: 5,
+		MaxWait: time.Second, Copies: Copying{KeptUpToDate: true, OnDemand: true},
 	}}
 	if change != nil {
 		change(&req)
@@ -282,8 +282,8 @@
 			t.Errorf("the failure detector was told of %v", err)
 		}
 	}
-	if a := w.asks[1]; a.LostDomain != "" || !a.Again || w.asks[0].Again {
-		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.Again)
+	if a := w.asks[1]; a.LostDomain != "" || !a.IsRetry || w.asks[0].IsRetry {
+		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.IsRetry)
 	}
 	if !w.opened[0].First || w.opened[1].First {
 		t.Error("the first attempt alone is the first")
@@ -317,7 +317,7 @@
 		made    int
 	}{
 		"on demand only":   {Copying{OnDemand: true}, "copy1", 1},
-		"kept up to date":  {Copying{Kept: true}, "", 0},
+		"kept up to date":  {Copying{KeptUpToDate: true}, "", 0},
 		"neither of these": {Copying{}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -326,7 +326,7 @@
 				out := &answer{slow: 100 * time.Millisecond}
 				w.runTo(t, out, func(r *Request) { r.Opaque.Copies = c.copying })
 				first, second := w.opened[0].Copies, w.opened[1].Copies
-				if out.text != text(20) || (first.Standby.Addr != "") != c.copying.Kept {
+				if out.text != text(20) || (first.Standby.Addr != "") != c.copying.KeptUpToDate {
 					t.Fatalf("got %q; the first attempt has the standby %q", out.text, first.Standby.Addr)
 				}
 				if second.Held != (c.copying != Copying{}) || second.Name != c.held || (w.copies > 0) != (c.made > 0) {
