--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,13 +1,12 @@
-// Package hedge sends a second try of a late idempotent lookup to another
-// backend server and takes whichever answer comes first.
+// Package hedge sends a second try of a slow idempotent call to another backend server and uses
+// whichever answer arrives first.
 //
-// Failure story: one replica stalls (a long pause, a lost packet, a full
-// queue) while its siblings answer in milliseconds, and the caller's page is
-// late. The second try is sent only after a delay taken from the observed
-// latencies, so that few calls cause one, and only within a budget that is a
-// share of first tries: when all replicas are slow, every call is late, and
-// hedging each would double the load that made them slow. A call that is not
-// idempotent is never hedged: the backend server could run it twice.
+// It serves calls of which one replica stalls (a long pause, a lost packet, a full queue) while
+// the others answer in milliseconds. The second try is sent only after a delay derived from the
+// observed latencies, so that few calls cause one, and only within a budget that is a share of
+// first tries: when all replicas are slow, every call is slow, and hedging each of them would
+// double the load that made the replicas slow. A call that is not idempotent is never hedged: two
+// backend servers could both run it.
 package hedge
 
 import (
@@ -19,19 +18,19 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Budget bounds second tries to a share of first ones.
+// Budget limits second tries to a share of first ones.
 type Budget interface {
 	First()     // counts a first try
 	Take() bool // draws one second try; false means that none is left
 }
 
-// Config sizes a Hedger. Zero values take the defaults.
+// Config configures a Hedger. Zero values select the defaults.
 type Config struct {
 	Enabled    bool
-	Percentile float64       // of the latencies after which a call counts as late (default 95)
-	MinDelay   time.Duration // least wait before a second try (default 2 ms)
-	MinSamples int64         // latencies known before the first second try (default 50)
-	Window     time.Duration // age at which latencies are forgotten, at most (default 30 s)
+	Percentile float64       // of the latencies, beyond which a call counts as slow (default 95)
+	MinDelay   time.Duration // minimum wait before a second try (default 2 ms)
+	MinSamples int64         // latencies needed before the first second try (default 50)
+	Window     time.Duration // age at which latencies are dropped, at most (default 30 s)
 }
 
 func (c Config) withDefaults() Config {
@@ -42,7 +41,7 @@
 	return c
 }
 
-// Hedger decides when second tries are sent. It may be shared by goroutines.
+// Hedger decides when second tries are sent. It is safe for concurrent use.
 type Hedger struct {
 	cfg    Config
 	budget Budget
@@ -75,8 +74,8 @@
 	digits  = 2
 )
 
-// latencies are those of one pool of backend servers: two histograms, of which
-// the older is reset and becomes the newer one each half window.
+// latencies holds the latencies of one pool of backend servers in two histograms. Every half
+// window the older one is reset and becomes the newer one.
 type latencies struct {
 	rotated      time.Time
 	older, newer *hdrhistogram.Histogram
@@ -99,22 +98,23 @@
 	l.rotated = now
 }
 
-// delay is the percentile over both histograms.
-func (l *latencies) delay(percentile float64, least int64) (time.Duration, bool) {
+// delay returns the percentile of the newer histogram, or of the older one while the newer has
+// too few values. ok is false while both have too few.
+func (l *latencies) delay(percentile float64, minSamples int64) (time.Duration, bool) {
 	h := l.older
-	if l.newer.TotalCount() >= least {
+	if l.newer.TotalCount() >= minSamples {
 		h = l.newer
 	}
-	if h.TotalCount() < least {
+	if h.TotalCount() < minSamples {
 		return 0, false
 	}
 	return time.Duration(h.ValueAtQuantile(percentile)) * time.Microsecond, true
 }
 
-// Observe takes in how long a call of the pool took until its answer began.
-// For a call whose second try won, that is the whole wait: a lower bound of
-// what the first would have taken, and above the percentile, so that answers
-// made early by hedging don't shorten the delay of the next ones.
+// Observe records how long a call of the pool took until its answer started. For a call whose
+// second try won, that is the whole wait from the first try. It is a lower bound of what the
+// first try would have taken, and above the percentile, so that answers made faster by hedging
+// don't shorten the delay of later calls.
 func (h *Hedger) Observe(pool string, took time.Duration, now time.Time) {
 	us := min(max(took.Microseconds(), lowest), highest)
 	h.mu.Lock()
@@ -128,12 +128,12 @@
 	_ = l.newer.RecordValue(us) // can't fail: the value is within the range
 }
 
-// Delay is how long to wait for the first try of a call before a second one is
-// worth its cost. false means: never, since the call may not be repeated,
-// hedging is off or too little is known.
+// Delay returns how long to wait for the first try of a call before a second one is worth its
+// cost. ok is false if no second try may be sent, because the call may not be repeated, hedging
+// is off or too few latencies are known.
 func (h *Hedger) Delay(pool string, idempotent bool) (time.Duration, bool) {
-	// Without this guard a late booking is booked twice: the loser's answer is
-	// dropped here, but the backend server has run both.
+	// Without this guard a slow booking is booked twice: the slower answer is dropped here, but
+	// both backend servers have run the call.
 	if !idempotent {
 		return 0, false
 	}
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -12,12 +12,12 @@
 
 const pool = "service/tags"
 
-// allowance is a budget of so many second tries.
-type allowance struct{ firsts, left int }
+// fakeBudget is a budget of a fixed number of second tries.
+type fakeBudget struct{ firsts, left int }
 
-func (a *allowance) First() { a.firsts++ }
+func (a *fakeBudget) First() { a.firsts++ }
 
-func (a *allowance) Take() bool {
+func (a *fakeBudget) Take() bool {
 	if a.left == 0 {
 		return false
 	}
@@ -25,8 +25,9 @@
 	return true
 }
 
-// hedger knows of latencies of 1 to 100 ms, so that the delay is about 95 ms.
-func hedger(budget *allowance) *Hedger {
+// newHedger returns a Hedger that has observed latencies of 1 to 100 ms, so that the delay is
+// about 95 ms.
+func newHedger(budget *fakeBudget) *Hedger {
 	h := New(Config{Enabled: true}, budget, metrics.NewSet())
 	for i := range 100 {
 		h.Observe(pool, time.Duration(i+1)*time.Millisecond, time.Now())
@@ -34,19 +35,19 @@
 	return h
 }
 
-// answers plays two backend servers: each try takes its time or fails.
-type answers struct {
-	took    [2]time.Duration
-	fails   [2]bool
-	sent    [2]int
-	began   [2]time.Time
-	ended   [2]bool // by its context
-	dropped int
+// fakeBackends stands in for two backend servers: each try takes its time or fails.
+type fakeBackends struct {
+	took      [2]time.Duration
+	fails     [2]bool
+	sent      [2]int
+	startedAt [2]time.Time
+	cancelled [2]bool // by its context
+	dropped   int
 }
 
 var errBroken = errors.New("broken")
 
-func (a *answers) call(idempotent bool) Call[string] {
+func (a *fakeBackends) call(idempotent bool) Call[string] {
 	return Call[string]{
 		Pool: pool, Idempotent: idempotent,
 		Other: func() bool { return true },
@@ -54,10 +55,10 @@
 		Try: func(ctx context.Context, second bool) (string, error) {
 			n := index(second)
 			a.sent[n]++
-			a.began[n] = time.Now()
+			a.startedAt[n] = time.Now()
 			select {
 			case <-ctx.Done():
-				a.ended[n] = true
+				a.cancelled[n] = true
 				return "", ctx.Err()
 			case <-time.After(a.took[n]):
 			}
@@ -69,41 +70,39 @@
 	}
 }
 
-// Symptom: a slot is booked twice, or a lookup is late although a sibling of
-// the slow backend server is idle.
-// Sequence: the first try is slower than 95 of 100 calls were; a second one is
-// sent after that delay and the winner's answer is taken.
-// Cause: for the first symptom, a second try of a call that may not be
-// repeated; for the other, none of a call that may.
+// Guards against: a slot is booked twice because a call that may not be repeated was hedged, or a
+// call is slow although another replica is idle because a call that may be repeated wasn't
+// hedged. The first try is slower than 95 of 100 calls were; a second one is sent after that
+// delay and the faster answer is used.
 func TestSecondTries(t *testing.T) {
 	const long, short = 10 * time.Second, 10 * time.Millisecond
 	rows := []struct {
 		name       string
 		idempotent bool
 		left       int
-		plan       answers
+		plan       fakeBackends
 		want       string
 		sent       int
 		ended      [2]bool
 		sentCount  uint64
 		denied     uint64
 	}{
-		{"quick", true, 1, answers{took: [2]time.Duration{short, short}}, "first", 1, [2]bool{}, 0, 0},
-		{"late, second wins", true, 1, answers{took: [2]time.Duration{long, short}}, "second", 2, [2]bool{true, false}, 1, 0},
-		{"late, first wins", true, 1, answers{took: [2]time.Duration{150 * time.Millisecond, long}}, "first", 2, [2]bool{false, true}, 1, 0},
-		{"late, budget spent", true, 0, answers{took: [2]time.Duration{long, short}}, "first", 1, [2]bool{}, 0, 1},
-		{"late, not idempotent", false, 1, answers{took: [2]time.Duration{long, short}}, "first", 1, [2]bool{}, 0, 0},
+		{"quick", true, 1, fakeBackends{took: [2]time.Duration{short, short}}, "first", 1, [2]bool{}, 0, 0},
+		{"late, second wins", true, 1, fakeBackends{took: [2]time.Duration{long, short}}, "second", 2, [2]bool{true, false}, 1, 0},
+		{"late, first wins", true, 1, fakeBackends{took: [2]time.Duration{150 * time.Millisecond, long}}, "first", 2, [2]bool{false, true}, 1, 0},
+		{"late, budget spent", true, 0, fakeBackends{took: [2]time.Duration{long, short}}, "first", 1, [2]bool{}, 0, 1},
+		{"late, not idempotent", false, 1, fakeBackends{took: [2]time.Duration{long, short}}, "first", 1, [2]bool{}, 0, 0},
 		{"first fails after the second was sent", true, 1,
-			answers{took: [2]time.Duration{150 * time.Millisecond, long}, fails: [2]bool{true, false}}, "second", 2, [2]bool{}, 1, 0},
-		{"first fails early", true, 1, answers{took: [2]time.Duration{short, short}, fails: [2]bool{true, false}}, "", 1, [2]bool{}, 0, 0},
+			fakeBackends{took: [2]time.Duration{150 * time.Millisecond, long}, fails: [2]bool{true, false}}, "second", 2, [2]bool{}, 1, 0},
+		{"first fails early", true, 1, fakeBackends{took: [2]time.Duration{short, short}, fails: [2]bool{true, false}}, "", 1, [2]bool{}, 0, 0},
 		{"both fail", true, 1,
-			answers{took: [2]time.Duration{150 * time.Millisecond, short}, fails: [2]bool{true, true}}, "", 2, [2]bool{}, 1, 0},
+			fakeBackends{took: [2]time.Duration{150 * time.Millisecond, short}, fails: [2]bool{true, true}}, "", 2, [2]bool{}, 1, 0},
 	}
 	for _, row := range rows {
 		t.Run(row.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				budget := &allowance{left: row.left}
-				h := hedger(budget)
+				budget := &fakeBudget{left: row.left}
+				h := newHedger(budget)
 				a := row.plan
 				got, release, err := Do(t.Context(), h, a.call(row.idempotent))
 				synctest.Wait()
@@ -111,13 +110,13 @@
 					t.Errorf("got %q, error %v; want %q", got, err, row.want)
 				}
 				sent := a.sent[0] + a.sent[1]
-				if sent != row.sent || a.ended != row.ended {
-					t.Errorf("sent %d, cancelled %v; want %d, %v", sent, a.ended, row.sent, row.ended)
+				if sent != row.sent || a.cancelled != row.ended {
+					t.Errorf("sent %d, cancelled %v; want %d, %v", sent, a.cancelled, row.sent, row.ended)
 				}
 				if h.sent.Get() != row.sentCount || h.denied.Get() != row.denied {
 					t.Errorf("counted %d sent, %d denied", h.sent.Get(), h.denied.Get())
 				}
-				wait := a.began[1].Sub(a.began[0])
+				wait := a.startedAt[1].Sub(a.startedAt[0])
 				if sent == 2 && (wait < 90*time.Millisecond || wait > 100*time.Millisecond) {
 					t.Errorf("second try after %v", wait)
 				}
@@ -130,17 +129,14 @@
 	}
 }
 
-// Symptom: the share of hedged calls creeps up until the budget is all that
-// holds it.
-// Sequence: one call in ten is late; its second try wins quickly; the latency
-// that is learned from it is that of the second try.
-// Cause: a call won by its second try must count with its whole wait, or the
-// percentile falls with each win.
+// Guards against: the share of hedged calls grows until only the budget limits it. One call in
+// ten is slow and its second try wins quickly. If the call were recorded with the latency of the
+// second try instead of the whole wait, each win would lower the percentile.
 func TestWinsDoNotShortenTheDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := hedger(&allowance{left: 1000})
+		h := newHedger(&fakeBudget{left: 1000})
 		for range 200 {
-			a := answers{took: [2]time.Duration{time.Minute, time.Millisecond}}
+			a := fakeBackends{took: [2]time.Duration{time.Minute, time.Millisecond}}
 			_, release, err := Do(t.Context(), h, a.call(true))
 			if err != nil {
 				t.Fatal(err)
@@ -153,14 +149,14 @@
 	})
 }
 
-// Guards against: a call at which a try panics ends each router that its caller sends it to,
-// since tries run beside the caller's connection.
+// Guards against: a call during which a try panics ends every router to which its caller sends
+// it, since tries run in goroutines of their own and not in that of the caller's connection.
 func TestPanicOfATryFailsTheCallOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &answers{}
+		a := &fakeBackends{}
 		call := a.call(true)
 		call.Try = func(context.Context, bool) (string, error) { panic("as asked") }
-		if _, _, err := Do(t.Context(), hedger(&allowance{left: 1}), call); err == nil {
+		if _, _, err := Do(t.Context(), newHedger(&fakeBudget{left: 1}), call); err == nil {
 			t.Error("no error")
 		}
 	})
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -8,57 +8,57 @@
 	"time"
 )
 
-// ErrLost is the cause with which a try's context ends when the other try
-// answered first.
+// ErrLost is the cause with which the context of a try is cancelled when the other try answered
+// first.
 var ErrLost = errors.New("the other try answered first")
 
 // Call is one call that may be hedged.
 type Call[T any] struct {
 	Pool       string
 	Idempotent bool
-	// Try sends the call; second tells that it must go to another backend
-	// server than the first. It is called at most twice, possibly at once. Its
-	// answer may still be read until release was called or ctx ends.
+	// Try sends the call. second is true if it must go to another backend server than the first
+	// try. Try is called at most twice, possibly concurrently. Its answer may be read until
+	// release is called or ctx ends.
 	Try func(ctx context.Context, second bool) (T, error)
-	// Other tells whether there is another backend server for a second try.
+	// Other reports whether there is another backend server for a second try.
 	Other func() bool
-	// Drop disposes of an answer that nobody waits for.
+	// Drop disposes of an answer that is not used.
 	Drop func(T)
 }
 
-// outcome is what one try came to.
+// outcome is the result of one try.
 type outcome[T any] struct {
 	value  T
 	err    error
 	second bool
 }
 
-// race holds the tries of one call.
+// race holds the state of the tries of one call.
 type race[T any] struct {
 	h       *Hedger
 	call    Call[T]
 	ctx     context.Context
 	results chan outcome[T]
 	cancel  [2]context.CancelCauseFunc
-	open    int
+	pending int
 }
 
-// Do makes the call and returns the first answer; the other try is cancelled.
-// An error is that of the first try, when both failed. release ends the
-// winner's context: call it once the answer was read.
+// Do makes the call and returns the first answer; the other try is cancelled. If both tries fail,
+// err is the error of the first one. release cancels the winner's context: call it when the
+// answer has been read.
 func Do[T any](ctx context.Context, h *Hedger, call Call[T]) (value T, release func(), err error) {
 	if call.Idempotent {
 		h.budget.First()
 	}
-	began := time.Now()
-	delay, may := h.Delay(call.Pool, call.Idempotent)
-	if may {
+	startedAt := time.Now()
+	delay, mayHedge := h.Delay(call.Pool, call.Idempotent)
+	if mayHedge {
 		value, release, err = hedged(ctx, h, call, delay)
 	} else {
 		value, release, err = unhedged(ctx, call)
 	}
 	if err == nil && call.Idempotent {
-		h.Observe(call.Pool, time.Since(began), time.Now())
+		h.Observe(call.Pool, time.Since(startedAt), time.Now())
 	}
 	return value, release, err
 }
@@ -75,7 +75,7 @@
 func hedged[T any](ctx context.Context, h *Hedger, call Call[T], delay time.Duration) (T, func(), error) {
 	r := &race[T]{h: h, call: call, ctx: ctx, results: make(chan outcome[T], 2)}
 	r.start(false)
-	got := r.first(delay)
+	got := r.firstResult(delay)
 	winner := index(got.second)
 	r.stop(1-winner, ErrLost)
 	if got.err != nil {
@@ -85,7 +85,7 @@
 	if got.second {
 		h.won.Inc()
 	}
-	if r.open > 0 {
+	if r.pending > 0 {
 		go r.drain()
 	}
 	return got.value, func() { r.stop(winner, nil) }, nil
@@ -101,14 +101,14 @@
 func (r *race[T]) start(second bool) {
 	ctx, cancel := context.WithCancelCause(r.ctx)
 	r.cancel[index(second)] = cancel
-	r.open++
+	r.pending++
 	go func() {
 		v, err := r.try(ctx, second)
 		r.results <- outcome[T]{v, err, second}
 	}()
 }
 
-// try makes one try. It runs on a goroutine of its own, where a panic would end the router.
+// try makes one try. It runs in its own goroutine, where a panic would end the router process.
 func (r *race[T]) try(ctx context.Context, second bool) (v T, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -124,29 +124,29 @@
 	}
 }
 
-// first waits for the first answer, or for the failure of all tries. A first
-// try that fails before the delay is over is not hedged: that is a retry, for
-// the caller of Do to decide.
-func (r *race[T]) first(delay time.Duration) outcome[T] {
+// firstResult waits for the first answer, or for the failure of all tries. If the first try fails
+// before the delay is over, no second one is sent: that would be a retry, which the caller of Do
+// has to decide on.
+func (r *race[T]) firstResult(delay time.Duration) outcome[T] {
 	t := time.NewTimer(delay)
 	defer t.Stop()
-	late := t.C
+	hedgeTimer := t.C
 	var failed *outcome[T]
 	for {
 		select {
-		case <-late:
-			late = nil
+		case <-hedgeTimer:
+			hedgeTimer = nil
 			r.hedge()
 		case got := <-r.results:
-			r.open--
+			r.pending--
 			if got.err == nil {
 				return got
 			}
-			late = nil
+			hedgeTimer = nil
 			if failed == nil || !got.second {
 				failed = &got
 			}
-			if r.open == 0 {
+			if r.pending == 0 {
 				return *failed
 			}
 		}
@@ -165,9 +165,9 @@
 	r.start(true)
 }
 
-// drain disposes of the loser's answer, which may have come all the same.
+// drain disposes of the answer of the slower try, in case it arrived despite the cancellation.
 func (r *race[T]) drain() {
-	for ; r.open > 0; r.open-- {
+	for ; r.pending > 0; r.pending-- {
 		if got := <-r.results; got.err == nil {
 			r.call.Drop(got.value)
 		}
