--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,12 +1,11 @@
-// Package relay passes requests with an opaque body to the service of their
-// route, and gives each its one final, true answer.
+// Package relay forwards requests with an opaque body to the service of their route, and gives
+// each one its one final, true answer.
 //
-// Failure stories. A router that does not know its configuration yet, or knows
-// an old one, must not say that a route or a key doesn't exist: it refuses with
-// the time to come back. A refusal says that nothing ran; it is given at once,
-// and only while that is true (package generation decides it). A request that
-// ran and whose answer is lost gets an answer that promises nothing. At the
-// route's timeout the final answer is given, whatever is under way.
+// A router that has no configuration yet, or an outdated one, must not report that a route or a
+// key doesn't exist: it refuses with the time to come back. A refusal means that nothing ran. It
+// is given at once, and only while that is true (package generation decides it). A request that
+// ran and whose answer is lost gets an answer that promises nothing. At the route's timeout the
+// final answer is given, whatever is still running.
 package relay
 
 import (
@@ -31,7 +30,7 @@
 
 // Request is one request as a client sent it.
 type Request struct {
-	ID     string // as the client chose it
+	ID     string // as chosen by the client
 	Method string
 	Target string // request target, unchanged
 	Path   string // of the target, unchanged
@@ -39,54 +38,54 @@
 	Header http.Header // end-to-end headers
 	Body   []byte
 	Key    string        // API key, if any
-	Budget time.Duration // how long the client waits; 0 when it did not say
-	// First is the number of the first piece that the client wants of a stream.
+	Budget time.Duration // how long the client waits; 0 if not stated
+	// First is the number of the first chunk that the client wants of a stream.
 	First int
-	// Returned tells that the client has pieces before First from an earlier try.
+	// Returned reports that the client has chunks before that one from an earlier try.
 	Returned bool
-	Size     int      // tokens of the prompt, 0 when not stated
-	Answer   int      // most tokens of the answer, 0 when not stated
+	Size     int      // tokens of the prompt, 0 if not stated
+	Answer   int      // maximum number of tokens of the answer, 0 if not stated
 	Parts    []string // ids of the prompt's parts, in order
 }
 
 // Verdict is how a request ended.
 type Verdict struct {
-	// Status of the answer that the client still has to be given; 0 when the
+	// Status is the status of the answer that still has to be sent to the client; 0 if the
 	// backend server's answer was delivered.
 	Status     int
 	RetryAfter time.Duration // with a refusal
-	// Broken tells that an answer has begun and can't be completed: the
-	// connection must end so that the answer does not look whole.
+	// Broken reports that an answer has started and can't be completed: the connection must be
+	// closed in a way that doesn't make the answer look complete.
 	Broken bool
 }
 
-// Runner carries one request over as many backend servers as it takes.
+// Runner runs one request on as many backend servers as needed.
 type Runner interface {
 	Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 }
 
-// Budgets count first tries, of which a share may be tried again.
+// Budgets counts first tries, a share of which may be retried.
 type Budgets interface {
 	First(service string)
 }
 
-// Config of a Relay.
+// Config configures a Relay.
 type Config struct {
 	Table   *route.Current
 	Runner  Runner
 	Budgets Budgets
-	// Patience says how long a stream waits for a backend server, by its target; nil for
-	// half of it.
+	// Patience returns how long a stream waits for a backend server, given its target time; nil
+	// selects half of the target.
 	Patience func(target time.Duration) time.Duration
 	Log      *event.Log
 	Set      *metrics.Set
 }
 
-// Relay serves requests. It may be shared by goroutines.
+// Relay serves requests. It is safe for concurrent use.
 type Relay struct {
-	cfg   Config
-	m     *meters
-	began time.Time
+	cfg       Config
+	m         *meters
+	startedAt time.Time
 }
 
 // New returns a Relay.
@@ -94,30 +93,31 @@
 	if cfg.Set == nil {
 		cfg.Set = metrics.NewSet()
 	}
-	return &Relay{cfg: cfg, m: newMeters(cfg.Set), began: time.Now()}
+	return &Relay{cfg: cfg, m: newMeters(cfg.Set), startedAt: time.Now()}
 }
 
 const (
-	// startGrace is how long after its begin a Relay has requests wait for the first
-	// configuration. One that is not there by then means that the store is away.
+	// startGrace is how long after its start a Relay lets requests wait for the first
+	// configuration. If there is none by then, the store is assumed to be unreachable.
 	startGrace = 500 * time.Millisecond
-	// startPoll is how often it looks meanwhile.
+	// startPoll is how often it checks for the configuration meanwhile.
 	startPoll = 5 * time.Millisecond
-	// unknownRetry is told while no configuration is known after that: the store is away,
-	// and a client that comes back too soon is refused once more.
-	unknownRetry = 2 * time.Second
-	// retryShare is the largest part of a client's remaining time that it is
-	// told to wait: later it could not be served any more.
-	retryShare = 3
+	// noConfigRetryAfter is the time to come back after startGrace while there is no
+	// configuration: the store is unreachable, and a client that comes back too soon is refused
+	// again.
+	noConfigRetryAfter = 2 * time.Second
+	// retryAfterDivisor limits the time to come back to a third of the client's remaining time: a
+	// client that came back later could not be served any more.
+	retryAfterDivisor = 3
 )
 
-// Serve carries req to its end. It delivers to sink from the calling goroutine;
-// ctx ends when the client is gone.
+// Serve runs req to its end. It delivers to sink from the calling goroutine; ctx ends when the
+// client disconnects.
 func (r *Relay) Serve(ctx context.Context, req *Request, sink generation.Sink) Verdict {
-	began := time.Now()
+	startedAt := time.Now()
 	table := r.table(ctx)
 	if table == nil {
-		return r.refuse(req, nil, http.StatusServiceUnavailable, "no configuration yet", unknownRetry)
+		return r.refuse(req, nil, http.StatusServiceUnavailable, "no configuration yet", noConfigRetryAfter)
 	}
 	rt, ok := table.Match(req.Host, req.Path)
 	if !ok {
@@ -131,21 +131,22 @@
 	j.cfg = &r.cfg
 	r.cfg.Budgets.First(j.service)
 	res := r.cfg.Runner.Run(ctx, j.generation(), sink)
-	v := j.verdict(res)
-	r.ended(j, res, v, time.Since(began))
+	v := j.result(res)
+	r.ended(j, res, v, time.Since(startedAt))
 	return v
 }
 
-// table is the one in force, nil if none is known. Just after the start it waits for the first.
+// table returns the route table in force, nil if there is none. Just after the start it waits for
+// the first one.
 //
-// What goes wrong without it: all routers are killed, and clients are back before the
-// routers have read the store. They are told that the store is away and come back two
-// seconds later, for what is there in a tenth of a second. It shows as refusals for want
-// of a configuration right after a start.
+// Without the wait, after all routers were killed, clients come back before the routers have read
+// the store. They would be told to come back two seconds later for a configuration that is
+// available after a tenth of a second. The symptom is refusals for lack of a configuration right
+// after a start.
 func (r *Relay) table(ctx context.Context) *route.Table {
 	for {
 		t := r.cfg.Table.Get()
-		if t != nil || time.Since(r.began) > startGrace {
+		if t != nil || time.Since(r.startedAt) > startGrace {
 			return t
 		}
 		select {
@@ -156,7 +157,7 @@
 	}
 }
 
-// job is one request with all that was decided about it at its begin.
+// job is one request with all that was decided about it at its start.
 type job struct {
 	cfg      *Config
 	req      *Request
@@ -192,7 +193,7 @@
 	return j
 }
 
-// timeoutOf is the shorter of what the client waits and what the route allows.
+// timeoutOf returns the shorter of the client's and the route's timeout.
 func timeoutOf(req *Request, rt *route.Route) time.Duration {
 	switch {
 	case req.Budget <= 0:
@@ -203,9 +204,9 @@
 	return min(req.Budget, rt.Timeout)
 }
 
-// age is how long ago the client tried first, as far as what is left of its time tells:
-// clients wait for about as long as the route allows. It orders requests that wait, and
-// decides nothing else, since a client may wait for less from the begin.
+// age estimates how long ago the client tried first from its remaining time, assuming that
+// clients wait for about as long as the route allows. It is used only to order waiting requests,
+// since a client may have set a shorter timeout from the start.
 func (j *job) age() time.Duration {
 	if j.req.Budget <= 0 || j.route.Timeout <= 0 {
 		return 0
@@ -213,9 +214,9 @@
 	return max(j.route.Timeout-j.req.Budget, 0)
 }
 
-// patience is how long a request waits for a backend server: half of the time until its
-// answer is late, since the rest is needed for its work, or as the relay is told.
-func (j *job) patience() time.Duration {
+// maxWait is how long a request waits for a backend server: half of the time until its answer is
+// late, since the rest is needed to run it, or as configured.
+func (j *job) maxWait() time.Duration {
 	if j.route.Kind == route.Stream && j.cfg.Patience != nil {
 		return j.cfg.Patience(j.route.Target)
 	}
@@ -249,7 +250,7 @@
 			Parts:       j.req.Parts,
 			Returned:    j.req.Returned,
 			MaxAttempts: max(j.route.MaxAttempts, 1),
-			Patience:    j.patience(),
+			Patience:    j.maxWait(),
 			Target:      j.route.Target,
 			Age:         j.age(),
 			Copies:      j.copying(),
@@ -264,7 +265,8 @@
 	return req
 }
 
-// copying is what is done about copies: only a run that may go on elsewhere needs one.
+// copying returns which copies of the run are made: only a run that may be continued elsewhere
+// needs any.
 func (j *job) copying() generation.Copying {
 	if j.route.Kind != route.Stream || !j.route.Resumable {
 		return generation.Copying{}
@@ -272,8 +274,8 @@
 	return generation.Copying{Kept: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
 }
 
-// verdict turns the outcome into what the client is still to be told.
-func (j *job) verdict(res generation.Result) Verdict {
+// result derives what still has to be sent to the client from the outcome.
+func (j *job) result(res generation.Result) Verdict {
 	switch {
 	case res.Outcome == fleet.Complete:
 		return Verdict{}
@@ -289,11 +291,11 @@
 	return Verdict{Status: http.StatusBadGateway}
 }
 
-// retryAfter keeps the advice within what is left to the client.
+// retryAfter limits the time to come back to a third of the client's remaining time.
 func (j *job) retryAfter(advice time.Duration) time.Duration {
 	if j.req.Budget <= 0 {
 		return advice
 	}
 	left := j.deadline.Left() + j.req.Budget - j.timeout
-	return max(min(advice, left/retryShare), 0)
+	return max(min(advice, left/retryAfterDivisor), 0)
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -12,15 +12,15 @@
 	"wigeondale/route"
 )
 
-// ends is a Runner with one result.
-type ends struct {
-	res generation.Result
-	got *generation.Request
+// fixedResult is a Runner that always returns the same result.
+type fixedResult struct {
+	result generation.Result
+	got    *generation.Request
 }
 
-func (e ends) Run(_ context.Context, req generation.Request, _ generation.Sink) generation.Result {
+func (e fixedResult) Run(_ context.Context, req generation.Request, _ generation.Sink) generation.Result {
 	*e.got = req
-	return e.res
+	return e.result
 }
 
 type noBudgets struct{}
@@ -39,13 +39,13 @@
 	table := &route.Current{}
 	table.Install(route.NewTable(cfg))
 	var got generation.Request
-	r := New(Config{Table: table, Runner: ends{res, &got}, Budgets: noBudgets{}})
+	r := New(Config{Table: table, Runner: fixedResult{res, &got}, Budgets: noBudgets{}})
 	return r.Serve(t.Context(), req, nil), got
 }
 
-// Symptom: a client is told that nothing ran, and asks again, though it had run;
-// or an answer that was cut looks whole. The promise of a refusal may be given
-// only with an outcome that holds it.
+// Guards against: a client is told that nothing ran, and sends the request again, though it had
+// run; or an answer that was cut looks complete. A refusal may be sent only with an outcome for
+// which its promise is true.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
@@ -65,8 +65,8 @@
 	}
 }
 
-// Symptom: a client comes back when its time is over. Cause: it is told to wait
-// for longer than a third of what it has left.
+// Guards against: a client comes back when its time is over, because it is told to wait for
+// longer than a third of its remaining time.
 func TestAdviceFitsTheClientsTime(t *testing.T) {
 	res := generation.Result{Outcome: fleet.NotRun, RetryAfter: 5 * time.Second}
 	v, _ := serve(t, res, &Request{Host: "h", Path: "/p/x", Key: "k", Budget: 3 * time.Second}, nil)
@@ -103,8 +103,8 @@
 	}
 }
 
-// Symptom: a request that may run once is tried elsewhere, a request outlives its
-// route's time, or an account's priority does not go before that of the route.
+// Guards against: a request that may run only once is tried again elsewhere, a request outlives
+// its route's timeout, or an account's priority doesn't override that of the route.
 func TestRouteDecidesWhatMayBeRepeated(t *testing.T) {
 	_, got := serve(t, generation.Result{Outcome: fleet.Complete}, &Request{Host: "h", Path: "/p/x", Key: "k", Budget: time.Hour}, nil)
 	left := got.Opaque.Deadline.Left()
@@ -113,10 +113,10 @@
 	}
 }
 
-// Symptom: clients that come back right after a start are told to wait for two seconds.
-// Sequence: all routers were killed; a request comes before its router has read the
-// configuration, which it has a tenth of a second later. Cause: a start was taken for a
-// store that is away. While the store is away they are told so.
+// Guards against: clients that come back right after a start are told to wait for two seconds.
+// All routers were killed; a request arrives before its router has read the configuration, which
+// it has a tenth of a second later. The fault is to treat a start as an unreachable store. If the
+// store is unreachable, the clients must be told to wait for two seconds.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	for name, c := range map[string]struct {
 		known time.Duration // after the start
@@ -131,19 +131,19 @@
 			synctest.Test(t, func(t *testing.T) {
 				table := &route.Current{}
 				var got generation.Request
-				r := New(Config{Table: table, Runner: ends{generation.Result{Outcome: fleet.Complete}, &got}, Budgets: noBudgets{}})
+				r := New(Config{Table: table, Runner: fixedResult{generation.Result{Outcome: fleet.Complete}, &got}, Budgets: noBudgets{}})
 				timer := time.AfterFunc(c.known, func() {
 					table.Install(route.NewTable(&route.Config{Version: 1, Routes: []route.Route{{Host: "h", Prefix: "/", Service: "svc", Open: true}}}))
 				})
 				defer timer.Stop()
 				time.Sleep(c.sent)
-				asked := time.Now()
+				sentAt := time.Now()
 				v := r.Serve(t.Context(), &Request{Host: "h", Path: "/", Budget: 9 * time.Second}, nil)
 				if v.Status != c.want {
 					t.Errorf("got %+v", v)
 				}
-				if held := time.Since(asked); held > startGrace+startPoll || c.sent > startGrace && held > 0 {
-					t.Errorf("held for %v", held)
+				if waited := time.Since(sentAt); waited > startGrace+startPoll || c.sent > startGrace && waited > 0 {
+					t.Errorf("waited for %v", waited)
 				}
 			})
 		})
--- a/relay/report.go
+++ b/relay/report.go
@@ -23,7 +23,7 @@
 	m.set.GetOrCreateHistogram(`wigeon_relay_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// refuse answers a request that reaches no backend server.
+// refuse answers a request without sending it to a backend server.
 func (r *Relay) refuse(req *Request, table *route.Table, status int, reason string, retry time.Duration) Verdict {
 	version := int64(0)
 	if table != nil {
@@ -33,12 +33,12 @@
 	r.cfg.Log.Emit(event.RelayRefused, "request", req.ID, "status", status, "reason", reason,
 		"host", req.Host, "path", req.Path, "version", version)
 	if status == http.StatusServiceUnavailable && req.Budget > 0 {
-		retry = min(retry, req.Budget/retryShare)
+		retry = min(retry, req.Budget/retryAfterDivisor)
 	}
 	return Verdict{Status: status, RetryAfter: retry}
 }
 
-// ended tells how a request went that was passed on.
+// ended records in metrics and the log how a forwarded request ended.
 func (r *Relay) ended(j *job, res generation.Result, v Verdict, took time.Duration) {
 	r.m.ended(j.route.Kind.String(), string(res.Outcome), took)
 	kv := []any{
