--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,13 +1,12 @@
-// Package admission decides which requests may run now, which wait and which
-// are refused: by the limits of client accounts, by fair queueing between
-// them, by priority, deadline and the backend servers' capacity.
+// Package admission decides which requests may run now, which wait and which are refused. It
+// considers the limits of client accounts, fair queueing between the accounts, priority, deadline
+// and the capacity of the backend servers.
 //
-// Failure story: past capacity, a queue without bounds makes every request
-// late, and retries of late requests make it worse. So the queue is bounded,
-// what cannot finish in time is refused at once with a time to come back, and
-// retries draw on a budget. One large client account must not starve small
-// ones: accounts are served by start-time fair queueing on cost. Started
-// answers come first: a resume is neither charged nor refused for room.
+// Above capacity, an unbounded queue makes every request late, and retries of late requests add
+// to the load. So the queue is bounded, a request that can't finish in time is refused at once
+// with a time to come back, and retries draw on a budget. One large client account must not
+// starve small ones: accounts are served by start-time fair queueing on cost. Started answers
+// come first: a resume is neither charged nor refused because the queue is full.
 package admission
 
 import (
@@ -27,24 +26,24 @@
 // Limit is what one client account may use in the whole fleet.
 type Limit struct {
 	TokensPerSecond float64 // sustained rate; 0 means no limit
-	Burst           float64 // tokens on top of the rate; 0 means one second's worth
-	MaxConcurrent   int     // requests at once; 0 means no limit
+	Burst           float64 // tokens in addition to the rate; 0 means one second's worth
+	MaxConcurrent   int     // concurrent requests; 0 means no limit
 	Weight          float64 // share when capacity is short; 0 means 1
 }
 
-// Ticket asks for admission of one attempt.
+// Ticket requests the admission of one attempt.
 type Ticket struct {
 	Account string
-	// Pool names the backend servers that the work competes for: the model, or
-	// the plain service. Name only what the account has access to.
+	// Pool names the backend servers for which the work competes: a model, or a service that is
+	// not a model engine. Callers must have checked that the account has access to it.
 	Pool     string
 	Priority fleet.Priority
-	Cost     float64   // estimated tokens, prompt and output
-	Deadline time.Time // the caller's; zero means none
-	Resume   bool      // continues an answer that was started
+	Cost     float64   // estimated tokens of prompt and output
+	Deadline time.Time // of the caller; zero means none
+	Resume   bool      // continues a started answer
 }
 
-// Reason says why a ticket was refused.
+// Reason states why a ticket was refused.
 type Reason string
 
 // Reasons of Refused.
@@ -58,7 +57,7 @@
 	ReasonNoReplica      Reason = "no-replica"
 )
 
-// Refused is the error of Admit. Nothing of the request was run.
+// Refused is the error of Admit. It means that no part of the request was run.
 type Refused struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -69,25 +68,26 @@
 	return fmt.Sprintf("admission: refused (%s), retry after %s", r.Reason, r.RetryAfter)
 }
 
-// Config sizes a Controller. Zero values take the defaults.
+// Config configures a Controller. Zero values select the defaults.
 type Config struct {
 	MaxQueue       int           // tickets waiting per class (default 1024)
-	MaxRetryAfter  time.Duration // longest Retry-After given (default 30 s)
-	MinService     time.Duration // least time that any request needs (default 20 ms)
-	DefaultRetry   time.Duration // Retry-After when nothing is known (default 1 s)
+	MaxRetryAfter  time.Duration // longest Retry-After returned (default 30 s)
+	MinService     time.Duration // minimum time that any request needs (default 20 ms)
+	DefaultRetry   time.Duration // Retry-After if no estimate is available (default 1 s)
 	DemandHalfLife time.Duration // of the observed demand (default 2 s)
-	Patience       time.Duration // for a pool without any capacity (default 3 s)
-	// Capacity is how many requests the backend servers of a pool can take from
-	// this router now; nil means no bound. It is called under a lock: be quick.
+	Patience       time.Duration // longest wait for a pool without any capacity (default 3 s)
+	// Capacity returns how many requests of this router the backend servers of a pool can run
+	// now. nil means no bound. It is called with a lock held and must return quickly.
 	Capacity func(pool string) int
-	// BatchCapacity is the same for new work of batch priority, which leaves the
-	// rest to lookups and resumes; nil means Capacity. Drafts run for minutes: if
-	// they may fill every place, a lookup waits until one of them has ended.
+	// BatchCapacity is the same for new work of batch priority. The rest of the capacity is left
+	// for interactive requests and resumes; nil means Capacity. Batch generations run for
+	// minutes: if they could fill every slot, an interactive request would wait until one of them
+	// has ended.
 	BatchCapacity func(pool string) int
-	// UrgentFloor is how many lookups may run from this router, and how many
-	// resumes beyond Capacity, whatever else runs; nil means none. Engines serve
-	// them first, so that behind drafts already sent they wait for one place to
-	// come free, not for all those drafts.
+	// UrgentFloor returns how many interactive requests this router may run, and how many resumes
+	// beyond Capacity, whatever else runs; nil means none. Engines serve them first, so that
+	// behind batch requests already sent they wait for one free slot, not for all of those
+	// requests.
 	UrgentFloor func(pool string) int
 }
 
@@ -122,7 +122,7 @@
 	return c.UrgentFloor(pool)
 }
 
-// refuse bounds the time to come back.
+// refuse returns a refusal with a bounded Retry-After.
 func (c *Config) refuse(reason Reason, after time.Duration) *Refused {
 	if after <= 0 {
 		after = c.DefaultRetry
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -6,16 +6,16 @@
 	"testing"
 )
 
-// BenchmarkPeerDemand measures taking in the demands of all other routers, as
-// each router does four times a second, and its memory. Linked peers tell of
-// all accounts; those without a link count as lost and tell of none.
+// BenchmarkPeerDemand measures the time and memory of SetPeerDemand with the demands of all other
+// routers. Each router calls it four times a second. Linked peers report the demand of all
+// accounts; peers without a link count as unreachable and report none.
 func BenchmarkPeerDemand(b *testing.B) {
 	for _, size := range []struct{ accounts, linked, unlinked int }{{10, 7, 0}, {5600, 7, 0}, {5600, 7, 822}} {
 		b.Run(fmt.Sprintf("accounts=%d/peers=%d", size.accounts, size.linked+size.unlinked), func(b *testing.B) {
 			limits, demand := map[string]Limit{}, map[string]float64{}
 			for i := range size.accounts {
 				id := fmt.Sprint("account", i)
-				limits[id] = wide
+				limits[id] = noLimit
 				demand[id] = 10
 			}
 			var peers []PeerDemand
@@ -29,7 +29,7 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			c := controller(1, limits)
+			c := newTestController(1, limits)
 			c.SetPeerDemand(peers)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
@@ -42,19 +42,19 @@
 	}
 }
 
-// BenchmarkShareAboveMesh reports what part of a fleet-wide limit a client
-// account gets whose demand equals the limit and arrives evenly at some of 830
-// routers, each linked to 8 others: those without a link count as lost.
+// BenchmarkShareAboveMesh reports what part of a fleet-wide limit a client account gets whose
+// demand equals the limit and arrives evenly at some of 830 routers, each linked to 8 others:
+// those without a link count as unreachable.
 func BenchmarkShareAboveMesh(b *testing.B) {
 	const routers, links, limit = 830, 8, 1000.0
 	for _, entered := range []int{1, 8, 83, routers} {
 		b.Run(fmt.Sprintf("routers=%d", entered), func(b *testing.B) {
-			own := limit / float64(entered)
+			localDemand := limit / float64(entered)
 			var got float64
 			for b.Loop() {
-				heard, lost := others{nodes: links}, others{nodes: routers - 1 - links}
-				heard.demand = own * float64(links) * float64(entered-1) / (routers - 1)
-				got = share(limit, own, heard, lost) * float64(entered) / limit
+				reachable, unreachable := peerTotals{nodes: links}, peerTotals{nodes: routers - 1 - links}
+				reachable.demand = localDemand * float64(links) * float64(entered-1) / (routers - 1)
+				got = limitShare(limit, localDemand, reachable, unreachable) * float64(entered) / limit
 			}
 			b.ReportMetric(100*got, "%of-limit")
 		})
--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// bucket is a token bucket whose rate may change. Its level may fall below
-// zero when a request cost more than was estimated: the debt is paid first.
-// golang.org/x/time/rate knows neither debts nor refunds.
+// bucket is a token bucket whose rate may change. Its level falls below zero when a request cost
+// more than estimated: that debt has to be refilled first. golang.org/x/time/rate supports
+// neither debts nor refunds.
 type bucket struct {
 	level float64
 	at    time.Time
@@ -25,9 +25,8 @@
 	b.level = min(b.level, burst)
 }
 
-// take draws cost; when it is short, wait is the time until it would do. A
-// cost above the burst is let through by a full bucket and leaves a debt:
-// otherwise a long draft could never run.
+// take draws cost. If the level is too low, wait is the time until it suffices. A full bucket
+// admits a cost above the burst and goes into debt: otherwise a long generation could never run.
 func (b *bucket) take(cost, rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	b.refill(rate, burst, now)
 	need := min(cost, burst)
@@ -41,30 +40,29 @@
 	return false, time.Duration((need - b.level) / rate * float64(time.Second))
 }
 
-// give returns what was estimated too much, or draws what was too little.
+// give returns the overestimated tokens, or draws the underestimated ones (negative values).
 func (b *bucket) give(tokens float64) { b.level += tokens }
 
-// decayed is a rate of events per second that forgets with a half-life.
+// decayed is a rate of events per second in which events lose weight with a half-life.
 type decayed struct {
 	sum float64
 	at  time.Time
 }
 
-func (d *decayed) fade(now time.Time, half time.Duration) {
+func (d *decayed) fade(now time.Time, halfLife time.Duration) {
 	if age := now.Sub(d.at); !d.at.IsZero() && age > 0 {
-		d.sum *= math.Exp2(-age.Seconds() / half.Seconds())
+		d.sum *= math.Exp2(-age.Seconds() / halfLife.Seconds())
 	}
 	d.at = now
 }
 
-func (d *decayed) add(n float64, now time.Time, half time.Duration) {
-	d.fade(now, half)
+func (d *decayed) add(n float64, now time.Time, halfLife time.Duration) {
+	d.fade(now, halfLife)
 	d.sum += n
 }
 
-// perSecond is the rate: the sum over an exponential window, whose mean length
-// is half/ln 2.
-func (d *decayed) perSecond(now time.Time, half time.Duration) float64 {
-	d.fade(now, half)
-	return d.sum * math.Ln2 / half.Seconds()
+// perSecond is the rate: the sum over an exponential window, whose mean length is halfLife/ln 2.
+func (d *decayed) perSecond(now time.Time, halfLife time.Duration) float64 {
+	d.fade(now, halfLife)
+	return d.sum * math.Ln2 / halfLife.Seconds()
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -11,8 +11,8 @@
 	"wigeondale/fleet"
 )
 
-// recheckInterval is how often waiting tickets look whether capacity grew
-// without a release, since the capacity function can't tell us.
+// recheckInterval is how often waiting tickets check whether capacity grew without a release,
+// since the capacity function can't notify the controller.
 const recheckInterval = 50 * time.Millisecond
 
 // Controller admits requests on one router.
@@ -28,19 +28,18 @@
 	seq      uint64
 }
 
-// waitCaution is by how much a wait is taken to be longer than estimated, when
-// a newcomer is refused by it.
-const waitCaution = 1.1
+// waitSafetyFactor is the factor by which an estimated wait is increased when it decides whether
+// a new request is refused.
+const waitSafetyFactor = 1.1
 
-// queueShare is the part of the time that new batch work has to spare until its
-// deadline which it may spend in the queue.
+// maxQueueShare is the part of the slack until its deadline that new batch work may spend in the
+// queue.
 //
-// What goes wrong without it: past capacity the queue grows until each ticket
-// waits as long as it can at all. That serves no more of them than a short queue
-// does, since the places are full either way; but each starts late, ends just
-// before its deadline or is cut there, and once capacity is back the backlog
-// makes all that arrive in the next ten seconds late as well.
-const queueShare = 0.4
+// Without it, the queue grows above capacity until each ticket waits as long as it can. That
+// serves no more tickets than a short queue, since the slots are full either way. But each ticket
+// starts late and ends just before its deadline or is cut there, and when capacity is back the
+// backlog makes all requests of the next ten seconds late as well.
+const maxQueueShare = 0.4
 
 // NewController returns a Controller without accounts: call SetLimits.
 func NewController(cfg Config, log *event.Log, set *metrics.Set) *Controller {
@@ -67,8 +66,8 @@
 	return n
 }
 
-// pool returns the record of a pool. Pools are named by callers who passed the
-// check of access, so their number is that of models and services.
+// pool returns the state of a pool, and creates it if needed. Pool names come from callers that
+// have passed the access check, so their number is bounded by that of models and services.
 func (c *Controller) pool(name string) *pool {
 	p := c.pools[name]
 	if p == nil {
@@ -78,8 +77,8 @@
 	return p
 }
 
-// Admit returns when the ticket may run, or refuses it. release must be called
-// once when it ended, with the tokens it really cost. The error is a *Refused.
+// Admit returns when the ticket may run, or refuses it. When the work has ended, release must be
+// called with the tokens that it actually cost; later calls do nothing. The error is a *Refused.
 func (c *Controller) Admit(ctx context.Context, t Ticket) (release func(actual float64), err error) {
 	c.mu.Lock()
 	w, refused := c.enter(&t, time.Now())
@@ -97,8 +96,8 @@
 	}, nil
 }
 
-// enter decides at once, or puts the ticket in its queue: then the waiter that
-// it returns has a ready channel.
+// enter decides at once, or puts the ticket in its queue: in that case the returned waiter has a
+// ready channel.
 func (c *Controller) enter(t *Ticket, now time.Time) (*waiter, *Refused) {
 	a := c.accounts[t.Account]
 	if a == nil {
@@ -115,12 +114,12 @@
 		return nil, c.cfg.refuse(ReasonDeadline, 0)
 	}
 	p.noteCapacity(&c.cfg, now)
-	if p.dead(&c.cfg, now) {
+	if p.unavailable(&c.cfg, now) {
 		return nil, c.cfg.refuse(ReasonNoReplica, 0)
 	}
-	free := p.unqueued(classOf(t)) && p.takes(classOf(t), &c.cfg)
+	free := p.noneAhead(classOf(t)) && p.hasSlot(classOf(t), &c.cfg)
 	if !free {
-		if r := c.makeRoom(w, now); r != nil {
+		if r := c.checkQueue(w, now); r != nil {
 			return nil, r
 		}
 	}
@@ -138,8 +137,8 @@
 	return w, nil
 }
 
-// charge holds new work to its account's limits. A resume was charged when its
-// request was admitted.
+// charge applies the limits of the account to new work. A resume was charged when its request was
+// admitted.
 func (c *Controller) charge(w *waiter, now time.Time) *Refused {
 	if w.ticket.Resume {
 		return nil
@@ -154,26 +153,28 @@
 	return nil
 }
 
-// makeRoom refuses what cannot finish in time by the rate at which the queues
-// drain, or would wait longer than is of use. In a full queue it drops the last
-// ticket if the newcomer's turn is earlier. Resumes always have room.
-func (c *Controller) makeRoom(w *waiter, now time.Time) *Refused {
+// checkQueue refuses a ticket that can't finish in time at the rate at which the queues drain, or
+// that would wait longer than is useful. If the queue is full it drops the ticket with the
+// highest start tag, provided that the new ticket would be served before that one. Resumes are
+// not refused for a full queue.
+func (c *Controller) checkQueue(w *waiter, now time.Time) *Refused {
 	p := w.pool
 	wait := p.waitFor(p.ahead(w), w.ticket.Priority, &c.cfg, now)
-	// Refused now or after a wait in vain: the estimate is taken for too short.
-	if w.expired(now.Add(time.Duration(float64(wait)*waitCaution)), c.cfg.MinService) {
+	// The ticket is refused either now or after waiting in vain, so the estimated wait is
+	// increased to refuse it now.
+	if w.expired(now.Add(time.Duration(float64(wait)*waitSafetyFactor)), c.cfg.MinService) {
 		return c.cfg.refuse(ReasonDeadline, wait)
 	}
-	if spare, bounded := w.spare(now, c.cfg.MinService); bounded && wait > spare {
+	if maxWait, bounded := w.maxQueueWait(now, c.cfg.MinService); bounded && wait > maxWait {
 		return c.cfg.refuse(ReasonQueueFull, wait)
 	}
 	q := p.queues[classOf(&w.ticket)]
 	if w.ticket.Resume || len(q.items) < c.cfg.MaxQueue {
 		return nil
 	}
-	start, _ := q.tag(w.acct, w.ticket.Cost)
+	start, _ := q.tags(w.acct, w.ticket.Cost)
 	last := q.last()
-	if last.start <= start {
+	if last.startTag <= start {
 		return c.cfg.refuse(ReasonQueueFull, p.waitFor(len(q.items), w.ticket.Priority, &c.cfg, now))
 	}
 	c.drop(last, c.cfg.refuse(ReasonQueueFull, p.waitFor(len(q.items), w.ticket.Priority, &c.cfg, now)))
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -15,10 +15,10 @@
 	"wigeondale/fleet"
 )
 
-// wide is a limit that never binds.
-var wide = Limit{TokensPerSecond: 1e9, Burst: 1e9}
+// noLimit is a limit that is never reached.
+var noLimit = Limit{TokensPerSecond: 1e9, Burst: 1e9}
 
-func controller(capacity int, limits map[string]Limit) *Controller {
+func newTestController(capacity int, limits map[string]Limit) *Controller {
 	c := NewController(Config{Capacity: func(string) int { return capacity }}, nil, nil)
 	c.SetLimits(limits)
 	return c
@@ -32,8 +32,9 @@
 	return r.Reason
 }
 
-// queueUp starts an Admit that waits; its name is sent when it was served.
-func queueUp(c *Controller, t Ticket, name string, served chan<- string) {
+// admitInBackground starts an Admit that may wait. It sends name to served when the ticket is
+// admitted, and the name with the reason if it is refused.
+func admitInBackground(c *Controller, t Ticket, name string, served chan<- string) {
 	go func() {
 		release, err := c.Admit(context.Background(), t)
 		if err != nil {
@@ -47,10 +48,9 @@
 	synctest.Wait()
 }
 
-// Symptom: a small account's request waits behind hundreds of a large one.
-// Sequence: the large account queues 200 tickets, then small accounts one each.
-// However the costs lie, each small ticket must be served within one ticket of
-// each account.
+// Guards against: a small account's request waits behind hundreds of a large one. The large
+// account queues up to 200 tickets, then small accounts one each. Whatever the costs are, each
+// small ticket must be served within one ticket of each account.
 func TestLargeAccountDoesNotStarveSmall(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		small := rapid.IntRange(1, 5).Draw(rt, "small accounts")
@@ -77,11 +77,11 @@
 	})
 }
 
-// Symptom: an account that pauses now and then is served before all others
-// each time it returns. Sequence: one account is served for a while, then a
-// second queues as many tickets of the same cost. From then on both get alike.
+// Guards against: an account that pauses now and then is served before all others each time it
+// returns. One account is served for a while, then a second one queues as many tickets of the
+// same cost. From then on both must be served equally.
 func TestIdleAccountSavesUpNothing(t *testing.T) {
-	q, steady, late := newQueue(), &account{}, &account{}
+	q, steady, newcomer := newQueue(), &account{}, &account{}
 	for i := range 100 {
 		q.push(&waiter{acct: steady, seq: uint64(i), ticket: Ticket{Cost: 10}})
 	}
@@ -89,11 +89,11 @@
 		q.pop()
 	}
 	for i := range 50 {
-		q.push(&waiter{acct: late, seq: uint64(100 + i), ticket: Ticket{Cost: 10}})
+		q.push(&waiter{acct: newcomer, seq: uint64(100 + i), ticket: Ticket{Cost: 10}})
 	}
 	ahead := 0
 	for range 90 {
-		if q.pop().acct == late {
+		if q.pop().acct == newcomer {
 			ahead++
 		} else {
 			ahead--
@@ -104,42 +104,42 @@
 	}
 }
 
-// Symptom: started answers are dropped under load, or lookups come too late
-// behind drafts, or drafts never run. Sequence: one slot, then one ticket of
-// each class queues in the worst order.
+// Guards against: started answers are dropped under load, interactive requests are late because
+// of batch requests, or batch requests never run. There is one slot; one ticket of each class is
+// queued in the worst order.
 func TestOrderOfClasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := controller(1, map[string]Limit{"a": wide})
+		c := newTestController(1, map[string]Limit{"a": noLimit})
 		served := make(chan string, 10)
-		queueUp(c, Ticket{Account: "a", Cost: 1}, "first", served)
-		queueUp(c, Ticket{Account: "a", Cost: 1}, "draft", served)
-		queueUp(c, Ticket{Account: "a", Cost: 1, Resume: true}, "draft-resume", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1}, "first", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1}, "draft", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1, Resume: true}, "draft-resume", served)
 		for i := range 3 {
-			queueUp(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, fmt.Sprint("lookup", i), served)
+			admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, fmt.Sprint("lookup", i), served)
 		}
-		queueUp(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Resume: true}, "lookup-resume", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Resume: true}, "lookup-resume", served)
 		want := []string{"first", "lookup-resume", "lookup0", "lookup1", "draft-resume", "lookup2", "draft"}
 		for i, w := range want {
 			if got := <-served; got != w {
-				t.Errorf("turn %d: %s, want %s", i, got, w)
+				t.Errorf("grant %d: %s, want %s", i, got, w)
 			}
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// Symptom: callers wait in a queue for an answer that comes too late anyway.
-// Sequence: service takes 100 ms on one slot, ten tickets wait, a caller has
-// 300 ms. It must be refused at once, with a time to come back; a resume too,
-// but never for want of room or tokens.
+// Guards against: callers wait in a queue for an answer that comes too late anyway. Service takes
+// 100 ms on one slot, ten tickets wait, and a caller has 300 ms. It must be refused at once, with
+// a time to come back. A resume may be refused for its deadline too, but never because the queue
+// is full or for lack of tokens. An interactive request with the same deadline must be served.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := controller(1, map[string]Limit{"a": wide})
+		c := newTestController(1, map[string]Limit{"a": noLimit})
 		served := make(chan string, 20)
-		queueUp(c, Ticket{Account: "a", Cost: 1}, "warm", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1}, "warm", served)
 		time.Sleep(time.Second)
 		for i := range 11 {
-			queueUp(c, Ticket{Account: "a", Cost: 1}, fmt.Sprint(i), served)
+			admitInBackground(c, Ticket{Account: "a", Cost: 1}, fmt.Sprint(i), served)
 		}
 		began := time.Now()
 		_, err := c.Admit(t.Context(), Ticket{Account: "a", Cost: 1, Deadline: began.Add(300 * time.Millisecond)})
@@ -150,13 +150,13 @@
 		if errors.As(err, &r) && (r.RetryAfter < 500*time.Millisecond || r.RetryAfter > 2*time.Second) {
 			t.Errorf("Retry-After %v at a queue of one second", r.RetryAfter)
 		}
-		queueUp(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Deadline: began.Add(300 * time.Millisecond)}, "lookup", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Deadline: began.Add(300 * time.Millisecond)}, "lookup", served)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		close(served)
 		for s := range served {
 			if s == "lookup:deadline" {
-				t.Error("a lookup with time enough was refused")
+				t.Error("an interactive request with enough time was refused")
 			}
 		}
 		if c.count(false) != 0 || c.count(true) != 0 || c.accounts["a"].waiting != 0 {
@@ -165,12 +165,12 @@
 	})
 }
 
-// Symptom: slots or tokens leak, and after an incident the router refuses work
-// although nothing runs. Sequence: tickets whose contexts and deadlines end in
-// the very moment at which they are served.
+// Guards against: slots or tokens leak, and after an incident the router refuses work although
+// nothing runs. The contexts and deadlines of the tickets end at the very moment at which they
+// are admitted.
 func TestNothingLeaksWhenWaitersGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := controller(2, map[string]Limit{"a": {TokensPerSecond: 1e-9, Burst: 1000}})
+		c := newTestController(2, map[string]Limit{"a": {TokensPerSecond: 1e-9, Burst: 1000}})
 		for i := range 40 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i%7)*50*time.Millisecond)
 			go func() {
@@ -196,26 +196,26 @@
 	})
 }
 
-// Symptom: lookups of an idle model wait behind a saturated one. Sequence: one
-// pool has no capacity and a ticket waits; another pool's must run at once, and
-// the first when capacity returns without any release.
+// Guards against: requests for an idle model wait behind a saturated one. One pool has no
+// capacity and a ticket waits for it. Another pool's ticket must run at once, and the first one
+// when capacity returns without any release.
 func TestSaturatedPoolHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var room atomic.Int64
+		var capacity atomic.Int64
 		c := NewController(Config{Capacity: func(p string) int {
 			if p == "idle" {
 				return 1
 			}
-			return int(room.Load())
+			return int(capacity.Load())
 		}}, nil, nil)
-		c.SetLimits(map[string]Limit{"a": wide})
+		c.SetLimits(map[string]Limit{"a": noLimit})
 		served := make(chan string, 2)
-		queueUp(c, Ticket{Account: "a", Pool: "full"}, "full", served)
-		queueUp(c, Ticket{Account: "a", Pool: "idle"}, "idle", served)
+		admitInBackground(c, Ticket{Account: "a", Pool: "full"}, "full", served)
+		admitInBackground(c, Ticket{Account: "a", Pool: "idle"}, "idle", served)
 		if got := <-served; got != "idle" {
 			t.Errorf("first served: %s", got)
 		}
-		room.Store(1)
+		capacity.Store(1)
 		if got := <-served; got != "full" {
 			t.Errorf("then: %s", got)
 		}
@@ -223,35 +223,35 @@
 	})
 }
 
-// Symptom: a full queue of one account shuts out all others.
+// Guards against: a full queue of one account keeps all other accounts out.
 func TestFullQueueMakesRoomByTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewController(Config{MaxQueue: 5, Capacity: func(string) int { return 1 }}, nil, nil)
-		c.SetLimits(map[string]Limit{"big": wide, "small": wide})
+		c.SetLimits(map[string]Limit{"big": noLimit, "small": noLimit})
 		served := make(chan string, 20)
 		for i := range 6 {
-			queueUp(c, Ticket{Account: "big", Cost: 100}, fmt.Sprint("big", i), served)
+			admitInBackground(c, Ticket{Account: "big", Cost: 100}, fmt.Sprint("big", i), served)
 		}
 		_, err := c.Admit(t.Context(), Ticket{Account: "big", Cost: 100})
 		if reasonOf(err) != ReasonQueueFull {
 			t.Errorf("one more of the large account: %v", err)
 		}
-		queueUp(c, Ticket{Account: "small", Cost: 100}, "small", served)
+		admitInBackground(c, Ticket{Account: "small", Cost: 100}, "small", served)
 		want := []string{"big0", "big5:queue-full", "big1", "small", "big2"}
 		for i, w := range want {
 			if got := <-served; got != w {
-				t.Errorf("turn %d: %s, want %s", i, got, w)
+				t.Errorf("grant %d: %s, want %s", i, got, w)
 			}
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// Symptom: an account drains its limit by asking for less than it uses, or is
-// never let in with a long draft. Costs are settled at the end, debts included.
+// Guards against: an account exceeds its limit by stating a lower cost than it uses, or a long
+// generation is never admitted. Costs are settled at the end, debts included.
 func TestBucketSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := controller(9, map[string]Limit{"a": {TokensPerSecond: 100, Burst: 200}})
+		c := newTestController(9, map[string]Limit{"a": {TokensPerSecond: 100, Burst: 200}})
 		release, err := c.Admit(t.Context(), Ticket{Account: "a", Cost: 150})
 		if err != nil {
 			t.Fatal(err)
@@ -267,7 +267,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		if _, err = c.Admit(t.Context(), Ticket{Account: "a", Cost: 10_000}); err != nil {
-			t.Errorf("a draft above the burst with a full bucket: %v", err)
+			t.Errorf("a cost above the burst with a full bucket: %v", err)
 		}
 		if _, err = c.Admit(t.Context(), Ticket{Account: "b"}); reasonOf(err) != ReasonUnknownAccount {
 			t.Errorf("unknown account: %v", err)
@@ -275,10 +275,9 @@
 	})
 }
 
-// Symptom: in a partition every part grants the whole limit. For any demands
-// and any split of the fleet into parts that hear only their own members, the
-// sum of the parts stays within the stated overshoot; with nobody lost it is
-// the limit itself.
+// Guards against: in a partition every part grants the whole limit. For any demands and any
+// partition of the fleet into parts that reach only their own members, the sum of the parts stays
+// within the stated overshoot; if no peer is unreachable it is the limit itself.
 func TestShareOvershootIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "nodes")
@@ -292,28 +291,28 @@
 		}
 		var sum float64
 		for i := range n {
-			var heard, lost []float64
+			var reachable, unreachable []float64
 			for j := range n {
 				switch {
 				case j == i:
 				case part[j] == part[i]:
-					heard = append(heard, demand[j])
+					reachable = append(reachable, demand[j])
 				default:
-					lost = append(lost, demand[j])
+					unreachable = append(unreachable, demand[j])
 				}
 			}
-			sum += Share(limit, demand[i], heard, lost)
+			sum += Share(limit, demand[i], reachable, unreachable)
 		}
 		if sum > limit*MaxOvershoot*1.000001 {
 			t.Fatalf("%d parts use %g of %g", parts, sum, limit)
 		}
 		if parts == 1 && sum < limit*0.999999 {
-			t.Fatalf("a whole fleet uses %g of %g", sum, limit)
+			t.Fatalf("a complete fleet uses %g of %g", sum, limit)
 		}
 	})
 }
 
-// Symptom: a fleet that fails is hit by its own retries.
+// Guards against: the retries of a failing fleet add to its load.
 func TestRetryBudgetIsAShare(t *testing.T) {
 	b := NewRetryBudget(0.1, 5)
 	taken := 0
@@ -332,7 +331,7 @@
 
 func TestDemandFollowsAndSplits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := controller(1000, map[string]Limit{"a": {TokensPerSecond: 1000}})
+		c := newTestController(1000, map[string]Limit{"a": {TokensPerSecond: 1000}})
 		for range 200 {
 			time.Sleep(100 * time.Millisecond)
 			_, _ = c.Admit(t.Context(), Ticket{Account: "a", Cost: 50})
@@ -342,13 +341,13 @@
 		}
 		c.SetPeerDemand([]PeerDemand{{Node: "p", Demand: map[string]float64{"a": 500}}})
 		if r := c.accounts["a"].rate(); r < 450 || r > 550 {
-			t.Errorf("rate beside a peer of equal demand %g, want about 500", r)
+			t.Errorf("rate with a peer of equal demand %g, want about 500", r)
 		}
 	})
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	c := controller(1<<30, map[string]Limit{"a": wide})
+	c := newTestController(1<<30, map[string]Limit{"a": noLimit})
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -364,14 +363,14 @@
 	const n = 10_000
 	limits := map[string]Limit{}
 	for i := range n {
-		limits[fmt.Sprint("account", i)] = wide
+		limits[fmt.Sprint("account", i)] = noLimit
 	}
 	peers := make([]PeerDemand, 8)
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		c := controller(1, limits)
+		c := newTestController(1, limits)
 		c.SetPeerDemand(peers)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// wait blocks until the ticket is served, its deadline passes or ctx ends.
+// wait blocks until the ticket is admitted, its deadline passes or ctx ends.
 func (c *Controller) wait(ctx context.Context, w *waiter) *Refused {
 	var deadline <-chan time.Time
 	if d := w.ticket.Deadline; !d.IsZero() {
-		timer := time.NewTimer(time.Until(d) - c.need(w))
+		timer := time.NewTimer(time.Until(d) - c.requiredTime(w))
 		defer timer.Stop()
 		deadline = timer.C
 	}
@@ -21,68 +21,68 @@
 			return r
 		case <-tick.C:
 			if c.recheck(w.pool) {
-				return c.leave(w, ReasonNoReplica)
+				return c.giveUp(w, ReasonNoReplica)
 			}
 		case <-deadline:
-			return c.leave(w, ReasonDeadline)
+			return c.giveUp(w, ReasonDeadline)
 		case <-ctx.Done():
-			return c.leave(w, ReasonCancelled)
+			return c.giveUp(w, ReasonCancelled)
 		}
 	}
 }
 
-func (c *Controller) need(w *waiter) time.Duration {
+func (c *Controller) requiredTime(w *waiter) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return w.need(time.Now(), c.cfg.MinService)
+	return w.requiredTime(time.Now(), c.cfg.MinService)
 }
 
-// leave takes a waiter out. If it was served in the same moment, that stands,
-// and the caller must release it.
-func (c *Controller) leave(w *waiter, reason Reason) *Refused {
+// giveUp takes a waiter out of the queue. If it was admitted at the same moment, giveUp returns
+// nil and the caller must release it.
+func (c *Controller) giveUp(w *waiter, reason Reason) *Refused {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if w.index < 0 {
 		return <-w.ready
 	}
-	c.drop(w, c.cfg.refuse(reason, c.drained(w)))
+	c.drop(w, c.cfg.refuse(reason, c.drainTime(w)))
 	return <-w.ready
 }
 
-// drained is when all that wait now, of w's priority, will have been served.
-func (c *Controller) drained(w *waiter) time.Duration {
+// drainTime estimates when all tickets of w's priority that wait now will have been served.
+func (c *Controller) drainTime(w *waiter) time.Duration {
 	of := w.ticket.Priority
 	return w.pool.waitFor(w.pool.queued(of), of, &c.cfg, time.Now())
 }
 
-// drop takes a waiter out of its queue and gives its charge back.
+// drop takes a waiter out of its queue and refunds its charge.
 func (c *Controller) drop(w *waiter, r *Refused) {
 	w.queue.remove(w)
 	c.refund(w)
 	w.ready <- r
 }
 
-// recheck serves a pool's tickets in case that its capacity grew, at most once
-// per interval however many wait. It tells whether waiting is in vain.
+// recheck admits a pool's tickets in case its capacity grew, at most once per interval however
+// many wait. It reports whether the pool has been without capacity for too long.
 func (c *Controller) recheck(p *pool) (dead bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(p.checked) >= recheckInterval {
-		p.checked = now
+	if now.Sub(p.checkedAt) >= recheckInterval {
+		p.checkedAt = now
 		p.noteCapacity(&c.cfg, now)
 		c.dispatch(p, now)
 	}
-	return p.dead(&c.cfg, now)
+	return p.unavailable(&c.cfg, now)
 }
 
-// dispatch serves a pool's tickets while there is capacity.
+// dispatch admits a pool's tickets while there is capacity.
 func (c *Controller) dispatch(p *pool, now time.Time) {
 	for q := p.next(&c.cfg); q != nil; q = p.next(&c.cfg) {
 		w := q.pop()
 		if w.expired(now, c.cfg.MinService) {
 			c.refund(w)
-			w.ready <- c.cfg.refuse(ReasonDeadline, c.drained(w))
+			w.ready <- c.cfg.refuse(ReasonDeadline, c.drainTime(w))
 			continue
 		}
 		c.grant(w, now)
@@ -103,7 +103,7 @@
 	w.pool.running++
 	w.pool.load[w.ticket.Priority].running++
 	w.granted = now
-	w.pool.began(w)
+	w.pool.addRunning(w)
 }
 
 func (c *Controller) release(w *waiter, actual float64) {
@@ -111,7 +111,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w.pool.running--
-	w.pool.ended(w)
+	w.pool.removeRunning(w)
 	load := &w.pool.load[w.ticket.Priority]
 	load.running--
 	load.observe(now.Sub(w.granted), w.ticket.Cost, now)
--- a/admission/dump.go
+++ b/admission/dump.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// PoolDump is one pool in a dump.
+// PoolDump is the state of one pool.
 type PoolDump struct {
 	Capacity    int           `json:"capacity"`
 	Running     int           `json:"running"`
@@ -10,7 +10,7 @@
 	MeanService time.Duration `json:"mean_service_ns"`
 }
 
-// AccountDump is one client account in a dump.
+// AccountDump is the state of one client account.
 type AccountDump struct {
 	Running  int     `json:"running"`
 	Waiting  int     `json:"waiting"`
@@ -26,7 +26,7 @@
 	Accounts map[string]AccountDump `json:"accounts"`
 }
 
-// Dump returns the state for the dump on request.
+// Dump returns the current state, for a state dump on request.
 func (c *Controller) Dump() Dump {
 	now := time.Now()
 	c.mu.Lock()
@@ -53,7 +53,7 @@
 	return out
 }
 
-// meanService is the mean over what runs now.
+// meanService is the mean service time, weighted by the requests that run now.
 func (p *pool) meanService() time.Duration {
 	if p.running == 0 {
 		return 0
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// PeerDemand is what one other router observes of each client account's
-// demand, in tokens per second, from its last heartbeat.
+// PeerDemand is the demand of each client account that one other router observed, in tokens per
+// second, from its last heartbeat.
 type PeerDemand struct {
 	Node   string
 	Demand map[string]float64
-	// Lost is true while the peer is not heard but has not left the VM list: it
-	// may be dead or cut off. Leave out a peer that is known to be gone.
+	// Lost is true while the peer is unreachable but still in the VM list: it may have crashed or
+	// be cut off. Peers that are known to have been removed must be left out.
 	Lost bool
 }
 
-// SetLimits replaces the limits of all client accounts. An account that is
-// left out is refused from now on; its requests under way go on.
+// SetLimits replaces the limits of all client accounts. Requests of an account that is left out
+// are refused from now on; its running requests continue.
 func (c *Controller) SetLimits(limits map[string]Limit) {
 	now := time.Now()
 	c.mu.Lock()
@@ -26,15 +26,15 @@
 			a.setPeers(c.peers)
 		}
 		a.limit = l
-		a.split(now, c.cfg.DemandHalfLife)
+		a.updateFraction(now, c.cfg.DemandHalfLife)
 		next[id] = a
 	}
 	c.accounts = next
 }
 
-// SetPeerDemand replaces the demands of all other routers and splits the
-// fleet-wide limits anew. Call it about once a second, and once before the
-// router reports ready: until then it takes itself for the only one.
+// SetPeerDemand replaces the demands of all other routers and recomputes this router's parts of
+// the fleet-wide limits. Call it about once a second, and once before the router reports ready:
+// until then the router assumes that it is the only one.
 func (c *Controller) SetPeerDemand(peers []PeerDemand) {
 	now := time.Now()
 	c.mu.Lock()
@@ -42,16 +42,16 @@
 	c.peers = newPeerDemands(peers)
 	for _, a := range c.accounts {
 		a.setPeers(c.peers)
-		a.split(now, c.cfg.DemandHalfLife)
+		a.updateFraction(now, c.cfg.DemandHalfLife)
 	}
 }
 
-// peerDemands holds the peers' demands, where those that report none are only
-// counted. Above the full mesh these are nearly all, and to look each up for each client
-// account costs more than all else of admission.
+// peerDemands holds the peers' demands; peers that report none are only counted. In fleets that
+// are too large for a full mesh of links nearly all peers report none, and looking each of them
+// up for each client account would cost more than the rest of admission.
 type peerDemands struct {
-	peers       []PeerDemand
-	heard, lost int // peers that report no demand
+	peers                  []PeerDemand
+	reachable, unreachable int // number of peers that report no demand
 }
 
 func newPeerDemands(peers []PeerDemand) peerDemands {
@@ -61,29 +61,29 @@
 		case len(p.Demand) > 0:
 			t.peers = append(t.peers, p)
 		case p.Lost:
-			t.lost++
+			t.unreachable++
 		default:
-			t.heard++
+			t.reachable++
 		}
 	}
 	return t
 }
 
-// setPeers takes over what the peers ask for on this account.
+// setPeers sums up the demands of the peers for this account.
 func (a *account) setPeers(t peerDemands) {
-	a.heard, a.lost = others{nodes: t.heard}, others{nodes: t.lost}
+	a.reachable, a.unreachable = peerTotals{nodes: t.reachable}, peerTotals{nodes: t.unreachable}
 	for _, p := range t.peers {
 		if p.Lost {
-			a.lost.add(p.Demand[a.id])
+			a.unreachable.add(p.Demand[a.id])
 			continue
 		}
-		a.heard.add(p.Demand[a.id])
+		a.reachable.add(p.Demand[a.id])
 	}
 }
 
-// Demand is this router's observed demand per client account in tokens per
-// second, refused requests included, for the heartbeats to peers. It is capped
-// at the limit: what an account asks beyond it must not draw a larger share.
+// Demand returns this router's observed demand per client account in tokens per second, including
+// refused requests, for the heartbeats to peers. It is capped at the limit: what an account
+// requests beyond the limit must not increase its share.
 func (c *Controller) Demand() map[string]float64 {
 	now := time.Now()
 	c.mu.Lock()
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -8,16 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: after the demands of many routers are taken in by sums, a client
-// account's share is not the one that the demands listed one by one give.
-// Sequence: some peers tell of the account, some of others only, some of none;
-// some of each are lost. Cause: a peer without demand is not counted, and what
-// is set aside for it is given away.
+// Guards against: a client account's share, computed from sums of the peers' demands, differs
+// from the one computed from the list of demands. Some peers report the account, some only
+// others, some none; some of each are unreachable. The fault is not to count a peer without
+// demand, so that the part reserved for it is given away.
 func TestShareCountsPeersWithoutDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000.0
 		var peers []PeerDemand
-		var heard, lost []float64
+		var reachable, unreachable []float64
 		for i := range rapid.IntRange(0, 30).Draw(t, "peers") {
 			p := PeerDemand{Node: fmt.Sprint("n", i), Lost: rapid.Bool().Draw(t, "lost")}
 			switch rapid.IntRange(0, 2).Draw(t, "tells") {
@@ -28,15 +27,15 @@
 			}
 			peers = append(peers, p)
 			if p.Lost {
-				lost = append(lost, p.Demand["a"])
+				unreachable = append(unreachable, p.Demand["a"])
 				continue
 			}
-			heard = append(heard, p.Demand["a"])
+			reachable = append(reachable, p.Demand["a"])
 		}
 		c := NewController(Config{}, nil, nil)
 		c.SetLimits(map[string]Limit{"a": {TokensPerSecond: limit}})
 		c.SetPeerDemand(peers)
-		want := Share(limit, 0, heard, lost) / limit
+		want := Share(limit, 0, reachable, unreachable) / limit
 		if got := c.accounts["a"].fraction; math.Abs(got-want) > 1e-9 {
 			t.Fatalf("fraction %g, want %g", got, want)
 		}
--- a/admission/losses.go
+++ b/admission/losses.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Losses remembers when a run was lost with its engine, and says from it how much of an
-// engine's memory is well spent on copies.
+// Losses records when a run was last lost with its engine, and derives from it how much of an
+// engine's memory copies may use.
 //
-// The load that it answers: memory is short. A copy spares the reading of a prompt if
-// its run is lost, and takes the place of a run if not. Where failure domains crash each
-// few seconds, copies are worth most of the memory in a burst; in a burst without any
-// crash a run is turned away for each copy.
+// It balances the use of scarce memory. A copy saves reading the prompt again if its run is lost,
+// and takes the space of another run if not. When failure domains crash every few seconds, copies
+// are worth most of the memory even in a burst; in a burst without any crash, each copy causes a
+// run to be refused.
 type Losses struct {
 	mu   sync.Mutex
 	last time.Time
 }
 
 const (
-	// leastCopies and mostCopies bound the part of the memory that copies may take,
-	// beside runs: some are always kept for the first crash, and prompts need room.
-	leastCopies = 0.4
-	mostCopies  = 0.8
-	// lossFresh is how long after a loss the next one is expected soon, and lossOld when
-	// nothing is expected of it any more.
-	lossFresh = 12 * time.Second
-	lossOld   = 40 * time.Second
+	// minCopyShare and maxCopyShare bound the part of the memory that copies may use alongside
+	// runs: some copies are always kept for the first crash, and prompts need space as well.
+	minCopyShare = 0.4
+	maxCopyShare = 0.8
+	// recentLossAge is the age up to which a loss means that the next one is expected soon, and
+	// oldLossAge the age from which it has no influence.
+	recentLossAge = 12 * time.Second
+	oldLossAge    = 40 * time.Second
 )
 
-// NewLosses returns a Losses that expects engines to fail until it saw for a while that
-// they don't: the first crash comes without a warning.
+// NewLosses returns a Losses that expects engines to fail until it has seen no loss for a while:
+// the first crash comes without a warning.
 func NewLosses(now time.Time) *Losses { return &Losses{last: now} }
 
-// Lost takes in that a run was lost.
+// Lost records that a run was lost.
 func (l *Losses) Lost(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,6 +44,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := now.Sub(l.last)
-	old := min(max(float64(age-lossFresh)/float64(lossOld-lossFresh), 0), 1)
-	return mostCopies - old*(mostCopies-leastCopies)
+	old := min(max(float64(age-recentLossAge)/float64(oldLossAge-recentLossAge), 0), 1)
+	return maxCopyShare - old*(maxCopyShare-minCopyShare)
 }
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -10,71 +10,70 @@
 	"wigeondale/fleet"
 )
 
-// Symptom: lookups miss their deadlines while drafts run for minutes, or no
-// draft runs at all while lookups want every place.
-// Sequence: more drafts than places, then a lookup and a resume; and the other
-// way round, lookups in every place, then more of both.
-// Cause: drafts were given the last places; or none, to spare them for lookups.
+// Guards against: interactive requests miss their deadlines while batch requests run for minutes,
+// or no batch request runs at all while interactive ones want every slot. In the first part more
+// batch requests than slots arrive, then an interactive one and a resume; in the second,
+// interactive requests fill every slot, then more of both arrive. The fault is to give batch
+// requests the last slots, or to give them none in order to reserve slots for interactive ones.
 func TestDraftsLeaveRoomForLookups(t *testing.T) {
-	lookup := Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}
-	draft := Ticket{Account: "a", Cost: 1}
+	interactive := Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}
+	batch := Ticket{Account: "a", Cost: 1}
 	resume := Ticket{Account: "a", Cost: 1, Resume: true}
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute) // until all have ended
-		c := reserving()
+		c := newReservingController()
 		served := make(chan string, 40)
 		for range 10 {
-			queueUp(c, draft, "draft", served)
+			admitInBackground(c, batch, "draft", served)
 		}
 		if len(served) != 8 {
-			t.Errorf("%d drafts run, want 8", len(served))
+			t.Errorf("%d batch requests run, want 8", len(served))
 		}
-		queueUp(c, lookup, "lookup", served)
-		queueUp(c, resume, "resume", served)
+		admitInBackground(c, interactive, "lookup", served)
+		admitInBackground(c, resume, "resume", served)
 		if len(served) != 10 {
-			t.Errorf("%d of 10 places taken: a lookup or a resume waits", len(served))
+			t.Errorf("%d of 10 slots used: an interactive request or a resume waits", len(served))
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
-		c := reserving()
-		lookups, drafts := make(chan string, 60), make(chan string, 60)
+		c := newReservingController()
+		interactiveServed, batchServed := make(chan string, 60), make(chan string, 60)
 		for range 30 {
-			queueUp(c, lookup, "lookup", lookups)
+			admitInBackground(c, interactive, "lookup", interactiveServed)
 		}
 		for range 20 {
-			queueUp(c, draft, "draft", drafts)
+			admitInBackground(c, batch, "draft", batchServed)
 		}
 		time.Sleep(150 * time.Millisecond) // one round of service
 		synctest.Wait()
-		if len(drafts) != 2 || len(lookups) != 18 {
-			t.Errorf("served %d drafts and %d lookups, want 2 and 18", len(drafts), len(lookups))
+		if len(batchServed) != 2 || len(interactiveServed) != 18 {
+			t.Errorf("served %d batch and %d interactive requests, want 2 and 18", len(batchServed), len(interactiveServed))
 		}
 	})
 }
 
-// reserving has ten places, of which new batch work takes eight.
-func reserving() *Controller {
+// newReservingController has ten slots, of which new batch work may use eight.
+func newReservingController() *Controller {
 	c := NewController(Config{
 		Capacity:      func(string) int { return 10 },
 		BatchCapacity: func(string) int { return 8 },
 	}, nil, nil)
-	c.SetLimits(map[string]Limit{"a": wide})
+	c.SetLimits(map[string]Limit{"a": noLimit})
 	return c
 }
 
-// Symptom: callers wait for seconds and are refused then, and started drafts
-// are cut at their deadline.
-// Sequence: drafts of two seconds, with a deadline of five, arrive at twice the
-// rate at which they can be served; lookups run beside them.
-// Cause: the wait was judged by the rate at which all work ends, lookups too,
-// and the time that a draft needs was left out.
+// Guards against: callers wait for seconds and are refused then, and started batch requests are
+// cut at their deadline. Batch requests of two seconds, with a deadline of five, arrive at twice
+// the rate at which they can be served, and interactive ones run alongside. The fault is to
+// estimate the wait from the rate at which all work ends, including interactive requests, and to
+// ignore the time that a batch request needs.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service, deadline = 2 * time.Second, 5 * time.Second
-		c := controller(28, map[string]Limit{"a": wide})
+		c := newTestController(28, map[string]Limit{"a": noLimit})
 		c.cfg.BatchCapacity = func(string) int { return 24 }
-		var prompt, late, cut, served atomic.Int32
+		var immediate, late, cut, served atomic.Int32
 		admit := func(tk Ticket, took time.Duration) {
 			began := time.Now()
 			tk.Deadline = began.Add(deadline)
@@ -88,12 +87,12 @@
 				}
 				served.Add(1)
 			case time.Since(began) < time.Millisecond:
-				prompt.Add(1)
+				immediate.Add(1)
 			default:
 				late.Add(1)
 			}
 		}
-		for i := range 600 { // 24 drafts a second, of which 12 can be served
+		for i := range 600 { // 24 batch requests a second, of which 12 can be served
 			go admit(Ticket{Account: "a", Cost: 600}, service)
 			if i%2 == 0 {
 				go admit(Ticket{Account: "a", Cost: 100, Priority: fleet.Interactive}, service/10)
@@ -101,37 +100,36 @@
 			time.Sleep(time.Second / 24)
 		}
 		time.Sleep(time.Minute)
-		t.Logf("served %d, refused at once %d, late %d, cut %d", served.Load(), prompt.Load(), late.Load(), cut.Load())
-		if late.Load()*10 > prompt.Load() || cut.Load() > 0 || prompt.Load() == 0 {
-			t.Errorf("refused at once %d, late %d, cut %d", prompt.Load(), late.Load(), cut.Load())
+		t.Logf("served %d, refused at once %d, late %d, cut %d", served.Load(), immediate.Load(), late.Load(), cut.Load())
+		if late.Load()*10 > immediate.Load() || cut.Load() > 0 || immediate.Load() == 0 {
+			t.Errorf("refused at once %d, late %d, cut %d", immediate.Load(), late.Load(), cut.Load())
 		}
 	})
 }
 
-// Symptom: for ten seconds after an overload every draft is late.
-// Sequence: drafts of two seconds with a deadline of five arrive at twice the
-// rate at which they can be served; then at three quarters of it.
-// Cause: the queue had grown to all that its tickets could wait, and was served
-// first. A short queue keeps the places as full.
+// Guards against: for ten seconds after an overload every batch request is late. Batch requests
+// of two seconds with a deadline of five arrive at twice the rate at which they can be served,
+// then at three quarters of it. The fault is that the queue has grown to the longest wait that
+// its tickets allow, and is served first. A short queue keeps the slots just as full.
 func TestQueueIsNoLongerThanOfUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const service, deadline, places = 2 * time.Second, 5 * time.Second, 24
-		c := controller(places, map[string]Limit{"a": wide})
+		const service, deadline, slots = 2 * time.Second, 5 * time.Second, 24
+		c := newTestController(slots, map[string]Limit{"a": noLimit})
 		var during, after, late atomic.Int32
-		admit := func(served *atomic.Int32, usual time.Duration) {
+		admit := func(served *atomic.Int32, expectedWait time.Duration) {
 			began := time.Now()
 			release, err := c.Admit(context.Background(), Ticket{Account: "a", Cost: 600, Deadline: began.Add(deadline)})
 			if err != nil {
 				return
 			}
 			served.Add(1)
-			if time.Since(began) > usual {
+			if time.Since(began) > expectedWait {
 				late.Add(1)
 			}
 			time.Sleep(service)
 			release(600)
 		}
-		const rate = places * time.Second / service // a second
+		const rate = slots * time.Second / service // requests per second that can be served
 		for range 20 * 2 * rate {
 			go admit(&during, deadline)
 			time.Sleep(time.Second / (2 * rate))
@@ -144,7 +142,7 @@
 		time.Sleep(time.Minute)
 		t.Logf("late %d of %d, served %d", late.Load(), after.Load(), during.Load())
 		if full := int32(20 * rate); during.Load() < full*95/100 {
-			t.Errorf("%d served of %d that there were places for", during.Load(), full)
+			t.Errorf("%d served of %d that there were slots for", during.Load(), full)
 		}
 		if late.Load()*10 > after.Load() || after.Load() == 0 {
 			t.Errorf("%d of %d were late two seconds after the overload", late.Load(), after.Load())
@@ -152,36 +150,36 @@
 	})
 }
 
-// Symptom: near full load drafts queue for ever while places stay empty.
-// Sequence: two lookups run within the reserve of two places; drafts arrive.
-// Cause: lookups counted against the drafts' share, and the reserve was kept
-// empty besides.
+// Guards against: near full load batch requests queue for ever while slots stay empty. Two
+// interactive requests run within the reserve of two slots; batch requests arrive. The fault is
+// to count the interactive requests against the batch share, and to keep the reserve empty in
+// addition.
 func TestReserveHoldsLookupsThatRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
-		c := reserving()
-		lookups, drafts := make(chan string, 10), make(chan string, 20)
+		c := newReservingController()
+		interactiveServed, batchServed := make(chan string, 10), make(chan string, 20)
 		for range 2 {
-			queueUp(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, "lookup", lookups)
+			admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, "lookup", interactiveServed)
 		}
 		for range 12 {
-			queueUp(c, Ticket{Account: "a", Cost: 1}, "draft", drafts)
+			admitInBackground(c, Ticket{Account: "a", Cost: 1}, "draft", batchServed)
 		}
-		if len(drafts) != 8 {
-			t.Errorf("%d drafts run beside two lookups, want 8", len(drafts))
+		if len(batchServed) != 8 {
+			t.Errorf("%d batch requests run alongside two interactive ones, want 8", len(batchServed))
 		}
 	})
 }
 
-// Symptom: lookups queue behind drafts that run for minutes. Sequence: lookups
-// want more than every place and so do drafts, which don't end. Cause: drafts
-// were given their whole share while lookups wait.
+// Guards against: interactive requests queue behind batch requests that run for minutes.
+// Interactive requests want more than every slot, and so do batch requests, which don't end. The
+// fault is to give batch requests their whole share while interactive ones wait.
 func TestDraftsYieldWhileLookupsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := reserving()
+		c := newReservingController()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var drafts atomic.Int32
+		var batchStarted atomic.Int32
 		run := func(tk Ticket, began *atomic.Int32, took time.Duration) {
 			release, err := c.Admit(ctx, tk)
 			if err != nil {
@@ -191,29 +189,28 @@
 			time.Sleep(took)
 			release(1)
 		}
-		var lookups atomic.Int32
+		var interactiveStarted atomic.Int32
 		for range 100 {
-			go run(Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, &lookups, 100*time.Millisecond)
+			go run(Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}, &interactiveStarted, 100*time.Millisecond)
 		}
 		synctest.Wait()
 		for range 20 {
-			go run(Ticket{Account: "a", Cost: 1}, &drafts, time.Minute)
+			go run(Ticket{Account: "a", Cost: 1}, &batchStarted, time.Minute)
 		}
-		time.Sleep(550 * time.Millisecond) // lookups wait until then
+		time.Sleep(550 * time.Millisecond) // interactive requests wait until then
 		synctest.Wait()
-		if drafts.Load() == 0 || drafts.Load() > 8/batchEvery {
-			t.Errorf("%d drafts run while lookups wait, want a quarter of 8 at most", drafts.Load())
+		if batchStarted.Load() == 0 || batchStarted.Load() > 8/batchEvery {
+			t.Errorf("%d batch requests run while interactive ones wait, want a quarter of 8 at most", batchStarted.Load())
 		}
 		cancel()
 		time.Sleep(2 * time.Minute) // until all have ended
 	})
 }
 
-// Symptom: a request waits for minutes, until its deadline, for a model whose
-// replicas are all leaving or down.
-// Sequence: a ticket queues while the pool has no capacity; another comes later,
-// and one after capacity is back.
-// Cause: the queue waited for a place without asking whether any can come free.
+// Guards against: a request waits for minutes, until its deadline, for a model all of whose
+// replicas are leaving or down. A ticket is queued while the pool has no capacity; another one
+// comes later, and one after capacity is back. The fault is to wait for a free slot without
+// checking whether there can be one.
 func TestPoolWithoutReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
@@ -222,10 +219,10 @@
 		c.SetLimits(map[string]Limit{"a": {}})
 		ticket := Ticket{Account: "a", Cost: 1, Deadline: time.Now().Add(10 * time.Minute)}
 		got := make(chan string, 3)
-		queueUp(c, ticket, "first", got)
+		admitInBackground(c, ticket, "first", got)
 		time.Sleep(c.cfg.Patience + recheckInterval)
 		synctest.Wait()
-		queueUp(c, ticket, "late", got)
+		admitInBackground(c, ticket, "late", got)
 		if len(got) != 2 {
 			t.Fatalf("%d of 2 tickets answered", len(got))
 		}
@@ -235,7 +232,7 @@
 			}
 		}
 		capacity.Store(1)
-		queueUp(c, ticket, "back", got)
+		admitInBackground(c, ticket, "back", got)
 		if g := <-got; g != "back" {
 			t.Errorf("with capacity back: got %q", g)
 		}
--- a/admission/prefillrate.go
+++ b/admission/prefillrate.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Reading learns how fast the engines of a service read prompts, from the time between
-// a request's sending and its first piece. What else the engine did meanwhile is part
-// of it: that is how fast a prompt is read there now.
+// Reading estimates how fast the engines of a service read prompts, from the time between the
+// sending of a request and its first chunk. Other work of the engine in that time is included:
+// the estimate is how fast a prompt is read there at present.
 //
-// Without it the time that a backlog of prompts takes would have to be set for each
-// deployment: with one that is too high requests wait at engines until they are late,
-// with one that is too low they are refused while engines idle.
+// Otherwise the time that a backlog of prompts takes would have to be configured for each
+// deployment: if it is too high, requests wait at engines until they are late; if it is too low,
+// they are refused while engines are idle.
 type Reading struct {
 	mu   sync.Mutex
-	rate float64 // tokens a second; 0 while unknown
+	rate float64 // tokens per second; 0 while unknown
 }
 
-// readingWeight is the weight of the latest prompt in the rate: some ten prompts make
+// rateWeight is the weight of the latest prompt in the rate: about the last ten prompts determine
 // most of it.
-const readingWeight = 0.1
+const rateWeight = 0.1
 
-// Observe takes in that so many tokens were read until a first piece came.
+// Observe records that a number of tokens was read before a first chunk arrived.
 func (r *Reading) Observe(tokens float64, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
@@ -33,7 +33,7 @@
 		r.rate = rate
 		return
 	}
-	r.rate += readingWeight * (rate - r.rate)
+	r.rate += rateWeight * (rate - r.rate)
 }
 
 // Within is how many tokens are read within a time; 0 while that isn't known.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -7,88 +7,87 @@
 	"wigeondale/fleet"
 )
 
-// waiter is one ticket that waits.
+// waiter is one ticket that waits, or that was admitted.
 type waiter struct {
-	ticket  Ticket
-	acct    *account
-	pool    *pool
-	start   float64 // start tag in virtual time
-	seq     uint64  // arrival, unique; breaks ties
-	index   int     // in its queue, -1 when taken out
-	queue   *queue
-	ready   chan *Refused // carries nil when admitted; buffered
-	granted time.Time
-	ends    time.Time // expected, of batch work that runs
-}
-
-// queue orders the waiters of one class by start-time fair queueing (Goyal,
-// Vin, Cheng 1996): each account's tickets follow each other in virtual time
-// by cost over weight, and the lowest start tag is served. However many
-// tickets a large account has waiting, a small one's next is at most one
-// ticket of each other account away.
+	ticket      Ticket
+	acct        *account
+	pool        *pool
+	startTag    float64 // in virtual time
+	seq         uint64  // order of arrival; unique, breaks ties
+	index       int     // in its queue, -1 after removal
+	queue       *queue
+	ready       chan *Refused // receives nil if admitted; buffered
+	granted     time.Time
+	expectedEnd time.Time // of batch work that runs
+}
+
+// queue orders the waiters of one class by start-time fair queueing (Goyal, Vin, Cheng 1996): the
+// tickets of each account follow each other in virtual time by cost over weight, and the lowest
+// start tag is served first. However many tickets a large account has waiting, the next ticket of
+// a small one is at most one ticket of each other account away.
 type queue struct {
-	items   waiters
-	virtual float64 // start tag of the ticket served last
-	finish  map[*account]float64
+	items       waiters
+	virtualTime float64 // start tag of the most recently served ticket
+	finishTags  map[*account]float64
 }
 
-func newQueue() *queue { return &queue{finish: map[*account]float64{}} }
+func newQueue() *queue { return &queue{finishTags: map[*account]float64{}} }
 
-// tag gives a ticket its place in virtual time.
-func (q *queue) tag(a *account, cost float64) (start, finish float64) {
-	start = max(q.virtual, q.finish[a])
+// tags returns the position of a ticket in virtual time.
+func (q *queue) tags(a *account, cost float64) (start, finish float64) {
+	start = max(q.virtualTime, q.finishTags[a])
 	return start, start + max(cost, 1)/a.weight()
 }
 
 func (q *queue) push(w *waiter) {
-	start, finish := q.tag(w.acct, w.ticket.Cost)
-	w.start = start
+	start, finish := q.tags(w.acct, w.ticket.Cost)
+	w.startTag = start
 	w.queue = q
-	q.finish[w.acct] = finish
+	q.finishTags[w.acct] = finish
 	heap.Push(&q.items, w)
 }
 
-// pop takes the next waiter and moves virtual time on to it.
+// pop takes out the next waiter and advances virtual time to it.
 func (q *queue) pop() *waiter {
 	w := heap.Pop(&q.items).(*waiter)
-	q.virtual = max(q.virtual, w.start)
-	q.tidy()
+	q.virtualTime = max(q.virtualTime, w.startTag)
+	q.resetIfEmpty()
 	return w
 }
 
-// remove takes a waiter out of the middle. Its account's later tickets keep
-// their tags, which only delays that account.
+// remove takes out any waiter. The later tickets of its account keep their tags, which delays
+// only that account.
 func (q *queue) remove(w *waiter) {
 	if w.index < 0 {
 		return
 	}
 	heap.Remove(&q.items, w.index)
-	q.tidy()
+	q.resetIfEmpty()
 }
 
-// tidy forgets all tags once nobody waits, so that accounts that went away
-// leave nothing behind.
-func (q *queue) tidy() {
+// resetIfEmpty drops all tags when no ticket waits, so that the state of accounts without
+// requests doesn't accumulate.
+func (q *queue) resetIfEmpty() {
 	if len(q.items) > 0 {
 		return
 	}
-	clear(q.finish)
-	q.virtual = 0
+	clear(q.finishTags)
+	q.virtualTime = 0
 }
 
 // ahead counts the waiters that would be served before a new ticket.
 func (q *queue) ahead(a *account, cost float64) int {
-	start, _ := q.tag(a, cost)
+	start, _ := q.tags(a, cost)
 	n := 0
 	for _, w := range q.items {
-		if w.start <= start {
+		if w.startTag <= start {
 			n++
 		}
 	}
 	return n
 }
 
-// last returns the waiter with the highest tag.
+// last returns the waiter with the highest start tag.
 func (q *queue) last() *waiter {
 	var worst *waiter
 	for _, w := range q.items {
@@ -100,36 +99,36 @@
 }
 
 func (w *waiter) before(o *waiter) bool {
-	if w.start != o.start {
-		return w.start < o.start
+	if w.startTag != o.startTag {
+		return w.startTag < o.startTag
 	}
 	return w.seq < o.seq
 }
 
-// expired tells whether a ticket can no longer finish in time. A draft that
-// is started all the same would be cut at its caller's deadline, after it took
-// a place for minutes. Resumes run on: what they hold is already paid for.
-func (w *waiter) expired(now time.Time, least time.Duration) bool {
+// expired reports whether a ticket can no longer finish in time. A batch request that was started
+// anyway would be cut at its caller's deadline, after it had used a slot for minutes. Resumes
+// need only the minimum service time, since they represent work already paid for.
+func (w *waiter) expired(now time.Time, minService time.Duration) bool {
 	d := w.ticket.Deadline
-	return !d.IsZero() && now.Add(w.need(now, least)).After(d)
+	return !d.IsZero() && now.Add(w.requiredTime(now, minService)).After(d)
 }
 
-func (w *waiter) need(now time.Time, least time.Duration) time.Duration {
+func (w *waiter) requiredTime(now time.Time, minService time.Duration) time.Duration {
 	if w.ticket.Resume {
-		return least
+		return minService
 	}
-	return max(least, w.pool.load[w.ticket.Priority].need(w.ticket.Cost, now))
+	return max(minService, w.pool.load[w.ticket.Priority].requiredTime(w.ticket.Cost, now))
 }
 
-// spare is how long a ticket may wait; bounded is false when it may for ever.
-// Lookups need no such bound: they are served first and their deadline is near.
-func (w *waiter) spare(now time.Time, least time.Duration) (d time.Duration, bounded bool) {
+// maxQueueWait is how long a ticket may wait; bounded is false if there is no limit. Interactive
+// requests need no such limit: they are served first and their deadline is near.
+func (w *waiter) maxQueueWait(now time.Time, minService time.Duration) (d time.Duration, bounded bool) {
 	t := &w.ticket
 	if t.Resume || t.Priority != fleet.Batch || t.Deadline.IsZero() {
 		return 0, false
 	}
-	slack := t.Deadline.Sub(now) - w.need(now, least)
-	return time.Duration(queueShare * float64(slack)), true
+	slack := t.Deadline.Sub(now) - w.requiredTime(now, minService)
+	return time.Duration(maxQueueShare * float64(slack)), true
 }
 
 // waiters implements heap.Interface.
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// Refusal is a way to decide who of those that wait for an engine is refused.
+// Refusal is a policy that decides which of the requests that wait for an engine are refused.
 //
-// The load that it answers: for some seconds more prompts come than engines read. Which way
-// is better depends on what a late answer is worth to its caller, which only the operator
-// knows: serving late answers costs some of those that come in time.
+// It applies when for some seconds more prompts arrive than engines read. Which policy is better
+// depends on how much a late answer is worth to its caller, which only the operator knows:
+// serving late answers makes some others late that would have been in time.
 type Refusal string
 
 const (
-	// RefuseLate refuses who would be late. Those that come in time keep their time, and
-	// the others are told when to come back.
+	// RefuseLate refuses requests that would be late. Requests in time are not delayed by them,
+	// and the refused clients are told when to come back.
 	RefuseLate Refusal = "late"
-	// RefuseUnservable refuses only who could not be answered any more. Who would be late
-	// goes behind all that can be in time, and only to an engine that reads nothing.
+	// RefuseUnservable refuses only requests that can't be answered any more. A request that
+	// would be late goes behind all that can be in time, and only to an engine that reads no
+	// prompt.
 	//
-	// What goes wrong with RefuseLate: who is refused comes back into the same crowd, is late
-	// by then, and is refused again. It shows as callers without any answer in a burst, after
-	// which the engines idle.
+	// With RefuseLate, refused clients come back into the same overload, are late by then, and
+	// are refused again. The symptom is callers without any answer in a burst, after which the
+	// engines are idle.
 	RefuseUnservable Refusal = "unservable"
 )
 
-// Refusals lists the ways by their names.
+// Refusals lists the names of the policies.
 func Refusals() []string {
 	return []string{string(RefuseLate), string(RefuseUnservable)}
 }
 
 const (
-	// waitShare is the part of the time to a late first piece for which a request may be
-	// expected to wait here. What is left beside the time for reading is for waits that
-	// last longer than expected: half of them do.
+	// waitShare is the part of the time until the first chunk is late that a request may be
+	// expected to wait here. What remains after reading the prompt is for waits that last longer
+	// than expected, which half of them do.
 	waitShare = 0.3
-	// uselessAfter is how many times that time a caller waits for a first piece at most.
-	uselessAfter = 3
-	// answerShare is the part of what is left of a caller's time that is kept for the
-	// answer itself.
+	// uselessFactor is how many times that time a caller waits for a first chunk at most.
+	uselessFactor = 3
+	// answerShare is the part of a caller's remaining time that is reserved for the answer
+	// itself.
 	answerShare = 0.4
 )
 
-// Wait is what is known of a request that waits.
+// Wait is what is known about a waiting request.
 type Wait struct {
 	Turn
-	Expect time.Duration // until its turn; 0 while no pace is known
-	Target time.Duration // when its first piece is late, from its begin; 0 for never
-	Left   time.Duration // of its caller's time; 0 when that isn't known
+	Expect time.Duration // until it is granted a slot; 0 while no estimate is available
+	Target time.Duration // time from the start of the request after which its first chunk is late; 0 for never
+	Left   time.Duration // remaining time of its caller; 0 if not known
 }
 
-// latest is how long a request may wait here and be in time.
-func (w Wait) latest() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
+// maxWaitInTime is how long a request may wait here and still be in time.
+func (w Wait) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
-// InTime tells whether its first piece is still expected in time.
-func (w Wait) InTime() bool { return w.Target <= 0 || w.Waited+w.Expect <= w.latest() }
+// InTime reports whether its first chunk is still expected in time.
+func (w Wait) InTime() bool { return w.Target <= 0 || w.Waited+w.Expect <= w.maxWaitInTime() }
 
-// servable tells whether it can still be answered.
+// servable reports whether it can still be answered.
 func (w Wait) servable() bool {
-	if w.Waited+w.Expect > uselessAfter*w.Target {
+	if w.Waited+w.Expect > uselessFactor*w.Target {
 		return false
 	}
 	return w.Left <= 0 || w.Expect <= time.Duration((1-answerShare)*float64(w.Left))
 }
 
-// Refuses tells whether a request is refused now, and when it is to come back: not before
-// its turn would have come. Who has waited in vain would not have its turn sooner than
-// that either.
+// Refuses reports whether a request is refused now, and when it should come back: not before it
+// would have been granted a slot. A request that has waited in vain should stay away for at least
+// as long as it waited, since it would not be granted one sooner.
 func (r Refusal) Refuses(w Wait) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
@@ -71,10 +72,10 @@
 	return max(w.Expect, w.Waited), true
 }
 
-// Patience is how long a request may wait, whatever is expected.
+// Patience is how long a request may wait, whatever wait is expected.
 func (r Refusal) Patience(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
-		return uselessAfter * target
+		return uselessFactor * target
 	}
 	return target / 2
 }
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -2,9 +2,8 @@
 
 import "sync"
 
-// RetryBudget bounds retries, and hedges, to a share of first tries. When a
-// whole replica set fails, every request would otherwise be sent again and
-// again, and the load that broke it would grow by as many times.
+// RetryBudget limits retries and hedges to a share of first tries. When all replicas fail, each
+// request would otherwise be sent again and again, and multiply the load that caused the failure.
 type RetryBudget struct {
 	mu    sync.Mutex
 	share float64
@@ -12,14 +11,14 @@
 	level float64
 }
 
-// NewRetryBudget returns a budget that earns share of a retry for each first
-// try and holds at most burst, with which it starts.
+// NewRetryBudget returns a budget that earns share of a retry for each first try and holds at
+// most burst, with which it starts.
 func NewRetryBudget(share, burst float64) *RetryBudget {
 	return &RetryBudget{share: share, burst: burst, level: burst}
 }
 
-// Resize changes what the budget holds at most, as routers come and go that
-// share it. It never holds less than one retry.
+// Resize changes the maximum that the budget holds, when the number of routers that share it
+// changes. It can always hold at least one retry.
 func (b *RetryBudget) Resize(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -34,8 +33,8 @@
 	b.level = min(b.level+b.share, b.burst)
 }
 
-// Overdraw draws one retry also when none is left, up to depth below. It is for
-// work that is already paid for; what was overdrawn is earned before others draw.
+// Overdraw draws one retry even if none is left, down to a debt of depth. It is for work that is
+// already paid for. A debt must be earned back before other retries can draw.
 func (b *RetryBudget) Overdraw(depth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,7 +45,7 @@
 	return true
 }
 
-// Take draws one retry; false means that the budget is spent: give up.
+// Take draws one retry; false means that the budget is spent and the request must not be retried.
 func (b *RetryBudget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/share.go
+++ b/admission/share.go
@@ -1,61 +1,58 @@
 package admission
 
-// MaxOvershoot bounds what a fleet that fell apart may use of a limit, as a
-// multiple of it, provided that all parts go by the same last demands. What
-// demand changes between two heartbeats comes on top, for as long as it takes
-// to be heard.
+// MaxOvershoot bounds what the parts of a partitioned fleet may use of a limit in total, as a
+// multiple of the limit, provided that all parts use the same last known demands. Changes of
+// demand between two heartbeats come on top, until they are received.
 const MaxOvershoot = 1.25
 
-// lostWeight is the share of a lost peer's demand that is still set aside for
-// it. A lost peer is dead or merely cut off. Setting all aside errs against
-// the caller, whose requests now come to us; setting nothing aside lets every
-// part of a split fleet use the whole limit. With weight w, nodes of demands d
-// that all lose each other use in sum
+// unreachableWeight is the share of an unreachable peer's demand that is still reserved for it.
+// The peer may have crashed or only be cut off. Reserving all of its demand would penalize the
+// caller, whose requests now arrive here; reserving nothing would let every part of a partitioned
+// fleet use the whole limit. With weight w, nodes of demands d that all can't reach each other
+// use in sum
 //
 //	Σ d/(d + w(D-d))  <=  Σ d/(wD)  =  1/w
 //
-// of the limit, and parts that still see each other use less.
-const lostWeight = 1 / MaxOvershoot
+// of the limit, and parts whose members can reach each other use less.
+const unreachableWeight = 1 / MaxOvershoot
 
-// idleShare is the demand, as a share of the limit, that is imagined for each
-// node on top of the observed one: a node without demand yet must be able to
-// admit its first request.
+// idleShare is the demand, as a share of the limit, that is assumed for each node in addition to
+// the observed one: a node without demand yet must be able to admit its first request.
 const idleShare = 0.01
 
-// others is what a number of other routers ask for together.
-type others struct {
+// peerTotals sums up the demand of a number of other routers.
+type peerTotals struct {
 	demand float64
 	nodes  int
 }
 
-func (o *others) add(demand float64) {
+func (o *peerTotals) add(demand float64) {
 	o.demand += demand
 	o.nodes++
 }
 
-// with adds the demand that is imagined for each.
-func (o others) with(idle float64) float64 { return o.demand + float64(o.nodes)*idle }
+// withIdle adds the idle demand that is assumed for each node.
+func (o peerTotals) withIdle(idle float64) float64 { return o.demand + float64(o.nodes)*idle }
 
-// Share is this node's part of a fleet-wide limit, from its own demand, that
-// of the peers it hears and the last known of those it lost, all in the unit
-// of the limit.
-func Share(limit, own float64, peers, lost []float64) float64 {
-	var heard, gone others
-	for _, d := range peers {
-		heard.add(d)
+// Share is this node's part of a fleet-wide limit, computed from its own demand, the demand of
+// reachable peers and the last known demand of unreachable ones, all in the unit of the limit.
+func Share(limit, localDemand float64, reachableDemands, unreachableDemands []float64) float64 {
+	var reachable, unreachable peerTotals
+	for _, d := range reachableDemands {
+		reachable.add(d)
 	}
-	for _, d := range lost {
-		gone.add(d)
+	for _, d := range unreachableDemands {
+		unreachable.add(d)
 	}
-	return share(limit, own, heard, gone)
+	return limitShare(limit, localDemand, reachable, unreachable)
 }
 
-func share(limit, own float64, heard, lost others) float64 {
+func limitShare(limit, localDemand float64, reachable, unreachable peerTotals) float64 {
 	idle := limit * idleShare
-	mine := own + idle
-	all := mine + heard.with(idle) + lostWeight*lost.with(idle)
+	localWithIdle := localDemand + idle
+	all := localWithIdle + reachable.withIdle(idle) + unreachableWeight*unreachable.withIdle(idle)
 	if all <= 0 {
 		return 0
 	}
-	return limit * mine / all
+	return limit * localWithIdle / all
 }
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -5,86 +5,88 @@
 	"time"
 )
 
-// A Line orders the requests that wait at this router for an engine to have a place.
+// Line is a queue of the requests that wait at this router for a free slot at an engine.
 //
-// The load that it answers: more prompts arrive than engines read, for some seconds,
-// or engines crash and all their runs look for others at once. Without an order each
-// request tries by itself, at random: the one that has waited longest has no better
-// chance than the one that has just come, what waits is not counted, and all of them
-// rush to the first engine that is back. In a line the number ahead says how long the wait is
-// going to be, so that what can't be served in time is told so at once.
+// It serves overload: for some seconds more prompts arrive than engines read, or engines crash
+// and all their runs need another engine at once. Without an order each request tries on its own
+// at random: the one that has waited longest has no better chance than the latest one, waiting
+// requests are not counted, and all of them rush to the first engine that is back. With a queue,
+// the number of requests ahead yields the expected wait, so that requests that can't be served in
+// time are refused at once.
 //
-// It makes decisions only: callers pass the time in, ask for their turn now and then,
-// and are dropped from the line when they stop asking.
+// It only makes decisions: callers pass the time in and poll their position at short intervals. A
+// request that is no longer polled is dropped from the queue.
 type Line struct {
-	mu      sync.Mutex
-	waiters map[string]*lineEntry
-	pace    time.Duration // between two places that were had while somebody waited; 0 while unknown
-	lastHad time.Time     // when the last place was had
+	mu            sync.Mutex
+	waiters       map[string]*queueEntry
+	grantInterval time.Duration // between two grants while requests were waiting; 0 while unknown
+	lastGrant     time.Time     // when the last slot was granted
 }
 
-// Rank orders the line; a lower one goes first, whenever it came.
+// Rank is the primary order of the queue. Lower ranks go first, regardless of their arrival.
 type Rank uint8
 
 const (
-	// RankStarted is for answers that have begun: they hold work already done.
+	// RankStarted is for started answers: they represent work already done.
 	RankStarted Rank = iota
-	// RankNew is for all others.
+	// RankNew is for all other requests.
 	RankNew
-	// RankLate is for those that can't be in time any more.
+	// RankLate is for requests that can't be in time any more.
 	RankLate
 )
 
-type lineEntry struct {
-	rank  Rank
-	late  bool      // it stays so
-	came  time.Time // of its client's first try, as far as known
-	since time.Time // it stands here
-	asked time.Time
-	asks  int
+type queueEntry struct {
+	rank      Rank
+	late      bool      // past its deadline for being in time; never reset
+	arrivedAt time.Time // time of its client's first try, as far as known
+	queuedAt  time.Time // when it entered this queue
+	lastPoll  time.Time
+	polls     int
 }
 
-// Turn is where a request stands in the line.
+// Turn is the position of a request in the queue.
 type Turn struct {
-	Ahead  int           // how many go before it
-	Waited time.Duration // since it came
+	Ahead  int           // number of requests that go before it
+	Waited time.Duration // time since it entered the queue
 	Late   bool          // it can't be in time any more
 }
 
 const (
-	// forgotten is when a request that asks no more is dropped: after several times the
-	// longest pause between two questions. A process that stands still loses its order only.
-	forgotten = 400 * time.Millisecond
-	// paceWeight is the weight of the latest interval in the pace.
-	paceWeight = 0.2
-	// paceLife is the age from which a pace says nothing: the burst is another one.
-	paceLife = 5 * time.Second
+	// dropAfter is when a request that is no longer polled is dropped: several times the longest
+	// interval between two polls. If the process pauses for longer, only the order of the queue
+	// is lost.
+	dropAfter = 400 * time.Millisecond
+	// intervalWeight is the weight of the latest interval in grantInterval.
+	intervalWeight = 0.2
+	// intervalMaxAge is the time since the last grant after which grantInterval is no longer
+	// valid: it was measured in an earlier burst.
+	intervalMaxAge = 5 * time.Second
 )
 
-// NewLine returns an empty line.
-func NewLine() *Line { return &Line{waiters: map[string]*lineEntry{}} }
+// NewLine returns an empty queue.
+func NewLine() *Line { return &Line{waiters: map[string]*queueEntry{}} }
 
-// Wait has a request stand in the line, or tells that it still does. age is how long ago
-// its client tried first: one that was told to come back goes before those that came
-// meanwhile.
+// Wait adds a request to the queue, or polls it if it is already there. age is the time since its
+// client's first try: a client that was told to come back goes before requests that arrived since
+// then.
 func (l *Line) Wait(id string, rank Rank, age time.Duration, now time.Time) Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiters[id]
 	if w == nil {
-		w = &lineEntry{came: now.Add(-age), since: now}
+		w = &queueEntry{arrivedAt: now.Add(-age), queuedAt: now}
 		l.waiters[id] = w
 	}
 	if w.late && rank == RankNew {
 		rank = RankLate
 	}
-	w.rank, w.asked = rank, now
-	w.asks++
-	return Turn{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: w.late}
+	w.rank, w.lastPoll = rank, now
+	w.polls++
+	return Turn{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: w.late}
 }
 
-// Late puts a request that waits behind all that can still be in time, for good, and
-// tells where it stands then.
+// Late moves a waiting request behind all requests that can still be in time, permanently, and
+// returns its new position.
 func (l *Line) Late(id string, now time.Time) Turn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,84 +96,86 @@
 	}
 	w.late = true
 	w.rank = max(w.rank, RankLate)
-	return Turn{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: true}
+	return Turn{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: true}
 }
 
-// Had tells that a request has got its place. The pace is learnt from those that did
-// not get it when they came, while somebody waited all the time since the one before.
+// Had records that a request was granted a slot, and takes it out of the queue. grantInterval is
+// measured only from grants to requests that had to wait, during an interval throughout which
+// requests were waiting.
 //
-// What goes wrong if other times count: at a router with little traffic the pace is that
-// at which requests come, not at which engines become free. The only one that waits is
-// refused although its turn is next.
+// If other intervals counted, then at a router with little traffic the measure would be the
+// interval at which requests arrive, not the one at which engines have free slots, and a request
+// that is alone in the queue would be refused although it is the next one.
 func (l *Line) Had(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gap, busy := now.Sub(l.lastHad), !l.waitedSince(now).After(l.lastHad)
+	gap, busy := now.Sub(l.lastGrant), !l.longestWaitingSince(now).After(l.lastGrant)
 	w := l.waiters[id]
 	delete(l.waiters, id)
-	if w == nil || w.asks < 2 {
+	if w == nil || w.polls < 2 {
 		return
 	}
 	switch {
-	case l.lastHad.IsZero() || gap > paceLife:
-		l.pace = 0
+	case l.lastGrant.IsZero() || gap > intervalMaxAge:
+		l.grantInterval = 0
 	case !busy:
-	case l.pace == 0:
-		l.pace = gap
+	case l.grantInterval == 0:
+		l.grantInterval = gap
 	default:
-		l.pace += time.Duration(paceWeight * float64(gap-l.pace))
+		l.grantInterval += time.Duration(intervalWeight * float64(gap-l.grantInterval))
 	}
-	l.lastHad = now
+	l.lastGrant = now
 }
 
-// Leave takes a request out that is refused or gone.
+// Leave takes a request out of the queue because it is refused or its client has disconnected.
 func (l *Line) Leave(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiters, id)
 }
 
-// Expect is how long a request with so many before it is going to wait; false while
-// that isn't known. While nobody gets a place the expectation grows with the time that
-// has passed.
+// Expect returns how long a request with so many others ahead is expected to wait; false while
+// that isn't known. While no slot is granted the expectation grows with the time since the last
+// grant.
 func (l *Line) Expect(ahead int, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pace == 0 || now.Sub(l.lastHad) > paceLife {
+	if l.grantInterval == 0 || now.Sub(l.lastGrant) > intervalMaxAge {
 		return 0, false
 	}
-	none := min(now.Sub(l.waitedSince(now)), now.Sub(l.lastHad))
-	return time.Duration(ahead) * max(l.pace, none/2), true
+	sinceGrant := min(now.Sub(l.longestWaitingSince(now)), now.Sub(l.lastGrant))
+	return time.Duration(ahead) * max(l.grantInterval, sinceGrant/2), true
 }
 
-// waitedSince is since when the one that waits longest has waited; now if nobody waits.
-func (l *Line) waitedSince(now time.Time) time.Time {
+// longestWaitingSince returns when the request that has waited longest entered the queue, or now
+// if the queue is empty.
+func (l *Line) longestWaitingSince(now time.Time) time.Time {
 	first := now
 	for _, w := range l.waiters {
-		if w.since.Before(first) {
-			first = w.since
+		if w.queuedAt.Before(first) {
+			first = w.queuedAt
 		}
 	}
 	return first
 }
 
-// goesBefore orders the line.
-func (e *lineEntry) goesBefore(other *lineEntry) bool {
+// goesBefore is the order of the queue.
+func (e *queueEntry) goesBefore(other *queueEntry) bool {
 	if e.rank != other.rank {
 		return e.rank < other.rank
 	}
-	return e.came.Before(other.came)
+	return e.arrivedAt.Before(other.arrivedAt)
 }
 
-// before counts those that go before w, and drops those that ask no more.
-func (l *Line) before(own string, w *lineEntry, now time.Time) int {
+// countAhead counts the requests that go before w, and drops those that are no longer polled.
+func (l *Line) countAhead(self string, w *queueEntry, now time.Time) int {
 	n := 0
 	for id, o := range l.waiters {
-		if now.Sub(o.asked) > forgotten {
+		if now.Sub(o.lastPoll) > dropAfter {
 			delete(l.waiters, id)
 			continue
 		}
-		if id != own && o.goesBefore(w) {
+		if id != self && o.goesBefore(w) {
 			n++
 		}
 	}
--- a/admission/waitqueue_test.go
+++ b/admission/waitqueue_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Symptom: a request that came back when it was told to is refused again, and a draft
-// that had begun waits behind new ones. Sequence: engines are full; new requests come
-// while others wait. Cause: who asks first after a place is free gets it.
+// Guards against: a request that came back at the time it was told is refused again, and a
+// started answer waits behind new requests. Engines are full; new requests arrive while others
+// wait. The fault is that a free slot goes to the request that polls first.
 func TestLineKeepsItsOrder(t *testing.T) {
 	l, now := NewLine(), time.Unix(1000, 0)
 	for i, w := range []struct {
@@ -40,23 +40,25 @@
 	}
 }
 
-// Symptom: nobody gets an engine though engines are free. Sequence: the first in the line
-// has left without a word: its client is gone. Cause: it is waited for.
+// Guards against: no request gets an engine although engines are free. The first request in the
+// queue is no longer polled because its client has disconnected. The fault is to keep waiting for
+// it.
 func TestWhoAsksNoMoreIsDropped(t *testing.T) {
 	l, now := NewLine(), time.Unix(1000, 0)
 	l.Wait("gone", RankNew, 0, now)
-	now = now.Add(forgotten + time.Millisecond)
+	now = now.Add(dropAfter + time.Millisecond)
 	if got := l.Wait("next", RankNew, 0, now).Ahead; got != 0 {
 		t.Errorf("%d are ahead", got)
 	}
 }
 
-// Symptom: requests wait until they are late and are refused then. Sequence: places come
-// at a pace that can be seen; more wait than it serves in time. Cause: the pace isn't used.
+// Guards against: requests wait until they are late and are refused only then. Slots are granted
+// at a measurable interval, and more requests wait than can be served in time. The fault is not
+// to use the interval.
 func TestExpectationFollowsThePace(t *testing.T) {
 	l, now := NewLine(), time.Unix(1000, 0)
 	if _, known := l.Expect(3, now); known {
-		t.Error("an expectation from nothing")
+		t.Error("a wait is expected without any measurement")
 	}
 	for i := range 20 {
 		id := fmt.Sprint(i)
@@ -66,21 +68,21 @@
 		l.Had(id, now)
 	}
 	if got, known := l.Expect(10, now); !known || got < 1900*time.Millisecond || got > 2100*time.Millisecond {
-		t.Errorf("ten places at 200 ms each: %v, %v", got, known)
+		t.Errorf("ten slots at 200 ms each: %v, %v", got, known)
 	}
 	l.Wait("waits", RankNew, 0, now)
 	now = now.Add(2 * time.Second)
 	if got, _ := l.Expect(1, now); got < time.Second {
-		t.Errorf("no place for 2 s, and one is expected in %v", got)
+		t.Errorf("no slot for 2 s, and one is expected in %v", got)
 	}
-	if _, known := l.Expect(1, now.Add(paceLife)); known {
-		t.Error("the pace of an earlier burst counts")
+	if _, known := l.Expect(1, now.Add(intervalMaxAge)); known {
+		t.Error("the interval of an earlier burst counts")
 	}
 }
 
-// Symptom: the only request that waits is refused, though its turn is next. Sequence: at a
-// router with little traffic two requests wait 100 ms each, three seconds apart; a third
-// comes. Cause: the time in which nobody waited was taken for the pace of places.
+// Guards against: the only waiting request is refused though it is the next one. At a router with
+// little traffic two requests wait 100 ms each, three seconds apart; a third one arrives. The
+// fault is to count time in which no request waited as part of the interval between grants.
 func TestTimeWithoutWaitersIsNoPace(t *testing.T) {
 	l, now := NewLine(), time.Unix(1000, 0)
 	for _, id := range []string{"one", "two"} {
@@ -92,12 +94,12 @@
 	}
 	l.Wait("third", RankNew, 0, now)
 	if got, known := l.Expect(1, now); known && got > 100*time.Millisecond {
-		t.Errorf("the next place is expected after %v", got)
+		t.Errorf("the next slot is expected after %v", got)
 	}
 }
 
-// Whoever waits, asks or leaves: no two of those that ask have the same number ahead, and
-// the numbers leave no gap.
+// The positions must form an order, whichever requests wait, poll or leave: no two requests have
+// the same number ahead, and the numbers have no gap.
 func TestLineIsAnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := NewLine(), time.Unix(1000, 0)
@@ -128,12 +130,12 @@
 	})
 }
 
-// Symptom: on engines that read slowly each is sent several prompts, and all are late.
-// Cause: the reading speed of another deployment is assumed.
+// Guards against: engines that read slowly are sent several prompts each, and all of those are
+// late. The fault is to assume the prefill rate of another deployment.
 func TestReadingSpeedIsLearnt(t *testing.T) {
 	var r Reading
 	if got := r.Within(time.Second); got != 0 {
-		t.Errorf("%v tokens from nothing", got)
+		t.Errorf("%v tokens without any measurement", got)
 	}
 	for range 60 {
 		r.Observe(5000, time.Second)
@@ -147,30 +149,31 @@
 	r.Observe(0, time.Second)
 	r.Observe(5000, 0)
 	if got := r.Within(2 * time.Second); got < 4900 {
-		t.Errorf("%v tokens after readings that say nothing", got)
+		t.Errorf("%v tokens after invalid measurements", got)
 	}
 }
 
-// Symptom: in a burst runs are turned away for the sake of copies that nobody needs, or
-// prompts are read again in each crash for lack of copies. Cause: a fixed share of memory.
+// Guards against: in a burst runs are refused to make space for copies that are not needed, or
+// prompts are read again in each crash for lack of copies. The fault is to give copies a fixed
+// share of memory.
 func TestCopiesFollowLosses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := NewLosses(now)
 	share := func(after time.Duration) float64 { return l.CopyShare(now.Add(after)) }
-	if share(0) != mostCopies || share(lossFresh) != mostCopies {
-		t.Error("the first crash is not provided for")
+	if share(0) != maxCopyShare || share(recentLossAge) != maxCopyShare {
+		t.Error("no memory is reserved for the first crash")
 	}
-	if got := share(lossOld); got > leastCopies+1e-9 || share(time.Hour) < leastCopies-1e-9 {
+	if got := share(oldLossAge); got > minCopyShare+1e-9 || share(time.Hour) < minCopyShare-1e-9 {
 		t.Errorf("without losses copies take %v", got)
 	}
 	l.Lost(now.Add(time.Hour))
-	if got := share(time.Hour + time.Second); got != mostCopies {
+	if got := share(time.Hour + time.Second); got != maxCopyShare {
 		t.Errorf("after a loss copies take %v", got)
 	}
 }
 
-// Symptom: those that could be in time wait behind those that can't. Cause: a request that
-// was given up as late goes before others again because it came first.
+// Guards against: requests that could be in time wait behind those that can't. The fault is that
+// a request that was marked late goes before others again because it arrived first.
 func TestLateGoLast(t *testing.T) {
 	l, now := NewLine(), time.Unix(1000, 0)
 	l.Wait("late", RankNew, 0, now)
@@ -182,12 +185,12 @@
 		t.Errorf("got %+v", turn)
 	}
 	if turn := l.Wait("late", RankStarted, 0, now.Add(10*time.Millisecond)); turn.Ahead != 0 {
-		t.Errorf("an answer that has begun: %+v", turn)
+		t.Errorf("a started answer: %+v", turn)
 	}
 }
 
-// What is known not to be servable is refused at once by either way; what would be late
-// by one of them only.
+// A request that can't be served is refused at once by both policies; one that would only be late
+// is refused by RefuseLate only.
 func TestWhoIsRefused(t *testing.T) {
 	const target = 4 * time.Second
 	for _, c := range []struct {
