--- a/generation/accept.go
+++ b/generation/accept.go
@@ -1,39 +1,39 @@
 package generation
 
-type verdict uint8
+type decision uint8
 
 const (
-	accept   verdict = iota
-	repeated         // index was delivered before
-	late             // of an attempt that is no longer current
-	gap              // at least one token is missing in between
+	accepted  decision = iota
+	duplicate          // this index was delivered before
+	stale              // from an attempt that is no longer the current one
+	gap                // at least one token before it is missing
 )
 
-// acceptor decides which tokens belong to the answer: only those of the
-// current attempt, each index once and in order.
+// tokenFilter decides which tokens belong to the answer: only those of the current attempt, each
+// index once and in order.
 //
-// What goes wrong without it: after a resume the lost engine comes back and
-// its tokens arrive beside those of the new one, or an engine repeats or skips
-// a token. The caller would read a text that no single generation wrote, and
-// nothing in the text would show it.
-type acceptor struct {
+// Without it, tokens of a lost engine that comes back after a resume would be mixed with those of
+// its successor, and tokens that an engine repeats or skips would reach the caller. The caller
+// would read a text that no single generation wrote, and nothing in the text would show it.
+type tokenFilter struct {
 	attempt int
 	next    int
 }
 
-// begin makes attempt the current one; the next index stays.
-func (a *acceptor) begin(attempt int) { a.attempt = attempt }
+// setAttempt makes attempt the current one. The next expected index does not change.
+func (f *tokenFilter) setAttempt(attempt int) { f.attempt = attempt }
 
-// offer judges the token at index of attempt and counts it when accepted.
-func (a *acceptor) offer(attempt, index int) verdict {
+// check classifies the token at index of attempt, and advances the next expected index if the
+// token is accepted.
+func (f *tokenFilter) check(attempt, index int) decision {
 	switch {
-	case attempt != a.attempt:
-		return late
-	case index < a.next:
-		return repeated
-	case index > a.next:
+	case attempt != f.attempt:
+		return stale
+	case index < f.next:
+		return duplicate
+	case index > f.next:
 		return gap
 	}
-	a.next++
-	return accept
+	f.next++
+	return accepted
 }
--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -11,73 +11,75 @@
 	"wigeondale/quarantine"
 )
 
-// attemptSpread is the range of the random step in the attempt's number after
-// a change of router: two routers that take the same answer over at the same
-// moment must not give one number to two attempts.
+// attemptSpread is the range of the random step that is added to the attempt number after a
+// change of router: two routers that take over the same answer at the same moment must not give
+// the same number to two attempts.
 const attemptSpread = 1 << 16
 
 // attempt is one run of the request on one engine.
 type attempt struct {
-	backend fleet.Backend
-	place   Place
-	stream  Stream // nil while it isn't read
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	watch   Watch
-	share   Share
-	copy    standbyCopy
-	copied  chan standbyCopy // a copy that was made beside the stream; room for one
-	copying bool             // one is being made
-
-	copyChecked time.Time
-	accepted    int // tokens delivered from it
-	sentAt      time.Time
-	firstAt     time.Time // when the first of them came
-	outlived    bool      // it has run long enough to clear the request of suspicion
-	seen        bool      // the engine has confirmed that it exists
+	backend        fleet.Backend
+	origin         Place
+	stream         Stream // nil while the stream isn't read
+	ctx            context.Context
+	cancel         context.CancelCauseFunc
+	watch          Watch
+	loadShare      Share
+	copy           standbyCopy
+	copyResult     chan standbyCopy // result of makeCopy, which runs alongside the stream; buffers one
+	copyInProgress bool             // makeCopy is running
+
+	copyCheckedAt    time.Time
+	accepted         int // tokens delivered from this attempt
+	sentAt           time.Time
+	firstAt          time.Time // when its first token arrived
+	suspicionCleared bool      // it has run long enough to clear the request of suspicion
+	confirmed        bool      // the engine has confirmed that the attempt exists
 }
 
-func (x *run) nextNumber() int {
-	x.number++
-	if x.req.Resume != nil && x.number == x.req.Resume.Attempt+1 {
-		x.number += int(x.opts.Rand() * attemptSpread)
+func (x *run) nextAttemptNumber() int {
+	x.attemptNumber++
+	if x.req.Resume != nil && x.attemptNumber == x.req.Resume.Attempt+1 {
+		x.attemptNumber += int(x.opts.Rand() * attemptSpread)
 	}
-	return x.number
+	return x.attemptNumber
 }
 
-// watchAttempt puts a under the failure detector.
+// watchAttempt registers a with the failure detector, unless a is the last attempt allowed.
 func (x *run) watchAttempt(a *attempt) {
 	a.ctx, a.cancel = context.WithCancelCause(x.ctx)
-	if x.lastChance() {
-		// Ending it at a silence would only lose an answer that may still come.
-		a.watch = unwatched{}
+	if x.isLastAttempt() {
+		// No other attempt may follow: ending this one because it is silent would only lose an
+		// answer that may still arrive.
+		a.watch = noWatch{}
 		return
 	}
 	a.watch = x.Watcher.Watch(a.backend.ID, x.work(), a.cancel)
 }
 
-// work is what the next attempt is to do.
+// work describes to the failure detector what the next attempt has to do.
 func (x *run) work() health.Work {
-	w := health.Work{Request: x.req.ID, PromptBytes: x.promptBytes(), Received: x.acc.next}
+	w := health.Work{Request: x.req.ID, PromptBytes: x.promptBytes(), Received: x.filter.next}
 	if x.req.Opaque != nil {
-		w.Received-- // its pieces are numbered from 1
+		w.Received-- // chunks of an opaque answer are numbered from 1
 	}
 	return w
 }
 
-// begun notes that the first piece has come, and tells the share.
-func (a *attempt) begun(now time.Time) {
+// recordFirstToken records when the first token arrived, and reports to the backend server's load
+// record that the prompt has been read. Later calls do nothing.
+func (a *attempt) recordFirstToken(now time.Time) {
 	if a.accepted > 0 {
 		return
 	}
 	a.firstAt = now
-	if a.share != nil {
-		a.share.Begun()
+	if a.loadShare != nil {
+		a.loadShare.Begun()
 	}
 }
 
-// loss is what the guard goes by when a was lost.
-func (a *attempt) loss(cause string) quarantine.Loss {
+// lossReport is what the quarantine guard evaluates when a was lost.
+func (a *attempt) lossReport(cause string) quarantine.Loss {
 	l := quarantine.Loss{Backend: a.backend, Pieces: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
 	if !a.firstAt.IsZero() {
 		l.SinceFirst = time.Since(a.firstAt)
@@ -85,7 +87,7 @@
 	return l
 }
 
-// closeReader ends the reading of a; the engine keeps it for the linger time.
+// closeReader stops reading a. The engine keeps the attempt for its linger time.
 func (a *attempt) closeReader() {
 	if a.stream != nil {
 		a.stream.Close()
@@ -98,28 +100,29 @@
 	if a.cancel != nil {
 		a.cancel(nil)
 	}
-	if a.share != nil {
-		a.share.End()
-		a.share = nil
+	if a.loadShare != nil {
+		a.loadShare.End()
+		a.loadShare = nil
 	}
 	a.copy.release()
 }
 
-// lastChance tells that no other backend server could go on with the answer.
-func (x *run) lastChance() bool {
+// isLastAttempt reports whether no other backend server may continue the answer after the next
+// attempt.
+func (x *run) isLastAttempt() bool {
 	o := x.req.Opaque
-	return o != nil && (x.req.NonIdempotent || x.sent+1 >= o.MaxAttempts)
+	return o != nil && (x.req.NonIdempotent || x.attemptsSent+1 >= o.MaxAttempts)
 }
 
-// unwatched is the Watch of an attempt that no silence may end.
-type unwatched struct{}
+// noWatch is the Watch of an attempt that must not be ended because of silence.
+type noWatch struct{}
 
-func (unwatched) Token(time.Time)            {}
-func (unwatched) SetBlocked(bool, time.Time) {}
-func (unwatched) SetCopied(bool)             {}
-func (unwatched) Close()                     {}
+func (noWatch) Token(time.Time)            {}
+func (noWatch) SetBlocked(bool, time.Time) {}
+func (noWatch) SetCopied(bool)             {}
+func (noWatch) Close()                     {}
 
-// promptBytes is the size of the text that an attempt has to read first.
+// promptBytes is the size of the text that an attempt has to prefill.
 func (x *run) promptBytes() int {
 	if o := x.req.Opaque; o != nil {
 		return o.Size * bytesPerToken
@@ -127,40 +130,41 @@
 	return len(x.req.Prompt) + len(x.text)
 }
 
-// leave closes the reader and lets the engine's linger time decide.
-func (x *run) leave() {
-	if x.last != nil {
-		x.last.closeReader()
-		x.last = nil
+// detach closes the reader. The engine keeps the attempt for its linger time.
+func (x *run) detach() {
+	if x.current != nil {
+		x.current.closeReader()
+		x.current = nil
 	}
 }
 
 // abandon closes the reader and has the attempt cancelled.
 func (x *run) abandon() {
-	a := x.last
+	a := x.current
 	if a == nil {
 		return
 	}
-	x.leave()
+	x.detach()
 	if x.req.Opaque != nil {
-		return // closing the connection has cancelled it
+		return // closing the connection has already cancelled it
 	}
 	if a.backend.Addr == "" {
-		return // handed over from a backend server that isn't known any more
+		return // handed over from a backend server that is no longer known
 	}
 	x.Abandon.Add(backend.Abandoned{
-		Backend: a.backend, Incarnation: a.place.Incarnation,
-		Request: x.req.ID, Attempt: a.place.Attempt, Accepted: a.accepted,
+		Backend: a.backend, Incarnation: a.origin.Incarnation,
+		Request: x.req.ID, Attempt: a.origin.Attempt, Accepted: a.accepted,
 	})
 }
 
-// linger is how long the engine keeps an attempt without a reader. The one
-// run of a request that isn't idempotent must outlast a long silence.
+// linger is how long the engine keeps an attempt without a reader. For a request that is not
+// idempotent it lasts until the deadline (at most maxNonIdempotentLinger): its only run must
+// outlast a long silence.
 func (x *run) linger() time.Duration {
 	if !x.req.NonIdempotent || x.req.Deadline.IsZero() {
 		return x.opts.Linger
 	}
-	return min(max(x.opts.Linger, time.Until(x.req.Deadline)), maxOnceLinger)
+	return min(max(x.opts.Linger, time.Until(x.req.Deadline)), maxNonIdempotentLinger)
 }
 
 // engineLost reports whether the failure detector ended the attempt.
--- a/generation/bench_test.go
+++ b/generation/bench_test.go
@@ -29,7 +29,7 @@
 func (nullSink) Token(int, []byte, string) error  { return nil }
 func (nullSink) Flush() error                     { return nil }
 
-// BenchmarkRunner reports the cost of one whole answer of 1000 tokens.
+// BenchmarkRunner reports the cost of one complete answer of 1000 tokens.
 func BenchmarkRunner(b *testing.B) {
 	const tokens = 1000
 	var data bytes.Buffer
@@ -40,7 +40,7 @@
 		}
 		fmt.Fprintf(&data, `data: {"id":"r","attempt":1,"model":"m","version":"v1","adapter":"","index":%d,"choices":[{"index":0,"text":" %d.ab12.0011aabb","finish_reason":%s}]}`+"\n\n", i, i, finish)
 	}
-	h := &harness{engines: []*fakeEngine{{}}, dead: "memory"}
+	h := &harness{engines: []*fakeEngine{{}}, deadAddr: "memory"}
 	r, err := New(Deps{Admitter: h, Claims: h, Picker: h, Watcher: h, Engines: memEngines{data.Bytes()}, Abandon: h, Budget: h}, Options{})
 	if err != nil {
 		b.Fatal(err)
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -9,75 +9,76 @@
 )
 
 const (
-	// copyCheck is how often a run looks whether its copy is still kept.
-	copyCheck = 300 * time.Millisecond
-	// copyTimeout bounds the making of a copy, which queues behind other copies.
+	// copyCheckInterval is how often a run checks that its copy still exists.
+	copyCheckInterval = 300 * time.Millisecond
+	// copyTimeout bounds the making of a copy, which may queue behind other copies.
 	copyTimeout = 1500 * time.Millisecond
-	// copyRefresh is when a copy that was made on demand is brought up to date.
-	// Backend servers drop one that is left alone for longer.
-	copyRefresh = 2500 * time.Millisecond
+	// copyRefreshAge is the age at which a copy that was made on demand is brought up to date.
+	// Backend servers drop a copy that isn't updated for longer.
+	copyRefreshAge = 2500 * time.Millisecond
 )
 
 // Copier copies the state of a run from one backend server to another.
 type Copier interface {
-	// Copy copies the run of the request at from, and returns the name of the
-	// copy. Called again it copies only what is new.
+	// Copy copies the run of the request at from, and returns the name of the copy. Later calls
+	// for the same run copy only the state added since.
 	Copy(ctx context.Context, from fleet.Backend, request string, to fleet.Backend) (name string, err error)
-	// Drop frees a copy of a run that ended, at both ends.
+	// Drop frees the copy of a run that has ended, on both backend servers.
 	Drop(ctx context.Context, from fleet.Backend, name string) error
 }
 
-// standbyCopy is where a copy of a run is kept.
+// standbyCopy records where a copy of a run's state is kept.
 type standbyCopy struct {
-	at    fleet.Backend // without an address there is none
-	name  string        // of a copy made on demand; empty while the backend server keeps it up to date
-	made  time.Time
-	share Share // of the copy in the load at at
+	backend   fleet.Backend // no copy if the address is empty
+	name      string        // of a copy made on demand; empty if the backend server keeps the copy up to date itself
+	madeAt    time.Time
+	loadShare Share // of the copy, in the load of the backend server that keeps it
 }
 
 func (c *standbyCopy) release() {
-	if c.share != nil {
-		c.share.End()
-		c.share = nil
+	if c.loadShare != nil {
+		c.loadShare.End()
+		c.loadShare = nil
 	}
 }
 
-// tendCopy sees to it that the attempt has a copy, without waiting for it.
+// maintainCopy makes or refreshes the standby copy of the attempt in the background, when one is
+// missing, was lost or is due for a refresh.
 //
-// What goes wrong without it: the failure domain of the copy crashes, the run
-// goes on without one, and some seconds later its own domain crashes too. It
-// shows as answers that pause for a second or more, and pay for their prompt
-// twice, in every second crash.
-func (x *run) tendCopy(a *attempt, now time.Time) {
-	if x.Copier == nil || x.req.Opaque == nil || !x.req.Opaque.Copies.OnDemand || x.followed.Suspected() || now.Sub(a.copyChecked) < copyCheck {
+// Without it, a run whose copy is lost with its failure domain continues without one, and when
+// the run's own domain crashes some seconds later its prompt has to be read again. The symptom is
+// answers that pause for a second or more, with their prefill paid for twice, in every second
+// crash.
+func (x *run) maintainCopy(a *attempt, now time.Time) {
+	if x.Copier == nil || x.req.Opaque == nil || !x.req.Opaque.Copies.OnDemand || x.tracked.Suspected() || now.Sub(a.copyCheckedAt) < copyCheckInterval {
 		return
 	}
-	a.copyChecked = now
-	a.takeCopy()
-	if a.copying || x.copyHolds(a, now) {
+	a.copyCheckedAt = now
+	a.collectCopy()
+	if a.copyInProgress || x.copyIsCurrent(a, now) {
 		return
 	}
 	to := a.copy
-	if to.at.Addr == "" || to.name == "" || !x.Picker.Keeps(to.at.ID) {
-		at, share, ok := x.Picker.Standby(x.ask(), a.backend)
+	if to.backend.Addr == "" || to.name == "" || !x.Picker.Keeps(to.backend.ID) {
+		at, share, ok := x.Picker.Standby(x.pickRequest(), a.backend)
 		if !ok {
 			return
 		}
-		to = standbyCopy{at: at, share: share}
+		to = standbyCopy{backend: at, loadShare: share}
 	}
-	a.copying = true
+	a.copyInProgress = true
 	go x.makeCopy(a.ctx, a, to)
 }
 
-// dropCopy frees the copy of a run that came to its end. Without it the copy
-// takes memory for some seconds more, for nobody.
+// dropCopy frees the copy of a run that has ended. Otherwise the unused copy would occupy memory
+// for some more seconds.
 func (x *run) dropCopy(a *attempt) {
-	a.takeCopy()
+	a.collectCopy()
 	if a.copy.name == "" {
 		return
 	}
 	from, name := a.backend, a.copy.name
-	x.voids.Go(func() {
+	x.background.Go(func() {
 		ctx, stop := context.WithTimeout(context.WithoutCancel(x.ctx), copyTimeout)
 		defer stop()
 		if err := x.Copier.Drop(ctx, from, name); err != nil {
@@ -86,59 +87,60 @@
 	})
 }
 
-// copyHolds tells whether the copy will do for now.
-func (x *run) copyHolds(a *attempt, now time.Time) bool {
-	if a.copy.at.Addr == "" || !x.Picker.Keeps(a.copy.at.ID) {
+// copyIsCurrent reports whether the copy still exists and needs no refresh yet.
+func (x *run) copyIsCurrent(a *attempt, now time.Time) bool {
+	if a.copy.backend.Addr == "" || !x.Picker.Keeps(a.copy.backend.ID) {
 		return false
 	}
-	return a.copy.name == "" || now.Sub(a.copy.made) < copyRefresh
+	return a.copy.name == "" || now.Sub(a.copy.madeAt) < copyRefreshAge
 }
 
-// makeCopy runs beside the stream; its outcome is taken in by takeCopy.
+// makeCopy runs in a goroutine alongside the stream; collectCopy picks up its result.
 func (x *run) makeCopy(ctx context.Context, a *attempt, to standbyCopy) {
 	ctx, stop := context.WithTimeout(ctx, copyTimeout)
 	defer stop()
-	made := time.Now()
-	name, err := x.Copier.Copy(ctx, a.backend, x.req.ID, to.at)
-	x.opts.Log.Emit(event.CopyMade, "request", x.req.ID, "attempt", a.place.Attempt,
-		"backend", a.backend.ID, "standby", to.at.ID, "copy", name, "took_ms", time.Since(made).Milliseconds(), "err", err)
+	startedAt := time.Now()
+	name, err := x.Copier.Copy(ctx, a.backend, x.req.ID, to.backend)
+	x.opts.Log.Emit(event.CopyMade, "request", x.req.ID, "attempt", a.origin.Attempt,
+		"backend", a.backend.ID, "standby", to.backend.ID, "copy", name, "took_ms", time.Since(startedAt).Milliseconds(), "err", err)
 	if err != nil {
 		to.release()
 		to = standbyCopy{}
 	}
-	to.name, to.made = name, made
-	a.copied <- to
+	to.name, to.madeAt = name, startedAt
+	a.copyResult <- to
 }
 
-// copyOfLost is the copy of an attempt that was lost.
-type copyOfLost struct {
-	at     string        // id of the backend server that keeps it; empty for none
-	name   string        // as in standbyCopy
-	source fleet.Backend // that the attempt ran at
+// lostAttemptCopy is the standby copy of an attempt that was lost.
+type lostAttemptCopy struct {
+	backendID string        // backend server that keeps the copy; empty if there is none
+	name      string        // as in standbyCopy
+	source    fleet.Backend // backend server on which the attempt ran
 }
 
-// takeCopyAtLoss takes in a copy that was completed just before the loss.
-func (a *attempt) takeCopyAtLoss() {
+// collectCopyAtLoss picks up a copy that was completed just before the loss.
+func (a *attempt) collectCopyAtLoss() {
 	select {
-	case c := <-a.copied:
+	case c := <-a.copyResult:
 		c.release()
-		if c.at.Addr != "" {
+		if c.backend.Addr != "" {
 			a.copy = c
 		}
 	default:
 	}
 }
 
-// takeCopy makes the latest copy the one to go on from.
-func (a *attempt) takeCopy() {
+// collectCopy picks up the result of makeCopy, if there is one, so that the run would resume from
+// the latest copy.
+func (a *attempt) collectCopy() {
 	select {
-	case c := <-a.copied:
-		a.copying = false
-		if a.copy.at.ID != c.at.ID {
+	case c := <-a.copyResult:
+		a.copyInProgress = false
+		if a.copy.backend.ID != c.backend.ID {
 			a.copy.release()
 		}
 		a.copy = c
-		a.watch.SetCopied(c.at.Addr != "")
+		a.watch.SetCopied(c.backend.Addr != "")
 	default:
 	}
 }
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -10,42 +10,42 @@
 	"wigeondale/fleet"
 )
 
-// dispatch sends the request to the picked engine. The deadline has been
-// checked by pick, after the claim.
+// dispatch sends the request to the picked engine. pick has checked the deadline, after the
+// claim.
 func (x *run) dispatch() string {
-	if err := x.followed.Refusal(x.ctx); err != nil {
+	if err := x.tracked.Refusal(x.ctx); err != nil {
 		return x.end("fail", CodeQuarantined, err)
 	}
-	a := &attempt{backend: x.backend, share: x.share, copied: make(chan standbyCopy, 1)}
-	x.share = nil
-	a.place = Place{Backend: a.backend.ID, Attempt: x.nextNumber()}
+	a := &attempt{backend: x.backend, loadShare: x.loadShare, copyResult: make(chan standbyCopy, 1)}
+	x.loadShare = nil
+	a.origin = Place{Backend: a.backend.ID, Attempt: x.nextAttemptNumber()}
 	x.watchAttempt(a)
 	x.m.attempts.Inc()
-	x.sent++
-	first := !x.sentBefore
-	x.sentBefore = true
-	held := x.heldBy(a.backend)
-	held.Standby = x.keepCopy(a)
-	x.opts.Log.Emit(event.AttemptBegun, "request", x.req.ID, "attempt", a.place.Attempt,
-		"backend", a.backend.ID, "standby", a.copy.at.ID, "from_copy", held.Held, "from", x.acc.next)
-	if x.reached && !held.Held {
+	x.attemptsSent++
+	first := !x.anySent
+	x.anySent = true
+	copies := x.copiesFor(a.backend)
+	copies.Standby = x.chooseStandby(a)
+	x.opts.Log.Emit(event.AttemptBegun, "request", x.req.ID, "attempt", a.origin.Attempt,
+		"backend", a.backend.ID, "standby", a.copy.backend.ID, "from_copy", copies.Held, "from", x.filter.next)
+	if x.mayHaveRun && !copies.Held {
 		x.m.prefill.Add(x.promptBytes())
 	}
-	stopInquiry := x.inquire(a)
+	stopPolling := x.pollRun(a)
 	a.sentAt = time.Now()
 	s, err := x.Engines.Open(a.ctx, a.backend, backend.StartRequest{
-		Opaque: x.opaque(), Copies: held, First: first, Last: x.lastChance(),
-		ID: x.req.ID, Attempt: a.place.Attempt, Ref: x.req.Ref,
+		Opaque: x.opaque(), Copies: copies, First: first, Last: x.isLastAttempt(),
+		ID: x.req.ID, Attempt: a.origin.Attempt, Ref: x.req.Ref,
 		Prompt: x.req.Prompt, MaxTokens: x.req.MaxTokens, Priority: x.req.Priority, Resume: x.started(),
-		ResumeText: string(x.text), ResumeTokens: x.acc.next, Linger: x.linger(),
+		ResumeText: string(x.text), ResumeTokens: x.filter.next, Linger: x.linger(),
 	})
-	stopInquiry()
+	stopPolling()
 	if err != nil {
-		return x.notOpened(a, err)
+		return x.handleOpenError(a, err)
 	}
 	x.Watcher.Result(a.backend.ID, nil)
-	x.reached = true
-	return x.begin(a, s, "opened")
+	x.mayHaveRun = true
+	return x.makeCurrent(a, s, "opened")
 }
 
 func (x *run) opaque() *backend.Opaque {
@@ -55,44 +55,45 @@
 	return x.req.Opaque.Opaque
 }
 
-// keepCopy chooses where the backend server of a keeps a copy of the run.
+// chooseStandby chooses the backend server on which the backend server of a keeps a copy of the
+// run.
 //
-// What goes wrong without it: a failure domain's engines crash together, and
-// each of their answers has to read its prompt anew elsewhere. It shows as a
-// pause of a second or more in every answer that ran there, and as prefill
-// that is paid for twice.
-func (x *run) keepCopy(a *attempt) fleet.Backend {
-	if x.req.Opaque == nil || !x.req.Opaque.Copies.Kept || x.followed.Suspected() {
+// Without a copy in another failure domain, the crash of a domain makes each answer that ran
+// there pause for a second or more while another engine reads its prompt again, and the prefill
+// is paid for twice.
+func (x *run) chooseStandby(a *attempt) fleet.Backend {
+	if x.req.Opaque == nil || !x.req.Opaque.Copies.Kept || x.tracked.Suspected() {
 		return fleet.Backend{}
 	}
-	standby, share, ok := x.Picker.Standby(x.ask(), a.backend)
+	standby, share, ok := x.Picker.Standby(x.pickRequest(), a.backend)
 	if !ok {
 		return fleet.Backend{}
 	}
-	a.copy = standbyCopy{at: standby, share: share}
+	a.copy = standbyCopy{backend: standby, loadShare: share}
 	a.watch.SetCopied(true)
 	return standby
 }
 
-// heldBy says whether the run goes on from a copy at b, and uses that up.
-func (x *run) heldBy(b fleet.Backend) backend.Copies {
+// copiesFor reports whether the run continues from a copy stored at b, and consumes the record of
+// that copy.
+func (x *run) copiesFor(b fleet.Backend) backend.Copies {
 	lost := x.lostCopy
-	x.lostCopy = copyOfLost{}
-	if lost.at == "" || lost.at != b.ID {
+	x.lostCopy = lostAttemptCopy{}
+	if lost.backendID == "" || lost.backendID != b.ID {
 		return backend.Copies{}
 	}
 	return backend.Copies{Held: true, Name: lost.name, Source: lost.source}
 }
 
-// begin makes a the attempt that tokens are accepted from.
-func (x *run) begin(a *attempt, s Stream, ev string) string {
+// makeCurrent makes a the attempt from which tokens are accepted.
+func (x *run) makeCurrent(a *attempt, s Stream, ev string) string {
 	a.stream = s
-	a.seen = true
-	a.place.Incarnation = s.Incarnation()
-	x.last = a
-	x.acc.begin(a.place.Attempt)
-	if err := x.sink.Begin(a.place, s.Head()); err != nil {
-		return x.callerGone(err)
+	a.confirmed = true
+	a.origin.Incarnation = s.Incarnation()
+	x.current = a
+	x.filter.setAttempt(a.origin.Attempt)
+	if err := x.sink.Begin(a.origin, s.Head()); err != nil {
+		return x.callerDisconnected(err)
 	}
 	if x.started() {
 		x.res.Resumes++
@@ -101,34 +102,35 @@
 	return ev
 }
 
-func (x *run) notOpened(a *attempt, err error) string {
+func (x *run) handleOpenError(a *attempt, err error) string {
 	refused, isRefusal := errors.AsType[*backend.Refused](err)
 	if failed, ok := errors.AsType[*backend.FailedAnswer](err); ok {
-		return x.answeredFailure(a, failed)
+		return x.recordFailedAnswer(a, failed)
 	}
 	if !isRefusal && !errors.Is(err, backend.ErrDial) {
-		x.reached = true
-		x.last = a
-		return x.lost(a, err)
+		x.mayHaveRun = true
+		x.current = a
+		return x.handleLoss(a, err)
 	}
 	a.closeReader()
-	x.sent--
+	x.attemptsSent--
 	if isRefusal && refused.Code == codeAttemptExists {
-		// Another router runs this very request, and the soft pointer to it is
-		// lost. "Refused, so not run" would be untrue.
+		// Another router runs this very request, and the pointer to that run, which is soft
+		// state, was lost. Reporting that the request was refused and has not run would be
+		// untrue.
 		return x.end("lose", CodeDuplicate, ErrDuplicate)
 	}
-	if x.over() {
-		return x.giveUp(CodeDeadline, x.cause())
+	if x.mustEnd() {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	if x.exclude[a.backend.ID] {
-		x.delay = waitMin // the picker has no other
+		x.delay = minPickDelay // the picker has no other backend server
 	}
 	x.exclude[a.backend.ID] = true
 	x.waitErr = err
-	x.attemptLost(a, causeNotRun, err)
-	// A refusal is told too: by its code the others learn of an engine that
-	// leaves before its load reports or the VM list show it.
+	x.logLoss(a, causeNotRun, err)
+	// Refusals are reported as well: by their code other routers find out that an engine is
+	// leaving before its load reports or the VM list show it.
 	x.Watcher.Result(a.backend.ID, err)
 	if isRefusal {
 		x.m.refusedByEngine.Inc()
@@ -137,34 +139,34 @@
 		}
 	}
 	if x.req.Opaque != nil {
-		x.repeats = isRefusal // a connection that was never open is no arrival
-		x.afterLoss = false
+		x.needsBudget = isRefusal // a connection that was never open doesn't count as an arrival
+		x.firstAfterLoss = false
 		return "not-started"
 	}
-	// A started answer goes before the budget: it holds work already paid for.
+	// An answer that has started needs no budget: it represents work already paid for.
 	if !x.started() && !x.Budget.Take(x.service()) {
 		return x.giveUp(CodeRetryBudget, err)
 	}
 	return "not-started"
 }
 
-// answeredFailure keeps a backend server's own failure: it is the answer unless
-// another one may try and succeeds.
-func (x *run) answeredFailure(a *attempt, failed *backend.FailedAnswer) string {
-	x.reached = true
-	x.failed = failed
+// recordFailedAnswer keeps a failure that the backend server itself answered with. It becomes the
+// final answer unless another attempt is allowed and succeeds.
+func (x *run) recordFailedAnswer(a *attempt, failed *backend.FailedAnswer) string {
+	x.mayHaveRun = true
+	x.failedAnswer = failed
 	x.waitErr = failed
 	x.Watcher.Result(a.backend.ID, nil)
-	x.last = a
-	x.attemptLost(a, causeAnswer, failed)
+	x.current = a
+	x.logLoss(a, causeAnswer, failed)
 	a.closeReader()
 	return "lost"
 }
 
-// lost closes the reader of an attempt that ended early and notes why.
-func (x *run) lost(a *attempt, err error) string {
+// handleLoss closes the reader of an attempt that ended early and records why.
+func (x *run) handleLoss(a *attempt, err error) string {
 	if x.ctx.Err() != nil {
-		return x.giveUp(CodeDeadline, x.cause())
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	if x.lossCause == "" {
 		x.lostAt = time.Now()
@@ -172,29 +174,29 @@
 	x.lossCause = lossCause(a.ctx, err)
 	if !engineLost(a.ctx) && x.lossCause != causeMoved {
 		x.Watcher.Result(a.backend.ID, err)
-		if x.req.Opaque == nil { // no other router can take an opaque run over
-			x.awaitCaller()
+		if x.req.Opaque == nil { // no other router can take over an opaque run
+			x.awaitCallerDisconnect()
 		}
 	}
 	if x.ctx.Err() != nil {
-		return x.giveUp(CodeDeadline, x.cause())
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	if x.lossCause == causeMismatch || x.lossCause == causeGap {
 		x.opts.Log.Emit(event.AttemptMismatch, "backend", a.backend.ID, "request", x.req.ID, "err", err)
 	}
 	if x.lossCause != causeMoved {
-		x.examined = x.followed.Lost(a.loss(x.lossCause))
+		x.lossExamined = x.tracked.Lost(a.lossReport(x.lossCause))
 	}
-	x.attemptLost(a, x.lossCause, err)
+	x.logLoss(a, x.lossCause, err)
 	x.waitErr = err
 	a.closeReader()
 	return "lost"
 }
 
-// attemptLost logs why an attempt ended, and how long it was silent before.
-func (x *run) attemptLost(a *attempt, cause string, err error) {
-	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.followed.Name(), "attempt", a.place.Attempt,
-		"backend", a.backend.ID, "cause", cause, "accepted", a.accepted, "next", x.acc.next,
+// logLoss logs why an attempt ended, and how long it was silent before that.
+func (x *run) logLoss(a *attempt, cause string, err error) {
+	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.tracked.Name(), "attempt", a.origin.Attempt,
+		"backend", a.backend.ID, "cause", cause, "accepted", a.accepted, "next", x.filter.next,
 		"silent_ms", time.Since(x.lastToken).Milliseconds(), "err", err)
 }
 
@@ -212,73 +214,73 @@
 	return causeBroken
 }
 
-// suspect decides how an answer goes on whose attempt was lost. With the text
-// at hand it goes on at another engine, and the old attempt is cancelled.
-// Otherwise (not idempotent, or a text that this router never saw) only the
-// very same run can give the rest.
+// suspect decides how to continue an answer whose attempt was lost. If the accepted text is
+// available, another engine continues the answer and the old attempt is cancelled. Otherwise (the
+// request is not idempotent, or this router never saw the text) only the same run can deliver the
+// rest.
 func (x *run) suspect() string {
-	x.followed.Await(x.ctx, x.examined)
-	if x.over() {
-		return x.giveUp(CodeDeadline, x.cause())
+	x.tracked.Await(x.ctx, x.lossExamined)
+	if x.mustEnd() {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
-	x.tries++
-	if x.tries > x.maxTries() {
+	x.fruitlessTries++
+	if x.fruitlessTries > x.maxTries() {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
-	if x.continues() && (!x.callerSlow || x.req.Opaque != nil) {
-		return x.goOn()
+	if x.canContinueElsewhere() && (!x.callerSlow || x.req.Opaque != nil) {
+		return x.continueElsewhere()
 	}
 	if x.req.Opaque != nil {
 		return x.giveUp(CodeEngineLost, x.waitErr)
 	}
 	x.callerSlow = false
-	// The engine may be back in a moment; a caller waits a few seconds at most.
-	if x.tries > 1 && time.Since(x.lostAt) > x.opts.StartedPatience {
+	// The engine may be back in a moment, and callers wait for a few seconds at most.
+	if x.fruitlessTries > 1 && time.Since(x.lostAt) > x.opts.StartedPatience {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
-	if x.last.place.Backend == "" || (x.last.seen && errors.Is(x.waitErr, backend.ErrUnknownStream)) {
+	if x.current.origin.Backend == "" || (x.current.confirmed && errors.Is(x.waitErr, backend.ErrUnknownStream)) {
 		return x.giveUp(CodeNoResume, errors.Join(ErrNoResume, x.waitErr))
 	}
-	if x.tries > 1 && !x.sleep(waitMin<<min(x.tries, 5)) {
-		return x.giveUp(CodeDeadline, x.cause())
+	if x.fruitlessTries > 1 && !x.sleep(minPickDelay<<min(x.fruitlessTries, 5)) {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	return "reattach"
 }
 
-// goOn has another backend server continue the answer, at the standby copy of
-// the lost run if there is one.
-func (x *run) goOn() string {
-	x.exclude[x.last.place.Backend] = true
-	x.lostDomain = x.last.backend.FailureDomain
+// continueElsewhere has another backend server continue the answer, preferably the one that keeps
+// the standby copy of the lost run.
+func (x *run) continueElsewhere() string {
+	x.exclude[x.current.origin.Backend] = true
+	x.lostDomain = x.current.backend.FailureDomain
 	if x.lossCause == causeMoved {
-		x.lostDomain = "" // it works
+		x.lostDomain = "" // the backend server works, and so does its domain
 	}
-	x.last.takeCopyAtLoss()
-	if c := x.last.copy; x.started() && c.at.Addr != "" && !x.exclude[c.at.ID] {
-		x.lostCopy = copyOfLost{at: c.at.ID, name: c.name, source: x.last.backend}
+	x.current.collectCopyAtLoss()
+	if c := x.current.copy; x.started() && c.backend.Addr != "" && !x.exclude[c.backend.ID] {
+		x.lostCopy = lostAttemptCopy{backendID: c.backend.ID, name: c.name, source: x.current.backend}
 	}
 	x.abandon()
-	x.repeats = x.req.Opaque != nil
-	x.afterLoss = x.started()
+	x.needsBudget = x.req.Opaque != nil
+	x.firstAfterLoss = x.started()
 	return "continue"
 }
 
 func (x *run) maxTries() int {
 	if x.req.NonIdempotent {
-		return maxOnceTries
+		return maxReattachTries
 	}
 	return x.opts.MaxFruitless
 }
 
-// resume attaches to the run that the engine still holds.
+// resume attaches to the run that the engine still keeps.
 func (x *run) resume() string {
-	if x.last == nil {
-		x.last = x.handedOver()
+	if x.current == nil {
+		x.current = x.attemptFromResume()
 	}
-	a := x.last
-	b, known := x.Picker.Lookup(a.place.Backend)
+	a := x.current
+	b, known := x.Picker.Lookup(a.origin.Backend)
 	if !known {
-		x.waitErr = Error.New("%w: backend server %s is not known", backend.ErrUnknownStream, a.place.Backend)
+		x.waitErr = Error.New("%w: backend server %s is not known", backend.ErrUnknownStream, a.origin.Backend)
 		return "not-attached"
 	}
 	a.backend = b
@@ -287,36 +289,36 @@
 	s, err := x.attach(a)
 	if err != nil {
 		if x.ctx.Err() != nil {
-			return x.giveUp(CodeDeadline, x.cause())
+			return x.giveUp(CodeDeadline, x.endCause())
 		}
 		x.waitErr = err
 		a.closeReader()
 		return "not-attached"
 	}
-	return x.begin(a, s, "attached")
+	return x.makeCurrent(a, s, "attached")
 }
 
-func (x *run) handedOver() *attempt {
+func (x *run) attemptFromResume() *attempt {
 	p := x.req.Resume
 	return &attempt{
-		place: Place{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
-		seen:  true,
+		origin:    Place{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
+		confirmed: true,
 	}
 }
 
-// attach bounds the wait for the engine's answer, not the reading after it:
-// a frozen engine accepts connections and says nothing.
+// attach bounds the wait for the engine's response, not the reading after it: a frozen engine
+// accepts connections and sends nothing.
 func (x *run) attach(a *attempt) (Stream, error) {
 	cancel := a.cancel
 	t := time.AfterFunc(x.opts.AttachTimeout, func() { cancel(ErrEngineLost) })
 	defer t.Stop()
 	s, err := x.Engines.Attach(a.ctx, a.backend, backend.StreamID{
-		Request: x.req.ID, Attempt: a.place.Attempt, Ref: x.req.Ref,
-	}, x.acc.next)
+		Request: x.req.ID, Attempt: a.origin.Attempt, Ref: x.req.Ref,
+	}, x.filter.next)
 	if err != nil {
 		return nil, err
 	}
-	if a.place.Incarnation != "" && a.place.Incarnation != s.Incarnation() {
+	if a.origin.Incarnation != "" && a.origin.Incarnation != s.Incarnation() {
 		s.Close()
 		return nil, Error.New("%w: engine was restarted", backend.ErrUnknownStream)
 	}
--- a/generation/end.go
+++ b/generation/end.go
@@ -9,8 +9,8 @@
 	"wigeondale/fleet"
 )
 
-// finalOutcome has every final state of the chart. A cancelled run's outcome
-// depends on how far it came.
+// finalOutcome has an entry for every final state of the chart. The outcome of a cancelled run
+// depends on how far it got.
 var finalOutcome = map[string]fleet.Outcome{
 	"complete":  fleet.Complete,
 	"refused":   fleet.NotRun,
@@ -19,16 +19,16 @@
 	"cancelled": "",
 }
 
-// giveUp ends the run by the event that is true: the one place that decides
-// whether "not-run" may be said.
+// giveUp ends the run with the event that is true. It is the only place that decides whether
+// "not-run" may be reported.
 func (x *run) giveUp(code string, err error) string {
 	if errors.Is(err, ErrCallerGone) {
-		return x.callerGone(err)
+		return x.callerDisconnected(err)
 	}
-	if x.failed != nil && !x.started() {
-		return x.passFailure()
+	if x.failedAnswer != nil && !x.started() {
+		return x.deliverFailedAnswer()
 	}
-	switch x.lostState() {
+	switch x.incompleteState() {
 	case "refused":
 		return x.end("refuse", code, err)
 	case "unknown":
@@ -37,10 +37,10 @@
 	return x.end("fail", code, err)
 }
 
-// lostState is the final state of a run that can't complete.
-func (x *run) lostState() string {
+// incompleteState is the final state of a run that can't complete.
+func (x *run) incompleteState() string {
 	switch {
-	case !x.reached:
+	case !x.mayHaveRun:
 		return "refused"
 	case x.req.NonIdempotent:
 		return "unknown"
@@ -48,26 +48,27 @@
 	return "failed"
 }
 
-// passFailure delivers a backend server's own failure as the whole answer.
-func (x *run) passFailure() string {
-	x.leave()
-	if err := x.sink.Begin(Place{Attempt: x.number}, &x.failed.Head); err != nil {
-		return x.callerGone(err)
+// deliverFailedAnswer delivers a failure that the backend server itself answered with as the
+// complete answer.
+func (x *run) deliverFailedAnswer() string {
+	x.detach()
+	if err := x.sink.Begin(Place{Attempt: x.attemptNumber}, &x.failedAnswer.Head); err != nil {
+		return x.callerDisconnected(err)
 	}
-	if err := x.sink.Token(x.acc.next, x.failed.Body, finishWhole); err != nil {
-		return x.callerGone(err)
+	if err := x.sink.Token(x.filter.next, x.failedAnswer.Body, finishComplete); err != nil {
+		return x.callerDisconnected(err)
 	}
 	return "failed-answer"
 }
 
-// finishWhole marks the single piece of an answer that comes whole.
-const finishWhole = "whole"
+// finishComplete marks the only chunk of an answer that is delivered in one part.
+const finishComplete = "whole"
 
 func (x *run) end(ev, code string, err error) string {
 	x.res.Code = code
 	x.res.Err = Error.Wrap(err)
 	if u, ok := errors.AsType[*Unavailable](err); ok {
-		x.res.RetryAfter = x.advice(u)
+		x.res.RetryAfter = x.retryAfter(u)
 		if u.Code != "" {
 			x.res.Code = u.Code
 		}
@@ -79,29 +80,30 @@
 	return ev
 }
 
-// advice is when the caller is to come back. Where the reason was expected to pass soon,
-// its time is only that to the router's next look, and looking was in vain.
-func (x *run) advice(u *Unavailable) time.Duration {
+// retryAfter returns when the caller should come back. If the cause was expected to pass soon,
+// the time stated with it is only the interval until the router's own next try. Those tries have
+// failed by now, so the caller is told to wait for the default time at least.
+func (x *run) retryAfter(u *Unavailable) time.Duration {
 	if u.Retryable {
 		return max(u.RetryAfter, x.opts.RetryAfter)
 	}
 	return u.RetryAfter
 }
 
-func (x *run) callerGone(err error) string {
-	x.leave()
+func (x *run) callerDisconnected(err error) string {
+	x.detach()
 	return x.end("cancel", CodeCallerGone, err)
 }
 
 func (x *run) result(state string) Result {
 	res := x.res
-	res.Digest = x.followed.Name()
+	res.Digest = x.tracked.Name()
 	res.Outcome = finalOutcome[state]
 	if state == "cancelled" {
-		res.Outcome = finalOutcome[x.lostState()]
+		res.Outcome = finalOutcome[x.incompleteState()]
 	}
-	advised := res.Outcome == fleet.NotRun || res.Outcome == fleet.Failed
-	if advised && res.RetryAfter <= 0 && res.Code != CodeBadRequest && res.Code != CodeQuarantined {
+	adviseRetry := res.Outcome == fleet.NotRun || res.Outcome == fleet.Failed
+	if adviseRetry && res.RetryAfter <= 0 && res.Code != CodeBadRequest && res.Code != CodeQuarantined {
 		res.RetryAfter = x.opts.RetryAfter
 	}
 	if res.Outcome == fleet.Unknown {
@@ -111,11 +113,11 @@
 	return res
 }
 
-// close gives everything back at the end of a run.
+// close releases all that the run holds at its end.
 func (x *run) close() {
 	x.abandon()
-	if x.share != nil {
-		x.share.End()
+	if x.loadShare != nil {
+		x.loadShare.End()
 	}
 	if x.release != nil {
 		x.release()
--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -23,20 +23,21 @@
 
 var ref = fleet.ModelRef{Model: "m", Version: "v1"}
 
-func word(i int) string { return fmt.Sprintf(" %d", i) }
+func tokenText(i int) string { return fmt.Sprintf(" %d", i) }
 
-func words(n int) string {
+func answerText(n int) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(word(i))
+		b.WriteString(tokenText(i))
 	}
 	return b.String()
 }
 
-// act is what an engine does with one request: so many tokens, then a fault.
-type act struct {
+// behavior is what an engine does with one request: it sends a number of tokens, then fails as
+// described by fault.
+type behavior struct {
 	tokens int
-	then   string
+	fault  string
 }
 
 type post struct {
@@ -49,17 +50,17 @@
 	} `json:"ext"`
 }
 
-// fakeEngine plays its acts in order, the last one for ever.
+// fakeEngine applies its behaviors in order, and repeats the last one.
 type fakeEngine struct {
-	srv   *httptest.Server
-	mu    sync.Mutex
-	acts  []act
-	posts []post
-	gets  int
+	srv       *httptest.Server
+	mu        sync.Mutex
+	behaviors []behavior
+	posts     []post
+	gets      int
 }
 
-func newFakeEngine(t *testing.T, acts ...act) *fakeEngine {
-	e := &fakeEngine{acts: acts}
+func newFakeEngine(t *testing.T, behaviors ...behavior) *fakeEngine {
+	e := &fakeEngine{behaviors: behaviors}
 	e.srv = httptest.NewServer(e)
 	t.Cleanup(e.srv.Close)
 	return e
@@ -71,10 +72,10 @@
 	return slices.Clone(e.posts)
 }
 
-func (e *fakeEngine) next() act {
-	a := e.acts[0]
-	if len(e.acts) > 1 {
-		e.acts = e.acts[1:]
+func (e *fakeEngine) next() behavior {
+	a := e.behaviors[0]
+	if len(e.behaviors) > 1 {
+		e.behaviors = e.behaviors[1:]
 	}
 	return a
 }
@@ -97,9 +98,9 @@
 	e.play(w, r, p, a)
 }
 
-func (e *fakeEngine) play(w http.ResponseWriter, r *http.Request, p post, a act) {
+func (e *fakeEngine) play(w http.ResponseWriter, r *http.Request, p post, a behavior) {
 	w.Header().Set("X-Engine-Incarnation", "i1")
-	switch a.then {
+	switch a.fault {
 	case "refuse":
 		w.Header().Set("Retry-After", "4")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -117,14 +118,14 @@
 	}
 	from := p.Ext.ResumeTokens
 	end := min(from+a.tokens, answerTokens)
-	if a.then == "" {
+	if a.fault == "" {
 		end = answerTokens
 	}
 	for i := from; i < end; i++ {
 		emit(w, p.Ext.RequestID, p.Ext.Attempt, i)
 	}
 	w.(http.Flusher).Flush()
-	switch a.then {
+	switch a.fault {
 	case "reset":
 		panic(http.ErrAbortHandler)
 	case "hang":
@@ -146,20 +147,20 @@
 	if i == answerTokens-1 {
 		finish = `"stop"`
 	}
-	fmt.Fprintf(w, `data: {"id":%q,"attempt":%d,"model":"m","version":"v1","adapter":"","index":%d,"choices":[{"index":0,"text":%q,"finish_reason":%s}]}`+"\n\n", id, attempt, i, word(i), finish)
+	fmt.Fprintf(w, `data: {"id":%q,"attempt":%d,"model":"m","version":"v1","adapter":"","index":%d,"choices":[{"index":0,"text":%q,"finish_reason":%s}]}`+"\n\n", id, attempt, i, tokenText(i), finish)
 }
 
-// harness plays everything around the Runner.
+// harness implements all dependencies of the Runner.
 type harness struct {
-	blocked     bool // as the watch was told last
-	engines     []*fakeEngine
-	dead        string // address that refuses connections, in place of the engines
-	silentAfter int    // tokens after which the first stream is called silent
-	expect      bool   // a missing replica is expected
-	claimErr    error
-	duplicate   bool
-	pause       time.Duration // of the process, between claim and dispatch
-	noBudget    bool
+	blocked       bool // last value passed to SetBlocked
+	engines       []*fakeEngine
+	deadAddr      string // address that refuses connections, used in place of the engines' addresses
+	silentAfter   int    // tokens after which the first stream is reported silent
+	expectReplica bool   // a missing replica is reported as expected back
+	claimErr      error
+	duplicate     bool
+	pause         time.Duration // of the process, between claim and dispatch
+	noBudget      bool
 
 	watched   int
 	abandoned []backend.Abandoned
@@ -184,7 +185,7 @@
 
 func (h *harness) Pick(_ context.Context, a Ask) (fleet.Backend, Share, error) {
 	if a.Request == "" {
-		return fleet.Backend{}, nil, errors.New("asked without the request's id")
+		return fleet.Backend{}, nil, errors.New("Pick was called without the request's id")
 	}
 	for i := range h.engines {
 		b, _ := h.Lookup(fmt.Sprint("e", i))
@@ -193,14 +194,14 @@
 			return b, &fakeShare{end: func() { h.inFlight-- }}, nil
 		}
 	}
-	return fleet.Backend{}, nil, &Unavailable{Retryable: h.expect, RetryAfter: 7 * time.Second, Err: errors.New("no replica")}
+	return fleet.Backend{}, nil, &Unavailable{Retryable: h.expectReplica, RetryAfter: 7 * time.Second, Err: errors.New("no replica")}
 }
 
 func (h *harness) Lookup(id string) (fleet.Backend, bool) {
 	for i, e := range h.engines {
 		if id == fmt.Sprint("e", i) {
-			if h.dead != "" {
-				return fleet.Backend{ID: id, Addr: h.dead}, true
+			if h.deadAddr != "" {
+				return fleet.Backend{ID: id, Addr: h.deadAddr}, true
 			}
 			return fleet.Backend{ID: id, Addr: e.srv.Listener.Addr().String()}, true
 		}
@@ -234,15 +235,15 @@
 	cancel context.CancelCauseFunc
 }
 
-type silence struct{}
+type silenceCause struct{}
 
-func (silence) Error() string { return "silent" }
-func (silence) Resume() bool  { return true }
+func (silenceCause) Error() string { return "silent" }
+func (silenceCause) Resume() bool  { return true }
 
 func (w *fakeWatch) Token(time.Time) {
 	w.left--
 	if w.first && w.left == 0 {
-		w.cancel(silence{})
+		w.cancel(silenceCause{})
 	}
 }
 
@@ -256,12 +257,12 @@
 
 type fakeSink struct {
 	text   strings.Builder
-	places []Place
+	begins []Place
 	failAt int // index whose Token fails; 0 for never
 	flush  func()
 }
 
-func (s *fakeSink) Begin(p Place, _ *backend.Head) error { s.places = append(s.places, p); return nil }
+func (s *fakeSink) Begin(p Place, _ *backend.Head) error { s.begins = append(s.begins, p); return nil }
 
 func (s *fakeSink) Token(i int, text []byte, _ string) error {
 	if s.failAt > 0 && i == s.failAt {
@@ -299,8 +300,8 @@
 	return res
 }
 
-// refusingAddr returns an address that refuses connections until the test
-// ends: bound, so that no other process gets the port, but not listening.
+// refusingAddr returns an address that refuses connections until the test ends: it is bound, so
+// that no other process gets the port, but not listening.
 func refusingAddr(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -317,7 +318,7 @@
 	return fmt.Sprint("127.0.0.1:", sa.(*syscall.SockaddrInet4).Port)
 }
 
-// fakeShare is a share in no load.
+// fakeShare is a Share that is part of no load record.
 type fakeShare struct{ end func() }
 
 func (*fakeShare) Begun() {}
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -1,19 +1,21 @@
-// Package generation carries one generation from its admission to its end,
-// over as many engines as it takes.
+// Package generation runs one generation from its admission to its end, over as many engines as
+// needed.
 //
-// The state chart in generation.json holds the order of events; the code holds
-// what each state does. The package guards against: an engine lost in
-// mid-answer (the answer goes on elsewhere from the accepted text, same model,
-// version and adapter only); late, repeated, crossed or skipped tokens (type
-// acceptor); a second run of a request that is not idempotent (claim before
-// dispatch, then only re-attachment to the one run); and an untrue "not-run",
-// which is said only while no byte can have reached an engine or every engine
-// that was reached refused before starting.
+// The state chart in generation.json defines the order of events; the code defines what each
+// state does. The package guards against these faults:
 //
-// When the caller's connection is lost (a Sink error, or the caller's context
-// ending) the attempt is not cancelled: its reader is closed and the engine
-// keeps it for the linger time, so that the caller may re-attach through any
-// router. In every other case the attempt goes to the Canceller.
+//   - An engine is lost in mid-answer: the answer is continued elsewhere from the accepted text,
+//     by the same model, version and adapter only.
+//   - Tokens arrive late, twice, out of order or with a gap (type tokenFilter).
+//   - A request that is not idempotent runs twice: it is claimed before dispatch, and after that
+//     only re-attached to its one run.
+//   - An untrue "not-run": it is reported only while no byte can have reached an engine, or if
+//     every engine that was reached refused before it started.
+//
+// When the caller's connection is lost (an error of the Sink, or the end of the caller's context)
+// the attempt is not cancelled: its reader is closed and the engine keeps the attempt for the
+// linger time, so that the caller may re-attach through any router. In all other cases the
+// attempt is passed to Deps.Abandon to be cancelled.
 package generation
 
 import (
@@ -34,22 +36,23 @@
 var Error = errs.Class("generation")
 
 var (
-	// ErrEngineLost, as a cancel cause of an attempt, asks for a resume.
+	// ErrEngineLost, as the cancel cause of an attempt, requests a resume.
 	ErrEngineLost = errors.New("engine lost")
-	// ErrDeadline says that the caller's deadline passed.
+	// ErrDeadline means that the caller's deadline has passed.
 	ErrDeadline = errors.New("deadline passed")
-	// ErrCallerGone says that the caller took no more of the answer.
+	// ErrCallerGone means that the caller no longer accepts the answer.
 	ErrCallerGone = errors.New("caller is gone")
-	// ErrDuplicate says that the key of the request is claimed already.
+	// ErrDuplicate means that the key of the request is already claimed.
 	ErrDuplicate = errors.New("key is claimed already")
-	// ErrMoved says that an attempt was ended since its answer is to go on elsewhere. It is no
-	// fault of the backend server.
+	// ErrMoved means that an attempt was ended so that the answer is continued elsewhere. It is
+	// not a fault of the backend server.
 	ErrMoved = errors.New("answer is to go on elsewhere")
-	// ErrNoResume says that an answer can't be continued truthfully.
+	// ErrNoResume means that no remaining run or text can continue the answer without changing
+	// it.
 	ErrNoResume = errors.New("answer can't be continued")
 )
 
-// Codes of Result, besides those of an engine's own refusal.
+// Codes of Result, in addition to the codes of engine refusals.
 const (
 	CodeDeadline      = "deadline"
 	CodeCallerGone    = "caller_gone"
@@ -62,17 +65,17 @@
 	CodeEngineLost    = "engine_lost"
 	CodeNoResume      = "resume_impossible"
 	CodeBadRequest    = "bad_request"
-	CodeQuarantined   = "request_quarantined" // backend servers crashed under it and its repeats
+	CodeQuarantined   = "request_quarantined" // backend servers crashed while they ran it or its repeats
 	codeAttemptExists = "attempt_exists"
 	codeInternalFlow  = "internal"
 )
 
-// Unavailable is the error by which an Admitter, Claims or Picker says why and
-// until when; any other error counts as final and without advice.
+// Unavailable is the error with which an Admitter, Claims or Picker reports the cause and when to
+// come back. Any other error counts as final and without a time to come back.
 type Unavailable struct {
-	Code       string        // for the caller; empty uses this package's code
-	Retryable  bool          // what is missing is expected within RetryAfter
-	RetryAfter time.Duration // 0 when not known
+	Code       string        // sent to the caller; empty selects this package's code
+	Retryable  bool          // the missing resource is expected within RetryAfter
+	RetryAfter time.Duration // 0 if not known
 	Err        error
 }
 
@@ -83,9 +86,9 @@
 // Unwrap returns the cause.
 func (e *Unavailable) Unwrap() error { return e.Err }
 
-// Request is one generation as the caller asked for it.
+// Request is one generation as the caller requested it.
 type Request struct {
-	ID            string // unique over all client accounts
+	ID            string // unique across all client accounts
 	Account       string
 	Ref           fleet.ModelRef
 	Prompt        string
@@ -96,13 +99,13 @@
 	BodyHash      [16]byte
 	Resume        *ResumePoint // nil for a new request
 
-	// Opaque, when set, is passed on unread in place of Ref and Prompt. Its
-	// answer's pieces are delivered as tokens. There is no claim: each such
-	// request has an id of its own and reaches a single router.
+	// Opaque, if set, is passed on without being parsed, in place of Ref and Prompt. The chunks
+	// of its answer are delivered as tokens. It isn't claimed: each such request has an id of its
+	// own and reaches a single router.
 	Opaque *Opaque
 }
 
-// subject is what the request and its repeats have in common.
+// subject identifies what the request and its repeats have in common.
 func (r *Request) subject() quarantine.Subject {
 	if o := r.Opaque; o != nil {
 		return quarantine.Subject{Account: r.Account, Method: o.Method, Host: o.Host, Target: o.Opaque.Target, Body: o.Body}
@@ -110,82 +113,82 @@
 	return quarantine.Subject{Account: r.Account, Target: r.Ref.Model, Body: []byte(r.Prompt)}
 }
 
-// Opaque is what the run of an opaque request goes by.
+// Opaque is an opaque request with the parameters of its run.
 type Opaque struct {
 	*backend.Opaque
 	Service     string
-	First       int           // number of the first piece that the caller wants
+	First       int           // number of the first chunk that the caller wants
 	Size        int           // estimated tokens of the prompt
-	Answer      int           // most tokens of the answer
+	Answer      int           // maximum number of tokens of the answer
 	Parts       []string      // ids of the prompt's parts, in order
-	Returned    bool          // the client has a part of the answer from another router
-	MaxAttempts int           // backend servers that it may run on
+	Returned    bool          // the client already has part of the answer, through another router
+	MaxAttempts int           // maximum number of backend servers that may run it
 	Patience    time.Duration // longest wait for a backend server
-	Target      time.Duration // from the begin, when the first piece is late
-	Age         time.Duration // since the client's first try, as far as known
+	Target      time.Duration // time from the start of the request after which the first chunk is late
+	Age         time.Duration // time since the client's first try, as far as known
 	Copies      Copying       // standby copies of the run
 }
 
-// Copying says how the backend servers of a service copy a run's state to another one.
+// Copying states how the backend servers of a service copy the state of a run to another one.
 type Copying struct {
-	Kept     bool // they keep a copy up to date from the begin of a run
-	OnDemand bool // they make one when asked
+	Kept     bool // they keep a copy up to date from the start of a run
+	OnDemand bool // they make one on request
 }
 
-// ResumePoint is where an answer begun through another router goes on. Its
-// origin and its text have been checked against the cursor.
+// ResumePoint is where to continue an answer that was started through another router. Its origin
+// and its text have been checked against the cursor.
 type ResumePoint struct {
 	Backend     string
 	Incarnation string
 	Attempt     int
-	Offset      int    // tokens that the caller has
+	Offset      int    // tokens that the caller has received
 	Text        string // text of those tokens
 	HaveText    bool
-	Finished    bool // the caller has the last token already
+	Finished    bool // the caller has already received the last token
 }
 
-// Place names the attempt that tokens come from.
+// Place identifies the attempt that produces tokens.
 type Place struct {
 	Backend     string
 	Incarnation string
 	Attempt     int
 }
 
-// Sink takes the answer. An error means that the caller is gone.
+// Sink receives the answer. An error means that the caller has disconnected.
 type Sink interface {
-	// Begin is called once for each attempt that delivers, before its tokens.
-	// head is that of the attempt's answer if the request is opaque, else nil.
+	// Begin is called once for each attempt that delivers, before its tokens. head is the head of
+	// the attempt's response if the request is opaque, else nil.
 	Begin(p Place, head *backend.Head) error
-	// Token takes the token at index; text is valid during the call only.
+	// Token receives the token at index. text is valid only during the call.
 	Token(index int, text []byte, finish string) error
-	// Flush is called when no further token is at hand.
+	// Flush is called when no further token is buffered.
 	Flush() error
 }
 
-// Result is what became of a request.
+// Result is the outcome of a request.
 type Result struct {
 	Outcome    fleet.Outcome
-	Code       string // empty when complete
+	Code       string // empty if complete
 	Err        error
 	RetryAfter time.Duration
 	Tokens     int // delivered by this run
 	Resumes    int
-	Digest     string // that the request shares with its repeats, empty if it isn't followed
-	// FirstAfter is when the first token was delivered, and LongestPause the
-	// longest time between two that followed.
+	Digest     string // identifies the request and its repeats; empty if crashes under it aren't tracked
+	// FirstAfter is the time until the first token was delivered, and LongestPause the longest
+	// time between two consecutive tokens.
 	FirstAfter   time.Duration
 	LongestPause time.Duration
 }
 
-// Ticket is what admission decides on.
+// Ticket is the information on which admission decides.
 type Ticket struct {
 	Account  string
 	Model    string
 	Service  string // of an opaque request, instead of Model
 	Priority fleet.Priority
-	Cost     float64 // tokens of prompt (estimated) and answer (at most)
+	Cost     float64 // tokens of the prompt (estimated) and the answer (maximum)
 	Deadline time.Time
-	Resume   bool // continues an answer begun through another router
+	Resume   bool // continues an answer that was started through another router
 }
 
 // Admitter applies the limits of client accounts.
@@ -193,95 +196,97 @@
 	Admit(ctx context.Context, t Ticket) (release func(), err error)
 }
 
-// Claims holds at-most-once claims.
+// Claims stores at-most-once claims.
 type Claims interface {
-	// Claim reports whether attempt holds the key from now on.
+	// Claim claims the key for attempt. granted is false if another attempt has claimed it.
 	Claim(ctx context.Context, account, key string, bodyHash [16]byte, attempt string) (granted bool, err error)
-	// Void frees a key that this very attempt holds and will not use.
+	// Void frees a key that is claimed by attempt and will not be used.
 	Void(ctx context.Context, account, key, attempt string) error
 }
 
-// Ask is what a Picker chooses by.
+// Ask states what a Picker needs to choose an engine for a request.
 type Ask struct {
 	Request  string // id; spreads the resumes of one prompt over engines
 	Ref      fleet.ModelRef
 	Priority fleet.Priority
 	Prompt   string
 	Exclude  map[string]bool
-	Resume   bool // a started answer goes ahead of new work
+	Resume   bool // a started answer has priority over new work
 	Again    bool // an attempt of the request was sent before
-	Reached  bool // one may have run
+	Reached  bool // an attempt of the request may have run
 
 	Service string // of an opaque request, instead of Ref
-	Size    int    // estimated tokens of its prompt, 0 when not stated
-	Answer  int    // most tokens of its answer
-	// Target is when the first piece is late, from the request's begin; 0 for never.
+	Size    int    // estimated tokens of its prompt, 0 if not stated
+	Answer  int    // maximum number of tokens of its answer
+	// Target is the time from the start of the request after which the first chunk is late; 0 if
+	// it is never late.
 	Target time.Duration
-	// Age is how long ago the client of an opaque request tried first, as far as known.
+	// Age is the time since the first try by the client of an opaque request, as far as known.
 	Age time.Duration
-	// Left is what is left of the time of the client of an opaque request; 0 when not known.
+	// Left is the time for which the client of an opaque request still waits; 0 if not known.
 	Left time.Duration
-	// Late tells that its first piece can't be in time any more.
+	// Late reports that the first chunk can't arrive in time any more.
 	Late bool
-	// Own is the id of the part of the prompt that no other request has, "" if not known.
+	// Own is the id of the part of the prompt that no other request shares, "" if not known.
 	Own string
-	// Parts are those of the prompt of a client that came back with a part of its
-	// answer: some backend server may still hold them.
+	// Parts are the ids of the prompt's parts if the client came back with part of its answer: a
+	// backend server may still have them in its cache.
 	Parts  []string
-	Prefer string // backend server that holds a copy; it is taken if it can be
-	// LostDomain is the failure domain of the attempt that was lost last. Others
-	// go first: what took that backend server may have taken its neighbours.
+	Prefer string // backend server that has a copy; chosen if it is available
+	// LostDomain is the failure domain of the most recently lost attempt. Other domains are
+	// preferred: the fault that took that backend server may have taken its neighbours.
 	LostDomain string
 }
 
-// Picker chooses engines. Pick must check at that moment that the engine is
-// not leaving; the share ends its part in the engine's load.
+// Picker chooses engines. At the time of the call, Pick must check that the engine is not
+// leaving. The share accounts for the attempt in the engine's load until it is ended.
 type Picker interface {
 	Pick(ctx context.Context, a Ask) (b fleet.Backend, s Share, err error)
 	// Lookup finds a known engine, leaving or not.
 	Lookup(backendID string) (fleet.Backend, bool)
-	// Keeps tells whether a copy at a backend server is still to be counted on.
+	// Keeps reports whether the copy at a backend server can still be expected to exist.
 	Keeps(backendID string) bool
-	// Standby chooses where the run at b keeps a copy; false means nowhere.
+	// Standby chooses where the run at b keeps a copy. ok is false if there is no such backend
+	// server.
 	Standby(a Ask, b fleet.Backend) (standby fleet.Backend, s Share, ok bool)
 }
 
-// Share is the part of an attempt, or of a copy, in the load of its backend server.
+// Share accounts for an attempt, or a copy, in the load of its backend server.
 type Share interface {
-	// Begun tells that the prompt has been read; further calls do nothing.
+	// Begun records that the prompt has been read. Further calls do nothing.
 	Begun()
-	// End takes the part off; further calls do nothing.
+	// End removes the attempt or copy from the load. Further calls do nothing.
 	End()
 }
 
-// Watch follows one stream for the failure detector.
+// Watch reports the progress of one stream to the failure detector.
 type Watch interface {
 	Token(now time.Time)
-	// SetBlocked tells that the caller stopped, or began again, to take tokens.
+	// SetBlocked reports that the caller stopped reading tokens, or resumed it.
 	SetBlocked(blocked bool, now time.Time)
-	// SetCopied tells whether a copy of the run's state is kept elsewhere, from
-	// which it goes on without another prefill.
+	// SetCopied reports whether a copy of the run's state exists elsewhere, from which the run
+	// can continue without another prefill.
 	SetCopied(copied bool)
 	Close()
 }
 
-// Watcher is the failure detector. It cancels an attempt with a cause that
-// has Resume() bool, or that wraps ErrEngineLost.
+// Watcher is the failure detector. It cancels an attempt with a cause that has the method
+// Resume() bool, or that wraps ErrEngineLost.
 type Watcher interface {
 	Watch(backendID string, work health.Work, cancel context.CancelCauseFunc) Watch
-	// Result tells how a dispatch began; err may be a *backend.Refused.
+	// Result reports the result of a dispatch; err may be a *backend.Refused.
 	Result(backendID string, err error)
 }
 
-// Stream is the answer of one attempt; *backend.Stream is one. It belongs to
-// one goroutine, but Close may be called from another.
+// Stream is the answer of one attempt, implemented by *backend.Stream. It belongs to one
+// goroutine, but Close may be called from another one.
 type Stream interface {
 	// Next returns the next token, or io.EOF after the end of the answer.
 	Next() (backend.Token, error)
-	// Buffered reports whether another token is at hand.
+	// Buffered reports whether another token can be read without waiting.
 	Buffered() bool
 	Incarnation() string
-	// Head is the beginning of an opaque answer, else nil.
+	// Head is the head of an opaque response, else nil.
 	Head() *backend.Head
 	Close() error
 }
@@ -292,7 +297,7 @@
 	Attach(ctx context.Context, b fleet.Backend, id backend.StreamID, from int) (Stream, error)
 }
 
-// Native opens streams of the product's own protocol.
+// Native opens streams over this module's own engine protocol.
 type Native struct{ Client *backend.Client }
 
 // Open implements Engines.
@@ -313,16 +318,16 @@
 	return s, nil
 }
 
-// Abandoner cancels attempts that nobody reads; *backend.Canceller does.
+// Abandoner cancels attempts that no client reads, implemented by *backend.Canceller.
 type Abandoner interface {
 	Add(a backend.Abandoned)
 }
 
 // RetryBudget limits retries to a share of first tries.
 type RetryBudget interface {
-	// Take draws one retry for a request to service; empty for model engines.
+	// Take draws one retry for a request to service, which is empty for model engines.
 	Take(service string) bool
-	// Continue draws one for an answer that has begun and was lost. It may go
-	// beyond what Take allows, within a bound.
+	// Continue draws one retry for a started answer whose attempt was lost. It may draw more than
+	// Take allows, up to a limit.
 	Continue(service string) bool
 }
--- a/generation/maxwait_test.go
+++ b/generation/maxwait_test.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Symptom: an answer is cut with "no replica" at the moment at which its silence is noticed,
-// though its engine takes the next attempt. Sequence: the machine is busy, so that the
-// engine paused before and its next silence is borne for 4.3 s; an answer that has begun
-// may wait for 4 s. Cause: the silence counted as waiting.
+// Guards against: an answer is cut with "no replica" as soon as its silence is detected, though
+// its engine would take the next attempt. The machine is busy: the engine paused before, so that
+// its next silence is tolerated for 4.3 s; a started answer may wait for 4 s. The fault is to
+// count the silence as part of the wait.
 func TestSilenceIsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Runner{opts: Options{StartedPatience: 4 * time.Second}}
 		x := newRun(r, t.Context(), Request{ID: "q"}, &fakeSink{})
-		x.acc.next = 30
+		x.filter.next = 30
 		time.Sleep(4300 * time.Millisecond)
 		x.lossCause, x.lostAt = causeSilence, time.Now()
-		if got := x.patienceLeft(); got != 4*time.Second {
-			t.Errorf("%v are left when the loss is known", got)
+		if got := x.waitLeft(); got != 4*time.Second {
+			t.Errorf("%v are left when the loss is noticed", got)
 		}
 		time.Sleep(3 * time.Second)
-		if got := x.patienceLeft(); got != time.Second {
+		if got := x.waitLeft(); got != time.Second {
 			t.Errorf("%v are left after three seconds", got)
 		}
 	})
--- a/generation/meters.go
+++ b/generation/meters.go
@@ -9,14 +9,14 @@
 	"wigeondale/fleet"
 )
 
-// Causes of a loss, as the resume latency is labelled.
+// Causes of a loss, used as the label of the resume latency and in logs.
 const (
 	causeBroken   = "broken"
 	causeSilence  = "silence"
 	causeMismatch = "mismatch"
 	causeGap      = "gap"
 	causeRouter   = "router"
-	causeAnswer   = "failed-answer" // the backend server's own failure
+	causeAnswer   = "failed-answer" // the backend server itself answered with a failure
 	causeNotRun   = "not-run"
 	causeMoved    = "moved"
 )
@@ -27,7 +27,7 @@
 	open      atomic.Int64
 
 	attempts, resumes, prefill          *metrics.Counter
-	droppedLate, droppedRepeat          *metrics.Counter
+	droppedStale, droppedDuplicate      *metrics.Counter
 	droppedGap, droppedMismatch         *metrics.Counter
 	tokens, refusedByEngine, reattaches *metrics.Counter
 }
@@ -40,8 +40,8 @@
 	m.prefill = set.GetOrCreateCounter("wigeon_extra_prefill_bytes_total")
 	m.tokens = set.GetOrCreateCounter("wigeon_tokens_total")
 	m.refusedByEngine = set.GetOrCreateCounter("wigeon_engine_refusals_total")
-	m.droppedLate = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="late"}`)
-	m.droppedRepeat = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="repeated"}`)
+	m.droppedStale = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="late"}`)
+	m.droppedDuplicate = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="repeated"}`)
 	m.droppedGap = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="gap"}`)
 	m.droppedMismatch = set.GetOrCreateCounter(`wigeon_tokens_dropped_total{reason="mismatch"}`)
 	set.GetOrCreateGauge("wigeon_accepted_text_bytes", func() float64 { return float64(m.textBytes.Load()) })
--- a/generation/pause.go
+++ b/generation/pause.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// awakeFor is how long after a silence its cause may still lead to a loss.
-const awakeFor = time.Second
+// afterPauseWindow is how long after the end of a silence that may have been a pause of this
+// process a loss is still attributed to it.
+const afterPauseWindow = time.Second
 
-// awaitCaller gives the news that the caller is gone a moment to arrive, when a
-// stream breaks after a silence that may have been this process's own pause.
+// awaitCallerDisconnect waits for up to CallerGrace for a possible disconnect of the caller to be
+// noticed, when a stream breaks during or just after a silence that may have been a pause of this
+// process.
 //
-// What goes wrong without it: this process is paused in mid-stream. Its caller
-// goes on through another router, which takes the engine's stream over. On
-// waking, both connections are found closed. If the engine's is noticed first,
-// the answer is begun on another engine for nobody, and the run that the other
-// router reads is cancelled. It would show as attempts without a failed engine.
-// A break in a flowing stream doesn't wait: its caller was there a moment ago.
-func (x *run) awaitCaller() {
+// It guards against this sequence: this process is paused in mid-stream. Its caller continues
+// through another router, which takes over the engine's stream. When this process resumes, it
+// finds both connections closed. If it notices the engine's first, it would start the answer on
+// another engine for a caller that has left, and cancel the run that the other router is reading.
+// The symptom would be attempts without a failed engine. A break in a flowing stream needs no
+// wait: its caller was connected a moment ago.
+func (x *run) awaitCallerDisconnect() {
 	now := time.Now()
-	silent := sinceBoth(now, x.lastToken) > x.opts.PauseGap
-	awoke := !x.awoke.IsZero() && now.Sub(x.awoke) < awakeFor
-	if !silent && !awoke {
+	longSilence := maxElapsed(now, x.lastToken) > x.opts.PauseGap
+	afterPause := !x.pauseEndedAt.IsZero() && now.Sub(x.pauseEndedAt) < afterPauseWindow
+	if !longSilence && !afterPause {
 		return
 	}
 	t := time.NewTimer(x.opts.CallerGrace)
@@ -29,8 +31,8 @@
 	}
 }
 
-// sinceBoth is the longer of the times by the monotonic clock, which may stand
+// maxElapsed returns the longer of the elapsed times by the monotonic clock, which may stand
 // still while a VM is paused, and by the wall clock, which may be set back.
-func sinceBoth(now, then time.Time) time.Duration {
+func maxElapsed(now, then time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
--- a/generation/pause_test.go
+++ b/generation/pause_test.go
@@ -10,28 +10,28 @@
 	"wigeondale/fleet"
 )
 
-// leaver is a harness whose caller is seen to have left only after the loss.
-type leaver struct {
+// leavingCaller is a harness whose caller disconnects shortly after the loss was reported.
+type leavingCaller struct {
 	*harness
 	leave context.CancelFunc
 }
 
-func (l *leaver) Result(_ string, err error) {
+func (l *leavingCaller) Result(_ string, err error) {
 	if err != nil {
 		l.leave()
 	}
 }
 
-// Symptom: a second draft begins on another engine, and the stream that another
-// router reads is cancelled.
-// Sequence: this process is paused; its caller goes on at another router, which
-// takes the stream over; on waking, the broken stream is noticed first.
-// Cause: the loss was acted on before news of the caller could arrive.
+// Guards against: a generation is started again on another engine for a caller that has left, and
+// the stream that another router reads is cancelled. This process was paused. Its caller
+// continued through another router, which took over the stream. After the pause, the broken
+// stream was noticed first, and the loss was handled before the caller's disconnect could be
+// noticed.
 func TestLossAfterOwnPauseWaitsForTheCaller(t *testing.T) {
-	first, second := newFakeEngine(t, act{3, "reset"}), newFakeEngine(t, act{})
-	ctx, gone := context.WithCancel(t.Context())
+	first, second := newFakeEngine(t, behavior{3, "reset"}), newFakeEngine(t, behavior{})
+	ctx, disconnect := context.WithCancel(t.Context())
 	h := &harness{engines: []*fakeEngine{first, second}}
-	l := &leaver{h, func() { time.AfterFunc(10*time.Millisecond, gone) }}
+	l := &leavingCaller{h, func() { time.AfterFunc(10*time.Millisecond, disconnect) }}
 	client := backend.NewClient()
 	defer client.CloseIdle()
 	r, err := New(Deps{Admitter: h, Claims: h, Picker: h, Watcher: l, Engines: Native{client}, Abandon: h, Budget: h},
@@ -44,6 +44,6 @@
 		t.Errorf("got %+v", res)
 	}
 	if len(h.abandoned) != 0 || len(second.got()) != 0 {
-		t.Errorf("cancelled %v, begun again %v", h.abandoned, second.got())
+		t.Errorf("cancelled %v, started again %v", h.abandoned, second.got())
 	}
 }
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -20,38 +20,38 @@
 //go:embed generation.json
 var chartJSON []byte
 
-// Defaults of Options.
+// Defaults of Options, and fixed limits.
 const (
-	defaultLinger          = 10 * time.Second
-	defaultPatience        = 3 * time.Second
-	defaultStartedPatience = 20 * time.Second
-	defaultRetryAfter      = time.Second
-	defaultAttachTimeout   = 2 * time.Second
-	defaultMaxFruitless    = 8
-	defaultPauseGap        = 250 * time.Millisecond
-	defaultCallerGrace     = 200 * time.Millisecond
-	maxOnceLinger          = 10 * time.Minute
-	maxOnceTries           = 64 // re-attachments in a row to a run that can't be repeated
-	voidTimeout            = 5 * time.Second
+	defaultLinger               = 10 * time.Second
+	defaultMaxWait              = 3 * time.Second
+	defaultStartedMaxWait       = 20 * time.Second
+	defaultRetryAfter           = time.Second
+	defaultAttachTimeout        = 2 * time.Second
+	defaultMaxTokenlessAttempts = 8
+	defaultPauseGap             = 250 * time.Millisecond
+	defaultCallerGrace          = 200 * time.Millisecond
+	maxNonIdempotentLinger      = 10 * time.Minute
+	maxReattachTries            = 64 // consecutive re-attachments to a run that can't be repeated
+	voidTimeout                 = 5 * time.Second
 )
 
-// Options of a Runner. Zero durations and counts mean the defaults.
+// Options configures a Runner. Zero durations and counts select the defaults.
 type Options struct {
-	Node            string        // part of the claims' attempt names
+	Node            string        // prefix of the names under which requests are claimed
 	Linger          time.Duration // how long engines keep an attempt without a reader; default 10 s
 	Patience        time.Duration // longest wait for an engine before the first token; default 3 s
-	StartedPatience time.Duration // the same once an answer has begun; default 20 s
+	StartedPatience time.Duration // the same once the answer has started; default 20 s
 	AttachTimeout   time.Duration // of one try to re-attach; default 2 s
-	RetryAfter      time.Duration // told to the caller when nothing better is known; default 1 s
-	MaxFruitless    int           // attempts in a row without a token; default 8
-	PauseGap        time.Duration // silence that may have been this process's own pause; default 250 ms
-	CallerGrace     time.Duration // how long a loss after such a silence waits for news of the caller; default 200 ms
+	RetryAfter      time.Duration // sent to the caller when no better value is known; default 1 s
+	MaxFruitless    int           // consecutive attempts without a token; default 8
+	PauseGap        time.Duration // silence that may have been a pause of this process; default 250 ms
+	CallerGrace     time.Duration // how long a loss after such a silence waits for the caller's disconnect to be noticed; default 200 ms
 	Rand            func() float64
 	Log             *event.Log
 	Metrics         *metrics.Set
 }
 
-// Deps are what a Runner works with.
+// Deps are the components that a Runner uses.
 type Deps struct {
 	Admitter Admitter
 	Claims   Claims
@@ -60,25 +60,25 @@
 	Engines  Engines
 	Abandon  Abandoner
 	Budget   RetryBudget
-	Inquirer Inquirer          // nil where backend servers aren't asked about runs
-	Copier   Copier            // nil where backend servers make no copies on demand
-	Guard    *quarantine.Guard // nil where requests aren't followed
+	Inquirer Inquirer          // nil if backend servers aren't queried for runs
+	Copier   Copier            // nil if backend servers make no copies on demand
+	Guard    *quarantine.Guard // nil if crashes aren't attributed to requests
 }
 
-// Runner runs generations. It may be shared by goroutines.
+// Runner runs generations. It is safe for concurrent use.
 type Runner struct {
 	Deps
-	opts  Options
-	chart *chart.Chart
-	steps map[string]step
-	m     *meters
-	voids sync.WaitGroup
+	opts       Options
+	chart      *chart.Chart
+	steps      map[string]step
+	m          *meters
+	background sync.WaitGroup
 }
 
 // step does the work of one state and returns the event that ends it.
 type step func(*run) string
 
-// New returns a Runner, or an error when chart and code don't fit together.
+// New returns a Runner, or an error if the state chart and the code don't match.
 func New(d Deps, o Options) (*Runner, error) {
 	c, err := chart.Load(chartJSON)
 	if err != nil {
@@ -100,7 +100,7 @@
 		_, hasStep := r.steps[s]
 		_, hasOutcome := finalOutcome[s]
 		if c.IsFinal(s) != hasOutcome || c.IsFinal(s) == hasStep {
-			return nil, Error.New("state %q of the chart has no code that fits it", s)
+			return nil, Error.New("state %q of the chart has no matching code", s)
 		}
 	}
 	return r, nil
@@ -108,11 +108,11 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Linger, defaultLinger)
-	setDefault(&o.Patience, defaultPatience)
-	setDefault(&o.StartedPatience, defaultStartedPatience)
+	setDefault(&o.Patience, defaultMaxWait)
+	setDefault(&o.StartedPatience, defaultStartedMaxWait)
 	setDefault(&o.AttachTimeout, defaultAttachTimeout)
 	setDefault(&o.RetryAfter, defaultRetryAfter)
-	setDefault(&o.MaxFruitless, defaultMaxFruitless)
+	setDefault(&o.MaxFruitless, defaultMaxTokenlessAttempts)
 	setDefault(&o.PauseGap, defaultPauseGap)
 	setDefault(&o.CallerGrace, defaultCallerGrace)
 	if o.Rand == nil {
@@ -130,12 +130,12 @@
 	}
 }
 
-// Wait returns when the voids of claims that Run left behind have ended.
-func (r *Runner) Wait() { r.voids.Wait() }
+// Wait blocks until the background work that Run left behind (releasing claims and dropping
+// copies) has ended.
+func (r *Runner) Wait() { r.background.Wait() }
 
-// Run carries req to its end and returns the one final, true answer. It
-// delivers to sink from the calling goroutine only. ctx ends when the caller
-// is gone.
+// Run carries req to its end and returns the one final, true result. It delivers to sink from the
+// calling goroutine only. ctx ends when the caller disconnects.
 func (r *Runner) Run(ctx context.Context, req Request, sink Sink) Result {
 	r.m.open.Add(1)
 	defer r.m.open.Add(-1)
@@ -151,71 +151,71 @@
 		ev := r.steps[m.State()](x)
 		if err := m.Fire(ev); err != nil {
 			x.res.Err, x.res.Code = Error.Wrap(err), codeInternalFlow
-			return x.result(x.lostState())
+			return x.result(x.incompleteState())
 		}
 	}
 	return x.result(m.State())
 }
 
-// run is the state of one Run. It belongs to one goroutine.
+// run is the state of one call of Run. It belongs to one goroutine.
 type run struct {
 	*Runner
 	ctx  context.Context
 	req  Request
 	sink Sink
-	// followed is what is known of the request and its repeats.
-	followed *quarantine.Case
-	// examined is closed when it is known what the latest loss was.
-	examined <-chan struct{}
+	// tracked records, for the quarantine guard, crashes under the request and its repeats.
+	tracked *quarantine.Case
+	// lossExamined is closed when the guard has determined what caused the latest loss.
+	lossExamined <-chan struct{}
 
-	acc       acceptor
-	text      []byte // accepted text, held only while a resume may need it
-	textCap   int64  // bytes of text that the metric knows of
-	holdsText bool
-	release   func() // of the admission; nil before it
-	claimedAs string // attempt name of the claim; empty without one
-	reached   bool   // a byte may have reached an engine that hasn't refused
+	filter     tokenFilter
+	text       []byte // accepted text, kept only while a resume may need it
+	textCap    int64  // bytes of text that the metric counts
+	keepsText  bool
+	release    func() // ends the admission; nil before it
+	claimOwner string // name under which the request was claimed; empty without a claim
+	mayHaveRun bool   // a byte may have reached an engine that hasn't refused the request
 
-	lostDomain string                // failure domain of the attempt lost last
-	lostCopy   copyOfLost            // of the attempt lost last
-	afterLoss  bool                  // the next attempt is the first since an answer that had begun was lost
-	repeats    bool                  // the next attempt of an opaque request is one more arrival at its service
-	sent       int                   // attempts that may have run
-	sentBefore bool                  // an attempt was sent, whether it may have run or not
-	failed     *backend.FailedAnswer // the latest, delivered if nothing better comes
-	backend    fleet.Backend         // picked or held
-	share      Share                 // in the load of backend
-	last       *attempt              // attempt to read, re-attach to or cancel
-	number     int                   // of the latest attempt
-	exclude    map[string]bool
-	delay      time.Duration // asked for by the state before wait
-	waitErr    error
-	tries      int  // attempts or re-attachments since the last token
-	callerSlow bool // the loss came while the caller was slow to read
+	lostDomain     string                // failure domain of the most recently lost attempt
+	lostCopy       lostAttemptCopy       // standby copy of the most recently lost attempt
+	firstAfterLoss bool                  // the next attempt is the first since the loss of a started answer
+	needsBudget    bool                  // the next attempt of an opaque request counts as another arrival at its service
+	attemptsSent   int                   // attempts that may have run
+	anySent        bool                  // an attempt was sent, whether it may have run or not
+	failedAnswer   *backend.FailedAnswer // the latest one; delivered if nothing better arrives
+	backend        fleet.Backend         // picked, or still running the attempt
+	loadShare      Share                 // in the load of backend
+	current        *attempt              // attempt to read, re-attach to or cancel
+	attemptNumber  int                   // number of the latest attempt
+	exclude        map[string]bool
+	delay          time.Duration // requested by the state before wait
+	waitErr        error
+	fruitlessTries int  // attempts or re-attachments since the last token
+	callerSlow     bool // the loss occurred while the caller was slow to read
 
-	lastToken time.Time // of the last token, or the start
-	awoke     time.Time // when a silence longer than PauseGap ended
-	lossCause string    // set from a loss until the next token
-	lostAt    time.Time // of that loss
-	res       Result
+	lastToken    time.Time // time of the last token, or the start of the run
+	pauseEndedAt time.Time // when the last silence longer than PauseGap ended
+	lossCause    string    // set from a loss until the next token
+	lostAt       time.Time // time of that loss
+	res          Result
 }
 
 func newRun(r *Runner, ctx context.Context, req Request, sink Sink) *run {
 	x := &run{Runner: r, ctx: ctx, req: req, sink: sink, exclude: map[string]bool{}, lastToken: time.Now()}
-	x.followed = r.Guard.Follow(req.subject())
-	x.holdsText = !req.NonIdempotent
+	x.tracked = r.Guard.Follow(req.subject())
+	x.keepsText = !req.NonIdempotent
 	if req.Opaque != nil {
-		x.acc.next = req.Opaque.First
-		x.holdsText = false
+		x.filter.next = req.Opaque.First
+		x.keepsText = false
 	}
 	if p := req.Resume; p != nil {
-		x.reached = true
-		x.acc.next = p.Offset
-		x.number = p.Attempt
-		x.holdsText = x.holdsText && p.HaveText
+		x.mayHaveRun = true
+		x.filter.next = p.Offset
+		x.attemptNumber = p.Attempt
+		x.keepsText = x.keepsText && p.HaveText
 		x.lossCause = causeRouter
 		x.lostAt = x.lastToken
-		if x.holdsText {
+		if x.keepsText {
 			x.text = []byte(p.Text)
 		}
 		x.meterText()
@@ -225,20 +225,20 @@
 
 func (x *run) started() bool {
 	if o := x.req.Opaque; o != nil {
-		return x.acc.next > o.First
+		return x.filter.next > o.First
 	}
-	return x.acc.next > 0
+	return x.filter.next > 0
 }
 
-// continues tells that another backend server may go on with the answer.
-func (x *run) continues() bool {
+// canContinueElsewhere reports whether another backend server may continue the answer.
+func (x *run) canContinueElsewhere() bool {
 	if x.req.Opaque != nil {
 		return !x.req.NonIdempotent
 	}
-	return x.holdsText
+	return x.keepsText
 }
 
-// service is that of an opaque request, else empty.
+// service is the service of an opaque request, else empty.
 func (x *run) service() string {
 	if x.req.Opaque == nil {
 		return ""
@@ -246,7 +246,7 @@
 	return x.req.Opaque.Service
 }
 
-// meterText accounts for the memory of the accepted text.
+// meterText updates the metric of the memory used by accepted text.
 func (x *run) meterText() {
 	if c := int64(cap(x.text)); c != x.textCap {
 		x.m.textBytes.Add(c - x.textCap)
@@ -254,7 +254,8 @@
 	}
 }
 
-// claimName is unique to this run, so that only it can void its claim.
-func (x *run) claimName() string {
+// newClaimOwner returns a name that is unique to this run, so that no other run can void its
+// claim.
+func (x *run) newClaimOwner() string {
 	return x.opts.Node + "/" + strconv.FormatUint(rand.Uint64(), 36)
 }
--- a/generation/runquery.go
+++ b/generation/runquery.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// inquireAfter is how long an attempt waits for its first piece before its
-	// backend server is asked about it: longer than most prompts take to be read.
-	inquireAfter = 1800 * time.Millisecond
-	// inquireAgain is the time to the next question, and inquireTimeout bounds one.
-	inquireAgain   = 700 * time.Millisecond
-	inquireTimeout = 300 * time.Millisecond
+	// runQueryDelay is how long an attempt waits for its first chunk before its backend server is
+	// queried for it. Most prompts are read in less time.
+	runQueryDelay = 1800 * time.Millisecond
+	// runQueryInterval is the time between further queries, and runQueryTimeout bounds each of
+	// them.
+	runQueryInterval = 700 * time.Millisecond
+	runQueryTimeout  = 300 * time.Millisecond
 )
 
-// Inquirer asks a backend server about its runs.
+// Inquirer queries a backend server for its runs.
 type Inquirer interface {
 	Runs(ctx context.Context, b fleet.Backend) (RunReport, error)
 }
 
-// RunReport is what a backend server says of its runs.
+// RunReport is what a backend server reports about its runs.
 type RunReport struct {
-	Queued int // requests that wait for a place
-	Active int // runs, and requests whose prompts are read
-	// Made is how many pieces each run has made, by request. It names only those
-	// that have made one.
+	Queued int // requests that wait for a slot
+	Active int // runs, including requests whose prompts are being read
+	// Made is the number of chunks that each run has produced, by request id. Only runs that have
+	// produced at least one are listed.
 	Made map[string]int
-	// Reborn tells that the backend server has started again and holds no run of before.
+	// Reborn reports that the backend server was restarted, so that it has none of its earlier
+	// runs.
 	Reborn bool
 }
 
-// mayHave tells whether the backend server may have a run of the request. One that
-// isn't named may wait or have its prompt read, as long as there are such requests.
+// mayHave reports whether the backend server may have a run of the request. A request that isn't
+// listed may be queued or have its prompt read, as long as the report counts such requests.
 func (r RunReport) mayHave(request string) bool {
 	if r.Reborn {
 		return false
@@ -44,8 +46,8 @@
 	return named || r.Queued > 0 || r.Active > len(r.Made)
 }
 
-// Holds implements health.Word. A run whose latest pieces were not received is there,
-// but its connection has fallen silent.
+// Holds implements the report interface of package health. It reports false for a run whose
+// latest chunks were not received: the run exists, but its connection no longer delivers.
 func (r RunReport) Holds(request string, received int) bool {
 	if made, named := r.Made[request]; named {
 		return made <= received
@@ -53,38 +55,38 @@
 	return r.mayHave(request)
 }
 
-// runGone is the cause with which an attempt ends whose backend server says that
+// runNotFound is the cause with which an attempt is cancelled if its backend server reports that
 // it has no such run.
-type runGone struct{}
+type runNotFound struct{}
 
-func (runGone) Error() string { return "the backend server has no such run" }
+func (runNotFound) Error() string { return "the backend server has no such run" }
 
-// Resume tells that the answer goes on elsewhere.
-func (runGone) Resume() bool { return true }
+// Resume reports that the answer is to be continued on another backend server.
+func (runNotFound) Resume() bool { return true }
 
-// inquire asks about an attempt that waits long for its first piece, until stop is
-// called.
+// pollRun queries the backend server for an attempt that waits long for its first chunk, until
+// stop is called.
 //
-// What goes wrong without it: a backend server loses an answer, or takes requests
-// and never works on them, while its other streams go on. Silence alone can't tell
-// that from a queue, so that the bound on the first piece is long, and the answer
-// late by many times what the run would take.
-func (x *run) inquire(a *attempt) (stop func()) {
-	if x.Inquirer == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.lastChance() {
+// It detects a backend server that loses an answer, or accepts requests and never works on them,
+// while its other streams continue. Silence alone can't tell that from a queue, which is why the
+// time limit for the first chunk is long. Without the query the answer would be late by many
+// times the duration of the run.
+func (x *run) pollRun(a *attempt) (stop func()) {
+	if x.Inquirer == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
 	b := a.backend
 	go func() {
-		for wait := inquireAfter; clock.Sleep(ctx, wait); wait = inquireAgain {
-			running, err := x.askOnce(ctx, b)
+		for wait := runQueryDelay; clock.Sleep(ctx, wait); wait = runQueryInterval {
+			running, err := x.queryRun(ctx, b)
 			if ctx.Err() != nil {
 				return
 			}
-			x.opts.Log.Emit(event.RunInquired, "request", x.req.ID, "attempt", a.place.Attempt,
+			x.opts.Log.Emit(event.RunInquired, "request", x.req.ID, "attempt", a.origin.Attempt,
 				"backend", b.ID, "running", running, "err", err)
 			if err == nil && !running {
-				a.cancel(runGone{})
+				a.cancel(runNotFound{})
 				return
 			}
 		}
@@ -92,8 +94,8 @@
 	return cancel
 }
 
-func (x *run) askOnce(ctx context.Context, b fleet.Backend) (bool, error) {
-	ctx, stop := context.WithTimeout(ctx, inquireTimeout)
+func (x *run) queryRun(ctx context.Context, b fleet.Backend) (bool, error) {
+	ctx, stop := context.WithTimeout(ctx, runQueryTimeout)
 	defer stop()
 	report, err := x.Inquirer.Runs(ctx, b)
 	return report.mayHave(x.req.ID), err
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	bytesPerToken = 4 // rough size of a prompt token, for admission's cost
-	waitMin       = 20 * time.Millisecond
-	waitMax       = 500 * time.Millisecond
+	bytesPerToken = 4 // rough size of a prompt token, for the cost stated to admission
+	minPickDelay  = 20 * time.Millisecond
+	maxPickDelay  = 500 * time.Millisecond
 )
 
 func (x *run) admit() string {
 	if p := x.req.Resume; p != nil && (p.Finished || p.Offset >= x.req.MaxTokens) {
 		return "already-whole"
 	}
-	if x.over() {
-		return x.giveUp(CodeDeadline, x.cause())
+	if x.mustEnd() {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
-	if err := x.followed.Refusal(x.ctx); err != nil {
+	if err := x.tracked.Refusal(x.ctx); err != nil {
 		return x.end("fail", CodeQuarantined, err)
 	}
 	release, err := x.Admitter.Admit(x.ctx, Ticket{
@@ -52,43 +52,43 @@
 	if o := x.req.Opaque; o != nil {
 		return float64(o.Size + o.Answer)
 	}
-	return float64(len(x.req.Prompt)/bytesPerToken + x.req.MaxTokens - x.acc.next)
+	return float64(len(x.req.Prompt)/bytesPerToken + x.req.MaxTokens - x.filter.next)
 }
 
-// claim makes this run the only one that may dispatch the request. A claim
-// whose fate isn't known is voided: it was not used, and the void is harmless
-// when another run holds the key.
+// claim makes this run the only one that may dispatch the request. A claim whose result is
+// unknown is voided: it was not used, and the void has no effect if another run has claimed the
+// key.
 func (x *run) claim() string {
-	x.claimedAs = x.claimName()
-	granted, err := x.Claims.Claim(x.ctx, x.req.Account, x.req.ID, x.req.BodyHash, x.claimedAs)
+	x.claimOwner = x.newClaimOwner()
+	granted, err := x.Claims.Claim(x.ctx, x.req.Account, x.req.ID, x.req.BodyHash, x.claimOwner)
 	if err != nil {
 		return x.giveUp(CodeNoClaim, err)
 	}
 	if !granted {
 		// Another run may have dispatched it, so "not-run" would be untrue.
-		x.claimedAs = ""
+		x.claimOwner = ""
 		return x.end("lose", CodeDuplicate, ErrDuplicate)
 	}
 	return "granted"
 }
 
 func (x *run) pick() string {
-	if x.over() {
-		return x.giveUp(CodeDeadline, x.cause())
+	if x.mustEnd() {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
-	if err := x.followed.Refusal(x.ctx); err != nil {
+	if err := x.tracked.Refusal(x.ctx); err != nil {
 		return x.end("fail", CodeQuarantined, err)
 	}
-	if o := x.req.Opaque; o != nil && x.sent >= o.MaxAttempts {
+	if o := x.req.Opaque; o != nil && x.attemptsSent >= o.MaxAttempts {
 		return x.giveUp(CodeEngineLost, x.waitErr)
 	}
-	if x.repeats && !x.drawBudget() {
-		return x.overBudget()
+	if x.needsBudget && !x.drawBudget() {
+		return x.waitForBudget()
 	}
-	x.repeats = false
-	b, share, err := x.Picker.Pick(x.ctx, x.ask())
+	x.needsBudget = false
+	b, share, err := x.Picker.Pick(x.ctx, x.pickRequest())
 	if err == nil {
-		x.backend, x.share = b, share
+		x.backend, x.loadShare = b, share
 		return "picked"
 	}
 	x.waitErr = err
@@ -97,47 +97,46 @@
 	if !retryable && len(x.exclude) == 0 {
 		return x.giveUp(CodeNoReplica, err)
 	}
-	x.delay = waitMin
+	x.delay = minPickDelay
 	if retryable {
-		x.delay = max(u.RetryAfter, waitMin)
+		x.delay = max(u.RetryAfter, minPickDelay)
 	}
-	// An engine that was lost or refused may be back: better than none.
+	// An engine that was lost or that refused may be available again, which is better than none.
 	clear(x.exclude)
 	return "none"
 }
 
-// drawBudget draws for one more arrival. The first try to go on with a started
-// answer is worth more than any other second try: without it the answer is cut.
+// drawBudget draws from the retry budget for one more arrival. The first try to continue a
+// started answer may use more of the budget than other retries: without it the answer is cut.
 func (x *run) drawBudget() bool {
-	if x.afterLoss {
+	if x.firstAfterLoss {
 		return x.Budget.Continue(x.service())
 	}
 	return x.Budget.Take(x.service())
 }
 
-// budgetWait is how soon a started answer asks for budget again, which first tries
-// earn.
-const budgetWait = 100 * time.Millisecond
+// budgetRetryInterval is how often a started answer tries again to draw from the retry budget,
+// which grows with each first try.
+const budgetRetryInterval = 100 * time.Millisecond
 
-// overBudget holds an attempt back for which the service has no budget left. A
-// started answer waits for some: it holds work already paid for.
+// waitForBudget ends or delays an attempt for which the service has no retry budget left. A
+// started answer waits for budget: it represents work already paid for.
 //
-// What goes wrong when started answers are let through: replicas crash while
-// the store is away, each router tries one address after the other that is not
-// the replica's any more, and a service that has lost half of its replicas gets
-// several times as many arrivals as requests.
-func (x *run) overBudget() string {
+// Without this bound, when replicas crash while the store is unreachable, each router tries one
+// outdated replica address after the other, and a service that has lost half of its replicas
+// receives several times as many arrivals as requests.
+func (x *run) waitForBudget() string {
 	if !x.started() {
 		return x.giveUp(CodeRetryBudget, x.waitErr)
 	}
-	x.delay = budgetWait
+	x.delay = budgetRetryInterval
 	return "none"
 }
 
-func (x *run) ask() Ask {
+func (x *run) pickRequest() Ask {
 	a := Ask{
 		Request: x.req.ID, Ref: x.req.Ref, Priority: x.req.Priority, Prompt: x.req.Prompt,
-		Exclude: x.exclude, Resume: x.started(), Again: x.sentBefore, Reached: x.reached, Prefer: x.lostCopy.at,
+		Exclude: x.exclude, Resume: x.started(), Again: x.anySent, Reached: x.mayHaveRun, Prefer: x.lostCopy.backendID,
 	}
 	if o := x.req.Opaque; o != nil {
 		a.Service, a.Size, a.Answer = o.Service, o.Size, o.Answer
@@ -148,7 +147,7 @@
 		if len(o.Parts) > 0 {
 			a.Own = o.Parts[len(o.Parts)-1]
 		}
-		if o.Returned && x.sent == 0 {
+		if o.Returned && x.attemptsSent == 0 {
 			a.Parts = o.Parts
 		}
 		a.LostDomain = x.lostDomain
@@ -156,46 +155,46 @@
 	return a
 }
 
-// wait passes the time until the next pick, within the caller's deadline and
-// the patience. What can't come within them is answered at once.
+// wait sleeps until the next pick, within the caller's deadline and the maximum wait. It ends the
+// run at once if the delay doesn't fit in them.
 func (x *run) wait() string {
-	if x.over() {
-		return x.giveUp(CodeDeadline, x.cause())
+	if x.mustEnd() {
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	if x.delay == 0 {
 		return "retry"
 	}
-	left := x.patienceLeft()
+	left := x.waitLeft()
 	if x.delay > left {
 		return x.giveUp(CodeNoReplica, x.waitErr)
 	}
-	d := min(x.delay, waitMax)
+	d := min(x.delay, maxPickDelay)
 	x.delay = 0
 	if !x.sleep(d) {
-		return x.giveUp(CodeDeadline, x.cause())
+		return x.giveUp(CodeDeadline, x.endCause())
 	}
 	return "retry"
 }
 
-// patienceLeft is how much longer the request may wait for a backend server. An answer that
-// has begun waits from when its loss is known; an opaque one from its last piece, since its
-// client leaves after a pause, whatever caused it.
+// waitLeft is how much longer the request may wait for a backend server. The maximum wait of a
+// started answer is counted from when its loss is noticed; that of an opaque one from its last
+// chunk, since its client leaves after a pause, whatever caused it.
 //
-// What goes wrong if it waits from its last token: an engine that paused before has its
-// silence borne for longer, which uses the patience up. The answer is cut at the moment at
-// which its silence is noticed, though an engine could go on with it.
-func (x *run) patienceLeft() time.Duration {
-	patience, since := x.opts.Patience, x.lastToken
+// If a started answer waited from its last token, a silence could use up its maximum wait: after
+// earlier pauses the failure detector tolerates an engine's silence for longer. The answer would
+// be cut at the moment at which the silence is detected, though another engine could continue it.
+func (x *run) waitLeft() time.Duration {
+	maxWait, since := x.opts.Patience, x.lastToken
 	if o := x.req.Opaque; o != nil {
-		patience = o.Patience
+		maxWait = o.Patience
 	}
 	if x.started() {
-		patience = x.opts.StartedPatience
+		maxWait = x.opts.StartedPatience
 		if x.req.Opaque == nil && x.lossCause != "" && x.lostAt.After(since) {
 			since = x.lostAt
 		}
 	}
-	left := patience - time.Since(since)
+	left := maxWait - time.Since(since)
 	if !x.req.Deadline.IsZero() {
 		left = min(left, time.Until(x.req.Deadline))
 	}
@@ -207,17 +206,16 @@
 	return clock.Sleep(x.ctx, jittered)
 }
 
-// over reports whether the caller is gone or the deadline has passed. The
-// clock is read, since after a pause of the process the deadline's own timer
-// may not have fired yet; and the wall clock too, since the monotonic one may
-// stand still while a VM is paused.
-func (x *run) over() bool {
+// mustEnd reports whether the caller has disconnected or the deadline has passed. It reads the
+// clock because, after a pause of the process, the timer of the deadline may not have fired yet.
+// It also reads the wall clock because the monotonic clock may stand still while a VM is paused.
+func (x *run) mustEnd() bool {
 	if x.ctx.Err() != nil {
 		return true
 	}
 	if o := x.req.Opaque; o != nil {
-		// The boot clock alone: the time of day is set ahead by seconds there,
-		// and requests would end early.
+		// Only the boot clock: on the VMs that serve opaque requests the wall clock is set ahead
+		// by seconds, which would end requests early.
 		return o.Deadline.Passed()
 	}
 	d := x.req.Deadline
@@ -228,7 +226,7 @@
 	return now.After(d) || now.Round(0).After(d.Round(0))
 }
 
-func (x *run) cause() error {
+func (x *run) endCause() error {
 	cause := context.Cause(x.ctx)
 	switch {
 	case cause == nil, errors.Is(cause, ErrDeadline):
@@ -241,17 +239,17 @@
 
 func (x *run) finish() string {
 	if err := x.sink.Flush(); err != nil {
-		return x.callerGone(err)
+		return x.callerDisconnected(err)
 	}
 	return "delivered"
 }
 
 func (x *run) voidClaim() {
-	if x.claimedAs == "" || x.reached {
+	if x.claimOwner == "" || x.mayHaveRun {
 		return
 	}
-	account, key, name := x.req.Account, x.req.ID, x.claimedAs
-	x.voids.Go(func() {
+	account, key, name := x.req.Account, x.req.ID, x.claimOwner
+	x.background.Go(func() {
 		ctx, stop := context.WithTimeout(context.WithoutCancel(x.ctx), voidTimeout)
 		defer stop()
 		if err := x.Claims.Void(ctx, account, key, name); err != nil {
--- a/generation/stream.go
+++ b/generation/stream.go
@@ -11,9 +11,9 @@
 
 var errGap = errors.New("token missing")
 
-// stream delivers the attempt's tokens until it ends.
+// stream delivers the attempt's tokens until the attempt ends.
 func (x *run) stream() string {
-	a := x.last
+	a := x.current
 	for {
 		t, err := a.stream.Next()
 		if err != nil {
@@ -21,25 +21,25 @@
 		}
 		now := time.Now()
 		a.watch.Token(now)
-		a.begun(now)
-		x.noteOutlived(a, now)
-		x.tendCopy(a, now)
-		switch x.acc.offer(a.place.Attempt, t.Index) {
-		case late:
-			x.m.droppedLate.Inc()
+		a.recordFirstToken(now)
+		x.clearSuspicion(a, now)
+		x.maintainCopy(a, now)
+		switch x.filter.check(a.origin.Attempt, t.Index) {
+		case stale:
+			x.m.droppedStale.Inc()
 			continue
-		case repeated:
-			x.m.droppedRepeat.Inc()
+		case duplicate:
+			x.m.droppedDuplicate.Inc()
 			continue
 		case gap:
 			x.m.droppedGap.Inc()
-			return x.lost(a, Error.New("%w: got index %d, want %d", errGap, t.Index, x.acc.next))
+			return x.handleLoss(a, Error.New("%w: got index %d, want %d", errGap, t.Index, x.filter.next))
 		}
 		if err := x.deliver(a, t, now); err != nil {
-			return x.callerGone(err)
+			return x.callerDisconnected(err)
 		}
 		if t.Finish != "" {
-			return x.whole(a)
+			return x.completeAttempt(a)
 		}
 	}
 }
@@ -47,20 +47,20 @@
 func (x *run) deliver(a *attempt, t backend.Token, now time.Time) error {
 	if x.lossCause != "" {
 		x.m.resumed(x.lossCause, now.Sub(x.lastToken))
-		x.opts.Log.Emit(event.AttemptResumed, "request", x.req.ID, "attempt", a.place.Attempt,
+		x.opts.Log.Emit(event.AttemptResumed, "request", x.req.ID, "attempt", a.origin.Attempt,
 			"backend", a.backend.ID, "from", t.Index, "gap_ms", now.Sub(x.lastToken).Milliseconds())
 		x.lossCause = ""
 	}
-	x.measure(now)
-	if sinceBoth(now, x.lastToken) > x.opts.PauseGap {
-		x.awoke = now
+	x.recordDelay(now)
+	if maxElapsed(now, x.lastToken) > x.opts.PauseGap {
+		x.pauseEndedAt = now
 	}
 	x.lastToken = now
-	x.tries = 0
+	x.fruitlessTries = 0
 	a.accepted++
 	x.res.Tokens++
 	x.m.tokens.Inc()
-	if x.holdsText {
+	if x.keepsText {
 		x.text = append(x.text, t.Text...)
 		x.meterText()
 	}
@@ -71,21 +71,22 @@
 	if a.stream.Buffered() {
 		return nil
 	}
-	// A caller that reads slowly keeps this goroutine from reading tokens.
-	// Unless the failure detector knows, a healthy engine seems silent to it, and
-	// is given up at this router for all its streams.
+	// While the caller reads slowly, this goroutine reads no tokens. If the failure detector
+	// didn't know, a healthy engine would seem silent, and this router would give up all streams
+	// of that engine.
 	a.watch.SetBlocked(true, now)
 	err := x.sink.Flush()
 	a.watch.SetBlocked(false, time.Now())
-	// The other waits of a write, within Token, are rare. After one, the engine
-	// isn't at fault either and still holds the stream: take it up there instead
-	// of paying for a new prefill.
+	// The sink can also block within Token, but rarely. If the attempt was ended during such a
+	// write, the engine isn't at fault and still has the run: re-attach to it instead of paying
+	// for a new prefill.
 	x.callerSlow = !silent && a.ctx.Err() != nil
 	return err
 }
 
-// measure notes how late a token is. lastToken is the start before the first.
-func (x *run) measure(now time.Time) {
+// recordDelay records how long a token took to arrive. Before the first token, lastToken is the
+// start.
+func (x *run) recordDelay(now time.Time) {
 	wait := now.Sub(x.lastToken)
 	if x.res.Tokens == 0 {
 		x.res.FirstAfter = wait
@@ -94,31 +95,30 @@
 	x.res.LongestPause = max(x.res.LongestPause, wait)
 }
 
-// whole ends an attempt after its last token: nothing is left to cancel. The
-// end mark is read when at hand, so that the connection can be used again.
-func (x *run) whole(a *attempt) string {
+// completeAttempt ends an attempt after its last token, when nothing is left to cancel. It reads
+// the end mark if that is buffered, so that the connection can be reused.
+func (x *run) completeAttempt(a *attempt) string {
 	if a.stream.Buffered() {
 		a.stream.Next()
 	}
-	x.followed.Answered()
-	x.leave()
+	x.tracked.Answered()
+	x.detach()
 	return "done"
 }
 
-// streamEnded judges the end of a stream before the last token. An end mark
-// alone doesn't make an answer whole: an engine that ended the attempt itself
-// sends it too.
+// streamEnded handles the end of a stream before the last token. An end mark alone doesn't mean
+// that the answer is complete: an engine that ended the attempt itself sends one too.
 func (x *run) streamEnded(a *attempt, err error) string {
-	if errors.Is(err, io.EOF) && (x.req.Opaque != nil || x.acc.next >= x.req.MaxTokens) {
+	if errors.Is(err, io.EOF) && (x.req.Opaque != nil || x.filter.next >= x.req.MaxTokens) {
 		x.dropCopy(a)
 		if a.accepted > 0 {
-			x.followed.Answered()
+			x.tracked.Answered()
 		}
-		x.leave()
+		x.detach()
 		return "done"
 	}
 	if errors.Is(err, backend.ErrMismatch) {
 		x.m.droppedMismatch.Inc()
 	}
-	return x.lost(a, err)
+	return x.handleLoss(a, err)
 }
--- a/generation/suspicion.go
+++ b/generation/suspicion.go
@@ -6,10 +6,11 @@
 	"wigeondale/quarantine"
 )
 
-// noteOutlived clears the request of suspicion when a run of it has lived long enough.
-func (x *run) noteOutlived(a *attempt, now time.Time) {
-	if !a.outlived && quarantine.Outlived(now.Sub(a.firstAt)) {
-		a.outlived = true
-		x.followed.Answered()
+// clearSuspicion clears the request of the suspicion that it crashes backend servers, once a run
+// of it has lasted long enough past its first token.
+func (x *run) clearSuspicion(a *attempt, now time.Time) {
+	if !a.suspicionCleared && quarantine.Outlived(now.Sub(a.firstAt)) {
+		a.suspicionCleared = true
+		x.tracked.Answered()
 	}
 }
