--- a/admission/losses.go
+++ b/admission/losses.go
@@ -28,7 +28,7 @@
 	oldLossAge    = 40 * time.Second
 )
 
-// NewLosses returns a Losses that expects engines to fail until it has seen no loss for a while:
+// NewLosses returns a history that expects engines to fail until it has seen no loss for a while:
 // the first crash comes without a warning.
 func NewLosses(now time.Time) *Losses { return &Losses{last: now} }
 
--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -257,12 +257,12 @@
 
 type fakeSink struct {
 	text   strings.Builder
-	begins []Place
+	seen   []Place
 	failAt int // index whose Token fails; 0 for never
 	flush  func()
 }
 
-func (s *fakeSink) Begin(p Place, _ *backend.Head) error { s.begins = append(s.begins, p); return nil }
+func (s *fakeSink) Begin(p Place, _ *backend.Head) error { s.seen = append(s.seen, p); return nil }
 
 func (s *fakeSink) Token(i int, text []byte, _ string) error {
 	if s.failAt > 0 && i == s.failAt {
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -81,8 +81,8 @@
 			if res.Outcome != fleet.Complete || sink.text.String() != answerText(answerTokens) || res.Tokens != answerTokens {
 				t.Fatalf("got %+v, text %q", res, sink.text.String())
 			}
-			if len(sink.begins) != tc.attempts || res.Resumes != tc.attempts-1 || len(h.abandoned) != tc.attempts-1 {
-				t.Fatalf("begins %v, resumes %d, abandoned %v", sink.begins, res.Resumes, h.abandoned)
+			if len(sink.seen) != tc.attempts || res.Resumes != tc.attempts-1 || len(h.abandoned) != tc.attempts-1 {
+				t.Fatalf("begins %v, resumes %d, abandoned %v", sink.seen, res.Resumes, h.abandoned)
 			}
 			if tc.attempts == 1 {
 				return
@@ -204,8 +204,8 @@
 			h := &harness{engines: []*fakeEngine{first, second}}
 			sink := &fakeSink{}
 			res := h.run(t, Request{Resume: tc.point, NonIdempotent: tc.once}, sink, Options{Patience: time.Second})
-			if res.Outcome != tc.want || len(sink.begins) != tc.begins || len(second.got()) != tc.posts {
-				t.Fatalf("got %+v, begins %v, second engine got %d", res, sink.begins, len(second.got()))
+			if res.Outcome != tc.want || len(sink.seen) != tc.begins || len(second.got()) != tc.posts {
+				t.Fatalf("got %+v, begins %v, second engine got %d", res, sink.seen, len(second.got()))
 			}
 			if tc.begins > 0 && answerText(3)+sink.text.String() != answerText(answerTokens) {
 				t.Fatalf("text %q", sink.text.String())
