--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -141,16 +141,16 @@
 		for i := range 11 {
 			admitInBackground(c, Ticket{Account: "a", Cost: 1}, fmt.Sprint(i), served)
 		}
-		began := time.Now()
-		_, err := c.Admit(t.Context(), Ticket{Account: "a", Cost: 1, Deadline: began.Add(300 * time.Millisecond)})
-		if reasonOf(err) != ReasonDeadline || !time.Now().Equal(began) {
-			t.Errorf("after %v: %v", time.Since(began), err)
+		start := time.Now()
+		_, err := c.Admit(t.Context(), Ticket{Account: "a", Cost: 1, Deadline: start.Add(300 * time.Millisecond)})
+		if reasonOf(err) != ReasonDeadline || !time.Now().Equal(start) {
+			t.Errorf("after %v: %v", time.Since(start), err)
 		}
 		var r *Refused
 		if errors.As(err, &r) && (r.RetryAfter < 500*time.Millisecond || r.RetryAfter > 2*time.Second) {
 			t.Errorf("Retry-After %v at a queue of one second", r.RetryAfter)
 		}
-		admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Deadline: began.Add(300 * time.Millisecond)}, "lookup", served)
+		admitInBackground(c, Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive, Deadline: start.Add(300 * time.Millisecond)}, "lookup", served)
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		close(served)
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -75,18 +75,18 @@
 		c.cfg.BatchCapacity = func(string) int { return 24 }
 		var immediate, late, cut, served atomic.Int32
 		admit := func(tk Ticket, took time.Duration) {
-			began := time.Now()
-			tk.Deadline = began.Add(deadline)
+			start := time.Now()
+			tk.Deadline = start.Add(deadline)
 			release, err := c.Admit(context.Background(), tk)
 			switch {
 			case err == nil:
 				time.Sleep(took)
 				release(tk.Cost)
-				if time.Since(began) > deadline {
+				if time.Since(start) > deadline {
 					cut.Add(1)
 				}
 				served.Add(1)
-			case time.Since(began) < time.Millisecond:
+			case time.Since(start) < time.Millisecond:
 				immediate.Add(1)
 			default:
 				late.Add(1)
@@ -117,13 +117,13 @@
 		c := newTestController(slots, map[string]Limit{"a": noLimit})
 		var during, after, late atomic.Int32
 		admit := func(served *atomic.Int32, expectedWait time.Duration) {
-			began := time.Now()
-			release, err := c.Admit(context.Background(), Ticket{Account: "a", Cost: 600, Deadline: began.Add(deadline)})
+			start := time.Now()
+			release, err := c.Admit(context.Background(), Ticket{Account: "a", Cost: 600, Deadline: start.Add(deadline)})
 			if err != nil {
 				return
 			}
 			served.Add(1)
-			if time.Since(began) > expectedWait {
+			if time.Since(start) > expectedWait {
 				late.Add(1)
 			}
 			time.Sleep(service)
@@ -180,12 +180,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var batchStarted atomic.Int32
-		run := func(tk Ticket, began *atomic.Int32, took time.Duration) {
+		run := func(tk Ticket, started *atomic.Int32, took time.Duration) {
 			release, err := c.Admit(ctx, tk)
 			if err != nil {
 				return
 			}
-			began.Add(1)
+			started.Add(1)
 			time.Sleep(took)
 			release(1)
 		}
