--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -80,7 +80,7 @@
 
 // lossReport is what the quarantine guard evaluates when a was lost.
 func (a *attempt) lossReport(cause string) quarantine.Loss {
-	l := quarantine.Loss{Backend: a.backend, Pieces: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
+	l := quarantine.Loss{Backend: a.backend, Chunks: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
 	if !a.firstAt.IsZero() {
 		l.SinceFirst = time.Since(a.firstAt)
 	}
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -195,7 +195,7 @@
 
 // logLoss logs why an attempt ended, and how long it was silent before that.
 func (x *run) logLoss(a *attempt, cause string, err error) {
-	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.tracked.Name(), "attempt", a.origin.Attempt,
+	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.tracked.DigestString(), "attempt", a.origin.Attempt,
 		"backend", a.backend.ID, "cause", cause, "accepted", a.accepted, "next", x.filter.next,
 		"silent_ms", time.Since(x.lastToken).Milliseconds(), "err", err)
 }
@@ -219,7 +219,7 @@
 // request is not idempotent, or this router never saw the text) only the same run can deliver the
 // rest.
 func (x *run) suspect() string {
-	x.tracked.Await(x.ctx, x.lossExamined)
+	x.tracked.AwaitExamination(x.ctx, x.lossExamined)
 	if x.mustEnd() {
 		return x.giveUp(CodeDeadline, x.endCause())
 	}
--- a/generation/end.go
+++ b/generation/end.go
@@ -97,7 +97,7 @@
 
 func (x *run) result(state string) Result {
 	res := x.res
-	res.Digest = x.tracked.Name()
+	res.Digest = x.tracked.DigestString()
 	res.Outcome = finalOutcome[state]
 	if state == "cancelled" {
 		res.Outcome = finalOutcome[x.incompleteState()]
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -164,7 +164,7 @@
 	req  Request
 	sink Sink
 	// tracked records, for the quarantine guard, crashes under the request and its repeats.
-	tracked *quarantine.Case
+	tracked *quarantine.Submission
 	// lossExamined is closed when the guard has determined what caused the latest loss.
 	lossExamined <-chan struct{}
 
@@ -202,7 +202,7 @@
 
 func newRun(r *Runner, ctx context.Context, req Request, sink Sink) *run {
 	x := &run{Runner: r, ctx: ctx, req: req, sink: sink, exclude: map[string]bool{}, lastToken: time.Now()}
-	x.tracked = r.Guard.Follow(req.subject())
+	x.tracked = r.Guard.Track(req.subject())
 	x.keepsText = !req.NonIdempotent
 	if req.Opaque != nil {
 		x.filter.next = req.Opaque.First
--- a/generation/runquery.go
+++ b/generation/runquery.go
@@ -46,9 +46,9 @@
 	return named || r.Queued > 0 || r.Active > len(r.Made)
 }
 
-// Holds implements the report interface of package health. It reports false for a run whose
+// HasRun implements the report interface of package health. It reports false for a run whose
 // latest chunks were not received: the run exists, but its connection no longer delivers.
-func (r RunReport) Holds(request string, received int) bool {
+func (r RunReport) HasRun(request string, received int) bool {
 	if made, named := r.Made[request]; named {
 		return made <= received
 	}
--- a/generation/suspicion.go
+++ b/generation/suspicion.go
@@ -9,7 +9,7 @@
 // clearSuspicion clears the request of the suspicion that it crashes backend servers, once a run
 // of it has lasted long enough past its first token.
 func (x *run) clearSuspicion(a *attempt, now time.Time) {
-	if !a.suspicionCleared && quarantine.Outlived(now.Sub(a.firstAt)) {
+	if !a.suspicionCleared && quarantine.PastEarlyWindow(now.Sub(a.firstAt)) {
 		a.suspicionCleared = true
 		x.tracked.Answered()
 	}
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -111,7 +111,7 @@
 	n.adopter = &adopter{view: n.view, news: n.news, seeker: succession.New(replicas), tell: n.peers.tellAdopted}
 	n.peers.adopter = n.adopter
 	ask := inquirer{n.dir, replicas}
-	n.mon.Inquirer = ask
+	n.mon.RunQuerier = ask
 	n.guard = n.newGuard(ask)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
 	find := holders.New(replicas, holders.Config{Set: n.meter})
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -60,7 +60,7 @@
 	replicas generation.Inquirer
 }
 
-func (q inquirer) Ask(ctx context.Context, id string) (health.Word, error) {
+func (q inquirer) QueryRuns(ctx context.Context, id string) (health.RunReport, error) {
 	b, ok := q.dir.Backend(id)
 	if !ok {
 		return nil, Error.New("replica %s is not known", id)
--- a/hosted/survey_test.go
+++ b/hosted/survey_test.go
@@ -25,7 +25,7 @@
 	asked int
 }
 
-func (h *heldParts) Held(_ context.Context, b fleet.Backend) (map[string]int, error) {
+func (h *heldParts) CachedParts(_ context.Context, b fleet.Backend) (map[string]int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked++
