--- a/quarantine/case.go
+++ b/quarantine/case.go
@@ -5,98 +5,100 @@
 	"time"
 )
 
-// Case is one try of a request. A nil Case is of a request that nobody follows.
+// Case is one submission of a request by a client; the client's repeats are further ones. The
+// router may send it to several backend servers, one after the other. A nil one belongs to a
+// request that isn't tracked.
 type Case struct {
-	guard   *Guard
-	digest  Digest
-	account string
-	try     uint64 // names it among the tries of the request
+	guard      *Guard
+	digest     Digest
+	account    string
+	submission uint64 // random id that tells the submissions of one request apart
 }
 
-// Name is the digest of the request, empty if nobody follows it.
-func (c *Case) Name() string {
-	if c == nil {
+// Name returns the digest of the request as text, empty if it isn't tracked.
+func (s *Case) Name() string {
+	if s == nil {
 		return ""
 	}
-	return c.digest.String()
+	return s.digest.String()
 }
 
-// Refusal is why the request must not be sent now, nil if it may. It waits while that is
-// about to be decided.
-func (c *Case) Refusal(ctx context.Context) error {
-	if c == nil || !c.guard.some.Load() {
+// Refusal returns why the request must not be sent now, nil if it may. While a decision about
+// the request is due it waits for that.
+func (s *Case) Refusal(ctx context.Context) error {
+	if s == nil || !s.guard.nonEmpty.Load() {
 		return nil
 	}
 	for {
-		held, ruled := c.guard.ruling(c.digest)
+		quarantined, decided := s.guard.decision(s.digest)
 		switch {
-		case held:
-			c.guard.m.refused.Inc()
+		case quarantined:
+			s.guard.metrics.refused.Inc()
 			return ErrHeld
-		case ruled == nil:
+		case decided == nil:
 			return nil
 		}
 		select {
-		case <-ruled:
+		case <-decided:
 		case <-ctx.Done():
-			return nil // its end is for the caller to tell
+			return nil // the caller handles the end of its context
 		}
 	}
 }
 
-// Suspected tells whether one more crash may have the request held back.
-func (c *Case) Suspected() bool {
-	if c == nil || !c.guard.some.Load() {
+// Suspected reports whether one more crash may be enough to quarantine the request.
+func (s *Case) Suspected() bool {
+	if s == nil || !s.guard.nonEmpty.Load() {
 		return false
 	}
-	c.guard.mu.Lock()
-	defer c.guard.mu.Unlock()
-	return c.guard.book.Suspected(c.digest, c.guard.cfg.Now())
+	s.guard.mu.Lock()
+	defer s.guard.mu.Unlock()
+	return s.guard.tracker.Suspected(s.digest, s.guard.cfg.Now())
 }
 
-// Lost takes in that an attempt was lost. It finds out beside the request whether the
-// backend server has crashed. The channel is closed when that is known.
-func (c *Case) Lost(l Loss) (known <-chan struct{}) {
+// Lost records that an attempt was lost. It finds out in the background whether the backend
+// server has crashed, and closes the channel when that is known.
+func (s *Case) Lost(l Loss) (examined <-chan struct{}) {
 	done := make(chan struct{})
-	if c == nil || c.guard.cfg.Leaving(l.Backend.ID) {
+	if s == nil || s.guard.cfg.Leaving(l.Backend.ID) {
 		close(done)
 		return done
 	}
-	l.lifetime, l.at = c.guard.cfg.Lifetime(l.Backend), c.guard.cfg.Now()
+	l.incarnation, l.at = s.guard.cfg.Lifetime(l.Backend), s.guard.cfg.Now()
 	go func() {
 		defer close(done)
-		c.guard.examine(c, l)
+		s.guard.examine(s, l)
 	}()
 	return done
 }
 
-// awaitLoss bounds the wait for what a loss was. A backend server that crashed refuses
-// connections at once.
-const awaitLoss = 250 * time.Millisecond
+// maxLossWait bounds the wait until the cause of a loss is known. The machine of a backend
+// server that crashed refuses connections at once.
+const maxLossWait = 250 * time.Millisecond
 
-// Await waits, before a request that may be what ended its backend servers is sent on, until
-// it is known whether the last one ended too. Others don't wait.
-func (c *Case) Await(ctx context.Context, known <-chan struct{}) {
-	if known == nil || !c.Suspected() {
+// Await delays a request that may have crashed its backend servers until it is known whether
+// the latest one crashed too, before the request is sent on. Other requests don't wait.
+func (s *Case) Await(ctx context.Context, examined <-chan struct{}) {
+	if examined == nil || !s.Suspected() {
 		return
 	}
-	t := time.NewTimer(awaitLoss)
+	t := time.NewTimer(maxLossWait)
 	defer t.Stop()
 	select {
-	case <-known:
+	case <-examined:
 	case <-ctx.Done():
 	case <-t.C:
 	}
 }
 
-// Outlived tells whether a run has lived long enough past its first piece to show that the
-// request doesn't crash its backend server.
-func Outlived(sinceFirst time.Duration) bool { return sinceFirst >= opening }
+// Outlived reports whether a run has lasted long enough past its first token or chunk to show
+// that the request doesn't crash its backend server.
+func Outlived(sinceFirst time.Duration) bool { return sinceFirst >= earlyWindow }
 
-// Answered takes in that the request was answered whole, or that a run has outlived its
-// opening.
-func (c *Case) Answered() {
-	if c != nil {
-		c.guard.answered(c.digest, c.guard.cfg.Now())
+// Answered records that the request was answered completely, or that a run has lasted longer
+// than earlyWindow.
+func (s *Case) Answered() {
+	if s != nil {
+		s.guard.answered(s.digest, s.guard.cfg.Now())
 	}
 }
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -7,14 +7,14 @@
 	"encoding/hex"
 )
 
-// Digest names what a request and its repeats have in common. It is keyed, so that nobody
-// outside can find a request that shares the digest of another one.
+// Digest identifies a request together with its repeats. It is keyed, so that nobody outside
+// can construct a request that has the same digest as another one.
 type Digest [16]byte
 
-// String is the digest as logs and operators see it.
+// String returns the digest in the form that logs and operators see.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the output of Digest.String.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	if len(s) != hex.EncodedLen(len(d)) {
@@ -24,7 +24,7 @@
 	return d, Error.Wrap(err)
 }
 
-// Subject is what a request and its repeats have in common. The id of a try is no part of it.
+// Subject is what a request and its repeats have in common. The request id is not part of it.
 type Subject struct {
 	Account string
 	Method  string
@@ -33,8 +33,8 @@
 	Body    []byte
 }
 
-// digest of the subject. Each field goes in with its length, so that no two subjects
-// give the same input.
+// digest returns the keyed digest of the subject. Each field is preceded by its length, so that
+// no two subjects give the same input.
 func (s *Subject) digest(key []byte) Digest {
 	h := hmac.New(sha256.New, key)
 	for _, field := range []string{s.Account, s.Method, s.Host, s.Target} {
--- /dev/null
+++ b/quarantine/evaluate.go
@@ -0,0 +1,136 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+)
+
+// isCulprit reports whether the crashes under s are caused by s.
+func (t *Book) isCulprit(s *suspect, now time.Duration) bool {
+	counted := t.countedCrashes(s, now)
+	if s.cleared {
+		return len(counted) >= minUnsharedCrashes // a bystander is rarely present at another crash
+	}
+	if len(counted) < minCrashes+t.extraCrashes(s, now) {
+		return false
+	}
+	return len(counted) >= conclusiveCrashes || t.unsharedCrashes(s, counted, now) >= minUnsharedCrashes && s.crashedRepeatedly(counted)
+}
+
+// crashedRepeatedly reports whether the same submission was running at two of the crashes, one
+// after the other. A request that many clients send at once is present at each crash, whatever
+// its cause, but each time with another submission.
+func (s *suspect) crashedRepeatedly(counted []string) bool {
+	seen := map[uint64]bool{}
+	for _, c := range s.crashes {
+		if !slices.Contains(counted, c.Lifetime) {
+			continue
+		}
+		if seen[c.Try] {
+			return true
+		}
+		seen[c.Try] = true
+	}
+	return false
+}
+
+// extraCrashes returns how many more crashes are required while backend servers often exit for
+// other reasons: then some requests are present at three crashes by chance. None is present at
+// manyCrashes by chance.
+func (t *Book) extraCrashes(s *suspect, now time.Duration) int {
+	if len(s.crashes) >= manyCrashes {
+		return 0
+	}
+	n := 0
+	for incarnation, at := range t.exits.at {
+		if now-at < backgroundWindow && !s.crashedAt(incarnation) && !t.explained(s, incarnation, now) {
+			n++
+		}
+	}
+	return min(n/backgroundExits, 1)
+}
+
+// countedCrashes returns the incarnations whose crashes count against s. Of crashes at the same
+// moment only one counts, unless the request was sent to the later one after the earlier crash:
+// a request that runs at many backend servers loses several of them to one cause.
+func (t *Book) countedCrashes(s *suspect, now time.Duration) []string {
+	var out []string
+	var last Crash
+	for i, c := range s.crashes { // in order of time
+		if now-c.At >= crashTTL || t.explained(s, c.Lifetime, now) || t.simultaneousExits(s, c, now) >= massExits {
+			continue
+		}
+		if i > 0 && len(out) > 0 && c.At-last.At <= simultaneousWindow && c.Began < last.At {
+			continue
+		}
+		out, last = append(out, c.Lifetime), c
+	}
+	return out
+}
+
+// explained reports whether another request, which is quarantined, was running at the crash too.
+func (t *Book) explained(s *suspect, incarnation string, now time.Duration) bool {
+	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
+		return d != s.digest && t.suspects[d].holdUntil > now
+	})
+}
+
+// simultaneousExits counts the backend servers that exited at the same moment as c and at which
+// neither s nor a quarantined request is known to have been running. For a request with
+// manyCrashes the result is 0, so that such exits can't clear it: not all backend servers where
+// it was running may be known.
+func (t *Book) simultaneousExits(s *suspect, c Crash, now time.Duration) (n int) {
+	if len(s.crashes) >= manyCrashes {
+		return 0
+	}
+	for incarnation, at := range t.exits.at {
+		if (at-c.At).Abs() <= simultaneousWindow && !s.crashedAt(incarnation) && !t.explained(s, incarnation, now) {
+			n++
+		}
+	}
+	return n
+}
+
+// shared reports whether another suspected request was running at the crash, so that it is
+// unknown which of the two caused it.
+func (t *Book) shared(s *suspect, incarnation string, now time.Duration) bool {
+	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
+		return d != s.digest && len(t.countedCrashes(t.suspects[d], now)) >= minCrashes-1
+	})
+}
+
+// unsharedCrashes counts those of the counted crashes of s at which no other suspected request
+// was running.
+func (t *Book) unsharedCrashes(s *suspect, counted []string, now time.Duration) (n int) {
+	for _, incarnation := range counted {
+		if !t.shared(s, incarnation, now) {
+			n++
+		}
+	}
+	return n
+}
+
+// clearBystanders ends the hold of requests that turn out to have only run alongside s: s was
+// running at all their crashes but fewer than minUnsharedCrashes.
+func (t *Book) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
+	for _, c := range s.crashes {
+		for _, d := range slices.Clone(t.suspectsByCrash[c.Lifetime]) {
+			other := t.suspects[d]
+			if other != s && other.holdUntil > now && other.crashesWithout(s) < minUnsharedCrashes {
+				other.holdStart, other.holdUntil, other.cleared = 0, 0, true
+				cleared = append(cleared, d)
+			}
+		}
+	}
+	return cleared
+}
+
+// crashesWithout counts the crashes under s at which other was not running.
+func (s *suspect) crashesWithout(other *suspect) (n int) {
+	for _, c := range s.crashes {
+		if !other.crashedAt(c.Lifetime) {
+			n++
+		}
+	}
+	return n
+}
--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -12,95 +12,97 @@
 )
 
 const (
-	// LookTimeout bounds one look at a backend server.
+	// LookTimeout bounds one probe of a backend server.
 	LookTimeout = 300 * time.Millisecond
-	// lookAgain is the pause before a backend server that seems to work is looked at once
-	// more: a process that crashes may close its connections before it stops listening.
-	lookAgain = 100 * time.Millisecond
-	// looks bounds how often.
-	looks = 3
-	// neighbours is how many others of the failure domain are looked at, and fewestNeighbours
-	// how many it takes to judge the domain.
-	neighbours       = 5
-	fewestNeighbours = 2
+	// probeInterval is the pause before a backend server that seems to work is probed again: a
+	// process that crashes may close its connections before it stops listening.
+	probeInterval = 100 * time.Millisecond
+	// maxProbes bounds the number of probes.
+	maxProbes = 3
+	// maxNeighbours is how many other backend servers of the failure domain are probed, and
+	// minNeighbours how many are needed to decide whether the domain is down.
+	maxNeighbours = 5
+	minNeighbours = 2
 )
 
-// Loss is an attempt that ended before its answer did.
+// Loss is an attempt that ended before its answer was complete.
 type Loss struct {
 	Backend fleet.Backend
-	// Pieces of the answer that the attempt had given, and how long ago the first of them came.
+	// Pieces is the number of tokens or chunks that the attempt had delivered; SinceFirst is how
+	// long ago the first of them came.
 	Pieces     int
 	Ran        time.Duration // since the attempt was sent
 	SinceFirst time.Duration
 	// Cause is how the loss was noticed.
 	Cause string
 
-	lifetime string
-	at       time.Duration
+	incarnation string
+	at          time.Duration
 }
 
-// examine finds out what a loss was, and counts a crash against the request.
-func (g *Guard) examine(c *Case, l Loss) {
-	state := g.look(l.Backend)
-	alone := state == Ended && !g.domainLost(l)
-	g.m.loss(state, alone).Inc()
-	g.cfg.Log.Emit(event.LossExamined, "digest", c.digest.String(), "backend", l.Backend.ID, "domain", l.Backend.FailureDomain,
-		"found", state.String(), "alone", alone, "pieces", l.Pieces, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
-	if !alone {
+// examine finds out what caused a loss, and counts a crash against the request.
+func (g *Guard) examine(s *Case, l Loss) {
+	state := g.probe(l.Backend)
+	onItsOwn := state == Ended && !g.domainExited(l)
+	g.metrics.loss(state, onItsOwn).Inc()
+	g.cfg.Log.Emit(event.LossExamined, "digest", s.digest.String(), "backend", l.Backend.ID, "domain", l.Backend.FailureDomain,
+		"found", state.String(), "alone", onItsOwn, "pieces", l.Pieces, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
+	if !onItsOwn {
 		return
 	}
-	if l.SinceFirst >= opening {
-		g.noteEnd(l)
+	if l.SinceFirst >= earlyWindow {
+		g.recordExit(l)
 		return
 	}
-	if g.crashed(c.digest, c.account, Crash{Lifetime: l.lifetime, At: l.at, Began: l.at - l.Ran, Try: c.try}) {
-		g.tell(News{Crashes: []CrashNews{{c.digest, c.account, l.lifetime, (g.cfg.Now() - l.at).Milliseconds(), c.try, l.Ran.Milliseconds()}}})
+	if g.crashed(s.digest, s.account, Crash{Lifetime: l.incarnation, At: l.at, Began: l.at - l.Ran, Try: s.submission}) {
+		g.broadcast(News{Crashes: []CrashNews{{s.digest, s.account, l.incarnation, (g.cfg.Now() - l.at).Milliseconds(), s.submission, l.Ran.Milliseconds()}}})
 	}
 }
 
-// noteEnd takes in the end of a backend server that is held against no request.
-func (g *Guard) noteEnd(l Loss) {
-	var fresh bool
-	g.change(func(b *Book, _ time.Duration) { fresh = b.Ended(l.lifetime, l.at) })
-	if fresh {
-		g.tell(News{Ended: []EndNews{{l.lifetime, (g.cfg.Now() - l.at).Milliseconds()}}})
+// recordExit records the exit of a backend server that counts against no request.
+func (g *Guard) recordExit(l Loss) {
+	var added bool
+	g.withTracker(func(t *Book, _ time.Duration) { added = t.Ended(l.incarnation, l.at) })
+	if added {
+		g.broadcast(News{Ended: []EndNews{{l.incarnation, (g.cfg.Now() - l.at).Milliseconds()}}})
 	}
 }
 
-// look finds out whether a backend server has ended.
-func (g *Guard) look(b fleet.Backend) State {
+// probe probes a backend server up to maxProbes times to find out whether it has exited.
+func (g *Guard) probe(b fleet.Backend) State {
 	var state State
-	for n := range looks {
+	for n := range maxProbes {
 		if n > 0 {
-			time.Sleep(lookAgain)
+			time.Sleep(probeInterval)
 		}
-		if state = g.lookOnce(b); state == Ended {
+		if state = g.probeOnce(b); state == Ended {
 			break
 		}
 	}
 	return state
 }
 
-func (g *Guard) lookOnce(b fleet.Backend) State {
+func (g *Guard) probeOnce(b fleet.Backend) State {
 	ctx, stop := context.WithTimeout(context.Background(), LookTimeout)
 	defer stop()
 	return g.cfg.Prober.Look(ctx, b)
 }
 
-// domainLost tells whether all others of the failure domain ended with it. Then what ran there
-// is no cause. Those that had ended alone before, or before the request was sent there, say
-// nothing: crashes under the same request may have left few of the domain.
-func (g *Guard) domainLost(l Loss) bool {
-	moment := l.at - min(l.Ran, sameMoment)
-	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, neighbours), func(b fleet.Backend) bool {
-		return g.endedBefore(g.cfg.Lifetime(b), moment)
+// domainExited reports whether all other backend servers of the failure domain exited together
+// with this one: then no request that was running there is the cause. Backend servers that had
+// exited on their own earlier, or before the request was sent there, are not evidence: crashes
+// under the same request may have left only few of the domain running.
+func (g *Guard) domainExited(l Loss) bool {
+	moment := l.at - min(l.Ran, simultaneousWindow)
+	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, maxNeighbours), func(b fleet.Backend) bool {
+		return g.exitedBefore(g.cfg.Lifetime(b), moment)
 	})
-	if len(others) < fewestNeighbours {
-		return false // too few to tell
+	if len(others) < minNeighbours {
+		return false // too few to decide
 	}
 	found := make(chan State, len(others))
 	for _, other := range others {
-		go func() { found <- g.lookOnce(other) }()
+		go func() { found <- g.probeOnce(other) }()
 	}
 	for range others {
 		if <-found != Ended {
@@ -110,38 +112,38 @@
 	return true
 }
 
-// endedBefore tells whether a lifetime is known to have ended alone before a moment.
-func (g *Guard) endedBefore(lifetime string, moment time.Duration) bool {
+// exitedBefore reports whether an incarnation is known to have exited on its own before moment.
+func (g *Guard) exitedBefore(incarnation string, moment time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.EndedBefore(lifetime, moment)
+	return g.tracker.EndedBefore(incarnation, moment)
 }
 
-// meters count what a Guard does.
-type meters struct {
-	crashes, domains, sound, unclear *metrics.Counter
-	refused, untold                  *metrics.Counter
+// metricSet are the metrics of a Guard.
+type metricSet struct {
+	crashes, domains, working, unreachable *metrics.Counter
+	refused, dropped                       *metrics.Counter
 }
 
-func newMeters(set *metrics.Set, held func() float64) *meters {
+func newMetricSet(set *metrics.Set, quarantined func() float64) *metricSet {
 	losses := func(found string) *metrics.Counter {
 		return set.NewCounter(`wigeon_attempt_losses_total{found="` + found + `"}`)
 	}
-	set.NewGauge("wigeon_requests_quarantined", held)
-	return &meters{
-		crashes: losses("crash"), domains: losses("domain"), sound: losses("working"), unclear: losses("unclear"),
+	set.NewGauge("wigeon_requests_quarantined", quarantined)
+	return &metricSet{
+		crashes: losses("crash"), domains: losses("domain"), working: losses("working"), unreachable: losses("unclear"),
 		refused: set.NewCounter("wigeon_quarantine_refused_total"),
-		untold:  set.NewCounter("wigeon_quarantine_untold_total"),
+		dropped: set.NewCounter("wigeon_quarantine_untold_total"),
 	}
 }
 
-func (m *meters) loss(state State, alone bool) *metrics.Counter {
+func (m *metricSet) loss(state State, onItsOwn bool) *metrics.Counter {
 	switch {
 	case state == Working:
-		return m.sound
+		return m.working
 	case state == Unreachable:
-		return m.unclear
-	case !alone:
+		return m.unreachable
+	case !onItsOwn:
 		return m.domains
 	}
 	return m.crashes
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -12,62 +12,62 @@
 
 var fleets = flag.Int("fleets", 5, "seeded fleets of each size in the tests of whole fleets")
 
-// fleetModel plays routers with a Book each, backend servers that crash for several reasons, and
-// requests, on a clock of its own.
+// fleetModel simulates routers with a tracker each, backend servers that crash for several
+// reasons, and requests, on a simulated clock.
 type fleetModel struct {
-	other   background
-	rng     *rand.Rand
-	now     time.Duration
-	queue   events
-	routers []*Book
-	cutOff  int           // router that hears nothing for a while
-	cutTo   time.Duration // and until when
-	servers []*server
-	// plain counts all crashes under a request, whatever their reason: the other way.
-	plain map[Digest]map[string]bool
-
-	crashes map[string]int           // under each request that crashes its servers
-	third   map[string]time.Duration // when the third of them was
-	late    map[string]int           // arrivals later than the window after that
-	wrong   map[string]bool          // other requests that were held back when they came
-}
-
-// background is how often servers crash for other reasons than requests, besides whole
-// failure domains.
+	other        background
+	rng          *rand.Rand
+	now          time.Duration
+	queue        events
+	routers      []*Book
+	isolated     int           // router that receives no updates for modelIsolation
+	isolatedFrom time.Duration // when that starts
+	servers      []*server
+	// allCrashes holds all crashes under a request, whatever their cause, as a simple count would.
+	allCrashes map[Digest]map[string]bool
+
+	crashes    map[string]int           // crashes under each request that crashes its servers
+	thirdCrash map[string]time.Duration // when the third of them happened
+	lateRuns   map[string]int           // runs started at servers more than modelWindow after that
+	wrongHolds map[string]bool          // other requests that were refused by a quarantine
+}
+
+// background is the mean time between crashes that no request causes, in addition to crashes
+// of whole failure domains.
 type background struct {
-	some time.Duration // between two losses of 15 in 100 at one moment
-	one  time.Duration // between two losses of single ones
+	partial time.Duration // between crashes of 15 in 100 servers at one moment
+	single  time.Duration // between crashes of single servers
 }
 
 var (
-	usual = background{some: 25 * time.Second, one: 8 * time.Second}
-	storm = background{some: 5 * time.Second, one: 4 * time.Second}
+	normalCrashRates = background{partial: 25 * time.Second, single: 8 * time.Second}
+	highCrashRates   = background{partial: 5 * time.Second, single: 4 * time.Second}
 )
 
 type server struct {
-	number, domain, lives int
-	up                    bool
-	runs                  []*modelRun
+	number, domain, incarnation int
+	up                          bool
+	runs                        []*modelRun
 }
 
 type modelRun struct {
-	name   string // of the request; those that begin with "bad" crash their servers
-	digest Digest
-	router int
-	tries  int
-	try    uint64
-	at     *server
-	sent   time.Duration
-	begun  time.Duration // its first piece, 0 before
+	name       string // of the request; requests whose names start with "bad" crash their servers
+	digest     Digest
+	router     int
+	attempts   int
+	submission uint64
+	server     *server
+	sent       time.Duration
+	firstToken time.Duration // when its first token came, 0 before
 }
 
 const (
-	modelDomains = 3
-	modelWindow  = 3 * time.Second
-	modelLength  = 60 * time.Second
-	modelRead    = time.Second // to the first piece
-	modelRuns    = 4 * time.Second
-	modelCut     = 5 * time.Second
+	modelDomains   = 3
+	modelWindow    = 3 * time.Second
+	modelDuration  = 60 * time.Second
+	modelPrefill   = time.Second // time to the first token
+	modelDecode    = 4 * time.Second
+	modelIsolation = 5 * time.Second
 )
 
 type modelEvent struct {
@@ -91,8 +91,8 @@
 func newFleetModel(seed uint64, routers int, other background) *fleetModel {
 	m := &fleetModel{
 		other: other,
-		rng:   rand.New(rand.NewPCG(seed, uint64(routers))), plain: map[Digest]map[string]bool{},
-		crashes: map[string]int{}, third: map[string]time.Duration{}, late: map[string]int{}, wrong: map[string]bool{},
+		rng:   rand.New(rand.NewPCG(seed, uint64(routers))), allCrashes: map[Digest]map[string]bool{},
+		crashes: map[string]int{}, thirdCrash: map[string]time.Duration{}, lateRuns: map[string]int{}, wrongHolds: map[string]bool{},
 	}
 	for range routers {
 		m.routers = append(m.routers, NewBook())
@@ -107,33 +107,33 @@
 	heap.Push(&m.queue, modelEvent{m.now + d, do})
 }
 
-// every has do called at random times, so often on average.
-func (m *fleetModel) every(mean time.Duration, do func()) {
+// repeat calls do at random times, with the given mean time between calls.
+func (m *fleetModel) repeat(mean time.Duration, do func()) {
 	m.after(time.Duration(m.rng.ExpFloat64()*float64(mean)), func() {
 		do()
-		m.every(mean, do)
+		m.repeat(mean, do)
 	})
 }
 
-func (m *fleetModel) play() {
-	m.cutOff, m.cutTo = m.rng.IntN(len(m.routers)), time.Duration(m.rng.Int64N(int64(30*time.Second)))
+func (m *fleetModel) simulate() {
+	m.isolated, m.isolatedFrom = m.rng.IntN(len(m.routers)), time.Duration(m.rng.Int64N(int64(30*time.Second)))
 	n := 0
-	m.every(100*time.Millisecond, func() { n++; m.request(fmt.Sprint("good", n)) })
-	m.every(150*time.Millisecond, func() { m.request("hot") })
+	m.repeat(100*time.Millisecond, func() { n++; m.request(fmt.Sprint("good", n)) })
+	m.repeat(150*time.Millisecond, func() { m.request("hot") })
 	for i := range 1 + m.rng.IntN(3) {
 		name := fmt.Sprint("bad", i)
-		m.every(2*time.Second, func() { m.request(name) })
+		m.repeat(2*time.Second, func() { m.request(name) })
 	}
-	m.every(8*time.Second, func() { m.crashDomain(m.rng.IntN(modelDomains)) })
-	m.every(m.other.some, func() { m.crashSome(0.15) })
-	m.every(m.other.one, func() { m.crash(m.servers[m.rng.IntN(len(m.servers))], false) })
-	// The same request at many routers at once.
+	m.repeat(8*time.Second, func() { m.crashDomain(m.rng.IntN(modelDomains)) })
+	m.repeat(m.other.partial, func() { m.crashSome(0.15) })
+	m.repeat(m.other.single, func() { m.crash(m.servers[m.rng.IntN(len(m.servers))], false) })
+	// The same request arrives at many routers at once.
 	m.after(20*time.Second, func() {
 		for range 10 {
 			m.request("bad-burst")
 		}
 	})
-	for len(m.queue) > 0 && m.now < modelLength {
+	for len(m.queue) > 0 && m.now < modelDuration {
 		e := heap.Pop(&m.queue).(modelEvent)
 		m.now = e.at
 		e.do()
@@ -141,21 +141,21 @@
 }
 
 func (m *fleetModel) request(name string) {
-	m.send(&modelRun{name: name, digest: digestOf(name), router: m.rng.IntN(len(m.routers)), try: m.rng.Uint64()})
+	m.send(&modelRun{name: name, digest: digestOf(name), router: m.rng.IntN(len(m.routers)), submission: m.rng.Uint64()})
 }
 
 func (m *fleetModel) send(r *modelRun) {
-	switch b := m.routers[r.router]; {
-	case b.Held(r.digest, m.now):
-		if !r.bad() {
-			m.wrong[r.name] = true
+	switch tr := m.routers[r.router]; {
+	case tr.Held(r.digest, m.now):
+		if !r.crashesServers() {
+			m.wrongHolds[r.name] = true
 		}
 		return
-	case b.Pending(r.digest):
-		m.after(settle/10, func() { m.send(r) })
+	case tr.Pending(r.digest):
+		m.after(decisionDelay/10, func() { m.send(r) })
 		return
 	}
-	if r.tries++; r.tries > 5 {
+	if r.attempts++; r.attempts > 5 {
 		return
 	}
 	s := m.servers[m.rng.IntN(len(m.servers))]
@@ -168,54 +168,54 @@
 	if !s.up {
 		return
 	}
-	if third, ok := m.third[r.name]; ok && m.now > third+modelWindow && m.inTouch(r.router) {
-		m.late[r.name]++
+	if third, ok := m.thirdCrash[r.name]; ok && m.now > third+modelWindow && m.wasConnected(r.router) {
+		m.lateRuns[r.name]++
 	}
-	r.at, r.sent, r.begun = s, m.now, 0
+	r.server, r.sent, r.firstToken = s, m.now, 0
 	s.runs = append(s.runs, r)
-	life := s.lives
-	m.after(modelRead, func() {
-		if r.at == s && s.lives == life {
-			m.begin(r, s)
+	incarnation := s.incarnation
+	m.after(modelPrefill, func() {
+		if r.server == s && s.incarnation == incarnation {
+			m.startDecoding(r, s)
 		}
 	})
 }
 
-func (r *modelRun) bad() bool { return r.name[:3] == "bad" }
+func (r *modelRun) crashesServers() bool { return r.name[:3] == "bad" }
 
-func (m *fleetModel) begin(r *modelRun, s *server) {
-	r.begun = m.now
-	life := s.lives
-	if r.bad() {
+func (m *fleetModel) startDecoding(r *modelRun, s *server) {
+	r.firstToken = m.now
+	incarnation := s.incarnation
+	if r.crashesServers() {
 		m.after(100*time.Millisecond, func() {
-			if r.at != s || s.lives != life {
+			if r.server != s || s.incarnation != incarnation {
 				return
 			}
 			if m.crashes[r.name]++; m.crashes[r.name] == 3 {
-				m.third[r.name] = m.now
+				m.thirdCrash[r.name] = m.now
 			}
 			m.crash(s, false)
 		})
 		return
 	}
-	m.after(opening, func() { m.outlived(r, s, life) })
-	m.after(modelRuns, func() {
-		m.outlived(r, s, life)
-		if r.at == s && s.lives == life {
+	m.after(earlyWindow, func() { m.pastEarlyWindow(r, s, incarnation) })
+	m.after(modelDecode, func() {
+		m.pastEarlyWindow(r, s, incarnation)
+		if r.server == s && s.incarnation == incarnation {
 			s.runs = slices.DeleteFunc(s.runs, func(one *modelRun) bool { return one == r })
-			r.at = nil
+			r.server = nil
 		}
 	})
 }
 
-// outlived has the router take in that a run did not crash its server.
-func (m *fleetModel) outlived(r *modelRun, s *server, life int) {
-	if r.at != s || s.lives != life {
+// pastEarlyWindow has the router record that a run did not crash its server.
+func (m *fleetModel) pastEarlyWindow(r *modelRun, s *server, incarnation int) {
+	if r.server != s || s.incarnation != incarnation {
 		return
 	}
 	if suspected, _ := m.routers[r.router].Answered(r.digest, m.now, m.now); suspected {
 		at := m.now
-		m.tell(r.router, func(b *Book) { b.Answered(r.digest, at, m.now) })
+		m.broadcast(r.router, func(tr *Book) { tr.Answered(r.digest, at, m.now) })
 	}
 }
 
@@ -239,163 +239,166 @@
 	if !s.up {
 		return
 	}
-	lifetime := fmt.Sprintf("%d/%d", s.number, s.lives)
+	incarnation := fmt.Sprintf("%d/%d", s.number, s.incarnation)
 	s.up = false
-	s.lives++
+	s.incarnation++
 	runs := s.runs
 	s.runs = nil
 	for _, r := range runs {
-		r.at = nil
-		m.lost(r, lifetime, withDomain)
+		r.server = nil
+		m.attemptLost(r, incarnation, withDomain)
 	}
 	m.after(time.Second+time.Duration(m.rng.Int64N(int64(4*time.Second))), func() { s.up = true })
 }
 
-// lost has the router of a run examine what happened, and go on.
-func (m *fleetModel) lost(r *modelRun, lifetime string, withDomain bool) {
-	if m.plain[r.digest] == nil {
-		m.plain[r.digest] = map[string]bool{}
+// attemptLost has the router of a run examine the loss and send the request again.
+func (m *fleetModel) attemptLost(r *modelRun, incarnation string, withDomain bool) {
+	if m.allCrashes[r.digest] == nil {
+		m.allCrashes[r.digest] = map[string]bool{}
 	}
-	m.plain[r.digest][lifetime] = true
-	early := r.begun == 0 || m.now-r.begun < opening
+	m.allCrashes[r.digest][incarnation] = true
+	early := r.firstToken == 0 || m.now-r.firstToken < earlyWindow
 	if !withDomain {
-		c := Crash{Lifetime: lifetime, At: m.now, Began: r.sent, Try: r.try}
+		c := Crash{Lifetime: incarnation, At: m.now, Began: r.sent, Try: r.submission}
 		m.after(3*time.Millisecond, func() { m.examined(r.router, r.digest, c, early) })
 	}
 	m.after(5*time.Millisecond, func() { m.send(r) })
 }
 
-// examined has a router take in, and tell, what a loss was.
+// examined has a router record the cause of a loss and broadcast it.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
 		if m.routers[router].Ended(c.Lifetime, c.At) {
-			m.tell(router, func(b *Book) { b.Ended(c.Lifetime, c.At) })
+			m.broadcast(router, func(tr *Book) { tr.Ended(c.Lifetime, c.At) })
 		}
 		return
 	}
 	if !m.crashed(m.routers[router], d, c) {
 		return
 	}
-	m.tell(router, func(b *Book) {
-		if at, covers := b.Covered(d, c.At); !m.crashed(b, d, c) && covers {
-			m.tell(-1, func(b *Book) { b.Answered(d, at, m.now) })
+	m.broadcast(router, func(tr *Book) {
+		if at, clears := tr.Covered(d, c.At); !m.crashed(tr, d, c) && clears {
+			m.broadcast(-1, func(tr *Book) { tr.Answered(d, at, m.now) })
 		}
 	})
 }
 
-func (m *fleetModel) crashed(b *Book, d Digest, c Crash) bool {
-	fresh, pending := b.Crashed(d, "acc", c, m.now)
+func (m *fleetModel) crashed(tr *Book, d Digest, c Crash) bool {
+	added, pending := tr.Crashed(d, "acc", c, m.now)
 	if pending {
-		m.after(settle, func() { m.confirm(b, d) })
+		m.after(decisionDelay, func() { m.confirm(tr, d) })
 	}
-	return fresh
+	return added
 }
 
-// confirm has a router decide, and tell the others by a message and through the store.
-func (m *fleetModel) confirm(b *Book, d Digest) {
-	router := slices.Index(m.routers, b)
-	held, cleared := b.Confirm(d, m.now, m.cut(router))
-	if held {
+// confirm has a router decide, and pass the decision to the others by a message and through
+// the store.
+func (m *fleetModel) confirm(tr *Book, d Digest) {
+	router := slices.Index(m.routers, tr)
+	quarantined, cleared := tr.Confirm(d, m.now, m.isIsolated(router))
+	if quarantined {
 		to := m.now + HoldTime
-		m.tell(router, func(b *Book) { b.Hold(d, "acc", to, m.now) })
-		m.store(func(b *Book) { b.Hold(d, "acc", to, m.now) })
+		m.broadcast(router, func(tr *Book) { tr.Hold(d, "acc", to, m.now) })
+		m.writeStore(func(tr *Book) { tr.Hold(d, "acc", to, m.now) })
 	}
 	for _, d := range cleared {
-		m.store(func(b *Book) { b.Lift(d, m.now) })
+		m.writeStore(func(tr *Book) { tr.Lift(d, m.now) })
 	}
 }
 
-// store has all routers take in what the store says, once they reach it.
-func (m *fleetModel) store(take func(b *Book)) {
-	for i, b := range m.routers {
+// writeStore has all routers apply a change of the store, once they can reach it.
+func (m *fleetModel) writeStore(apply func(tr *Book)) {
+	for i, tr := range m.routers {
 		wait := 100*time.Millisecond + time.Duration(m.rng.Int64N(int64(time.Second)))
-		if m.cut(i) {
-			wait += m.cutTo + modelCut - m.now
+		if m.isIsolated(i) {
+			wait += m.isolatedFrom + modelIsolation - m.now
 		}
-		m.after(wait, func() { take(b) })
+		m.after(wait, func() { apply(tr) })
 	}
 }
 
-// cut tells whether a router is cut off from everything but its clients and the servers.
-func (m *fleetModel) cut(router int) bool {
-	return router == m.cutOff && m.now > m.cutTo && m.now < m.cutTo+modelCut
+// isIsolated reports whether a router is isolated from everything but its clients and the
+// servers.
+func (m *fleetModel) isIsolated(router int) bool {
+	return router == m.isolated && m.now > m.isolatedFrom && m.now < m.isolatedFrom+modelIsolation
 }
 
-// inTouch tells whether a router was not cut off for the window before.
-func (m *fleetModel) inTouch(router int) bool {
-	return router != m.cutOff || m.now < m.cutTo || m.now > m.cutTo+modelCut+modelWindow
+// wasConnected reports whether a router was not isolated during the window before.
+func (m *fleetModel) wasConnected(router int) bool {
+	return router != m.isolated || m.now < m.isolatedFrom || m.now > m.isolatedFrom+modelIsolation+modelWindow
 }
 
-// tell has the other routers take in news: late, sometimes twice, sometimes never.
-func (m *fleetModel) tell(from int, take func(b *Book)) {
-	for i, b := range m.routers {
-		if i == from || m.cut(i) || m.cut(from) || m.rng.IntN(50) == 0 {
+// broadcast has the other routers apply an update, each after a delay, sometimes twice and
+// sometimes never.
+func (m *fleetModel) broadcast(from int, apply func(tr *Book)) {
+	for i, tr := range m.routers {
+		if i == from || m.isIsolated(i) || m.isIsolated(from) || m.rng.IntN(50) == 0 {
 			continue
 		}
 		for range 1 + m.rng.IntN(2) {
-			m.after(time.Duration(m.rng.Int64N(int64(60*time.Millisecond))), func() { take(b) })
+			m.after(time.Duration(m.rng.Int64N(int64(60*time.Millisecond))), func() { apply(tr) })
 		}
 	}
 }
 
-// tally sums over fleets.
+// tally sums up the results of several fleets.
 type tally struct {
-	fleets, lost  int // fleets played, requests that lost an attempt
-	wrong, plain  int // others that were held back, and would be by a plain count of three
+	fleets, lost  int // simulated fleets, requests that lost an attempt
+	wrong, plain  int // other requests that were refused, and those that a plain count of three would refuse
 	late, crashes int // the most arrivals that came too late, and the crashes under that request
 	findings      []string
 }
 
-func playFleets(n, routers int, other background) (sum tally) {
+func simulateFleets(n, routers int, other background) (sum tally) {
 	for seed := range n {
-		sum.play(uint64(seed), routers, other)
+		sum.simulate(uint64(seed), routers, other)
 	}
 	return sum
 }
 
-// play adds one fleet.
-func (sum *tally) play(seed uint64, routers int, other background) {
+// simulate adds one fleet.
+func (sum *tally) simulate(seed uint64, routers int, other background) {
 	m := newFleetModel(seed, routers, other)
-	m.play()
+	m.simulate()
 	sum.fleets++
-	for name, late := range m.late {
+	for name, late := range m.lateRuns {
 		if late > sum.late {
 			sum.late, sum.crashes = late, m.crashes[name]
 		}
 	}
-	sum.wrong += len(m.wrong)
-	for name := range m.wrong {
+	sum.wrong += len(m.wrongHolds)
+	for name := range m.wrongHolds {
 		sum.findings = append(sum.findings, fmt.Sprintf("seed %d: %s is held back", seed, name))
 	}
 	for name := range m.crashes {
-		delete(m.plain, digestOf(name))
+		delete(m.allCrashes, digestOf(name))
 	}
-	for _, lifetimes := range m.plain {
+	for _, incarnations := range m.allCrashes {
 		sum.lost++
-		if len(lifetimes) >= heldFrom {
+		if len(incarnations) >= minCrashes {
 			sum.plain++
 		}
 	}
 }
 
-// maxLate is how often a request may reach servers later than the window after the third
-// crash under it, over all routers.
-const maxLate = 3
+// maxLateRuns is how often a request may still reach servers later than modelWindow after the
+// third crash under it, over all routers.
+const maxLateRuns = 3
 
-func fleetsOf(routers int) int {
+func fleetCount(routers int) int {
 	if routers > 100 {
 		return max(*fleets/6, 1)
 	}
 	return *fleets
 }
 
-// Guards against: a request that crashes its backend servers goes on over all routers, or
-// another one is held back for crashes of other causes.
+// Guards against: a request that crashes its backend servers keeps being sent, over all
+// routers, or another request is quarantined for crashes with other causes.
 func TestCrashersAreHeldAndOthersAreNot(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
-		sum := playFleets(fleetsOf(routers), routers, usual)
+		sum := simulateFleets(fleetCount(routers), routers, normalCrashRates)
 		t.Logf("%d routers: %+v", routers, sum)
-		if sum.late > maxLate {
+		if sum.late > maxLateRuns {
 			t.Errorf("%d routers: a request reached servers %d times too late, %d ended", routers, sum.late, sum.crashes)
 		}
 		if sum.wrong > 0 {
@@ -404,59 +407,59 @@
 	}
 }
 
-// Guards against: where servers end all the time for other reasons, a request that crashes
-// them goes on for want of proof.
+// Guards against: where servers crash all the time for other reasons, a request that crashes
+// them keeps being sent because the evidence never suffices.
 func TestCrashersAreHeldInAStormOfCrashes(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
-		sum := playFleets(fleetsOf(routers), routers, storm)
+		sum := simulateFleets(fleetCount(routers), routers, highCrashRates)
 		t.Logf("%d routers: %+v", routers, sum)
-		if sum.late > maxLate {
+		if sum.late > maxLateRuns {
 			t.Errorf("%d routers: a request reached servers %d times too late, %d ended", routers, sum.late, sum.crashes)
 		}
 	}
 }
 
-// Guards against: two requests that crash their servers share some of the crashes, and the
-// one that is taken for a bystander goes on.
+// Guards against: two requests that crash their servers share some of the crashes, and the one
+// that is taken for a bystander keeps being sent.
 func TestCrashersThatShareCrashesAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
 		routers int
 		other   background
-	}{{123, 76, usual}, {72, 76, usual}, {106, 8, storm}, {64, 76, storm}} {
+	}{{123, 76, normalCrashRates}, {72, 76, normalCrashRates}, {106, 8, highCrashRates}, {64, 76, highCrashRates}} {
 		var sum tally
-		sum.play(c.seed, c.routers, c.other)
-		if sum.late > maxLate {
+		sum.simulate(c.seed, c.routers, c.other)
+		if sum.late > maxLateRuns {
 			t.Errorf("%d routers, seed %d: a request reached servers %d times too late, %d ended", c.routers, c.seed, sum.late, sum.crashes)
 		}
 	}
 }
 
-// Guards against: a request that loses several servers in a row by chance is held back.
+// Guards against: a request that loses several servers in a row by chance is quarantined.
 func TestUnluckyRequestsAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
 		routers int
 	}{{93, 76}, {137, 76}, {106, 8}} {
 		var sum tally
-		sum.play(c.seed, c.routers, usual)
+		sum.simulate(c.seed, c.routers, normalCrashRates)
 		if sum.wrong > 0 {
 			t.Errorf("%d routers: %v", c.routers, sum.findings)
 		}
 	}
 }
 
-// Guards against: a request on which the ruling is cautious goes on meanwhile, through several
-// routers at once.
+// Guards against: a request for which the decision takes one more crash, since many servers
+// exit for other reasons, keeps being sent meanwhile through several routers at once.
 func TestCrashersThatAreRuledLateAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
 		routers int
 		other   background
-	}{{458, 8, usual}, {393, 8, storm}, {923, 8, storm}, {223, 76, storm}} {
+	}{{458, 8, normalCrashRates}, {393, 8, highCrashRates}, {923, 8, highCrashRates}, {223, 76, highCrashRates}} {
 		var sum tally
-		sum.play(c.seed, c.routers, c.other)
-		if sum.late > maxLate {
+		sum.simulate(c.seed, c.routers, c.other)
+		if sum.late > maxLateRuns {
 			t.Errorf("%d routers, seed %d: a request reached servers %d times too late, %d ended", c.routers, c.seed, sum.late, sum.crashes)
 		}
 	}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -15,31 +15,35 @@
 	"wigeondale/fleet"
 )
 
-// ErrHeld says that a request is not sent on.
+// ErrHeld reports that a request is quarantined and was not sent.
 var ErrHeld = Error.New("backend servers crashed under this request")
 
-// keyBytes is the length of a router's own key.
+// keyBytes is the length of the random key that a router uses until the shared one is set.
 const keyBytes = 32
 
-// Config of a Guard.
+// Config configures a Guard.
 type Config struct {
 	Prober Prober
-	// Lifetime names the present lifetime of a backend server; nil for its id.
+	// Lifetime returns the id of the current incarnation of a backend server; nil for the
+	// backend server's id.
 	Lifetime func(b fleet.Backend) string
-	// Leaving tells whether a backend server is known to leave.
+	// Leaving reports whether a backend server is known to be leaving the fleet.
 	Leaving func(id string) bool
 	// Neighbours returns up to n other backend servers of the same service and failure
 	// domain, those that seem to work first.
 	Neighbours func(b fleet.Backend, n int) []fleet.Backend
-	// CutOff tells whether other routers are known and none can be heard; nil for never.
+	// CutOff reports whether other routers are known and none of them can be reached; nil for
+	// never.
 	CutOff func() bool
-	// Tell sends news to all other routers; it must not block. Nil tells nobody.
+	// Tell sends an update to all other routers; it must not block. With nil nothing is sent.
 	Tell func(News)
-	// OnHold is told of each request that is held back from now on, and OnLift of each that
-	// this router found to be held back wrongly, or had lifted. They must not block.
+	// OnHold is called for each request that is newly quarantined, with found true if this
+	// router found it. OnLift is called for each hold that this router ended because it was
+	// wrong or because an operator lifted it. They must not block.
 	OnHold func(h HeldNews, found bool)
 	OnLift func(d Digest)
-	// Now is a clock that counts suspensions of the machine; nil for that of the system.
+	// Now is a clock that includes suspensions of the machine; nil for the system's clock of
+	// that kind.
 	Now func() time.Duration
 	Log *event.Log
 	Set *metrics.Set
@@ -70,116 +74,116 @@
 	return c
 }
 
-// Guard holds back the requests under which backend servers crash, at one router. A nil
-// Guard holds none back. It is safe for concurrent use.
+// Guard quarantines the requests under which backend servers crash, at one router. A nil
+// Guard quarantines none. It is safe for concurrent use.
 type Guard struct {
-	cfg Config
-	m   *meters
-	key atomic.Pointer[[]byte]
-	// some tells that the book isn't empty.
-	some atomic.Bool
+	cfg     Config
+	metrics *metricSet
+	key     atomic.Pointer[[]byte]
+	// nonEmpty is set while the tracker isn't empty.
+	nonEmpty atomic.Bool
 
-	mu   sync.Mutex
-	book *Book
-	out  outbox
-	// ruled is closed and replaced at each decision.
-	ruled chan struct{}
+	mu      sync.Mutex
+	tracker *Book
+	outbox  outbox
+	// decided is closed and replaced at each decision.
+	decided chan struct{}
 }
 
-// NewGuard returns a Guard. Until it is told the key that all routers share it uses one of
-// its own, by which nobody understands its news.
+// NewGuard returns a Guard. Until SetKey sets the key that all routers share, it uses a random
+// key, so that other routers can't match the digests in its updates.
 func NewGuard(cfg Config) *Guard {
 	cfg = cfg.withDefaults()
-	g := &Guard{cfg: cfg, book: NewBook(), ruled: make(chan struct{})}
-	own := make([]byte, keyBytes)
-	crand.Read(own) // never fails: the runtime ends the process instead
-	g.key.Store(&own)
-	g.m = newMeters(cfg.Set, func() float64 { return float64(len(g.Held())) })
+	g := &Guard{cfg: cfg, tracker: NewBook(), decided: make(chan struct{})}
+	localKey := make([]byte, keyBytes)
+	crand.Read(localKey) // never returns an error: the runtime ends the process instead
+	g.key.Store(&localKey)
+	g.metrics = newMetricSet(cfg.Set, func() float64 { return float64(len(g.Held())) })
 	return g
 }
 
-// SetKey sets the key of digests, which all routers must share. What this router found by
-// another key is of no use any more; what it was told to hold back is.
+// SetKey sets the key of digests, which all routers must share. Suspects that this router found
+// with another key are of no use any more and are dropped; holds that it received are kept.
 func (g *Guard) SetKey(key []byte) {
 	if g == nil || bytes.Equal(key, *g.key.Load()) {
 		return
 	}
 	g.key.Store(&key)
-	g.change(func(b *Book, _ time.Duration) { b.ForgetCrashes() })
+	g.withTracker(func(t *Book, _ time.Duration) { t.ForgetCrashes() })
 }
 
-// Follow begins to follow one try of a request.
+// Follow starts to track one submission of a request.
 func (g *Guard) Follow(s Subject) *Case {
 	if g == nil {
 		return nil
 	}
-	return &Case{guard: g, digest: s.digest(*g.key.Load()), account: s.Account, try: rand.Uint64()}
+	return &Case{guard: g, digest: s.digest(*g.key.Load()), account: s.Account, submission: rand.Uint64()}
 }
 
-// change runs f on the book, and expires what counts no more.
-func (g *Guard) change(f func(b *Book, now time.Duration)) {
+// withTracker runs f on the tracker, after dropping entries that have expired.
+func (g *Guard) withTracker(f func(t *Book, now time.Duration)) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Expire(now)
-	f(g.book, now)
-	g.some.Store(!g.book.Empty())
+	g.tracker.Expire(now)
+	f(g.tracker, now)
+	g.nonEmpty.Store(!g.tracker.Empty())
 }
 
-// crashed takes in a crash under a request.
-func (g *Guard) crashed(d Digest, account string, c Crash) (fresh bool) {
+// crashed records a crash under a request.
+func (g *Guard) crashed(d Digest, account string, c Crash) (added bool) {
 	var pending bool
-	var known int
-	g.change(func(b *Book, now time.Duration) {
-		if fresh, pending = b.Crashed(d, account, c, now); fresh {
-			known = b.Crashes(d)
+	var crashes int
+	g.withTracker(func(t *Book, now time.Duration) {
+		if added, pending = t.Crashed(d, account, c, now); added {
+			crashes = t.Crashes(d)
 		}
 	})
-	if fresh {
+	if added {
 		g.cfg.Log.Emit(event.CrashCounted, "digest", d.String(), "account", account, "backend", c.Lifetime,
-			"from", c.From, "crashes", known, "pending", pending)
+			"from", c.From, "crashes", crashes, "pending", pending)
 	}
 	if pending {
-		time.AfterFunc(settle, func() { g.confirm(d, c.From == "") })
+		time.AfterFunc(decisionDelay, func() { g.confirm(d, c.From == "") })
 	}
-	return fresh
+	return added
 }
 
-// confirm decides on a request under which enough backend servers crashed; here tells that
-// this router saw the last of them.
-func (g *Guard) confirm(d Digest, here bool) {
-	var held bool
+// confirm decides on a request under which enough backend servers crashed; foundHere
+// reports whether this router saw the last of the crashes.
+func (g *Guard) confirm(d Digest, foundHere bool) {
+	var quarantined bool
 	var cleared []Digest
 	var hold HeldNews
-	var known Report
-	cutOff := g.cfg.CutOff()
-	g.change(func(b *Book, now time.Duration) {
-		if held, cleared = b.Confirm(d, now, cutOff); held {
-			hold, _ = b.HoldOf(d, now)
-			known = b.Report(d, now)
+	var report Report
+	isolated := g.cfg.CutOff()
+	g.withTracker(func(t *Book, now time.Duration) {
+		if quarantined, cleared = t.Confirm(d, now, isolated); quarantined {
+			hold, _ = t.HoldOf(d, now)
+			report = t.Report(d, now)
 		}
 	})
 	g.wakeWaiting()
-	if held {
-		g.cfg.Log.Emit(event.RequestHeld, "digest", d.String(), "account", hold.Account, "crashes", known.String())
-		g.announce(hold, here)
+	if quarantined {
+		g.cfg.Log.Emit(event.RequestHeld, "digest", d.String(), "account", hold.Account, "crashes", report.String())
+		g.announce(hold, foundHere)
 	}
-	for _, beside := range cleared {
-		g.cfg.Log.Emit(event.RequestCleared, "digest", beside.String(), "was_held", true, "beside", d.String())
-		g.cfg.OnLift(beside)
+	for _, bystander := range cleared {
+		g.cfg.Log.Emit(event.RequestCleared, "digest", bystander.String(), "was_held", true, "beside", d.String())
+		g.cfg.OnLift(bystander)
 	}
 }
 
-// ruling tells whether a request is held back. If that is about to be decided, ruled is closed
-// at the next decision.
-func (g *Guard) ruling(d Digest) (held bool, ruled <-chan struct{}) {
+// decision reports whether a request is quarantined. If a decision about it is due, decided
+// is a channel that is closed at the next decision.
+func (g *Guard) decision(d Digest) (quarantined bool, decided <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.book.Held(d, g.cfg.Now()) {
+	if g.tracker.Held(d, g.cfg.Now()) {
 		return true, nil
 	}
-	if g.book.Pending(d) {
-		return false, g.ruled
+	if g.tracker.Pending(d) {
+		return false, g.decided
 	}
 	return false, nil
 }
@@ -188,22 +192,23 @@
 func (g *Guard) wakeWaiting() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	close(g.ruled)
-	g.ruled = make(chan struct{})
+	close(g.decided)
+	g.decided = make(chan struct{})
 }
 
-// announce tells of a request that is held back from now on, all others too if it was found here.
-func (g *Guard) announce(n HeldNews, here bool) {
-	if here {
-		g.tell(News{Held: []HeldNews{n}})
+// announce calls OnHold for a newly quarantined request, and broadcasts the hold if it was
+// found here.
+func (g *Guard) announce(n HeldNews, foundHere bool) {
+	if foundHere {
+		g.broadcast(News{Held: []HeldNews{n}})
 	}
-	g.cfg.OnHold(n, here)
+	g.cfg.OnHold(n, foundHere)
 }
 
-// answered takes in an answer of a request.
+// answered records an answer to a request.
 func (g *Guard) answered(d Digest, at time.Duration) {
 	var suspected, lifted bool
-	g.change(func(b *Book, now time.Duration) { suspected, lifted = b.Answered(d, at, now) })
+	g.withTracker(func(t *Book, now time.Duration) { suspected, lifted = t.Answered(d, at, now) })
 	if suspected {
 		g.cfg.Log.Emit(event.RequestCleared, "digest", d.String(), "was_held", lifted)
 	}
@@ -211,11 +216,11 @@
 		g.cfg.OnLift(d)
 	}
 	if suspected {
-		g.tell(News{Answered: []AnswerNews{{d, (g.cfg.Now() - at).Milliseconds()}}})
+		g.broadcast(News{Answered: []AnswerNews{{d, (g.cfg.Now() - at).Milliseconds()}}})
 	}
 }
 
-// Hear takes in what another router told.
+// Hear applies an update from another router.
 func (g *Guard) Hear(from string, n News) {
 	now := g.cfg.Now()
 	ago := func(ms int64) time.Duration { return now - time.Duration(ms)*time.Millisecond }
@@ -223,101 +228,104 @@
 		if !g.crashed(c.Digest, c.Account, Crash{
 			Lifetime: c.Lifetime, At: ago(c.AgeMS), Began: ago(c.AgeMS + c.RanMS), Try: c.Try, From: from,
 		}) {
-			g.contradict(c)
+			g.broadcastAnswer(c)
 		}
 	}
 	for _, e := range n.Ended {
-		g.change(func(b *Book, _ time.Duration) { b.Ended(e.Lifetime, ago(e.AgeMS)) })
+		g.withTracker(func(t *Book, _ time.Duration) { t.Ended(e.Lifetime, ago(e.AgeMS)) })
 	}
 	for _, h := range n.Held {
 		g.Hold(h, from)
 	}
 	for _, a := range n.Answered {
-		g.change(func(b *Book, now time.Duration) { b.Answered(a.Digest, ago(a.AgeMS), now) })
+		g.withTracker(func(t *Book, now time.Duration) { t.Answered(a.Digest, ago(a.AgeMS), now) })
 	}
 	for _, d := range n.Lifted {
-		g.liftHere(d, from)
+		g.liftLocally(d, from)
 	}
 }
 
-// contradict tells the others that a request which they suspect was answered here.
-func (g *Guard) contradict(c CrashNews) {
+// broadcastAnswer reports to the other routers that a request which one of them suspects was
+// answered here.
+func (g *Guard) broadcastAnswer(c CrashNews) {
 	var age time.Duration
-	var covers bool
-	g.change(func(b *Book, now time.Duration) {
+	var clears bool
+	g.withTracker(func(t *Book, now time.Duration) {
 		var answered time.Duration
-		answered, covers = b.Covered(c.Digest, now-time.Duration(c.AgeMS)*time.Millisecond)
+		answered, clears = t.Covered(c.Digest, now-time.Duration(c.AgeMS)*time.Millisecond)
 		age = now - answered
 	})
-	if covers {
-		g.tell(News{Answered: []AnswerNews{{c.Digest, age.Milliseconds()}}})
+	if clears {
+		g.broadcast(News{Answered: []AnswerNews{{c.Digest, age.Milliseconds()}}})
 	}
 }
 
-// Hold holds a request back that another router, or an earlier life of this one, found.
+// Hold quarantines a request that another router, or an earlier incarnation of this one, has
+// quarantined.
 func (g *Guard) Hold(h HeldNews, from string) {
-	var fresh bool
-	g.change(func(b *Book, now time.Duration) {
-		fresh = b.Hold(h.Digest, h.Account, now+time.Duration(h.LeftMS)*time.Millisecond, now)
+	var added bool
+	g.withTracker(func(t *Book, now time.Duration) {
+		added = t.Hold(h.Digest, h.Account, now+time.Duration(h.LeftMS)*time.Millisecond, now)
 	})
-	if fresh {
+	if added {
 		g.cfg.Log.Emit(event.RequestHeld, "digest", h.Digest.String(), "account", h.Account, "from", from, "left_ms", h.LeftMS)
 		g.announce(h, false)
 	}
 }
 
 // Lift ends the hold of a request at all routers.
-func (g *Guard) Lift(d Digest, by string) (was bool) {
-	was = g.liftHere(d, by)
+func (g *Guard) Lift(d Digest, by string) (wasQuarantined bool) {
+	wasQuarantined = g.liftLocally(d, by)
 	g.cfg.OnLift(d)
-	g.tell(News{Lifted: []Digest{d}})
-	return was
+	g.broadcast(News{Lifted: []Digest{d}})
+	return wasQuarantined
 }
 
-// liftHere ends the hold of a request here.
-func (g *Guard) liftHere(d Digest, by string) (was bool) {
-	g.change(func(b *Book, now time.Duration) { was = b.Lift(d, now) })
-	if was {
+// liftLocally ends the hold of a request at this router.
+func (g *Guard) liftLocally(d Digest, by string) (wasQuarantined bool) {
+	g.withTracker(func(t *Book, now time.Duration) { wasQuarantined = t.Lift(d, now) })
+	if wasQuarantined {
 		g.cfg.Log.Emit(event.RequestLifted, "digest", d.String(), "by", by)
 	}
-	return was
+	return wasQuarantined
 }
 
-// RecordGone ends the hold of a request here, since the record that all routers share is gone.
-func (g *Guard) RecordGone(d Digest) { g.liftHere(d, "record") }
+// RecordGone ends the hold of a request at this router, because the record in the store that
+// all routers share was removed.
+func (g *Guard) RecordGone(d Digest) { g.liftLocally(d, "record") }
 
-// Held lists the requests that are held back.
+// Held lists the holds of all quarantined requests.
 func (g *Guard) Held() (out []HeldNews) {
-	g.change(func(b *Book, now time.Duration) { out = b.Holds(now) })
+	g.withTracker(func(t *Book, now time.Duration) { out = t.Holds(now) })
 	return out
 }
 
-// HoldOf is the hold of a request, false if it isn't held back.
-func (g *Guard) HoldOf(d Digest) (hold HeldNews, held bool) {
-	g.change(func(b *Book, now time.Duration) { hold, held = b.HoldOf(d, now) })
-	return hold, held
+// HoldOf returns the hold of a request, and false if it isn't quarantined.
+func (g *Guard) HoldOf(d Digest) (hold HeldNews, quarantined bool) {
+	g.withTracker(func(t *Book, now time.Duration) { hold, quarantined = t.HoldOf(d, now) })
+	return hold, quarantined
 }
 
-// Repeat tells the others once more that a request is held back.
+// Repeat broadcasts the hold of a request once more.
 func (g *Guard) Repeat(d Digest) {
-	if hold, held := g.HoldOf(d); held {
-		g.tell(News{Held: []HeldNews{hold}})
+	if hold, quarantined := g.HoldOf(d); quarantined {
+		g.broadcast(News{Held: []HeldNews{hold}})
 	}
 }
 
-// List returns all that is known, for people.
+// List returns what is recorded of all suspected requests, for operators.
 func (g *Guard) List() (out []Report) {
-	g.change(func(b *Book, now time.Duration) { out = b.List(now) })
+	g.withTracker(func(t *Book, now time.Duration) { out = t.List(now) })
 	return out
 }
 
-// tell sends news soon.
-func (g *Guard) tell(n News) {
+// broadcast sends an update to the other routers, together with others of the next milliseconds.
+func (g *Guard) broadcast(n News) {
 	g.mu.Lock()
-	wait, arm, kept := g.out.put(n, g.cfg.Now())
+	wait, arm, kept := g.outbox.put(n, g.cfg.Now())
 	g.mu.Unlock()
 	if !kept {
-		g.m.untold.Add(n.size())
+		g.metrics.dropped.Add(n.size())
 	}
 	if arm {
 		time.AfterFunc(wait, g.flush)
@@ -326,7 +334,7 @@
 
 func (g *Guard) flush() {
 	g.mu.Lock()
-	n := g.out.take()
+	n := g.outbox.take()
 	g.mu.Unlock()
 	g.cfg.Tell(n)
 }
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -13,38 +13,38 @@
 	"wigeondale/fleet"
 )
 
-// states is what a look at each backend server shows; those that it doesn't name work.
-type states struct {
-	mu sync.Mutex
-	at map[string]State
+// fakeProber holds the result of a probe of each backend server; servers without an entry work.
+type fakeProber struct {
+	mu      sync.Mutex
+	results map[string]State
 }
 
-func (s *states) set(id string, state State) {
+func (s *fakeProber) set(id string, state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at[id] = state
+	s.results[id] = state
 }
 
-func (s *states) Look(_ context.Context, b fleet.Backend) State {
+func (s *fakeProber) Look(_ context.Context, b fleet.Backend) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state, ok := s.at[b.ID]; ok {
+	if state, ok := s.results[b.ID]; ok {
 		return state
 	}
 	return Working
 }
 
-// guards are routers that tell each other everything after some time.
-type guards struct {
-	*states
-	began   time.Time
-	all     []*Guard
-	leaving map[string]bool
-	holds   atomic.Int64 // of which the first router was told
+// fakeRouters are routers that broadcast updates to each other with a delay.
+type fakeRouters struct {
+	*fakeProber
+	startedAt time.Time
+	all       []*Guard
+	leaving   map[string]bool
+	holds     atomic.Int64 // calls of OnHold at the first router
 }
 
-func newGuards(n int, delay time.Duration) *guards {
-	w := &guards{states: &states{at: map[string]State{}}, leaving: map[string]bool{}, began: time.Now()}
+func newFakeRouters(n int, delay time.Duration) *fakeRouters {
+	w := &fakeRouters{fakeProber: &fakeProber{results: map[string]State{}}, leaving: map[string]bool{}, startedAt: time.Now()}
 	for i := range n {
 		cfg := Config{
 			Now:     w.now,
@@ -77,25 +77,25 @@
 	return w
 }
 
-func (w *guards) now() time.Duration { return time.Since(w.began) }
+func (w *fakeRouters) now() time.Duration { return time.Since(w.startedAt) }
 
 func subject(name string) Subject { return Subject{Account: "acc", Body: []byte(name)} }
 
-// lose ends a backend server under a try of a request.
-func (w *guards) lose(c *Case, id string) {
+// exitDuring has a backend server exit under a submission of a request.
+func (w *fakeRouters) exitDuring(c *Case, id string) {
 	w.set(id, Ended)
 	<-c.Lost(Loss{Backend: fleet.Backend{ID: id, FailureDomain: "d"}, Ran: time.Second})
 	time.Sleep(time.Second)
 }
 
-// Guards against: a request that waits while the third crash becomes known is sent, and a
-// router that had no crash of its own knows nothing.
+// Guards against: a request that arrives before the third crash is confirmed is sent, and a
+// router that saw no crash itself quarantines nothing.
 func TestAllRoutersHoldARequestBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newGuards(3, 20*time.Millisecond)
+		w := newFakeRouters(3, 20*time.Millisecond)
 		first := w.all[0].Follow(subject("bad"))
-		w.lose(first, "e0")
-		w.lose(first, "e1")
+		w.exitDuring(first, "e0")
+		w.exitDuring(first, "e1")
 		w.set("e2", Ended)
 		<-first.Lost(Loss{Backend: fleet.Backend{ID: "e2"}, Ran: time.Second})
 		time.Sleep(40 * time.Millisecond)
@@ -111,35 +111,35 @@
 				t.Errorf("router %d refuses the request of another account: %v", i, err)
 			}
 		}
-		if took := time.Since(began); took > settle {
-			t.Errorf("decided after %v", took)
+		if elapsed := time.Since(began); elapsed > decisionDelay {
+			t.Errorf("decided after %v", elapsed)
 		}
 		if n := w.holds.Load(); n != 1 {
-			t.Errorf("told of %d holds", n)
+			t.Errorf("OnHold was called %d times", n)
 		}
 	})
 }
 
-// Guards against: connections that break for other reasons are held against a request.
+// Guards against: connections that break for other reasons count against a request.
 func TestOtherLossesAreNoCrashes(t *testing.T) {
-	for name, loss := range map[string]func(w *guards, id string) Loss{
-		"its server goes on working": func(*guards, string) Loss { return Loss{} },
-		"its server can't be told from a broken network": func(w *guards, id string) Loss {
+	for name, loss := range map[string]func(w *fakeRouters, id string) Loss{
+		"its server goes on working": func(*fakeRouters, string) Loss { return Loss{} },
+		"its server can't be told from a broken network": func(w *fakeRouters, id string) Loss {
 			w.set(id, Unreachable)
 			return Loss{}
 		},
-		"its server was to leave": func(w *guards, id string) Loss {
+		"its server was to leave": func(w *fakeRouters, id string) Loss {
 			w.set(id, Ended)
 			w.leaving[id] = true
 			return Loss{}
 		},
-		"it ran for long": func(w *guards, id string) Loss {
+		"it ran for long": func(w *fakeRouters, id string) Loss {
 			w.set(id, Ended)
-			return Loss{Pieces: 40, SinceFirst: opening}
+			return Loss{Pieces: 40, SinceFirst: earlyWindow}
 		},
-		"the whole domain is lost": func(w *guards, id string) Loss {
+		"the whole domain is lost": func(w *fakeRouters, id string) Loss {
 			w.set(id, Ended)
-			for k := range neighbours {
+			for k := range maxNeighbours {
 				w.set(fmt.Sprint("d-neighbour", k), Ended)
 			}
 			return Loss{}
@@ -147,7 +147,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newGuards(1, 0)
+				w := newFakeRouters(1, 0)
 				c := w.all[0].Follow(subject("good"))
 				for i := range 6 {
 					id := fmt.Sprint("e", i)
@@ -165,21 +165,21 @@
 	}
 }
 
-// Guards against: an operator's lift reaches one router only, or the request is held back
-// for ever after.
+// Guards against: an operator's lift reaches only one router, or the request can never be
+// sent again after it.
 func TestLiftReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newGuards(2, 20*time.Millisecond)
+		w := newFakeRouters(2, 20*time.Millisecond)
 		c := w.all[0].Follow(subject("bad"))
 		for i := range 3 {
-			w.lose(c, fmt.Sprint("e", i))
+			w.exitDuring(c, fmt.Sprint("e", i))
 		}
 		d, err := ParseDigest(c.Name())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !w.all[1].Lift(d, "operator") {
-			t.Error("it was not held back")
+			t.Error("it was not quarantined")
 		}
 		time.Sleep(time.Second)
 		for i, g := range w.all {
@@ -187,59 +187,59 @@
 				t.Errorf("router %d: %v", i, err)
 			}
 		}
-		w.lose(w.all[0].Follow(subject("bad")), "e9")
+		w.exitDuring(w.all[0].Follow(subject("bad")), "e9")
 		if err := c.Refusal(t.Context()); !errors.Is(err, ErrHeld) {
-			t.Error("one crash more does not hold it back again")
+			t.Error("one more crash does not quarantine it again")
 		}
 	})
 }
 
-// Guards against: a burst of crashes fills the lines between routers.
+// Guards against: a burst of crashes saturates the connections between routers.
 func TestNewsAreFewAndBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var messages, items atomic.Int64
 		began := time.Now()
 		g := NewGuard(Config{
 			Now:    func() time.Duration { return time.Since(began) },
-			Prober: &states{at: map[string]State{}}, Leaving: func(string) bool { return false },
+			Prober: &fakeProber{results: map[string]State{}}, Leaving: func(string) bool { return false },
 			Neighbours: func(fleet.Backend, int) []fleet.Backend { return nil },
 			Tell:       func(n News) { messages.Add(1); items.Add(int64(n.size())) },
 		})
 		for i := range 10 * maxPending {
-			g.tell(News{Ended: []EndNews{{Lifetime: fmt.Sprint(i)}}})
+			g.broadcast(News{Ended: []EndNews{{Lifetime: fmt.Sprint(i)}}})
 		}
 		time.Sleep(time.Second)
 		for range 100 {
-			g.tell(News{Ended: []EndNews{{Lifetime: "x"}}})
+			g.broadcast(News{Ended: []EndNews{{Lifetime: "x"}}})
 			time.Sleep(10 * time.Millisecond)
 		}
-		if messages.Load() > tellBurst+12 || items.Load() > maxPending+100 {
-			t.Errorf("%d messages with %d news", messages.Load(), items.Load())
+		if messages.Load() > sendBurst+12 || items.Load() > maxPending+100 {
+			t.Errorf("%d messages with %d updates", messages.Load(), items.Load())
 		}
 	})
 }
 
-// Guards against: a request goes on since most of a small failure domain are down, by crashes
-// under the same request.
+// Guards against: a request that crashes its servers keeps being sent because most of a small
+// failure domain is down, through crashes under the same request.
 func TestSmallDomainIsNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newGuards(1, 0)
+		w := newFakeRouters(1, 0)
 		c := w.all[0].Follow(subject("bad"))
 		for k := range 3 {
-			w.lose(c, fmt.Sprint("d-neighbour", k))
+			w.exitDuring(c, fmt.Sprint("d-neighbour", k))
 		}
-		for k := 3; k < neighbours; k++ {
+		for k := 3; k < maxNeighbours; k++ {
 			w.set(fmt.Sprint("d-neighbour", k), Unreachable)
 		}
-		w.lose(c, "e3")
+		w.exitDuring(c, "e3")
 		if n := len(w.all[0].List()[0].Crashes); n != 4 {
 			t.Errorf("%d crashes are counted, want 4", n)
 		}
 	})
 }
 
-// Guards against: a router that starts reads of a hold before it reads the shared key, and
-// drops it with what it found by its own.
+// Guards against: a router that starts reads a hold before it reads the shared key, and drops
+// it together with what it found with its first key.
 func TestHoldsOutliveTheFirstKey(t *testing.T) {
 	g := NewGuard(Config{Leaving: func(string) bool { return false }})
 	d := digestOf("bad")
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,9 +1,9 @@
-// Package quarantine holds back requests under which backend servers crash (poison
-// requests), over all tries of their clients and all routers.
+// Package quarantine stops sending requests under which backend servers crash (poison
+// requests), over all repeats by their clients and all routers.
 //
-// A Guard, one a router, examines lost attempts and tells the other routers of backend servers
-// that crashed under a request. A Book decides, by the same rules at each router, which request
-// caused the crashes. A request that is held back gets its final answer at once.
+// A Guard, one per router, examines lost attempts and reports backend servers that crashed
+// under a request to the other routers. A tracker decides, by the same rules at each router,
+// which request caused the crashes. A quarantined request gets its final answer at once.
 package quarantine
 
 import (
@@ -17,17 +17,17 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("quarantine")
 
-// State is what a look at a backend server showed.
+// State is the result of probing a backend server.
 type State uint8
 
-// What a Prober finds.
+// Results of a Prober.
 const (
-	Unreachable State = iota // no answer: it can't be told from a broken network
-	Working                  // the same lifetime still answers
-	Ended                    // nothing listens at its address, or another lifetime does
+	Unreachable State = iota // no answer: can't be distinguished from a broken network
+	Working                  // the same incarnation still answers
+	Ended                    // nothing listens at its address, or another incarnation does
 )
 
-// String names the state in logs.
+// String returns the name of the state in logs.
 func (s State) String() string {
 	switch s {
 	case Working:
@@ -38,7 +38,7 @@
 	return "unreachable"
 }
 
-// Prober looks at backend servers.
+// Prober probes backend servers.
 type Prober interface {
 	Look(ctx context.Context, b fleet.Backend) State
 }
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// maxAnswers is how many answers are remembered at least.
+// maxAnswers is the least number of requests whose latest answers are remembered.
 const maxAnswers = 1024
 
-// recent remembers when requests were answered last, in two generations, so that its memory
-// is bounded whatever the rate.
-type recent struct {
-	limit      int
-	young, old map[Digest]time.Duration
+// answerTimes remembers when requests were answered last, in two generations of at most limit
+// entries each, so that its memory is bounded at any rate of answers.
+type answerTimes struct {
+	limit             int
+	current, previous map[Digest]time.Duration
 }
 
-func newRecent(limit int) *recent {
-	return &recent{limit: limit, young: map[Digest]time.Duration{}}
+func newAnswerTimes(limit int) *answerTimes {
+	return &answerTimes{limit: limit, current: map[Digest]time.Duration{}}
 }
 
-func (r *recent) add(d Digest, at time.Duration) {
+func (r *answerTimes) add(d Digest, at time.Duration) {
 	if before, ok := r.at(d); ok {
 		at = max(at, before)
 	}
-	if _, ok := r.young[d]; !ok && len(r.young) >= r.limit {
-		r.old, r.young = r.young, make(map[Digest]time.Duration, r.limit)
+	if _, ok := r.current[d]; !ok && len(r.current) >= r.limit {
+		r.previous, r.current = r.current, make(map[Digest]time.Duration, r.limit)
 	}
-	r.young[d] = at
+	r.current[d] = at
 }
 
-func (r *recent) at(d Digest) (time.Duration, bool) {
-	if at, ok := r.young[d]; ok {
+func (r *answerTimes) at(d Digest) (time.Duration, bool) {
+	if at, ok := r.current[d]; ok {
 		return at, true
 	}
-	at, ok := r.old[d]
+	at, ok := r.previous[d]
 	return at, ok
 }
 
-// ends remembers when backend servers ended. The oldest gives way to the latest.
-type ends struct {
+// exitTimes remembers when backend servers exited. When it is full, each new entry replaces the
+// oldest.
+type exitTimes struct {
 	at    map[string]time.Duration
 	order []string
-	next  int // in order, which gives way
+	next  int // index in order of the entry to be replaced next
 }
 
-// add tells whether the end was not known.
-func (e *ends) add(lifetime string, at time.Duration) bool {
-	if _, known := e.at[lifetime]; known {
+// add records an exit and reports whether it was not known.
+func (e *exitTimes) add(incarnation string, at time.Duration) bool {
+	if _, known := e.at[incarnation]; known {
 		return false
 	}
-	e.at[lifetime] = at
-	if len(e.order) < maxEnded {
-		e.order = append(e.order, lifetime)
+	e.at[incarnation] = at
+	if len(e.order) < maxExits {
+		e.order = append(e.order, incarnation)
 		return true
 	}
 	delete(e.at, e.order[e.next])
-	e.order[e.next] = lifetime
-	e.next = (e.next + 1) % maxEnded
+	e.order[e.next] = incarnation
+	e.next = (e.next + 1) % maxExits
 	return true
 }
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -9,56 +9,56 @@
 	"time"
 )
 
-// Crash is a backend server that ended alone while it ran a request.
+// Crash is the exit of a backend server on its own while it ran a request.
 type Crash struct {
 	Lifetime string        // of the backend server
-	At       time.Duration // on the clock of the Book
+	At       time.Duration // on the clock that is passed to the tracker
 	Began    time.Duration // when the request was sent there
-	Try      uint64        // one try of a client, which is at one backend server after the other
-	From     string        // router that told it, empty for this one
+	Try      uint64        // id of the client's submission, which may reach several backend servers
+	From     string        // router that reported it, empty for this one
 }
 
 // suspect is one suspected request.
 type suspect struct {
-	digest            Digest
-	account           string
-	crashes           []Crash
-	heldSince, heldTo time.Duration // 0 while it isn't held back
-	pending           bool          // it is to be confirmed that it is held back
-	cleared           bool          // it was held back, and then taken for a bystander
-	touched           time.Duration
+	digest               Digest
+	account              string
+	crashes              []Crash
+	holdStart, holdUntil time.Duration // 0 while it isn't quarantined
+	pending              bool          // enough crashes are known, and Confirm is due
+	cleared              bool          // it was quarantined, and then found to be a bystander or lifted
+	updatedAt            time.Duration
 }
 
-func (s *suspect) has(lifetime string) bool {
-	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Lifetime == lifetime })
+func (s *suspect) crashedAt(incarnation string) bool {
+	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Lifetime == incarnation })
 }
 
-// Report is one suspected request as operators see it.
+// Report describes one suspected request to operators.
 type Report struct {
 	Digest  string `json:"digest"`
 	Account string `json:"account"`
-	// HeldForMS is how much longer it is held back, 0 if it isn't.
+	// HeldForMS is how much longer the request is quarantined, 0 if it isn't.
 	HeldForMS int64           `json:"held_for_ms"`
 	Crashes   []ReportedCrash `json:"crashes"`
 }
 
-// ReportedCrash is one crash under it.
+// ReportedCrash is one crash under the request of a Report.
 type ReportedCrash struct {
 	Backend string `json:"backend"`
 	AgeMS   int64  `json:"age_ms"`
-	From    string `json:"from,omitempty"` // router that told it, empty for this one
+	From    string `json:"from,omitempty"` // router that reported it, empty for this one
 }
 
-// report is s as operators see it.
+// report returns the Report of s.
 func (s *suspect) report(now time.Duration) Report {
-	out := Report{Digest: s.digest.String(), Account: s.account, HeldForMS: max(s.heldTo-now, 0).Milliseconds()}
+	out := Report{Digest: s.digest.String(), Account: s.account, HeldForMS: max(s.holdUntil-now, 0).Milliseconds()}
 	for _, c := range s.crashes {
 		out.Crashes = append(out.Crashes, ReportedCrash{c.Lifetime, (now - c.At).Milliseconds(), c.From})
 	}
 	return out
 }
 
-// String is for the log.
+// String formats the crashes for the log.
 func (r *Report) String() string {
 	var out []string
 	for _, c := range r.Crashes {
@@ -67,10 +67,11 @@
 	return strings.Join(out, "; ")
 }
 
-// weakest is the suspect with the least held against it, of those the oldest.
-func (b *Book) weakest(now time.Duration, among func(*suspect) bool) *suspect {
+// weakest returns the suspect with the least evidence against it, of equal ones the least
+// recently updated.
+func (t *Book) weakest(now time.Duration, among func(*suspect) bool) *suspect {
 	var least *suspect
-	for _, s := range b.suspects {
+	for _, s := range t.suspects {
 		if among(s) && (least == nil || weaker(s, least, now)) {
 			least = s
 		}
@@ -79,16 +80,16 @@
 }
 
 func weaker(a, b *suspect, now time.Duration) bool {
-	held := func(s *suspect) int {
-		if s.heldTo > now {
+	quarantined := func(s *suspect) int {
+		if s.holdUntil > now {
 			return 1
 		}
 		return 0
 	}
 	return cmp.Or(
-		cmp.Compare(held(a), held(b)),
+		cmp.Compare(quarantined(a), quarantined(b)),
 		cmp.Compare(len(a.crashes), len(b.crashes)),
-		cmp.Compare(a.touched, b.touched),
+		cmp.Compare(a.updatedAt, b.updatedAt),
 		bytes.Compare(a.digest[:], b.digest[:]),
 	) < 0
 }
--- /dev/null
+++ b/quarantine/tracker.go
@@ -0,0 +1,313 @@
+package quarantine
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+const (
+	// minCrashes is how many backend servers must have crashed under a request before it is
+	// quarantined.
+	minCrashes = 3
+	// minUnsharedCrashes is how many of these crashes must be ones at which no other suspected
+	// request was running. With conclusiveCrashes or more that isn't required.
+	minUnsharedCrashes = 2
+	conclusiveCrashes  = 5
+	// earlyWindow is how long after its first token or chunk a run may still be what made its
+	// backend server crash. Runs that last longer are taken to be bystanders.
+	earlyWindow = time.Second
+	// backgroundExits other backend servers that exited within backgroundWindow raise the
+	// required number of crashes by one.
+	backgroundExits  = 5
+	backgroundWindow = 10 * time.Second
+	// crashTTL is how long a crash counts.
+	crashTTL = 10 * time.Minute
+	// answerGrace is how long after an answer crashes don't count: a request that many clients
+	// send is answered again and again while backend servers crash for other reasons.
+	answerGrace = 10 * time.Second
+	// decisionDelay is how long after a crash reports that explain it may still arrive: exits of
+	// other backend servers at the same moment, or answers at other routers. A request that is
+	// about to be quarantined waits that long.
+	decisionDelay = 250 * time.Millisecond
+	// simultaneousWindow is the largest difference between the times at which crashes with a
+	// common cause are noticed. massExits other exits within it make a common cause likely.
+	simultaneousWindow = 50 * time.Millisecond
+	massExits          = 2
+	// HoldTime is how long a request stays quarantined.
+	HoldTime = time.Hour
+	// maxSuspects bounds the table of suspects, maxSuspectsPerAccount the entries of one client
+	// account, and maxCrashesPerSuspect the crashes that are kept for each.
+	maxSuspects           = 2048
+	maxSuspectsPerAccount = 256
+	maxCrashesPerSuspect  = 32
+	// manyCrashes is more crashes than any request is present at by chance.
+	manyCrashes = 16
+	// maxExits bounds the number of incarnations whose exits are remembered.
+	maxExits = 1024
+)
+
+// Book decides which requests are quarantined. Its decisions depend only on the reports and
+// the clock readings that are passed in. It isn't safe for concurrent use.
+//
+// A plain count of crashes would quarantine harmless requests: a crash ends all runs at the
+// backend server, and the loss of a failure domain ends dozens of backend servers while a
+// request that many clients send is running at most of them. So a crash counts only if the
+// backend server exited early in the run, if no other backend servers without this request
+// exited at the same moment, if the same request was not answered since or just before, and
+// if no request that is already quarantined was running there too.
+type Book struct {
+	suspects        map[Digest]*suspect
+	countByAccount  map[string]int
+	suspectsByCrash map[string][]Digest // by incarnation, the requests that its crash counts against
+	exits           exitTimes
+	answers         *answerTimes
+}
+
+// NewBook returns an empty tracker.
+func NewBook() *Book {
+	return &Book{suspects: map[Digest]*suspect{}, countByAccount: map[string]int{}, suspectsByCrash: map[string][]Digest{}, answers: newAnswerTimes(maxAnswers),
+		exits: exitTimes{at: map[string]time.Duration{}}}
+}
+
+// Empty reports whether no request is suspected.
+func (t *Book) Empty() bool { return len(t.suspects) == 0 }
+
+// Ended records that a backend server exited on its own, not with its failure domain, whatever
+// was running there. added is false if that was known.
+func (t *Book) Ended(incarnation string, at time.Duration) (added bool) {
+	return t.exits.add(incarnation, at)
+}
+
+// Crashed records that a backend server crashed early in the run of a request. added is false
+// if the crash was known or doesn't count. If pending is true, the caller must call Confirm
+// after decisionDelay.
+func (t *Book) Crashed(d Digest, account string, c Crash, now time.Duration) (added, pending bool) {
+	t.Ended(c.Lifetime, c.At)
+	if _, clears := t.Covered(d, c.At); clears || now-c.At >= crashTTL {
+		return false, false
+	}
+	s := t.suspect(d, account, now)
+	if s.crashedAt(c.Lifetime) {
+		return false, false
+	}
+	t.addCrash(s, c)
+	s.updatedAt = now
+	if s.pending || s.holdUntil > now || !t.isCulprit(s, now) {
+		return true, false
+	}
+	s.pending = true
+	return true, true
+}
+
+// Confirm quarantines a pending request if the reports received since still attribute the
+// crashes to it. An isolated router knows few of the other exits, so it requires
+// conclusiveCrashes. cleared lists requests that were quarantined until now, and that the
+// crashes of this one show to have only run alongside it.
+func (t *Book) Confirm(d Digest, now time.Duration, isolated bool) (quarantined bool, cleared []Digest) {
+	s := t.suspects[d]
+	if s == nil || !s.pending {
+		return false, nil
+	}
+	s.pending = false
+	if s.holdUntil > now || !t.isCulprit(s, now) || (isolated && len(t.countedCrashes(s, now)) < conclusiveCrashes) {
+		return false, nil
+	}
+	s.holdStart, s.holdUntil = now, now+HoldTime
+	return true, t.clearBystanders(s, now)
+}
+
+// Pending reports whether a decision about the request is due.
+func (t *Book) Pending(d Digest) bool {
+	s := t.suspects[d]
+	return s != nil && s.pending
+}
+
+// addCrash adds a crash to the record of s.
+func (t *Book) addCrash(s *suspect, c Crash) {
+	if len(s.crashes) >= maxCrashesPerSuspect {
+		t.unindex(s, s.crashes[0].Lifetime)
+		s.crashes = slices.Delete(s.crashes, 0, 1)
+	}
+	s.crashes = append(s.crashes, c)
+	slices.SortStableFunc(s.crashes, func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
+	t.suspectsByCrash[c.Lifetime] = append(t.suspectsByCrash[c.Lifetime], s.digest)
+}
+
+// Answered records that the request was answered. Crashes from before the answer, or up to
+// answerGrace after it, are dropped; later ones stay. suspected reports whether anything was
+// dropped, and lifted whether the request was quarantined until now.
+func (t *Book) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
+	t.answers.add(d, at)
+	s := t.suspects[d]
+	if s == nil {
+		return false, false
+	}
+	for _, c := range slices.Clone(s.crashes) {
+		if c.At < at+answerGrace {
+			t.unindex(s, c.Lifetime)
+			s.crashes = slices.DeleteFunc(s.crashes, func(one Crash) bool { return one.Lifetime == c.Lifetime })
+			suspected = true
+		}
+	}
+	if len(s.crashes) > 0 || at < s.holdStart {
+		return suspected, false
+	}
+	lifted = s.holdUntil > now
+	t.drop(s)
+	return true, lifted
+}
+
+// Covered reports whether an answer of the request rules out that it caused a crash at the
+// given time, and when the answer was given.
+func (t *Book) Covered(d Digest, crash time.Duration) (answered time.Duration, clears bool) {
+	answered, ok := t.answers.at(d)
+	return answered, ok && crash < answered+answerGrace
+}
+
+// Hold quarantines a request that another router has quarantined, until the time to.
+func (t *Book) Hold(d Digest, account string, to, now time.Duration) (added bool) {
+	if to <= now {
+		return false
+	}
+	s := t.suspect(d, account, now)
+	if added = s.holdUntil <= now; added {
+		s.holdStart = now
+	}
+	s.holdUntil = max(s.holdUntil, min(to, now+HoldTime))
+	s.updatedAt = now
+	return added
+}
+
+// Lift ends the hold of a request. Its crashes are kept, so that fewer more are needed to
+// quarantine it again.
+func (t *Book) Lift(d Digest, now time.Duration) (wasQuarantined bool) {
+	s := t.suspects[d]
+	if s == nil {
+		return false
+	}
+	wasQuarantined = s.holdUntil > now
+	if s.holdStart, s.holdUntil, s.cleared = 0, 0, wasQuarantined; len(s.crashes) == 0 {
+		t.drop(s)
+	}
+	return wasQuarantined
+}
+
+// ForgetCrashes drops all requests that are suspected because of crashes.
+func (t *Book) ForgetCrashes() {
+	for _, s := range t.suspects {
+		if len(s.crashes) > 0 {
+			t.drop(s)
+		}
+	}
+}
+
+// Held reports whether a request is quarantined.
+func (t *Book) Held(d Digest, now time.Duration) bool {
+	s := t.suspects[d]
+	return s != nil && s.holdUntil > now
+}
+
+// Suspected reports whether one more crash may be enough to quarantine the request.
+func (t *Book) Suspected(d Digest, now time.Duration) bool {
+	s := t.suspects[d]
+	return s != nil && len(t.countedCrashes(s, now)) >= minCrashes-1
+}
+
+// Crashes returns how many crashes under a request are recorded.
+func (t *Book) Crashes(d Digest) int {
+	if s := t.suspects[d]; s != nil {
+		return len(s.crashes)
+	}
+	return 0
+}
+
+// EndedBefore reports whether an incarnation is known to have exited on its own before moment.
+func (t *Book) EndedBefore(incarnation string, moment time.Duration) bool {
+	at, known := t.exits.at[incarnation]
+	return known && at < moment
+}
+
+// HoldOf returns the hold of a request, and false if it isn't quarantined.
+func (t *Book) HoldOf(d Digest, now time.Duration) (hold HeldNews, quarantined bool) {
+	s := t.suspects[d]
+	if s == nil || s.holdUntil <= now {
+		return HeldNews{}, false
+	}
+	return HeldNews{d, s.account, (s.holdUntil - now).Milliseconds()}, true
+}
+
+// Holds lists the holds of all quarantined requests.
+func (t *Book) Holds(now time.Duration) (out []HeldNews) {
+	for d := range t.suspects {
+		if hold, quarantined := t.HoldOf(d, now); quarantined {
+			out = append(out, hold)
+		}
+	}
+	return out
+}
+
+// Report returns what is recorded of one request, for operators.
+func (t *Book) Report(d Digest, now time.Duration) Report {
+	if s := t.suspects[d]; s != nil {
+		return s.report(now)
+	}
+	return Report{Digest: d.String()}
+}
+
+// List returns what is recorded of all suspected requests, for operators.
+func (t *Book) List(now time.Duration) []Report {
+	out := make([]Report, 0, len(t.suspects))
+	for _, s := range t.suspects {
+		out = append(out, s.report(now))
+	}
+	slices.SortFunc(out, func(a, b Report) int {
+		return cmp.Or(cmp.Compare(b.HeldForMS, a.HeldForMS), cmp.Compare(a.Digest, b.Digest))
+	})
+	return out
+}
+
+// Expire drops requests that are no longer quarantined and whose crashes have expired.
+func (t *Book) Expire(now time.Duration) {
+	for _, s := range t.suspects {
+		if s.holdUntil <= now && now-s.updatedAt >= crashTTL {
+			t.drop(s)
+		}
+	}
+}
+
+// suspect returns the entry of a request, a new one if there is none.
+func (t *Book) suspect(d Digest, account string, now time.Duration) *suspect {
+	if s := t.suspects[d]; s != nil {
+		return s
+	}
+	if t.countByAccount[account] >= maxSuspectsPerAccount {
+		t.drop(t.weakest(now, func(s *suspect) bool { return s.account == account }))
+	} else if len(t.suspects) >= maxSuspects {
+		t.drop(t.weakest(now, func(*suspect) bool { return true }))
+	}
+	s := &suspect{digest: d, account: account, updatedAt: now}
+	t.suspects[d] = s
+	t.countByAccount[account]++
+	return s
+}
+
+func (t *Book) drop(s *suspect) {
+	for _, c := range s.crashes {
+		t.unindex(s, c.Lifetime)
+	}
+	delete(t.suspects, s.digest)
+	if t.countByAccount[s.account]--; t.countByAccount[s.account] == 0 {
+		delete(t.countByAccount, s.account)
+	}
+}
+
+// unindex removes s from the requests that a crash counts against.
+func (t *Book) unindex(s *suspect, incarnation string) {
+	remaining := slices.DeleteFunc(t.suspectsByCrash[incarnation], func(d Digest) bool { return d == s.digest })
+	if len(remaining) == 0 {
+		delete(t.suspectsByCrash, incarnation)
+		return
+	}
+	t.suspectsByCrash[incarnation] = remaining
+}
--- /dev/null
+++ b/quarantine/tracker_test.go
@@ -0,0 +1,204 @@
+package quarantine
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func digestOf(name string) Digest {
+	s := Subject{Account: "acc", Body: []byte(name)}
+	return s.digest([]byte("key"))
+}
+
+// crash records the crash of a backend server under a request, and reports whether the request
+// is quarantined.
+func crash(tr *Book, request, incarnation string, at time.Duration) bool {
+	if _, pending := tr.Crashed(digestOf(request), "acc", Crash{Lifetime: incarnation, At: at, Began: at, Try: 1}, at); pending {
+		tr.Confirm(digestOf(request), at+decisionDelay, false)
+	}
+	return tr.Held(digestOf(request), at+decisionDelay)
+}
+
+// Guards against: a request is not quarantined after the third crash under it.
+func TestThirdCrashHoldsARequestBack(t *testing.T) {
+	tr := NewBook()
+	for i, want := range []bool{false, false, true} {
+		if got := crash(tr, "bad", fmt.Sprint("e", i), time.Duration(i)*time.Second); got != want {
+			t.Fatalf("after %d crashes: quarantined is %v", i+1, got)
+		}
+	}
+	if tr.Held(digestOf("bad"), 2*time.Second+decisionDelay+HoldTime) {
+		t.Error("quarantined for ever")
+	}
+}
+
+// Guards against: reports of a crash that arrive twice, from several routers or out of order,
+// count twice.
+func TestOneCrashCountsOnce(t *testing.T) {
+	tr := NewBook()
+	for _, at := range []time.Duration{3, 1, 2, 1, 9} {
+		if crash(tr, "good", "e0", at*time.Second) {
+			t.Fatal("quarantined for one crash")
+		}
+	}
+}
+
+// Guards against: a request that many clients send is quarantined while backend servers crash
+// for other reasons.
+func TestAnswersClearARequest(t *testing.T) {
+	tr := NewBook()
+	d := digestOf("hot")
+	tr.Answered(d, 0, 0)
+	for i := range 5 {
+		if crash(tr, "hot", fmt.Sprint("early", i), answerGrace-time.Second) {
+			t.Fatal("quarantined in spite of answers to the same request")
+		}
+	}
+	crash(tr, "hot", "e1", time.Minute)
+	crash(tr, "hot", "e2", time.Minute)
+	tr.Answered(d, time.Minute+time.Second, time.Minute+time.Second)
+	if crash(tr, "hot", "e3", 2*time.Minute) {
+		t.Error("quarantined for crashes from before an answer")
+	}
+	crash(tr, "hot", "e4", 2*time.Minute)
+	if !crash(tr, "hot", "e5", 2*time.Minute) {
+		t.Fatal("three crashes without an answer don't count")
+	}
+	if _, lifted := tr.Answered(d, 2*time.Minute+time.Second, 2*time.Minute+time.Second); !lifted || tr.Held(d, 3*time.Minute) {
+		t.Error("a later answer doesn't lift the hold")
+	}
+}
+
+// Guards against: a request that was answered long ago, or for which the report of such an
+// answer arrives late, can never be quarantined.
+func TestOldAnswersClearNothing(t *testing.T) {
+	tr := NewBook()
+	d := digestOf("bad")
+	tr.Answered(d, 0, 0)
+	for i := range 3 {
+		crash(tr, "bad", fmt.Sprint("e", i), answerGrace+time.Duration(i)*time.Second)
+	}
+	now := answerGrace + 3*time.Second
+	if tr.Answered(d, time.Second, now); !tr.Held(d, now) {
+		t.Error("an answer from before the crashes lifts the hold")
+	}
+	other := digestOf("told")
+	tr.Hold(other, "acc", now+time.Minute, now)
+	if tr.Answered(other, now-time.Second, now); !tr.Held(other, now) {
+		t.Error("an answer from before the hold lifts it")
+	}
+	if tr.Answered(other, now+time.Second, now+time.Second); tr.Held(other, now+time.Second) {
+		t.Error("a later answer doesn't lift it")
+	}
+}
+
+// Guards against: a request that ran alongside the one that causes the crashes is quarantined
+// for them.
+func TestCrashIsHeldAgainstOneRequest(t *testing.T) {
+	tr := NewBook()
+	for i := range 3 {
+		crash(tr, "bad", fmt.Sprint("e", i), time.Second)
+	}
+	for i := range 3 {
+		if crash(tr, "beside", fmt.Sprint("e", i), time.Second) {
+			t.Fatal("a bystander is quarantined")
+		}
+	}
+	for i := range 3 {
+		crash(tr, "beside", fmt.Sprint("other", i), 2*time.Second)
+	}
+	if !tr.Held(digestOf("beside"), 2*time.Second) {
+		t.Error("a request that ran alongside a quarantined one can never be quarantined itself")
+	}
+}
+
+// Guards against: of two requests that were running at the same crashes the wrong one stays
+// quarantined, whichever was reported first.
+func TestTwinsAreToldApartByTheNextCrashes(t *testing.T) {
+	for _, order := range [][]string{{"bad", "beside"}, {"beside", "bad"}} {
+		tr := NewBook()
+		for i := range 3 {
+			for _, name := range order {
+				crash(tr, name, fmt.Sprint("e", i), time.Second)
+			}
+		}
+		n := 3
+		for ; n < 6 && !tr.Held(digestOf("bad"), time.Second); n++ {
+			crash(tr, "bad", fmt.Sprint("e", n), time.Second)
+		}
+		if !tr.Held(digestOf("bad"), time.Second) || tr.Held(digestOf("beside"), time.Second) {
+			t.Errorf("%v: after %d crashes quarantined are bad %v, beside %v", order, n,
+				tr.Held(digestOf("bad"), time.Second), tr.Held(digestOf("beside"), time.Second))
+		}
+	}
+}
+
+// Guards against: one client account fills the table, so that crashes under the requests of
+// other accounts are forgotten.
+func TestOneAccountCannotFillTheTable(t *testing.T) {
+	tr := NewBook()
+	crash(tr, "bad", "e0", 0)
+	crash(tr, "bad", "e1", 0)
+	other := digestOf("of another account")
+	tr.Crashed(other, "another", Crash{Lifetime: "x"}, 0)
+	for i := range 10 * maxSuspectsPerAccount {
+		tr.Crashed(digestOf(fmt.Sprint("flood", i)), "acc", Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+	}
+	if tr.countByAccount["acc"] > maxSuspectsPerAccount || tr.suspects[other] == nil {
+		t.Errorf("%d entries of one account, the other's is kept: %v", tr.countByAccount["acc"], tr.suspects[other] != nil)
+	}
+	if !crash(tr, "bad", "e2", 2*backgroundWindow) {
+		t.Error("a request with two crashes was evicted before requests with one")
+	}
+	for i := range 2 * maxSuspects {
+		tr.Crashed(digestOf(fmt.Sprint("flood", i)), fmt.Sprint("a", i), Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+	}
+	if len(tr.suspects) > maxSuspects || !tr.Held(digestOf("bad"), 3*backgroundWindow) {
+		t.Errorf("%d entries, the quarantined one is kept: %v", len(tr.suspects), tr.Held(digestOf("bad"), 3*backgroundWindow))
+	}
+	tr.Expire(2 * HoldTime)
+	if !tr.Empty() || len(tr.suspectsByCrash) > 0 || len(tr.countByAccount) > 0 {
+		t.Errorf("left after all expired: %d entries, %d incarnations, %d accounts", len(tr.suspects), len(tr.suspectsByCrash), len(tr.countByAccount))
+	}
+}
+
+// Guards against: requests of different client accounts, hosts or paths get the same digest
+// because bytes move from one field to the next.
+func TestDigestKeepsFieldsApart(t *testing.T) {
+	seen := map[Digest]bool{}
+	for _, s := range []Subject{
+		{Account: "a", Target: "b"}, {Account: "ab"}, {Target: "ab"}, {Host: "a", Target: "b"}, {Body: []byte("ab")}, {Method: "a", Body: []byte("b")},
+	} {
+		d := s.digest([]byte("key"))
+		if seen[d] || d == s.digest([]byte("another key")) {
+			t.Errorf("%+v shares its digest", s)
+		}
+		seen[d] = true
+		if back, err := ParseDigest(d.String()); err != nil || back != d {
+			t.Errorf("%v read as %v: %v", d, back, err)
+		}
+	}
+}
+
+func BenchmarkRefusalWithNothingSuspected(b *testing.B) {
+	g := NewGuard(Config{})
+	g.SetKey([]byte("key"))
+	c := g.Follow(Subject{Account: "acc", Body: make([]byte, 4096)})
+	b.ReportAllocs()
+	for b.Loop() {
+		if c.Refusal(b.Context()) != nil {
+			b.Fatal("refused")
+		}
+	}
+}
+
+func BenchmarkFollow(b *testing.B) {
+	g := NewGuard(Config{})
+	g.SetKey([]byte("key"))
+	body := make([]byte, 4096)
+	b.ReportAllocs()
+	for b.Loop() {
+		g.Follow(Subject{Account: "acc", Target: "/draft/x", Body: body})
+	}
+}
--- a/quarantine/news.go
+++ b/quarantine/update.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// FloodNews is the kind of the messages in which routers tell News.
+// FloodNews is the kind of the messages in which routers broadcast updates.
 const FloodNews = "quarantine.news"
 
-// News is what routers tell each other of suspected requests. Each part can be taken in
-// more than once, and in any order.
+// News is what routers broadcast about suspected requests. Each part can be applied more than
+// once, and in any order.
 type News struct {
 	Crashes  []CrashNews  `cbor:"1,keyasint,omitempty"`
 	Held     []HeldNews   `cbor:"2,keyasint,omitempty"`
@@ -15,7 +15,7 @@
 	Ended    []EndNews    `cbor:"5,keyasint,omitempty"`
 }
 
-// CrashNews tells that a backend server ended alone under a request.
+// CrashNews reports that a backend server exited on its own under a request.
 type CrashNews struct {
 	Digest   Digest `cbor:"1,keyasint"`
 	Account  string `cbor:"2,keyasint"`
@@ -25,20 +25,20 @@
 	RanMS    int64  `cbor:"6,keyasint"` // since the request was sent there
 }
 
-// EndNews tells that a backend server ended alone.
+// EndNews reports that a backend server exited on its own.
 type EndNews struct {
 	Lifetime string `cbor:"1,keyasint"`
 	AgeMS    int64  `cbor:"2,keyasint"`
 }
 
-// HeldNews tells that a request is held back.
+// HeldNews reports that a request is quarantined.
 type HeldNews struct {
 	Digest  Digest `cbor:"1,keyasint"`
 	Account string `cbor:"2,keyasint"`
 	LeftMS  int64  `cbor:"3,keyasint"`
 }
 
-// AnswerNews tells that a suspected request was answered.
+// AnswerNews reports that a suspected request was answered.
 type AnswerNews struct {
 	Digest Digest `cbor:"1,keyasint"`
 	AgeMS  int64  `cbor:"2,keyasint"`
@@ -57,28 +57,30 @@
 }
 
 const (
-	// tellDelay gathers news that come together in one message.
-	tellDelay = 2 * time.Millisecond
-	// tellBurst messages of one router go out at once, and then one each tellPause: a replica
-	// set that crashes under many requests must not fill the lines of all routers.
-	tellBurst = 8
-	tellPause = 100 * time.Millisecond
-	// maxPending bounds the news that wait for their message. More are lost: whoever misses
-	// one learns of the next crash.
+	// sendDelay lets updates that arise together go out in one message.
+	sendDelay = 2 * time.Millisecond
+	// sendBurst messages of one router go out at once, and after that one each sendInterval: a
+	// replica set that crashes under many requests must not saturate the connections of all
+	// routers.
+	sendBurst    = 8
+	sendInterval = 100 * time.Millisecond
+	// maxPending bounds the updates that wait for their message. Updates beyond it are
+	// dropped: a router that misses one receives the report of the next crash.
 	maxPending = 256
 )
 
-// outbox gathers news, so that many that come at once cost few messages. The caller holds
+// outbox batches updates, so that many that arise at once cost few messages. The caller holds
 // a lock around put and take.
 type outbox struct {
 	pending News
 	armed   bool
-	// free is when the next message may go out if the burst is used up: each message moves
-	// it on by tellPause.
-	free time.Duration
+	// nextFree is when the next message may go out if the burst is used up: each message moves
+	// it later by sendInterval.
+	nextFree time.Duration
 }
 
-// put adds news. It returns how long to wait before take, false if nothing is to be done.
+// put adds an update. If arm is true the caller must call take after wait. kept is false if the
+// update was dropped.
 func (o *outbox) put(n News, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
@@ -88,13 +90,13 @@
 		return 0, false, true
 	}
 	o.armed = true
-	o.free = max(o.free, now-tellBurst*tellPause)
-	return max(tellDelay, o.free-now), true, true
+	o.nextFree = max(o.nextFree, now-sendBurst*sendInterval)
+	return max(sendDelay, o.nextFree-now), true, true
 }
 
 func (o *outbox) take() News {
 	n := o.pending
 	o.pending, o.armed = News{}, false
-	o.free += tellPause
+	o.nextFree += sendInterval
 	return n
 }
