--- a/health/bench_test.go
+++ b/health/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkBytesPerEngine measures the memory of one engine's record.
+// BenchmarkBytesPerEngine measures the memory that the record of one engine takes.
 func BenchmarkBytesPerEngine(b *testing.B) {
 	const n = 2000
 	for b.Loop() {
--- a/health/confirm.go
+++ b/health/confirm.go
@@ -8,128 +8,130 @@
 	"wigeondale/event"
 )
 
-// Where engines can be asked, a failure domain is given up only after its members were:
-// what looks like the crash of all may be pauses, or resets of some connections.
+// Where engines can be queried, a failure domain is suspected only after its members were
+// queried: what looks like a crash of all may be pauses, or resets of some connections.
 
-const reasonSilence = "common silence"
+const reasonCommonSilence = "common silence"
 
-// ask tells whether the members are to be asked about a common silence at t: their
-// last word counts for a while.
-func (d *domain) ask(t int64) bool { return d.due(&d.askedAt, t, wordLife) }
+// queryDue reports whether the members are to be queried about their common silence at t: their
+// last reports count for runReportTTL.
+func (d *domain) queryDue(t int64) bool { return d.due(&d.queriedAt, t, runReportTTL) }
 
-// confirmSilence asks the silent members before their domain is given up: most of them
+// confirmSilence queries the silent members before their domain is suspected: most of them
 // must give no answer.
 //
-// What goes wrong without it: the silence that is no chance is told from the gaps that
-// were seen. Engines that read prompts slowly pause their runs for longer than any gap
-// before, several at once when several prompts come; sound domains are given up, their
-// runs begun again elsewhere, and their engines get no work for some seconds. A domain
-// that is down costs the time of the question.
+// Without it, domains of slow engines would be suspected although they work. The probability
+// that a common silence is chance is estimated from the gaps seen so far; engines that read
+// prompts slowly pause their runs for longer than any gap before, several at once when several
+// prompts arrive. Their runs would be started again elsewhere, and the engines would get no
+// work for some seconds. For a domain that is down it costs the duration of the query.
 func (m *Monitor) confirmSilence(d *domain, silent []*engine) {
-	answered := m.whoAnswers(silent)
-	mute := len(silent) - len(answered)
-	if mute < domainFailures || mute <= len(answered) {
+	answered := m.queryAlive(silent)
+	noAnswer := len(silent) - len(answered)
+	if noAnswer < minDomainFailures || noAnswer <= len(answered) {
 		return
 	}
-	m.vouch(answered)
-	m.crashed(d, m.at(time.Now()), reasonSilence)
+	m.recordConfirmed(answered)
+	m.domainCrashed(d, m.at(time.Now()), reasonCommonSilence)
 }
 
-// confirmCrash asks the members that failed before their domain is given up.
+// confirmCrash queries the members that failed before their domain is suspected.
 //
-// What goes wrong without it: engines that reset some of their connections are taken
-// for a crash of their domain as soon as two do so at the same moment. All routers
-// leave the domain alone for some seconds, and its runs are begun again elsewhere. It
-// shows as a third of the engines without work while all of them are sound.
+// Without it, engines that reset some of their connections would be taken for a crash of their
+// domain as soon as two do so at the same moment. All routers would send the domain no work for
+// some seconds and start its runs again elsewhere, so that a third of the engines would have no
+// work while all of them are healthy.
 //
-// Members that did not fail are asked too, and most must be gone: engines that ended each
-// under a request of its own, or in one rack, are not the domain.
+// Members that did not fail are queried too, and most members must be down: engines that each
+// crashed under a request of its own, or crashed in one rack, don't show that the domain is
+// down.
 func (m *Monitor) confirmCrash(d *domain, t int64) {
-	defer d.confirmed()
-	witnesses := d.witnesses(t)
-	answers := m.askAll(witnesses)
-	asked := map[*engine]bool{}
+	defer d.endConfirmation()
+	witnesses := d.sampleOthers(t)
+	results := m.queryAll(witnesses)
+	queried := map[*engine]bool{}
 	for {
-		failed := d.lately(t)
-		failed = slices.DeleteFunc(failed, func(e *engine) bool { return asked[e] })
+		failed := d.recentFailures(t)
+		failed = slices.DeleteFunc(failed, func(e *engine) bool { return queried[e] })
 		if len(failed) == 0 {
 			break
 		}
 		for _, e := range failed {
-			asked[e] = true
+			queried[e] = true
 		}
-		m.spareAlive(d, failed)
+		m.clearAlive(d, failed)
 	}
-	gone := len(d.lately(t))
-	if gone < domainFailures {
+	down := len(d.recentFailures(t))
+	if down < minDomainFailures {
 		return
 	}
-	if !m.mostWork(answers, gone, len(witnesses)) {
-		m.crashed(d, m.at(time.Now()), "members failed together")
+	if !m.majorityWorks(results, down, len(witnesses)) {
+		m.domainCrashed(d, m.at(time.Now()), "members failed together")
 	}
 }
 
-// mostWork tells whether more of those that were asked work than are gone, as soon as that is
-// certain.
-func (m *Monitor) mostWork(answers <-chan answer, gone, asked int) bool {
-	all, working := gone+asked, 0
-	for 2*gone < all && 2*working <= all {
-		w := <-answers
-		if w.err != nil {
-			gone++
+// majorityWorks reports whether most of the members that failed or were queried work. down is the
+// number of those that failed, queried the number of results to come. It returns as soon as the
+// answer is certain.
+func (m *Monitor) majorityWorks(results <-chan queryResult, down, queried int) bool {
+	all, working := down+queried, 0
+	for 2*down < all && 2*working <= all {
+		r := <-results
+		if r.err != nil {
+			down++
 			continue
 		}
 		working++
-		m.vouch([]*engine{w.from})
+		m.recordConfirmed([]*engine{r.from})
 	}
 	return 2*working > all
 }
 
-// vouch notes that engines have just answered.
-func (m *Monitor) vouch(answered []*engine) {
+// recordConfirmed records that engines have just answered.
+func (m *Monitor) recordConfirmed(answered []*engine) {
 	t := m.at(time.Now())
 	for _, e := range answered {
-		e.vouchedAt.Store(t)
+		e.lastConfirmedAt.Store(t)
 	}
 }
 
-// spareAlive takes back the failures of those members that answer a question.
-func (m *Monitor) spareAlive(d *domain, failed []*engine) {
-	for _, e := range m.whoAnswers(failed) {
-		d.spare(e)
+// clearAlive clears the failures of those members that answer a query.
+func (m *Monitor) clearAlive(d *domain, failed []*engine) {
+	for _, e := range m.queryAlive(failed) {
+		d.clearFailure(e)
 	}
 }
 
-// whoAnswers asks engines and returns those that answer in time.
-func (m *Monitor) whoAnswers(asked []*engine) []*engine {
-	answers := m.askAll(asked)
+// queryAlive queries engines and returns those that answer in time.
+func (m *Monitor) queryAlive(queried []*engine) []*engine {
+	results := m.queryAll(queried)
 	var answered []*engine
-	for range asked {
-		if w := <-answers; w.err == nil {
-			answered = append(answered, w.from)
+	for range queried {
+		if r := <-results; r.err == nil {
+			answered = append(answered, r.from)
 		}
 	}
 	return answered
 }
 
-// answer is what came of asking one engine; err tells that it gave none in time.
-type answer struct {
+// queryResult is the result of querying one engine; err is set if it gave no answer in time.
+type queryResult struct {
 	from *engine
 	err  error
 }
 
-// askAll asks engines at the same time. An answer, or an error, comes of each.
-func (m *Monitor) askAll(asked []*engine) <-chan answer {
-	answers := make(chan answer, len(asked))
-	for _, e := range asked {
+// queryAll queries engines concurrently. The channel delivers one result for each of them.
+func (m *Monitor) queryAll(queried []*engine) <-chan queryResult {
+	results := make(chan queryResult, len(queried))
+	for _, e := range queried {
 		go func() {
-			ctx, stop := context.WithTimeout(context.Background(), inquiryTimeout)
+			ctx, stop := context.WithTimeout(context.Background(), queryTimeout)
 			defer stop()
-			m.inquiries.Inc()
+			m.queries.Inc()
 			_, err := m.Inquirer.Ask(ctx, e.id)
 			m.log.Emit(event.EngineAsked, "backend", e.id, "lost", 0, "err", err)
-			answers <- answer{e, err}
+			results <- queryResult{e, err}
 		}()
 	}
-	return answers
+	return results
 }
--- a/health/domain.go
+++ b/health/domain.go
@@ -9,61 +9,61 @@
 	"wigeondale/event"
 )
 
-// A failure domain's backend servers of one service crash together far more
-// often than by chance.
+// The backend servers of one service in one failure domain crash together far more often than
+// by chance.
 //
-// What goes wrong when each is judged alone: a silent crash is found server by
-// server, each after its own threshold, so that callers wait longer than they
-// must; and work, copies and second tries go on being sent to those of the
-// domain that nobody has heard of since. It shows as requests that fail several
-// times in a row, and as copies that were never made. Judged together, silence
-// of several servers is told from chance much sooner, and a few failures at the
-// same moment are enough to keep away from all of the domain for a while.
+// If each were evaluated by itself, a silent crash would be found server by server, each after
+// its own threshold, so that callers would wait longer than necessary; and work, copies and
+// second attempts would still be sent to the members from which nothing was received since.
+// Requests would fail several times in a row, and copies would never be made. Evaluated
+// together, the silence of several servers can be told from chance much sooner, and a few
+// failures at the same moment are enough to avoid the whole domain for a while.
 const (
-	// domainMinimum is the number of members from which a domain is judged.
-	domainMinimum = 4
-	// domainFailures is how many members must fail within domainWindow, which two
+	// minDomainSize is the number of members from which a domain is evaluated as a whole.
+	minDomainSize = 4
+	// minDomainFailures is how many members must fail within domainFailureWindow, which two
 	// unrelated ones rarely do.
-	domainFailures = 2
-	// domainDecoding is how many members must decode for their common silence to
+	minDomainFailures = 2
+	// minDomainDecoding is how many members must be decoding for their common silence to
 	// count: two often read prompts at the same time.
-	domainDecoding = 3
-	domainWindow   = 300 * time.Millisecond
-	// domainWitnesses is how many that did not fail are asked whether the domain is there.
-	domainWitnesses = 5
-	// domainSilence is the least silence of each member that counts. Pauses up
-	// to it are everyday: a prompt is read between two decode steps.
-	domainSilence = 220 * time.Millisecond
-	// domainChance is the probability, taken over the members that decode, below
-	// which their common silence is no chance.
-	domainChance = 1e-4
-	// crashedSilence is the silence from which a stream of a crashed domain goes on
-	// elsewhere. Others are judged as usual.
-	crashedSilence = 150 * time.Millisecond
-	// domainCrash is the time in which all failures belong to one crash: crashed replicas
-	// are seldom back sooner.
-	domainCrash = 2 * time.Second
-	// aliveWithin is how fresh a sign of life keeps a member out of the
-	// suspicion of its domain.
-	aliveWithin = 100 * time.Millisecond
+	minDomainDecoding   = 3
+	domainFailureWindow = 300 * time.Millisecond
+	// domainSample is how many members that did not fail are queried to see whether they work.
+	domainSample = 5
+	// minDomainSilence is the least silence of each member that counts. Pauses up to it are
+	// normal: a prompt is read between two decode steps.
+	minDomainSilence = 220 * time.Millisecond
+	// maxChance bounds the probability that all decoding members are silent by chance: below it
+	// their common silence is taken for a crash.
+	maxChance = 1e-4
+	// crashedStreamSilence is the silence from which a stream of a crashed domain is resumed
+	// elsewhere. Other streams are evaluated as usual.
+	crashedStreamSilence = 150 * time.Millisecond
+	// domainCrashWindow is the time within which all failures belong to one crash: crashed
+	// replicas are seldom back sooner.
+	domainCrashWindow = 2 * time.Second
+	// activityWindow is how recent a member's activity must be to exempt it from the suspicion
+	// of its domain.
+	activityWindow = 100 * time.Millisecond
 )
 
-// domain is the set of backend servers that are expected to fail together.
+// domain is the set of backend servers of one service in one failure domain, which are
+// expected to fail together.
 type domain struct {
 	name string
 
 	mu      sync.Mutex
 	members map[*engine]struct{}
-	failed  map[*engine]int64 // when each of them failed last
+	failed  map[*engine]int64 // when each member that failed did so last
 
 	crashedAt int64 // 0 if never
-	// confirming tells that it is being found out whether the domain crashed.
+	// confirming is set while members are queried to find out whether the domain crashed.
 	confirming bool
-	askedAt    int64 // when its members were asked last about their common silence, 0 if never
+	queriedAt  int64 // when its members were last queried about their common silence, 0 if never
 }
 
-// Place tells in which failure domain a backend server is. Those of the same
-// service and domain are judged together.
+// Place sets the failure domain of a backend server. Backend servers of the same service and
+// failure domain are evaluated together.
 func (m *Monitor) Place(backend, service, failureDomain string) {
 	e := m.engine(backend)
 	name := service + "/" + failureDomain
@@ -80,7 +80,7 @@
 	d.mu.Unlock()
 }
 
-func (d *domain) forget(e *engine) {
+func (d *domain) remove(e *engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.members, e)
@@ -104,34 +104,35 @@
 	return out
 }
 
-// fail notes that e failed at t and tells whether it is to be found out whether the domain
-// crashed: with each failure of a series, but not while that is being found out, or known.
-func (d *domain) fail(e *engine, t int64) bool {
+// recordFailure records that e failed at t, and reports whether the caller must confirm that the
+// domain crashed. That is so for each failure of a series, except while a confirmation is under
+// way or when the crash is already known.
+func (d *domain) recordFailure(e *engine, t int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.members) < domainMinimum {
+	if len(d.members) < minDomainSize {
 		return false
 	}
 	d.failed[e] = t
-	knownCrash := d.crashedAt != 0 && t-d.crashedAt < int64(domainCrash)
-	if d.confirming || knownCrash || d.recent(t) < domainFailures {
+	knownCrash := d.crashedAt != 0 && t-d.crashedAt < int64(domainCrashWindow)
+	if d.confirming || knownCrash || d.countRecentFailures(t) < minDomainFailures {
 		return false
 	}
 	d.confirming = true
 	return true
 }
 
-// confirmed ends what fail began.
-func (d *domain) confirmed() {
+// endConfirmation ends the confirmation that recordFailure started.
+func (d *domain) endConfirmation() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.confirming = false
 }
 
-func (d *domain) recent(t int64) int {
+func (d *domain) countRecentFailures(t int64) int {
 	n := 0
 	for e, at := range d.failed {
-		if t-at > int64(domainWindow) {
+		if t-at > int64(domainFailureWindow) {
 			delete(d.failed, e)
 			continue
 		}
@@ -140,50 +141,50 @@
 	return n
 }
 
-// lately returns the members that failed within domainWindow.
-func (d *domain) lately(t int64) []*engine {
+// recentFailures returns the members that failed within domainFailureWindow.
+func (d *domain) recentFailures(t int64) []*engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.recent(t)
+	d.countRecentFailures(t)
 	return slices.Collect(maps.Keys(d.failed))
 }
 
-// witnesses are some members that did not fail lately.
-func (d *domain) witnesses(t int64) []*engine {
-	failed := d.lately(t)
+// sampleOthers returns up to domainSample members that did not fail recently.
+func (d *domain) sampleOthers(t int64) []*engine {
+	failed := d.recentFailures(t)
 	var out []*engine
 	for _, e := range d.list() { // in random order
-		if len(out) < domainWitnesses && !slices.Contains(failed, e) {
+		if len(out) < domainSample && !slices.Contains(failed, e) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// spare takes back the failure of a member that turned out to be alive.
-func (d *domain) spare(e *engine) {
+// clearFailure clears the failure of a member that turned out to be alive.
+func (d *domain) clearFailure(e *engine) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.failed, e)
 }
 
-// noteFailure counts one failure and acts on a domain that crashed by it.
-func (m *Monitor) noteFailure(e *engine, t int64) {
+// recordFailure records one failure, and handles the crash of a domain that follows from it.
+func (m *Monitor) recordFailure(e *engine, t int64) {
 	d := e.domain.Load()
-	if d == nil || !d.fail(e, t) {
+	if d == nil || !d.recordFailure(e, t) {
 		return
 	}
 	if m.Inquirer != nil {
 		go m.confirmCrash(d, t)
 		return
 	}
-	d.confirmed()
-	m.crashed(d, t, "members failed together")
+	d.endConfirmation()
+	m.domainCrashed(d, t, "members failed together")
 }
 
-// DomainRumour takes in another router's word that a domain crashed. It counts
-// unless some member has given this router a sign of life just now: the other
-// router may be the one that is cut off.
+// DomainRumour handles another router's report that a domain crashed. The report is ignored if
+// this router has just received activity from some member: the other router may be the one
+// that is isolated.
 func (m *Monitor) DomainRumour(name string) {
 	m.mu.RLock()
 	d := m.domains[name]
@@ -193,28 +194,28 @@
 	}
 	t := m.at(time.Now())
 	for _, e := range d.list() {
-		if e.alive(t) {
+		if e.recentlyActive(t) {
 			return
 		}
 	}
-	m.crashed(d, t, "another router says so")
+	m.domainCrashed(d, t, "reported by another router")
 }
 
-// crashed keeps new work away from all members without a sign of life, and has
-// their streams go on elsewhere. Once for each crash: what follows within
-// domainCrash belongs to it.
-func (m *Monitor) crashed(d *domain, t int64, reason string) {
-	if !d.enter(t) {
+// domainCrashed keeps new work away from all members without recent activity, and has their
+// streams resumed elsewhere. It does so once for each crash: what follows within
+// domainCrashWindow belongs to the same crash.
+func (m *Monitor) domainCrashed(d *domain, t int64, reason string) {
+	if !d.recordCrash(t) {
 		return
 	}
 	n := 0
 	for _, e := range d.list() {
-		if e.alive(t) {
+		if e.recentlyActive(t) {
 			continue
 		}
 		n++
-		v := e.silent(t)
-		m.ejectAlone(e, Suspect, t)
+		v := e.silentStreams(t)
+		m.ejectEngine(e, Suspect, t)
 		m.cancel(v)
 	}
 	m.log.Emit(event.DomainSuspect, "domain", d.name, "backends", n, "reason", reason)
@@ -223,16 +224,16 @@
 	}
 }
 
-// alive tells whether the engine gave a sign of life just now.
-func (e *engine) alive(t int64) bool {
-	return t-max(e.last.Load(), e.vouchedAt.Load()) < int64(aliveWithin)
+// recentlyActive reports whether the engine showed activity within activityWindow.
+func (e *engine) recentlyActive(t int64) bool {
+	return t-max(e.lastToken.Load(), e.lastConfirmedAt.Load()) < int64(activityWindow)
 }
 
-// enter tells whether a crash at t is a new one.
-func (d *domain) enter(t int64) bool { return d.due(&d.crashedAt, t, domainCrash) }
+// recordCrash records a crash at t, and reports whether it is a new one.
+func (d *domain) recordCrash(t int64) bool { return d.due(&d.crashedAt, t, domainCrashWindow) }
 
-// due tells whether the last time lies span or more before t, and makes t the last one
-// if so.
+// due reports whether *last is at least span before t, or was never set, and sets it to t if
+// so.
 func (d *domain) due(last *int64, t int64, span time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -243,23 +244,23 @@
 	return true
 }
 
-// judgeDomains suspects all silent members of a domain in which several decode
-// and none has spoken for longer than chance explains. inUse holds all engines
-// with open streams.
-func (m *Monitor) judgeDomains(inUse []*engine, t int64) {
-	of := map[*domain][]*engine{}
+// evaluateDomains suspects all silent members of a domain in which several members decode and none
+// has produced a token for longer than chance explains. inUse holds all engines with open
+// streams.
+func (m *Monitor) evaluateDomains(inUse []*engine, t int64) {
+	byDomain := map[*domain][]*engine{}
 	for _, e := range inUse {
 		if d := e.domain.Load(); d != nil {
-			of[d] = append(of[d], e)
+			byDomain[d] = append(byDomain[d], e)
 		}
 	}
-	for d, engines := range of {
-		m.judgeDomain(d, engines, t)
+	for d, engines := range byDomain {
+		m.evaluateDomain(d, engines, t)
 	}
 }
 
-func (m *Monitor) judgeDomain(d *domain, inUse []*engine, t int64) {
-	if len(inUse) < domainDecoding || d.size() < domainMinimum {
+func (m *Monitor) evaluateDomain(d *domain, inUse []*engine, t int64) {
+	if len(inUse) < minDomainDecoding || d.size() < minDomainSize {
 		return
 	}
 	chance, decoding := 1.0, 0
@@ -268,46 +269,45 @@
 		if !ok {
 			continue
 		}
-		if silence < domainSilence {
+		if silence < minDomainSilence {
 			return
 		}
 		decoding++
 		chance *= m.survival(e, silence)
 	}
-	if decoding < domainDecoding || chance > domainChance {
+	if decoding < minDomainDecoding || chance > maxChance {
 		return
 	}
 	if m.Inquirer == nil {
-		m.crashed(d, t, reasonSilence)
+		m.domainCrashed(d, t, reasonCommonSilence)
 		return
 	}
-	if d.ask(t) {
+	if d.queryDue(t) {
 		go m.confirmSilence(d, inUse)
 	}
 }
 
-// decodingSilence is the silence of an engine whose streams wait for a next
-// token; false when none does.
+// decodingSilence returns the silence of an engine whose streams wait for their next token, and
+// false when no stream does.
 func (e *engine) decodingSilence(t int64) (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.waitedOn() {
+	if !e.hasOpenStreams() {
 		return 0, false
 	}
 	h := e.history(t)
 	return h.Silence, h.Streams > 0
 }
 
-// silent is the verdict that cancels the streams of a crashed domain's member:
-// those that wait for their first token, and those that are silent for long
-// enough to tell.
-func (e *engine) silent(t int64) verdict {
-	return e.verdictOn(ErrSuspect, func(s *Stream) bool {
-		return !s.blocked.Load() && (s.last.Load() == 0 || s.silence(t) >= crashedSilence)
+// silentStreams selects the streams of a member of a crashed domain that are to be cancelled:
+// those that wait for their first token, and those that are silent for crashedStreamSilence.
+func (e *engine) silentStreams(t int64) evaluation {
+	return e.selectStreams(ErrSuspect, func(s *Stream) bool {
+		return !s.blocked.Load() && (s.lastToken.Load() == 0 || s.silence(t) >= crashedStreamSilence)
 	})
 }
 
-// survival is the share of an engine's gaps that are longer than d.
+// survival returns the share of an engine's gaps that are longer than d.
 func (m *Monitor) survival(e *engine, d time.Duration) float64 {
 	s := e.gaps.Shares().With(m.priorShares())
 	return s.survival(m.policy.TailExponent)[bucketOf(d)]
--- a/health/domain_test.go
+++ b/health/domain_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// runPatient is run with bounds for a single engine that lie beyond those of a
+// runWithLongBounds calls run with bounds for a single engine that are longer than those of a
 // domain.
-func runPatient(t *testing.T, f func(m *Monitor)) {
+func runWithLongBounds(t *testing.T, f func(m *Monitor)) {
 	run(t, func(m *Monitor) {
 		m.policy.MinSilence = 600 * time.Millisecond
 		m.policy.MinPrefill = 10 * time.Second
@@ -18,8 +18,8 @@
 	})
 }
 
-// place puts n engines of each named domain under the Monitor.
-func place(m *Monitor, n int, domains ...string) {
+// addDomains adds n engines of each named domain to the Monitor.
+func addDomains(m *Monitor, n int, domains ...string) {
 	for _, d := range domains {
 		for i := range n {
 			m.Place(fmt.Sprintf("%s%d", d, i), "llm", d)
@@ -27,15 +27,15 @@
 	}
 }
 
-// Symptom: after a silent crash of a failure domain callers wait longer than they
-// must, and prompts that were being read there are waited for until TCP gives up.
-// Sequence: three engines decode in the domain, a fourth reads a prompt; all fall
-// silent. Cause: each is judged alone.
+// Guards against: after a silent crash of a failure domain each member is evaluated by itself,
+// so that callers wait longer than necessary, and a prompt that was being read there is waited
+// for until TCP gives up. Three engines of the domain decode and a fourth reads a prompt when
+// all fall silent.
 func TestSilentDomainIsOneEvent(t *testing.T) {
-	runPatient(t, func(m *Monitor) {
-		place(m, 6, "a", "b")
-		told := 0
-		m.OnDomain = func(string) { told++ }
+	runWithLongBounds(t, func(m *Monitor) {
+		addDomains(m, 6, "a", "b")
+		calls := 0
+		m.OnDomain = func(string) { calls++ }
 		var dead, alive []*attempt
 		for i := range 3 {
 			dead = append(dead, start(m, fmt.Sprintf("a%d", i), 100))
@@ -54,21 +54,21 @@
 				t.Errorf("%s: cause %v", s.engine.id, s.cause())
 			}
 		}
-		if m.State("a5") == Healthy || m.State("b5") != Healthy || told != 1 {
-			t.Errorf("idle member %v, other domain %v, told %d times", m.State("a5"), m.State("b5"), told)
+		if m.State("a5") == Healthy || m.State("b5") != Healthy || calls != 1 {
+			t.Errorf("idle member %v, other domain %v, OnDomain called %d times", m.State("a5"), m.State("b5"), calls)
 		}
 	})
 }
 
-// Symptom: every wave of resumes is taken for a crash, and its runs are moved once
-// more. Sequence: two engines read prompts at the same moment, so that both pause
-// beyond domainSilence. Cause: too few members speak for the domain.
+// Guards against: each wave of resumes is taken for a crash of the domain and its runs are moved
+// once more. Two engines that read prompts at the same moment both pause for longer than
+// minDomainSilence; two members are too few to show that the domain crashed.
 func TestTwoPausesAreNoCrash(t *testing.T) {
-	runPatient(t, func(m *Monitor) {
-		place(m, 6, "a")
+	runWithLongBounds(t, func(m *Monitor) {
+		addDomains(m, 6, "a")
 		s1, s2 := start(m, "a0", 100), start(m, "a1", 100)
 		decode(60, s1, s2)
-		time.Sleep(domainSilence + 20*time.Millisecond)
+		time.Sleep(minDomainSilence + 20*time.Millisecond)
 		synctest.Wait()
 		if m.State("a5") != Healthy {
 			t.Error("the domain is suspected")
@@ -76,42 +76,42 @@
 	})
 }
 
-// Symptom: copies and second tries go on being sent to a domain that crashed.
-// Sequence: the connections of two members break at the same moment.
+// Guards against: copies and second attempts are still sent to a domain that crashed, after the
+// connections of two members broke at the same moment.
 func TestFailuresAtOneMomentAreACrash(t *testing.T) {
-	runPatient(t, func(m *Monitor) {
-		place(m, 6, "a")
+	runWithLongBounds(t, func(m *Monitor) {
+		addDomains(m, 6, "a")
 		live := start(m, "a4", 100)
 		decode(10, live)
 		m.Result("a0", errors.New("reset"))
-		decode(int(domainWindow/step)+2, live)
+		decode(int(domainFailureWindow/step)+2, live)
 		m.Result("a1", errors.New("reset"))
 		if m.State("a5") != Healthy {
-			t.Fatal("two failures far apart are taken for a crash")
+			t.Fatal("two failures far apart are taken for a crash of the domain")
 		}
 		m.Result("a2", errors.New("reset"))
 		if m.State("a5") == Healthy || m.State("a4") != Healthy {
-			t.Errorf("idle member %v, member that has just spoken %v", m.State("a5"), m.State("a4"))
+			t.Errorf("idle member %v, member with a recent token %v", m.State("a5"), m.State("a4"))
 		}
 	})
 }
 
-// Symptom: a router that is cut off from a domain empties it for all routers.
-// Cause: its word counts although others hear the domain's members.
+// Guards against: a router that is isolated from a domain makes all routers avoid it, because
+// its report counts although other routers receive tokens from the domain's members.
 func TestRumourDoesNotOutweighASignOfLife(t *testing.T) {
-	runPatient(t, func(m *Monitor) {
-		place(m, 6, "a")
+	runWithLongBounds(t, func(m *Monitor) {
+		addDomains(m, 6, "a")
 		s := start(m, "a0", 100)
 		decode(10, s)
 		m.DomainRumour("llm/a")
 		if m.State("a5") != Healthy {
-			t.Fatal("believed against a member's own token")
+			t.Fatal("the report is believed in spite of a member's recent token")
 		}
-		time.Sleep(2 * aliveWithin)
+		time.Sleep(2 * activityWindow)
 		m.DomainRumour("llm/a")
 		m.DomainRumour("llm/nowhere")
 		if m.State("a5") == Healthy {
-			t.Error("not believed although no member has spoken")
+			t.Error("the report is not believed although no member has been active")
 		}
 	})
 }
--- a/health/dump.go
+++ b/health/dump.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BackendDump is one backend server in a dump.
+// BackendDump is the state of one backend server in a dump.
 type BackendDump struct {
 	State       string        `json:"state"`
 	Streams     int           `json:"streams"`
@@ -13,7 +13,7 @@
 	Rumoured    bool          `json:"rumoured"`
 }
 
-// Dump returns what is known of each backend server, by id.
+// Dump returns the state of each backend server, by id.
 func (m *Monitor) Dump() map[string]BackendDump {
 	t := m.at(time.Now())
 	out := map[string]BackendDump{}
@@ -28,11 +28,11 @@
 	defer e.mu.Unlock()
 	h := e.history(t)
 	h.Gaps = e.gaps.Shares().With(m.priorShares())
-	h.Rumoured = t < e.rumourUntil
+	h.Rumoured = t < e.peerReportUntil
 	return BackendDump{
 		State:       e.current(t).String(),
 		Streams:     len(e.streams),
-		Refused:     e.refused,
+		Refused:     e.refusedInRow,
 		Backoff:     e.backoff,
 		Threshold:   Judge(h, &m.policy).Threshold,
 		Incarnation: e.incarnation,
--- a/health/engine.go
+++ b/health/engine.go
@@ -9,56 +9,56 @@
 // engine is the record of one backend server. Times are nanoseconds since the
 // Monitor's epoch, on the monotonic clock.
 type engine struct {
-	id     string
-	last   atomic.Int64 // last token on any stream
-	gaps   Gaps
-	domain atomic.Pointer[domain] // nil until it was placed
-	// vouchedAt is when it last answered a question about its domain, 0 if never.
-	vouchedAt atomic.Int64
-
-	mu              sync.Mutex
-	streams         []*Stream
-	credit          time.Duration // paused time since creditFrom
-	creditFrom      int64         // value of last that the credit belongs to
-	state           State
-	since           int64 // when the state was entered
-	refused         int   // refused connections in a row
-	late            int   // late answers since the last that came
-	lateFrom        int64 // the first of those
-	backoff         time.Duration
-	retryAt         int64
-	probing         bool
-	probeUntil      int64
-	incarnation     string
-	rumourUntil     int64
-	reinstatedUntil int64 // given back by Usable
-	known           knownThreshold
-	spokeAt         int64 // last token before it was suspected, 0 if it was not
-	inquiry         inquiry
+	id        string
+	lastToken atomic.Int64 // time of the last token on any stream
+	gaps      Gaps
+	domain    atomic.Pointer[domain] // nil until its failure domain is set
+	// lastConfirmedAt is when it last answered a query about its domain, 0 if never.
+	lastConfirmedAt atomic.Int64
+
+	mu                     sync.Mutex
+	streams                []*Stream
+	pauseCredit            time.Duration // pauses of this process since creditFrom, not counted as silence
+	creditFrom             int64         // value of lastToken that the credit belongs to
+	state                  State
+	since                  int64 // when the state was entered
+	refusedInRow           int   // refused connections in a row
+	lateInRow              int   // late answers in a row
+	lateSince              int64 // time of the first of those
+	backoff                time.Duration
+	retryAt                int64
+	probeInFlight          bool
+	probeUntil             int64
+	incarnation            string
+	peerReportUntil        int64
+	reinstatedUntil        int64 // set when Usable gives it back because of the ejection bound
+	cachedThreshold        thresholdCache
+	lastTokenBeforeSuspect int64 // time of its last token before a suspicion, else 0
+	query                  runQuery
 }
 
-// silence is the time without any token, less what this process slept.
+// silence returns the time since the last token on any stream, without pauses of this process.
 func (e *engine) silence(now int64) time.Duration {
-	last := e.last.Load()
+	last := e.lastToken.Load()
 	d := time.Duration(now - last)
 	if e.creditFrom == last {
-		d -= e.credit
+		d -= e.pauseCredit
 	}
 	return d
 }
 
-// forgive takes a pause of this process off the silence of the engine and of
-// each of its streams.
-func (e *engine) forgive(pause time.Duration) {
+// discountPause excludes a pause of this process from the silence of the engine and of each of its
+// streams.
+func (e *engine) discountPause(pause time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	last := e.last.Load()
+	last := e.lastToken.Load()
 	if e.creditFrom != last {
-		e.creditFrom, e.credit = last, 0
+		e.creditFrom, e.pauseCredit = last, 0
 	}
-	e.credit += pause
+	e.pauseCredit += pause
 	for _, s := range e.streams {
-		s.forgive(pause)
+		s.discountPause(pause)
 	}
 }
 
@@ -71,38 +71,37 @@
 		e.backoff = min(2*e.backoff, p.MaxBackoff)
 	}
 	e.state = state
-	e.late = 0
-	e.probing = false
+	e.lateInRow = 0
+	e.probeInFlight = false
 	e.retryAt = now + int64(e.backoff)
 }
 
-// lateBy takes in a late answer and tells whether the engine is to be ejected.
-// While it is ejected only its probe counts: calls sent before would each
-// double the backoff.
-func (e *engine) lateBy(t int64, p *Policy) bool {
+// recordLate records a late answer and reports whether the engine is to be ejected. While it is
+// ejected only the result of its probe counts: otherwise each call that was sent before the
+// ejection would double the backoff.
+func (e *engine) recordLate(t int64, p *Policy) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.state != Healthy {
-		return e.probing
+		return e.probeInFlight
 	}
-	if e.late == 0 {
-		e.lateFrom = t
+	if e.lateInRow == 0 {
+		e.lateSince = t
 	}
-	e.late++
-	return e.late >= p.LateAfter && t-e.lateFrom >= int64(p.LateSpan)
+	e.lateInRow++
+	return e.lateInRow >= p.LateAfter && t-e.lateSince >= int64(p.LateSpan)
 }
 
 // recover returns the engine to Healthy.
 func (e *engine) recover() {
 	e.state = Healthy
-	e.refused = 0
-	e.late = 0
-	e.probing = false
-	e.rumourUntil = 0
+	e.refusedInRow = 0
+	e.lateInRow = 0
+	e.probeInFlight = false
+	e.peerReportUntil = 0
 }
 
-// current is the state with the passage of time applied: an ejected engine
-// whose backoff ended may be probed.
+// current returns the state at now: an ejected engine whose backoff has ended may be probed.
 func (e *engine) current(now int64) State {
 	if e.state == Healthy {
 		return Healthy
@@ -113,9 +112,9 @@
 	return Probing
 }
 
-// probeFree tells whether no probe is under way.
+// probeFree reports whether no probe is under way.
 func (e *engine) probeFree(now int64) bool {
-	return !e.probing || now >= e.probeUntil
+	return !e.probeInFlight || now >= e.probeUntil
 }
 
 func (e *engine) add(s *Stream) {
@@ -136,8 +135,8 @@
 	e.streams = e.streams[:end]
 }
 
-// waitedOn tells whether any stream is open that was not cancelled yet.
-func (e *engine) waitedOn() bool {
+// hasOpenStreams reports whether any open stream has not been cancelled yet.
+func (e *engine) hasOpenStreams() bool {
 	for _, s := range e.streams {
 		if !s.cancelled {
 			return true
@@ -146,8 +145,8 @@
 	return false
 }
 
-// markCancelled keeps streams from being judged again before their owners
-// close them; each further verdict would double the backoff.
+// markCancelled keeps streams from being evaluated again before their owners close them; each
+// further suspicion would double the backoff.
 func (e *engine) markCancelled(streams []*Stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -156,15 +155,15 @@
 	}
 }
 
-// suspectSince tells whether the engine was suspected less than d ago.
+// suspectSince reports whether the engine was suspected less than d ago.
 func (e *engine) suspectSince(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state == Suspect && t-e.since < int64(d)
 }
 
-// needsLook tells whether streams are open, or e was suspected less than d ago.
-func (e *engine) needsLook(t int64, d time.Duration) bool {
+// needsCheck reports whether streams are open, or e was suspected less than d ago.
+func (e *engine) needsCheck(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.streams) > 0 || (e.state == Suspect && t-e.since < int64(d))
--- a/health/gaps.go
+++ b/health/gaps.go
@@ -9,16 +9,16 @@
 
 const (
 	// buckets covers gaps from 1 ms to about 16 s, four to each doubling.
-	buckets       = 60
-	perDoubling   = 4
-	smallestGap   = time.Millisecond
-	fullHistogram = 4096 // samples at which all counts are halved
-	priorSamples  = 64   // weight of the shared prior against own samples
-
-	tailShare    = 1.0 / fullHistogram
-	tailQuantile = 0.999 // where the unseen tail begins
-	preemptShare = 0.02  // of the synthetic prior: gaps of four steps
-	pauseShare   = 0.005 // of the synthetic prior: gaps of ten steps
+	buckets      = 60
+	perDoubling  = 4
+	smallestGap  = time.Millisecond
+	maxSamples   = 4096 // samples at which all counts are halved
+	priorSamples = 64   // weight of the shared prior, in samples of the engine itself
+
+	tailShare    = 1.0 / maxSamples
+	tailQuantile = 0.999 // quantile at which the assumed tail of unseen gaps begins
+	preemptShare = 0.02  // share of the synthetic prior: gaps of four steps, for preemptions
+	pauseShare   = 0.005 // share of the synthetic prior: gaps of ten steps, for pauses
 )
 
 // Gaps is a histogram of the gaps between an engine's tokens. Counts are
@@ -29,20 +29,20 @@
 	count [buckets]atomic.Uint32
 }
 
-// Add records one gap. Gaps below 1 ms belong to one decode step's burst and
-// say nothing about silence, so they are not kept.
+// Add records one gap. Gaps below 1 ms lie within the burst of tokens of one decode step and
+// are no measure of silence, so they are ignored.
 func (g *Gaps) Add(gap time.Duration) {
 	if gap < smallestGap {
 		return
 	}
 	g.count[bucketOf(gap)].Add(1)
-	if g.n.Add(1) >= fullHistogram {
-		g.age()
+	if g.n.Add(1) >= maxSamples {
+		g.halveCounts()
 	}
 }
 
-// age halves the counts. A concurrent Add may be lost, which is harmless.
-func (g *Gaps) age() {
+// halveCounts halves the counts. The count of a concurrent Add may be lost, which is harmless.
+func (g *Gaps) halveCounts() {
 	var n uint32
 	for i := range g.count {
 		half := g.count[i].Load() / 2
@@ -52,35 +52,34 @@
 	g.n.Store(n)
 }
 
-// bucketOf finds the bucket by the position and the next two bits of the gap
-// in microseconds over 1 ms, without logarithms: this is the hot path.
+// bucketOf finds the bucket by the position of the highest bit and the next two bits of the
+// gap in microseconds, without logarithms: this is the hot path. The first bucket is at 1 ms.
 func bucketOf(gap time.Duration) int {
 	us := uint64(gap / time.Microsecond)
 	top := bits.Len64(us) - 1
 	quarter := (us >> (top - 2)) & (perDoubling - 1)
-	i := (top-firstTop)*perDoubling + int(quarter)
+	i := (top-firstBucketBit)*perDoubling + int(quarter)
 	return min(max(i, 0), buckets-1)
 }
 
-// firstTop is the highest bit of 1 ms in microseconds (512..1023 us).
-const firstTop = 9
+// firstBucketBit is the position of the highest bit of 1 ms in microseconds (512..1023 us).
+const firstBucketBit = 9
 
-// edge is the upper bound of bucket i.
-func edge(i int) time.Duration {
-	top := firstTop + i/perDoubling
+// bucketBound returns the upper bound of bucket i.
+func bucketBound(i int) time.Duration {
+	top := firstBucketBit + i/perDoubling
 	quarter := uint64(i%perDoubling) + 1
 	us := uint64(1)<<top + quarter<<(top-2)
 	return time.Duration(us) * time.Microsecond
 }
 
-// Shares is a distribution of gaps: the share of them in each bucket, with the
-// number of samples behind it.
+// Shares is a distribution of gaps: the weight of each bucket, and the number of samples in all.
 type Shares struct {
 	Samples float64
 	Count   [buckets]float64
 }
 
-// Shares copies the counts.
+// Shares returns a copy of the counts.
 func (g *Gaps) Shares() Shares {
 	var s Shares
 	for i := range g.count {
@@ -91,8 +90,8 @@
 	return s
 }
 
-// With adds a prior, scaled to a fixed number of samples so that it governs
-// while an engine is young and fades as its own samples come in.
+// With adds a prior, scaled to a fixed number of samples so that it dominates while an engine
+// has few samples and fades as its own come in.
 func (s Shares) With(prior Shares) Shares {
 	if prior.Samples == 0 {
 		return s
@@ -105,8 +104,8 @@
 	return s
 }
 
-// synthetic is the prior before any gap was observed anywhere.
-func synthetic(typical time.Duration) Shares {
+// syntheticPrior returns the prior that is used before any gap was observed anywhere.
+func syntheticPrior(typical time.Duration) Shares {
 	var s Shares
 	s.Samples = priorSamples
 	s.Count[bucketOf(typical)] = priorSamples * (1 - preemptShare - pauseShare)
@@ -115,24 +114,23 @@
 	return s
 }
 
-// mean is the mean gap in seconds.
+// mean returns the mean gap in seconds.
 func (s *Shares) mean() float64 {
 	if s.Samples == 0 {
 		return 0
 	}
 	var sum float64
 	for i, c := range s.Count {
-		sum += c * edge(i).Seconds()
+		sum += c * bucketBound(i).Seconds()
 	}
 	return sum / s.Samples
 }
 
-// survival returns, for each bucket edge, the probability that a healthy gap
-// is longer. A small share of gaps is imagined to lie beyond what was seen:
-// without it, the first gap longer than all earlier ones would count as proof
-// of death. The share is fixed, since engines share their experience by way of
-// the prior; a young engine is no likelier to pause than an old one. It falls
-// off by a Pareto law with the given exponent.
+// survival returns, for each bucket bound, the probability that a healthy gap is longer. A small
+// share of gaps is assumed to lie beyond what was seen: without it, the first gap longer than all
+// earlier ones would count as proof of a failure. The share is the same for all engines, since
+// they share their samples through the prior; an engine with few samples is no likelier to pause
+// than one with many. It falls off by a Pareto law with the given exponent.
 func (s *Shares) survival(exponent float64) [buckets]float64 {
 	scale := s.quantile(tailQuantile).Seconds()
 	var out [buckets]float64
@@ -140,20 +138,20 @@
 	for i := range out {
 		above -= s.Count[i]
 		seen := max(above, 0) / max(s.Samples, 1)
-		tail := math.Pow(min(1, scale/edge(i).Seconds()), exponent)
+		tail := math.Pow(min(1, scale/bucketBound(i).Seconds()), exponent)
 		out[i] = (1-tailShare)*seen + tailShare*tail
 	}
 	return out
 }
 
-// quantile is the edge below which share q of the gaps lie.
+// quantile returns the bucket bound below which share q of the gaps lie.
 func (s *Shares) quantile(q float64) time.Duration {
 	var below float64
 	for i, c := range s.Count {
 		below += c
 		if below >= q*s.Samples {
-			return edge(i)
+			return bucketBound(i)
 		}
 	}
-	return edge(buckets - 1)
+	return bucketBound(buckets - 1)
 }
--- a/health/health.go
+++ b/health/health.go
@@ -1,21 +1,22 @@
-// Package health judges from silence and errors which backend servers have
+// Package health detects from silence and errors which backend servers have
 // failed, and cancels the streams that wait on them.
 //
-// Failure story: an engine that dies with its VM, freezes, or is cut off sends
-// no reset; its callers see an answer that simply stops. A fixed timeout is
-// wrong twice: too long for a caller who waits, too short for an engine that
-// merely prefills a long prompt. A continuous batch advances all of its
-// streams together, so any token on any stream is the engine's heartbeat. The
-// silence that is borne before a resume follows from expected cost: what
-// another moment of waiting costs the callers if the engine is dead, against
-// the prefill thrown away if it was merely slow.
+// An engine that dies with its VM, freezes, or is cut off by the network sends no
+// reset; its callers see an answer that simply stops. A fixed timeout is wrong in
+// two ways: too long for a caller who waits, too short for an engine that merely
+// prefills a long prompt. A continuous batch advances all of its streams together,
+// so any token on any stream serves as the engine's heartbeat. How much silence is
+// accepted before a resume follows from expected cost: what further waiting costs
+// the callers if the engine is dead, against the prefill wasted if it was merely
+// slow.
 //
-// Where backend servers can be asked about their runs (Inquirer), silence and a few
-// failures at one moment only raise the question: one that answers is not given up.
+// Where backend servers can be queried about their runs (see Monitor), silence and a
+// few failures at one moment only start a query: a server that answers is not suspected.
 //
 // When many backend servers seem to fail at once, the cause is usually this
-// process (a pause) or its network. Pauses are detected on the monotonic clock
-// and forgiven, and the share of a replica set that may be ejected is bounded.
+// process (a pause) or its network. Pauses are detected on the monotonic clock and
+// not counted as silence, and the share of a replica set that may be ejected is
+// bounded.
 package health
 
 import "github.com/zeebo/errs"
@@ -29,36 +30,36 @@
 // Error implements error.
 func (c *Cause) Error() string { return "health: " + c.text }
 
-// Resume is true: the answer should be resumed on another engine.
+// Resume returns true: the answer should be resumed on another engine.
 func (c *Cause) Resume() bool { return true }
 
-// Causes given to the cancel function of a stream. Compare with errors.Is.
+// Causes passed to the cancel function of a stream. Compare with errors.Is.
 var (
 	// ErrSuspect means that the whole engine fell silent.
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
-	// ErrStalled means that one stream fell silent beside live ones.
+	// ErrStalled means that one stream fell silent while others of its engine did not.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
-	// ErrEnded means that the engine has started again and holds nothing of before.
+	// ErrEnded means that the engine has restarted and has lost the runs from before.
 	ErrEnded error = &Cause{"engine has started again"}
-	// ErrNoFirstToken means that the prefill took longer than its bound.
+	// ErrNoFirstToken means that the wait for the first token exceeded its bound.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
 )
 
-// State is what is believed of one backend server.
+// State is the assumed state of one backend server.
 type State uint8
 
 const (
-	// Healthy backend servers take work.
+	// Healthy backend servers get work.
 	Healthy State = iota
-	// Suspect ones fell silent; they get no work until their backoff ends.
+	// Suspect backend servers fell silent; they get no work until their backoff ends.
 	Suspect
-	// Down ones refused connections; they get no work until their backoff ends.
+	// Down backend servers refused connections; they get no work until their backoff ends.
 	Down
-	// Probing ones may take a single request, whose answer decides.
+	// Probing backend servers may get a single request, whose answer decides.
 	Probing
 )
 
-// String names the state as metrics and dumps show it.
+// String returns the name of the state in metrics and dumps.
 func (s State) String() string {
 	switch s {
 	case Suspect:
@@ -71,14 +72,14 @@
 	return "healthy"
 }
 
-// RumourKind says what another router reports of a backend server.
+// RumourKind is what another router reports of a backend server.
 type RumourKind uint8
 
 const (
-	// RumourSuspect means that another router sees it silent.
+	// RumourSuspect means that the backend server is silent towards another router.
 	RumourSuspect RumourKind = iota
-	// RumourDown means that it refuses another router's connections.
+	// RumourDown means that the backend server refuses another router's connections.
 	RumourDown
-	// RumourAlive takes earlier rumours back.
+	// RumourAlive withdraws earlier reports.
 	RumourAlive
 )
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -11,24 +11,24 @@
 	"wigeondale/event"
 )
 
-// Monitor watches the backend servers of one process.
+// Monitor tracks the health of the backend servers that one process uses.
 type Monitor struct {
-	// OnChange, set before use, is told when a backend server is ejected or
-	// recovers, so that a rumour can be spread. It must not block.
+	// OnChange, set before use, is called when a backend server is ejected or
+	// recovers, so that other routers can be notified. It must not block.
 	OnChange func(backend, incarnation string, kind RumourKind)
 
-	// Inquirer, set before use, is asked before an engine is suspected for its
-	// silence. Nil where engines can't be asked.
+	// Inquirer, set before use, queries an engine before it is suspected for its
+	// silence. Nil where engines can't be queried.
 	Inquirer Inquirer
 
-	// OnDomain, set before use, is told once when a failure domain is taken to
+	// OnDomain, set before use, is called once when a failure domain is assumed to
 	// have crashed. It must not block.
 	OnDomain func(name string)
 
 	policy Policy
 	log    *event.Log
 	epoch  time.Time
-	prior  Gaps // gaps of all engines, sampled at ticks
+	prior  Gaps // sampled gaps of all engines
 
 	lastTick atomic.Int64
 	pauseEnd atomic.Int64
@@ -39,38 +39,38 @@
 	mu      sync.RWMutex
 	engines map[string]*engine
 
-	// watched holds the engines that a tick has to look at: those with open
-	// streams, and those suspected a short while ago. With thousands of known
-	// engines and a few in use, a look at each in each tick would cost more than all else.
+	// watched holds the engines that a tick has to check: those with open streams, and
+	// those suspected recently. With thousands of known engines and a few in use, checking
+	// each of them in each tick would cost more than everything else.
 	watchMu sync.Mutex
 	watched map[*engine]struct{}
 
-	domains map[string]*domain // under mu
+	domains map[string]*domain // guarded by mu
 
-	suspects, stalls, lates, ended, pauses, held, inquiries *metrics.Counter
+	suspects, stalls, noFirstTokens, restarts, pauses, massHolds, queries *metrics.Counter
 }
 
-// NewMonitor returns a Monitor. A nil log or set is replaced by one that
-// nobody reads.
+// NewMonitor returns a Monitor. A nil log drops all events, and a nil set is replaced by one that
+// isn't exported.
 func NewMonitor(policy Policy, log *event.Log, set *metrics.Set) *Monitor {
 	if set == nil {
 		set = metrics.NewSet()
 	}
 	m := &Monitor{
-		policy:    policy,
-		log:       log,
-		epoch:     time.Now().Add(-time.Second), // so that no time is 0
-		wake:      make(chan struct{}, 1),
-		engines:   map[string]*engine{},
-		watched:   map[*engine]struct{}{},
-		domains:   map[string]*domain{},
-		suspects:  set.NewCounter(`wigeon_health_cancels_total{cause="suspect"}`),
-		stalls:    set.NewCounter(`wigeon_health_cancels_total{cause="stalled"}`),
-		lates:     set.NewCounter(`wigeon_health_cancels_total{cause="no_first_token"}`),
-		ended:     set.NewCounter(`wigeon_health_cancels_total{cause="ended"}`),
-		pauses:    set.NewCounter(`wigeon_health_pauses_total`),
-		held:      set.NewCounter(`wigeon_health_mass_holds_total`),
-		inquiries: set.NewCounter(`wigeon_health_inquiries_total`),
+		policy:        policy,
+		log:           log,
+		epoch:         time.Now().Add(-time.Second), // so that no time is 0
+		wake:          make(chan struct{}, 1),
+		engines:       map[string]*engine{},
+		watched:       map[*engine]struct{}{},
+		domains:       map[string]*domain{},
+		suspects:      set.NewCounter(`wigeon_health_cancels_total{cause="suspect"}`),
+		stalls:        set.NewCounter(`wigeon_health_cancels_total{cause="stalled"}`),
+		noFirstTokens: set.NewCounter(`wigeon_health_cancels_total{cause="no_first_token"}`),
+		restarts:      set.NewCounter(`wigeon_health_cancels_total{cause="ended"}`),
+		pauses:        set.NewCounter(`wigeon_health_pauses_total`),
+		massHolds:     set.NewCounter(`wigeon_health_mass_holds_total`),
+		queries:       set.NewCounter(`wigeon_health_inquiries_total`),
 	}
 	set.NewGauge(`wigeon_health_ejected`, func() float64 { return float64(m.ejected.Load()) })
 	return m
@@ -110,14 +110,14 @@
 	if e.state != Healthy {
 		m.ejected.Add(-1)
 	}
-	e.recover() // it is judged no more
+	e.recover() // healthy, so that ticks stop checking it
 	delete(m.engines, backend)
 	if d := e.domain.Load(); d != nil {
-		d.forget(e)
+		d.remove(e)
 	}
 }
 
-// Ended cancels what waits on a backend server that has started again: its runs are
+// Ended cancels the streams of a backend server that has restarted: its runs are
 // lost, however short their silence.
 func (m *Monitor) Ended(backend string) {
 	m.mu.RLock()
@@ -126,22 +126,22 @@
 	if e == nil {
 		return
 	}
-	m.cancel(e.verdictOn(ErrEnded, func(*Stream) bool { return true }))
+	m.cancel(e.selectStreams(ErrEnded, func(*Stream) bool { return true }))
 }
 
-// Work is what an attempt is to do.
+// Work describes the work of one attempt.
 type Work struct {
-	Request     string // id by which the engine names its run
+	Request     string // id by which the engine identifies its run
 	PromptBytes int
-	Received    int // tokens of the answer that earlier attempts gave
+	Received    int // tokens of the answer that earlier attempts delivered
 }
 
-// Watch begins to watch one attempt, whose cancel function is called with
-// ErrSuspect, ErrStalled or ErrNoFirstToken when it should be resumed
-// elsewhere. Call Close on the Stream in any case.
+// Watch starts to monitor one attempt. Its cancel function is called with one of the causes of
+// this package, such as ErrSuspect or ErrStalled, when it should be resumed elsewhere. The caller
+// must call Close on the Stream in any case.
 func (m *Monitor) Watch(backend string, work Work, cancel context.CancelCauseFunc) *Stream {
 	now := m.at(time.Now())
-	s := &Stream{mon: m, engine: m.engine(backend), cancel: cancel, work: work, opened: now}
+	s := &Stream{monitor: m, engine: m.engine(backend), cancel: cancel, work: work, openedAt: now}
 	if m.open.Add(1) == 1 {
 		m.lastTick.Store(now)
 		select {
@@ -154,20 +154,20 @@
 	return s
 }
 
-// watch has the following ticks look at e.
+// watch has the following ticks check e.
 func (m *Monitor) watch(e *engine) {
 	m.watchMu.Lock()
 	defer m.watchMu.Unlock()
 	m.watched[e] = struct{}{}
 }
 
-// inUse returns the engines to look at, without those that need no look any more.
+// inUse returns the engines to check, and drops those that need no check any more.
 func (m *Monitor) inUse(t int64) []*engine {
 	m.watchMu.Lock()
 	defer m.watchMu.Unlock()
 	out := make([]*engine, 0, len(m.watched))
 	for e := range m.watched {
-		if !e.needsLook(t, m.policy.MassSilence) {
+		if !e.needsCheck(t, m.policy.MassSilence) {
 			delete(m.watched, e)
 			continue
 		}
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -15,7 +15,7 @@
 // step is the decode step of the engines in these tests.
 const step = 30 * time.Millisecond
 
-// attempt is a watched stream of a test engine.
+// attempt is a monitored stream of a test engine.
 type attempt struct {
 	*Stream
 	ctx context.Context
@@ -28,7 +28,7 @@
 	return &attempt{Stream: m.Watch(backend, Work{PromptBytes: prompt}, cancel), ctx: ctx}
 }
 
-// run starts a Monitor's ticks in a bubble of fake time.
+// run calls f with a running Monitor in a synctest bubble.
 func run(t *testing.T, f func(m *Monitor)) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMonitor(DefaultPolicy(), nil, nil)
@@ -55,14 +55,14 @@
 	synctest.Wait()
 }
 
-// Symptom: callers of a frozen engine wait for ever; no reset comes. Sequence:
-// four engines decode, one stops on all of its streams. Its streams must be
-// cancelled with a cause that asks for a resume, the others not; later a
-// single probe at a time may go to it, and a token brings it back.
+// Guards against: callers of a frozen engine wait for ever, since no reset comes. Four engines
+// decode and one stops on all of its streams. Its streams must be cancelled with a cause that
+// asks for a resume, the others not; later a single probe at a time may be sent to it, and a
+// token makes it healthy again.
 func TestFrozenEngineIsSuspectedAndProbed(t *testing.T) {
 	run(t, func(m *Monitor) {
-		var told []RumourKind
-		m.OnChange = func(_, _ string, k RumourKind) { told = append(told, k) }
+		var reports []RumourKind
+		m.OnChange = func(_, _ string, k RumourKind) { reports = append(reports, k) }
 		dead, dead2 := start(m, "e0", 100), start(m, "e0", 100)
 		live := []*attempt{start(m, "e1", 100), start(m, "e2", 100), start(m, "e3", 100)}
 		decode(40, append(live, dead, dead2)...)
@@ -86,21 +86,20 @@
 		if m.State("e0") != Healthy || !m.Allow("e0") {
 			t.Errorf("after a token e0 is %v", m.State("e0"))
 		}
-		if !slices.Equal(told, []RumourKind{RumourSuspect, RumourAlive}) {
-			t.Errorf("rumours %v, want one of suspicion and one of recovery", told)
+		if !slices.Equal(reports, []RumourKind{RumourSuspect, RumourAlive}) {
+			t.Errorf("reports %v, want one of suspicion and one of recovery", reports)
 		}
 	})
 }
 
-// Symptom: one preempted stream makes its whole engine look dead. Sequence:
-// two streams decode, one stops, the other goes on. Only the silent one may be
-// cancelled, as stalled, and not before the slower bound. A stream whose
-// caller takes no tokens is never judged.
+// Guards against: one preempted stream makes its whole engine look dead. Two streams decode, one
+// stops and the other goes on. Only the silent one may be cancelled, as stalled, and not before
+// the longer bound for single streams. A stream whose caller takes no tokens is never evaluated.
 func TestStalledStreamIsJudgedApart(t *testing.T) {
 	run(t, func(m *Monitor) {
-		live, silent, held := start(m, "e0", 100), start(m, "e0", 100), start(m, "e0", 100)
-		decode(40, live, silent, held)
-		held.SetBlocked(true, time.Now())
+		live, silent, blocked := start(m, "e0", 100), start(m, "e0", 100), start(m, "e0", 100)
+		decode(40, live, silent, blocked)
+		blocked.SetBlocked(true, time.Now())
 		decode(int(DefaultPolicy().MinStall/step)-1, live)
 		if silent.cause() != nil {
 			t.Fatalf("cancelled before the bound: %v", silent.cause())
@@ -109,17 +108,17 @@
 		if !errors.Is(silent.cause(), ErrStalled) {
 			t.Errorf("silent stream's cause is %v, want stalled", silent.cause())
 		}
-		if live.cause() != nil || held.cause() != nil || m.State("e0") != Healthy {
-			t.Errorf("live %v, held back %v, engine %v", live.cause(), held.cause(), m.State("e0"))
+		if live.cause() != nil || blocked.cause() != nil || m.State("e0") != Healthy {
+			t.Errorf("live %v, blocked %v, engine %v", live.cause(), blocked.cause(), m.State("e0"))
 		}
 	})
 }
 
-// Symptom: after the VM of this process was frozen, all streams are resumed at
-// once although no engine failed. Sequence: tokens come, this process sleeps
-// for ten seconds, then ticks before any reader has run. Cause: silence
-// measured over a time in which we could not hear. The pause must also not
-// enter the distribution of gaps, or later failures would be waited out.
+// Guards against: after the VM of this process was frozen, all streams are resumed at once
+// although no engine failed. Tokens come, this process sleeps for ten seconds, then ticks before
+// any reader has run, so that silence is measured over a time in which nothing could be
+// received. The pause must also not enter the histogram of gaps, or later failures would be
+// waited out.
 func TestOwnPauseIsForgiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMonitor(DefaultPolicy(), nil, nil)
@@ -138,7 +137,7 @@
 		time.Sleep(10 * time.Second)
 		tick(4)
 		if s.cause() != nil {
-			t.Fatalf("cancelled after our own pause: %v", s.cause())
+			t.Fatalf("cancelled after a pause of this process: %v", s.cause())
 		}
 		s.Token(time.Now())
 		if got := s.engine.gaps.Shares().Samples; got != before {
@@ -151,9 +150,9 @@
 	})
 }
 
-// Symptom: a cut of our own network makes us resume everything everywhere.
-// Sequence: eight engines fall silent, not in the same tick. No more than the
-// bounded share may be acted on before MassSilence, then all.
+// Guards against: a failure of this process's own network makes it resume all streams of all
+// engines. Eight engines fall silent, not in the same tick. No more than the bounded share may be
+// acted on before MassSilence, then all.
 func TestMassSilenceIsHeldBack(t *testing.T) {
 	run(t, func(m *Monitor) {
 		var all []*attempt
@@ -171,25 +170,24 @@
 		}
 		time.Sleep(DefaultPolicy().MassSilence - 2*step)
 		if got := cancelled(); got > 4 {
-			t.Errorf("%d of 8 engines were given up before the bound for mass silence", got)
+			t.Errorf("%d of 8 engines were suspected before the bound for mass silence", got)
 		}
 		time.Sleep(4 * step)
 		if got := cancelled(); got != 8 {
-			t.Errorf("after it %d of 8 were given up, want all", got)
+			t.Errorf("after it %d of 8 were suspected, want all", got)
 		}
 	})
 }
 
-// Symptom: now and then a stream is cancelled at its very first token.
-// Sequence: the engine was idle for a minute; a tick falls between the two
-// writes that record a first token, and finds a decoding stream on an engine
-// that was last heard a minute ago.
+// Guards against: a stream is sometimes cancelled at its very first token. The engine was idle
+// for a minute; a tick falls between the two writes that record a first token, and finds a
+// decoding stream on an engine whose last token is a minute old.
 func TestFirstTokenAfterIdleIsNoSilence(t *testing.T) {
 	m := NewMonitor(DefaultPolicy(), nil, nil)
 	now := time.Now()
 	s := start(m, "e0", 100)
-	s.engine.last.Store(m.at(now.Add(-time.Minute)))
-	s.last.Store(m.at(now)) // the first of the two writes
+	s.engine.lastToken.Store(m.at(now.Add(-time.Minute)))
+	s.lastToken.Store(m.at(now)) // the first of the two writes
 	m.lastTick.Store(m.at(now))
 	m.Tick(now)
 	if s.cause() != nil {
@@ -197,8 +195,8 @@
 	}
 }
 
-// Symptom: one router that is cut off talks the others out of healthy engines.
-// Sequence: rumours go on and on while tokens arrive.
+// Guards against: one isolated router makes the others eject healthy engines. Its reports keep
+// arriving while tokens arrive too.
 func TestRumourAloneNeverEjects(t *testing.T) {
 	run(t, func(m *Monitor) {
 		s := start(m, "e0", 100)
@@ -212,9 +210,9 @@
 	})
 }
 
-// Symptom: a wave of errors ejects a whole replica set, and its load kills the
-// last ones. For any sequence of refusals and successes no more than the
-// stated share may be unusable.
+// Guards against: a wave of errors ejects a whole replica set, and the load overwhelms the
+// remaining replicas. For any sequence of refusals and successes no more than the configured
+// share may be unusable.
 func TestEjectionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
@@ -271,11 +269,10 @@
 	}
 }
 
-// Symptom: an engine that pauses now and then is suspected on each pause, for
-// ever. Sequence: it falls silent for longer than its threshold, its streams
-// are cancelled, and it answers again as the same incarnation. Cause: the gap
-// was never recorded, since no stream was left to receive its next token. A new
-// incarnation's silence was a death and must not count as a pause.
+// Guards against: an engine that pauses now and then is suspected at each pause, for ever. It
+// falls silent for longer than its threshold, its streams are cancelled, and it answers again as
+// the same incarnation; the gap must be recorded although no stream was left to receive its next
+// token. The silence before a new incarnation was a crash and must not count as a pause.
 func TestSuspectedPauseIsLearned(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		run(t, func(m *Monitor) {
@@ -295,15 +292,15 @@
 			m.Result("e1", nil)
 			got := m.engine("e1").gaps.Shares().Samples - before
 			if want := map[bool]float64{false: 1, true: 0}[restarted]; got != want {
-				t.Errorf("restarted %v: %v gaps learned, want %v", restarted, got, want)
+				t.Errorf("restarted %v: %v gaps recorded, want %v", restarted, got, want)
 			}
 		})
 	}
 }
 
-// The fixed timeout that measurements compare with must be just that: a silent
-// stream is cancelled after it although its engine's other stream is alive, and
-// a stream of a silent engine not before it.
+// The fixed timeout, the baseline that measurements compare with, must apply to each stream by
+// itself: a silent stream is cancelled after it although another stream of its engine is alive,
+// and not before it.
 func TestFixedTimeoutJudgesEachStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := DefaultPolicy()
@@ -311,14 +308,14 @@
 		m := NewMonitor(p, nil, nil)
 		live, silent := start(m, "e1", 8000), start(m, "e1", 8000)
 		silent.Token(time.Now())
-		const beat = 20 * time.Millisecond
-		for waited := time.Duration(0); waited < p.FixedTimeout; waited += beat {
+		const interval = 20 * time.Millisecond
+		for waited := time.Duration(0); waited < p.FixedTimeout; waited += interval {
 			live.Token(time.Now())
 			m.Tick(time.Now())
 			if silent.cause() != nil {
 				t.Fatalf("cancelled after %v", waited)
 			}
-			time.Sleep(beat)
+			time.Sleep(interval)
 		}
 		live.Token(time.Now())
 		m.Tick(time.Now())
@@ -328,11 +325,10 @@
 	})
 }
 
-// Symptom: a stalled replica keeps its share of all lookups; or a sound one is
-// left because some of its answers are late.
-// Sequence: late answers alone; late ones with answers in between; many late
-// ones at the same moment, as when a packet is lost; a probe that is late.
-// Cause: a single late answer was taken for nothing, or for too much.
+// Guards against: a stalled replica keeps its share of all calls, because a single late answer
+// has no effect; or a healthy replica is ejected, because it has too much. The cases are: late
+// answers only; late ones with answers in between; many late ones at the same moment, as when a
+// packet is lost; a probe that is answered late.
 func TestLateAnswersAreWeakEvidence(t *testing.T) {
 	run(t, func(m *Monitor) {
 		p := &m.policy
--- a/health/policy.go
+++ b/health/policy.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Policy holds a deployment's weights and the bounds on what follows from them.
+// Policy holds a deployment's weights, and the bounds on the timeouts derived from them.
 type Policy struct {
 	// ResumeLatencyWeight is the cost of one second for which one caller waits
-	// on a silent engine, dead or not.
+	// on a silent engine, whether or not the engine is dead.
 	ResumeLatencyWeight float64 `json:"resume_latency_weight"`
 	// ExtraWorkWeight is the cost of one second that one stream of an engine
-	// loses to prefill that a failure-free run would not need.
+	// loses to prefill that would not be needed without failures.
 	ExtraWorkWeight float64 `json:"extra_work_weight"`
 	// FailuresPerHour is the prior rate of real failures of one engine.
 	FailuresPerHour float64 `json:"failures_per_hour"`
@@ -18,11 +18,11 @@
 	TokenBytes float64 `json:"token_bytes"`
 	// TypicalGap is the gap between tokens assumed before any was observed.
 	TypicalGap time.Duration `json:"typical_gap"`
-	// TailExponent is how fast healthy gaps longer than all seen are taken to
-	// become rarer: twice as long is 2^TailExponent times as rare. A low one
-	// bears long silences.
+	// TailExponent is how fast healthy gaps longer than all seen are assumed to
+	// become rarer: twice as long is 2^TailExponent times as rare. A low value
+	// accepts long silences.
 	TailExponent float64 `json:"tail_exponent"`
-	// FixedTimeout, above 0, replaces the judgement of silence: each stream is
+	// FixedTimeout, above 0, replaces the evaluation of silence: each stream is
 	// cancelled after it, whatever the engine's other streams do.
 	FixedTimeout time.Duration `json:"fixed_timeout"`
 	// MinSilence and MaxSilence bound the silence of an engine before it is
@@ -30,25 +30,26 @@
 	MinSilence time.Duration `json:"min_silence"`
 	MaxSilence time.Duration `json:"max_silence"`
 	// StallFactor times the engine's threshold, at least MinStall and at most
-	// MaxStall, is the bound on one silent stream beside live ones.
+	// MaxStall, is the bound on one silent stream while others of its engine are alive.
 	StallFactor float64       `json:"stall_factor"`
 	MinStall    time.Duration `json:"min_stall"`
 	MaxStall    time.Duration `json:"max_stall"`
 	// MinPrefill plus PrefillFactor times the expected prefill, at most
 	// MaxPrefill, bounds the wait for a first token. QueueFactor multiplies the
-	// bound while the engine's other streams are alive, since the request then
-	// waits its turn.
+	// bound while the engine's other streams are alive, since the request is then
+	// queued behind them.
 	MinPrefill    time.Duration `json:"min_prefill"`
 	MaxPrefill    time.Duration `json:"max_prefill"`
 	PrefillFactor float64       `json:"prefill_factor"`
 	QueueFactor   float64       `json:"queue_factor"`
-	// RumourFactor multiplies the prior of failure while a rumour lives.
-	RumourFactor float64       `json:"rumour_factor"`
-	RumourLife   time.Duration `json:"rumour_life"`
+	// RumourFactor multiplies the prior of failure while a peer report is current.
+	RumourFactor float64 `json:"rumour_factor"`
+	// RumourLife is how long a peer report stays current.
+	RumourLife time.Duration `json:"rumour_life"`
 	// DownAfter is the number of refused connections in a row before Down.
 	DownAfter int `json:"down_after"`
-	// LateAfter is the number of late answers in a row, over LateSpan at least,
-	// before a backend server is suspected: see Monitor.Late.
+	// LateAfter is the number of late answers in a row, over at least LateSpan,
+	// after which a backend server is suspected: see Monitor.Late.
 	LateAfter int           `json:"late_after"`
 	LateSpan  time.Duration `json:"late_span"`
 	// MinBackoff doubles with each failed probe up to MaxBackoff. ProbeTimeout
@@ -59,17 +60,17 @@
 	// MaxEjectedShare is the largest share of a replica set ejected at once.
 	MaxEjectedShare float64 `json:"max_ejected_share"`
 	// MassSilence is the silence required when more than MaxEjectedShare of the
-	// watched engines are silent together.
+	// engines in use are silent together.
 	MassSilence time.Duration `json:"mass_silence"`
-	// Tick is the interval of judgement. A gap between ticks longer than
-	// PauseGap is a pause of this process; PauseGrace is added to what is
-	// forgiven, so that tokens waiting in sockets are read first.
+	// Tick is the interval of evaluation. A gap between ticks longer than
+	// PauseGap is a pause of this process. PauseGrace is added to the pause before it
+	// is excluded from silences, so that tokens waiting in sockets are read first.
 	Tick       time.Duration `json:"tick"`
 	PauseGap   time.Duration `json:"pause_gap"`
 	PauseGrace time.Duration `json:"pause_grace"`
 }
 
-// DefaultPolicy weighs a caller's second and an engine's second alike.
+// DefaultPolicy gives the same weight to a caller's second and to an engine's second.
 func DefaultPolicy() Policy {
 	return Policy{
 		ResumeLatencyWeight:   1,
@@ -135,13 +136,13 @@
 	if p.MaxEjectedShare >= 1 {
 		return Error.New("max_ejected_share must be below 1")
 	}
-	if p.MaxSilence > edge(buckets-1) {
-		return Error.New("max_silence must be at most %v", edge(buckets-1))
+	if p.MaxSilence > bucketBound(buckets-1) {
+		return Error.New("max_silence must be at most %v", bucketBound(buckets-1))
 	}
 	return nil
 }
 
-// prefill is the engine time to prefill n bytes, in seconds.
+// prefill returns the engine time to prefill text of the given size, in seconds.
 func (p *Policy) prefill(bytes float64) float64 {
 	if p.PrefillBytesPerSecond <= 0 {
 		return 0
@@ -149,7 +150,7 @@
 	return bytes / p.PrefillBytesPerSecond
 }
 
-// PrefillBound is how long a stream may wait for its first token.
+// PrefillBound returns how long a stream may wait for its first token.
 func (p *Policy) PrefillBound(promptBytes int, engineAlive bool) time.Duration {
 	expected := p.prefill(float64(promptBytes)) * p.PrefillFactor
 	bound := p.MinPrefill + time.Duration(expected*float64(time.Second))
@@ -159,7 +160,7 @@
 	return min(bound, p.MaxPrefill)
 }
 
-// stallBound is how long one stream may be silent beside live ones.
+// stallBound returns how long one stream may be silent while others of its engine are alive.
 func (p *Policy) stallBound(threshold time.Duration) time.Duration {
 	bound := time.Duration(float64(threshold) * p.StallFactor)
 	return min(max(bound, p.MinStall), p.MaxStall)
--- /dev/null
+++ b/health/query.go
@@ -0,0 +1,135 @@
+package health
+
+import (
+	"context"
+	"time"
+
+	"wigeondale/event"
+)
+
+// Before an engine is suspected for its silence, it is queried about its runs.
+//
+// Engines that have more work than they can do pause between the tokens of a stream: they read
+// prompts, or preempt a run for lack of memory. If they were taken for dead, their runs would be
+// started again elsewhere, where each reads its prompt once more, so that the fleet has even
+// more work: after a burst of requests most answers would be slow long after it has passed. A
+// dead engine doesn't answer, so that the query delays its detection only a little.
+
+const (
+	// queryTimeout bounds the wait for an engine's report. It is shorter than the time after
+	// which the kernel sends a lost packet again.
+	queryTimeout = 100 * time.Millisecond
+	// runReportTTL is how long an engine's report counts before it is queried again.
+	runReportTTL = 500 * time.Millisecond
+	// maxConfirmedSilence is the longest silence that is accepted of an engine that answers
+	// queries: a preempted run continues when its prompt has been read again.
+	maxConfirmedSilence = 4 * time.Second
+	// confirmedPrefillBounds is how many times the bound on a first token is waited out while
+	// an engine answers queries: it can't name the runs whose prompts are still to be read, only
+	// count them.
+	confirmedPrefillBounds = 2
+)
+
+// Inquirer queries backend servers about their runs.
+type Inquirer interface {
+	// Ask returns the report of one backend server; an error means that it gave none.
+	Ask(ctx context.Context, backend string) (Word, error)
+}
+
+// Word is what a backend server reports about its runs.
+type Word interface {
+	// Holds reports whether the backend server has a run of the request and has produced no
+	// more than received tokens of it: tokens that were produced but not received were lost on
+	// the way.
+	Holds(request string, received int) bool
+}
+
+// runQuery is the last query that an engine was sent. Guarded by engine.mu.
+type runQuery struct {
+	sentAt int64 // 0 when it was never queried
+	open   bool  // no report has arrived yet
+	failed bool  // the query failed
+}
+
+// queryState is the state of the query about an engine's silence.
+type queryState uint8
+
+const (
+	notQueried      queryState = iota
+	queryPending               // it was queried and has some time left to answer
+	queryAnswered              // it has answered
+	queryUnanswered            // it has not answered in time
+)
+
+// queryState returns the state of the query of the engine at t. The caller holds e.mu.
+func (e *engine) queryState(t int64) queryState {
+	q := &e.query
+	age := t - q.sentAt
+	switch {
+	case q.sentAt == 0:
+		return notQueried
+	case q.open && age < int64(queryTimeout):
+		return queryPending
+	case q.open || q.failed:
+		if age < int64(runReportTTL) {
+			return queryUnanswered
+		}
+		return notQueried
+	case age < int64(runReportTTL):
+		return queryAnswered
+	}
+	return notQueried
+}
+
+// silenceConfirmed reports whether a silence of e is to be acted on at t. If no current report is
+// known, it sends a query and returns false. The caller holds e.mu.
+func (m *Monitor) silenceConfirmed(e *engine, silence time.Duration, t int64) bool {
+	if m.Inquirer == nil || silence >= maxConfirmedSilence {
+		return true
+	}
+	switch e.queryState(t) {
+	case queryUnanswered:
+		return true
+	case notQueried:
+		e.query = runQuery{sentAt: t, open: true}
+		m.queries.Inc()
+		go m.queryRuns(e, t)
+	}
+	return false
+}
+
+// queryRuns queries e and applies its report.
+func (m *Monitor) queryRuns(e *engine, sentAt int64) {
+	ctx, stop := context.WithTimeout(context.Background(), queryTimeout)
+	defer stop()
+	r, err := m.Inquirer.Ask(ctx, e.id)
+	lost := e.applyRunReport(r, err, sentAt)
+	m.log.Emit(event.EngineAsked, "backend", e.id, "lost", len(lost.streams), "err", err)
+	m.cancel(lost)
+}
+
+// applyRunReport applies the report of an engine, or the error of the query. It returns the
+// streams that are to be cancelled: those that the engine doesn't have, or of which tokens were
+// lost.
+func (e *engine) applyRunReport(r Word, err error, sentAt int64) evaluation {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	v := evaluation{engine: e}
+	if e.query.sentAt != sentAt {
+		return v
+	}
+	e.query.open = false
+	e.query.failed = err != nil
+	if err != nil {
+		return v
+	}
+	for _, s := range e.streams {
+		started := s.lastToken.Load() != 0 && s.lastToken.Load() < sentAt
+		if !started || s.cancelled || s.blocked.Load() || r.Holds(s.work.Request, s.received()) {
+			continue
+		}
+		v.streams = append(v.streams, s)
+		v.causes = append(v.causes, ErrStalled)
+	}
+	return v
+}
--- a/health/stream.go
+++ b/health/stream.go
@@ -6,106 +6,106 @@
 	"time"
 )
 
-// priorEvery is the share of gaps, one in so many, that also goes into the
-// prior shared by all engines. All of them would make its counters contended.
-const priorEvery = 16
+// priorInterval is how many gaps of a stream there are for each one that also goes into the prior
+// shared by all engines. Recording all of them would make the prior's counters contended.
+const priorInterval = 16
 
-// Stream is one attempt's watch on its engine. Token and SetBlocked may run
-// beside the Monitor's ticks. One goroutine calls Token and Close; Close is
-// idempotent.
+// Stream monitors one attempt on its engine. Token and SetBlocked may run concurrently with the
+// Monitor's ticks. One goroutine calls Token and Close; Close is idempotent.
 type Stream struct {
-	mon    *Monitor
-	engine *engine
-	cancel context.CancelCauseFunc
-	work   Work
-	opened int64
-	last   atomic.Int64 // last token, 0 before the first
-	tokens atomic.Int64
-	// blocked is set while the caller does not take tokens: then the engine
-	// is not read, and its silence is ours.
+	monitor   *Monitor
+	engine    *engine
+	cancel    context.CancelCauseFunc
+	work      Work
+	openedAt  int64
+	lastToken atomic.Int64 // time of the last token, 0 before the first
+	tokens    atomic.Int64
+	// blocked is set while the caller does not take tokens: then the engine is not read, and
+	// the silence is caused by this process.
 	blocked atomic.Bool
 	closed  atomic.Bool
 
-	// resumable is set while a copy of the run's state is kept elsewhere: going
-	// on there needs no prefill, so less silence is borne.
+	// resumable is set while a copy of the run's state is kept elsewhere: resuming there
+	// needs little prefill, so less silence is accepted.
 	resumable atomic.Bool
 
-	slot       int // index in engine.streams, under engine.mu
-	cancelled  bool
-	credit     time.Duration
-	creditFrom int64
+	slot        int // index in engine.streams, guarded by engine.mu
+	cancelled   bool
+	pauseCredit time.Duration
+	creditFrom  int64
 }
 
 // Token records a token that arrived at now. It does not allocate.
 func (s *Stream) Token(now time.Time) {
-	t := int64(now.Sub(s.mon.epoch))
+	t := int64(now.Sub(s.monitor.epoch))
 	n := s.tokens.Add(1)
 
-	prev := s.engine.last.Swap(t)
-	if s.last.Swap(t) == 0 {
-		s.mon.success(s.engine) // it answers, so it is healthy
-		return                  // it may have been idle: this is no gap
+	prev := s.engine.lastToken.Swap(t)
+	if s.lastToken.Swap(t) == 0 {
+		s.monitor.success(s.engine) // it answers, so it is healthy
+		return                      // the engine may have been idle before: this is no gap
 	}
-	// A gap that spans a pause of this process says nothing of the engine.
-	if t-s.mon.lastTick.Load() > int64(s.mon.policy.PauseGap) {
+	// A gap that spans a pause of this process is no measure of the engine.
+	if t-s.monitor.lastTick.Load() > int64(s.monitor.policy.PauseGap) {
 		return
 	}
-	if prev < s.mon.pauseEnd.Load() {
+	if prev < s.monitor.pauseEnd.Load() {
 		return
 	}
 	gap := time.Duration(t - prev)
 	s.engine.gaps.Add(gap)
-	if n%priorEvery == 0 {
-		s.mon.prior.Add(gap)
+	if n%priorInterval == 0 {
+		s.monitor.prior.Add(gap)
 	}
 }
 
-// SetBlocked tells that the caller stopped or began again to take tokens.
-// Without it, a slow caller would make a healthy engine look silent.
+// SetBlocked records that the caller stopped taking tokens, or takes them again. Without it, a
+// slow caller would make a healthy engine look silent.
 func (s *Stream) SetBlocked(blocked bool, now time.Time) {
 	if !blocked {
-		t := int64(now.Sub(s.mon.epoch))
-		if s.last.Load() != 0 {
-			s.engine.last.Store(t)
-			s.last.Store(t)
+		t := int64(now.Sub(s.monitor.epoch))
+		if s.lastToken.Load() != 0 {
+			s.engine.lastToken.Store(t)
+			s.lastToken.Store(t)
 		}
 	}
 	s.blocked.Store(blocked)
 }
 
-// received is how many tokens of the answer came, from this attempt and earlier ones.
+// received returns how many tokens of the answer came, from this attempt and earlier ones.
 func (s *Stream) received() int { return s.work.Received + int(s.tokens.Load()) }
 
-// SetCopied tells whether a copy of the run's state is kept elsewhere.
+// SetCopied sets whether a copy of the run's state is kept elsewhere.
 func (s *Stream) SetCopied(copied bool) { s.resumable.Store(copied) }
 
-// Close ends the watch. Call it as soon as the last token was read.
+// Close ends the monitoring. Call it as soon as the last token was read.
 func (s *Stream) Close() {
 	if s.closed.Swap(true) {
 		return
 	}
 	s.engine.remove(s)
-	s.mon.open.Add(-1)
+	s.monitor.open.Add(-1)
 }
 
-func (s *Stream) forgive(pause time.Duration) {
-	from := s.last.Load()
+func (s *Stream) discountPause(pause time.Duration) {
+	from := s.lastToken.Load()
 	if s.creditFrom != from {
-		s.creditFrom, s.credit = from, 0
+		s.creditFrom, s.pauseCredit = from, 0
 	}
-	s.credit += pause
+	s.pauseCredit += pause
 }
 
-// silence is the time since the last token, or since the stream was opened.
+// silence returns the time since the last token, or since the stream was opened, without
+// pauses of this process.
 func (s *Stream) silence(now int64) time.Duration {
-	last := s.last.Load()
+	last := s.lastToken.Load()
 	from := last
 	if last == 0 {
-		from = s.opened
+		from = s.openedAt
 	}
 	d := time.Duration(now - from)
 	if s.creditFrom == last {
-		d -= s.credit
+		d -= s.pauseCredit
 	}
 	return d
 }
--- a/health/judge_test.go
+++ b/health/threshold_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// history30 is an engine that stepped every 30 ms, with now and then a pause.
+// history30 returns the history of an engine that steps every 30 ms, with some pauses.
 func history30(pause time.Duration, pauses int) History {
 	var g Gaps
 	for range 2000 {
@@ -17,12 +17,12 @@
 	return History{Gaps: g.Shares(), Streams: 20, Bytes: 20 * 8000}
 }
 
-// Symptom of a wrong threshold: callers wait for seconds on dead engines, or
-// engines that were merely slow are paid for twice. Each row changes one thing
+// Guards against: a wrong threshold, by which callers wait for seconds on dead engines or
+// prefill is repeated for engines that were merely slow. Each row changes one input
 // and states which way the threshold must move.
 func TestThresholdFollowsExpectedCost(t *testing.T) {
 	base := DefaultPolicy()
-	usual := Threshold(history30(0, 0), &base)
+	baseline := Threshold(history30(0, 0), &base)
 	rows := []struct {
 		name   string
 		change func(h *History, p *Policy)
@@ -32,34 +32,33 @@
 		{"extra work weighs more", func(_ *History, p *Policy) { p.ExtraWorkWeight = 20 }, true},
 		{"more text to prefill", func(h *History, _ *Policy) { h.Bytes *= 20 }, true},
 		{"failures are frequent", func(_ *History, p *Policy) { p.FailuresPerHour = 20 }, false},
-		{"a rumour is about", func(h *History, _ *Policy) { h.Rumoured = true }, false},
+		{"a peer report is current", func(h *History, _ *Policy) { h.Rumoured = true }, false},
 		{"an engine with pauses", func(h *History, _ *Policy) { *h = history30(700*time.Millisecond, 40) }, true},
 	}
 	for _, row := range rows {
 		h, p := history30(0, 0), base
 		row.change(&h, &p)
 		got := Threshold(h, &p)
-		if row.longer && got <= usual {
-			t.Errorf("%s: threshold %v, want above %v", row.name, got, usual)
+		if row.longer && got <= baseline {
+			t.Errorf("%s: threshold %v, want above %v", row.name, got, baseline)
 		}
-		if !row.longer && got >= usual {
-			t.Errorf("%s: threshold %v, want below %v", row.name, got, usual)
+		if !row.longer && got >= baseline {
+			t.Errorf("%s: threshold %v, want below %v", row.name, got, baseline)
 		}
 	}
-	if usual < 2*30*time.Millisecond || usual > 2*time.Second {
-		t.Errorf("threshold of an engine with steps of 30 ms is %v", usual)
+	if baseline < 2*30*time.Millisecond || baseline > 2*time.Second {
+		t.Errorf("threshold of an engine with steps of 30 ms is %v", baseline)
 	}
 }
 
-// Symptom: streams are resumed at each preemption. Sequence: an engine steps
-// every 30 ms and pauses for 700 ms once in fifty steps; silence of 100 ms is
-// rare for its steps, yet the token is likely to come. Cause guarded against:
-// judging only by the next moment.
+// Guards against: streams are resumed at each preemption, because only the next moment is
+// considered. An engine steps every 30 ms and pauses for 700 ms once in fifty steps; silence of
+// 100 ms is rare for its steps, yet the next token is likely to come.
 func TestKnownPausesAreWaitedOut(t *testing.T) {
 	p := DefaultPolicy()
 	got := Threshold(history30(700*time.Millisecond, 40), &p)
 	if got < 700*time.Millisecond {
-		t.Errorf("threshold %v is shorter than the engine's usual pauses", got)
+		t.Errorf("threshold %v is shorter than the engine's typical pauses", got)
 	}
 }
 
@@ -70,17 +69,17 @@
 		t.Errorf("bounds: short %v, long %v", short, long)
 	}
 	if p.PrefillBound(100, true) <= short {
-		t.Error("a request that queues behind live streams is given no more time")
+		t.Error("a request that is queued behind live streams is given no more time")
 	}
 }
 
 func TestBucketsMatchTheirEdges(t *testing.T) {
 	for i := range buckets - 1 {
-		if got := bucketOf(edge(i) - time.Microsecond); got != i {
-			t.Errorf("just below edge %d: bucket %d", i, got)
+		if got := bucketOf(bucketBound(i) - time.Microsecond); got != i {
+			t.Errorf("just below bound %d: bucket %d", i, got)
 		}
-		if got := bucketOf(edge(i)); got != i+1 {
-			t.Errorf("at edge %d: bucket %d", i, got)
+		if got := bucketOf(bucketBound(i)); got != i+1 {
+			t.Errorf("at bound %d: bucket %d", i, got)
 		}
 	}
 }
@@ -90,25 +89,24 @@
 	if err := p.Check(); err != nil {
 		t.Error(err)
 	}
-	for name, spoil := range map[string]func(p *Policy){
+	for name, invalidate := range map[string]func(p *Policy){
 		"weight":    func(p *Policy) { p.ExtraWorkWeight = 0 },
 		"bounds":    func(p *Policy) { p.MaxSilence = p.MinSilence },
 		"share":     func(p *Policy) { p.MaxEjectedShare = 1 },
 		"histogram": func(p *Policy) { p.MaxSilence = time.Hour },
 	} {
 		bad := DefaultPolicy()
-		spoil(&bad)
+		invalidate(&bad)
 		if !Error.Has(bad.Check()) {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Symptom: deployments with opposite weights resume at the same silence, and
-// an operator who changes a weight sees no change. Sequence: an engine steps
-// every 30 ms; among thousands of gaps two were of 600 ms. Cause: the wait for
-// an engine that merely pauses cost nothing in the sum, so one observed pause
-// outweighed every weight and the threshold was the longest gap in memory.
+// Guards against: deployments with opposite weights resume at the same silence, and an operator
+// who changes a weight sees no effect. An engine steps every 30 ms; among thousands of gaps two
+// are of 600 ms. If the wait for an engine that merely pauses costs nothing in the sum, one
+// observed pause outweighs every weight and the threshold is the longest gap in the histogram.
 func TestWeightsMoveTheThreshold(t *testing.T) {
 	at := func(latency, extra float64, pauses int) time.Duration {
 		p := DefaultPolicy()
@@ -132,7 +130,7 @@
 	}
 }
 
-// BenchmarkThreshold is one judgement of one engine; it runs at most five
+// BenchmarkThreshold measures the evaluation of one engine; it runs at most five
 // times a second for an engine that is silent beyond MinSilence.
 func BenchmarkThreshold(b *testing.B) {
 	p := DefaultPolicy()
--- a/health/tick.go
+++ b/health/tick.go
@@ -6,24 +6,25 @@
 	"wigeondale/event"
 )
 
-// massMinimum is the number of watched engines from which silence of many at
-// once is taken for our own fault.
-const massMinimum = 4
+// minMassEngines is the number of engines in use from which silence of many at once is attributed
+// to this process or its network.
+const minMassEngines = 4
 
-// verdict is what one tick finds of one engine.
-type verdict struct {
+// evaluation is the result of evaluating one engine.
+type evaluation struct {
 	engine  *engine
 	silence time.Duration
 	suspect bool
-	streams []*Stream // to cancel, with the cause of each
+	streams []*Stream // to cancel; causes holds the cause of each
 	causes  []error
 }
 
-// verdictOn ends those streams of e, for one cause, that lost says are lost.
-func (e *engine) verdictOn(cause error, lost func(*Stream) bool) verdict {
+// selectStreams selects the open streams of e for which lost returns true, to be cancelled with
+// cause.
+func (e *engine) selectStreams(cause error, lost func(*Stream) bool) evaluation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	v := verdict{engine: e}
+	v := evaluation{engine: e}
 	for _, s := range e.streams {
 		if s.cancelled || !lost(s) {
 			continue
@@ -34,23 +35,23 @@
 	return v
 }
 
-// Tick judges every engine with open streams. Run calls it; tests may.
+// Tick evaluates every engine with open streams. Run calls it, and so may tests.
 func (m *Monitor) Tick(now time.Time) {
 	t := m.at(now)
 	if m.pausedBefore(t) {
 		return
 	}
 	engines := m.inUse(t)
-	m.judgeDomains(engines, t)
-	for _, v := range m.holdMass(m.judgeAll(engines, t)) {
-		m.act(v, t)
+	m.evaluateDomains(engines, t)
+	for _, v := range m.limitMassSuspicion(m.evaluateAll(engines, t)) {
+		m.applyEvaluation(v, t)
 	}
 }
 
-// pausedBefore detects that this process did not run for a while. Frozen by
-// the host or starved of the processor, we hear no tokens, and without this
-// every engine would seem to fail at once. A token-free gap between our own
-// ticks is no evidence, so it is taken off every silence.
+// pausedBefore detects that this process did not run for a while, because it was frozen by the
+// host or got no processor time. It receives no tokens then, and without this check every engine
+// would seem to fail at once. Time without tokens between two ticks that far apart is no evidence
+// against an engine, so it is excluded from every silence.
 func (m *Monitor) pausedBefore(t int64) bool {
 	gap := time.Duration(t - m.lastTick.Swap(t))
 	if gap <= m.policy.PauseGap {
@@ -60,7 +61,7 @@
 	m.pauses.Inc()
 	pause := gap + min(gap, m.policy.PauseGrace)
 	for _, e := range m.list() {
-		e.forgive(pause)
+		e.discountPause(pause)
 	}
 	return true
 }
@@ -75,17 +76,17 @@
 	return out
 }
 
-// tally is the outcome of one tick over all engines.
-type tally struct {
-	watched int // engines with open streams, or suspected a short while ago
-	recent  int // of those, suspected a short while ago
-	found   []verdict
+// tickResult is the result of evaluating all engines in one tick.
+type tickResult struct {
+	watched     int // engines with open streams, or suspected recently
+	recent      int // of those, suspected recently
+	evaluations []evaluation
 }
 
-func (m *Monitor) judgeAll(engines []*engine, t int64) tally {
-	var sum tally
+func (m *Monitor) evaluateAll(engines []*engine, t int64) tickResult {
+	var sum tickResult
 	for _, e := range engines {
-		v, open := m.judgeOne(e, t)
+		v, open := m.evaluateEngine(e, t)
 		recent := e.suspectSince(t, m.policy.MassSilence)
 		if open || recent {
 			sum.watched++
@@ -94,110 +95,110 @@
 			sum.recent++
 		}
 		if v.suspect || len(v.streams) > 0 {
-			sum.found = append(sum.found, v)
+			sum.evaluations = append(sum.evaluations, v)
 		}
 	}
 	return sum
 }
 
-// judgeOne judges an engine and its streams; ok is false without open ones.
-func (m *Monitor) judgeOne(e *engine, t int64) (v verdict, ok bool) {
+// evaluateEngine evaluates an engine and its streams; ok is false if none of its streams is open.
+func (m *Monitor) evaluateEngine(e *engine, t int64) (v evaluation, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.waitedOn() {
+	if !e.hasOpenStreams() {
 		return v, false
 	}
 	h := e.history(t)
-	v = verdict{engine: e, silence: h.Silence}
-	h.Rumoured = t < e.rumourUntil
+	v = evaluation{engine: e, silence: h.Silence}
+	h.Rumoured = t < e.peerReportUntil
 	d := Decision{Threshold: m.policy.MaxSilence}
 	if m.policy.FixedTimeout > 0 {
-		m.judgeFixed(&v, t)
+		m.evaluateFixedTimeout(&v, t)
 		return v, true
 	}
-	// Below the lower bound nothing can be decided: skip the arithmetic.
+	// Below the lower bound no suspicion is possible: skip the arithmetic.
 	if v.silence >= m.policy.MinSilence && h.Streams > 0 {
 		d.Threshold = m.threshold(e, &h, t)
-		d.Suspect = v.silence >= d.Threshold && m.doubt(e, v.silence, t)
+		d.Suspect = v.silence >= d.Threshold && m.silenceConfirmed(e, v.silence, t)
 	}
 	v.suspect = d.Suspect
-	m.judgeStreams(&v, d, h.Streams > 0, t)
+	m.evaluateStreams(&v, d, h.Streams > 0, t)
 	return v, true
 }
 
-// knownThreshold is the outcome of an earlier judgement of an engine.
-type knownThreshold struct {
-	at       int64
-	streams  int
-	rumoured bool
-	value    time.Duration
+// thresholdCache is the cached threshold of an engine, with the inputs it was computed from.
+type thresholdCache struct {
+	at           int64
+	streams      int
+	peerReported bool
+	value        time.Duration
 }
 
-// thresholdLife is how long a threshold is used for the same streams. Engines
+// thresholdTTL is how long a threshold is used for the same streams. Engines
 // with long steps are silent beyond MinSilence in most ticks, and the
 // arithmetic for hundreds of them in each tick would cost a good part of a core.
-const thresholdLife = int64(200 * time.Millisecond)
+const thresholdTTL = int64(200 * time.Millisecond)
 
-// threshold judges anew when the engine's circumstances changed.
+// threshold returns the cached threshold, or computes it when the engine's circumstances changed.
 func (m *Monitor) threshold(e *engine, h *History, t int64) time.Duration {
-	k := &e.known
-	if k.streams == h.Streams && k.rumoured == h.Rumoured && t-k.at < thresholdLife {
+	k := &e.cachedThreshold
+	if k.streams == h.Streams && k.peerReported == h.Rumoured && t-k.at < thresholdTTL {
 		return k.value
 	}
 	h.Gaps = e.gaps.Shares().With(m.priorShares())
-	*k = knownThreshold{t, h.Streams, h.Rumoured, Judge(*h, &m.policy).Threshold}
+	*k = thresholdCache{t, h.Streams, h.Rumoured, Judge(*h, &m.policy).Threshold}
 	return k.value
 }
 
-// history sums over the streams that wait for a next token.
+// history sums up the streams that wait for their next token.
 //
-// A tick may fall between the two writes that record a token: the stream's
-// time is set and the engine's is still from before it was idle. The engine
-// would seem silent all that while, and a stream be cancelled at its first
-// token. So the newest of the streams' own times counts as well.
+// A tick may fall between the two writes that record a token, when the stream's time is already
+// set and the engine's is still from before it was idle. The engine would seem to have been
+// silent all that time, and the stream would be cancelled at its first token. So the latest
+// of the streams' own times counts as well.
 func (e *engine) history(t int64) History {
 	var h History
 	newest := int64(0)
 	for _, s := range e.streams {
-		if s.cancelled || s.last.Load() == 0 || s.blocked.Load() {
+		if s.cancelled || s.lastToken.Load() == 0 || s.blocked.Load() {
 			continue
 		}
-		newest = max(newest, s.last.Load())
+		newest = max(newest, s.lastToken.Load())
 		h.Streams++
 		if s.resumable.Load() {
 			h.Bytes += float64(s.work.PromptBytes) / copiedShare
 			continue
 		}
-		h.Bytes += float64(s.work.PromptBytes) + float64(s.tokens.Load())*s.mon.policy.TokenBytes
+		h.Bytes += float64(s.work.PromptBytes) + float64(s.tokens.Load())*s.monitor.policy.TokenBytes
 	}
 	h.Silence = min(e.silence(t), time.Duration(t-newest))
 	return h
 }
 
-// copiedShare is the part, one in so many, of a prompt that a run is taken to
-// read again when it goes on from a copy: what the copy lacked, and the wait.
+// copiedShare divides a prompt: a run that is resumed from a copy of its state is assumed to cost
+// as much as reading 1/copiedShare of its prompt, for what the copy lacked and for the wait.
 const copiedShare = 4
 
-// judgeStreams judges each stream; decoding tells that some stream of the
-// engine waits for a next token and so shows whether it is alive.
-func (m *Monitor) judgeStreams(v *verdict, d Decision, decoding bool, t int64) {
+// evaluateStreams evaluates each stream; decoding is true if some stream of the engine waits for
+// its next token, so that its tokens show whether the engine is alive.
+func (m *Monitor) evaluateStreams(v *evaluation, d Decision, decoding bool, t int64) {
 	alive := decoding && !d.Suspect
 	for _, s := range v.engine.streams {
-		if cause := m.judgeStream(s, d, alive, t); cause != nil {
+		if cause := m.evaluateStream(s, d, alive, t); cause != nil {
 			v.streams = append(v.streams, s)
 			v.causes = append(v.causes, cause)
 		}
 	}
 }
 
-func (m *Monitor) judgeStream(s *Stream, d Decision, alive bool, t int64) error {
+func (m *Monitor) evaluateStream(s *Stream, d Decision, alive bool, t int64) error {
 	if s.cancelled || s.blocked.Load() {
 		return nil
 	}
 	silence := s.silence(t)
-	if s.last.Load() == 0 {
+	if s.lastToken.Load() == 0 {
 		bound := m.policy.PrefillBound(s.work.PromptBytes, alive)
-		if silence >= vouchedBounds*bound || (silence >= bound && m.doubt(s.engine, 0, t)) {
+		if silence >= confirmedPrefillBounds*bound || (silence >= bound && m.silenceConfirmed(s.engine, 0, t)) {
 			return ErrNoFirstToken
 		}
 		if d.Suspect {
@@ -208,21 +209,21 @@
 	if d.Suspect {
 		return ErrSuspect
 	}
-	if alive && silence >= m.policy.stallBound(d.Threshold) && m.doubt(s.engine, silence, t) {
+	if alive && silence >= m.policy.stallBound(d.Threshold) && m.silenceConfirmed(s.engine, silence, t) {
 		return ErrStalled
 	}
 	return nil
 }
 
-// judgeFixed is the baseline that measurements compare with: every stream has
-// the same timeout of its own, and no engine is suspected.
-func (m *Monitor) judgeFixed(v *verdict, t int64) {
+// evaluateFixedTimeout applies the fixed timeout, the baseline that measurements compare with:
+// every stream has the same timeout of its own, and no engine is suspected.
+func (m *Monitor) evaluateFixedTimeout(v *evaluation, t int64) {
 	for _, s := range v.engine.streams {
 		if s.cancelled || s.blocked.Load() {
 			continue
 		}
 		bound, cause := m.policy.FixedTimeout, ErrStalled
-		if s.last.Load() == 0 {
+		if s.lastToken.Load() == 0 {
 			bound, cause = m.policy.PrefillBound(s.work.PromptBytes, true), ErrNoFirstToken
 		}
 		if s.silence(t) >= bound {
@@ -232,27 +233,26 @@
 	}
 }
 
-// holdMass keeps back suspicions while more than the bounded share of the
-// watched engines is silent together: then our own network is the likelier
-// cause, and resuming everything everywhere would only pile on load. Real
-// loss of most engines is acted on after MassSilence.
+// limitMassSuspicion drops suspicions while more than the bounded share of the engines in use is
+// silent together: then this process's own network is the likelier cause, and resuming everything
+// everywhere would only add load. A real loss of most engines is acted on after MassSilence.
 //
-// Engines suspected a short while ago count too: their thresholds differ, so
-// that a cut network shows them one after the other.
-func (m *Monitor) holdMass(sum tally) []verdict {
+// Engines suspected recently count too: their thresholds differ, so that a network failure shows
+// them one after the other.
+func (m *Monitor) limitMassSuspicion(sum tickResult) []evaluation {
 	suspects := 0
-	for _, v := range sum.found {
+	for _, v := range sum.evaluations {
 		if v.suspect {
 			suspects++
 		}
 	}
 	limit := int(m.policy.MaxEjectedShare * float64(sum.watched))
-	if suspects == 0 || sum.watched < massMinimum || sum.recent+suspects <= limit || oneDomain(sum.found) {
-		return sum.found
+	if suspects == 0 || sum.watched < minMassEngines || sum.recent+suspects <= limit || oneDomain(sum.evaluations) {
+		return sum.evaluations
 	}
-	m.held.Inc()
-	kept := sum.found[:0]
-	for _, v := range sum.found {
+	m.massHolds.Inc()
+	kept := sum.evaluations[:0]
+	for _, v := range sum.evaluations {
 		if !v.suspect || v.silence >= m.policy.MassSilence {
 			kept = append(kept, v)
 		}
@@ -260,9 +260,9 @@
 	return kept
 }
 
-// oneDomain tells whether all that fell silent are of one failure domain, whose
-// loss explains it without any fault of ours.
-func oneDomain(found []verdict) bool {
+// oneDomain reports whether all silent engines are of one failure domain, whose loss explains the
+// silence without a fault of this process or its network.
+func oneDomain(found []evaluation) bool {
 	var one *domain
 	for _, v := range found {
 		if !v.suspect {
@@ -277,8 +277,8 @@
 	return one != nil
 }
 
-// act cancels outside all locks, since a cancel function runs foreign code.
-func (m *Monitor) act(v verdict, t int64) {
+// applyEvaluation cancels outside all locks, since a cancel function is code of the caller.
+func (m *Monitor) applyEvaluation(v evaluation, t int64) {
 	if v.suspect {
 		m.eject(v.engine, Suspect, t)
 		m.log.Emit(event.EngineSuspect, "backend", v.engine.id, "silence_ms", v.silence.Milliseconds(), "streams", len(v.streams))
@@ -286,32 +286,33 @@
 	m.cancel(v)
 }
 
-func (m *Monitor) cancel(v verdict) {
+func (m *Monitor) cancel(v evaluation) {
 	v.engine.markCancelled(v.streams)
 	for i, s := range v.streams {
-		m.count(v.causes[i])
+		m.countCancel(v.causes[i])
 		s.cancel(v.causes[i])
 	}
 }
 
-func (m *Monitor) count(cause error) {
+func (m *Monitor) countCancel(cause error) {
 	switch cause {
 	case ErrSuspect:
 		m.suspects.Inc()
 	case ErrStalled:
 		m.stalls.Inc()
 	case ErrEnded:
-		m.ended.Inc()
+		m.restarts.Inc()
 	default:
-		m.lates.Inc()
+		m.noFirstTokens.Inc()
 	}
 }
 
-// priorShares is the shared prior: all engines' gaps, or a synthetic one.
+// priorShares returns the shared prior: the gaps of all engines, with a synthetic prior added while
+// they are few.
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
-		return s.With(synthetic(m.policy.TypicalGap))
+		return s.With(syntheticPrior(m.policy.TypicalGap))
 	}
 	return s
 }
--- a/health/watched_test.go
+++ b/health/watched_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// crowd is a monitor that knows n engines in three failure domains, of which the
+// monitorWithEngines returns a monitor that knows n engines in three failure domains, of which the
 // first used ones have an open stream.
-func crowd(n, used int) (*Monitor, []*Stream) {
+func monitorWithEngines(n, used int) (*Monitor, []*Stream) {
 	m := NewMonitor(DefaultPolicy(), nil, nil)
 	var open []*Stream
 	for i := range n {
@@ -21,38 +21,37 @@
 	return m, open
 }
 
-// Symptom: a router's processor time grows with the engines that it knows.
-// Sequence: 3,000 engines are known, a few have streams; each tick, a hundred a
-// second, locks every one of them.
-// Cause: the ticks walked over all known engines, not over those in use.
+// Guards against: a router's processor time grows with the engines that it knows, because each
+// tick locks all of them and not just those in use. 3,000 engines are known, and a few have
+// streams; there are a hundred ticks a second.
 func TestTickLooksAtEnginesInUseOnly(t *testing.T) {
-	m, open := crowd(3000, 4)
+	m, open := monitorWithEngines(3000, 4)
 	now := m.at(time.Now())
 	if got := len(m.inUse(now)); got != 4 {
-		t.Fatalf("a tick looks at %d engines, want the 4 in use", got)
+		t.Fatalf("a tick checks %d engines, want the 4 in use", got)
 	}
 	open[0].Close()
 	if got := len(m.inUse(now)); got != 3 {
-		t.Fatalf("a tick looks at %d engines, want the 3 in use", got)
+		t.Fatalf("a tick checks %d engines, want the 3 in use", got)
 	}
-	m.Late(open[0].engine.id) // not enough by itself
-	m.ejectAlone(open[0].engine, Suspect, now)
+	m.Late(open[0].engine.id) // not enough to suspect it
+	m.ejectEngine(open[0].engine, Suspect, now)
 	if got := len(m.inUse(now)); got != 4 {
-		t.Fatalf("a tick looks at %d engines, want also the one under fresh suspicion", got)
+		t.Fatalf("a tick checks %d engines, want also the recently suspected one", got)
 	}
 	if got := len(m.inUse(now + int64(m.policy.MassSilence))); got != 3 {
-		t.Fatalf("a tick looks at %d engines, want not the one under old suspicion", got)
+		t.Fatalf("a tick checks %d engines, want not the one suspected long ago", got)
 	}
 }
 
-// A forgotten engine isn't one of many that fell silent together.
+// A forgotten engine must not count as one of many that fell silent together.
 func TestForgottenEngineIsNotLookedAt(t *testing.T) {
-	m, _ := crowd(1, 0)
+	m, _ := monitorWithEngines(1, 0)
 	now := m.at(time.Now())
-	m.ejectAlone(m.engine("e0"), Suspect, now)
+	m.ejectEngine(m.engine("e0"), Suspect, now)
 	m.Forget("e0")
 	if got := len(m.inUse(now)); got != 0 {
-		t.Fatalf("a tick looks at %d engines, want none", got)
+		t.Fatalf("a tick checks %d engines, want none", got)
 	}
 }
 
@@ -60,7 +59,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{100, 3000} {
 		b.Run(fmt.Sprintf("%d known", n), func(b *testing.B) {
-			m, _ := crowd(n, 5)
+			m, _ := monitorWithEngines(n, 5)
 			b.ReportAllocs()
 			for b.Loop() {
 				m.Tick(time.Now())
