--- a/holders/holders.go
+++ b/holders/holders.go
@@ -1,14 +1,14 @@
-// Package holders finds the backend server that still holds the prompt of a
-// request whose client came back after its router was lost.
+// Package holders finds the backend server that still has the prompt of a request in its
+// cache, after the client reconnected because its router was lost.
 //
-// Failure story: a router dies in the middle of an answer, or all of them do.
-// The client comes back through another one, which knows nothing of the answer
-// and places it anywhere, so that a prompt of thousands of tokens is read once
-// more while the backend server that had read it still holds it. It shows as
-// prefill that is paid for twice after each loss of a router, and as answers
-// that go on a second late. What routers remember is lost with them; the backend
-// servers know what they hold, so they are asked. Only for clients that came
-// back, and each of them at most once in Config.Fresh: asking costs them work.
+// When a router dies in the middle of an answer, the client reconnects through another one,
+// which knows nothing of the answer and would send it to any backend server. A prompt of
+// thousands of tokens would be read once more while the backend server that read it first still
+// has it cached: prefill would be paid for twice after each loss of a router, and answers would
+// continue a second late. What a router remembers is lost with it, or with all routers, but the
+// backend servers know what they have cached, so they are queried. This is done only for clients
+// that reconnected, and at most once per backend server while a result may be reused, because
+// queries cost the backend servers work.
 package holders
 
 import (
@@ -24,88 +24,89 @@
 	"wigeondale/fleet"
 )
 
-// Lister asks a backend server which parts of prompts it holds, in tokens.
+// Lister queries a backend server for the parts of prompts that it has cached, with the number of
+// tokens of each.
 type Lister interface {
 	Held(ctx context.Context, b fleet.Backend) (map[string]int, error)
 }
 
-// Config of a Finder. Zero durations mean the defaults.
+// Config configures a Finder. Zero values mean the defaults.
 type Config struct {
-	Fresh   time.Duration // how long an answer is used again
-	Timeout time.Duration // of one question
-	Most    int           // candidates asked at once, drawn at random
+	Fresh   time.Duration // how long the result of a query is reused
+	Timeout time.Duration // of one query
+	Most    int           // most candidates to query at once, drawn at random
 	Set     *metrics.Set
 }
 
 const (
-	defaultFresh   = 2 * time.Second
+	defaultMaxAge  = 2 * time.Second
 	defaultTimeout = 150 * time.Millisecond
-	// defaultMost bounds the connections that one client's return can open where there
+	// defaultMaxCandidates bounds the connections that the return of one client can open where there
 	// are thousands of replicas.
-	defaultMost = 200
+	defaultMaxCandidates = 200
 )
 
-// Finder remembers what backend servers said. It may be shared by goroutines.
+// Finder remembers the results of queries. It is safe for concurrent use.
 type Finder struct {
 	cfg    Config
 	lister Lister
 	flight singleflight.Group
 
-	mu    sync.Mutex
-	known map[string]held
+	mu      sync.Mutex
+	results map[string]cachedParts
 
-	asked, found *metrics.Counter
+	queries, hits *metrics.Counter
 }
 
-// held is what one backend server said. A failure counts as nothing held.
-type held struct {
+// cachedParts is the result of querying one backend server. A failure counts as an empty cache.
+type cachedParts struct {
 	at     time.Time
 	tokens map[string]int
 }
 
-// New returns a Finder that asks by lister.
+// New returns a Finder that queries backend servers by lister.
 func New(lister Lister, cfg Config) *Finder {
 	if cfg.Fresh <= 0 {
-		cfg.Fresh = defaultFresh
+		cfg.Fresh = defaultMaxAge
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
 	}
 	if cfg.Most <= 0 {
-		cfg.Most = defaultMost
+		cfg.Most = defaultMaxCandidates
 	}
 	if cfg.Set == nil {
 		cfg.Set = metrics.NewSet()
 	}
 	return &Finder{
-		cfg:    cfg,
-		lister: lister,
-		known:  map[string]held{},
-		asked:  cfg.Set.GetOrCreateCounter("wigeon_holders_asked_total"),
-		found:  cfg.Set.GetOrCreateCounter("wigeon_holders_found_total"),
+		cfg:     cfg,
+		lister:  lister,
+		results: map[string]cachedParts{},
+		queries: cfg.Set.GetOrCreateCounter("wigeon_holders_asked_total"),
+		hits:    cfg.Set.GetOrCreateCounter("wigeon_holders_found_total"),
 	}
 }
 
-// Find returns which of the candidates holds most of the leading parts, and how
-// many tokens that is; 0 when none holds any.
+// Find returns which of the candidates has most of the leading parts cached, and how many tokens
+// these are; 0 when none has any of them.
 func (f *Finder) Find(ctx context.Context, candidates []fleet.Backend, parts []string) (id string, tokens int) {
-	candidates = f.some(candidates)
-	f.ask(ctx, candidates)
+	candidates = f.sample(candidates)
+	f.queryAll(ctx, candidates)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, b := range candidates {
-		if n := f.known[b.ID].leading(parts); n > tokens {
+		if n := f.results[b.ID].leadingTokens(parts); n > tokens {
 			id, tokens = b.ID, n
 		}
 	}
 	if tokens > 0 {
-		f.found.Inc()
+		f.hits.Inc()
 	}
 	return id, tokens
 }
 
-// some returns at most Config.Most of the candidates.
-func (f *Finder) some(candidates []fleet.Backend) []fleet.Backend {
+// sample returns the candidates, or a random sample if there are too many.
+func (f *Finder) sample(candidates []fleet.Backend) []fleet.Backend {
 	if len(candidates) <= f.cfg.Most {
 		return candidates
 	}
@@ -114,9 +115,9 @@
 	return drawn[:f.cfg.Most]
 }
 
-// leading counts the tokens of the parts up to the first that is missing: a
+// leadingTokens counts the tokens of the cached parts up to the first that is missing: a
 // part is of use only with all that come before it.
-func (h held) leading(parts []string) int {
+func (h cachedParts) leadingTokens(parts []string) int {
 	n := 0
 	for _, p := range parts {
 		t := h.tokens[p]
@@ -128,47 +129,47 @@
 	return n
 }
 
-// ask asks those whose answer isn't fresh, all at once.
-func (f *Finder) ask(ctx context.Context, candidates []fleet.Backend) {
+// queryAll queries, concurrently, those candidates whose last result is too old.
+func (f *Finder) queryAll(ctx context.Context, candidates []fleet.Backend) {
 	var wg sync.WaitGroup
 	for _, b := range candidates {
-		if f.fresh(b.ID) {
+		if f.isCurrent(b.ID) {
 			continue
 		}
-		wg.Go(func() { f.askOne(ctx, b) })
+		wg.Go(func() { f.query(ctx, b) })
 	}
 	wg.Wait()
 }
 
-func (f *Finder) fresh(id string) bool {
+func (f *Finder) isCurrent(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h, ok := f.known[id]
+	h, ok := f.results[id]
 	return ok && time.Since(h.at) < f.cfg.Fresh
 }
 
-// askOne joins a question that is under way.
-func (f *Finder) askOne(ctx context.Context, b fleet.Backend) {
+// query queries one backend server, or joins a query of it that is under way.
+func (f *Finder) query(ctx context.Context, b fleet.Backend) {
 	f.flight.Do(b.ID, func() (any, error) {
-		f.asked.Inc()
+		f.queries.Inc()
 		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), f.cfg.Timeout)
 		defer stop()
 		tokens, err := f.lister.Held(ctx, b)
 		if err != nil {
-			tokens = nil // nothing is known to be held: the prompt is read anew
+			tokens = nil // nothing is known to be cached: the prompt is read again
 		}
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.forgetOld()
-		f.known[b.ID] = held{at: time.Now(), tokens: tokens}
+		f.dropExpired()
+		f.results[b.ID] = cachedParts{at: time.Now(), tokens: tokens}
 		return nil, err
 	})
 }
 
-func (f *Finder) forgetOld() {
-	for id, h := range f.known {
+func (f *Finder) dropExpired() {
+	for id, h := range f.results {
 		if time.Since(h.at) >= f.cfg.Fresh {
-			delete(f.known, id)
+			delete(f.results, id)
 		}
 	}
 }
--- a/holders/holders_test.go
+++ b/holders/holders_test.go
@@ -12,23 +12,23 @@
 	"wigeondale/fleet"
 )
 
-// lists answers from a table; a missing entry is an error.
-type lists struct {
-	mu    sync.Mutex
-	held  map[string]map[string]int
-	asked map[string]int
-	slow  time.Duration
+// fakeLister is a Lister that answers from a table; a missing entry gives an error.
+type fakeLister struct {
+	mu      sync.Mutex
+	cached  map[string]map[string]int
+	queries map[string]int
+	delay   time.Duration
 }
 
-func (l *lists) Held(ctx context.Context, b fleet.Backend) (map[string]int, error) {
+func (l *fakeLister) Held(ctx context.Context, b fleet.Backend) (map[string]int, error) {
 	l.mu.Lock()
-	l.asked[b.ID]++
-	h, ok := l.held[b.ID]
+	l.queries[b.ID]++
+	h, ok := l.cached[b.ID]
 	l.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-time.After(l.slow):
+	case <-time.After(l.delay):
 	}
 	if !ok {
 		return nil, errors.New("no answer")
@@ -46,7 +46,7 @@
 
 // A part of a prompt is of use only with all parts before it.
 func TestMostOfTheLeadingPartsWins(t *testing.T) {
-	l := &lists{asked: map[string]int{}, held: map[string]map[string]int{
+	l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{
 		"tail": {"p2": 900}, "head": {"p1": 10}, "both": {"p1": 10, "p2": 50},
 	}}
 	id, n := New(l, Config{}).Find(t.Context(), ids("tail", "head", "both", "down"), []string{"p1", "p2"})
@@ -58,50 +58,50 @@
 	}
 }
 
-// Symptom: engines are slowed by questions. Sequence: all routers die; hundreds of
-// clients come back at once. Cause: each asks every engine.
+// Guards against: engines are slowed down by queries. All routers die and hundreds of clients
+// reconnect at once; if each of them queried every engine, the queries would add up.
 func TestEachIsAskedOnceForMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &lists{asked: map[string]int{}, held: map[string]map[string]int{"a": {"p": 1}}, slow: 5 * time.Millisecond}
+		l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{"a": {"p": 1}}, delay: 5 * time.Millisecond}
 		f := New(l, Config{})
 		var wg sync.WaitGroup
 		for range 50 {
 			wg.Go(func() { f.Find(t.Context(), ids("a", "b"), []string{"p"}) })
 		}
 		wg.Wait()
-		if l.asked["a"] != 1 || l.asked["b"] != 1 {
-			t.Errorf("asked %v", l.asked)
+		if l.queries["a"] != 1 || l.queries["b"] != 1 {
+			t.Errorf("queried %v", l.queries)
 		}
 		time.Sleep(3 * time.Second)
 		f.Find(t.Context(), ids("a"), []string{"p"})
-		if l.asked["a"] != 2 {
-			t.Errorf("an old answer was used: asked %v", l.asked)
+		if l.queries["a"] != 2 {
+			t.Errorf("an old result was used: queried %v", l.queries)
 		}
 	})
 }
 
-// Symptom: a client that came back waits for a silent engine.
+// Guards against: a client that reconnected waits for an engine that doesn't answer.
 func TestSilentOneIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &lists{asked: map[string]int{}, held: map[string]map[string]int{"a": {"p": 1}}, slow: time.Hour}
-		began := time.Now()
+		l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{"a": {"p": 1}}, delay: time.Hour}
+		start := time.Now()
 		New(l, Config{}).Find(t.Context(), ids("a"), []string{"p"})
-		if took := time.Since(began); took > time.Second {
-			t.Errorf("took %v", took)
+		if elapsed := time.Since(start); elapsed > time.Second {
+			t.Errorf("took %v", elapsed)
 		}
 	})
 }
 
-// Symptom: a node opens thousands of connections at once. Sequence: a client comes
-// back in a large fleet. Cause: every replica is asked.
+// Guards against: a node opens thousands of connections at once because it queries every replica
+// of a large fleet when a client reconnects.
 func TestFewAreAskedInALargeFleet(t *testing.T) {
-	l := &lists{asked: map[string]int{}, held: map[string]map[string]int{}}
+	l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{}}
 	var all []fleet.Backend
 	for i := range 1000 {
 		all = append(all, fleet.Backend{ID: strconv.Itoa(i)})
 	}
 	New(l, Config{Most: 20}).Find(t.Context(), all, []string{"p"})
-	if len(l.asked) != 20 {
-		t.Errorf("%d were asked", len(l.asked))
+	if len(l.queries) != 20 {
+		t.Errorf("%d were queried", len(l.queries))
 	}
 }
--- a/succession/succession.go
+++ b/succession/succession.go
@@ -1,13 +1,12 @@
 // Package succession finds out which replica has taken the address of one that
-// crashed, while the registry can't tell.
+// crashed, while the registry is unavailable.
 //
-// Failure story: the registry is away, and a failure domain crashes. Its replicas
-// are back a second later, at the same addresses and with ids of their own, and
-// nobody is told: the others carry all work until the registry is back, and when a
-// second domain crashes, a third of them does. It shows as drafts that are late or
-// lost for as long as the registry is away: a third to two thirds of them. So the
-// addresses of lost replicas are asked who is there now. Addresses are given to other
-// services too: a replica is taken for a successor only by what it says of itself.
+// When a failure domain crashes, its replicas are back a second later, at the same addresses and
+// with new ids. While the registry is unavailable no router is notified of them, so that the
+// other domains carry all work; when a second domain of three crashes, a single one does.
+// Then a third to two thirds of all generations are late or lost until the registry is back.
+// So the addresses of lost replicas are probed to see which replica answers now. Addresses may
+// also be reused by other services: a replica is accepted only by what it reports of itself.
 package succession
 
 import (
@@ -19,60 +18,60 @@
 	"wigeondale/fleet"
 )
 
-// ErrNone says that an address has no other replica than the one that was known, and
-// that this one has not started again.
+// ErrNone reports that the known replica still has its address and has not restarted.
 var ErrNone = errors.New("no other replica has the address")
 
 // Found is a replica that answered at the address of another one.
 type Found struct {
 	fleet.Lifetime
-	Memory  int  // tokens that its engine holds
-	Leaving bool // it takes no more work
+	Memory  int  // tokens that fit into its engine's memory
+	Leaving bool // it accepts no more work
 }
 
-// Asker asks who has the address of a replica now.
+// Asker finds out which replica has the address of another one now.
 type Asker interface {
-	// Successor returns the replica that has the address of b, or ErrNone when that is
-	// b itself. Any other error means that it could not be found out.
-	// checkPath is where the replicas of its service answer checks.
+	// Successor returns the replica that has the address of b, or ErrNone when that is b
+	// itself. Any other error means that it could not be found out. checkPath is the path of
+	// the health check of its service.
 	Successor(ctx context.Context, b fleet.Backend, checkPath string) (Found, error)
 }
 
 const (
-	// askAgain is how long an address is left alone after it was asked: a start takes
-	// about as long.
-	askAgain = time.Second
-	// askTimeout bounds one question. Who is there answers at once.
-	askTimeout = 300 * time.Millisecond
-	// askTogether bounds the questions under way.
-	askTogether = 16
+	// probeInterval is the least time between two probes of an address: a start takes about
+	// as long.
+	probeInterval = time.Second
+	// probeTimeout bounds one probe. A replica that is up answers at once.
+	probeTimeout = 300 * time.Millisecond
+	// maxProbes bounds the number of concurrent probes.
+	maxProbes = 16
 )
 
-// Seeker asks the addresses of lost replicas. It belongs to one goroutine.
+// Seeker probes the addresses of lost replicas. It isn't safe for concurrent use.
 type Seeker struct {
-	asker Asker
-	asked map[string]time.Time // by address
+	prober   Asker
+	probedAt map[string]time.Time // by address
 }
 
 // New returns a Seeker.
-func New(asker Asker) *Seeker { return &Seeker{asker: asker, asked: map[string]time.Time{}} }
+func New(prober Asker) *Seeker { return &Seeker{prober: prober, probedAt: map[string]time.Time{}} }
 
-// Seek returns the successors of lost replicas, each with the place of the one whose
-// address it has. fits decides by what a replica says of itself whether it serves what
-// the lost one did. Addresses that were asked a short while ago are left out.
+// Seek returns the replicas that have taken the addresses of lost ones, each with the failure
+// domain and other fields of the one whose address it has. fits decides by what a replica
+// reports of itself whether it serves what the lost one did. Addresses that were probed
+// recently are skipped.
 func (s *Seeker) Seek(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Found) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
 	var group sync.WaitGroup
-	slots := make(chan struct{}, askTogether)
+	slots := make(chan struct{}, maxProbes)
 	for _, b := range s.due(lost, time.Now()) {
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			ctx, stop := context.WithTimeout(ctx, askTimeout)
+			ctx, stop := context.WithTimeout(ctx, probeTimeout)
 			defer stop()
-			f, err := s.asker.Successor(ctx, b, checkPath)
-			// Who can't be reached is asked again.
+			f, err := s.prober.Successor(ctx, b, checkPath)
+			// An address that gave no result is probed again later.
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
 			}
@@ -86,19 +85,19 @@
 	return found
 }
 
-// due returns the replicas whose addresses are to be asked now, and forgets those
-// that are not lost any more.
+// due returns the replicas whose addresses are to be probed now, and drops the probe times of
+// addresses whose replicas are no longer lost.
 func (s *Seeker) due(lost []fleet.Backend, now time.Time) []fleet.Backend {
-	asked := make(map[string]time.Time, len(lost))
+	probedAt := make(map[string]time.Time, len(lost))
 	var out []fleet.Backend
 	for _, b := range lost {
-		if at, ok := s.asked[b.Addr]; ok && now.Sub(at) < askAgain {
-			asked[b.Addr] = at
+		if at, ok := s.probedAt[b.Addr]; ok && now.Sub(at) < probeInterval {
+			probedAt[b.Addr] = at
 			continue
 		}
-		asked[b.Addr] = now
+		probedAt[b.Addr] = now
 		out = append(out, b)
 	}
-	s.asked = asked
+	s.probedAt = probedAt
 	return out
 }
--- a/succession/succession_test.go
+++ b/succession/succession_test.go
@@ -11,17 +11,17 @@
 	"wigeondale/fleet"
 )
 
-// addresses are what answers at each address.
-type addresses struct {
-	mu    sync.Mutex
-	there map[string]Found
-	asked []string
+// fakeProber is a fake prober that holds which replica answers at each address.
+type fakeProber struct {
+	mu       sync.Mutex
+	replicas map[string]Found
+	probed   []string
 }
 
-func (a *addresses) Successor(ctx context.Context, b fleet.Backend, _ string) (Found, error) {
+func (a *fakeProber) Successor(ctx context.Context, b fleet.Backend, _ string) (Found, error) {
 	a.mu.Lock()
-	a.asked = append(a.asked, b.Addr)
-	f, ok := a.there[b.Addr]
+	a.probed = append(a.probed, b.Addr)
+	f, ok := a.replicas[b.Addr]
 	a.mu.Unlock()
 	switch {
 	case !ok:
@@ -35,13 +35,13 @@
 	return f, nil
 }
 
-// Symptom: after a crash of a failure domain while the registry is away a third of the
-// engines gets no work. Sequence: its replicas are back at their addresses with new ids;
-// some are still down, one lives on, one leaves, one address is another service's now.
-// Cause: none of them is known before the registry is back.
+// Guards against: after a crash of a failure domain while the registry is unavailable a third of
+// the engines gets no work, since none of the restarted replicas is known. They are back at their
+// addresses with new ids; some are still down, one kept running, one is leaving, and one address
+// belongs to another service now.
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		there := &addresses{there: map[string]Found{
+		prober := &fakeProber{replicas: map[string]Found{
 			"h:1": {Lifetime: fleet.Lifetime{Name: "n1"}, Memory: 55000},
 			"h:2": {Lifetime: fleet.Lifetime{Name: "o2"}, Memory: 55000},
 			"h:3": {},
@@ -53,26 +53,26 @@
 			lost = append(lost, fleet.Backend{ID: "o" + n, Addr: "h:" + n, Service: "llm", FailureDomain: "d1"})
 		}
 		fits := func(_ fleet.Backend, f Found) bool { return f.Memory == 55000 }
-		got := New(there).Seek(t.Context(), lost, "/check", fits)
+		got := New(prober).Seek(t.Context(), lost, "/check", fits)
 		want := fleet.Backend{ID: "n1", Lifetime: fleet.Lifetime{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
 		if len(got) != 1 || got[0] != want {
-			t.Errorf("found %+v, want %+v alone", got, want)
+			t.Errorf("found %+v, want only %+v", got, want)
 		}
 	})
 }
 
-// Symptom: nodes ask dead machines all the time while the registry is away. Sequence: an
-// address doesn't answer, and the search goes on. Cause: each look asks it again.
+// Guards against: nodes probe dead machines all the time while the registry is unavailable,
+// because each search probes an address again that didn't answer.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		there := &addresses{there: map[string]Found{"h:1": {}}}
-		s := New(there)
+		prober := &fakeProber{replicas: map[string]Found{"h:1": {}}}
+		s := New(prober)
 		lost := []fleet.Backend{{ID: "o1", Addr: "h:1"}}
 		for range 10 {
 			s.Seek(t.Context(), lost, "/check", func(fleet.Backend, Found) bool { return true })
 		}
-		if want := []string{"h:1"}; !slices.Equal(there.asked, want) {
-			t.Errorf("asked %v at one moment, want %v", there.asked, want)
+		if want := []string{"h:1"}; !slices.Equal(prober.probed, want) {
+			t.Errorf("probed %v at one moment, want %v", prober.probed, want)
 		}
 	})
 }
