--- a/health/confirm.go
+++ b/health/confirm.go
@@ -32,7 +32,7 @@
 		return
 	}
 	m.recordConfirmed(answered)
-	m.domainCrashed(d, m.at(time.Now()), reasonCommonSilence)
+	m.domainCrashed(d, m.sinceEpoch(time.Now()), reasonCommonSilence)
 }
 
 // confirmCrash queries the members that failed before their domain is suspected.
@@ -66,7 +66,7 @@
 		return
 	}
 	if !m.majorityWorks(results, down, len(witnesses)) {
-		m.domainCrashed(d, m.at(time.Now()), "members failed together")
+		m.domainCrashed(d, m.sinceEpoch(time.Now()), "members failed together")
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // recordConfirmed records that engines have just answered.
 func (m *Monitor) recordConfirmed(answered []*engine) {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	for _, e := range answered {
 		e.lastConfirmedAt.Store(t)
 	}
--- a/health/domain.go
+++ b/health/domain.go
@@ -62,8 +62,8 @@
 	queriedAt  int64 // when its members were last queried about their common silence, 0 if never
 }
 
-// Place sets the failure domain of a backend server. Backend servers of the same service and
-// failure domain are evaluated together.
+// Place sets the failure domain of a backend server. Backend servers of the same
+// service and failure domain are evaluated together.
 func (m *Monitor) Place(backend, service, failureDomain string) {
 	e := m.engine(backend)
 	name := service + "/" + failureDomain
@@ -182,8 +182,8 @@
 	m.domainCrashed(d, t, "members failed together")
 }
 
-// DomainRumour handles another router's report that a domain crashed. The report is ignored if
-// this router has just received activity from some member: the other router may be the one
+// DomainRumour handles another router's report that a domain crashed. The report is
+// ignored if this router has just seen activity of some member: the other router may be the one
 // that is isolated.
 func (m *Monitor) DomainRumour(name string) {
 	m.mu.RLock()
@@ -192,7 +192,7 @@
 	if d == nil {
 		return
 	}
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	for _, e := range d.list() {
 		if e.recentlyActive(t) {
 			return
--- a/health/dump.go
+++ b/health/dump.go
@@ -15,7 +15,7 @@
 
 // Dump returns the state of each backend server, by id.
 func (m *Monitor) Dump() map[string]BackendDump {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	out := map[string]BackendDump{}
 	for _, e := range m.list() {
 		out[e.id] = m.dumpOne(e, t)
@@ -30,7 +30,7 @@
 	h.Gaps = e.gaps.Shares().With(m.priorShares())
 	h.Rumoured = t < e.peerReportUntil
 	return BackendDump{
-		State:       e.current(t).String(),
+		State:       e.currentState(t).String(),
 		Streams:     len(e.streams),
 		Refused:     e.refusedInRow,
 		Backoff:     e.backoff,
--- a/health/engine.go
+++ b/health/engine.go
@@ -21,7 +21,7 @@
 	pauseCredit            time.Duration // pauses of this process since creditFrom, not counted as silence
 	creditFrom             int64         // value of lastToken that the credit belongs to
 	state                  State
-	since                  int64 // when the state was entered
+	stateSince             int64 // when the state was entered
 	refusedInRow           int   // refused connections in a row
 	lateInRow              int   // late answers in a row
 	lateSince              int64 // time of the first of those
@@ -65,7 +65,7 @@
 // eject moves the engine to Suspect or Down and sets when it may be probed.
 func (e *engine) eject(state State, now int64, p *Policy) {
 	if e.state == Healthy {
-		e.since = now
+		e.stateSince = now
 		e.backoff = p.MinBackoff
 	} else {
 		e.backoff = min(2*e.backoff, p.MaxBackoff)
@@ -101,8 +101,8 @@
 	e.peerReportUntil = 0
 }
 
-// current returns the state at now: an ejected engine whose backoff has ended may be probed.
-func (e *engine) current(now int64) State {
+// currentState returns the state at now: an ejected engine whose backoff has ended may be probed.
+func (e *engine) currentState(now int64) State {
 	if e.state == Healthy {
 		return Healthy
 	}
@@ -159,14 +159,14 @@
 func (e *engine) suspectSince(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.state == Suspect && t-e.since < int64(d)
+	return e.state == Suspect && t-e.stateSince < int64(d)
 }
 
 // needsCheck reports whether streams are open, or e was suspected less than d ago.
 func (e *engine) needsCheck(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.streams) > 0 || (e.state == Suspect && t-e.since < int64(d))
+	return len(e.streams) > 0 || (e.state == Suspect && t-e.stateSince < int64(d))
 }
 
 func (e *engine) reinstate(t int64) {
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -76,7 +76,7 @@
 	return m
 }
 
-func (m *Monitor) at(now time.Time) int64 { return int64(now.Sub(m.epoch)) }
+func (m *Monitor) sinceEpoch(now time.Time) int64 { return int64(now.Sub(m.epoch)) }
 
 func (m *Monitor) engine(id string) *engine {
 	m.mu.RLock()
@@ -140,7 +140,7 @@
 // this package, such as ErrSuspect or ErrStalled, when it should be resumed elsewhere. The caller
 // must call Close on the Stream in any case.
 func (m *Monitor) Watch(backend string, work Work, cancel context.CancelCauseFunc) *Stream {
-	now := m.at(time.Now())
+	now := m.sinceEpoch(time.Now())
 	s := &Stream{monitor: m, engine: m.engine(backend), cancel: cancel, work: work, openedAt: now}
 	if m.open.Add(1) == 1 {
 		m.lastTick.Store(now)
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -186,9 +186,9 @@
 	m := NewMonitor(DefaultPolicy(), nil, nil)
 	now := time.Now()
 	s := start(m, "e0", 100)
-	s.engine.lastToken.Store(m.at(now.Add(-time.Minute)))
-	s.lastToken.Store(m.at(now)) // the first of the two writes
-	m.lastTick.Store(m.at(now))
+	s.engine.lastToken.Store(m.sinceEpoch(now.Add(-time.Minute)))
+	s.lastToken.Store(m.sinceEpoch(now)) // the first of the two writes
+	m.lastTick.Store(m.sinceEpoch(now))
 	m.Tick(now)
 	if s.cause() != nil {
 		t.Error(s.cause())
@@ -229,7 +229,7 @@
 			case 0:
 				m.Result(id, nil)
 			case 1:
-				m.eject(m.engine(id), Suspect, m.at(time.Now()))
+				m.eject(m.engine(id), Suspect, m.sinceEpoch(time.Now()))
 			default:
 				m.Result(id, refused)
 			}
--- a/health/state.go
+++ b/health/state.go
@@ -17,7 +17,7 @@
 		m.success(e)
 		return
 	}
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	e.mu.Lock()
 	e.refusedInRow++
 	failedProbe := e.state != Healthy
@@ -40,13 +40,14 @@
 // each of them would cost a second attempt until the budget is spent and callers wait for their
 // deadlines.
 func (m *Monitor) Late(backend string) {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
 	if e.recordLate(t, &m.policy) {
 		m.eject(e, Suspect, t)
 	}
 }
 
+// success makes e healthy after an answer.
 func (m *Monitor) success(e *engine) {
 	e.mu.Lock()
 	previous := e.state
@@ -72,7 +73,7 @@
 	if lastToken == 0 {
 		return
 	}
-	e.gaps.Add(time.Duration(m.at(time.Now()) - lastToken))
+	e.gaps.Add(time.Duration(m.sinceEpoch(time.Now()) - lastToken))
 }
 
 // eject keeps new work from e, and records a failure in its domain.
@@ -81,6 +82,7 @@
 	m.recordFailure(e, t)
 }
 
+// ejectEngine keeps new work from e, and records no failure in its domain.
 func (m *Monitor) ejectEngine(e *engine, state State, t int64) {
 	e.mu.Lock()
 	previous := e.state
@@ -111,11 +113,11 @@
 
 // State returns the assumed state of a backend server now.
 func (m *Monitor) State(backend string) State {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.current(t)
+	return e.currentState(t)
 }
 
 // reinstatedFor is how long an engine that Usable gave back may get work.
@@ -127,7 +129,7 @@
 // Result decides. A request can serve as the probe since work is idempotent or not yet sent; many
 // probes at once would be a retry storm on a server that just started.
 func (m *Monitor) Allow(backend string) bool {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -142,12 +144,12 @@
 	return t < e.reinstatedUntil
 }
 
-// Rumour handles another router's report about one incarnation. It raises the prior of failure
-// for a while, and so shortens the accepted silence; it never ejects by itself, since the other
-// router may be the one that is isolated.
+// Rumour handles another router's report about one incarnation. It raises the prior
+// of failure for a while, and so shortens the accepted silence; it never ejects by itself, since
+// the other router may be the one that is isolated.
 func (m *Monitor) Rumour(backend, incarnation string, kind RumourKind) {
 	e := m.engine(backend)
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.incarnation != "" && e.incarnation != incarnation {
@@ -160,8 +162,8 @@
 	e.peerReportUntil = t + int64(m.policy.RumourLife)
 }
 
-// Incarnation sets which incarnation of a backend server answered last. A new one starts without
-// peer reports, and may be probed at once.
+// Incarnation sets which incarnation of a backend server answered last. A new one starts
+// without peer reports, and may be probed at once.
 func (m *Monitor) Incarnation(backend, incarnation string) {
 	e := m.engine(backend)
 	e.mu.Lock()
@@ -193,16 +195,16 @@
 	if m.ejected.Load() == 0 {
 		return nil
 	}
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	usable := make([]bool, len(ids))
 	var out []ejectedMember
 	for i, id := range ids {
 		e := m.engine(id)
 		e.mu.Lock()
-		state := e.current(t)
+		state := e.currentState(t)
 		usable[i] = state == Healthy || (state == Probing && e.probeFree(t))
 		if !usable[i] {
-			out = append(out, ejectedMember{i, e.state, e.since})
+			out = append(out, ejectedMember{i, e.state, e.stateSince})
 		}
 		e.mu.Unlock()
 	}
--- a/health/tick.go
+++ b/health/tick.go
@@ -37,7 +37,7 @@
 
 // Tick evaluates every engine with open streams. Run calls it, and so may tests.
 func (m *Monitor) Tick(now time.Time) {
-	t := m.at(now)
+	t := m.sinceEpoch(now)
 	if m.pausedBefore(t) {
 		return
 	}
--- a/health/watched_test.go
+++ b/health/watched_test.go
@@ -26,7 +26,7 @@
 // streams; there are a hundred ticks a second.
 func TestTickLooksAtEnginesInUseOnly(t *testing.T) {
 	m, open := monitorWithEngines(3000, 4)
-	now := m.at(time.Now())
+	now := m.sinceEpoch(time.Now())
 	if got := len(m.inUse(now)); got != 4 {
 		t.Fatalf("a tick checks %d engines, want the 4 in use", got)
 	}
@@ -47,7 +47,7 @@
 // A forgotten engine must not count as one of many that fell silent together.
 func TestForgottenEngineIsNotLookedAt(t *testing.T) {
 	m, _ := monitorWithEngines(1, 0)
-	now := m.at(time.Now())
+	now := m.sinceEpoch(time.Now())
 	m.ejectEngine(m.engine("e0"), Suspect, now)
 	m.Forget("e0")
 	if got := len(m.inUse(now)); got != 0 {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -222,7 +222,8 @@
 	return 0
 }
 
-// EndedBefore reports whether an incarnation is known to have exited on its own before moment.
+// EndedBefore reports whether an incarnation is known to have exited on its own before
+// moment.
 func (t *Book) EndedBefore(incarnation string, moment time.Duration) bool {
 	at, known := t.exits.at[incarnation]
 	return known && at < moment
