--- a/once/property_test.go
+++ b/once/property_test.go
@@ -61,7 +61,7 @@
 	if receiver == nil {
 		return BatchResult{}, errLinkCut
 	}
-	out, err := receiver.Handle(ctx, b)
+	out, err := receiver.HandleBatch(ctx, b)
 	if lost {
 		return BatchResult{}, errLinkCut
 	}
@@ -119,9 +119,9 @@
 			if v.Attempt == attempt {
 				f.problems = append(f.problems, attempt+" refused for itself")
 			}
-		case InTime(ctx) != nil || abandon:
+		case CheckDeadline(ctx) != nil || abandon:
 			f.gaveUp[attempt] = true
-			_ = c.VoidLater("acme", key, attempt)
+			_ = c.VoidAsync("acme", key, attempt)
 		default:
 			f.dispatch(key, attempt)
 		}
