--- a/once/agree.go
+++ b/once/agree.go
@@ -15,66 +15,70 @@
 	"wigeondale/infra"
 )
 
-// maxShards bounds the number that is read from the key-value service.
+// maxShards bounds the number of shards that is accepted from the key-value
+// service.
 const maxShards = 1 << 16
 
-// shardsPart ends the name of the key that holds the number of shards.
-const shardsPart = "shards"
+// shardCountSuffix is the last part of the key that stores the number of shards.
+const shardCountSuffix = "shards"
 
-// ErrShards means that the key-value service holds no usable number of shards.
-var ErrShards = errors.New("number of shards unreadable")
+// ErrShards means that the key-value service has an invalid number of shards.
+var ErrShards = errors.New("invalid number of shards in the key-value service")
 
-// agreement is the number of shards that all nodes use.
+// shardAgreement holds the shards, whose number all nodes agree on.
 //
-// What goes wrong without it: two nodes whose settings name different numbers
-// look for one key in two logs, and each is granted it. Nobody notices until
-// the request has run twice. So the number is a key that is created once and
-// never written again; whoever creates it, every node uses what it holds. A
-// node that has not read it refuses claims.
-type agreement struct {
-	shards atomic.Pointer[[]*shard] // nil until the number is known
-	read   singleflight.Group
-
-	mu        sync.Mutex
-	downUntil time.Time
+// If two nodes were configured with different numbers of shards, they would
+// look up the same key in different logs, each would be granted the claim, and
+// the request would run twice before anyone notices. The number is therefore
+// stored under a key that is created once and never overwritten. The first
+// node creates it, and every node uses the stored number. A node that has not
+// read the number yet refuses claims.
+type shardAgreement struct {
+	shards  atomic.Pointer[[]*shard] // nil until the number is known
+	loading singleflight.Group
+
+	mu            sync.Mutex
+	cooldownUntil time.Time
 }
 
-// known returns the shards, none before their number is known.
-func (c *Claims) known() []*shard {
-	if list := c.agreed.shards.Load(); list != nil {
+// loadedShards returns the shards, or nil while their number is not known yet.
+func (c *Claims) loadedShards() []*shard {
+	if list := c.agreement.shards.Load(); list != nil {
 		return *list
 	}
 	return nil
 }
 
-// open returns the shards, after it has learnt their number if need be.
-func (c *Claims) open(ctx context.Context) ([]*shard, error) {
-	if list := c.known(); list != nil {
+// openShards returns the shards. It first reads their number from the key-value
+// service if this node has not read it yet.
+func (c *Claims) openShards(ctx context.Context) ([]*shard, error) {
+	if list := c.loadedShards(); list != nil {
 		return list, nil
 	}
-	if c.agreed.isDown() {
+	if c.agreement.inCooldown() {
 		return nil, Error.Wrap(ErrUnavailable)
 	}
-	done := c.agreed.read.DoChan("", func() (any, error) { return nil, c.agree() })
+	done := c.agreement.loading.DoChan("", func() (any, error) { return nil, c.agreeOnShards() })
 	select {
 	case r := <-done:
-		return c.known(), r.Err
+		return c.loadedShards(), r.Err
 	case <-ctx.Done():
 		return nil, Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, context.Cause(ctx)))
 	}
 }
 
-// agree creates the key, or reads what it holds. A create whose answer is lost
-// may land later, but only where nothing is; the next call reads it.
-func (c *Claims) agree() error {
-	if c.known() != nil {
+// agreeOnShards creates the key that stores the number of shards, or reads the
+// number if the key exists. A create whose answer is lost may still take effect
+// later, but never overwrites an existing key; the next call reads the number.
+func (c *Claims) agreeOnShards() error {
+	if c.loadedShards() != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.SendTimeout)
 	defer cancel()
-	n, err := c.readShards(ctx)
+	n, err := c.readShardCount(ctx)
 	if err != nil {
-		c.agreed.failed(c.cfg.Cooldown)
+		c.agreement.recordFailure(c.cfg.Cooldown)
 		c.cfg.Events.Emit(event.ClaimsUnavailable, "shard", "all", "err", err)
 		return Error.Wrap(err)
 	}
@@ -82,23 +86,23 @@
 		c.cfg.Events.Emit(event.ClaimsShardsDiffer, "settings", c.cfg.Shards, "agreed", n)
 	}
 	list := c.newShards(n)
-	c.agreed.shards.Store(&list)
+	c.agreement.shards.Store(&list)
 	return nil
 }
 
-func (c *Claims) readShards(ctx context.Context) (int, error) {
-	mine := []byte(strconv.Itoa(c.cfg.Shards))
-	created, v, err := c.cfg.KV.Create(ctx, c.cfg.Prefix+shardsPart, mine)
+func (c *Claims) readShardCount(ctx context.Context) (int, error) {
+	proposal := []byte(strconv.Itoa(c.cfg.Shards))
+	created, v, err := c.cfg.KV.Create(ctx, c.cfg.Prefix+shardCountSuffix, proposal)
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	if created {
 		return c.cfg.Shards, nil
 	}
-	return parseShards(v)
+	return parseShardCount(v)
 }
 
-func parseShards(v infra.Value) (int, error) {
+func parseShardCount(v infra.Value) (int, error) {
 	n, err := strconv.Atoi(string(v.Data))
 	if err != nil || n < 1 || n > maxShards {
 		return 0, fmt.Errorf("%w: %q", ErrShards, v.Data)
@@ -110,7 +114,7 @@
 	list := make([]*shard, 0, n)
 	for i := range n {
 		s := &shard{id: i, cfg: &c.cfg}
-		s.local = &batcher{send: s.send, maxOps: maxBatchOps, maxQueue: maxQueue}
+		s.local = &batcher{send: s.writeBatch, maxOps: maxBatchOps, maxQueue: maxQueue}
 		relay := func(ops []Op) []Result { return c.relay(s.id, ops) }
 		s.relay = &batcher{send: relay, maxOps: maxBatchOps, maxQueue: maxQueue}
 		list = append(list, s)
@@ -118,15 +122,16 @@
 	return list
 }
 
-// isDown is true for a short time after a failure, as for a shard.
-func (a *agreement) isDown() bool {
+// inCooldown reports whether the last failure was so recent that requests are
+// refused without another try, as shard.inCooldown does.
+func (a *shardAgreement) inCooldown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return time.Now().Before(a.downUntil)
+	return time.Now().Before(a.cooldownUntil)
 }
 
-func (a *agreement) failed(cooldown time.Duration) {
+func (a *shardAgreement) recordFailure(cooldown time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.downUntil = time.Now().Add(cooldown)
+	a.cooldownUntil = time.Now().Add(cooldown)
 }
--- a/once/batcher.go
+++ b/once/batcher.go
@@ -6,14 +6,15 @@
 	"sync"
 )
 
-// waiter is one operation that waits for its result.
+// waiter is one operation whose result a caller waits for.
 type waiter struct {
 	op   Op
-	done chan Result // of capacity 1, so that a waiter that left blocks nobody
+	done chan Result // capacity 1, so that run does not block if the caller has stopped waiting
 }
 
-// batcher gathers operations while the previous batch is under way, so that
-// the number of writes grows with time and not with operations.
+// batcher collects operations while the previous batch is being sent, so that
+// the number of writes depends on the elapsed time and not on the number of
+// operations.
 type batcher struct {
 	send     func([]Op) []Result
 	maxOps   int
@@ -24,9 +25,9 @@
 	busy  bool
 }
 
-// do waits for the result of op. A caller whose ctx ends while op is still
-// queued takes it back, which makes "not written" true.
-func (b *batcher) do(ctx context.Context, op Op) Result {
+// submit sends op with the next batch and waits for its result. If ctx ends
+// while op is still queued, op is removed from the queue and surely not written.
+func (b *batcher) submit(ctx context.Context, op Op) Result {
 	w, ok := b.enqueue(op)
 	if !ok {
 		return Result{Code: CodeUnavailable}
@@ -34,8 +35,9 @@
 	return b.wait(ctx, w)
 }
 
-// doAll enqueues all operations before it waits, so that they share a batch.
-func (b *batcher) doAll(ctx context.Context, ops []Op) []Result {
+// submitAll enqueues all operations before it waits for the results, so that
+// they share a batch.
+func (b *batcher) submitAll(ctx context.Context, ops []Op) []Result {
 	waiters := make([]*waiter, len(ops))
 	for i, op := range ops {
 		waiters[i], _ = b.enqueue(op)
@@ -71,13 +73,13 @@
 		return r
 	case <-ctx.Done():
 	}
-	if b.takeBack(w) {
+	if b.dequeue(w) {
 		return Result{Code: CodeUnavailable}
 	}
 	return Result{Code: CodeUnknown}
 }
 
-func (b *batcher) takeBack(w *waiter) bool {
+func (b *batcher) dequeue(w *waiter) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	i := slices.Index(b.queue, w)
@@ -90,7 +92,7 @@
 
 func (b *batcher) run() {
 	for {
-		batch := b.take()
+		batch := b.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
@@ -104,7 +106,7 @@
 	}
 }
 
-func (b *batcher) take() []*waiter {
+func (b *batcher) nextBatch() []*waiter {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n := min(len(b.queue), b.maxOps)
@@ -117,8 +119,8 @@
 	return batch
 }
 
-// sameResults returns n results with one code.
-func sameResults(n int, c Code) []Result {
+// repeatResult returns n results with the same code.
+func repeatResult(n int, c Code) []Result {
 	results := make([]Result, n)
 	for i := range results {
 		results[i].Code = c
--- a/once/claims.go
+++ b/once/claims.go
@@ -13,7 +13,7 @@
 	"wigeondale/kvlog"
 )
 
-// Defaults and bounds.
+// Default values of Config, and limits.
 const (
 	DefaultShards       = 8
 	DefaultWindow       = 24 * time.Hour
@@ -24,55 +24,59 @@
 	DefaultRelayTimeout = time.Second
 	DefaultCompactEvery = 2048 // log entries
 
-	// maxBatchOps times the size of the largest operation stays below kvlog.MaxDataBytes.
-	maxBatchOps  = 2000
-	maxQueue     = 20_000
-	maxNameBytes = 128
-	maxVoids     = 50_000
-	// logWindow is the log's window in entries. A batch is never appended again
-	// once its call returned, so it only has to cover one call.
+	// A batch of maxBatchOps operations of the largest size fits into
+	// kvlog.MaxDataBytes.
+	maxBatchOps    = 2000
+	maxQueue       = 20_000
+	maxNameBytes   = 128
+	maxQueuedVoids = 50_000
+	// logWindow is the number of recent log entries in which repeated appends are
+	// detected. A batch is never appended again after its call has returned, so
+	// the window only needs to cover the duration of one call.
 	logWindow = 256
 )
 
-// Config of Claims; zero values stand for the defaults.
+// Config configures Claims. Zero values of the numbers are replaced by the
+// defaults.
 type Config struct {
 	Node        string
-	Incarnation string // differs at each start of the node, so that entry ids never repeat
+	Incarnation string // differs for each start of the node, so that log entry ids never repeat
 	KV          infra.KV
-	Prefix      string // of the keys, such as "claims/"
-	// Shards is what this node proposes. The first proposal of all nodes is kept
-	// in the key-value service and used by all.
+	Prefix      string // prefix of all keys in the key-value service, such as "claims/"
+	// Shards is the number of shards that this node proposes. The first proposal
+	// of any node is stored in the key-value service and used by all nodes.
 	Shards int
-	// Window is how long a key protects. Claims live on in the log for Window
-	// plus ClockSkew, the most that two nodes' wall clocks differ by.
+	// Window is how long a key prevents a second run of its request. Claims are
+	// kept for Window plus ClockSkew, the maximum difference between the wall
+	// clocks of two nodes.
 	Window       time.Duration
 	ClockSkew    time.Duration
-	RetryAfter   time.Duration // told to callers, and the pace of voiding
-	Cooldown     time.Duration // refusals after a failure come at once for this long
-	SendTimeout  time.Duration // of one batch to the log
-	RelayTimeout time.Duration // of one batch to the owner
-	CompactEvery uint64        // log entries between snapshots
-	SettleTries  int           // as kvlog.Options
-	SettleDelay  time.Duration // as kvlog.Options
+	RetryAfter   time.Duration // mean wait suggested to callers; also the interval between voiding rounds
+	Cooldown     time.Duration // after a failure, claims are refused without a try for this long
+	SendTimeout  time.Duration // timeout for writing one batch to the log
+	RelayTimeout time.Duration // timeout for forwarding one batch to the owner
+	CompactEvery uint64        // number of log entries between snapshots
+	SettleTries  int           // see kvlog.Options
+	SettleDelay  time.Duration // see kvlog.Options
 	Events       *event.Log
 	Metrics      *metrics.Set
 }
 
-func orDefault[T int | uint64 | time.Duration](v *T, d T) {
+func setDefault[T int | uint64 | time.Duration](v *T, d T) {
 	if *v <= 0 {
 		*v = d
 	}
 }
 
 func (c *Config) setDefaults() {
-	orDefault(&c.Shards, DefaultShards)
-	orDefault(&c.Window, DefaultWindow)
-	orDefault(&c.ClockSkew, DefaultClockSkew)
-	orDefault(&c.RetryAfter, DefaultRetryAfter)
-	orDefault(&c.Cooldown, DefaultCooldown)
-	orDefault(&c.SendTimeout, DefaultSendTimeout)
-	orDefault(&c.RelayTimeout, DefaultRelayTimeout)
-	orDefault(&c.CompactEvery, DefaultCompactEvery)
+	setDefault(&c.Shards, DefaultShards)
+	setDefault(&c.Window, DefaultWindow)
+	setDefault(&c.ClockSkew, DefaultClockSkew)
+	setDefault(&c.RetryAfter, DefaultRetryAfter)
+	setDefault(&c.Cooldown, DefaultCooldown)
+	setDefault(&c.SendTimeout, DefaultSendTimeout)
+	setDefault(&c.RelayTimeout, DefaultRelayTimeout)
+	setDefault(&c.CompactEvery, DefaultCompactEvery)
 }
 
 func (c *Config) logOptions() kvlog.Options {
@@ -88,38 +92,39 @@
 
 // Claims is one node's access to the claims of all shards.
 type Claims struct {
-	cfg    Config
-	fwd    Forwarder
-	agreed agreement
-	voids  *voidQueue
+	cfg       Config
+	fwd       Forwarder
+	agreement shardAgreement
+	voids     *voidQueue
 }
 
-// New returns the node's claims. It does no I/O; Run does the upkeep.
+// New returns the node's claims. It does no I/O; Run does the background work.
 func New(cfg Config, fwd Forwarder) *Claims {
 	cfg.setDefaults()
-	return &Claims{cfg: cfg, fwd: fwd, voids: newVoidQueue(maxVoids)}
+	return &Claims{cfg: cfg, fwd: fwd, voids: newVoidQueue(maxQueuedVoids)}
 }
 
-// Window returns how long a key protects.
+// Window returns how long a key prevents a second run of its request.
 func (c *Claims) Window() time.Duration { return c.cfg.Window }
 
-// Claim asks for the key on behalf of an attempt. Attempts are named uniquely,
-// once for all nodes and starts; asking again for the same attempt is
-// idempotent. Only when Granted, and after InTime, may the attempt be
-// dispatched. On any error it must never be, whatever comes later. Errors:
-// ErrUnavailable, ErrUnknown, ErrKeyReused, ErrInvalid.
+// Claim claims the key for an attempt. The name of the attempt must be unique
+// across all nodes and their restarts; claiming again for the same attempt is
+// idempotent. The attempt may only be dispatched if the claim is granted and a
+// check of the deadline after that succeeds. After an error the attempt must
+// never be dispatched. Errors: ErrUnavailable, ErrUnknown, ErrKeyReused,
+// ErrInvalid.
 func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (Verdict, error) {
-	op, err := c.op(OpClaim, account, key, attempt)
+	op, err := c.newOp(OpClaim, account, key, attempt)
 	if err != nil {
 		return Verdict{}, err
 	}
 	op.Body = body
-	c.flushVoid(ctx, op.Key)
-	r := c.route(ctx, op)
-	c.count("claim", r, op)
+	c.flushVoids(ctx, op.Key)
+	r := c.execute(ctx, op)
+	c.countResult("claim", r, op)
 	switch r.Code {
 	case CodeDone:
-		return verdict(op, r)
+		return claimResult(op, r)
 	case CodeUnavailable:
 		return Verdict{}, c.unavailable()
 	}
@@ -127,7 +132,7 @@
 	return Verdict{}, Error.Wrap(ErrUnknown)
 }
 
-func verdict(op Op, r Result) (Verdict, error) {
+func claimResult(op Op, r Result) (Verdict, error) {
 	granted := r.Attempt == op.Attempt && r.State == Claimed
 	if !granted && r.State == Claimed && r.Body != op.Body {
 		return Verdict{}, Error.Wrap(ErrKeyReused)
@@ -135,15 +140,15 @@
 	return Verdict{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
 }
 
-// Void says that an attempt of this node was never dispatched and will not be,
-// which frees its key. On error the void goes on in the background.
+// Void records that an attempt of this node was never dispatched and never will
+// be, which frees its key. After an error the void is retried in the background.
 func (c *Claims) Void(ctx context.Context, account, key, attempt string) error {
-	op, err := c.op(OpVoid, account, key, attempt)
+	op, err := c.newOp(OpVoid, account, key, attempt)
 	if err != nil {
 		return err
 	}
-	r := c.route(ctx, op)
-	c.count("void", r, op)
+	r := c.execute(ctx, op)
+	c.countResult("void", r, op)
 	if r.Code == CodeDone {
 		return nil
 	}
@@ -154,9 +159,9 @@
 	return Error.Wrap(ErrUnknown)
 }
 
-// VoidLater is Void without waiting.
+// VoidLater does what Void does, but in the background.
 func (c *Claims) VoidLater(account, key, attempt string) error {
-	op, err := c.op(OpVoid, account, key, attempt)
+	op, err := c.newOp(OpVoid, account, key, attempt)
 	if err != nil {
 		return err
 	}
@@ -164,59 +169,60 @@
 	return nil
 }
 
-// Handle serves a batch that another router forwarded. It serves as owner
-// whether or not this node thinks that it is: the log decides.
+// Handle executes a batch that another router forwarded. It does so even if this
+// node does not consider itself the owner of the shard, because the log decides
+// which claim holds a key.
 func (c *Claims) Handle(ctx context.Context, b Batch) (BatchResult, error) {
-	shards, err := c.open(ctx)
+	shards, err := c.openShards(ctx)
 	if err != nil {
-		return BatchResult{Results: sameResults(len(b.Ops), CodeUnavailable)}, nil
+		return BatchResult{Results: repeatResult(len(b.Ops), CodeUnavailable)}, nil
 	}
 	if b.Shard < 0 || b.Shard >= len(shards) || len(b.Ops) > maxBatchOps {
 		return BatchResult{}, Error.Wrap(fmt.Errorf("%w: shard %d, %d operations", ErrInvalid, b.Shard, len(b.Ops)))
 	}
 	for _, op := range b.Ops {
-		if err := op.check(); err != nil {
+		if err := op.validate(); err != nil {
 			return BatchResult{}, err
 		}
 		if op.Key.Shard(len(shards)) != b.Shard {
 			return BatchResult{}, Error.Wrap(fmt.Errorf("%w: key of another shard", ErrInvalid))
 		}
 	}
-	return BatchResult{Results: shards[b.Shard].local.doAll(ctx, b.Ops)}, nil
+	return BatchResult{Results: shards[b.Shard].local.submitAll(ctx, b.Ops)}, nil
 }
 
-func (c *Claims) op(kind OpKind, account, key, attempt string) (Op, error) {
+func (c *Claims) newOp(kind OpKind, account, key, attempt string) (Op, error) {
 	if account == "" || key == "" {
 		return Op{}, Error.Wrap(fmt.Errorf("%w: no account or key", ErrInvalid))
 	}
 	op := Op{Kind: kind, Key: NewKeyID(account, key), Attempt: attempt, Node: c.cfg.Node}
-	return op, op.check()
+	return op, op.validate()
 }
 
-func (op Op) check() error {
+func (op Op) validate() error {
 	if op.Attempt == "" || len(op.Attempt) > maxNameBytes || len(op.Node) > maxNameBytes {
 		return Error.Wrap(fmt.Errorf("%w: attempt or node name", ErrInvalid))
 	}
 	return nil
 }
 
-// route sends op to the shard's owner. If that brings no certain answer, this
-// node writes op itself: the log counts an operation once, and answers with
-// what it shows.
-func (c *Claims) route(ctx context.Context, op Op) Result {
-	shards, err := c.open(ctx)
+// execute forwards op to the shard's owner. If that gives no definite result,
+// this node writes op itself and returns the state of the key in the log. That
+// is safe because a repeated operation takes effect once.
+func (c *Claims) execute(ctx context.Context, op Op) Result {
+	shards, err := c.openShards(ctx)
 	if err != nil {
 		return Result{Code: CodeUnavailable}
 	}
 	s := shards[op.Key.Shard(len(shards))]
 	if _, self := c.fwd.Owner(s.id); self {
-		return s.local.do(ctx, op)
+		return s.local.submit(ctx, op)
 	}
-	relayed := s.relay.do(ctx, op)
+	relayed := s.relay.submit(ctx, op)
 	if relayed.Code == CodeDone {
 		return relayed
 	}
-	r := s.local.do(ctx, op)
+	r := s.local.submit(ctx, op)
 	if r.Code == CodeUnavailable && relayed.Code == CodeUnknown {
 		return relayed
 	}
@@ -226,23 +232,23 @@
 func (c *Claims) relay(shard int, ops []Op) []Result {
 	node, self := c.fwd.Owner(shard)
 	if self {
-		return sameResults(len(ops), CodeUnavailable)
+		return repeatResult(len(ops), CodeUnavailable)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.RelayTimeout)
 	defer cancel()
 	out, err := c.fwd.Forward(ctx, node, Batch{Shard: shard, Ops: ops})
 	if err != nil || len(out.Results) != len(ops) {
-		return sameResults(len(ops), CodeUnknown)
+		return repeatResult(len(ops), CodeUnknown)
 	}
 	return out.Results
 }
 
 func (c *Claims) unavailable() error {
-	spread := 0.5 + rand.Float64()
-	return Error.Wrap(&UnavailableError{RetryAfter: time.Duration(spread * float64(c.cfg.RetryAfter))})
+	jitter := 0.5 + rand.Float64()
+	return Error.Wrap(&UnavailableError{RetryAfter: time.Duration(jitter * float64(c.cfg.RetryAfter))})
 }
 
-func (c *Claims) count(kind string, r Result, op Op) {
+func (c *Claims) countResult(kind string, r Result, op Op) {
 	if c.cfg.Metrics == nil {
 		return
 	}
--- a/once/once.go
+++ b/once/once.go
@@ -1,18 +1,22 @@
-// Package once grants at-most-once claims: of all attempts to run one
-// request, known by its client account and key, one is granted.
+// Package once grants claims that make a request run at most once: of all
+// attempts to run a request, which is identified by its client account and
+// key, only one is granted.
 //
-// Claims are operations in a log in the key-value service, one log per shard.
-// The first claim of a key in the log holds it; every process that reads the
-// log sees the same one. One router per shard, the owner, writes the claims
-// of all; who that is only saves writes, since two owners meet at the log's
-// create and the loser reads on from the winner's entry.
+// Claims are operations in a log in the key-value service, with one log per
+// shard. The first claim of a key in the log holds the key, and every process
+// that reads the log finds the same claim. For each shard one router, the
+// owner, writes the claims of all routers. Ownership only saves writes; safety
+// does not depend on it. If two routers both act as the owner, only one of
+// them can create the next log entry. The other router's create fails, and it
+// continues reading from the entry that was created.
 //
-// Failure story. When the answer to a write is lost, the claim may be in the
-// log without the router knowing. The router then must not dispatch, ever,
-// for that attempt: so "not run" is true. But the key may be held by an
-// attempt that will not run, and the caller's retry would be refused. The
-// router therefore voids the claim in the background. Only the router that
-// made an attempt may void it, because only it knows that it dispatched nothing.
+// When the answer to a write is lost, the claim may be in the log although the
+// router does not know it. The router must never dispatch that attempt, so
+// that its answer "not run" to the caller is true. But then the key may be
+// held by an attempt that never runs, and the caller's retry would be refused.
+// The router therefore voids the claim in the background. Only the router that
+// made an attempt may void it, because only that router knows that it did not
+// dispatch the attempt.
 package once
 
 import (
@@ -31,58 +35,59 @@
 var Error = errs.Class("once")
 
 var (
-	// ErrUnavailable means that the claim was not made and never will be; the
-	// request was not run. It comes as an *UnavailableError.
+	// ErrUnavailable means that the claim was not written to the log and never
+	// will be, so the request was not run. It is returned as an *UnavailableError.
 	ErrUnavailable = errors.New("claims unavailable")
-	// ErrUnknown means that the claim may have been made. The attempt must not be
-	// dispatched, now or later, so the request was not run; the key may stay held
-	// until the claim is voided, which goes on in the background.
+	// ErrUnknown means that the claim may have been written to the log. The attempt
+	// must not be dispatched, now or later, so the request was not run. The key may
+	// stay held until the claim has been voided, which happens in the background.
 	ErrUnknown = errors.New("claim may have been made")
-	// ErrKeyReused means that the key was used before with another body.
+	// ErrKeyReused means that the key is held by a request with a different body.
 	ErrKeyReused = errors.New("key reused with another body")
-	// ErrLate means that the deadline passed while the claim was under way.
+	// ErrLate means that the deadline passed before the attempt was dispatched.
 	ErrLate = errors.New("deadline passed before dispatch")
-	// ErrInvalid means that an argument is empty or too long.
+	// ErrInvalid means that an argument is empty, too long or out of range.
 	ErrInvalid = errors.New("invalid claim")
 )
 
-// UnavailableError is ErrUnavailable with the time after which to try again.
+// UnavailableError is ErrUnavailable with the time to wait before a retry.
 type UnavailableError struct {
 	RetryAfter time.Duration
 }
 
-// Error tells the time to wait.
+// Error returns a message that includes the time to wait before a retry.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("%v, retry after %v", ErrUnavailable, e.RetryAfter)
 }
 
-// Is makes the error match ErrUnavailable.
+// Is reports whether target is ErrUnavailable.
 func (e *UnavailableError) Is(target error) bool { return target == ErrUnavailable }
 
-// State is what the log says of a key.
+// State is the state of a key according to the log.
 type State uint8
 
 const (
-	// Claimed means that an attempt holds the key and may have run.
+	// Claimed means that an attempt holds the key; it may have been dispatched.
 	Claimed State = 1 + iota
-	// Voided means that the attempt that held the key surely never ran.
+	// Voided means that the attempt that held the key was never dispatched and
+	// never will be.
 	Voided
 )
 
-// Verdict answers a claim. If Granted is false, another attempt holds the
-// key, or State is Voided and the asking attempt itself was voided.
+// Verdict is the answer to a claim. If Granted is false, either another attempt
+// holds the key, or State is Voided and the claiming attempt itself was voided.
 type Verdict struct {
 	Granted bool
-	Holder  string // node that made the attempt
+	Holder  string // node that made the attempt that holds the key
 	Attempt string // attempt that holds the key
 	State   State
 }
 
-// KeyID stands for one key of one client account.
+// KeyID identifies one key of one client account.
 type KeyID [16]byte
 
-// NewKeyID hashes account and key. A cryptographic hash, so that no client
-// account can make a key that collides with another's.
+// NewKeyID hashes account and key. The hash is cryptographic, so that a client
+// account cannot construct a key that collides with another account's key.
 func NewKeyID(account, key string) KeyID {
 	h := sha256.New()
 	var size [8]byte
@@ -93,16 +98,16 @@
 	return KeyID(h.Sum(nil)[:16])
 }
 
-// Shard returns the shard of the key, of n shards.
+// Shard returns the index of the shard, out of n, that the key belongs to.
 func (k KeyID) Shard(n int) int { return int(xxhash.Sum64(k[:]) % uint64(n)) }
 
-// OpKind tells the operations in the log apart.
+// OpKind is the kind of an operation in the log.
 type OpKind uint8
 
 const (
-	// OpClaim asks for a key.
+	// OpClaim claims a key for an attempt.
 	OpClaim OpKind = 1 + iota
-	// OpVoid says that an attempt was never dispatched and won't be.
+	// OpVoid records that an attempt was never dispatched and never will be.
 	OpVoid
 )
 
@@ -115,25 +120,27 @@
 	Node    string   `cbor:"5,keyasint"`
 }
 
-// Batch is the operations that one router sends to a shard's owner.
+// Batch is a list of operations that one router forwards to a shard's owner.
 type Batch struct {
 	Shard int  `cbor:"1,keyasint"`
 	Ops   []Op `cbor:"2,keyasint"`
 }
 
-// Code says how an operation ended.
+// Code is the outcome of an operation.
 type Code uint8
 
 const (
-	// CodeDone: the log was read after the operation; the other fields tell.
+	// CodeDone means that the log was read up to and including the operation; the
+	// other fields of the Result are the state of the key at that point.
 	CodeDone Code = 1 + iota
-	// CodeUnavailable: the operation was surely not written.
+	// CodeUnavailable means that the operation was not written to the log.
 	CodeUnavailable
-	// CodeUnknown: the operation may have been written.
+	// CodeUnknown means that the operation may have been written to the log.
 	CodeUnknown
 )
 
-// Result answers one Op: who holds the key, as the log shows it.
+// Result is the result of one Op: the attempt that holds the key according to
+// the log.
 type Result struct {
 	Code    Code     `cbor:"1,keyasint"`
 	Holder  string   `cbor:"2,keyasint,omitempty"`
@@ -142,24 +149,26 @@
 	Body    [16]byte `cbor:"5,keyasint"`
 }
 
-// BatchResult answers a Batch, one result for each operation in order.
+// BatchResult is the answer to a Batch: one result per operation, in order.
 type BatchResult struct {
 	Results []Result `cbor:"1,keyasint"`
 }
 
-// Forwarder names the owners of shards and reaches them over the peer links.
-// A failed Forward is harmless whatever became of it: the operations are then
-// written by the forwarding router itself, and an operation that is in the
-// log twice counts once.
+// Forwarder finds the owners of shards and forwards batches to them over the
+// peer links. A failed Forward is harmless even if the owner wrote the
+// operations: the forwarding router then writes them itself, and an operation
+// that is in the log twice takes effect once.
 type Forwarder interface {
 	Owner(shard int) (node string, self bool)
 	Forward(ctx context.Context, node string, b Batch) (BatchResult, error)
 }
 
-// InTime returns ErrLate if ctx ended or its deadline has passed. It is to be
-// called after a claim is granted, right before dispatch: a process that was
-// frozen while it waited sees a deadline pass without its timer having fired,
-// and a monotonic clock may have stood still, so both clocks are compared.
+// InTime returns an error if ctx has ended or its deadline has passed. Callers
+// check it after a claim is granted, immediately before the dispatch. If the
+// process was frozen while it waited for the claim, the deadline may have
+// passed although the timer of ctx has not fired yet. The monotonic clock may
+// have been stopped during the freeze, so the deadline is compared with the
+// wall clock as well.
 func InTime(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrLate, err))
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -14,16 +14,16 @@
 	"wigeondale/kvlog/kvtest"
 )
 
-// alone is the Forwarder of a router that owns every shard.
-type alone struct{}
+// soleOwner is the Forwarder of a router that owns every shard.
+type soleOwner struct{}
 
-func (alone) Owner(int) (string, bool) { return "n", true }
+func (soleOwner) Owner(int) (string, bool) { return "n", true }
 
-func (alone) Forward(context.Context, string, Batch) (BatchResult, error) {
+func (soleOwner) Forward(context.Context, string, Batch) (BatchResult, error) {
 	return BatchResult{}, errLinkCut
 }
 
-// downStore is a store whose reads and creates fail while down is set.
+// downStore is a store whose creates fail while down is set.
 type downStore struct {
 	*kvtest.Store
 	down  bool
@@ -38,25 +38,25 @@
 	return d.Store.Create(ctx, key, data)
 }
 
-func newAlone(kv infra.KV) *Claims {
-	return New(Config{Node: "n", Incarnation: "i", KV: kv, Prefix: "c/", Shards: 1, Window: time.Hour, ClockSkew: time.Minute, CompactEvery: 1}, alone{})
+func newSoleOwner(kv infra.KV) *Claims {
+	return New(Config{Node: "n", Incarnation: "i", KV: kv, Prefix: "c/", Shards: 1, Window: time.Hour, ClockSkew: time.Minute, CompactEvery: 1}, soleOwner{})
 }
 
-// Symptom: during an outage each claim waits for a timeout before its refusal,
-// or a claim that was refused turns out to hold its key.
-// Sequence: the key-value service refuses; claims come; the service returns.
-// Cause: each claim asks the failing service anew.
+// Guards against claims that each wait for a timeout before they are refused
+// during an outage, and against refused claims that turn out to hold their key.
+// This happens if each claim calls the failing key-value service again. The test
+// makes the service refuse calls, claims keys, and restores the service.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &downStore{Store: kvtest.New()}
-		c := newAlone(kv)
-		ask := func(attempt string) (Verdict, error) {
+		c := newSoleOwner(kv)
+		claim := func(attempt string) (Verdict, error) {
 			return c.Claim(t.Context(), "acme", "k", [16]byte{1}, attempt)
 		}
 		outage := func() {
 			kv.down, kv.calls = true, 0
 			for i := range 10 {
-				_, err := ask(fmt.Sprint(i))
+				_, err := claim(fmt.Sprint(i))
 				var refused *UnavailableError
 				if !errors.As(err, &refused) || refused.RetryAfter <= 0 {
 					t.Error(err)
@@ -68,18 +68,18 @@
 			kv.down = false
 			time.Sleep(DefaultCooldown)
 		}
-		outage() // before the number of shards is known
-		if _, err := c.open(t.Context()); err != nil {
+		outage() // before the number of shards has been read
+		if _, err := c.openShards(t.Context()); err != nil {
 			t.Error(err)
 		}
-		outage() // and after
-		if v, err := ask("a"); !v.Granted || err != nil {
+		outage() // after the number of shards has been read
+		if v, err := claim("a"); !v.Granted || err != nil {
 			t.Error(v, err)
 		}
-		if v, err := ask("a"); !v.Granted || err != nil {
+		if v, err := claim("a"); !v.Granted || err != nil {
 			t.Error("same attempt again:", v, err)
 		}
-		if v, err := ask("b"); v.Granted || v.Attempt != "a" || v.Holder != "n" || err != nil {
+		if v, err := claim("b"); v.Granted || v.Attempt != "a" || v.Holder != "n" || err != nil {
 			t.Error("duplicate:", v, err)
 		}
 		if _, err := c.Claim(t.Context(), "acme", "k", [16]byte{2}, "c"); !errors.Is(err, ErrKeyReused) {
@@ -91,13 +91,13 @@
 	})
 }
 
-// lostStore loses the answer of the first create.
-type lostStore struct {
+// lostAnswerStore loses the answer to the first create.
+type lostAnswerStore struct {
 	*kvtest.Store
 	lost bool
 }
 
-func (l *lostStore) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
+func (l *lostAnswerStore) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
 	ok, v, err := l.Store.Create(ctx, key, data)
 	if !l.lost {
 		l.lost = true
@@ -106,17 +106,17 @@
 	return ok, v, err
 }
 
-// Symptom: one key is granted at two nodes.
-// Sequence: claims.shards of two nodes differ; a key is claimed at one, then at
-// the other. The first answer of the key-value service is lost.
-// Cause: each node looks for the key in the log that its own number names.
+// Guards against a key that is granted at two nodes. This happens if claims.shards
+// differs between the nodes and each looks up the key in the log that its own
+// number of shards selects. The test claims each key at one node after the other;
+// the first answer of the key-value service is lost.
 func TestShardsAreAgreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
 		node := func(kv infra.KV, shards int) *Claims {
-			return New(Config{Node: fmt.Sprint(shards), Incarnation: "i", KV: kv, Prefix: "c/", Shards: shards}, alone{})
+			return New(Config{Node: fmt.Sprint(shards), Incarnation: "i", KV: kv, Prefix: "c/", Shards: shards}, soleOwner{})
 		}
-		nodes := []*Claims{node(&lostStore{Store: store}, 4), node(store, 7), node(store, 1)}
+		nodes := []*Claims{node(&lostAnswerStore{Store: store}, 4), node(store, 7), node(store, 1)}
 		if _, err := nodes[0].Claim(t.Context(), "acme", "k", [16]byte{}, "lost"); !errors.Is(err, ErrUnavailable) {
 			t.Error("claimed before the number is known:", err)
 		}
@@ -137,20 +137,20 @@
 			}
 		}
 		for _, c := range nodes {
-			if n := len(c.known()); n != 4 {
+			if n := len(c.loadedShards()); n != 4 {
 				t.Errorf("node of %d shards uses %d, agreed on 4", c.cfg.Shards, n)
 			}
 		}
 	})
 }
 
-// Symptom: a key protects for less than its window.
-// Sequence: snapshots are taken within the window, by a node whose clock may
-// run ahead; the key is asked for again.
-// Cause: a snapshot drops claims by the age that one node's clock shows.
+// Guards against a key that is granted again within its window. This happens if
+// a snapshot removes claims by their age according to one node's clock. The test
+// takes snapshots within the window, one of them with a clock that runs ahead,
+// and claims the key again.
 func TestWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newAlone(kvtest.New())
+		c := newSoleOwner(kvtest.New())
 		claim := func(key, attempt string) bool {
 			v, err := c.Claim(t.Context(), "acme", key, [16]byte{}, attempt)
 			if err != nil {
@@ -158,73 +158,73 @@
 			}
 			return v.Granted
 		}
-		compact := func(ahead time.Duration) {
-			s := c.known()[0]
-			if err := s.compact(t.Context(), time.Now().Add(ahead)); err != nil {
+		compact := func(clockAhead time.Duration) {
+			s := c.loadedShards()[0]
+			if err := s.compact(t.Context(), time.Now().Add(clockAhead)); err != nil {
 				t.Error(err)
 			}
-			s.drop(s.current()) // the next claim rebuilds from snapshot and log
+			s.discardView(s.currentView()) // the next claim rebuilds the view from snapshot and log
 		}
 		claim("k", "a")
 		compact(24 * time.Hour)
 		if claim("k", "b") {
-			t.Error("dropped by a clock that runs ahead")
+			t.Error("claim removed because of a clock that runs ahead")
 		}
 		time.Sleep(time.Hour)
 		claim("other", "c")
 		compact(0)
 		if claim("k", "d") {
-			t.Error("dropped within the window")
+			t.Error("claim removed within its window")
 		}
 		time.Sleep(2 * time.Minute)
 		claim("other2", "e")
 		compact(0)
 		if !claim("k", "f") || claim("other", "g") {
-			t.Error("kept past the window, or a newer claim dropped")
+			t.Error("claim kept past its window, or a newer claim removed")
 		}
 	})
 }
 
-// frozen is a context whose timer did not fire while the process stood still.
-type frozen struct {
+// frozenContext is a context whose timer has not fired yet, as after a freeze of
+// the process.
+type frozenContext struct {
 	context.Context
 	deadline time.Time
 }
 
-func (f frozen) Deadline() (time.Time, bool) { return f.deadline, true }
+func (f frozenContext) Deadline() (time.Time, bool) { return f.deadline, true }
 
-// Symptom: a request is dispatched after its caller gave up.
-// Sequence: the claim is granted, the process freezes past the deadline and
-// thaws; its timers have not fired yet.
-// Cause: only the context's Done channel is looked at.
+// Guards against a dispatch after the caller has given up. This happens if the
+// process freezes past the deadline after the claim was granted, resumes before
+// its timers have fired, and checks only the context's Done channel.
 func TestInTimeAfterFreeze(t *testing.T) {
 	now := time.Now()
-	if err := InTime(frozen{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrLate) {
+	if err := InTime(frozenContext{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrLate) {
 		t.Error(err)
 	}
-	if err := InTime(frozen{t.Context(), now.Add(time.Hour)}); err != nil {
+	if err := InTime(frozenContext{t.Context(), now.Add(time.Hour)}); err != nil {
 		t.Error(err)
 	}
 }
 
-// Symptom: a key that nobody uses stays held.
-// Sequence: a forwarded claim is delayed; its router gives up and has the
-// attempt voided through another router; then the claim is written.
-// Cause: the void of a claim that is not in the log yet is forgotten.
+// Guards against a key that stays held although no attempt uses it. This happens
+// if a forwarded claim is delayed, its router gives up and voids the attempt
+// through another router, the claim is then written, and the void of a claim
+// that was not in the log yet has been ignored.
 func TestVoidBeforeClaim(t *testing.T) {
-	tab := newTable()
+	table := newTable()
 	op := func(kind OpKind, attempt string) Op { return Op{Kind: kind, Attempt: attempt} }
-	tab.apply(entry{Ops: []Op{op(OpVoid, "a"), op(OpClaim, "a")}})
-	if r, _ := tab.result(KeyID{}); r.State != Voided {
+	table.apply(entry{Ops: []Op{op(OpVoid, "a"), op(OpClaim, "a")}})
+	if r, _ := table.result(KeyID{}); r.State != Voided {
 		t.Error("voided attempt holds the key:", r)
 	}
-	tab.apply(entry{Ops: []Op{op(OpClaim, "b"), op(OpVoid, "a"), op(OpClaim, "a")}})
-	if r, _ := tab.result(KeyID{}); r.Attempt != "b" || r.State != Claimed {
+	table.apply(entry{Ops: []Op{op(OpClaim, "b"), op(OpVoid, "a"), op(OpClaim, "a")}})
+	if r, _ := table.result(KeyID{}); r.Attempt != "b" || r.State != Claimed {
 		t.Error("want b to hold the key:", r)
 	}
 }
 
-// hookStore runs hook once, right after the first chunk of a snapshot was read.
+// hookStore runs hook once, right after the first chunk of a snapshot is read.
 type hookStore struct {
 	*kvtest.Store
 	hook func()
@@ -239,47 +239,48 @@
 	return v, ok, err
 }
 
-// Symptom: a key is granted twice.
-// Sequence: a router reads a snapshot and pauses; others claim the key, take a
-// newer snapshot and truncate; the router reads on in the log.
-// Cause: the truncated entries are missing from the router's table.
+// Guards against a key that is granted twice. This happens if a router reads a
+// snapshot and pauses, other routers claim the key, store a newer snapshot and
+// truncate the log, and the first router continues reading the log with the
+// truncated entries missing from its table.
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
-	other := newAlone(store)
-	ask := func(c *Claims, key, attempt string) (Verdict, error) {
+	other := newSoleOwner(store)
+	claim := func(c *Claims, key, attempt string) (Verdict, error) {
 		return c.Claim(t.Context(), "acme", key, [16]byte{}, attempt)
 	}
 	claimSome := func(from, to int) {
 		for i := from; i < to; i++ {
-			if _, err := ask(other, fmt.Sprint("key", i), "other"); err != nil {
+			if _, err := claim(other, fmt.Sprint("key", i), "other"); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := other.known()[0].compact(t.Context(), time.Now()); err != nil {
+		if err := other.loadedShards()[0].compact(t.Context(), time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	claimSome(0, 1)
-	late := newAlone(&hookStore{Store: store, hook: func() { claimSome(1, 2*logWindow) }})
-	if v, err := ask(late, "key1", "late"); v.Granted || !errors.Is(err, ErrUnavailable) {
+	reader := newSoleOwner(&hookStore{Store: store, hook: func() { claimSome(1, 2*logWindow) }})
+	if v, err := claim(reader, "key1", "late"); v.Granted || !errors.Is(err, ErrUnavailable) {
 		t.Error(v, err)
 	}
-	late.known()[0].downUntil = time.Time{}
-	if v, err := ask(late, "key1", "late2"); v.Granted || v.Attempt != "other" || err != nil {
+	reader.loadedShards()[0].cooldownUntil = time.Time{}
+	if v, err := claim(reader, "key1", "late2"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
 	}
-	// The other way round: the first router has fallen behind with its table open.
+	// The same for a router that has already built its table and falls behind.
 	claimSome(2*logWindow, 4*logWindow)
-	if v, err := ask(late, "key0", "late3"); v.Granted || v.Attempt != "other" || err != nil {
+	if v, err := claim(reader, "key0", "late3"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
 	}
 }
 
-// BenchmarkClaims asks through one shard of a service that takes 2 ms a call.
+// BenchmarkClaims measures claims through one shard, with a key-value service
+// that takes 2 ms per call.
 func BenchmarkClaims(b *testing.B) {
 	store := kvtest.New()
 	store.Latency = 2 * time.Millisecond
-	c := newAlone(store)
+	c := newSoleOwner(store)
 	c.cfg.CompactEvery = 1 << 40
 	b.SetParallelism(64)
 	var seq = make(chan int, 1)
@@ -301,8 +302,8 @@
 	b.ReportMetric(float64(writes)/b.Elapsed().Seconds(), "writes/s")
 }
 
-// BenchmarkSave reports how long a snapshot of a large table holds the lock
-// that claims wait for, and how long it takes in all.
+// BenchmarkSave measures how long a snapshot of a large table holds the lock
+// that claims wait for, and how long the snapshot takes in total.
 func BenchmarkSave(b *testing.B) {
 	const claims = 200_000
 	v := &view{table: newTable()}
@@ -318,13 +319,13 @@
 				b.Error(err)
 			}
 		}()
-		for open := true; open; {
+		for saving := true; saving; {
 			select {
 			case <-saved:
-				open = false
+				saving = false
 			default:
 				start := time.Now()
-				v.isBroken()
+				v.isIncomplete()
 				longest = max(longest, time.Since(start))
 				time.Sleep(100 * time.Microsecond)
 			}
@@ -333,7 +334,7 @@
 	b.ReportMetric(float64(longest.Microseconds())/1000, "longest-wait-ms")
 }
 
-// BenchmarkClaimMemory reports the bytes that one kept claim takes.
+// BenchmarkClaimMemory measures the bytes of memory per claim in the table.
 func BenchmarkClaimMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -19,43 +19,44 @@
 const (
 	routerCount = 3
 	keyCount    = 2
-	// callTime is the callers' deadline, in fake time.
+	// callTime is the timeout of the callers, in fake time.
 	callTime = 5 * time.Second
 )
 
 var errLinkCut = errors.New("link cut")
 
-// fleetOf is a few routers over one bench, with links that the schedule cuts
-// and with routers that may disagree on who the owner is.
-type fleetOf struct {
-	mu       sync.Mutex // of all below but bench and attempts
-	bench    *kvtest.Bench
-	routers  []*Claims
-	cancels  []context.CancelFunc
-	owner    []int // per router, whom it takes for the owner
-	cut      []bool
-	lose     []bool // answers over the link are lost
-	attempts int
-	granted  map[string][]string // key -> dispatched attempts
-	gaveUp   map[string]bool     // attempts whose caller was told "not run"
-	madeBy   map[string]*Claims
-	problems []string
+// testFleet is a set of routers that share one store, whose calls wait until the
+// test releases them. The actions of a test case cut the links between the
+// routers and make the routers disagree on the owner of the shard.
+type testFleet struct {
+	mu             sync.Mutex // guards the fields below, except kv and attempts
+	kv             *kvtest.Bench
+	routers        []*Claims
+	cancels        []context.CancelFunc
+	owners         []int  // by router: the router that it considers the owner
+	linkCut        []bool // by router: its forwarded batches do not reach the owner
+	answersLost    []bool // by router: the answers to its forwarded batches are lost
+	attempts       int
+	granted        map[string][]string // dispatched attempts by key
+	reportedNotRun map[string]bool     // attempts whose caller received "not run"
+	routerOf       map[string]*Claims  // router by attempt
+	problems       []string
 }
 
-// links is one router's Forwarder.
-type links struct {
-	f    *fleetOf
+// testForwarder is one router's Forwarder.
+type testForwarder struct {
+	f    *testFleet
 	self int
 }
 
-func (l links) Owner(int) (string, bool) {
+func (l testForwarder) Owner(int) (string, bool) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
-	o := l.f.owner[l.self]
+	o := l.f.owners[l.self]
 	return fmt.Sprint(o), o == l.self
 }
 
-func (l links) Forward(ctx context.Context, node string, b Batch) (BatchResult, error) {
+func (l testForwarder) Forward(ctx context.Context, node string, b Batch) (BatchResult, error) {
 	to := int(node[0] - '0')
 	receiver, lost := l.receiver(to)
 	if receiver == nil {
@@ -68,19 +69,19 @@
 	return out, err
 }
 
-func (l links) receiver(to int) (c *Claims, lost bool) {
+func (l testForwarder) receiver(to int) (c *Claims, lost bool) {
 	l.f.mu.Lock()
 	defer l.f.mu.Unlock()
-	if l.f.cut[l.self] {
+	if l.f.linkCut[l.self] {
 		return nil, false
 	}
-	return l.f.routers[to], l.f.lose[l.self]
+	return l.f.routers[to], l.f.answersLost[l.self]
 }
 
-func newFleet() *fleetOf {
-	f := &fleetOf{
-		bench: kvtest.NewBench(), granted: map[string][]string{}, gaveUp: map[string]bool{}, madeBy: map[string]*Claims{},
-		owner: make([]int, routerCount), cut: make([]bool, routerCount), lose: make([]bool, routerCount),
+func newFleet() *testFleet {
+	f := &testFleet{
+		kv: kvtest.NewBench(), granted: map[string][]string{}, reportedNotRun: map[string]bool{}, routerOf: map[string]*Claims{},
+		owners: make([]int, routerCount), linkCut: make([]bool, routerCount), answersLost: make([]bool, routerCount),
 	}
 	f.routers = make([]*Claims, routerCount)
 	f.cancels = make([]context.CancelFunc, routerCount)
@@ -90,22 +91,23 @@
 	return f
 }
 
-func (f *fleetOf) startRouter(i int, incarnation string) {
+func (f *testFleet) startRouter(i int, incarnation string) {
 	c := New(Config{
-		Node: fmt.Sprint(i), Incarnation: incarnation, KV: f.bench.Client(), Prefix: "c/", Shards: 1,
+		Node: fmt.Sprint(i), Incarnation: incarnation, KV: f.kv.Client(), Prefix: "c/", Shards: 1,
 		SettleTries: 2, SettleDelay: time.Millisecond, CompactEvery: 4, Cooldown: 20 * time.Millisecond, RetryAfter: 50 * time.Millisecond,
-	}, links{f, i})
+	}, testForwarder{f, i})
 	ctx, cancel := context.WithCancel(context.Background())
-	f.set(func() { f.routers[i], f.cancels[i] = c, cancel })
+	f.update(func() { f.routers[i], f.cancels[i] = c, cancel })
 	go func() { _ = c.Run(ctx) }()
 }
 
-// request is one caller's try at a router: claim, check the deadline, dispatch.
-func (f *fleetOf) request(router int, key string, body byte, abandon bool) {
+// request sends one caller's attempt to a router: it claims the key, checks the
+// deadline, and dispatches.
+func (f *testFleet) request(router int, key string, body byte, abandon bool) {
 	f.attempts++
 	attempt := fmt.Sprint("attempt", f.attempts)
 	c := f.routers[router]
-	f.set(func() { f.madeBy[attempt] = c })
+	f.update(func() { f.routerOf[attempt] = c })
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTime)
 		defer cancel()
@@ -114,13 +116,13 @@
 		defer f.mu.Unlock()
 		switch {
 		case err != nil:
-			f.gaveUp[attempt] = true
+			f.reportedNotRun[attempt] = true
 		case !v.Granted:
 			if v.Attempt == attempt {
 				f.problems = append(f.problems, attempt+" refused for itself")
 			}
 		case InTime(ctx) != nil || abandon:
-			f.gaveUp[attempt] = true
+			f.reportedNotRun[attempt] = true
 			_ = c.VoidLater("acme", key, attempt)
 		default:
 			f.dispatch(key, attempt)
@@ -128,8 +130,8 @@
 	}()
 }
 
-func (f *fleetOf) dispatch(key, attempt string) {
-	if f.gaveUp[attempt] {
+func (f *testFleet) dispatch(key, attempt string) {
+	if f.reportedNotRun[attempt] {
 		f.problems = append(f.problems, attempt+" dispatched after not-run")
 	}
 	f.granted[key] = append(f.granted[key], attempt)
@@ -138,62 +140,63 @@
 	}
 }
 
-func (f *fleetOf) set(change func()) {
+func (f *testFleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-type move struct{ Kind, A, B int }
+type action struct{ Kind, A, B int }
 
-func (f *fleetOf) step(m move) {
+func (f *testFleet) step(m action) {
 	r := m.A % routerCount
 	switch m.Kind {
 	case 0, 1, 2:
 		f.request(r, fmt.Sprint("key", m.B%keyCount), 0, m.B == 5)
 	case 3:
-		f.set(func() { f.owner[r] = m.B % routerCount })
+		f.update(func() { f.owners[r] = m.B % routerCount })
 	case 4:
-		f.set(func() { f.cut[r] = !f.cut[r] })
+		f.update(func() { f.linkCut[r] = !f.linkCut[r] })
 	case 5:
-		f.set(func() { f.lose[r] = !f.lose[r] })
+		f.update(func() { f.answersLost[r] = !f.answersLost[r] })
 	case 6:
-		f.bench.Land(m.A)
+		f.kv.Land(m.A)
 	case 7:
 		time.Sleep(time.Duration(m.B*m.B) * 100 * time.Millisecond)
 	case 8:
-		f.cancels[r]() // the router dies; its successor knows nothing of it
-		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.bench.Held(), time.Now().UnixNano()))
+		f.cancels[r]() // the router crashes; the restarted one has none of its state
+		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.kv.Held(), time.Now().UnixNano()))
 	case 9, 10:
-		f.bench.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
+		f.kv.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
 	default:
-		f.bench.Release(m.A, kvtest.OK)
+		f.kv.Release(m.A, kvtest.OK)
 	}
 	time.Sleep(3 * time.Millisecond)
 	synctest.Wait()
 }
 
-// finish ends all calls, then proves that each key that did not run is free
-// once the voids of living routers are done, and reads the same everywhere.
-func (f *fleetOf) finish() {
-	for f.bench.Late() > 0 {
-		f.bench.Land(0)
+// finish completes all calls and waits for the voids of the running routers. Then
+// it checks that no key is held by an attempt of a running router that never ran,
+// and that all routers read the same state.
+func (f *testFleet) finish() {
+	for f.kv.Late() > 0 {
+		f.kv.Land(0)
 	}
 	for range 4000 {
-		if f.bench.Held() > 0 {
-			f.bench.Release(0, kvtest.OK)
+		if f.kv.Held() > 0 {
+			f.kv.Release(0, kvtest.OK)
 		} else {
 			time.Sleep(20 * time.Millisecond)
 		}
 		synctest.Wait()
 	}
-	var first []string
+	var states []string
 	for i, c := range f.routers {
-		first = append(first, f.ask(i, c))
+		states = append(states, f.readState(i, c))
 	}
-	for _, held := range first {
-		if held != first[0] {
-			f.problems = append(f.problems, fmt.Sprintf("routers disagree: %v", first))
+	for _, state := range states {
+		if state != states[0] {
+			f.problems = append(f.problems, fmt.Sprintf("routers disagree: %v", states))
 		}
 	}
 	for _, cancel := range f.cancels {
@@ -202,23 +205,24 @@
 	synctest.Wait()
 }
 
-// ask reads who holds each key in a view built anew by router i.
-func (f *fleetOf) ask(i int, c *Claims) string {
-	fresh := &shard{cfg: &Config{Node: "x", KV: f.bench.Store, Prefix: "c/"}}
-	if shards := c.known(); i == 0 && len(shards) > 0 {
-		fresh = shards[0]
+// readState returns the attempt and state of each key. Router 0 reads them in the
+// view that it has; for the other routers a new view is built.
+func (f *testFleet) readState(i int, c *Claims) string {
+	s := &shard{cfg: &Config{Node: "x", KV: f.kv.Store, Prefix: "c/"}}
+	if shards := c.loadedShards(); i == 0 && len(shards) > 0 {
+		s = shards[0]
 	}
 	var v *view
 	var err error
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if v, err = fresh.open(context.Background()); err == nil {
+		if v, err = s.openView(context.Background()); err == nil {
 			_, err = v.log.Head(context.Background())
 		}
 	}()
-	for synctest.Wait(); f.bench.Held() > 0; synctest.Wait() {
-		f.bench.Release(0, kvtest.OK)
+	for synctest.Wait(); f.kv.Held() > 0; synctest.Wait() {
+		f.kv.Release(0, kvtest.OK)
 	}
 	<-done
 	if err != nil {
@@ -228,7 +232,7 @@
 	text := ""
 	for k := range keyCount {
 		r, _ := v.table.result(NewKeyID("acme", fmt.Sprint("key", k)))
-		if made := f.madeBy[r.Attempt]; r.State == Claimed && f.gaveUp[r.Attempt] && slices.Contains(f.routers, made) {
+		if router := f.routerOf[r.Attempt]; r.State == Claimed && f.reportedNotRun[r.Attempt] && slices.Contains(f.routers, router) {
 			f.problems = append(f.problems, fmt.Sprintf("key %d stays held by %s, which never ran", k, r.Attempt))
 		}
 		text += fmt.Sprint(r.Attempt, r.State, " ")
@@ -236,17 +240,17 @@
 	return text
 }
 
-// Symptom: a request marked non-idempotent runs twice, or runs although its
-// caller was told that it did not.
-// Sequence: the caller asks again at other routers; two routers take themselves
-// for the owner; answers are lost on the way from the key-value service and
-// between routers; writes land late; routers pause past the deadline or die.
-// Cause: a claim is granted by something else than the first claim in the log,
-// an attempt goes on after its claim failed, or a void frees a key in use.
+// Guards against a request marked non-idempotent that runs twice, or that runs
+// although its caller received "not run". This happens if anything but the first
+// claim in the log grants a key, if an attempt continues after its claim failed,
+// or if a void frees a key in use. The test retries requests at other routers
+// while two routers act as the owner, answers from the key-value service and
+// between routers are lost, writes take effect late, and routers pause past the
+// deadline or crash.
 func TestAtMostOneGrant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		gen := rapid.Custom(func(rt *rapid.T) move {
-			return move{rapid.IntRange(0, 17).Draw(rt, "kind"), rapid.IntRange(0, 8).Draw(rt, "a"), rapid.IntRange(0, 9).Draw(rt, "b")}
+		gen := rapid.Custom(func(rt *rapid.T) action {
+			return action{rapid.IntRange(0, 17).Draw(rt, "kind"), rapid.IntRange(0, 8).Draw(rt, "a"), rapid.IntRange(0, 9).Draw(rt, "b")}
 		})
 		moves := rapid.SliceOfN(gen, 10, 120).Draw(rt, "moves")
 		var problems []string
--- a/once/shard.go
+++ b/once/shard.go
@@ -14,20 +14,22 @@
 	"wigeondale/kvlog"
 )
 
-// view is a shard's table as one log handle feeds it. It is soft: when it
-// falls behind a truncation it is thrown away and built anew.
+// view is a shard's table, built from the entries that one log handle reads. It
+// can be rebuilt at any time: if the log is truncated beyond the position that
+// the view has reached, the view is discarded and built again.
 type view struct {
 	log *kvlog.Log
 
-	mu       sync.Mutex
-	table    *table
-	applied  uint64 // position that table stands at
-	snapshot uint64 // position of the snapshot last seen
-	broken   bool   // a position was skipped
+	mu         sync.Mutex
+	table      *table
+	applied    uint64 // log position up to which entries are applied to table
+	snapshot   uint64 // log position of the last snapshot loaded or stored
+	incomplete bool   // an entry is missing from table because its position was skipped
 }
 
-// observe takes the log's entries in order. The log starts some entries before
-// the snapshot's position, for the ids; those are skipped.
+// observe applies the log's entries in order. The log starts some entries before
+// the snapshot's position, because it needs their ids to detect repeated
+// appends; observe skips them.
 func (v *view) observe(e kvlog.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -35,74 +37,74 @@
 	case e.N <= v.applied:
 		return
 	case e.N > v.applied+1:
-		v.broken = true
+		v.incomplete = true
 		return
 	}
 	v.applied = e.N
 	var data entry
 	if err := cbor.Unmarshal(e.Data, &data); err != nil {
-		return // not ours to read; it holds no operation for any reader
+		return // no reader can decode the entry, so it changes the state of none
 	}
 	v.table.apply(data)
 }
 
-func (v *view) isBroken() bool {
+func (v *view) isIncomplete() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.broken
+	return v.incomplete
 }
 
 // shard writes and reads the claims of one shard.
 type shard struct {
 	id    int
 	cfg   *Config
-	local *batcher // to the log
-	relay *batcher // to the owner
+	local *batcher // batches written to the log by this node
+	relay *batcher // batches forwarded to the owner
 	seq   atomic.Uint64
 
-	mu        sync.Mutex
-	view      *view
-	downUntil time.Time
+	mu            sync.Mutex
+	view          *view
+	cooldownUntil time.Time
 }
 
-// send writes one batch and answers from the log. Only the local batcher calls
-// it, so one batch is under way at a time.
-func (s *shard) send(ops []Op) []Result {
-	if s.isDown() {
-		return sameResults(len(ops), CodeUnavailable)
+// writeBatch writes one batch to the log and returns the resulting state of the
+// keys. Only the local batcher calls it, so there is one call at a time.
+func (s *shard) writeBatch(ops []Op) []Result {
+	if s.inCooldown() {
+		return repeatResult(len(ops), CodeUnavailable)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.cfg.SendTimeout)
 	defer cancel()
-	results := s.write(ctx, ops)
-	s.noteFailure(results)
+	results := s.resolveAndAppend(ctx, ops)
+	s.recordFailure(results)
 	return results
 }
 
-func (s *shard) write(ctx context.Context, ops []Op) []Result {
-	v, err := s.open(ctx)
+func (s *shard) resolveAndAppend(ctx context.Context, ops []Op) []Result {
+	v, err := s.openView(ctx)
 	if err != nil {
-		return sameResults(len(ops), CodeUnavailable)
+		return repeatResult(len(ops), CodeUnavailable)
 	}
 	if v, err = s.refresh(ctx, v, ops); err != nil {
-		return sameResults(len(ops), CodeUnavailable)
+		return repeatResult(len(ops), CodeUnavailable)
 	}
 	results := make([]Result, len(ops))
-	open := v.decide(ops, results)
-	if len(open) == 0 {
+	unresolved := v.resolve(ops, results)
+	if len(unresolved) == 0 {
 		return results
 	}
-	todo := make([]Op, len(open))
-	for i, at := range open {
-		todo[i] = ops[at]
+	toWrite := make([]Op, len(unresolved))
+	for i, index := range unresolved {
+		toWrite[i] = ops[index]
 	}
-	code := s.append(ctx, v, entry{Ops: todo, AtUnix: time.Now().Unix()})
-	for _, at := range open {
-		results[at] = v.outcome(code, ops[at].Key)
+	code := s.append(ctx, v, entry{Ops: toWrite, AtUnix: time.Now().Unix()})
+	for _, index := range unresolved {
+		results[index] = v.outcome(code, ops[index].Key)
 	}
 	return results
 }
 
-// append returns CodeDone when the entry is in the log and v stands behind it.
+// append returns CodeDone if the entry is in the log and applied to v.
 func (s *shard) append(ctx context.Context, v *view, e entry) Code {
 	data, err := cbor.Marshal(e)
 	if err != nil {
@@ -110,71 +112,71 @@
 	}
 	id := fmt.Sprintf("%s-%s-%d", s.cfg.Node, s.cfg.Incarnation, s.seq.Add(1))
 	_, err = v.log.Append(ctx, id, data)
-	var gone *kvlog.TruncatedError
+	var truncated *kvlog.TruncatedError
 	switch {
-	case err == nil && !v.isBroken():
+	case err == nil && !v.isIncomplete():
 		return CodeDone
 	case err == nil:
-		// Written, but this view can't tell what came before it.
-		s.drop(v)
+		// The entry is written, but this view lacks entries that precede it.
+		s.discardView(v)
 		return CodeUnknown
 	case errors.Is(err, kvlog.ErrUnsettled), errors.Is(err, kvlog.ErrExpired):
 		s.cfg.Events.Emit(event.ClaimsUnsettled, "shard", s.id, "err", err)
 		return CodeUnknown
-	case errors.As(err, &gone):
-		s.drop(v)
+	case errors.As(err, &truncated):
+		s.discardView(v)
 		return CodeUnavailable
 	}
 	s.cfg.Events.Emit(event.ClaimsUnavailable, "shard", s.id, "err", err)
 	return CodeUnavailable
 }
 
-// refresh reads the log to its end if v shows a holder for any of the keys,
-// because the holder may have been voided by another owner since. A failed
-// read leaves the older answer. It can only say "held" of a key that was voided
-// since: a refusal that was not needed, never a second run.
+// refresh reads the log to its end if v has a claim for any of the keys, because
+// another router that acts as the owner may have voided that claim since. If the
+// read fails, v is used as it is. At worst it shows a claim that has been voided
+// since, which causes an unnecessary refusal but never a second run.
 func (s *shard) refresh(ctx context.Context, v *view, ops []Op) (*view, error) {
-	if !v.holdsAny(ops) {
+	if !v.hasAnyClaim(ops) {
 		return v, nil
 	}
 	_, err := v.log.Head(ctx)
-	var gone *kvlog.TruncatedError
-	if errors.As(err, &gone) {
-		s.drop(v)
-		return s.open(ctx)
+	var truncated *kvlog.TruncatedError
+	if errors.As(err, &truncated) {
+		s.discardView(v)
+		return s.openView(ctx)
 	}
 	return v, nil
 }
 
-// decide fills in what the log already answers and returns the indexes of the
-// operations left to write.
-func (v *view) decide(ops []Op, results []Result) (open []int) {
+// resolve fills in the results of the operations that would not change the log's
+// state and returns the indexes of the operations that must be written.
+func (v *view) resolve(ops []Op, results []Result) (unresolved []int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i, op := range ops {
-		r, held := v.table.result(op.Key)
-		if held && settles(r, op) {
+		r, exists := v.table.result(op.Key)
+		if exists && isNoOp(r, op) {
 			results[i] = r
 			continue
 		}
-		open = append(open, i)
+		unresolved = append(unresolved, i)
 	}
-	return open
+	return unresolved
 }
 
-// settles reports whether op would change nothing, given what the log shows.
-func settles(r Result, op Op) bool {
+// isNoOp reports whether op would change nothing, given the key's state r.
+func isNoOp(r Result, op Op) bool {
 	if op.Kind == OpVoid {
 		return r.Attempt != op.Attempt && r.State == Claimed || r.Attempt == op.Attempt && r.State == Voided
 	}
 	return r.State == Claimed || r.Attempt == op.Attempt
 }
 
-func (v *view) holdsAny(ops []Op) bool {
+func (v *view) hasAnyClaim(ops []Op) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, op := range ops {
-		if _, held := v.table.claims[op.Key]; held {
+		if _, exists := v.table.claims[op.Key]; exists {
 			return true
 		}
 	}
@@ -191,12 +193,13 @@
 	return r
 }
 
-// open returns the shard's view, built from snapshot and log if there is none.
-func (s *shard) open(ctx context.Context) (*view, error) {
-	if v := s.current(); v != nil && !v.isBroken() {
+// openView returns the shard's view. It builds one from the snapshot and the log
+// if there is none or the current one lacks entries.
+func (s *shard) openView(ctx context.Context) (*view, error) {
+	if v := s.currentView(); v != nil && !v.isIncomplete() {
 		return v, nil
 	}
-	v, err := s.build(ctx)
+	v, err := s.buildView(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -207,7 +210,7 @@
 	return v, nil
 }
 
-func (s *shard) build(ctx context.Context) (*view, error) {
+func (s *shard) buildView(ctx context.Context) (*view, error) {
 	v := &view{table: newTable()}
 	opts := s.cfg.logOptions()
 	opts.Observe = v.observe
@@ -225,21 +228,21 @@
 	if _, err := v.log.Head(ctx); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if v.isBroken() {
-		return nil, Error.New("shard %d: truncated while being read", s.id)
+	if v.isIncomplete() {
+		return nil, Error.New("shard %d: log was truncated during the read", s.id)
 	}
 	return v, nil
 }
 
 func (s *shard) prefix() string { return fmt.Sprintf("%s%04d/", s.cfg.Prefix, s.id) }
 
-func (s *shard) current() *view {
+func (s *shard) currentView() *view {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.view
 }
 
-func (s *shard) drop(v *view) {
+func (s *shard) discardView(v *view) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.view == v {
@@ -247,21 +250,23 @@
 	}
 }
 
-// isDown is true for a short time after a failure. Without it, every claim of
-// an outage would wait for a timeout before it is refused.
-func (s *shard) isDown() bool {
+// inCooldown reports whether the last failure was less than Config.Cooldown ago.
+// Without the cooldown, each claim during an outage would wait for a timeout
+// before it is refused.
+func (s *shard) inCooldown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.downUntil)
+	return time.Now().Before(s.cooldownUntil)
 }
 
-func (s *shard) noteFailure(results []Result) {
+// recordFailure starts the cooldown if an operation of a batch failed.
+func (s *shard) recordFailure(results []Result) {
 	for _, r := range results {
 		if r.Code == CodeDone {
 			continue
 		}
 		s.mu.Lock()
-		s.downUntil = time.Now().Add(s.cfg.Cooldown)
+		s.cooldownUntil = time.Now().Add(s.cfg.Cooldown)
 		s.mu.Unlock()
 		return
 	}
--- a/once/upkeep.go
+++ b/once/upkeep.go
@@ -13,30 +13,30 @@
 	"wigeondale/kvlog"
 )
 
-// voidsAtOnce is how many voids wait for their batch together.
-const voidsAtOnce = 256
+// maxConcurrentVoids is the number of voids that wait for a batch at once.
+const maxConcurrentVoids = 256
 
-// voidQueue holds the attempts that are to be voided: at most limit of them,
-// the oldest dropped first.
+// voidQueue is a queue of void operations that still have to be written. It has
+// at most limit operations; when it is full, the oldest one is dropped.
 type voidQueue struct {
 	limit int
 	wake  chan struct{}
 
-	mu    sync.Mutex
-	order []Op
+	mu  sync.Mutex
+	ops []Op
 }
 
 func newVoidQueue(limit int) *voidQueue {
 	return &voidQueue{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// add reports whether another operation was dropped for it.
+// add appends op and reports whether the oldest operation was dropped for it.
 func (q *voidQueue) add(op Op) (dropped bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.order = append(q.order, op)
-	if len(q.order) > q.limit {
-		q.order = q.order[1:]
+	q.ops = append(q.ops, op)
+	if len(q.ops) > q.limit {
+		q.ops = q.ops[1:]
 		dropped = true
 	}
 	select {
@@ -49,8 +49,8 @@
 func (q *voidQueue) takeAll() []Op {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	ops := q.order
-	q.order = nil
+	ops := q.ops
+	q.ops = nil
 	return ops
 }
 
@@ -59,78 +59,80 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var taken []Op
-	rest := q.order[:0]
-	for _, op := range q.order {
+	remaining := q.ops[:0]
+	for _, op := range q.ops {
 		if op.Key == k {
 			taken = append(taken, op)
 			continue
 		}
-		rest = append(rest, op)
+		remaining = append(remaining, op)
 	}
-	q.order = rest
+	q.ops = remaining
 	return taken
 }
 
 func (c *Claims) queueVoid(op Op) {
 	op.Kind = OpVoid
 	if c.voids.add(op) {
-		c.cfg.Events.Emit(event.ClaimVoidsDropped, "limit", maxVoids)
+		c.cfg.Events.Emit(event.ClaimVoidsDropped, "limit", maxQueuedVoids)
 	}
 }
 
-// flushVoid voids this node's own given-up attempts at the key before another
-// attempt claims it, so that the caller's retry isn't refused for them.
-func (c *Claims) flushVoid(ctx context.Context, k KeyID) {
+// flushVoids writes the queued voids of this node's abandoned attempts for the
+// key before another attempt claims it, so that the caller's retry is not
+// refused because of them.
+func (c *Claims) flushVoids(ctx context.Context, k KeyID) {
 	c.voidAll(ctx, c.voids.takeKey(k))
 }
 
-// voidAll returns how many voids were put back. They are sent together, so
-// that they share batches.
+// voidAll writes the void operations and returns how many of them failed and
+// were queued again. It sends them concurrently, so that they share batches.
 func (c *Claims) voidAll(ctx context.Context, ops []Op) int {
-	var left atomic.Int64
+	var requeued atomic.Int64
 	var group errgroup.Group
-	group.SetLimit(voidsAtOnce)
+	group.SetLimit(maxConcurrentVoids)
 	for _, op := range ops {
 		group.Go(func() error {
-			r := c.route(ctx, op)
-			c.count("void", r, op)
+			r := c.execute(ctx, op)
+			c.countResult("void", r, op)
 			if r.Code != CodeDone {
 				c.queueVoid(op)
-				left.Add(1)
+				requeued.Add(1)
 			}
 			return nil
 		})
 	}
 	_ = group.Wait() // no error is returned above
-	return int(left.Load())
+	return int(requeued.Load())
 }
 
-// Run voids given-up attempts and compacts the logs of the shards that this
+// Run voids abandoned attempts and compacts the logs of the shards that this
 // node owns, until ctx ends.
 func (c *Claims) Run(ctx context.Context) error {
 	tick := time.NewTicker(c.cfg.RetryAfter)
 	defer tick.Stop()
 	wake := c.voids.wake
-	// Learnt early, so that a claim during a later outage isn't the first to ask.
-	_, _ = c.open(ctx)
+	// Read the number of shards now, so that claims during a later outage do not
+	// depend on reading it.
+	_, _ = c.openShards(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
 			wake = c.voids.wake
-			_, _ = c.open(ctx) // a failure is an event already
+			_, _ = c.openShards(ctx) // a failure has been logged already
 		case <-wake:
 		}
 		if c.voidAll(ctx, c.voids.takeAll()) > 0 {
-			wake = nil // the service fails: wait for the tick
+			wake = nil // the key-value service fails: retry at the next tick
 		}
 		c.compactOwned(ctx)
 	}
 }
 
 func (c *Claims) compactOwned(ctx context.Context) {
-	for _, s := range c.known() {
+	for _, s := range c.loadedShards() {
 		if _, self := c.fwd.Owner(s.id); !self {
 			continue
 		}
@@ -140,15 +142,15 @@
 	}
 }
 
-// compact drops the claims past the window and stores a snapshot once enough
-// entries came since the last.
+// compact removes the claims that are older than the window and stores a
+// snapshot, if enough entries were applied since the last snapshot.
 func (s *shard) compact(ctx context.Context, now time.Time) error {
-	v := s.current()
-	if v == nil || !v.due(s.cfg.CompactEvery) {
+	v := s.currentView()
+	if v == nil || !v.needsCompaction(s.cfg.CompactEvery) {
 		return nil
 	}
 	if s.append(ctx, v, s.expiry(v, now)) != CodeDone {
-		return Error.New("expiry not written")
+		return Error.New("expiry entry was not written to the log")
 	}
 	upTo, data, err := v.save()
 	if err != nil {
@@ -162,8 +164,9 @@
 	return nil
 }
 
-// expiry takes the earlier of this node's clock and the log's latest time: a
-// node whose clock runs ahead must not drop claims that are in their window.
+// expiry returns the log entry that removes the claims older than the window. It
+// uses the earlier of this node's clock and the latest time in the log, because
+// a node whose clock runs ahead must not remove claims within their window.
 func (s *shard) expiry(v *view, now time.Time) entry {
 	v.mu.Lock()
 	latest := time.Unix(int64(v.table.latest), 0)
@@ -176,14 +179,15 @@
 	return entry{AtUnix: latest.Unix(), ExpireBeforeUnix: max(before, 0)}
 }
 
-func (v *view) due(every uint64) bool {
+func (v *view) needsCompaction(every uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.applied-v.snapshot >= every
 }
 
-// save holds the lock only for a copy: encoding a large table takes many times
-// as long, and every claim of the shard waits for the lock.
+// save returns the table's position and its encoded snapshot. It holds the lock
+// only while it copies the table: every claim of the shard waits for the lock,
+// and encoding a large table takes many times as long as copying it.
 func (v *view) save() (uint64, []byte, error) {
 	v.mu.Lock()
 	upTo, copied := v.applied, v.table.save()
@@ -202,21 +206,22 @@
 type ShardDump struct {
 	Shard    int    `json:"shard"`
 	Owner    string `json:"owner"`
-	Open     bool   `json:"open"` // whether this node has read the shard
+	Open     bool   `json:"open"` // this node has read the shard's log
 	Position uint64 `json:"position"`
 	Snapshot uint64 `json:"snapshot"`
 	Claims   int    `json:"claims"`
-	Down     bool   `json:"down"` // whether claims are refused at once
+	Down     bool   `json:"down"` // claims are refused without a try, after a failure
 }
 
-// Dump returns the state of each shard; none before their number is known.
+// Dump returns the state of each shard. It is empty while the number of shards
+// is not known yet.
 func (c *Claims) Dump() any {
-	shards := c.known()
+	shards := c.loadedShards()
 	dumps := make([]ShardDump, 0, len(shards))
 	for _, s := range shards {
 		owner, _ := c.fwd.Owner(s.id)
-		d := ShardDump{Shard: s.id, Owner: owner, Down: s.isDown()}
-		if v := s.current(); v != nil {
+		d := ShardDump{Shard: s.id, Owner: owner, Down: s.inCooldown()}
+		if v := s.currentView(); v != nil {
 			v.mu.Lock()
 			d.Open, d.Position, d.Snapshot, d.Claims = true, v.applied, v.snapshot, len(v.table.claims)
 			v.mu.Unlock()
