--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// targetNodes is the size that docs/CAPACITY.md works out.
+// targetNodes is the number of nodes for which docs/CAPACITY.md calculates the
+// capacity.
 const targetNodes = 830
 
-func fleetOf(n int) []Record {
+func testRecords(n int) []Record {
 	out := make([]Record, n)
 	for i := range out {
 		out[i] = Record{
@@ -28,9 +29,9 @@
 	return out
 }
 
-// idleMesh knows n members and has no links.
+// idleMesh returns a mesh that is not running and has n members and no links.
 func idleMesh(b *testing.B, n int) *Mesh {
-	rs := fleetOf(n)
+	rs := testRecords(n)
 	m, err := New(Config{ID: rs[0].ID, Addr: rs[0].Addr, FailureDomain: rs[0].FailureDomain}, testKey, nil, nil)
 	if err != nil {
 		b.Fatal(err)
@@ -42,7 +43,7 @@
 	return m
 }
 
-func size(b *testing.B, kind frameType, body any) float64 {
+func frameWireBytes(b *testing.B, kind frameType, body any) float64 {
 	raw, err := encodeFrame(frame{Type: kind}, body)
 	if err != nil {
 		b.Fatal(err)
@@ -53,7 +54,7 @@
 // BenchmarkHeartbeat measures encoding, decoding and merging one heartbeat.
 func BenchmarkHeartbeat(b *testing.B) {
 	m := idleMesh(b, targetNodes)
-	l := newLink(m, nil, fleetOf(2)[1], m.cfg.ID)
+	l := newLink(m, nil, testRecords(2)[1], m.cfg.ID)
 	b.ReportAllocs()
 	for b.Loop() {
 		raw, _ := encodeFrame(frame{Type: typeHeartbeat}, m.heartbeatFor(l))
@@ -62,46 +63,46 @@
 			b.Fatal("heartbeat refused")
 		}
 	}
-	b.ReportMetric(size(b, typeHeartbeat, m.heartbeatFor(l)), "wirebytes")
+	b.ReportMetric(frameWireBytes(b, typeHeartbeat, m.heartbeatFor(l)), "wirebytes")
 	demand := map[string]float64{"account-0001": 123.456}
-	b.ReportMetric(size(b, typeHeartbeat, heartbeat{Revision: 1 << 20, Demand: demand}), "wirebytes-1-account")
+	b.ReportMetric(frameWireBytes(b, typeHeartbeat, heartbeat{Revision: 1 << 20, Demand: demand}), "wirebytes-1-account")
 }
 
-// BenchmarkDigests measures both periodic digests at the target size.
+// BenchmarkDigests measures the two periodic digests at the target size.
 func BenchmarkDigests(b *testing.B) {
 	m := idleMesh(b, targetNodes)
 	for b.Loop() {
-		m.table.applyRevisions(m.table.revisionDigestOf(false), m.cfg.ID)
+		m.table.applyRevisions(m.table.buildRevisionDigest(false), m.cfg.ID)
 		m.table.differing(m.digest(false).Buckets, 0, maxSyncRecords)
 	}
-	b.ReportMetric(size(b, typeRevisions, m.table.revisionDigestOf(false)), "revisions-wirebytes")
-	b.ReportMetric(size(b, typeSync, m.digest(false)), "sync-wirebytes")
-	b.ReportMetric(size(b, typeRecords, recordBatch{Records: fleetOf(1)}), "record-wirebytes")
+	b.ReportMetric(frameWireBytes(b, typeRevisions, m.table.buildRevisionDigest(false)), "revisions-wirebytes")
+	b.ReportMetric(frameWireBytes(b, typeSync, m.digest(false)), "sync-wirebytes")
+	b.ReportMetric(frameWireBytes(b, typeRecords, recordBatch{Records: testRecords(1)}), "record-wirebytes")
 }
 
-// BenchmarkTick measures one tick without news at the target size.
+// BenchmarkTick measures one tick without changed records at the target size.
 func BenchmarkTick(b *testing.B) {
 	m := idleMesh(b, targetNodes)
-	s := &schedule{last: time.Now()}
+	s := &schedule{lastTick: time.Now()}
 	for b.Loop() {
 		m.tick(time.Now(), s)
 	}
 }
 
-// BenchmarkNeighbours measures the choice of neighbours after a change, and the
-// number of links that the choices of all nodes make together.
+// BenchmarkNeighbours measures the choice of neighbours after a change, and
+// reports the number of links per node that result from the choices of all nodes.
 func BenchmarkNeighbours(b *testing.B) {
-	rs := fleetOf(targetNodes)
+	rs := testRecords(targetNodes)
 	t := Config{}.withDefaults().Topology
 	for b.Loop() {
 		neighbours(rs[0], append([]Record(nil), rs[1:]...), t)
 	}
 	degree := make(map[string]map[string]bool)
 	for i, r := range rs {
-		others := append(append([]Record(nil), rs[:i]...), rs[i+1:]...)
-		for id := range neighbours(r, others, t) {
-			addEdge(degree, r.ID, id)
-			addEdge(degree, id, r.ID)
+		peers := append(append([]Record(nil), rs[:i]...), rs[i+1:]...)
+		for id := range neighbours(r, peers, t) {
+			addLink(degree, r.ID, id)
+			addLink(degree, id, r.ID)
 		}
 	}
 	total, most := 0, 0
@@ -113,14 +114,14 @@
 	b.ReportMetric(float64(most), "links-max")
 }
 
-func addEdge(degree map[string]map[string]bool, a, b string) {
+func addLink(degree map[string]map[string]bool, a, b string) {
 	if degree[a] == nil {
 		degree[a] = make(map[string]bool)
 	}
 	degree[a][b] = true
 }
 
-// BenchmarkMember measures the memory of one member's record.
+// BenchmarkMember measures the memory per member.
 func BenchmarkMember(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -135,8 +136,8 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/targetNodes, "heapbytes/member")
 }
 
-// BenchmarkFlood measures a flooded revision of 300 bytes over one real link,
-// from the call of Flood to the end of the handler.
+// BenchmarkFlood measures a flood of 300 bytes, the size of a revision, over one
+// TCP link, from the call of Flood to the end of the handler.
 func BenchmarkFlood(b *testing.B) {
 	nodes := loopbackFleet(b, 2, time.Second)
 	defer stopAll(nodes)
@@ -152,7 +153,7 @@
 	b.ReportMetric(float64(sent)/float64(b.N), "wirebytes")
 }
 
-func loopbackFleet(tb testing.TB, n int, beat time.Duration) []*node {
+func loopbackFleet(tb testing.TB, n int, heartbeat time.Duration) []*node {
 	var nodes []*node
 	var seeds []string
 	for i := range n {
@@ -167,7 +168,7 @@
 			Addr:          addr,
 			FailureDomain: fmt.Sprintf("d%d", i%9),
 			Seeds:         seeds[:1],
-			Heartbeat:     beat,
+			Heartbeat:     heartbeat,
 		}
 		nodes = append(nodes, startNode(tb, cfg, testKey, l))
 	}
@@ -180,15 +181,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkFleet60 runs 60 nodes on loopback with the default intervals and one
-// revision of 300 bytes every two seconds. It reports bytes per second and node
-// by kind of message, processor time and heap. Run it with -benchtime 1x.
+// BenchmarkFleet60 runs 60 nodes on loopback with the default intervals and floods
+// a revision of 300 bytes every two seconds. Per node it reports the bytes per
+// second by kind of message, the processor time and the heap. Run it with
+// -benchtime 1x.
 func BenchmarkFleet60(b *testing.B) {
 	const (
-		size    = 60
-		settle  = 8 * time.Second
-		rounds  = 5
-		between = 2 * time.Second
+		size     = 60
+		settle   = 8 * time.Second
+		rounds   = 5
+		interval = 2 * time.Second
 	)
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -205,7 +207,7 @@
 		for _, n := range nodes {
 			n.SetSummary(Summary{Revision: uint64(i + 1), Ready: true})
 		}
-		<-time.After(between)
+		<-time.After(interval)
 	}
 	seconds := time.Since(start).Seconds()
 	perNode := size * seconds
@@ -222,29 +224,29 @@
 	b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/size/1024, "KiB/node")
 	links := 0
 	for _, n := range nodes {
-		links += len(n.anyLinks(""))
+		links += len(n.shuffledLinks(""))
 	}
 	b.ReportMetric(float64(links)/size, "links/node")
-	b.ReportMetric(spreadSeconds(nodes, rounds+1), "revision-spread-s")
+	b.ReportMetric(propagationSeconds(nodes, rounds+1), "revision-spread-s")
 }
 
-// spreadSeconds sets a revision on all nodes at once and measures how long it
-// takes until each knows that all have it.
-func spreadSeconds(nodes []*node, rev uint64) float64 {
+// propagationSeconds sets a revision on all nodes at once and returns how long it
+// takes until each node knows that all nodes have it.
+func propagationSeconds(nodes []*node, rev uint64) float64 {
 	start := time.Now()
 	for _, n := range nodes {
 		n.SetSummary(Summary{Revision: rev, Ready: true})
 	}
 	for time.Since(start) < 20*time.Second {
 		<-time.After(100 * time.Millisecond)
-		if allKnow(nodes, rev) {
+		if allKnowRevision(nodes, rev) {
 			break
 		}
 	}
 	return time.Since(start).Seconds()
 }
 
-func allKnow(nodes []*node, rev uint64) bool {
+func allKnowRevision(nodes []*node, rev uint64) bool {
 	for _, n := range nodes {
 		for _, m := range n.Members() {
 			if m.Summary.Revision < rev {
@@ -259,7 +261,7 @@
 	out := make(map[string]uint64)
 	for _, n := range nodes {
 		for k := typeHeartbeat; k < frameTypes; k++ {
-			out[frameNames[k]] += n.met.sentBytes[k].Get()
+			out[frameNames[k]] += n.metrics.sentBytes[k].Get()
 		}
 	}
 	return out
--- a/peer/call.go
+++ b/peer/call.go
@@ -10,14 +10,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxRelays is the number of neighbours asked to relay one call. The next is
-// asked only after a true "no route" from the one before.
+// maxRelays is the maximum number of linked nodes that are tried as relays of one
+// call. The next one is tried only if the previous one had no route, so that the
+// call surely was not run.
 const maxRelays = 3
 
-// defaultCallTimeout bounds a served call whose caller stated no deadline.
+// defaultCallTimeout is the timeout of a call whose caller has no deadline, and
+// the maximum timeout of any call at the callee.
 const defaultCallTimeout = 30 * time.Second
 
-// callHandler answers one kind of call.
+// callHandler handles calls of one kind.
 type callHandler func(ctx context.Context, from string, body cbor.RawMessage) (any, error)
 
 // HandleCall registers fn for calls of a kind. Each call runs in its own
@@ -25,7 +27,7 @@
 func HandleCall[Req, Rep any](m *Mesh, kind string, fn func(ctx context.Context, from string, req Req) (Rep, error)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.callees[kind] = func(ctx context.Context, from string, body cbor.RawMessage) (any, error) {
+	m.callHandlers[kind] = func(ctx context.Context, from string, body cbor.RawMessage) (any, error) {
 		var req Req
 		if err := decMode.Unmarshal(body, &req); err != nil {
 			return nil, &RemoteError{CodeBadRequest, err.Error()}
@@ -34,10 +36,11 @@
 	}
 }
 
-// Call asks a node and waits for its answer until ctx ends. Without a link to
-// the node it dials one, and when that fails it asks a neighbour to relay.
-// Errors: ErrNoRoute, ErrStopped, ErrTooLarge (surely not run), ErrLinkLost (may
-// have run), *RemoteError (the callee's own answer).
+// Call sends a request to a node and waits for the reply until ctx ends. If there
+// is no link to the node, Call dials the node; if that fails, it sends the request
+// through a linked node, which relays it. Errors: ErrNoRoute, ErrStopped and
+// ErrTooLarge (the call was not run), ErrLinkLost (it may have run), *RemoteError
+// (the callee's answer).
 func Call[Req, Rep any](ctx context.Context, m *Mesh, node, kind string, req Req) (Rep, error) {
 	var rep Rep
 	body, err := encMode.Marshal(req)
@@ -62,7 +65,7 @@
 	if node == m.cfg.ID {
 		return result(m.serve(ctx, f))
 	}
-	l, err := m.route(ctx, node)
+	l, err := m.linkTo(ctx, node)
 	if err == nil {
 		return resultOf(l.call(ctx, f))
 	}
@@ -72,11 +75,12 @@
 	return m.relay(ctx, node, f)
 }
 
-// relay asks neighbours to pass the call on by one hop. It moves to the next
-// neighbour only while the call surely has not reached the callee.
+// relay sends the call through linked nodes, each of which may forward it by one
+// hop. It tries the next linked node only if the call surely has not reached the
+// callee.
 func (m *Mesh) relay(ctx context.Context, node string, f frame) (cbor.RawMessage, error) {
 	f.To = node
-	links := m.anyLinks(node)
+	links := m.shuffledLinks(node)
 	for _, l := range links[:min(len(links), maxRelays)] {
 		rep, err := l.call(ctx, f)
 		if errors.Is(err, ErrNoRoute) {
@@ -107,8 +111,8 @@
 	l.mu.Lock()
 	l.calls[f.ID] = reply
 	l.mu.Unlock()
-	defer l.forget(f.ID)
-	l.used()
+	defer l.removeCall(f.ID)
+	l.markUsed()
 	if !l.send(typeCall, b) {
 		return frame{}, ErrNoRoute
 	}
@@ -119,20 +123,20 @@
 		}
 	case <-l.done:
 	case <-ctx.Done():
-		l.m.met.callLost.Inc()
+		l.m.metrics.callLost.Inc()
 		return frame{}, fmt.Errorf("%w: %w", ErrLinkLost, ctx.Err())
 	}
-	l.m.met.callLost.Inc()
+	l.m.metrics.callLost.Inc()
 	return frame{}, ErrLinkLost
 }
 
-func (l *link) forget(id uint64) {
+func (l *link) removeCall(id uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, id)
 }
 
-// failCalls wakes the calls that wait on a link that has ended.
+// failCalls fails the calls that wait for a reply on a link that has closed.
 func (l *link) failCalls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,8 +146,8 @@
 	}
 }
 
-// receiveReply gives a reply to its call. One that comes after the call's
-// deadline finds nobody and is dropped.
+// receiveReply passes a reply to the call that waits for it. A reply that arrives
+// after the call's deadline is dropped.
 func (l *link) receiveReply(f frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,16 +161,16 @@
 
 // receiveCall serves or relays a call in its own goroutine.
 func (m *Mesh) receiveCall(l *link, f frame) {
-	l.used()
+	l.markUsed()
 	select {
-	case m.slots <- struct{}{}:
+	case m.callSlots <- struct{}{}:
 	default:
 		l.reply(errorReply(CodeBusy, "too many calls"), f.ID)
 		return
 	}
 	started := m.start(func() {
-		defer func() { <-m.slots }()
-		ctx, cancel := context.WithTimeout(m.life, timeoutOf(f))
+		defer func() { <-m.callSlots }()
+		ctx, cancel := context.WithTimeout(m.runCtx, timeoutOf(f))
 		defer cancel()
 		if f.To != "" && f.To != m.cfg.ID {
 			l.reply(m.relayFor(ctx, f), f.ID)
@@ -175,14 +179,14 @@
 		l.reply(m.serve(ctx, f), f.ID)
 	})
 	if !started {
-		<-m.slots
+		<-m.callSlots
 	}
 }
 
-// relayFor passes a call of another node on, over a link or a dial of its own,
-// and never to a second relay.
+// relayFor forwards a call of another node to its callee, over an existing or a
+// newly dialled link, but never through a second relay.
 func (m *Mesh) relayFor(ctx context.Context, f frame) frame {
-	m.met.relayed.Inc()
+	m.metrics.relayed.Inc()
 	body, err := m.call(ctx, f.To, f.From, f.Kind, f.Body)
 	var remote *RemoteError
 	switch {
@@ -199,13 +203,13 @@
 // serve runs the handler of a call and returns the reply.
 func (m *Mesh) serve(ctx context.Context, f frame) frame {
 	m.mu.Lock()
-	h := m.callees[f.Kind]
+	h := m.callHandlers[f.Kind]
 	m.mu.Unlock()
 	if h == nil {
 		return errorReply(CodeNoHandler, f.Kind)
 	}
 	var rep any
-	err := outlive(func() (err error) {
+	err := recoverPanic(func() (err error) {
 		rep, err = h(ctx, f.From, f.Body)
 		return err
 	})
@@ -236,7 +240,7 @@
 }
 
 func errorReply(code Code, text string) frame {
-	raw, _ := encMode.Marshal(text) // a string always encodes
+	raw, _ := encMode.Marshal(text) // encoding a string cannot fail
 	return frame{Type: typeReply, Arg: uint64(code), Body: raw}
 }
 
@@ -266,8 +270,9 @@
 	return uint64(max(time.Until(t).Milliseconds(), 1))
 }
 
-// timeoutOf reads the caller's timeout; an absurd one cannot hold a slot longer
-// than the default.
+// timeoutOf returns the timeout that the caller sent. If there is none or it
+// exceeds the default, the default applies, so that no call occupies a slot for
+// longer than that.
 func timeoutOf(f frame) time.Duration {
 	limit := uint64(defaultCallTimeout / time.Millisecond)
 	if f.Arg == 0 || f.Arg > limit {
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -14,44 +14,46 @@
 	"wigeondale/event"
 )
 
-// firstBackoffShare gives the wait after the first failed dial of an address, as a share
-// of the heartbeat interval.
-const firstBackoffShare = 4
+// initialBackoffDivisor is the divisor of the heartbeat interval that gives the
+// initial backoff of the dials to an address.
+const initialBackoffDivisor = 4
 
-// Long messages are compressed, each by itself.
+// Long messages are compressed, each independently of the others.
 //
-// What goes wrong without it: a start of hundreds of nodes with thousands of backend
-// servers has each node pass large pages to its neighbours. Slow lines are full, calls to the
-// registry wait behind them and time out. It shows as nodes that know all backend servers
-// half a minute after their start.
+// When hundreds of nodes with thousands of backend servers start together, each
+// node sends large pages to its neighbours. Without compression these saturate
+// slow network links, and calls to the registry queue behind them and time out,
+// so that nodes know all backend servers only half a minute after their start.
 const (
 	compression = websocket.CompressionNoContextTakeover
-	// compressedFrom is the length in bytes from which it pays. The tables of the
-	// compressor take about a megabyte, which nodes of small fleets never need.
-	compressedFrom = 32 << 10
+	// compressionThreshold is the length in bytes from which compression is
+	// worthwhile. The tables of the compressor take about a megabyte, which nodes
+	// of small fleets, whose messages are shorter, never need.
+	compressionThreshold = 32 << 10
 )
 
-// errDuplicate means that a link to the same node is kept instead.
-var errDuplicate = errors.New("a link to the node exists")
+// errDuplicateLink means that the connection is closed because another link to
+// the same node is kept, or because the remote node is this node itself.
+var errDuplicateLink = errors.New("a link to the node exists")
 
-// errUnreachable means that nothing answered at an address: a node that answers,
-// even by a refusal because it is busy, is alive.
-var errUnreachable = errors.New("nothing answers")
+// errUnreachable means that there was no answer at an address. A node that
+// answers is alive, even if it refuses the connection because it is busy.
+var errUnreachable = errors.New("no answer")
 
-// dialState paces the dials of one address.
+// dialState holds the backoff of the dials to one address.
 type dialState struct {
 	busy  bool
 	delay time.Duration
 	next  time.Time
 }
 
-// ServeHTTP accepts links from other nodes at any path. It returns when the
-// link ends.
+// ServeHTTP accepts links from other nodes at any path. It returns when the link
+// has closed.
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case m.shakes <- struct{}{}:
+	case m.handshakeSlots <- struct{}{}:
 	default:
-		m.met.rejected[rejectBusy].Inc()
+		m.metrics.rejected[rejectBusy].Inc()
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
@@ -61,19 +63,20 @@
 		m.accept(w, r)
 	})
 	if !accepted {
-		<-m.shakes
+		<-m.handshakeSlots
 		http.Error(w, "not running", http.StatusServiceUnavailable)
 		return
 	}
 	<-done
 }
 
-// accept owns one place in shakes until the handshake has ended.
+// accept performs the handshake and runs the link. The caller has acquired a slot
+// in handshakeSlots, which accept releases after the handshake.
 func (m *Mesh) accept(w http.ResponseWriter, r *http.Request) {
 	l, err := m.acceptLink(w, r)
-	<-m.shakes
+	<-m.handshakeSlots
 	if err != nil {
-		m.refused(r.RemoteAddr, err)
+		m.recordHandshakeFailure(r.RemoteAddr, err)
 		return
 	}
 	m.runLink(l)
@@ -81,93 +84,94 @@
 
 func (m *Mesh) acceptLink(w http.ResponseWriter, r *http.Request) (*link, error) {
 	c, err := websocket.Accept(w, r, &websocket.AcceptOptions{
-		CompressionMode: compression, CompressionThreshold: compressedFrom,
+		CompressionMode: compression, CompressionThreshold: compressionThreshold,
 	})
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	ctx, cancel := context.WithTimeout(m.life, m.cfg.DialTimeout)
+	ctx, cancel := context.WithTimeout(m.runCtx, m.cfg.DialTimeout)
 	defer cancel()
 	return m.establish(ctx, c, nil)
 }
 
-// establish runs the handshake on a connection and adopts the link. Until the
-// key is proved the connection may only send small messages.
-func (m *Mesh) establish(ctx context.Context, c *websocket.Conn, wanted func(Record) error) (*link, error) {
+// establish performs the handshake on a connection and registers the link. Until
+// the remote node has proved the key, it may only send small messages.
+func (m *Mesh) establish(ctx context.Context, c *websocket.Conn, check func(Record) error) (*link, error) {
 	c.SetReadLimit(maxHandshakeBytes)
 	m.mu.Lock()
 	self := m.self
 	m.mu.Unlock()
-	rec, err := shake(ctx, c, m.key, self, wanted)
+	rec, err := handshake(ctx, c, m.key, self, check)
 	if err != nil {
 		c.CloseNow()
 		return nil, err
 	}
 	c.SetReadLimit(int64(m.cfg.MaxMessage))
-	by := rec.ID
-	if wanted != nil {
-		by = m.cfg.ID
+	dialer := rec.ID
+	if check != nil {
+		dialer = m.cfg.ID
 	}
-	l := newLink(m, c, rec, by)
-	if err := m.adopt(l, rec); err != nil {
+	l := newLink(m, c, rec, dialer)
+	if err := m.registerLink(l, rec); err != nil {
 		c.CloseNow()
 		return nil, err
 	}
 	return l, nil
 }
 
-// wanted refuses, on the dialling side, what the dial was not meant for: another
-// node than the expected one, this node itself, or a node that is linked already,
-// whose healthy link the acceptor would replace.
-func (m *Mesh) wanted(rec Record, want string) error {
-	if want != "" && rec.ID != want {
-		return Error.New("%w: dialled %s, found %s", ErrHandshake, want, rec.ID)
+// checkDialled returns an error if the dialled node is not the expected one, is
+// this node itself, or is linked already. In the last case the acceptor would
+// replace the existing healthy link.
+func (m *Mesh) checkDialled(rec Record, wantID string) error {
+	if wantID != "" && rec.ID != wantID {
+		return Error.New("%w: dialled node %s, reached node %s", ErrHandshake, wantID, rec.ID)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, exists := m.links[rec.ID]
-	if rec.ID == m.cfg.ID || exists && rec.Incarnation <= old.inc {
-		return Error.Wrap(errDuplicate)
+	if rec.ID == m.cfg.ID || exists && rec.Incarnation <= old.incarnation {
+		return Error.Wrap(errDuplicateLink)
 	}
 	return nil
 }
 
-func (m *Mesh) refused(remote string, err error) {
-	if errors.Is(err, errDuplicate) || errors.Is(err, ErrStopped) {
+func (m *Mesh) recordHandshakeFailure(remote string, err error) {
+	if errors.Is(err, errDuplicateLink) || errors.Is(err, ErrStopped) {
 		return
 	}
-	m.met.rejected[rejectHandshake].Inc()
+	m.metrics.rejected[rejectHandshake].Inc()
 	m.log.Emit(event.PeerHandshakeRefused, "remote", remote, "error", err.Error())
 }
 
-// runLink moves the link's messages until it ends.
+// runLink sends and receives the link's messages until it closes.
 func (m *Mesh) runLink(l *link) {
 	m.log.Emit(event.PeerLinkUp, "peer", l.node)
-	l.run(m.life)
+	l.run(m.runCtx)
 	m.mu.Lock()
 	if m.links[l.node] == l {
 		delete(m.links, l.node)
-		m.linkEnded(l)
+		m.linkClosed(l)
 	}
 	m.mu.Unlock()
-	m.met.linksLost[l.whyClosed()].Inc()
-	m.log.Emit(event.PeerLinkLost, "peer", l.node, "reason", l.whyClosed())
-	m.wake()
+	m.metrics.linksLost[l.closeReason()].Inc()
+	m.log.Emit(event.PeerLinkLost, "peer", l.node, "reason", l.closeReason())
+	m.requestTick()
 }
 
-func (m *Mesh) linkEnded(l *link) {
+// linkClosed updates the entry of the remote node after its link has closed.
+func (m *Mesh) linkClosed(l *link) {
 	e, ok := m.table.byID[l.node]
 	if !ok {
 		return
 	}
-	e.lastHeard = l.heard()
+	e.lastReceived = l.receivedAt()
 	e.demand = nil
 }
 
-// dial returns a link to the node that listens at addr, made now or already
-// there. want is the expected node id, or empty for a seed.
-func (m *Mesh) dial(ctx context.Context, addr, want string) (*link, error) {
-	ch := m.dialer.DoChan(addr, func() (any, error) { return m.dialOnce(addr, want) })
+// dial returns a link to the node that listens at addr. It dials the node unless
+// there is a link already. wantID is the expected node id, or empty for a seed.
+func (m *Mesh) dial(ctx context.Context, addr, wantID string) (*link, error) {
+	ch := m.dialer.DoChan(addr, func() (any, error) { return m.dialOnce(addr, wantID) })
 	select {
 	case <-ctx.Done():
 		return nil, fmt.Errorf("%w: %w", ErrNoRoute, ctx.Err())
@@ -176,45 +180,46 @@
 			return nil, fmt.Errorf("%w: %w", ErrNoRoute, r.Err)
 		}
 		l := r.Val.(*link)
-		if want != "" && l.node != want {
-			return nil, fmt.Errorf("%w: %s is at %s", ErrNoRoute, l.node, addr)
+		if wantID != "" && l.node != wantID {
+			return nil, fmt.Errorf("%w: reached node %s instead at %s", ErrNoRoute, l.node, addr)
 		}
 		return l, nil
 	}
 }
 
-// dialTCP bounds a connection attempt itself. http.Transport goes on dialling
-// after the request that asked has been given up, so attempts at an address
-// that answers nothing would pile up until the kernel's own timeout of minutes.
+// dialTCP opens a TCP connection with a timeout of its own. http.Transport
+// continues to dial after its request has been abandoned, so that attempts to
+// reach an address that does not answer would accumulate until the kernel's
+// timeout of several minutes.
 func (m *Mesh) dialTCP(_ context.Context, network, addr string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(m.life, m.cfg.DialTimeout)
+	ctx, cancel := context.WithTimeout(m.runCtx, m.cfg.DialTimeout)
 	defer cancel()
 	return m.cfg.Dial(ctx, network, addr)
 }
 
-func (m *Mesh) dialOnce(addr, want string) (*link, error) {
-	ctx, cancel := context.WithTimeout(m.life, m.cfg.DialTimeout)
+func (m *Mesh) dialOnce(addr, wantID string) (*link, error) {
+	ctx, cancel := context.WithTimeout(m.runCtx, m.cfg.DialTimeout)
 	defer cancel()
 	scheme := "ws://"
 	if m.cfg.TLS != nil {
 		scheme = "wss://"
 	}
 	c, resp, err := websocket.Dial(ctx, scheme+addr+Path, &websocket.DialOptions{
-		HTTPClient: m.client, CompressionMode: compression, CompressionThreshold: compressedFrom,
+		HTTPClient: m.client, CompressionMode: compression, CompressionThreshold: compressionThreshold,
 	})
 	if err != nil && resp == nil {
-		m.met.dialFails.Inc()
+		m.metrics.dialFails.Inc()
 		return nil, Error.New("%w: %w", errUnreachable, err)
 	}
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	l, err := m.establish(ctx, c, func(rec Record) error { return m.wanted(rec, want) })
-	if errors.Is(err, errDuplicate) && want != "" {
-		return m.existing(want)
+	l, err := m.establish(ctx, c, func(rec Record) error { return m.checkDialled(rec, wantID) })
+	if errors.Is(err, errDuplicateLink) && wantID != "" {
+		return m.existingLink(wantID)
 	}
 	if err != nil {
-		m.refused(addr, err)
+		m.recordHandshakeFailure(addr, err)
 		return nil, err
 	}
 	if !m.start(func() { m.runLink(l) }) {
@@ -225,79 +230,82 @@
 	return l, nil
 }
 
-func (m *Mesh) existing(node string) (*link, error) {
+func (m *Mesh) existingLink(node string) (*link, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if l, ok := m.links[node]; ok {
 		return l, nil
 	}
-	return nil, Error.Wrap(errDuplicate)
+	return nil, Error.Wrap(errDuplicateLink)
 }
 
-// adopt takes an authenticated link into use.
-func (m *Mesh) adopt(l *link, rec Record) error {
+// registerLink adds an authenticated link to the mesh. It may replace an existing
+// link to the same node.
+func (m *Mesh) registerLink(l *link, rec Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.running {
 		return Error.Wrap(ErrStopped)
 	}
 	if l.node == m.cfg.ID {
-		return Error.Wrap(errDuplicate) // a seed that is this node's own address
+		return Error.Wrap(errDuplicateLink) // the seed is this node's own address
 	}
 	old, exists := m.links[l.node]
 	if exists && !replaces(old, l, 2*m.cfg.Heartbeat) {
-		m.met.linksLost[lostDuplicate].Inc()
-		return Error.Wrap(errDuplicate)
+		m.metrics.linksLost[lostDuplicate].Inc()
+		return Error.Wrap(errDuplicateLink)
 	}
 	if !exists && len(m.links) >= m.cfg.MaxLinks {
-		m.met.rejected[rejectBusy].Inc()
-		return Error.New("%d links are open", len(m.links))
+		m.metrics.rejected[rejectBusy].Inc()
+		return Error.New("too many links: %d are open", len(m.links))
 	}
 	if exists {
 		old.close(lostReplaced)
-		m.linkEnded(old)
+		m.linkClosed(old)
 	}
 	m.links[l.node] = l
-	m.met.linksUp.Inc()
-	m.greet(l, rec)
+	m.metrics.linksUp.Inc()
+	m.initLink(l, rec)
 	return nil
 }
 
-// replaces decides between two links to one node, so that both ends keep the
-// same one: when both sides dialled at once, the one that the lower id dialled.
-// A side that dials again has lost its link, even if the other end of it still
-// looks open here; without that rule a half-open link would block the new one
-// until its timeout.
+// replaces reports whether link l replaces the link old to the same node. Both
+// nodes keep the same link: if both dialled at the same time, it is the link
+// dialled by the node with the lower id. A node that dials again has lost its old
+// link, even if that link still appears open at the other end. Without that rule
+// a half-open link would block the new one until its timeout.
 func replaces(old, l *link, silence time.Duration) bool {
 	switch {
-	case l.inc != old.inc:
-		return l.inc > old.inc
+	case l.incarnation != old.incarnation:
+		return l.incarnation > old.incarnation
 	case l.dialer == old.dialer:
 		return true
-	case l.heard().Sub(old.heard()) > silence:
+	case l.receivedAt().Sub(old.receivedAt()) > silence:
 		return true
 	}
 	return l.dialer < old.dialer
 }
 
-// greet sends what a new neighbour needs and tells the listeners of OnLink.
-func (m *Mesh) greet(l *link, rec Record) {
-	m.learn(rec)
+// initLink sends the initial state over a new link and runs the callbacks
+// registered with OnLink.
+func (m *Mesh) initLink(l *link, rec Record) {
+	m.mergeRecord(rec)
 	for account := range m.demand {
-		l.pending[account] = struct{}{}
+		l.pendingDemand[account] = struct{}{}
 	}
-	l.sendBody(typeRecords, recordBatch{Records: m.opening(rec.ID)})
+	l.sendBody(typeRecords, recordBatch{Records: m.initialRecords(rec.ID)})
 	l.sendBody(typeSync, m.digest(false))
 	l.sendBody(typeHeartbeat, m.heartbeatFor(l))
 	for _, fn := range m.onLink {
 		m.startLocked(func() { fn(l.node) })
 	}
-	m.wake()
+	m.requestTick()
 }
 
-// opening is this node's own record and what it believes of the neighbour, which
-// refutes it if it is a stale suspicion.
-func (m *Mesh) opening(node string) []Record {
+// initialRecords returns this node's record and, if this node considers the
+// remote node suspect or dead, the remote node's record, so that the remote node
+// can refute it.
+func (m *Mesh) initialRecords(node string) []Record {
 	out := []Record{m.self}
 	if e, ok := m.table.byID[node]; ok && e.rec.Status != Alive {
 		out = append(out, e.rec)
@@ -305,8 +313,9 @@
 	return out
 }
 
-// backoff returns the wait before the next dial and doubles the one after it.
-// The jitter keeps nodes that lost their links together from dialling together.
+// backoff sets the time of the next dial and doubles the delay for the dial after
+// it. The jitter prevents nodes that lost their links at the same time from
+// dialling at the same time.
 func (s *dialState) backoff(now time.Time, first, limit time.Duration) {
 	s.delay = min(max(s.delay*2, first), limit)
 	jittered := s.delay/2 + rand.N(s.delay)
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -11,40 +11,40 @@
 var Error = errs.Class("peer")
 
 var (
-	// ErrNoRoute means that the call reached no node: it was surely not run.
+	// ErrNoRoute means that the call did not reach the node and was not run.
 	ErrNoRoute = errors.New("no route to node")
-	// ErrLinkLost means that the link ended, or the context did, while the call
-	// was under way: the callee may have run it.
+	// ErrLinkLost means that the link closed or the context ended during the call:
+	// the callee may have run it.
 	ErrLinkLost = errors.New("link lost during call")
-	// ErrStopped means that the mesh is not running: nothing was sent.
+	// ErrStopped means that the mesh is not running and nothing was sent.
 	ErrStopped = errors.New("mesh stopped")
-	// ErrTooLarge means that an encoded message is above Config.MaxMessage.
+	// ErrTooLarge means that an encoded message exceeds Config.MaxMessage.
 	ErrTooLarge = errors.New("message too large")
-	// ErrHandshake means that the other side failed to prove the shared key or
-	// is not the node that was dialled.
+	// ErrHandshake means that the remote node did not prove the shared key, uses
+	// another protocol version, or is not the node that was dialled.
 	ErrHandshake = errors.New("handshake refused")
 )
 
-// Code classifies the failure of a call that the callee answered.
+// Code classifies the failure of a call that was answered.
 type Code uint16
 
 const (
 	// CodeHandler is an error returned by the callee's handler.
 	CodeHandler Code = 1 + iota
-	// CodeNoHandler means that the callee knows no such kind: not run.
+	// CodeNoHandler means that the callee has no handler for the kind: not run.
 	CodeNoHandler
 	// CodeBadRequest means that the request could not be decoded: not run.
 	CodeBadRequest
-	// CodeBusy means that too many calls run at the callee: not run.
+	// CodeBusy means that the callee runs too many calls already: not run.
 	CodeBusy
-	codeRelayNoRoute
-	codeRelayLost
-	// CodeUser is the first code that handlers may define for themselves.
+	codeRelayNoRoute // the relaying node could not reach the callee: not run
+	codeRelayLost    // the relaying node lost its link to the callee: may have run
+	// CodeUser is the first code that handlers may define.
 	CodeUser Code = 100
 )
 
-// RemoteError is the callee's own answer that a call failed. A handler that
-// returns one chooses the code; any other error travels as CodeHandler.
+// RemoteError is the callee's answer that a call failed. A handler that returns a
+// *RemoteError chooses the code; any other error is sent as CodeHandler.
 type RemoteError struct {
 	Code Code
 	Text string
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -10,32 +10,33 @@
 	"wigeondale/event"
 )
 
-// seenSet remembers the floods seen lately in two generations, so that its
-// memory is bounded whatever the rate. A flood that outlives both generations
-// could be taken for new; the bound on hops ends it.
+// seenSet contains the keys of recently received floods. It consists of two sets,
+// of which the older one is discarded when the newer one is full, so that its
+// memory is bounded at any rate of floods. A flood that still circulates after
+// its key was discarded is treated as new; the limit on hops stops it.
 type seenSet struct {
 	limit    int
-	young    map[uint64]struct{}
+	current  map[uint64]struct{}
 	previous map[uint64]struct{}
 }
 
 func newSeenSet(limit int) *seenSet {
-	return &seenSet{limit: limit, young: make(map[uint64]struct{})}
+	return &seenSet{limit: limit, current: make(map[uint64]struct{})}
 }
 
-// add says whether the key is new.
+// add adds the key and reports whether it was not in the set before.
 func (s *seenSet) add(key uint64) bool {
-	if _, ok := s.young[key]; ok {
+	if _, ok := s.current[key]; ok {
 		return false
 	}
 	if _, ok := s.previous[key]; ok {
 		return false
 	}
-	if len(s.young) >= s.limit {
-		s.previous = s.young
-		s.young = make(map[uint64]struct{})
+	if len(s.current) >= s.limit {
+		s.previous = s.current
+		s.current = make(map[uint64]struct{})
 	}
-	s.young[key] = struct{}{}
+	s.current[key] = struct{}{}
 	return true
 }
 
@@ -43,15 +44,15 @@
 	return xxhash.Sum64String(f.From) ^ f.ID
 }
 
-// floodHandler takes the body of one kind of flood.
+// floodHandler handles the body of a flood of one kind.
 type floodHandler func(from string, body cbor.RawMessage) error
 
-// Handle registers fn for floods of a kind. Handlers run one after another and
-// in the order of arrival; they must not block. Register before Run.
+// Handle registers fn for floods of a kind. Handlers run one at a time in the
+// order of arrival and must not block. Register before Run.
 func Handle[T any](m *Mesh, kind string, fn func(from string, v T)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.floods[kind] = func(from string, body cbor.RawMessage) error {
+	m.floodHandlers[kind] = func(from string, body cbor.RawMessage) error {
 		var v T
 		if err := decMode.Unmarshal(body, &v); err != nil {
 			return Error.Wrap(err)
@@ -61,14 +62,15 @@
 	}
 }
 
-// Flood sends v to every member that can be reached, each handling it once. It
-// does not wait and promises no delivery: a member that was cut off or slow
-// misses it, and the owner of the kind repairs that by anti-entropy.
+// Flood sends v to every reachable member, and each handles it once. It does not
+// wait and does not guarantee delivery: a member that is cut off or slow misses
+// the message, and the package that defines the kind must repair that by
+// anti-entropy.
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
-// Tell sends v to the linked members only, which don't pass it on. It is for
-// news that is soon replaced by newer: passed on, each would cost a message a
-// link instead of one a neighbour.
+// Tell sends v to the linked members only, which do not forward it. It is meant
+// for updates that newer ones soon replace. Forwarding would cost one message per
+// link of the fleet for each update, instead of one per neighbour.
 func (m *Mesh) Tell(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
 
 func (m *Mesh) flood(kind string, v any, hops uint64) error {
@@ -89,15 +91,15 @@
 	return nil
 }
 
-// receiveFlood hands a new flood to its handler and passes it on.
+// receiveFlood queues a new flood for its handler and forwards it.
 func (m *Mesh) receiveFlood(l *link, f frame) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if f.From == m.cfg.ID || !m.seen.add(floodKey(f)) {
-		m.met.floodDup.Inc()
+		m.metrics.floodDup.Inc()
 		return nil
 	}
-	m.dispatch(func() { m.deliver(f) })
+	m.queueFlood(func() { m.deliver(f) })
 	if f.Arg >= maxFloodHops {
 		return nil
 	}
@@ -117,20 +119,21 @@
 
 func (m *Mesh) deliver(f frame) {
 	m.mu.Lock()
-	h := m.floods[f.Kind]
+	h := m.floodHandlers[f.Kind]
 	m.mu.Unlock()
 	if h == nil {
-		return // a kind of a newer release: it was passed on all the same
+		return // the kind belongs to a newer release; the flood is forwarded anyway
 	}
-	if err := outlive(func() error { return h(f.From, f.Body) }); err != nil {
-		m.met.rejected[rejectMalformed].Inc()
+	if err := recoverPanic(func() error { return h(f.From, f.Body) }); err != nil {
+		m.metrics.rejected[rejectMalformed].Inc()
 		m.log.Emit(event.PeerMessageRejected, "peer", f.From, "reason", rejectMalformed, "kind", f.Kind, "error", err.Error())
 	}
 }
 
-// outlive runs a handler and turns its panic into an error. All nodes run the same handlers,
-// and a flood has been passed on by then: without it one message ends them all.
-func outlive(handler func() error) (err error) {
+// recoverPanic runs a handler and turns a panic into an error. All nodes run the
+// same handlers, and a flood is forwarded before it is handled, so without this a
+// single message could crash every node.
+func recoverPanic(handler func() error) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = Error.New("handler panicked: %v\n%s", p, debug.Stack())
@@ -139,13 +142,13 @@
 	return handler()
 }
 
-// dispatch queues work for the one goroutine that runs handlers. When the queue
-// is full the work is dropped and counted: a slow handler must not stop the
-// reading of heartbeats, or live peers would look dead.
-func (m *Mesh) dispatch(fn func()) {
+// queueFlood queues fn for the goroutine that runs the handlers. If the queue is
+// full, fn is dropped and counted: a slow handler must not delay the reading of
+// heartbeats, because then live peers would be marked dead.
+func (m *Mesh) queueFlood(fn func()) {
 	select {
-	case m.work <- fn:
+	case m.floodQueue <- fn:
 	default:
-		m.met.floodDrop.Inc()
+		m.metrics.floodDrop.Inc()
 	}
 }
--- a/peer/fuzz_test.go
+++ b/peer/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDecode checks that no message of a peer, however broken, makes the decoder
-// fail other than by an error, and that what it accepts survives a round trip.
+// FuzzDecode checks that the decoder reports malformed messages as errors and
+// never panics, and that accepted messages survive a round trip.
 func FuzzDecode(f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fr, err := decodeFrame(b)
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -11,14 +11,14 @@
 
 const nonceBytes = 32
 
-// Labels keep the two proofs apart, so that a side cannot send back the proof
-// that it was given.
+// The labels make the proofs of the two sides differ, so that neither side can
+// send back the proof that it received.
 const (
 	labelDialer   = "wigeon peer dialer"
 	labelAcceptor = "wigeon peer acceptor"
 )
 
-// hello is the first message of each side.
+// hello is the first message from each side.
 type hello struct {
 	_        struct{} `cbor:",toarray"`
 	Protocol int
@@ -26,60 +26,61 @@
 	Nonce    []byte
 }
 
-// proof is the second message of each side: an HMAC with the shared key over
-// both hellos. The dialler proves first, so that a listener shows strangers
-// nothing that depends on the key.
+// proof is the second message from each side: an HMAC over both hellos, made
+// with the shared key. The dialler sends its proof first, so that the acceptor
+// sends nothing that depends on the key to a dialler that has not proved it.
 type proof struct {
 	_   struct{} `cbor:",toarray"`
 	MAC []byte
 }
 
-// shake runs the handshake and returns the record that the other side proved.
-// The caller bounds it in time by ctx and in bytes by the read limit. A dialler
-// gives wanted, which may end the handshake before anything is proved, while
-// the acceptor still keeps whatever link it has; an acceptor gives nil.
-func shake(ctx context.Context, c *websocket.Conn, key []byte, self Record, wanted func(Record) error) (Record, error) {
+// handshake performs the handshake and returns the record of the authenticated
+// remote node. The caller bounds its duration by ctx and its size by the read
+// limit of c. A dialler passes check, which may end the handshake before a proof
+// is sent, so that the acceptor keeps any link that it already has; an acceptor
+// passes nil.
+func handshake(ctx context.Context, c *websocket.Conn, key []byte, self Record, check func(Record) error) (Record, error) {
 	nonce := make([]byte, nonceBytes)
 	rand.Read(nonce)
-	mine, err := encMode.Marshal(hello{Protocol: protocolVersion, Record: self, Nonce: nonce})
+	localHello, err := encMode.Marshal(hello{Protocol: protocolVersion, Record: self, Nonce: nonce})
 	if err != nil {
 		return Record{}, Error.Wrap(err)
 	}
-	if wanted != nil {
-		return shakeDialer(ctx, c, key, mine, wanted)
+	if check != nil {
+		return handshakeAsDialer(ctx, c, key, localHello, check)
 	}
-	return shakeAcceptor(ctx, c, key, mine)
+	return handshakeAsAcceptor(ctx, c, key, localHello)
 }
 
-func shakeDialer(ctx context.Context, c *websocket.Conn, key, mine []byte, wanted func(Record) error) (Record, error) {
-	if err := c.Write(ctx, websocket.MessageBinary, mine); err != nil {
+func handshakeAsDialer(ctx context.Context, c *websocket.Conn, key, localHello []byte, check func(Record) error) (Record, error) {
+	if err := c.Write(ctx, websocket.MessageBinary, localHello); err != nil {
 		return Record{}, Error.Wrap(err)
 	}
-	theirs, rec, err := readHello(ctx, c)
+	remoteHello, rec, err := readHello(ctx, c)
 	if err != nil {
 		return Record{}, err
 	}
-	if err := wanted(rec); err != nil {
+	if err := check(rec); err != nil {
 		return Record{}, err
 	}
-	if err := writeProof(ctx, c, mac(key, labelDialer, mine, theirs)); err != nil {
+	if err := writeProof(ctx, c, mac(key, labelDialer, localHello, remoteHello)); err != nil {
 		return Record{}, err
 	}
-	return rec, readProof(ctx, c, mac(key, labelAcceptor, mine, theirs))
+	return rec, readProof(ctx, c, mac(key, labelAcceptor, localHello, remoteHello))
 }
 
-func shakeAcceptor(ctx context.Context, c *websocket.Conn, key, mine []byte) (Record, error) {
-	theirs, rec, err := readHello(ctx, c)
+func handshakeAsAcceptor(ctx context.Context, c *websocket.Conn, key, localHello []byte) (Record, error) {
+	remoteHello, rec, err := readHello(ctx, c)
 	if err != nil {
 		return Record{}, err
 	}
-	if err := c.Write(ctx, websocket.MessageBinary, mine); err != nil {
+	if err := c.Write(ctx, websocket.MessageBinary, localHello); err != nil {
 		return Record{}, Error.Wrap(err)
 	}
-	if err := readProof(ctx, c, mac(key, labelDialer, theirs, mine)); err != nil {
+	if err := readProof(ctx, c, mac(key, labelDialer, remoteHello, localHello)); err != nil {
 		return Record{}, err
 	}
-	return rec, writeProof(ctx, c, mac(key, labelAcceptor, theirs, mine))
+	return rec, writeProof(ctx, c, mac(key, labelAcceptor, remoteHello, localHello))
 }
 
 func readHello(ctx context.Context, c *websocket.Conn) ([]byte, Record, error) {
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,8 +12,8 @@
 	"wigeondale/event"
 )
 
-// outgoing is an encoded message in a link's queue. A nil payload asks the
-// writer to end the link after what was queued before.
+// outgoing is an encoded message in a link's queue. A nil payload makes the
+// writer close the link after it has written the messages queued before.
 type outgoing struct {
 	kind    frameType
 	payload []byte
@@ -21,16 +21,16 @@
 
 // link is one authenticated connection to another node.
 type link struct {
-	m      *Mesh
-	conn   *websocket.Conn
-	node   string
-	inc    uint64
-	dialer string // id of the side that dialled
+	m           *Mesh
+	conn        *websocket.Conn
+	node        string
+	incarnation uint64
+	dialer      string // id of the node that dialled
 
-	out       chan outgoing
-	queued    atomic.Int64 // bytes in out
-	lastHeard atomic.Int64 // unix ns
-	lastUsed  atomic.Int64 // unix ns of the last call, either way
+	queue        chan outgoing
+	queuedBytes  atomic.Int64 // bytes in queue
+	lastReceived atomic.Int64 // unix ns of the last message received
+	lastUsed     atomic.Int64 // unix ns of the last call in either direction
 
 	done chan struct{}
 	once sync.Once
@@ -39,34 +39,35 @@
 	reason string
 	calls  map[uint64]chan frame
 
-	pending map[string]struct{} // accounts whose demand is to be sent; under Mesh.mu
+	pendingDemand map[string]struct{} // client accounts whose demand must still be sent; guarded by Mesh.mu
 }
 
 func newLink(m *Mesh, c *websocket.Conn, rec Record, dialer string) *link {
 	l := &link{
-		m:       m,
-		conn:    c,
-		node:    rec.ID,
-		inc:     rec.Incarnation,
-		dialer:  dialer,
-		out:     make(chan outgoing, queueFrames),
-		done:    make(chan struct{}),
-		calls:   make(map[uint64]chan frame),
-		pending: make(map[string]struct{}),
+		m:             m,
+		conn:          c,
+		node:          rec.ID,
+		incarnation:   rec.Incarnation,
+		dialer:        dialer,
+		queue:         make(chan outgoing, linkQueueLength),
+		done:          make(chan struct{}),
+		calls:         make(map[uint64]chan frame),
+		pendingDemand: make(map[string]struct{}),
 	}
 	now := time.Now().UnixNano()
-	l.lastHeard.Store(now)
+	l.lastReceived.Store(now)
 	l.lastUsed.Store(now)
 	return l
 }
 
-func (l *link) heard() time.Time { return time.Unix(0, l.lastHeard.Load()) }
+func (l *link) receivedAt() time.Time { return time.Unix(0, l.lastReceived.Load()) }
 
-func (l *link) used() { l.lastUsed.Store(time.Now().UnixNano()) }
+func (l *link) markUsed() { l.lastUsed.Store(time.Now().UnixNano()) }
 
-// close ends the link. It does not wait for a closing handshake, which a dead
-// peer would never answer. The first reason counts, but any other goes before
-// lostClosed: a writer that fails may speak before the reader that knows why.
+// close closes the link. It does not wait for a closing handshake, which a dead
+// peer would never answer. The first reason is kept, except that any other reason
+// replaces lostClosed: the writer may fail before the reader, which knows the
+// actual reason, reports it.
 func (l *link) close(reason string) {
 	l.mu.Lock()
 	if l.reason == "" || l.reason == lostClosed {
@@ -76,28 +77,29 @@
 	l.once.Do(func() { close(l.done) })
 }
 
-// whyClosed is final once run has returned.
-func (l *link) whyClosed() string {
+// closeReason returns why the link closed. It does not change after run has
+// returned.
+func (l *link) closeReason() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reason
 }
 
-// send queues a message and never blocks. A link whose queue is full is closed:
-// its peer reads too slowly, and memory must not pay for it. What is lost is
-// repaired by anti-entropy once the link is back.
+// send queues a message and never blocks. A link whose queue is full is closed,
+// because its peer reads too slowly and the queue must not grow without bound.
+// Lost messages are repaired by anti-entropy once there is a new link.
 func (l *link) send(kind frameType, payload []byte) bool {
 	select {
 	case <-l.done:
 		return false
 	default:
 	}
-	if l.queued.Add(int64(len(payload))) > int64(l.m.cfg.MaxQueueBytes) {
+	if l.queuedBytes.Add(int64(len(payload))) > int64(l.m.cfg.MaxQueueBytes) {
 		l.close(lostSlow)
 		return false
 	}
 	select {
-	case l.out <- outgoing{kind, payload}:
+	case l.queue <- outgoing{kind, payload}:
 		return true
 	default:
 		l.close(lostSlow)
@@ -109,19 +111,19 @@
 func (l *link) sendBody(kind frameType, body any) {
 	b, err := encodeFrame(frame{Type: kind}, body)
 	if err != nil {
-		return // bodies of control messages are our own types
+		return // cannot happen: the bodies of control messages are types of this package
 	}
 	l.send(kind, b)
 }
 
-// finish ends the link after what is queued has been written.
-func (l *link) finish() {
+// closeAfterWrite closes the link after all queued messages have been written.
+func (l *link) closeAfterWrite() {
 	if !l.send(0, nil) {
 		l.close(lostClosed)
 	}
 }
 
-// run moves messages until the link ends.
+// run sends and receives messages until the link closes.
 func (l *link) run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -145,7 +147,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case o := <-l.out:
+		case o := <-l.queue:
 			if o.payload == nil {
 				l.close(lostClosed)
 				return
@@ -161,13 +163,13 @@
 func (l *link) writeOne(ctx context.Context, o outgoing) error {
 	ctx, cancel := context.WithTimeout(ctx, l.m.cfg.WriteTimeout)
 	defer cancel()
-	l.queued.Add(-int64(len(o.payload)))
+	l.queuedBytes.Add(-int64(len(o.payload)))
 	if err := l.conn.Write(ctx, websocket.MessageBinary, o.payload); err != nil {
 		return err
 	}
 	masked := l.dialer == l.m.cfg.ID
-	l.m.met.sentBytes[o.kind].Add(wireBytes(len(o.payload), masked))
-	l.m.met.sent[o.kind].Inc()
+	l.m.metrics.sentBytes[o.kind].Add(wireBytes(len(o.payload), masked))
+	l.m.metrics.sent[o.kind].Inc()
 	return nil
 }
 
@@ -178,14 +180,14 @@
 			l.closeOnRead(err)
 			return
 		}
-		l.lastHeard.Store(time.Now().UnixNano())
-		l.m.met.received.Add(len(b))
+		l.lastReceived.Store(time.Now().UnixNano())
+		l.m.metrics.received.Add(len(b))
 		f, err := decodeFrame(b)
 		if err == nil {
 			err = l.m.receive(l, f)
 		}
 		if err != nil {
-			l.m.met.rejected[rejectMalformed].Inc()
+			l.m.metrics.rejected[rejectMalformed].Inc()
 			l.m.log.Emit(event.PeerMessageRejected, "peer", l.node, "reason", rejectMalformed, "error", err.Error())
 			l.close(lostRejected)
 			return
@@ -195,7 +197,7 @@
 
 func (l *link) closeOnRead(err error) {
 	if errors.Is(err, websocket.ErrMessageTooBig) {
-		l.m.met.rejected[rejectOversized].Inc()
+		l.m.metrics.rejected[rejectOversized].Inc()
 		l.m.log.Emit(event.PeerMessageRejected, "peer", l.node, "reason", rejectOversized)
 		l.close(lostRejected)
 		return
--- a/peer/members.go
+++ b/peer/members.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// Summary is what a node tells its fleet about itself in each heartbeat.
+// Summary is the state that a node shares with the fleet.
 type Summary struct {
-	Revision uint64 // of the configuration in force
+	Revision uint64 // revision of the configuration in force
 	Ready    bool
-	// Demand is tokens per second by client account. SetSummary takes only the
-	// entries that changed, zero removing one. Members shows it for the node
-	// itself and linked nodes only: in a fleet above the full mesh, one node's
-	// 3 KB/s could not carry every account of every node.
+	// Demand is the demand in tokens per second, by client account. SetSummary
+	// expects only the entries that changed; zero removes an entry. Members
+	// returns it for this node and for linked nodes only: in a fleet above the
+	// full-mesh limit, the demand of every client account at every node would not
+	// fit into the 3 KB/s of one node.
 	Demand map[string]float64
 }
 
-// Member is one node as this node sees it.
+// Member is what this node knows about one node.
 type Member struct {
 	ID            string
 	Addr          string // host:port of the peer listener
 	FailureDomain string
 	Incarnation   uint64
-	Alive         bool // not dead; a suspect member is still alive
+	Alive         bool // not dead; a suspect member counts as alive
 	Suspect       bool
 	Leaving       bool
 	Self          bool
 	Linked        bool
-	Summary       Summary // Revision lags for members that are not linked
+	Summary       Summary // Revision may be outdated for members that are not linked
 }
 
-// Members returns every known node, this one included, ordered by id. Dead ones
-// stay listed for some time with Alive false.
+// Members returns every known node, including this one, ordered by id. Dead nodes
+// are included, with Alive false, until their records are dropped.
 func (m *Mesh) Members() []Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,7 +53,8 @@
 	return float64(len(ids))
 }
 
-// Full tells whether the members are few enough for each to be linked to all others.
+// Full reports whether there are few enough members for each to be linked to all
+// others.
 func (m *Mesh) Full() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
 
 func (m *Mesh) member(e *entry) Member {
@@ -76,7 +78,7 @@
 	return out
 }
 
-// SetSummary states this node's summary; it goes out with the next heartbeat.
+// SetSummary updates this node's summary, which is sent with the next heartbeat.
 func (m *Mesh) SetSummary(s Summary) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -96,12 +98,12 @@
 	}
 	applyDemand(m.demand, account, rate)
 	for _, l := range m.links {
-		l.pending[account] = struct{}{}
+		l.pendingDemand[account] = struct{}{}
 	}
 }
 
-// applyDemand keeps the map bounded: a faulty peer could otherwise fill memory
-// with account names.
+// applyDemand updates one entry of demand. It bounds the size of the map, because
+// a faulty peer could otherwise fill the memory with account names.
 func applyDemand(demand map[string]float64, account string, rate float64) {
 	if rate == 0 {
 		delete(demand, account)
@@ -113,8 +115,8 @@
 	demand[account] = rate
 }
 
-// SetLeaving tells the fleet that this node is going away. It cannot be undone
-// within an incarnation.
+// SetLeaving announces to the fleet that this node is shutting down. It cannot be
+// undone within an incarnation.
 func (m *Mesh) SetLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -125,7 +127,8 @@
 	m.publishSelf()
 }
 
-// publishSelf gives the node's own record a new version and has it pushed.
+// publishSelf increments the version of this node's record and schedules the
+// record to be sent to the linked nodes.
 func (m *Mesh) publishSelf() {
 	m.self.Version++
 	m.storeSelf()
@@ -134,10 +137,10 @@
 func (m *Mesh) storeSelf() {
 	m.table.merge(time.Now(), m.self)
 	m.dirty[m.cfg.ID] = struct{}{}
-	m.wake()
+	m.requestTick()
 }
 
-// linkDump and memberDump are the state dump's view.
+// linkDump is one link in the state dump.
 type linkDump struct {
 	Node        string
 	Dialer      string
@@ -145,6 +148,7 @@
 	QueuedBytes int64
 }
 
+// memberDump is one member in the state dump.
 type memberDump struct {
 	Member
 	Status      string
@@ -153,7 +157,7 @@
 	Version     uint64
 }
 
-// meshDump is what Dump returns.
+// meshDump is the state dump of a mesh.
 type meshDump struct {
 	Self    Record
 	Members []memberDump
@@ -161,7 +165,8 @@
 	Seeds   []string
 }
 
-// Dump returns the state for the process's dump. It holds no secret.
+// Dump returns the mesh's part of the process's state dump. It contains no
+// secrets.
 func (m *Mesh) Dump() any {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -179,8 +184,8 @@
 		d.Links = append(d.Links, linkDump{
 			Node:        l.node,
 			Dialer:      l.dialer,
-			HeardAgo:    time.Since(l.heard()).Round(time.Millisecond).String(),
-			QueuedBytes: l.queued.Load(),
+			HeardAgo:    time.Since(l.receivedAt()).Round(time.Millisecond).String(),
+			QueuedBytes: l.queuedBytes.Load(),
 		})
 	}
 	slices.SortFunc(d.Members, func(a, b memberDump) int { return cmp.Compare(a.ID, b.ID) })
--- a/peer/members_bench_test.go
+++ b/peer/members_bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkMembers measures a copy of the membership at the target size, and
-// the choice of one among them by rendezvous hash, as each claim's shard needs.
+// BenchmarkMembers measures copying the membership at the target size and choosing
+// one member by rendezvous hash, as is done for the owner of a shard of claims.
 func BenchmarkMembers(b *testing.B) {
 	m := idleMesh(b, targetNodes)
 	b.ReportAllocs()
--- a/peer/merge.go
+++ b/peer/merge.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Status is what the members believe about one node.
+// Status is the liveness of a node as its peers report it.
 type Status uint8
 
 const (
-	// Alive means that the node is heard by its neighbours.
+	// Alive means that the neighbours of the node receive from it.
 	Alive Status = iota
-	// Suspect means that a neighbour no longer hears the node.
+	// Suspect means that a neighbour no longer receives from the node.
 	Suspect
-	// Dead means that nobody refuted the suspicion in time, or that the node
-	// said that it leaves.
+	// Dead means that the node did not refute the suspicion in time, or that it
+	// announced its shutdown.
 	Dead
 )
 
-// String names the status.
+// String returns the name of the status.
 func (s Status) String() string {
 	switch s {
 	case Alive:
@@ -29,37 +29,38 @@
 	return "dead"
 }
 
-// Record is the soft state about one node. Only the node itself changes its
-// Incarnation, Version, Addr, FailureDomain, Ready and Leaving; others may only
-// raise Status.
+// Record is the replicated state of one node; it is kept in memory only. Only
+// the node itself changes its Incarnation, Version, Addr, FailureDomain, Ready
+// and Leaving; other nodes may only raise Status.
 type Record struct {
 	_             struct{} `cbor:",toarray"`
 	ID            string
 	Addr          string // host:port of the peer listener
 	FailureDomain string
-	Incarnation   uint64 // grows with each start of the node
-	Version       uint64 // grows with each change made by the node itself
+	Incarnation   uint64 // increases with each start of the node
+	Version       uint64 // increases with each change made by the node itself
 	Status        Status
 	Ready         bool
-	Leaving       bool // sticky within an incarnation
+	Leaving       bool // never reset within an incarnation
 }
 
 func (r *Record) check() error {
 	if r.ID == "" || len(r.ID) > maxNameBytes {
-		return fmt.Errorf("node id of %d bytes", len(r.ID))
+		return fmt.Errorf("node id is empty or too long: %d bytes", len(r.ID))
 	}
 	if len(r.Addr) > maxNameBytes || len(r.FailureDomain) > maxNameBytes {
-		return fmt.Errorf("record of %q too long", r.ID)
+		return fmt.Errorf("record of node %q: address or failure domain too long", r.ID)
 	}
 	if r.Status > Dead {
-		return fmt.Errorf("status %d", r.Status)
+		return fmt.Errorf("unknown status %d", r.Status)
 	}
 	return nil
 }
 
-// Merge joins two records of one node. It is commutative, associative and
-// idempotent, so members agree whatever the order, repetition or delay of what
-// they hear: without that, a late rumour could undo a newer fact.
+// Merge merges two records of one node. It is commutative, associative and
+// idempotent, so that the members agree regardless of the order, repetition or
+// delay of the records they receive. Without that, a delayed report could
+// overwrite a newer one.
 func Merge(a, b Record) Record {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return pick(c, a, b)
@@ -76,8 +77,8 @@
 	return b
 }
 
-// compareRecords orders records of one incarnation. The fields behind Status
-// only differ if two processes run under one id; the order on them keeps the
+// compareRecords orders records of one incarnation. The fields compared after
+// Status differ only if two processes use the same id; comparing them keeps the
 // merge well defined even then.
 func compareRecords(a, b Record) int {
 	return cmp.Or(
@@ -99,22 +100,24 @@
 	return -1
 }
 
-// refute returns the record that node self answers a rumour about itself with,
-// and whether an answer is needed.
+// refute returns the record with which a node refutes a record about itself that
+// it received from a peer, and whether it needs to refute it.
 //
-// A node that was frozen or cut off is called suspect or dead by the others. If
-// it did not answer, it would stay dead for them although it serves. A rumour
-// with a higher incarnation than its own means that the clock went back over a
-// restart; the node then steps over it, or its records would lose every merge.
-func refute(self, rumour Record) (Record, bool) {
-	if rumour.Incarnation > self.Incarnation {
-		self.Incarnation = rumour.Incarnation + 1
+// A node that was paused or cut off is marked suspect or dead by its peers. If it
+// did not refute that, it would stay dead for them although it serves requests.
+// A received record with a higher incarnation than the node's own means that the
+// node's clock was set back before a restart. The node then continues with an
+// incarnation above the received one, because otherwise its records would lose
+// every merge.
+func refute(self, received Record) (Record, bool) {
+	if received.Incarnation > self.Incarnation {
+		self.Incarnation = received.Incarnation + 1
 		self.Version++
 		return self, true
 	}
-	if rumour.Incarnation < self.Incarnation || compareRecords(rumour, self) <= 0 {
+	if received.Incarnation < self.Incarnation || compareRecords(received, self) <= 0 {
 		return self, false
 	}
-	self.Version = max(self.Version, rumour.Version) + 1
+	self.Version = max(self.Version, received.Version) + 1
 	return self, true
 }
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// records draws from so few values that ties and conflicts are common.
+// records generates records with few distinct values, so that equal and
+// conflicting records are frequent.
 var records = rapid.Custom(func(t *rapid.T) Record {
 	return Record{
 		ID:            "n",
@@ -21,9 +22,9 @@
 	}
 })
 
-// Symptom: two members disagree for ever about a third. Sequence: they hear the
-// same rumours in a different order, or one of them twice. Cause: a merge whose
-// result depends on order or repetition.
+// Guards against two members that disagree about a third one forever. This
+// happens if they receive the same records in a different order, or one of them
+// twice, and the result of the merge depends on order or repetition.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := records.Draw(t, "a"), records.Draw(t, "b"), records.Draw(t, "c")
@@ -39,26 +40,28 @@
 	})
 }
 
-// Symptom: a thawed or restarted node serves, but stays dead for the others.
-// Sequence: they spread a rumour about it while it was away, with any version or
-// incarnation. Cause: its answer does not win the merge against the rumour.
+// Guards against a resumed or restarted node that serves requests but stays dead
+// for its peers. This happens if they spread a record about it in the meantime,
+// with any version or incarnation, and the node's refutation does not win the
+// merge against that record.
 func TestRefutationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		self, rumour := records.Draw(t, "self"), records.Draw(t, "rumour")
+		self, received := records.Draw(t, "self"), records.Draw(t, "rumour")
 		self.Status = Alive
-		answer, needed := refute(self, rumour)
+		refutation, needed := refute(self, received)
 		if !needed {
-			answer = self
+			refutation = self
 		}
-		got := Merge(rumour, answer)
-		if got.Status != Alive || got.Incarnation != answer.Incarnation || got.Version != answer.Version {
-			t.Fatalf("rumour %+v, answer %+v, merged %+v", rumour, answer, got)
+		got := Merge(received, refutation)
+		if got.Status != Alive || got.Incarnation != refutation.Incarnation || got.Version != refutation.Version {
+			t.Fatalf("received %+v, refutation %+v, merged %+v", received, refutation, got)
 		}
 	})
 }
 
-// Symptom: a live fleet is called dead, or a dead member is never noticed.
-// Sequence: silence, a rumour, or this node's own pause. Cause: each row's name.
+// Guards against live members that are marked dead and dead members that are not
+// detected, because of silence, a peer's suspicion or this node's own pause. Each
+// case is named after its situation.
 func TestJudge(t *testing.T) {
 	p := Policy{LinkTimeout: 4 * time.Second, SuspectTimeout: 5 * time.Second, ForgetAfter: time.Hour}
 	at := func(s int) time.Time { return time.Unix(10_000+int64(s), 0) }
@@ -68,29 +71,29 @@
 		e    Evidence
 		want Verdict
 	}{
-		{"heard lately", at(4), Evidence{Neighbour: true, LastHeard: at(0)}, Keep},
+		{"message received recently", at(4), Evidence{Neighbour: true, LastHeard: at(0)}, Keep},
 		{"silent neighbour", at(5), Evidence{Neighbour: true, LastHeard: at(0)}, MakeSuspect},
 		{"silent but no neighbour", at(5), Evidence{LastHeard: at(0)}, Keep},
-		{"neighbour only lately", at(5), Evidence{Neighbour: true, LastHeard: at(0), WantedSince: at(3)}, Keep},
-		{"this node was frozen", at(100), Evidence{Neighbour: true, LastHeard: at(0), PauseEnd: at(99)}, Keep},
-		{"never heard since wanted", at(5), Evidence{Neighbour: true, WantedSince: at(0)}, MakeSuspect},
+		{"became a neighbour recently", at(5), Evidence{Neighbour: true, LastHeard: at(0), WantedSince: at(3)}, Keep},
+		{"this node was paused", at(100), Evidence{Neighbour: true, LastHeard: at(0), PauseEnd: at(99)}, Keep},
+		{"nothing received since it became a neighbour", at(5), Evidence{Neighbour: true, WantedSince: at(0)}, MakeSuspect},
 		{"suspect may still refute", at(5), Evidence{Status: Suspect, StatusSince: at(0)}, Keep},
 		{"suspicion not refuted", at(6), Evidence{Status: Suspect, StatusSince: at(0)}, MakeDead},
-		{"suspect heard on a link", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastHeard: at(3)}, Keep},
+		{"message received from a suspect", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastHeard: at(3)}, Keep},
 		{"suspicion from before the pause", at(100), Evidence{Status: Suspect, StatusSince: at(0), PauseEnd: at(98)}, Keep},
-		{"dead is remembered", at(3600), Evidence{Status: Dead, StatusSince: at(0)}, Keep},
-		{"dead is forgotten", at(3601), Evidence{Status: Dead, StatusSince: at(0)}, Forget},
+		{"dead record is kept", at(3600), Evidence{Status: Dead, StatusSince: at(0)}, Keep},
+		{"dead record is dropped", at(3601), Evidence{Status: Dead, StatusSince: at(0)}, Forget},
 	}
 	for _, c := range cases {
 		if got := Judge(c.now, c.e, p); got != c.want {
-			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
+			t.Errorf("%s: decision %d, want %d", c.name, got, c.want)
 		}
 	}
 }
 
-// Symptom: a digest never settles, or a forgotten member returns for ever.
-// Sequence: tables learn the same records in different orders, some already
-// forgotten. Cause: digests that depend on order or on dead records.
+// Guards against digests that never become equal and dropped members that return
+// forever. This happens if the digests depend on the order in which records are
+// merged or on dead records that only some nodes have dropped.
 func TestTableDigestsAgree(t *testing.T) {
 	now := time.Unix(1, 0)
 	a, b := newTable(), newTable()
@@ -106,29 +109,30 @@
 	x.Status = Dead
 	a.merge(now, x)
 	if a.buckets == b.buckets {
-		t.Fatal("a death is not visible in the digest")
+		t.Fatal("the change to dead does not change the digest")
 	}
 	b.merge(now, x)
-	b.drop("x")
+	b.remove("x")
 	if a.buckets != b.buckets {
-		t.Fatal("a forgotten dead member keeps the digests apart")
+		t.Fatal("the digests differ after only one table dropped a dead member")
 	}
 	if b.merge(now, x) {
-		t.Fatal("a dead record of an unknown member was taken")
+		t.Fatal("a dead record of an unknown member was stored")
 	}
 	b.byID["y"].revision = 9
-	old := b.revisionDigestOf(false)
+	old := b.buildRevisionDigest(false)
 	y.Incarnation++
 	b.merge(now, y)
 	b.applyRevisions(old, "self")
 	if b.byID["y"].revision != 0 {
-		t.Fatal("a restarted member keeps the revision of its last life")
+		t.Fatal("a restarted member keeps the revision of its previous incarnation")
 	}
 }
 
-// Symptom: a dead member is noticed by its neighbours at once and by the rest
-// only after many digests. Sequence: a neighbour suspects it. Cause: the
-// suspicion is not among the news that the next tick pushes.
+// Guards against a dead member that its neighbours detect at once but all other
+// members only after many digests. This happens if a neighbour suspects the
+// member and does not send the suspicion with the changed records of the next
+// tick.
 func TestSuspicionIsPushed(t *testing.T) {
 	m, err := New(Config{ID: "n", Addr: "n"}, testKey, nil, nil)
 	if err != nil {
@@ -138,6 +142,6 @@
 	m.table.merge(now, Record{ID: "x", Incarnation: 1, Version: 1})
 	m.suspect(now, m.table.byID["x"])
 	if _, pushed := m.dirty["x"]; !pushed {
-		t.Error("the suspicion stays here")
+		t.Error("the suspicion is not sent to the linked nodes")
 	}
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -14,48 +14,48 @@
 	"wigeondale/event"
 )
 
-// Path is where the peer listener serves links.
+// Path is the URL path at which the peer listener accepts links.
 const Path = "/peer/v1"
 
-// Mesh is one node's part in the fleet. Its methods may be called from any
-// goroutine. It is an http.Handler for the peer listener.
+// Mesh maintains one node's links and its view of the membership. Its methods may
+// be called from any goroutine. It is the http.Handler of the peer listener.
 type Mesh struct {
-	cfg    Config
-	key    []byte
-	log    *event.Log
-	met    *meters
-	client *http.Client
+	cfg     Config
+	key     []byte
+	log     *event.Log
+	metrics *meshMetrics
+	client  *http.Client
 
-	shakes chan struct{} // bounds handshakes of strangers
-	slots  chan struct{} // bounds calls served
-	work   chan func()   // floods for handlers, in order
-	news   chan struct{} // the membership changed
-	kick   chan struct{} // asks for a tick now
-	dialer singleflight.Group
-	life   context.Context // of links and handlers; set by Run under mu
+	handshakeSlots    chan struct{} // bounds the handshakes of accepted connections
+	callSlots         chan struct{} // bounds the calls that this node runs at once
+	floodQueue        chan func()   // received floods for the handlers, in order
+	membershipChanged chan struct{} // signals a change of the membership
+	tickRequested     chan struct{} // requests a tick now
+	dialer            singleflight.Group
+	runCtx            context.Context // context of links and handlers; set by Run under mu
 
-	mu       sync.Mutex
-	running  bool
-	tasks    sync.WaitGroup // goroutines begun by start
-	table    *table
-	self     Record
-	demand   map[string]float64
-	links    map[string]*link
-	seen     *seenSet
-	dirty    map[string]struct{} // ids whose records are to be pushed
-	rewire   bool                // neighbours are to be chosen anew
-	seeds    []string
-	seedDue  time.Time
-	dials    map[string]*dialState
-	pauseEnd time.Time
-	floods   map[string]floodHandler
-	callees  map[string]callHandler
-	onLink   []func(node string)
-	onChange []func()
+	mu                 sync.Mutex
+	running            bool
+	tasks              sync.WaitGroup // goroutines started by start
+	table              *table
+	self               Record
+	demand             map[string]float64
+	links              map[string]*link
+	seen               *seenSet
+	dirty              map[string]struct{} // ids whose records must be sent to the linked nodes
+	neighboursOutdated bool                // the neighbours must be chosen again
+	seeds              []string
+	nextSeedDial       time.Time
+	dials              map[string]*dialState
+	pauseEnd           time.Time
+	floodHandlers      map[string]floodHandler
+	callHandlers       map[string]callHandler
+	onLink             []func(node string)
+	onChange           []func()
 }
 
-// New returns a mesh that is idle until Run. key is the shared key, at least 16
-// bytes. log and set may be nil.
+// New returns a mesh that does nothing until Run is called. key is the shared
+// key, at least 16 bytes. log and set may be nil.
 func New(cfg Config, key []byte, log *event.Log, set *metrics.Set) (*Mesh, error) {
 	cfg = cfg.withDefaults()
 	if len(key) < minKeyBytes {
@@ -75,29 +75,29 @@
 		return nil, Error.Wrap(err)
 	}
 	m := &Mesh{
-		cfg:     cfg,
-		key:     key,
-		log:     log,
-		met:     newMeters(set),
-		shakes:  make(chan struct{}, maxHandshakes),
-		slots:   make(chan struct{}, cfg.MaxCallsServed),
-		work:    make(chan func(), floodQueue),
-		news:    make(chan struct{}, 1),
-		kick:    make(chan struct{}, 1),
-		table:   newTable(),
-		self:    self,
-		demand:  make(map[string]float64),
-		links:   make(map[string]*link),
-		seen:    newSeenSet(seenFloods),
-		dirty:   make(map[string]struct{}),
-		seeds:   cfg.Seeds,
-		dials:   make(map[string]*dialState),
-		floods:  make(map[string]floodHandler),
-		callees: make(map[string]callHandler),
+		cfg:               cfg,
+		key:               key,
+		log:               log,
+		metrics:           newMeshMetrics(set),
+		handshakeSlots:    make(chan struct{}, maxHandshakes),
+		callSlots:         make(chan struct{}, cfg.MaxCallsServed),
+		floodQueue:        make(chan func(), floodQueueLength),
+		membershipChanged: make(chan struct{}, 1),
+		tickRequested:     make(chan struct{}, 1),
+		table:             newTable(),
+		self:              self,
+		demand:            make(map[string]float64),
+		links:             make(map[string]*link),
+		seen:              newSeenSet(maxSeenFloods),
+		dirty:             make(map[string]struct{}),
+		seeds:             cfg.Seeds,
+		dials:             make(map[string]*dialState),
+		floodHandlers:     make(map[string]floodHandler),
+		callHandlers:      make(map[string]callHandler),
 	}
 	m.table.merge(time.Now(), self)
-	m.met.set.GetOrCreateGauge("wigeon_peer_links", func() float64 { return float64(len(m.anyLinks(""))) })
-	m.met.set.GetOrCreateGauge("wigeon_peer_members_alive", m.countAlive)
+	m.metrics.set.GetOrCreateGauge("wigeon_peer_links", func() float64 { return float64(len(m.shuffledLinks(""))) })
+	m.metrics.set.GetOrCreateGauge("wigeon_peer_members_alive", m.countAlive)
 	m.client = &http.Client{Transport: &http.Transport{
 		DialContext:       m.dialTCP,
 		TLSClientConfig:   cfg.TLS,
@@ -106,23 +106,24 @@
 	return m, nil
 }
 
-// Run keeps links and membership until ctx ends, tells the neighbours that the
-// node leaves and returns when all its goroutines have ended. It runs once.
+// Run maintains the links and the membership until ctx ends. Then it announces
+// the node's shutdown to the linked nodes and returns when all its goroutines
+// have ended. It may be called only once.
 func (m *Mesh) Run(ctx context.Context) error {
-	life, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	m.mu.Lock()
-	if m.life != nil {
+	if m.runCtx != nil {
 		m.mu.Unlock()
 		return Error.New("Run called twice")
 	}
-	m.life = life
+	m.runCtx = runCtx
 	m.running = true
 	m.pauseEnd = time.Now()
-	m.rewire = true
+	m.neighboursOutdated = true
 	m.mu.Unlock()
 
-	m.start(func() { m.handleFloods(life) })
+	m.start(func() { m.runHandlers(runCtx) })
 	m.tickUntil(ctx)
 	m.announceLeave()
 	stop := time.AfterFunc(m.cfg.Heartbeat, cancel)
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// start runs fn in a goroutine that Run waits for; false means that the mesh is
-// not running and fn will not run.
+// start runs fn in a goroutine that Run waits for. It returns false, without
+// running fn, if the mesh is not running.
 func (m *Mesh) start(fn func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -149,20 +150,20 @@
 	return true
 }
 
-func (m *Mesh) handleFloods(ctx context.Context) {
+func (m *Mesh) runHandlers(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case fn := <-m.work:
+		case fn := <-m.floodQueue:
 			fn()
-		case <-m.news:
-			m.tellChange()
+		case <-m.membershipChanged:
+			m.notifyChange()
 		}
 	}
 }
 
-func (m *Mesh) tellChange() {
+func (m *Mesh) notifyChange() {
 	m.mu.Lock()
 	fns := m.onChange
 	m.mu.Unlock()
@@ -171,8 +172,9 @@
 	}
 }
 
-// announceLeave tells the neighbours that the node goes, so that they need not
-// wait for a timeout, and lets the queues drain.
+// announceLeave sends a dead record of this node to the linked nodes, so that
+// they need not wait for a timeout, and closes the links after their queues have
+// been written.
 func (m *Mesh) announceLeave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,7 +184,7 @@
 	last.Status = Dead
 	for _, l := range m.links {
 		l.sendBody(typeRecords, recordBatch{Records: []Record{last}})
-		l.finish()
+		l.closeAfterWrite()
 	}
 }
 
@@ -193,21 +195,21 @@
 	for _, l := range links {
 		select {
 		case <-l.done:
-		case <-m.life.Done():
+		case <-m.runCtx.Done():
 		}
 	}
 }
 
-// AddSeeds replaces the addresses learnt from the VM list. The seeds of the
-// configuration stay.
+// AddSeeds replaces the seeds found in the VM list. The seeds of the
+// configuration are kept.
 func (m *Mesh) AddSeeds(addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = append(append([]string(nil), m.cfg.Seeds...), addrs...)
 }
 
-// OnLink registers fn to be called, in a goroutine of its own, with the id of
-// each node that a link comes up to. Register before Run.
+// OnLink registers fn to be called with the id of the remote node whenever a link
+// comes up. Each call runs in its own goroutine. Register before Run.
 func (m *Mesh) OnLink(fn func(node string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -215,24 +217,26 @@
 }
 
 // OnChange registers fn to be called after changes of the membership, on the
-// goroutine of the flood handlers; it must not block. Changes of one moment are joined. Register before Run.
+// goroutine of the flood handlers; it must not block. Several changes in quick
+// succession may result in one call. Register before Run.
 func (m *Mesh) OnChange(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onChange = append(m.onChange, fn)
 }
 
-// RandomNeighbour returns a linked node, or false if there is none.
+// RandomNeighbour returns the id of a random linked node, or false if there is
+// none.
 func (m *Mesh) RandomNeighbour() (string, bool) {
-	links := m.anyLinks("")
+	links := m.shuffledLinks("")
 	if len(links) == 0 {
 		return "", false
 	}
 	return links[0].node, true
 }
 
-// anyLinks returns the links to nodes other than except, in random order.
-func (m *Mesh) anyLinks(except string) []*link {
+// shuffledLinks returns the links to all linked nodes but except, in random order.
+func (m *Mesh) shuffledLinks(except string) []*link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	out := make([]*link, 0, len(m.links))
@@ -245,9 +249,10 @@
 	return out
 }
 
-func (m *Mesh) wake() { signal(m.kick) }
+func (m *Mesh) requestTick() { signal(m.tickRequested) }
 
-// signal marks a channel of capacity one; marks that come together are joined.
+// signal sends on a channel of capacity one without blocking. Signals that have
+// not been received yet are coalesced.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -19,17 +19,17 @@
 	"wigeondale/peer/peertest"
 )
 
-// startFabric runs n nodes n00, n01, ... on a network in memory. Their addresses
-// are their ids; the first is everyone's seed.
-func startFabric(t *testing.T, f *peertest.Fabric, n int, tune func(*Config)) []*node {
+// startNodes runs n nodes with the ids n00, n01, ... on an in-memory network.
+// Their addresses are their ids; the first node is the seed of all.
+func startNodes(t *testing.T, f *peertest.Fabric, n int, configure func(*Config)) []*node {
 	nodes := make([]*node, n)
 	for i := range nodes {
-		nodes[i] = startOn(t, f, i, 1, testKey, tune)
+		nodes[i] = startNodeOn(t, f, i, 1, testKey, configure)
 	}
 	return nodes
 }
 
-func startOn(t *testing.T, f *peertest.Fabric, i int, incarnation uint64, key []byte, tune func(*Config)) *node {
+func startNodeOn(t *testing.T, f *peertest.Fabric, i int, incarnation uint64, key []byte, configure func(*Config)) *node {
 	id := fmt.Sprintf("n%02d", i)
 	cfg := Config{
 		ID:            id,
@@ -39,8 +39,8 @@
 		Seeds:         []string{"n00"},
 		Dial:          f.Dial(id),
 	}
-	if tune != nil {
-		tune(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	return startNode(t, cfg, key, f.Listen(id))
 }
@@ -51,14 +51,14 @@
 	}
 }
 
-// settle lets fake time pass.
+// settle advances the fake time by d and waits until all goroutines are blocked.
 func settle(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// wantSeen checks that all nodes agree on the liveness of one.
-func wantSeen(t *testing.T, nodes []*node, id string, alive bool) {
+// wantAlive checks that all given nodes consider one node alive, or all dead.
+func wantAlive(t *testing.T, nodes []*node, id string, alive bool) {
 	t.Helper()
 	for _, n := range nodes {
 		if got := n.member(id); got.Alive != alive {
@@ -67,14 +67,14 @@
 	}
 }
 
-func ctxFor(d time.Duration) context.Context {
+func timeoutContext(d time.Duration) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	context.AfterFunc(ctx, cancel)
 	return ctx
 }
 
 func echo(m *Mesh, to, text string) (string, error) {
-	return Call[string, string](ctxFor(10*time.Second), m, to, "echo", text)
+	return Call[string, string](timeoutContext(10*time.Second), m, to, "echo", text)
 }
 
 func TestFullMeshOnLoopback(t *testing.T) {
@@ -117,65 +117,68 @@
 	if !errors.As(err, &remote) || remote.Code != CodeUser {
 		t.Errorf("error of the handler came back as %v", err)
 	}
-	_, err = Call[string, string](ctxFor(time.Second), nodes[0].Mesh, "n03", "no such kind", "")
+	_, err = Call[string, string](timeoutContext(time.Second), nodes[0].Mesh, "n03", "no such kind", "")
 	if !errors.As(err, &remote) || remote.Code != CodeNoHandler {
 		t.Errorf("unknown kind: %v", err)
 	}
 }
 
-// Symptom: after a freeze or cut a node stays out of the fleet, or comes back as
-// a stranger. Sequence: no byte passes to or from n02 for a minute, connections
-// stay open; then bytes pass again. The seeds have been replaced meanwhile. Cause: silence not noticed, the rumour not
-// refuted, or nobody dialling again because each side holds the other for dead.
+// Guards against a node that stays out of the fleet after a pause or network cut,
+// or loses its state in the fleet. This happens if the silence is not detected,
+// if the node does not refute the reports about it, or if no node dials again
+// because each side considers the other dead. The test drops all bytes to and
+// from n02 for a minute while the connections stay open, and removes the seeds
+// before.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 4, nil)
+		nodes := startNodes(t, f, 4, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
-		wantSeen(t, nodes, "n02", true)
+		wantAlive(t, nodes, "n02", true)
 		nodes[2].SetSummary(Summary{Revision: 7, Ready: true, Demand: map[string]float64{"acme": 3}})
 		settle(2 * time.Second)
 		if s := nodes[0].member("n02").Summary; s.Revision != 7 || !s.Ready || s.Demand["acme"] != 3 {
 			t.Errorf("summary %+v", s)
 		}
 		for _, n := range nodes {
-			n.forgetSeeds()
+			n.clearSeeds()
 		}
 		f.Isolate("n02", true)
 		settle(60 * time.Second)
-		others := []*node{nodes[0], nodes[1], nodes[3]}
-		wantSeen(t, others, "n02", false)
-		wantSeen(t, []*node{nodes[2]}, "n00", false)
+		peers := []*node{nodes[0], nodes[1], nodes[3]}
+		wantAlive(t, peers, "n02", false)
+		wantAlive(t, []*node{nodes[2]}, "n00", false)
 		f.Isolate("n02", false)
 		settle(60 * time.Second)
 		for i := range nodes {
-			wantSeen(t, nodes, fmt.Sprintf("n%02d", i), true)
+			wantAlive(t, nodes, fmt.Sprintf("n%02d", i), true)
 		}
 		m := nodes[0].member("n02")
 		if m.Incarnation != 1 || !m.Linked || m.Summary.Demand["acme"] != 3 {
-			t.Errorf("n02 came back as %+v", m)
+			t.Errorf("n02 after the cut: %+v", m)
 		}
 	})
 }
 
-// Symptom: a link looks fine from one end and is useless. Sequence: bytes from
-// n00 to n01 stop, those from n01 to n00 go on. Cause: only the deaf end can
-// notice; it must end the link for both, and both must stay members by way of
-// the third, which also relays calls between them.
+// Guards against a link that appears healthy at one end but is unusable. This
+// happens if the bytes from n00 to n01 are lost and those from n01 to n00 are
+// not, so that only n01 can detect it. n01 must close the link for both nodes.
+// Both must stay members through the third node, which also relays calls between
+// them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 3, nil)
+		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
 		f.Cut("n00", "n01", true)
 		settle(30 * time.Second)
 		if nodes[0].member("n01").Linked || nodes[1].member("n00").Linked {
-			t.Error("the half-dead link is still up")
+			t.Error("the link that is cut in one direction is still up")
 		}
-		wantSeen(t, nodes, "n00", true)
-		wantSeen(t, nodes, "n01", true)
+		wantAlive(t, nodes, "n00", true)
+		wantAlive(t, nodes, "n01", true)
 		got, err := echo(nodes[0].Mesh, "n01", "x")
 		if err != nil || got != "n00>n01:x" {
 			t.Errorf("relayed call: %q, %v", got, err)
@@ -188,18 +191,18 @@
 	})
 }
 
-// Symptom: a caller repeats work that ran, or gives up work that never ran.
-// Sequence: a call to a node that nobody can reach; a call whose callee is cut
-// off after it began. Cause: the two must be told apart by the error.
+// Guards against a caller that repeats a call that ran, or gives up a call that
+// never ran. This happens if the errors do not distinguish a call to an
+// unreachable node from a call whose callee is cut off while it runs.
 func TestCallErrorsTellWhetherItRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 3, nil)
+		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
 		errc := make(chan error)
 		go func() {
-			_, err := Call[string, string](ctxFor(time.Minute), nodes[0].Mesh, "n01", "hang", "")
+			_, err := Call[string, string](timeoutContext(time.Minute), nodes[0].Mesh, "n01", "hang", "")
 			errc <- err
 		}()
 		<-nodes[1].floods
@@ -209,7 +212,7 @@
 		}
 		settle(20 * time.Second)
 		if _, err := echo(nodes[0].Mesh, "n01", "x"); !errors.Is(err, ErrNoRoute) {
-			t.Errorf("callee out of reach: %v", err)
+			t.Errorf("unreachable callee: %v", err)
 		}
 		if _, err := echo(nodes[0].Mesh, "n99", "x"); !errors.Is(err, ErrNoRoute) {
 			t.Errorf("unknown callee: %v", err)
@@ -217,12 +220,12 @@
 	})
 }
 
-// Guards against: one message that makes its handler panic ends every node, since each passes
-// it on before it handles it.
+// Guards against a single message whose handler panics and that thereby crashes
+// every node, because each node forwards the message before it handles it.
 func TestPanicOfAHandlerEndsNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 3, nil)
+		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
 		if err := nodes[0].Flood("panic", "x"); err != nil {
@@ -244,13 +247,13 @@
 	})
 }
 
-// Symptom: a restarted node is taken for its dead predecessor. Sequence: n01
-// stops, or just vanishes, and starts again with nothing in force. Cause: what
-// was known about the old incarnation outlives it.
+// Guards against a restarted node that its peers confuse with its previous
+// incarnation. This happens if n01 stops and starts again without a configuration
+// in force, and the state of its old incarnation is kept.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 3, nil)
+		nodes := startNodes(t, f, 3, nil)
 		settle(10 * time.Second)
 		nodes[1].SetSummary(Summary{Revision: 9})
 		nodes[1].SetLeaving()
@@ -260,8 +263,8 @@
 		}
 		nodes[1].stop()
 		settle(time.Second)
-		wantSeen(t, []*node{nodes[0], nodes[2]}, "n01", false)
-		nodes[1] = startOn(t, f, 1, 2, testKey, nil)
+		wantAlive(t, []*node{nodes[0], nodes[2]}, "n01", false)
+		nodes[1] = startNodeOn(t, f, 1, 2, testKey, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
 		m := nodes[2].member("n01")
@@ -271,20 +274,20 @@
 	})
 }
 
-// Symptom: a stranger joins the fleet. Sequence: it dials, and is dialled, with
-// another key. Cause: a proof that is not checked on one of the sides.
+// Guards against a process with a wrong key that joins the fleet. This happens if
+// the dialler or the acceptor does not check the proof of the other side.
 func TestWrongKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 2, nil)
-		nodes = append(nodes, startOn(t, f, 2, 1, []byte("another key, same length"), nil))
+		nodes := startNodes(t, f, 2, nil)
+		nodes = append(nodes, startNodeOn(t, f, 2, 1, []byte("another key, same length"), nil))
 		defer stopAll(nodes)
 		settle(20 * time.Second)
 		if m := nodes[0].member("n02"); m.ID != "" {
-			t.Errorf("stranger became a member: %+v", m)
+			t.Errorf("node with a wrong key became a member: %+v", m)
 		}
 		if len(nodes[2].Members()) != 1 {
-			t.Error("the stranger learnt the members")
+			t.Error("the node with a wrong key received the members")
 		}
 		if nodes[0].count(`wigeon_peer_rejected_total{reason="handshake"}`) == 0 {
 			t.Error("refusals are not counted")
@@ -292,20 +295,20 @@
 	})
 }
 
-// Symptom: a stranger without the key passes for a node. Sequence: a node dials
-// it; it sends a hello of its own and gives the node's proof back. Cause: proofs
-// that are the same in both directions.
+// Guards against a process without the key that is accepted as a node. This
+// happens if a node dials the process, which sends its own hello and then returns
+// the node's proof, and the proofs are the same in both directions.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		srv := &http.Server{Handler: http.HandlerFunc(reflect)}
+		srv := &http.Server{Handler: http.HandlerFunc(reflectProof)}
 		go srv.Serve(f.Listen("n09"))
 		defer srv.Close()
-		n := startOn(t, f, 0, 1, testKey, func(c *Config) { c.Seeds = []string{"n09"} })
+		n := startNodeOn(t, f, 0, 1, testKey, func(c *Config) { c.Seeds = []string{"n09"} })
 		defer n.stop()
 		settle(5 * time.Second)
 		if m := n.member("evil"); m.ID != "" {
-			t.Errorf("stranger became a member: %+v", m)
+			t.Errorf("process without the key became a member: %+v", m)
 		}
 		if n.count(`wigeon_peer_rejected_total{reason="handshake"}`) == 0 {
 			t.Error("the refusal is not counted")
@@ -313,30 +316,31 @@
 	})
 }
 
-func reflect(w http.ResponseWriter, r *http.Request) {
+func reflectProof(w http.ResponseWriter, r *http.Request) {
 	c, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
 	defer c.CloseNow()
 	ctx := r.Context()
-	evil := Record{ID: "evil", Addr: "n09", Incarnation: 1, Version: 1}
-	hi, _ := encMode.Marshal(hello{Protocol: protocolVersion, Record: evil, Nonce: make([]byte, nonceBytes)})
+	fake := Record{ID: "evil", Addr: "n09", Incarnation: 1, Version: 1}
+	fakeHello, _ := encMode.Marshal(hello{Protocol: protocolVersion, Record: fake, Nonce: make([]byte, nonceBytes)})
 	c.Read(ctx)
-	c.Write(ctx, websocket.MessageBinary, hi)
+	c.Write(ctx, websocket.MessageBinary, fakeHello)
 	_, theirProof, _ := c.Read(ctx)
 	c.Write(ctx, websocket.MessageBinary, theirProof)
 	c.Read(ctx)
 }
 
-// Symptom: healthy links break every few seconds and calls on them are lost.
-// Sequence: the settings name a seed by another address than the node itself
-// does, so the seed never looks known and is dialled again and again. Cause: the
-// acceptor takes each new link of a dialler for the end of the old one.
+// Guards against healthy links that close every few seconds and lose their calls.
+// This happens if the settings list a seed under another address than the seed
+// node announces. The seed then never counts as known and is dialled again and
+// again, and the acceptor treats each new connection of a dialler as the end of
+// the old link.
 func TestSeedAliasKeepsTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 2, func(c *Config) { c.Seeds = []string{"n00:80"} })
+		nodes := startNodes(t, f, 2, func(c *Config) { c.Seeds = []string{"n00:80"} })
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
 		if got := nodes[0].count("wigeon_peer_links_up_total"); got != 1 {
@@ -345,9 +349,9 @@
 	})
 }
 
-// Symptom: memory grows, or a process falls over, by what one peer sends.
-// Sequence: an authenticated peer sends junk, or a message above the limit.
-// Cause: no bound, or an error that is swallowed; the link must end.
+// Guards against unbounded memory or a crash caused by the messages of one peer.
+// This happens if an authenticated peer sends a malformed or an oversized message
+// and the size is not bounded or the error is ignored. The link must be closed.
 func TestBadMessagesEndTheLink(t *testing.T) {
 	cases := map[string][]byte{
 		rejectMalformed: {0xff, 0x00, 0x13},
@@ -356,50 +360,50 @@
 	for reason, payload := range cases {
 		synctest.Test(t, func(t *testing.T) {
 			f := peertest.NewFabric()
-			n := startOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxMessage = 64 << 10 })
+			n := startNodeOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxMessage = 64 << 10 })
 			defer n.stop()
 			settle(time.Second)
 			c := rawLink(t, f, n)
-			c.Write(ctxFor(time.Second), websocket.MessageBinary, payload)
-			for _, _, err := c.Read(ctxFor(time.Minute)); err == nil; {
-				_, _, err = c.Read(ctxFor(time.Minute))
+			c.Write(timeoutContext(time.Second), websocket.MessageBinary, payload)
+			for _, _, err := c.Read(timeoutContext(time.Minute)); err == nil; {
+				_, _, err = c.Read(timeoutContext(time.Minute))
 			}
 			synctest.Wait()
 			name := fmt.Sprintf("wigeon_peer_rejected_total{reason=%q}", reason)
-			ended := n.count(`wigeon_peer_links_lost_total{reason="rejected"}`)
-			if n.count(name) != 1 || ended != 1 {
-				t.Errorf("%s: counted %d, links ended %d", reason, n.count(name), ended)
+			closed := n.count(`wigeon_peer_links_lost_total{reason="rejected"}`)
+			if n.count(name) != 1 || closed != 1 {
+				t.Errorf("%s: counted %d, links ended %d", reason, n.count(name), closed)
 			}
 		})
 	}
 }
 
-// rawLink completes a handshake as node "raw" and returns the bare connection.
+// rawLink completes a handshake as node "raw" and returns the connection.
 func rawLink(t *testing.T, f *peertest.Fabric, n *node) *websocket.Conn {
 	m, err := New(Config{ID: "raw", Addr: "raw", Dial: f.Dial("raw")}, testKey, nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx := ctxFor(time.Second)
-	m.life = ctx
+	ctx := timeoutContext(time.Second)
+	m.runCtx = ctx
 	c, _, err := websocket.Dial(ctx, "ws://"+n.cfg.ID+Path, &websocket.DialOptions{HTTPClient: m.client})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.CloseNow() })
-	if _, err := shake(ctx, c, testKey, m.self, func(Record) error { return nil }); err != nil {
+	if _, err := handshake(ctx, c, testKey, m.self, func(Record) error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// Symptom: one slow reader makes its neighbours run out of memory. Sequence: an
-// authenticated peer stops reading while floods are sent. Cause: an unbounded
-// queue; the link must be dropped instead, at the bound.
+// Guards against a slow reader that makes its neighbours run out of memory. This
+// happens if an authenticated peer stops reading while floods are sent and the
+// queue is unbounded. The link must be closed when the queue reaches its limit.
 func TestSlowLinkIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		n := startOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxQueueBytes = 1 << 20 })
+		n := startNodeOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxQueueBytes = 1 << 20 })
 		defer n.stop()
 		settle(time.Second)
 		rawLink(t, f, n)
@@ -417,18 +421,19 @@
 	})
 }
 
-// Symptom: at size a flood misses nodes, a death is not seen by all, or nodes
-// keep too many links. Sequence: 40 nodes above the full-mesh limit; a flood; one
-// node vanishes without a farewell. Cause: a sparse graph that is not connected,
-// or rumours that do not travel.
+// Guards against floods that miss nodes, crashes that not all nodes detect, and
+// too many links per node in a large fleet. This happens if the sparse graph of
+// links is not connected or records do not spread. The test runs 40 nodes, more
+// than the full-mesh limit, sends a flood and cuts off one node without an
+// announcement.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
-		nodes := startFabric(t, f, 40, nil)
+		nodes := startNodes(t, f, 40, nil)
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
 		for _, n := range nodes {
-			if links := len(n.anyLinks("")); links < 6 || links > 24 {
+			if links := len(n.shuffledLinks("")); links < 6 || links > 24 {
 				t.Errorf("%s has %d links", n.cfg.ID, links)
 			}
 		}
@@ -443,44 +448,44 @@
 		f.Isolate("n07", true)
 		settle(12 * time.Second)
 		rest := append(append([]*node(nil), nodes[:7]...), nodes[8:]...)
-		wantSeen(t, rest, "n07", false)
-		wantSeen(t, rest, "n08", true)
+		wantAlive(t, rest, "n07", false)
+		wantAlive(t, rest, "n08", true)
 	})
 }
 
-// counted counts the bytes that pass a connection in both directions.
-type counted struct {
+// countingConn counts the bytes that pass a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Symptom: after a start of a large fleet nodes know all backend servers only after half
-// a minute. Sequence: each passes what it learns to its neighbours, over thin lines.
-// Cause: pages of entries that are much alike pass as they are.
+// Guards against nodes that know all backend servers only half a minute after the
+// start of a large fleet. This happens if nodes send large pages of similar
+// entries to their neighbours over slow network links without compression.
 func TestLongMessagesAreCompressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewFabric()
 		var passed atomic.Int64
-		nodes := startFabric(t, f, 2, func(c *Config) {
+		nodes := startNodes(t, f, 2, func(c *Config) {
 			dial := c.Dial
 			c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 				conn, err := dial(ctx, network, addr)
 				if err != nil {
 					return nil, err
 				}
-				return counted{conn, &passed}, nil
+				return countingConn{conn, &passed}, nil
 			}
 		})
 		defer stopAll(nodes)
@@ -492,7 +497,7 @@
 			t.Fatalf("%d bytes came back: %v", len(got), err)
 		}
 		if sent := passed.Load() - before; sent > int64(len(page)) {
-			t.Errorf("%d bytes passed for %d there and back", sent, len(page))
+			t.Errorf("%d bytes sent and received for a page of %d bytes in each direction", sent, len(page))
 		}
 	})
 }
--- a/peer/message.go
+++ b/peer/message.go
@@ -6,10 +6,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// protocolVersion changes whenever two versions could misread each other.
+// protocolVersion is incremented whenever nodes of the old and the new version
+// could misinterpret each other's messages.
 const protocolVersion = 1
 
-// Bounds on what a decoder accepts, whatever the size of the message.
+// Limits that the decoder enforces in addition to the size of the message.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 16
@@ -18,7 +19,7 @@
 	maxSyncRecords   = 64  // member records in one message
 )
 
-// frameType tells the messages of a link apart.
+// frameType is the type of a message on a link.
 type frameType uint8
 
 const (
@@ -29,7 +30,7 @@
 	typeFlood
 	typeCall
 	typeReply
-	frameTypes
+	frameTypes // number of types, plus one
 )
 
 var frameNames = [frameTypes]string{
@@ -42,20 +43,20 @@
 	typeReply:     "reply",
 }
 
-// frame is the one message form of a link after the handshake.
+// frame is the envelope of every message on a link after the handshake.
 type frame struct {
 	_    struct{} `cbor:",toarray"`
 	Type frameType
 	Kind string          // flood, call
 	ID   uint64          // flood, call, reply
-	From string          // origin of a flood or a call
-	To   string          // callee of a call that is to be relayed
+	From string          // node that sent the flood or made the call
+	To   string          // callee of a call that the receiver relays
 	Arg  uint64          // flood: hops so far; call: timeout in ms; reply: Code
-	Body cbor.RawMessage // by Type and Kind
+	Body cbor.RawMessage // content, whose type depends on Type and Kind
 }
 
 // heartbeat is the body of typeHeartbeat: the parts of a Summary that change
-// often. Readiness changes rarely and travels in the Record.
+// often. Readiness changes rarely and is part of the Record.
 type heartbeat struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
@@ -66,28 +67,29 @@
 type recordBatch struct {
 	_       struct{} `cbor:",toarray"`
 	Records []Record
-	// More asks the receiver to sync again: the batch was cut at its bound.
+	// More means that the batch was truncated at its limit and the receiver should
+	// send another digest.
 	More bool
 }
 
-// syncDigest is the body of typeSync.
+// syncDigest is the body of typeSync: the sender's membership digest.
 type syncDigest struct {
 	_       struct{} `cbor:",toarray"`
 	Buckets []uint64
-	Reply   bool // set on an answer, which is not answered again
+	Reply   bool // set if the digest answers another one; no digest is sent back
 }
 
-// revisionLevel says which members have reached a revision.
+// revisionLevel lists the members that have reached a revision.
 type revisionLevel struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
-	Reached  []byte // bit i: the i-th member in the order of ids
+	Reached  []byte // bit i is set if the i-th member, ordered by id, has reached Revision
 }
 
 // revisionDigest is the body of typeRevisions.
 type revisionDigest struct {
 	_      struct{} `cbor:",toarray"`
-	IDs    uint64   // hash of the ordered ids and incarnations that the bits refer to
+	IDs    uint64   // hash of the ordered ids and incarnations that the bits of Levels refer to
 	Levels []revisionLevel
 	Reply  bool
 }
@@ -100,7 +102,7 @@
 func mustEnc() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the options are constants: no input can lead here
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return m
 }
@@ -115,12 +117,12 @@
 		MaxNestedLevels:  maxNesting,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants: no input can lead here
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return m
 }
 
-// encodeFrame renders a frame around a body.
+// encodeFrame encodes a frame with the given body.
 func encodeFrame(f frame, body any) ([]byte, error) {
 	raw, err := encMode.Marshal(body)
 	if err != nil {
@@ -131,14 +133,14 @@
 	return b, Error.Wrap(err)
 }
 
-// decodeFrame reads a frame and checks the bounds of its header.
+// decodeFrame decodes a frame and checks the limits of its header.
 func decodeFrame(b []byte) (frame, error) {
 	var f frame
 	if err := decMode.Unmarshal(b, &f); err != nil {
 		return frame{}, Error.Wrap(err)
 	}
 	if f.Type == 0 || f.Type >= frameTypes {
-		return frame{}, Error.New("frame type %d", f.Type)
+		return frame{}, Error.New("unknown frame type %d", f.Type)
 	}
 	if len(f.Kind) > maxNameBytes || len(f.From) > maxNameBytes || len(f.To) > maxNameBytes {
 		return frame{}, Error.New("frame header too long")
@@ -146,7 +148,7 @@
 	return f, nil
 }
 
-// decodeBody reads the body of a control frame and checks its bounds.
+// decodeBody decodes the body of a control frame and checks its limits.
 func decodeBody[T any](f frame, check func(*T) error) (T, error) {
 	var v T
 	if err := decMode.Unmarshal(f.Body, &v); err != nil {
@@ -156,12 +158,12 @@
 }
 
 func checkHeartbeat(h *heartbeat) error {
-	if len(h.Demand) > maxDemandPerBeat {
-		return fmt.Errorf("%d demand entries", len(h.Demand))
+	if len(h.Demand) > maxDemandPerHeartbeat {
+		return fmt.Errorf("heartbeat with too many demand entries: %d", len(h.Demand))
 	}
 	for account := range h.Demand {
 		if len(account) > maxNameBytes {
-			return fmt.Errorf("account of %d bytes", len(account))
+			return fmt.Errorf("account name too long: %d bytes", len(account))
 		}
 	}
 	return nil
@@ -169,7 +171,7 @@
 
 func checkRecords(b *recordBatch) error {
 	if len(b.Records) > maxSyncRecords {
-		return fmt.Errorf("%d records", len(b.Records))
+		return fmt.Errorf("too many member records: %d", len(b.Records))
 	}
 	for _, r := range b.Records {
 		if err := r.check(); err != nil {
@@ -181,14 +183,14 @@
 
 func checkSync(d *syncDigest) error {
 	if len(d.Buckets) != syncBuckets {
-		return fmt.Errorf("%d buckets", len(d.Buckets))
+		return fmt.Errorf("membership digest with a wrong number of buckets: %d", len(d.Buckets))
 	}
 	return nil
 }
 
 func checkRevisions(d *revisionDigest) error {
 	if len(d.Levels) > maxLevels {
-		return fmt.Errorf("%d levels", len(d.Levels))
+		return fmt.Errorf("revision digest with too many levels: %d", len(d.Levels))
 	}
 	return nil
 }
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -6,9 +6,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// meters holds the counters of one mesh. Bytes are those of messages with their
-// WebSocket headers; TCP, IP and TLS come on top.
-type meters struct {
+// meshMetrics holds the metrics of one mesh. Bytes sent include the WebSocket
+// headers; bytes received are payloads only. Neither includes TCP, IP and TLS.
+type meshMetrics struct {
 	set       *metrics.Set
 	sentBytes [frameTypes]*metrics.Counter
 	sent      [frameTypes]*metrics.Counter
@@ -23,7 +23,7 @@
 	dialFails *metrics.Counter
 }
 
-// Reasons why a message or a connection is rejected.
+// Reasons for rejecting a message or a connection.
 const (
 	rejectMalformed = "malformed"
 	rejectOversized = "oversized"
@@ -31,7 +31,7 @@
 	rejectBusy      = "busy"
 )
 
-// Reasons why a link ends.
+// Reasons for closing a link.
 const (
 	lostClosed    = "closed"
 	lostSilent    = "silent"
@@ -42,11 +42,11 @@
 	lostDuplicate = "duplicate"
 )
 
-func newMeters(set *metrics.Set) *meters {
+func newMeshMetrics(set *metrics.Set) *meshMetrics {
 	if set == nil {
 		set = metrics.NewSet()
 	}
-	m := &meters{
+	m := &meshMetrics{
 		set:       set,
 		received:  set.GetOrCreateCounter("wigeon_peer_received_bytes_total"),
 		rejected:  make(map[string]*metrics.Counter),
@@ -71,7 +71,8 @@
 	return m
 }
 
-// Bytes of a WebSocket header without mask: short, 16-bit and 64-bit lengths.
+// Sizes in bytes of a WebSocket header without a mask, for a 7-bit, a 16-bit and a
+// 64-bit payload length, and of the mask.
 const (
 	headerShort  = 2
 	headerMedium = 4
@@ -79,7 +80,7 @@
 	maskBytes    = 4
 )
 
-// wireBytes is the size of a message with its WebSocket header.
+// wireBytes returns the size of a message including its WebSocket header.
 func wireBytes(payload int, masked bool) int {
 	n := payload + headerShort
 	switch {
--- a/peer/fabric_test.go
+++ b/peer/node_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// node is a mesh that runs behind a listener.
+// node is a running mesh with its listener.
 type node struct {
 	*Mesh
 	set    *metrics.Set
@@ -26,7 +26,8 @@
 	links  chan string
 }
 
-// startNode builds a node, registers the kinds of the tests and runs it.
+// startNode creates a node, registers the handlers that the tests use and runs
+// the node.
 func startNode(t testing.TB, cfg Config, key []byte, l net.Listener) *node {
 	t.Helper()
 	set := metrics.NewSet()
@@ -44,18 +45,18 @@
 		default:
 		}
 	})
-	Handle(m, "panic", func(string, string) { panic("as asked") })
+	Handle(m, "panic", func(string, string) { panic("requested by the test") })
 	HandleCall(m, "echo", func(_ context.Context, from, text string) (string, error) {
 		if text == "panic" {
-			panic("as asked")
+			panic("requested by the test")
 		}
 		if text == "fail" {
-			return "", &RemoteError{CodeUser, "as asked"}
+			return "", &RemoteError{CodeUser, "requested by the test"}
 		}
 		return from + ">" + m.cfg.ID + ":" + text, nil
 	})
 	HandleCall(m, "hang", func(ctx context.Context, _, _ string) (string, error) {
-		n.floods <- "hang begun"
+		n.floods <- "hang started"
 		<-ctx.Done()
 		return "", ctx.Err()
 	})
@@ -73,14 +74,14 @@
 	n.srv.Close()
 }
 
-// forgetSeeds leaves a node only the members that it knows.
-func (n *node) forgetSeeds() {
+// clearSeeds removes all seeds, so that the node can only dial known members.
+func (n *node) clearSeeds() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.seeds = nil
 }
 
-// member returns what n believes of a node.
+// member returns n's view of the node with the given id.
 func (n *node) member(id string) Member {
 	for _, m := range n.Members() {
 		if m.ID == id {
--- a/peer/peertest/fabric.go
+++ b/peer/peertest/network.go
@@ -1,5 +1,5 @@
-// Package peertest has a network in memory for tests of nodes that are linked, on a fake
-// clock.
+// Package peertest provides an in-memory network for tests of linked nodes with a
+// fake clock.
 package peertest
 
 import (
@@ -10,8 +10,9 @@
 	"sync"
 )
 
-// Fabric is a network in memory, for bubbles of synctest. A connection that was
-// open while its direction was cut stays silent for ever, without being closed.
+// Fabric is an in-memory network for use in synctest bubbles. A connection that
+// was open when one of its directions was cut stays silent in that direction
+// forever, even after the cut is healed, and is not closed.
 type Fabric struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
@@ -19,12 +20,13 @@
 	conns     []*pipeConn
 }
 
-// NewFabric returns a network without any address.
+// NewFabric returns a network without listeners.
 func NewFabric() *Fabric {
 	return &Fabric{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
 }
 
-// Cut stops the bytes that go from one address to another.
+// Cut drops all bytes sent from one address to another if on is true. If on is
+// false, it lets new connections pass again.
 func (f *Fabric) Cut(from, to string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,21 +38,24 @@
 	}
 }
 
-// Isolate cuts an address from and to all others, or heals that.
+// Isolate cuts an address off from all others in both directions if on is true.
+// If on is false, it ends these cuts.
 func (f *Fabric) Isolate(addr string, on bool) {
 	f.mu.Lock()
-	others := make([]string, 0, len(f.listeners))
+	peers := make([]string, 0, len(f.listeners))
 	for a := range f.listeners {
-		others = append(others, a)
+		peers = append(peers, a)
 	}
 	f.mu.Unlock()
-	for _, a := range others {
+	for _, a := range peers {
 		f.Cut(addr, a, on)
 		f.Cut(a, addr, on)
 	}
 }
 
-// Dial returns how an address opens connections.
+// Dial returns a dial function for connections from the given address. While a
+// direction between the two addresses is cut, the function blocks until its
+// context ends.
 func (f *Fabric) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, hostPort string) (net.Conn, error) {
 		to, _, _ := strings.Cut(hostPort, ":")
@@ -79,7 +84,8 @@
 	}
 }
 
-// pipeConn swallows what is written once its direction has been cut.
+// pipeConn is one end of a connection. It discards writes after its direction has
+// been cut.
 type pipeConn struct {
 	net.Conn
 	from, to string
@@ -111,7 +117,7 @@
 	closed  chan struct{}
 }
 
-// Listen has connections to an address accepted.
+// Listen returns a listener for connections to an address.
 func (f *Fabric) Listen(addr string) net.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/peer/receive.go
+++ b/peer/receive.go
@@ -62,20 +62,21 @@
 	defer m.mu.Unlock()
 	changed := false
 	for _, r := range b.Records {
-		changed = m.learn(r) || changed
+		changed = m.mergeRecord(r) || changed
 	}
-	// Ask for the rest only when this part was news: records that this node
-	// does not keep would otherwise go round at the speed of the network.
+	// Request the rest only if this part changed the table. Otherwise records that
+	// this node does not store would be exchanged again and again without a pause.
 	if b.More && changed {
 		l.sendBody(typeSync, m.digest(true))
 	}
 	return nil
 }
 
-// learn merges one record, or refutes it if it is a rumour about this node.
-func (m *Mesh) learn(r Record) bool {
+// mergeRecord merges a received record into the table and reports whether the
+// table changed. A record about this node is refuted instead if needed.
+func (m *Mesh) mergeRecord(r Record) bool {
 	if r.ID == m.cfg.ID {
-		m.hearOfSelf(r)
+		m.refuteIfNeeded(r)
 		return false
 	}
 	before := Alive
@@ -85,14 +86,16 @@
 	if !m.table.merge(time.Now(), r) {
 		return false
 	}
-	m.changed(r.ID)
+	m.markChanged(r.ID)
 	if e := m.table.byID[r.ID]; e.rec.Status == Dead && before != Dead {
 		m.log.Emit(event.PeerDead, "peer", r.ID, "incarnation", e.rec.Incarnation)
 	}
 	return true
 }
 
-func (m *Mesh) hearOfSelf(r Record) {
+// refuteIfNeeded refutes a received record about this node, unless the record is
+// not newer than the node's own or the mesh is stopping.
+func (m *Mesh) refuteIfNeeded(r Record) {
 	if !m.running {
 		return
 	}
@@ -108,11 +111,12 @@
 	m.storeSelf()
 }
 
-// changed notes that a record is news: it is pushed, the neighbours are chosen
-// anew, and OnChange fires, all at the next tick.
-func (m *Mesh) changed(id string) {
+// markChanged records that the record of a node has changed. At the next tick the
+// record is sent to the linked nodes, the neighbours are chosen again, and the
+// OnChange callbacks are signalled.
+func (m *Mesh) markChanged(id string) {
 	m.dirty[id] = struct{}{}
-	m.rewire = true
+	m.neighboursOutdated = true
 }
 
 func (m *Mesh) digest(reply bool) syncDigest {
@@ -130,7 +134,7 @@
 	if len(records) > 0 {
 		l.sendBody(typeRecords, recordBatch{Records: records, More: more})
 	}
-	// The other side may hold records of a bucket that is empty here.
+	// The remote node may have records in a bucket that is empty here.
 	if !d.Reply && !slices.Equal(d.Buckets, m.table.buckets[:]) {
 		l.sendBody(typeSync, m.digest(true))
 	}
@@ -145,7 +149,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !d.Reply {
-		l.sendBody(typeRevisions, m.table.revisionDigestOf(true))
+		l.sendBody(typeRevisions, m.table.buildRevisionDigest(true))
 	}
 	m.table.applyRevisions(d, m.cfg.ID)
 	return nil
--- a/peer/revisions.go
+++ b/peer/revisions.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// maxLevels is the number of revisions told apart in one digest.
+// maxLevels is the maximum number of revisions in one digest.
 const maxLevels = 4
 
-// A digest of revisions carries one bit for each member and level instead of a
-// number for each member, to stay small in heartbeats of large fleets. The bits refer
-// to the ordered ids of the live members, so both sides must see the same set;
-// when they do not, the digest is ignored and the membership digest mends that
-// first. The hash covers incarnations too: what an earlier incarnation had
-// reached must not be told of a restarted node that has nothing in force yet.
+// A revision digest has one bit per member and level instead of one number per
+// member, which keeps it small in large fleets. The bits refer to the ordered
+// ids of the live members, so both nodes must have the same set of live members.
+// If they do not, the digest is ignored until the membership digests have
+// brought the sets in line. The hash covers the incarnations as well, so that a
+// revision that an earlier incarnation had reached is not attributed to a
+// restarted node, which has no revision in force yet.
 
-// revisionDigestOf builds the digest of the highest revisions known.
-func (t *table) revisionDigestOf(reply bool) revisionDigest {
+// buildRevisionDigest returns the digest of the highest revisions known.
+func (t *table) buildRevisionDigest(reply bool) revisionDigest {
 	ids, hash := t.live()
 	var revs []uint64
 	for _, id := range ids {
@@ -43,8 +44,8 @@
 	return l
 }
 
-// applyRevisions raises the revisions of the members that the digest names. The
-// node itself is left out: it knows its own.
+// applyRevisions raises the revisions of the members according to the digest. It
+// skips this node, which knows its own revision.
 func (t *table) applyRevisions(d revisionDigest, self string) {
 	ids, hash := t.live()
 	if d.IDs != hash {
--- a/peer/table.go
+++ b/peer/table.go
@@ -8,37 +8,38 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// syncBuckets is the number of hashes in a membership digest.
+// syncBuckets is the number of buckets, and thus of hashes, in a membership
+// digest.
 const syncBuckets = 64
 
-// entry is what this node keeps about one member.
+// entry is this node's state about one member.
 type entry struct {
-	rec         Record
-	hash        uint64
-	statusSince time.Time
-	lastHeard   time.Time
-	wantedSince time.Time
-	neighbour   bool
-	revision    uint64
-	demand      map[string]float64 // of linked members only
+	rec            Record
+	hash           uint64
+	statusSince    time.Time
+	lastReceived   time.Time
+	neighbourSince time.Time
+	neighbour      bool
+	revision       uint64
+	demand         map[string]float64 // by client account; kept for linked members only
 }
 
-// table holds the members, this node among them. It has no lock of its own.
+// table holds the members, including this node. It is guarded by Mesh.mu.
 type table struct {
 	byID    map[string]*entry
-	buckets [syncBuckets]uint64 // xor of the hashes of records that are not dead
-	ids     []string            // ordered ids that are not dead; nil: to be built
-	idsHash uint64              // of ids and incarnations
+	buckets [syncBuckets]uint64 // xor of the hashes of the records that are not dead
+	ids     []string            // ordered ids of the members that are not dead; nil if outdated
+	idsHash uint64              // hash of ids and their incarnations
 }
 
 func newTable() *table {
 	return &table{byID: make(map[string]*entry)}
 }
 
-// merge joins a record into the table and says whether anything changed.
+// merge merges a record into the table and reports whether anything changed.
 //
-// A dead record of an unknown node is not taken: two nodes that forget it at
-// different times would otherwise hand it back to each other for ever.
+// A dead record of an unknown node is ignored. Otherwise two nodes that drop it
+// at different times would send it back to each other forever.
 func (t *table) merge(now time.Time, r Record) bool {
 	e, known := t.byID[r.ID]
 	if !known {
@@ -47,7 +48,7 @@
 		}
 		e = &entry{statusSince: now}
 		t.byID[r.ID] = e
-		t.set(e, r)
+		t.setRecord(e, r)
 		t.ids = nil
 		return true
 	}
@@ -62,32 +63,32 @@
 	if out.Incarnation != e.rec.Incarnation {
 		e.revision = 0
 		e.demand = nil
-		e.wantedSince = now
+		e.neighbourSince = now
 		t.ids = nil
 	}
-	t.unset(e)
-	t.set(e, out)
+	t.removeHash(e)
+	t.setRecord(e, out)
 	return true
 }
 
-// drop forgets a member.
-func (t *table) drop(id string) {
+// remove drops the record of a member.
+func (t *table) remove(id string) {
 	e, ok := t.byID[id]
 	if !ok {
 		return
 	}
-	t.unset(e)
+	t.removeHash(e)
 	delete(t.byID, id)
 	t.ids = nil
 }
 
-func (t *table) set(e *entry, r Record) {
+func (t *table) setRecord(e *entry, r Record) {
 	e.rec = r
 	e.hash = recordHash(r)
 	t.buckets[bucketOf(r.ID)] ^= e.hash
 }
 
-func (t *table) unset(e *entry) {
+func (t *table) removeHash(e *entry) {
 	t.buckets[bucketOf(e.rec.ID)] ^= e.hash
 }
 
@@ -95,8 +96,9 @@
 	return int(xxhash.Sum64String(id) % syncBuckets)
 }
 
-// recordHash is zero for a dead record, so that digests agree whether or not a
-// node has forgotten it yet.
+// recordHash returns the hash of a record in the digest. It is zero for a dead
+// record, so that the digests of two nodes agree even if only one of them has
+// dropped the record already.
 func recordHash(r Record) uint64 {
 	if r.Status == Dead {
 		return 0
@@ -111,21 +113,21 @@
 	binary.BigEndian.PutUint64(b[0:], r.Incarnation)
 	binary.BigEndian.PutUint64(b[8:], r.Version)
 	b[16] = byte(r.Status)
-	b[17] = bit(r.Ready)
-	b[18] = bit(r.Leaving)
+	b[17] = boolByte(r.Ready)
+	b[18] = boolByte(r.Leaving)
 	d.Write(b[:])
 	return d.Sum64()
 }
 
-func bit(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// live returns the ordered ids that are not dead and their hash. The slice is
-// shared: callers only read it.
+// live returns the ordered ids of the members that are not dead and the hash of
+// the ids and incarnations. The slice is shared and must not be modified.
 func (t *table) live() ([]string, uint64) {
 	if t.ids != nil {
 		return t.ids, t.idsHash
@@ -148,13 +150,13 @@
 }
 
 // differing returns the records of the buckets whose hash differs from the
-// other side's, beginning at bucket start, at most max, and whether some were
-// left out.
-func (t *table) differing(theirs []uint64, start, max int) ([]Record, bool) {
+// remote node's, beginning at bucket start. It returns at most max records and
+// reports whether some were left out.
+func (t *table) differing(remote []uint64, start, max int) ([]Record, bool) {
 	var differs [syncBuckets]bool
 	any := false
 	for i := range differs {
-		differs[i] = theirs[i] != t.buckets[i]
+		differs[i] = remote[i] != t.buckets[i]
 		any = any || differs[i]
 	}
 	if !any {
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -9,21 +9,22 @@
 	"wigeondale/event"
 )
 
-// Intervals as shares or multiples of the heartbeat interval.
+// Intervals relative to the heartbeat interval.
 const (
-	ticksPerBeat    = 4
-	beatsPerProbe   = 30 // dial of a random member without a link
-	beatsPerRevival = 8  // dial of a random dead member
+	ticksPerHeartbeat     = 4
+	heartbeatsPerProbe    = 30 // heartbeats between dials of a random member without a link
+	heartbeatsPerDeadDial = 8  // heartbeats between dials of a random dead member
 )
 
-// schedule holds when each periodic job is next due.
+// schedule holds the time of the last tick and the next due time of each periodic
+// task.
 type schedule struct {
-	last                               time.Time
-	beat, sync, revisions, probe, dead time.Time
+	lastTick                                    time.Time
+	heartbeat, sync, revisions, probe, dialDead time.Time
 }
 
-// due says whether the moment has come and sets the next, with jitter so that
-// nodes started together spread out.
+// due reports whether the time next has passed. If so, it advances next by the
+// interval with jitter, so that nodes that started together do not act in step.
 func due(now time.Time, next *time.Time, every time.Duration) bool {
 	if now.Before(*next) {
 		return false
@@ -33,17 +34,17 @@
 }
 
 func (m *Mesh) tickUntil(ctx context.Context) {
-	t := time.NewTicker(max(m.cfg.Heartbeat/ticksPerBeat, time.Millisecond))
+	t := time.NewTicker(max(m.cfg.Heartbeat/ticksPerHeartbeat, time.Millisecond))
 	defer t.Stop()
-	s := &schedule{last: time.Now()}
-	s.probe = s.last.Add(beatsPerProbe * m.cfg.Heartbeat)
+	s := &schedule{lastTick: time.Now()}
+	s.probe = s.lastTick.Add(heartbeatsPerProbe * m.cfg.Heartbeat)
 	for {
 		m.tick(time.Now(), s)
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-		case <-m.kick:
+		case <-m.tickRequested:
 		}
 	}
 }
@@ -51,15 +52,15 @@
 func (m *Mesh) tick(now time.Time, s *schedule) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.notePause(now, s.last)
-	s.last = now
+	m.detectPause(now, s.lastTick)
+	s.lastTick = now
 	m.closeSilent(now)
-	m.judgeAll(now)
-	if m.rewire {
+	m.evaluateMembers(now)
+	if m.neighboursOutdated {
 		m.chooseNeighbours(now)
 	}
 	m.pushRecords()
-	if due(now, &s.beat, m.cfg.Heartbeat) {
+	if due(now, &s.heartbeat, m.cfg.Heartbeat) {
 		m.sendHeartbeats()
 		m.closeIdle(now)
 	}
@@ -69,19 +70,20 @@
 	if due(now, &s.revisions, m.cfg.Heartbeat) {
 		m.sendRevisions()
 	}
-	m.dialWanted(now)
-	if due(now, &s.probe, beatsPerProbe*m.cfg.Heartbeat) {
+	m.dialMissing(now)
+	if due(now, &s.probe, heartbeatsPerProbe*m.cfg.Heartbeat) {
 		m.probe(now)
 	}
-	if due(now, &s.dead, beatsPerRevival*m.cfg.Heartbeat) {
-		m.revive(now)
+	if due(now, &s.dialDead, heartbeatsPerDeadDial*m.cfg.Heartbeat) {
+		m.dialDead(now)
 	}
 }
 
-// notePause notices that this process stood still: by the ticks that did not
-// come. It then heard nobody, which says nothing about the others.
-func (m *Mesh) notePause(now, last time.Time) {
-	gap := now.Sub(last)
+// detectPause records a pause of this process if too much time has passed since
+// the last tick. During the pause this node received nothing, which is no
+// evidence against the other nodes.
+func (m *Mesh) detectPause(now, lastTick time.Time) {
+	gap := now.Sub(lastTick)
 	if gap <= m.cfg.Policy.LinkTimeout/2 {
 		return
 	}
@@ -89,17 +91,18 @@
 	m.log.Emit(event.PeerPaused, "for", gap.String())
 }
 
-// closeSilent ends links on which nothing came for the timeout: the other side
-// is frozen, cut off, or the connection passes bytes in one direction only.
+// closeSilent closes the links on which nothing was received for the link
+// timeout: the remote node is paused or cut off, or the connection transports
+// bytes in one direction only.
 func (m *Mesh) closeSilent(now time.Time) {
 	for _, l := range m.links {
-		if now.Sub(latest(l.heard(), m.pauseEnd)) > m.cfg.Policy.LinkTimeout {
+		if now.Sub(latest(l.receivedAt(), m.pauseEnd)) > m.cfg.Policy.LinkTimeout {
 			l.close(lostSilent)
 		}
 	}
 }
 
-func (m *Mesh) judgeAll(now time.Time) {
+func (m *Mesh) evaluateMembers(now time.Time) {
 	for id, e := range m.table.byID {
 		if id == m.cfg.ID {
 			continue
@@ -108,18 +111,18 @@
 			Status:      e.rec.Status,
 			StatusSince: e.statusSince,
 			Neighbour:   e.neighbour,
-			WantedSince: e.wantedSince,
-			LastHeard:   e.lastHeard,
+			WantedSince: e.neighbourSince,
+			LastHeard:   e.lastReceived,
 			PauseEnd:    m.pauseEnd,
 		}
 		if l, ok := m.links[id]; ok {
-			ev.LastHeard = l.heard()
+			ev.LastHeard = l.receivedAt()
 		}
-		m.apply(now, e, Judge(now, ev, m.cfg.Policy))
+		m.applyDecision(now, e, Judge(now, ev, m.cfg.Policy))
 	}
 }
 
-func (m *Mesh) apply(now time.Time, e *entry, v Verdict) {
+func (m *Mesh) applyDecision(now time.Time, e *entry, v Verdict) {
 	switch v {
 	case MakeSuspect:
 		m.suspect(now, e)
@@ -127,8 +130,8 @@
 		m.log.Emit(event.PeerDead, "peer", e.rec.ID, "incarnation", e.rec.Incarnation)
 		m.recordStatus(now, e, Dead)
 	case Forget:
-		m.table.drop(e.rec.ID)
-		m.rewire = true
+		m.table.remove(e.rec.ID)
+		m.neighboursOutdated = true
 	}
 }
 
@@ -140,39 +143,39 @@
 	m.recordStatus(now, e, Suspect)
 }
 
-// recordStatus stores the status that this node gives another one. A suspicion
-// is also pushed to the neighbours.
+// recordStatus stores the status that this node assigns to another node. A
+// suspicion is also sent to the linked nodes.
 func (m *Mesh) recordStatus(now time.Time, e *entry, s Status) {
 	r := e.rec
 	r.Status = s
 	m.table.merge(now, r)
-	m.rewire = true
+	m.neighboursOutdated = true
 	if s == Suspect {
 		m.dirty[r.ID] = struct{}{}
 	}
 }
 
-// chooseNeighbours follows a change of the membership.
+// chooseNeighbours chooses the neighbours again after a change of the membership.
 func (m *Mesh) chooseNeighbours(now time.Time) {
-	m.rewire = false
-	others := make([]Record, 0, len(m.table.byID))
+	m.neighboursOutdated = false
+	peers := make([]Record, 0, len(m.table.byID))
 	for id, e := range m.table.byID {
 		if id != m.cfg.ID && e.rec.Status != Dead {
-			others = append(others, e.rec)
+			peers = append(peers, e.rec)
 		}
 	}
-	chosen := neighbours(m.self, others, m.cfg.Topology)
+	chosen := neighbours(m.self, peers, m.cfg.Topology)
 	for id, e := range m.table.byID {
 		if chosen[id] && !e.neighbour {
-			e.wantedSince = now
+			e.neighbourSince = now
 		}
 		e.neighbour = chosen[id]
 	}
-	signal(m.news)
+	signal(m.membershipChanged)
 }
 
-// pushRecords sends the news of this tick to all neighbours. What does not fit
-// waits for the next tick or for a digest.
+// pushRecords sends the changed records to all linked nodes. Records that do not
+// fit into one message are sent at the next tick or after a digest.
 func (m *Mesh) pushRecords() {
 	if len(m.dirty) == 0 {
 		return
@@ -193,7 +196,7 @@
 func (m *Mesh) sendAll(kind frameType, body any) {
 	b, err := encodeFrame(frame{Type: kind}, body)
 	if err != nil {
-		return // bodies of control messages are our own types
+		return // cannot happen: the bodies of control messages are types of this package
 	}
 	for _, l := range m.links {
 		l.send(kind, b)
@@ -206,18 +209,19 @@
 	}
 }
 
-// heartbeatFor takes a bounded part of the demand that the link has not seen.
+// heartbeatFor returns the next heartbeat for the link. It includes a bounded
+// number of demand entries that have not been sent over the link yet.
 func (m *Mesh) heartbeatFor(l *link) heartbeat {
 	h := heartbeat{Revision: m.table.byID[m.cfg.ID].revision}
-	for account := range l.pending {
-		if len(h.Demand) == maxDemandPerBeat {
+	for account := range l.pendingDemand {
+		if len(h.Demand) == maxDemandPerHeartbeat {
 			break
 		}
 		if h.Demand == nil {
 			h.Demand = make(map[string]float64)
 		}
 		h.Demand[account] = m.demand[account]
-		delete(l.pending, account)
+		delete(l.pendingDemand, account)
 	}
 	return h
 }
@@ -242,18 +246,19 @@
 	}
 }
 
-// sendRevisions is left out where every member is heard directly.
+// sendRevisions sends a revision digest to a random linked node, unless every
+// member is linked and reports its revision in its own heartbeats.
 func (m *Mesh) sendRevisions() {
 	ids, _ := m.table.live()
 	if len(ids) <= len(m.links)+1 {
 		return
 	}
 	if l := m.randomLink(); l != nil {
-		l.sendBody(typeRevisions, m.table.revisionDigestOf(false))
+		l.sendBody(typeRevisions, m.table.buildRevisionDigest(false))
 	}
 }
 
-// closeIdle ends links that this node dialled for a call and no longer uses.
+// closeIdle closes the links that this node dialled for calls and no longer uses.
 func (m *Mesh) closeIdle(now time.Time) {
 	for _, l := range m.callLinks() {
 		if now.Sub(time.Unix(0, l.lastUsed.Load())) > m.cfg.IdleLink {
@@ -262,8 +267,8 @@
 	}
 }
 
-// callLinks returns the links that this node dialled and does not keep as a
-// neighbour, longest unused first.
+// callLinks returns the links that this node dialled to nodes that are not its
+// neighbours, the longest unused first.
 func (m *Mesh) callLinks() []*link {
 	var out []*link
 	for id, l := range m.links {
--- a/peer/topology.go
+++ b/peer/topology.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous returns the n members with the highest random weight for key,
-// highest first. Every node that sees the same members chooses the same ones,
-// and a member that goes only moves its own keys.
+// Rendezvous returns the n members with the highest rendezvous hash weight for
+// key, highest first. Every node that has the same members chooses the same ones,
+// and if a member is removed, only the keys assigned to it move.
 func Rendezvous(key string, members []Member, n int) []Member {
 	all := make([]weighted, 0, len(members))
 	for i, m := range members {
 		all = append(all, weighted{weight(key, m.ID), m.ID, i})
 	}
-	all = heaviest(all, n)
+	all = highestWeights(all, n)
 	out := make([]Member, 0, len(all))
 	for _, w := range all {
 		out = append(out, members[w.index])
@@ -23,15 +23,15 @@
 	return out
 }
 
-// weighted is a candidate with its weight, computed once.
+// weighted is a candidate with its precomputed weight.
 type weighted struct {
 	weight uint64
 	id     string
 	index  int
 }
 
-// heaviest orders the candidates and returns the first n.
-func heaviest(all []weighted, n int) []weighted {
+// highestWeights returns the n candidates with the highest weights, in order.
+func highestWeights(all []weighted, n int) []weighted {
 	slices.SortFunc(all, func(a, b weighted) int {
 		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.id, b.id))
 	})
@@ -47,8 +47,8 @@
 	return d.Sum64()
 }
 
-// pairWeight is the same seen from both ends, so that both mostly choose each
-// other and a node has few links that only the other end wanted.
+// pairWeight returns the same weight for both orders of a pair, so that two nodes
+// mostly choose each other and few links are chosen by only one of their ends.
 func pairWeight(a, b string) uint64 {
 	if a > b {
 		a, b = b, a
@@ -56,38 +56,39 @@
 	return weight(a, b)
 }
 
-// neighbours returns the ids that node self keeps links to: all below the limit
-// of the full mesh, else the highest pair weights within its own failure domain
-// and outside it. others holds the live members without self. Too few
-// candidates on one side are made up for on the other.
-func neighbours(self Record, others []Record, t Topology) map[string]bool {
+// neighbours returns the ids of the nodes to which node self keeps links. Up to
+// the full-mesh limit these are all nodes. Otherwise they are the nodes with the
+// highest pair weights within self's failure domain and outside it. If there are
+// too few candidates on one of the two sides, more are taken from the other.
+// peers are the live members without self.
+func neighbours(self Record, peers []Record, t Topology) map[string]bool {
 	out := make(map[string]bool)
-	if len(others) < t.FullMeshLimit {
-		for _, r := range others {
+	if len(peers) < t.FullMeshLimit {
+		for _, r := range peers {
 			out[r.ID] = true
 		}
 		return out
 	}
-	var near, far []weighted
-	for i, r := range others {
+	var inside, outside []weighted
+	for i, r := range peers {
 		w := weighted{pairWeight(self.ID, r.ID), r.ID, i}
 		if r.FailureDomain == self.FailureDomain {
-			near = append(near, w)
+			inside = append(inside, w)
 			continue
 		}
-		far = append(far, w)
+		outside = append(outside, w)
 	}
-	nearN := min(t.NearLinks, len(near))
-	farN := min(t.FarLinks, len(far))
-	nearN = min(len(near), nearN+t.FarLinks-farN)
-	farN = min(len(far), t.NearLinks+t.FarLinks-nearN)
-	for _, w := range slices.Concat(heaviest(near, nearN), heaviest(far, farN)) {
+	insideN := min(t.NearLinks, len(inside))
+	outsideN := min(t.FarLinks, len(outside))
+	insideN = min(len(inside), insideN+t.FarLinks-outsideN)
+	outsideN = min(len(outside), t.NearLinks+t.FarLinks-insideN)
+	for _, w := range slices.Concat(highestWeights(inside, insideN), highestWeights(outside, outsideN)) {
 		out[w.id] = true
 	}
 	return out
 }
 
-// SelfAmong tells whether this node is one of the members.
+// SelfAmong reports whether this node is one of the members.
 func SelfAmong(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Self })
 }
