--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -72,7 +72,7 @@
 	if len(backends)+len(entries) == 0 {
 		return nil, nil // nothing is known yet
 	}
-	v.mesh.AddSeeds(seeds)
+	v.mesh.SetDiscoveredSeeds(seeds)
 	v.drain.setListed(entries)
 	v.forget(backends)
 	return backends, nil
--- a/daemon/rumours.go
+++ b/daemon/rumours.go
@@ -32,8 +32,8 @@
 			_ = r.mesh.Flood(floodLeaving, rumour{Backend: id, Incarnation: incarnation})
 		}
 	}
-	peer.Handle(r.mesh, floodHealth, func(_ string, v rumour) { mon.Rumour(v.Backend, v.Incarnation, v.Kind) })
-	peer.Handle(r.mesh, floodLeaving, func(_ string, v rumour) {
+	peer.HandleFlood(r.mesh, floodHealth, func(_ string, v rumour) { mon.Rumour(v.Backend, v.Incarnation, v.Kind) })
+	peer.HandleFlood(r.mesh, floodLeaving, func(_ string, v rumour) {
 		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromRumour)
 	})
 }
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -81,7 +81,7 @@
 			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownWait}
 	}
 	// The process may have been frozen while the claim was under way.
-	if once.InTime(ctx) != nil || expired(call.Deadline) {
+	if once.CheckDeadline(ctx) != nil || expired(call.Deadline) {
 		s.void(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
 			Message: "the deadline passed before the call was sent", Outcome: fleet.NotRun, RetryAfter: replicaWait}
@@ -95,7 +95,7 @@
 
 func (s *services) void(call callerapi.ServiceCall, attempt string) {
 	// A claim that can't be voided leaves the key used: safe, if unkind.
-	_ = s.claims.VoidLater(call.Account, call.Key, attempt)
+	_ = s.claims.VoidAsync(call.Account, call.Key, attempt)
 }
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -70,7 +70,7 @@
 
 // follow hands what the other routers send to the keeper.
 func (s spread) follow(k *intent.Keeper) {
-	peer.Handle(s.mesh, floodRevision, k.Offer)
+	peer.HandleFlood(s.mesh, floodRevision, k.Offer)
 	peer.HandleCall(s.mesh, callRevisions, func(_ context.Context, _ string, req fetchRevisions) (intent.Batch, error) {
 		return k.Serve(req.From)
 	})
@@ -86,5 +86,5 @@
 		}
 	}
 	chosen := peer.Rendezvous("watch/"+domain, near, watchersPerDomain)
-	return len(chosen) == 0 || peer.SelfAmong(chosen)
+	return len(chosen) == 0 || peer.ContainsSelf(chosen)
 }
--- a/daemon/suspects.go
+++ b/daemon/suspects.go
@@ -38,7 +38,7 @@
 		Set:  n.set,
 	})
 	n.guard.SetKey(set.PeerKey())
-	peer.Handle(n.mesh, quarantine.FloodNews, n.guard.Hear)
+	peer.HandleFlood(n.mesh, quarantine.FloodNews, n.guard.Hear)
 	peer.HandleCall(n.mesh, callHeld, func(context.Context, string, struct{}) (quarantine.News, error) {
 		return quarantine.News{Held: n.guard.Held()}, nil
 	})
--- a/hosted/news.go
+++ b/hosted/news.go
@@ -71,7 +71,7 @@
 }
 
 func (n *news) join(mesh *peer.Mesh) {
-	peer.Handle(mesh, tellNews, n.hear)
+	peer.HandleFlood(mesh, tellNews, n.hear)
 	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.Question) (mirror.Delta, error) {
 		return n.mirror.Delta(q), nil
 	})
@@ -146,7 +146,7 @@
 	n.mu.Unlock()
 	if mesh != nil {
 		// Said again soon; a neighbour that misses it reads the store itself.
-		_ = mesh.Tell(tellNews, m)
+		_ = mesh.SendToLinked(tellNews, m)
 	}
 }
 
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -54,7 +54,7 @@
 			near = append(near, m)
 		}
 	}
-	if peer.SelfAmong(peer.Rendezvous("inventory/"+v.FailureDomain, near, readersPerDomain)) {
+	if peer.ContainsSelf(peer.Rendezvous("inventory/"+v.FailureDomain, near, readersPerDomain)) {
 		return Reads
 	}
 	if v.Standing || v.Unheard >= silence {
--- a/once/agree.go
+++ b/once/agree.go
@@ -22,8 +22,8 @@
 // shardCountSuffix is the last part of the key that stores the number of shards.
 const shardCountSuffix = "shards"
 
-// ErrShards means that the key-value service has an invalid number of shards.
-var ErrShards = errors.New("invalid number of shards in the key-value service")
+// ErrInvalidShardCount means that the key-value service has an invalid number of shards.
+var ErrInvalidShardCount = errors.New("invalid number of shards in the key-value service")
 
 // shardAgreement holds the shards, whose number all nodes agree on.
 //
@@ -105,7 +105,7 @@
 func parseShardCount(v infra.Value) (int, error) {
 	n, err := strconv.Atoi(string(v.Data))
 	if err != nil || n < 1 || n > maxShards {
-		return 0, fmt.Errorf("%w: %q", ErrShards, v.Data)
+		return 0, fmt.Errorf("%w: %q", ErrInvalidShardCount, v.Data)
 	}
 	return n, nil
 }
--- a/once/claims.go
+++ b/once/claims.go
@@ -113,10 +113,10 @@
 // check of the deadline after that succeeds. After an error the attempt must
 // never be dispatched. Errors: ErrUnavailable, ErrUnknown, ErrKeyReused,
 // ErrInvalid.
-func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (Verdict, error) {
+func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (ClaimResult, error) {
 	op, err := c.newOp(OpClaim, account, key, attempt)
 	if err != nil {
-		return Verdict{}, err
+		return ClaimResult{}, err
 	}
 	op.Body = body
 	c.flushVoids(ctx, op.Key)
@@ -126,18 +126,18 @@
 	case CodeDone:
 		return claimResult(op, r)
 	case CodeUnavailable:
-		return Verdict{}, c.unavailable()
+		return ClaimResult{}, c.unavailable()
 	}
 	c.queueVoid(op)
-	return Verdict{}, Error.Wrap(ErrUnknown)
+	return ClaimResult{}, Error.Wrap(ErrUnknown)
 }
 
-func claimResult(op Op, r Result) (Verdict, error) {
+func claimResult(op Op, r Result) (ClaimResult, error) {
 	granted := r.Attempt == op.Attempt && r.State == Claimed
 	if !granted && r.State == Claimed && r.Body != op.Body {
-		return Verdict{}, Error.Wrap(ErrKeyReused)
+		return ClaimResult{}, Error.Wrap(ErrKeyReused)
 	}
-	return Verdict{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
+	return ClaimResult{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
 }
 
 // Void records that an attempt of this node was never dispatched and never will
@@ -159,8 +159,8 @@
 	return Error.Wrap(ErrUnknown)
 }
 
-// VoidLater does what Void does, but in the background.
-func (c *Claims) VoidLater(account, key, attempt string) error {
+// VoidAsync does what Void does, but in the background.
+func (c *Claims) VoidAsync(account, key, attempt string) error {
 	op, err := c.newOp(OpVoid, account, key, attempt)
 	if err != nil {
 		return err
@@ -169,10 +169,10 @@
 	return nil
 }
 
-// Handle executes a batch that another router forwarded. It does so even if this
+// HandleBatch executes a batch that another router forwarded. It does so even if this
 // node does not consider itself the owner of the shard, because the log decides
 // which claim holds a key.
-func (c *Claims) Handle(ctx context.Context, b Batch) (BatchResult, error) {
+func (c *Claims) HandleBatch(ctx context.Context, b Batch) (BatchResult, error) {
 	shards, err := c.openShards(ctx)
 	if err != nil {
 		return BatchResult{Results: repeatResult(len(b.Ops), CodeUnavailable)}, nil
--- a/once/once.go
+++ b/once/once.go
@@ -44,8 +44,8 @@
 	ErrUnknown = errors.New("claim may have been made")
 	// ErrKeyReused means that the key is held by a request with a different body.
 	ErrKeyReused = errors.New("key reused with another body")
-	// ErrLate means that the deadline passed before the attempt was dispatched.
-	ErrLate = errors.New("deadline passed before dispatch")
+	// ErrDeadlinePassed means that the deadline passed before the attempt was dispatched.
+	ErrDeadlinePassed = errors.New("deadline passed before dispatch")
 	// ErrInvalid means that an argument is empty, too long or out of range.
 	ErrInvalid = errors.New("invalid claim")
 )
@@ -74,9 +74,9 @@
 	Voided
 )
 
-// Verdict is the answer to a claim. If Granted is false, either another attempt
+// ClaimResult is the answer to a claim. If Granted is false, either another attempt
 // holds the key, or State is Voided and the claiming attempt itself was voided.
-type Verdict struct {
+type ClaimResult struct {
 	Granted bool
 	Holder  string // node that made the attempt that holds the key
 	Attempt string // attempt that holds the key
@@ -163,15 +163,15 @@
 	Forward(ctx context.Context, node string, b Batch) (BatchResult, error)
 }
 
-// InTime returns an error if ctx has ended or its deadline has passed. Callers
+// CheckDeadline returns an error if ctx has ended or its deadline has passed. Callers
 // check it after a claim is granted, immediately before the dispatch. If the
 // process was frozen while it waited for the claim, the deadline may have
 // passed although the timer of ctx has not fired yet. The monotonic clock may
 // have been stopped during the freeze, so the deadline is compared with the
 // wall clock as well.
-func InTime(ctx context.Context) error {
+func CheckDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
-		return Error.Wrap(fmt.Errorf("%w: %w", ErrLate, err))
+		return Error.Wrap(fmt.Errorf("%w: %w", ErrDeadlinePassed, err))
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -179,7 +179,7 @@
 	}
 	now := time.Now()
 	if now.After(deadline) || now.Round(0).After(deadline.Round(0)) {
-		return Error.Wrap(ErrLate)
+		return Error.Wrap(ErrDeadlinePassed)
 	}
 	return nil
 }
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		kv := &downStore{Store: kvtest.New()}
 		c := newSoleOwner(kv)
-		claim := func(attempt string) (Verdict, error) {
+		claim := func(attempt string) (ClaimResult, error) {
 			return c.Claim(t.Context(), "acme", "k", [16]byte{1}, attempt)
 		}
 		outage := func() {
@@ -199,10 +199,10 @@
 // its timers have fired, and checks only the context's Done channel.
 func TestInTimeAfterFreeze(t *testing.T) {
 	now := time.Now()
-	if err := InTime(frozenContext{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrLate) {
+	if err := CheckDeadline(frozenContext{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrDeadlinePassed) {
 		t.Error(err)
 	}
-	if err := InTime(frozenContext{t.Context(), now.Add(time.Hour)}); err != nil {
+	if err := CheckDeadline(frozenContext{t.Context(), now.Add(time.Hour)}); err != nil {
 		t.Error(err)
 	}
 }
@@ -246,7 +246,7 @@
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
 	other := newSoleOwner(store)
-	claim := func(c *Claims, key, attempt string) (Verdict, error) {
+	claim := func(c *Claims, key, attempt string) (ClaimResult, error) {
 		return c.Claim(t.Context(), "acme", key, [16]byte{}, attempt)
 	}
 	claimSome := func(from, to int) {
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -62,7 +62,7 @@
 	if receiver == nil {
 		return BatchResult{}, errLinkCut
 	}
-	out, err := receiver.Handle(ctx, b)
+	out, err := receiver.HandleBatch(ctx, b)
 	if lost {
 		return BatchResult{}, errLinkCut
 	}
@@ -121,9 +121,9 @@
 			if v.Attempt == attempt {
 				f.problems = append(f.problems, attempt+" refused for itself")
 			}
-		case InTime(ctx) != nil || abandon:
+		case CheckDeadline(ctx) != nil || abandon:
 			f.reportedNotRun[attempt] = true
-			_ = c.VoidLater("acme", key, attempt)
+			_ = c.VoidAsync("acme", key, attempt)
 		default:
 			f.dispatch(key, attempt)
 		}
--- a/peer/config.go
+++ b/peer/config.go
@@ -9,9 +9,9 @@
 
 // Topology bounds the number of links that a node keeps.
 type Topology struct {
-	FullMeshLimit int // up to this many members, each node links to all others
-	NearLinks     int // in larger fleets: links within the node's failure domain
-	FarLinks      int // in larger fleets: links to other failure domains
+	FullMeshLimit    int // up to this many members, each node links to all others
+	SameDomainLinks  int // in larger fleets: links within the node's failure domain
+	OtherDomainLinks int // in larger fleets: links to other failure domains
 }
 
 // Config describes one node. Zero durations and counts are replaced by the
@@ -31,7 +31,7 @@
 	DialTimeout    time.Duration // for dial and handshake; default 2 s
 	WriteTimeout   time.Duration // for one message; default 4 heartbeats
 	MaxBackoff     time.Duration // between dials of one address; default 15 s
-	IdleLink       time.Duration // until an unused link made for a call is closed; default 60 s
+	IdleTimeout    time.Duration // until an unused link made for a call is closed; default 60 s
 	MaxMessage     int           // size of a message in bytes; default 1 MiB + 64 KiB
 	MaxQueueBytes  int           // bytes queued on one link; default 4 MiB
 	MaxLinks       int           // accepted and dialled; default 64
@@ -69,15 +69,15 @@
 	setDefault(&c.DialTimeout, 2*time.Second)
 	setDefault(&c.WriteTimeout, 4*c.Heartbeat)
 	setDefault(&c.MaxBackoff, 15*time.Second)
-	setDefault(&c.IdleLink, time.Minute)
+	setDefault(&c.IdleTimeout, time.Minute)
 	setDefault(&c.MaxMessage, 1<<20+64<<10)
 	setDefault(&c.MaxQueueBytes, 4<<20)
 	setDefault(&c.MaxLinks, 64)
 	setDefault(&c.MaxCallLinks, 8)
 	setDefault(&c.MaxCallsServed, 128)
 	setDefault(&c.Topology.FullMeshLimit, 16)
-	setDefault(&c.Topology.NearLinks, 4)
-	setDefault(&c.Topology.FarLinks, 2)
+	setDefault(&c.Topology.SameDomainLinks, 4)
+	setDefault(&c.Topology.OtherDomainLinks, 2)
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{}).DialContext
 	}
--- a/peer/evaluate.go
+++ b/peer/evaluate.go
@@ -11,20 +11,20 @@
 
 // Evidence is what this node knows about a member at the time of an evaluation.
 type Evidence struct {
-	Status      Status
-	StatusSince time.Time
-	Neighbour   bool      // this node keeps a link to the member
-	WantedSince time.Time // time when the member became a neighbour
-	LastHeard   time.Time // time of the last message from the member; zero if this incarnation received none
-	PauseEnd    time.Time // end of this node's last pause, or its start time
+	Status         Status
+	StatusSince    time.Time
+	Neighbour      bool      // this node keeps a link to the member
+	NeighbourSince time.Time // time when the member became a neighbour
+	LastReceived   time.Time // time of the last message from the member; zero if this incarnation received none
+	PauseEnd       time.Time // end of this node's last pause, or its start time
 }
 
-// Verdict is the outcome of an evaluation.
-type Verdict uint8
+// Decision is the outcome of an evaluation.
+type Decision uint8
 
 const (
 	// Keep leaves the record as it is.
-	Keep Verdict = iota
+	Keep Decision = iota
 	// MakeSuspect marks the member suspect and reports that to the fleet.
 	MakeSuspect
 	// MakeDead marks the member dead, because it did not refute the suspicion in time.
@@ -33,14 +33,14 @@
 	Forget
 )
 
-// Judge decides how the record of a member changes. It is a pure function.
+// Evaluate decides how the record of a member changes. It is a pure function.
 //
 // A node that was paused received nothing during the pause. Without PauseEnd it
 // would mark the whole fleet dead as soon as it resumes. A member from which this
 // node still receives on a direct link is never marked dead because of another
 // node's suspicion, which may be due to a partition between those two.
-func Judge(now time.Time, e Evidence, p Policy) Verdict {
-	since := latest(e.LastHeard, e.WantedSince, e.PauseEnd)
+func Evaluate(now time.Time, e Evidence, p Policy) Decision {
+	since := latest(e.LastReceived, e.NeighbourSince, e.PauseEnd)
 	timedOut := now.Sub(since) > p.LinkTimeout
 	switch e.Status {
 	case Alive:
@@ -48,7 +48,7 @@
 			return MakeSuspect
 		}
 	case Suspect:
-		received := now.Sub(e.LastHeard) <= p.LinkTimeout
+		received := now.Sub(e.LastReceived) <= p.LinkTimeout
 		waited := now.Sub(latest(e.StatusSince, e.PauseEnd))
 		if !received && waited > p.SuspectTimeout {
 			return MakeDead
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -47,9 +47,9 @@
 // floodHandler handles the body of a flood of one kind.
 type floodHandler func(from string, body cbor.RawMessage) error
 
-// Handle registers fn for floods of a kind. Handlers run one at a time in the
+// HandleFlood registers fn for floods of a kind. Handlers run one at a time in the
 // order of arrival and must not block. Register before Run.
-func Handle[T any](m *Mesh, kind string, fn func(from string, v T)) {
+func HandleFlood[T any](m *Mesh, kind string, fn func(from string, v T)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.floodHandlers[kind] = func(from string, body cbor.RawMessage) error {
@@ -68,10 +68,10 @@
 // anti-entropy.
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
-// Tell sends v to the linked members only, which do not forward it. It is meant
+// SendToLinked sends v to the linked members only, which do not forward it. It is meant
 // for updates that newer ones soon replace. Forwarding would cost one message per
 // link of the fleet for each update, instead of one per neighbour.
-func (m *Mesh) Tell(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
+func (m *Mesh) SendToLinked(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
 
 func (m *Mesh) flood(kind string, v any, hops uint64) error {
 	f := frame{Type: typeFlood, Kind: kind, ID: rand.Uint64(), From: m.cfg.ID, Arg: hops}
--- a/peer/members.go
+++ b/peer/members.go
@@ -53,9 +53,9 @@
 	return float64(len(ids))
 }
 
-// Full reports whether there are few enough members for each to be linked to all
+// IsFullMesh reports whether there are few enough members for each to be linked to all
 // others.
-func (m *Mesh) Full() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
+func (m *Mesh) IsFullMesh() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
 
 func (m *Mesh) member(e *entry) Member {
 	r := e.rec
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -69,23 +69,23 @@
 		name string
 		now  time.Time
 		e    Evidence
-		want Verdict
+		want Decision
 	}{
-		{"message received recently", at(4), Evidence{Neighbour: true, LastHeard: at(0)}, Keep},
-		{"silent neighbour", at(5), Evidence{Neighbour: true, LastHeard: at(0)}, MakeSuspect},
-		{"silent but no neighbour", at(5), Evidence{LastHeard: at(0)}, Keep},
-		{"became a neighbour recently", at(5), Evidence{Neighbour: true, LastHeard: at(0), WantedSince: at(3)}, Keep},
-		{"this node was paused", at(100), Evidence{Neighbour: true, LastHeard: at(0), PauseEnd: at(99)}, Keep},
-		{"nothing received since it became a neighbour", at(5), Evidence{Neighbour: true, WantedSince: at(0)}, MakeSuspect},
+		{"message received recently", at(4), Evidence{Neighbour: true, LastReceived: at(0)}, Keep},
+		{"silent neighbour", at(5), Evidence{Neighbour: true, LastReceived: at(0)}, MakeSuspect},
+		{"silent but no neighbour", at(5), Evidence{LastReceived: at(0)}, Keep},
+		{"became a neighbour recently", at(5), Evidence{Neighbour: true, LastReceived: at(0), NeighbourSince: at(3)}, Keep},
+		{"this node was paused", at(100), Evidence{Neighbour: true, LastReceived: at(0), PauseEnd: at(99)}, Keep},
+		{"nothing received since it became a neighbour", at(5), Evidence{Neighbour: true, NeighbourSince: at(0)}, MakeSuspect},
 		{"suspect may still refute", at(5), Evidence{Status: Suspect, StatusSince: at(0)}, Keep},
 		{"suspicion not refuted", at(6), Evidence{Status: Suspect, StatusSince: at(0)}, MakeDead},
-		{"message received from a suspect", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastHeard: at(3)}, Keep},
+		{"message received from a suspect", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastReceived: at(3)}, Keep},
 		{"suspicion from before the pause", at(100), Evidence{Status: Suspect, StatusSince: at(0), PauseEnd: at(98)}, Keep},
 		{"dead record is kept", at(3600), Evidence{Status: Dead, StatusSince: at(0)}, Keep},
 		{"dead record is dropped", at(3601), Evidence{Status: Dead, StatusSince: at(0)}, Forget},
 	}
 	for _, c := range cases {
-		if got := Judge(c.now, c.e, p); got != c.want {
+		if got := Evaluate(c.now, c.e, p); got != c.want {
 			t.Errorf("%s: decision %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// AddSeeds replaces the seeds found in the VM list. The seeds of the
+// SetDiscoveredSeeds replaces the seeds found in the VM list. The seeds of the
 // configuration are kept.
-func (m *Mesh) AddSeeds(addrs []string) {
+func (m *Mesh) SetDiscoveredSeeds(addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = append(append([]string(nil), m.cfg.Seeds...), addrs...)
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -21,7 +21,7 @@
 
 // startNodes runs n nodes with the ids n00, n01, ... on an in-memory network.
 // Their addresses are their ids; the first node is the seed of all.
-func startNodes(t *testing.T, f *peertest.Fabric, n int, configure func(*Config)) []*node {
+func startNodes(t *testing.T, f *peertest.Network, n int, configure func(*Config)) []*node {
 	nodes := make([]*node, n)
 	for i := range nodes {
 		nodes[i] = startNodeOn(t, f, i, 1, testKey, configure)
@@ -29,7 +29,7 @@
 	return nodes
 }
 
-func startNodeOn(t *testing.T, f *peertest.Fabric, i int, incarnation uint64, key []byte, configure func(*Config)) *node {
+func startNodeOn(t *testing.T, f *peertest.Network, i int, incarnation uint64, key []byte, configure func(*Config)) *node {
 	id := fmt.Sprintf("n%02d", i)
 	cfg := Config{
 		ID:            id,
@@ -131,7 +131,7 @@
 // before.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 4, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -168,7 +168,7 @@
 // them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -196,7 +196,7 @@
 // unreachable node from a call whose callee is cut off while it runs.
 func TestCallErrorsTellWhetherItRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -224,7 +224,7 @@
 // every node, because each node forwards the message before it handles it.
 func TestPanicOfAHandlerEndsNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -252,7 +252,7 @@
 // in force, and the state of its old incarnation is kept.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 3, nil)
 		settle(10 * time.Second)
 		nodes[1].SetSummary(Summary{Revision: 9})
@@ -278,7 +278,7 @@
 // the dialler or the acceptor does not check the proof of the other side.
 func TestWrongKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 2, nil)
 		nodes = append(nodes, startNodeOn(t, f, 2, 1, []byte("another key, same length"), nil))
 		defer stopAll(nodes)
@@ -300,7 +300,7 @@
 // the node's proof, and the proofs are the same in both directions.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		srv := &http.Server{Handler: http.HandlerFunc(reflectProof)}
 		go srv.Serve(f.Listen("n09"))
 		defer srv.Close()
@@ -339,7 +339,7 @@
 // the old link.
 func TestSeedAliasKeepsTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 2, func(c *Config) { c.Seeds = []string{"n00:80"} })
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
@@ -359,7 +359,7 @@
 	}
 	for reason, payload := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := peertest.NewFabric()
+			f := peertest.NewNetwork()
 			n := startNodeOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxMessage = 64 << 10 })
 			defer n.stop()
 			settle(time.Second)
@@ -379,7 +379,7 @@
 }
 
 // rawLink completes a handshake as node "raw" and returns the connection.
-func rawLink(t *testing.T, f *peertest.Fabric, n *node) *websocket.Conn {
+func rawLink(t *testing.T, f *peertest.Network, n *node) *websocket.Conn {
 	m, err := New(Config{ID: "raw", Addr: "raw", Dial: f.Dial("raw")}, testKey, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -402,7 +402,7 @@
 // queue is unbounded. The link must be closed when the queue reaches its limit.
 func TestSlowLinkIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		n := startNodeOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxQueueBytes = 1 << 20 })
 		defer n.stop()
 		settle(time.Second)
@@ -428,7 +428,7 @@
 // announcement.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startNodes(t, f, 40, nil)
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
@@ -476,7 +476,7 @@
 // entries to their neighbours over slow network links without compression.
 func TestLongMessagesAreCompressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		var passed atomic.Int64
 		nodes := startNodes(t, f, 2, func(c *Config) {
 			dial := c.Dial
--- a/peer/peertest/network.go
+++ b/peer/peertest/network.go
@@ -10,24 +10,24 @@
 	"sync"
 )
 
-// Fabric is an in-memory network for use in synctest bubbles. A connection that
+// Network is an in-memory network for use in synctest bubbles. A connection that
 // was open when one of its directions was cut stays silent in that direction
 // forever, even after the cut is healed, and is not closed.
-type Fabric struct {
+type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	cuts      map[[2]string]bool
 	conns     []*pipeConn
 }
 
-// NewFabric returns a network without listeners.
-func NewFabric() *Fabric {
-	return &Fabric{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
+// NewNetwork returns a network without listeners.
+func NewNetwork() *Network {
+	return &Network{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
 }
 
 // Cut drops all bytes sent from one address to another if on is true. If on is
 // false, it lets new connections pass again.
-func (f *Fabric) Cut(from, to string, on bool) {
+func (f *Network) Cut(from, to string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cuts[[2]string{from, to}] = on
@@ -40,7 +40,7 @@
 
 // Isolate cuts an address off from all others in both directions if on is true.
 // If on is false, it ends these cuts.
-func (f *Fabric) Isolate(addr string, on bool) {
+func (f *Network) Isolate(addr string, on bool) {
 	f.mu.Lock()
 	peers := make([]string, 0, len(f.listeners))
 	for a := range f.listeners {
@@ -56,7 +56,7 @@
 // Dial returns a dial function for connections from the given address. While a
 // direction between the two addresses is cut, the function blocks until its
 // context ends.
-func (f *Fabric) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
+func (f *Network) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, hostPort string) (net.Conn, error) {
 		to, _, _ := strings.Cut(hostPort, ":")
 		f.mu.Lock()
@@ -110,7 +110,7 @@
 }
 
 type pipeListener struct {
-	f       *Fabric
+	f       *Network
 	addr    string
 	accepts chan net.Conn
 	once    sync.Once
@@ -118,7 +118,7 @@
 }
 
 // Listen returns a listener for connections to an address.
-func (f *Fabric) Listen(addr string) net.Listener {
+func (f *Network) Listen(addr string) net.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := &pipeListener{f: f, addr: addr, accepts: make(chan net.Conn), closed: make(chan struct{})}
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -108,21 +108,21 @@
 			continue
 		}
 		ev := Evidence{
-			Status:      e.rec.Status,
-			StatusSince: e.statusSince,
-			Neighbour:   e.neighbour,
-			WantedSince: e.neighbourSince,
-			LastHeard:   e.lastReceived,
-			PauseEnd:    m.pauseEnd,
+			Status:         e.rec.Status,
+			StatusSince:    e.statusSince,
+			Neighbour:      e.neighbour,
+			NeighbourSince: e.neighbourSince,
+			LastReceived:   e.lastReceived,
+			PauseEnd:       m.pauseEnd,
 		}
 		if l, ok := m.links[id]; ok {
-			ev.LastHeard = l.receivedAt()
+			ev.LastReceived = l.receivedAt()
 		}
-		m.applyDecision(now, e, Judge(now, ev, m.cfg.Policy))
+		m.applyDecision(now, e, Evaluate(now, ev, m.cfg.Policy))
 	}
 }
 
-func (m *Mesh) applyDecision(now time.Time, e *entry, v Verdict) {
+func (m *Mesh) applyDecision(now time.Time, e *entry, v Decision) {
 	switch v {
 	case MakeSuspect:
 		m.suspect(now, e)
@@ -261,7 +261,7 @@
 // closeIdle closes the links that this node dialled for calls and no longer uses.
 func (m *Mesh) closeIdle(now time.Time) {
 	for _, l := range m.callLinks() {
-		if now.Sub(time.Unix(0, l.lastUsed.Load())) > m.cfg.IdleLink {
+		if now.Sub(time.Unix(0, l.lastUsed.Load())) > m.cfg.IdleTimeout {
 			l.close(lostIdle)
 		}
 	}
--- a/peer/topology.go
+++ b/peer/topology.go
@@ -78,17 +78,17 @@
 		}
 		outside = append(outside, w)
 	}
-	insideN := min(t.NearLinks, len(inside))
-	outsideN := min(t.FarLinks, len(outside))
-	insideN = min(len(inside), insideN+t.FarLinks-outsideN)
-	outsideN = min(len(outside), t.NearLinks+t.FarLinks-insideN)
+	insideN := min(t.SameDomainLinks, len(inside))
+	outsideN := min(t.OtherDomainLinks, len(outside))
+	insideN = min(len(inside), insideN+t.OtherDomainLinks-outsideN)
+	outsideN = min(len(outside), t.SameDomainLinks+t.OtherDomainLinks-insideN)
 	for _, w := range slices.Concat(highestWeights(inside, insideN), highestWeights(outside, outsideN)) {
 		out[w.id] = true
 	}
 	return out
 }
 
-// SelfAmong reports whether this node is one of the members.
-func SelfAmong(members []Member) bool {
+// ContainsSelf reports whether this node is one of the members.
+func ContainsSelf(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Self })
 }
