--- a/holders/holders.go
+++ b/cachelookup/cachelookup.go
@@ -1,4 +1,4 @@
-// Package holders finds the backend server that still has the prompt of a request in its
+// Package cachelookup finds the backend server that still has the prompt of a request in its
 // cache, after the client reconnected because its router was lost.
 //
 // When a router dies in the middle of an answer, the client reconnects through another one,
@@ -9,7 +9,7 @@
 // backend servers know what they have cached, so they are queried. This is done only for clients
 // that reconnected, and at most once per backend server while a result may be reused, because
 // queries cost the backend servers work.
-package holders
+package cachelookup
 
 import (
 	"context"
@@ -27,15 +27,15 @@
 // Lister queries a backend server for the parts of prompts that it has cached, with the number of
 // tokens of each.
 type Lister interface {
-	Held(ctx context.Context, b fleet.Backend) (map[string]int, error)
+	CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error)
 }
 
 // Config configures a Finder. Zero values mean the defaults.
 type Config struct {
-	Fresh   time.Duration // how long the result of a query is reused
-	Timeout time.Duration // of one query
-	Most    int           // most candidates to query at once, drawn at random
-	Set     *metrics.Set
+	MaxAge        time.Duration // how long the result of a query is reused
+	Timeout       time.Duration // of one query
+	MaxCandidates int           // most candidates to query at once, drawn at random
+	Set           *metrics.Set
 }
 
 const (
@@ -66,14 +66,14 @@
 
 // New returns a Finder that queries backend servers by lister.
 func New(lister Lister, cfg Config) *Finder {
-	if cfg.Fresh <= 0 {
-		cfg.Fresh = defaultMaxAge
+	if cfg.MaxAge <= 0 {
+		cfg.MaxAge = defaultMaxAge
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	if cfg.Most <= 0 {
-		cfg.Most = defaultMaxCandidates
+	if cfg.MaxCandidates <= 0 {
+		cfg.MaxCandidates = defaultMaxCandidates
 	}
 	if cfg.Set == nil {
 		cfg.Set = metrics.NewSet()
@@ -107,12 +107,12 @@
 
 // sample returns the candidates, or a random sample if there are too many.
 func (f *Finder) sample(candidates []fleet.Backend) []fleet.Backend {
-	if len(candidates) <= f.cfg.Most {
+	if len(candidates) <= f.cfg.MaxCandidates {
 		return candidates
 	}
 	drawn := slices.Clone(candidates)
 	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	return drawn[:f.cfg.Most]
+	return drawn[:f.cfg.MaxCandidates]
 }
 
 // leadingTokens counts the tokens of the cached parts up to the first that is missing: a
@@ -145,7 +145,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h, ok := f.results[id]
-	return ok && time.Since(h.at) < f.cfg.Fresh
+	return ok && time.Since(h.at) < f.cfg.MaxAge
 }
 
 // query queries one backend server, or joins a query of it that is under way.
@@ -154,7 +154,7 @@
 		f.queries.Inc()
 		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), f.cfg.Timeout)
 		defer stop()
-		tokens, err := f.lister.Held(ctx, b)
+		tokens, err := f.lister.CachedParts(ctx, b)
 		if err != nil {
 			tokens = nil // nothing is known to be cached: the prompt is read again
 		}
@@ -168,7 +168,7 @@
 
 func (f *Finder) dropExpired() {
 	for id, h := range f.results {
-		if time.Since(h.at) >= f.cfg.Fresh {
+		if time.Since(h.at) >= f.cfg.MaxAge {
 			delete(f.results, id)
 		}
 	}
--- a/holders/holders_test.go
+++ b/cachelookup/cachelookup_test.go
@@ -1,4 +1,4 @@
-package holders
+package cachelookup
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	delay   time.Duration
 }
 
-func (l *fakeLister) Held(ctx context.Context, b fleet.Backend) (map[string]int, error) {
+func (l *fakeLister) CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error) {
 	l.mu.Lock()
 	l.queries[b.ID]++
 	h, ok := l.cached[b.ID]
@@ -100,7 +100,7 @@
 	for i := range 1000 {
 		all = append(all, fleet.Backend{ID: strconv.Itoa(i)})
 	}
-	New(l, Config{Most: 20}).Find(t.Context(), all, []string{"p"})
+	New(l, Config{MaxCandidates: 20}).Find(t.Context(), all, []string{"p"})
 	if len(l.queries) != 20 {
 		t.Errorf("%d were queried", len(l.queries))
 	}
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -108,7 +108,7 @@
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
-	followed := s.guard.Follow(quarantine.Subject{
+	followed := s.guard.Track(quarantine.Subject{
 		Account: call.Account, Method: call.Method, Host: call.Service, Target: call.Path + "?" + call.Query, Body: call.Body,
 	})
 	for n := 1; ; n++ {
@@ -128,7 +128,7 @@
 
 // try sends the call, with a second try beside the first if that is late and
 // the call may be repeated.
-func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case) (*http.Response, error) {
+func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Submission) (*http.Response, error) {
 	resp, release, err := hedge.Do(ctx, s.hedge, hedge.Call[*http.Response]{
 		Pool:       call.Service,
 		Idempotent: call.Idempotent,
@@ -150,7 +150,7 @@
 }
 
 func (s *services) tryOne(
-	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case, second bool,
+	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Submission, second bool,
 ) (*http.Response, error) {
 	b, share, err := s.pick.service(call.Service, tried.all())
 	if err != nil {
@@ -164,7 +164,7 @@
 	if err == nil {
 		followed.Answered()
 	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrDial) {
-		followed.Await(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
+		followed.AwaitExamination(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
 	}
 	return resp, err
 }
--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -78,7 +78,7 @@
 
 // loss is what the guard goes by when a was lost.
 func (a *attempt) loss(cause string) quarantine.Loss {
-	l := quarantine.Loss{Backend: a.backend, Pieces: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
+	l := quarantine.Loss{Backend: a.backend, Chunks: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
 	if !a.firstAt.IsZero() {
 		l.SinceFirst = time.Since(a.firstAt)
 	}
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -193,7 +193,7 @@
 
 // attemptLost logs why an attempt ended, and how long it was silent before.
 func (x *run) attemptLost(a *attempt, cause string, err error) {
-	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.followed.Name(), "attempt", a.place.Attempt,
+	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.followed.DigestString(), "attempt", a.place.Attempt,
 		"backend", a.backend.ID, "cause", cause, "accepted", a.accepted, "next", x.acc.next,
 		"silent_ms", time.Since(x.lastToken).Milliseconds(), "err", err)
 }
@@ -217,7 +217,7 @@
 // Otherwise (not idempotent, or a text that this router never saw) only the
 // very same run can give the rest.
 func (x *run) suspect() string {
-	x.followed.Await(x.ctx, x.examined)
+	x.followed.AwaitExamination(x.ctx, x.examined)
 	if x.over() {
 		return x.giveUp(CodeDeadline, x.cause())
 	}
--- a/generation/end.go
+++ b/generation/end.go
@@ -95,7 +95,7 @@
 
 func (x *run) result(state string) Result {
 	res := x.res
-	res.Digest = x.followed.Name()
+	res.Digest = x.followed.DigestString()
 	res.Outcome = finalOutcome[state]
 	if state == "cancelled" {
 		res.Outcome = finalOutcome[x.lostState()]
--- a/generation/inquire.go
+++ b/generation/inquire.go
@@ -44,9 +44,9 @@
 	return named || r.Queued > 0 || r.Active > len(r.Made)
 }
 
-// Holds implements health.Word. A run whose latest pieces were not received is there,
+// HasRun implements health.RunReport. A run whose latest pieces were not received is there,
 // but its connection has fallen silent.
-func (r RunReport) Holds(request string, received int) bool {
+func (r RunReport) HasRun(request string, received int) bool {
 	if made, named := r.Made[request]; named {
 		return made <= received
 	}
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -164,7 +164,7 @@
 	req  Request
 	sink Sink
 	// followed is what is known of the request and its repeats.
-	followed *quarantine.Case
+	followed *quarantine.Submission
 	// examined is closed when it is known what the latest loss was.
 	examined <-chan struct{}
 
@@ -202,7 +202,7 @@
 
 func newRun(r *Runner, ctx context.Context, req Request, sink Sink) *run {
 	x := &run{Runner: r, ctx: ctx, req: req, sink: sink, exclude: map[string]bool{}, lastToken: time.Now()}
-	x.followed = r.Guard.Follow(req.subject())
+	x.followed = r.Guard.Track(req.subject())
 	x.holdsText = !req.NonIdempotent
 	if req.Opaque != nil {
 		x.acc.next = req.Opaque.First
--- a/health/confirm.go
+++ b/health/confirm.go
@@ -128,7 +128,7 @@
 			ctx, stop := context.WithTimeout(context.Background(), queryTimeout)
 			defer stop()
 			m.queries.Inc()
-			_, err := m.Inquirer.Ask(ctx, e.id)
+			_, err := m.RunQuerier.QueryRuns(ctx, e.id)
 			m.log.Emit(event.EngineAsked, "backend", e.id, "lost", 0, "err", err)
 			results <- queryResult{e, err}
 		}()
--- a/health/domain.go
+++ b/health/domain.go
@@ -62,9 +62,9 @@
 	queriedAt  int64 // when its members were last queried about their common silence, 0 if never
 }
 
-// Place sets the failure domain of a backend server. Backend servers of the same
+// SetFailureDomain sets the failure domain of a backend server. Backend servers of the same
 // service and failure domain are evaluated together.
-func (m *Monitor) Place(backend, service, failureDomain string) {
+func (m *Monitor) SetFailureDomain(backend, service, failureDomain string) {
 	e := m.engine(backend)
 	name := service + "/" + failureDomain
 	m.mu.Lock()
@@ -174,7 +174,7 @@
 	if d == nil || !d.recordFailure(e, t) {
 		return
 	}
-	if m.Inquirer != nil {
+	if m.RunQuerier != nil {
 		go m.confirmCrash(d, t)
 		return
 	}
@@ -182,10 +182,10 @@
 	m.domainCrashed(d, t, "members failed together")
 }
 
-// DomainRumour handles another router's report that a domain crashed. The report is
+// HandleDomainReport handles another router's report that a domain crashed. The report is
 // ignored if this router has just seen activity of some member: the other router may be the one
 // that is isolated.
-func (m *Monitor) DomainRumour(name string) {
+func (m *Monitor) HandleDomainReport(name string) {
 	m.mu.RLock()
 	d := m.domains[name]
 	m.mu.RUnlock()
@@ -278,7 +278,7 @@
 	if decoding < minDomainDecoding || chance > maxChance {
 		return
 	}
-	if m.Inquirer == nil {
+	if m.RunQuerier == nil {
 		m.domainCrashed(d, t, reasonCommonSilence)
 		return
 	}
@@ -309,6 +309,6 @@
 
 // survival returns the share of an engine's gaps that are longer than d.
 func (m *Monitor) survival(e *engine, d time.Duration) float64 {
-	s := e.gaps.Shares().With(m.priorShares())
+	s := e.gaps.Shares().WithPrior(m.priorShares())
 	return s.survival(m.policy.TailExponent)[bucketOf(d)]
 }
--- a/health/domain_test.go
+++ b/health/domain_test.go
@@ -22,7 +22,7 @@
 func addDomains(m *Monitor, n int, domains ...string) {
 	for _, d := range domains {
 		for i := range n {
-			m.Place(fmt.Sprintf("%s%d", d, i), "llm", d)
+			m.SetFailureDomain(fmt.Sprintf("%s%d", d, i), "llm", d)
 		}
 	}
 }
@@ -103,13 +103,13 @@
 		addDomains(m, 6, "a")
 		s := start(m, "a0", 100)
 		decode(10, s)
-		m.DomainRumour("llm/a")
+		m.HandleDomainReport("llm/a")
 		if m.State("a5") != Healthy {
 			t.Fatal("the report is believed in spite of a member's recent token")
 		}
 		time.Sleep(2 * activityWindow)
-		m.DomainRumour("llm/a")
-		m.DomainRumour("llm/nowhere")
+		m.HandleDomainReport("llm/a")
+		m.HandleDomainReport("llm/nowhere")
 		if m.State("a5") == Healthy {
 			t.Error("the report is not believed although no member has been active")
 		}
--- a/health/gaps.go
+++ b/health/gaps.go
@@ -90,9 +90,9 @@
 	return s
 }
 
-// With adds a prior, scaled to a fixed number of samples so that it dominates while an engine
+// WithPrior adds a prior, scaled to a fixed number of samples so that it dominates while an engine
 // has few samples and fades as its own come in.
-func (s Shares) With(prior Shares) Shares {
+func (s Shares) WithPrior(prior Shares) Shares {
 	if prior.Samples == 0 {
 		return s
 	}
--- a/health/health.go
+++ b/health/health.go
@@ -39,8 +39,8 @@
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
 	// ErrStalled means that one stream fell silent while others of its engine did not.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
-	// ErrEnded means that the engine has restarted and has lost the runs from before.
-	ErrEnded error = &Cause{"engine has started again"}
+	// ErrRestarted means that the engine has restarted and has lost the runs from before.
+	ErrRestarted error = &Cause{"engine has started again"}
 	// ErrNoFirstToken means that the wait for the first token exceeded its bound.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
 )
@@ -72,14 +72,14 @@
 	return "healthy"
 }
 
-// RumourKind is what another router reports of a backend server.
-type RumourKind uint8
+// PeerReportKind is what another router reports of a backend server.
+type PeerReportKind uint8
 
 const (
-	// RumourSuspect means that the backend server is silent towards another router.
-	RumourSuspect RumourKind = iota
-	// RumourDown means that the backend server refuses another router's connections.
-	RumourDown
-	// RumourAlive withdraws earlier reports.
-	RumourAlive
+	// PeerReportSuspect means that the backend server is silent towards another router.
+	PeerReportSuspect PeerReportKind = iota
+	// PeerReportDown means that the backend server refuses another router's connections.
+	PeerReportDown
+	// PeerReportAlive withdraws earlier reports.
+	PeerReportAlive
 )
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -15,11 +15,11 @@
 type Monitor struct {
 	// OnChange, set before use, is called when a backend server is ejected or
 	// recovers, so that other routers can be notified. It must not block.
-	OnChange func(backend, incarnation string, kind RumourKind)
+	OnChange func(backend, incarnation string, kind PeerReportKind)
 
-	// Inquirer, set before use, queries an engine before it is suspected for its
+	// RunQuerier, set before use, queries an engine before it is suspected for its
 	// silence. Nil where engines can't be queried.
-	Inquirer Inquirer
+	RunQuerier RunQuerier
 
 	// OnDomain, set before use, is called once when a failure domain is assumed to
 	// have crashed. It must not block.
@@ -117,16 +117,16 @@
 	}
 }
 
-// Ended cancels the streams of a backend server that has restarted: its runs are
+// Restarted cancels the streams of a backend server that has restarted: its runs are
 // lost, however short their silence.
-func (m *Monitor) Ended(backend string) {
+func (m *Monitor) Restarted(backend string) {
 	m.mu.RLock()
 	e := m.engines[backend]
 	m.mu.RUnlock()
 	if e == nil {
 		return
 	}
-	m.cancel(e.selectStreams(ErrEnded, func(*Stream) bool { return true }))
+	m.cancel(e.selectStreams(ErrRestarted, func(*Stream) bool { return true }))
 }
 
 // Work describes the work of one attempt.
--- a/health/policy.go
+++ b/health/policy.go
@@ -42,10 +42,10 @@
 	MaxPrefill    time.Duration `json:"max_prefill"`
 	PrefillFactor float64       `json:"prefill_factor"`
 	QueueFactor   float64       `json:"queue_factor"`
-	// RumourFactor multiplies the prior of failure while a peer report is current.
-	RumourFactor float64 `json:"rumour_factor"`
-	// RumourLife is how long a peer report stays current.
-	RumourLife time.Duration `json:"rumour_life"`
+	// PeerReportFactor multiplies the prior of failure while a peer report is current.
+	PeerReportFactor float64 `json:"rumour_factor"`
+	// PeerReportTTL is how long a peer report stays current.
+	PeerReportTTL time.Duration `json:"rumour_life"`
 	// DownAfter is the number of refused connections in a row before Down.
 	DownAfter int `json:"down_after"`
 	// LateAfter is the number of late answers in a row, over at least LateSpan,
@@ -89,8 +89,8 @@
 		MaxPrefill:            30 * time.Second,
 		PrefillFactor:         4,
 		QueueFactor:           4,
-		RumourFactor:          50,
-		RumourLife:            3 * time.Second,
+		PeerReportFactor:      50,
+		PeerReportTTL:         3 * time.Second,
 		DownAfter:             2,
 		LateAfter:             4,
 		LateSpan:              500 * time.Millisecond,
--- a/health/query.go
+++ b/health/query.go
@@ -30,18 +30,18 @@
 	confirmedPrefillBounds = 2
 )
 
-// Inquirer queries backend servers about their runs.
-type Inquirer interface {
-	// Ask returns the report of one backend server; an error means that it gave none.
-	Ask(ctx context.Context, backend string) (Word, error)
+// RunQuerier queries backend servers about their runs.
+type RunQuerier interface {
+	// QueryRuns returns the report of one backend server; an error means that it gave none.
+	QueryRuns(ctx context.Context, backend string) (RunReport, error)
 }
 
-// Word is what a backend server reports about its runs.
-type Word interface {
-	// Holds reports whether the backend server has a run of the request and has produced no
+// RunReport is what a backend server reports about its runs.
+type RunReport interface {
+	// HasRun reports whether the backend server has a run of the request and has produced no
 	// more than received tokens of it: tokens that were produced but not received were lost on
 	// the way.
-	Holds(request string, received int) bool
+	HasRun(request string, received int) bool
 }
 
 // runQuery is the last query that an engine was sent. Guarded by engine.mu.
@@ -84,7 +84,7 @@
 // silenceConfirmed reports whether a silence of e is to be acted on at t. If no current report is
 // known, it sends a query and returns false. The caller holds e.mu.
 func (m *Monitor) silenceConfirmed(e *engine, silence time.Duration, t int64) bool {
-	if m.Inquirer == nil || silence >= maxConfirmedSilence {
+	if m.RunQuerier == nil || silence >= maxConfirmedSilence {
 		return true
 	}
 	switch e.queryState(t) {
@@ -102,7 +102,7 @@
 func (m *Monitor) queryRuns(e *engine, sentAt int64) {
 	ctx, stop := context.WithTimeout(context.Background(), queryTimeout)
 	defer stop()
-	r, err := m.Inquirer.Ask(ctx, e.id)
+	r, err := m.RunQuerier.QueryRuns(ctx, e.id)
 	lost := e.applyRunReport(r, err, sentAt)
 	m.log.Emit(event.EngineAsked, "backend", e.id, "lost", len(lost.streams), "err", err)
 	m.cancel(lost)
@@ -111,7 +111,7 @@
 // applyRunReport applies the report of an engine, or the error of the query. It returns the
 // streams that are to be cancelled: those that the engine doesn't have, or of which tokens were
 // lost.
-func (e *engine) applyRunReport(r Word, err error, sentAt int64) evaluation {
+func (e *engine) applyRunReport(r RunReport, err error, sentAt int64) evaluation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := evaluation{engine: e}
@@ -125,7 +125,7 @@
 	}
 	for _, s := range e.streams {
 		started := s.lastToken.Load() != 0 && s.lastToken.Load() < sentAt
-		if !started || s.cancelled || s.blocked.Load() || r.Holds(s.work.Request, s.received()) {
+		if !started || s.cancelled || s.blocked.Load() || r.HasRun(s.work.Request, s.received()) {
 			continue
 		}
 		v.streams = append(v.streams, s)
--- a/health/query_test.go
+++ b/health/query_test.go
@@ -12,7 +12,7 @@
 // fakeReport is the report of a fake engine: how many tokens of each run it has produced.
 type fakeReport map[string]int
 
-func (r fakeReport) Holds(request string, received int) bool {
+func (r fakeReport) HasRun(request string, received int) bool {
 	made, ok := r[request]
 	return ok && made <= received
 }
@@ -25,7 +25,7 @@
 	queries int
 }
 
-func (q *fakeQuerier) Ask(ctx context.Context, _ string) (Word, error) {
+func (q *fakeQuerier) QueryRuns(ctx context.Context, _ string) (RunReport, error) {
 	q.queries++
 	select {
 	case <-ctx.Done():
@@ -37,7 +37,7 @@
 
 // startThenSilence has two runs at one engine produce some tokens and then none for d.
 func startThenSilence(m *Monitor, q *fakeQuerier, d time.Duration) [2]*attempt {
-	m.Inquirer = q
+	m.RunQuerier = q
 	var streams [2]*attempt
 	for i, request := range []string{"q1", "q2"} {
 		ctx, cancel := context.WithCancelCause(context.Background())
@@ -130,7 +130,7 @@
 // aliveSet answers queries for the engines that are alive.
 type aliveSet map[string]bool
 
-func (l aliveSet) Ask(_ context.Context, backend string) (Word, error) {
+func (l aliveSet) QueryRuns(_ context.Context, backend string) (RunReport, error) {
 	if !l[backend] {
 		return nil, errors.New("refused")
 	}
@@ -155,7 +155,7 @@
 		t.Run(name, func(t *testing.T) {
 			runWithLongBounds(t, func(m *Monitor) {
 				addDomains(m, 6, "a")
-				m.Inquirer = c.alive
+				m.RunQuerier = c.alive
 				for i := range 4 {
 					m.Result(fmt.Sprint("a", i), errors.New("reset"))
 					time.Sleep(time.Millisecond)
@@ -183,7 +183,7 @@
 				for i := range c.healthy {
 					alive[fmt.Sprint("a", 2+i)] = true
 				}
-				m.Inquirer = alive
+				m.RunQuerier = alive
 				for _, id := range []string{"a0", "a1"} {
 					m.Result(id, errors.New("unexpected EOF"))
 					time.Sleep(time.Millisecond)
@@ -203,11 +203,11 @@
 	delay time.Duration
 }
 
-func (s slowAliveSet) Ask(ctx context.Context, backend string) (Word, error) {
+func (s slowAliveSet) QueryRuns(ctx context.Context, backend string) (RunReport, error) {
 	if s.aliveSet[backend] {
 		time.Sleep(s.delay)
 	}
-	return s.aliveSet.Ask(ctx, backend)
+	return s.aliveSet.QueryRuns(ctx, backend)
 }
 
 // Guards against: the loss of a domain is noticed late, because one member that is still running
@@ -215,7 +215,7 @@
 func TestLostDomainIsNoticedAtOnce(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 8, "a")
-		m.Inquirer = slowAliveSet{aliveSet{"a7": true}, 90 * time.Millisecond}
+		m.RunQuerier = slowAliveSet{aliveSet{"a7": true}, 90 * time.Millisecond}
 		for _, id := range []string{"a0", "a1"} {
 			m.Result(id, errors.New("unexpected EOF"))
 		}
@@ -230,7 +230,7 @@
 		calls := 0
 		m.OnDomain = func(string) { calls++ }
 		alive := aliveSet{"a2": true, "a3": true, "a4": true, "a5": true, "a6": true, "a7": true}
-		m.Inquirer = alive
+		m.RunQuerier = alive
 		for _, id := range []string{"a0", "a1", "a2", "a3"} {
 			delete(alive, id)
 			m.Result(id, errors.New("unexpected EOF"))
@@ -261,7 +261,7 @@
 		t.Run(name, func(t *testing.T) {
 			runWithLongBounds(t, func(m *Monitor) {
 				addDomains(m, 6, "a", "b")
-				m.Inquirer = c.alive
+				m.RunQuerier = c.alive
 				var pausing, other []*attempt
 				for i := range 4 {
 					pausing = append(pausing, start(m, fmt.Sprintf("a%d", i), 100))
--- a/health/state.go
+++ b/health/state.go
@@ -62,7 +62,7 @@
 	m.recordPause(e, lastToken)
 	m.ejected.Add(-1)
 	m.log.Emit(event.BackendRecovered, "backend", e.id)
-	m.notifyChange(e.id, incarnation, RumourAlive)
+	m.notifyChange(e.id, incarnation, PeerReportAlive)
 }
 
 // recordPause records the gap that a suspicion cut short, once the same incarnation answers
@@ -98,14 +98,14 @@
 	m.ejected.Add(1)
 	m.watch(e)
 	m.log.Emit(event.BackendEjected, "backend", e.id, "state", state.String())
-	kind := RumourSuspect
+	kind := PeerReportSuspect
 	if state == Down {
-		kind = RumourDown
+		kind = PeerReportDown
 	}
 	m.notifyChange(e.id, incarnation, kind)
 }
 
-func (m *Monitor) notifyChange(backend, incarnation string, kind RumourKind) {
+func (m *Monitor) notifyChange(backend, incarnation string, kind PeerReportKind) {
 	if m.OnChange != nil {
 		m.OnChange(backend, incarnation, kind)
 	}
@@ -144,10 +144,10 @@
 	return t < e.reinstatedUntil
 }
 
-// Rumour handles another router's report about one incarnation. It raises the prior
+// HandlePeerReport handles another router's report about one incarnation. It raises the prior
 // of failure for a while, and so shortens the accepted silence; it never ejects by itself, since
 // the other router may be the one that is isolated.
-func (m *Monitor) Rumour(backend, incarnation string, kind RumourKind) {
+func (m *Monitor) HandlePeerReport(backend, incarnation string, kind PeerReportKind) {
 	e := m.engine(backend)
 	t := m.sinceEpoch(time.Now())
 	e.mu.Lock()
@@ -155,16 +155,16 @@
 	if e.incarnation != "" && e.incarnation != incarnation {
 		return
 	}
-	if kind == RumourAlive {
+	if kind == PeerReportAlive {
 		e.peerReportUntil = 0
 		return
 	}
-	e.peerReportUntil = t + int64(m.policy.RumourLife)
+	e.peerReportUntil = t + int64(m.policy.PeerReportTTL)
 }
 
-// Incarnation sets which incarnation of a backend server answered last. A new one starts
+// SetIncarnation sets which incarnation of a backend server answered last. A new one starts
 // without peer reports, and may be probed at once.
-func (m *Monitor) Incarnation(backend, incarnation string) {
+func (m *Monitor) SetIncarnation(backend, incarnation string) {
 	e := m.engine(backend)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/threshold.go
+++ b/health/threshold.go
@@ -7,11 +7,11 @@
 
 // History is the input for the evaluation of one engine.
 type History struct {
-	Gaps     Shares        // observed gaps, including the prior
-	Silence  time.Duration // since its last token on any stream, without pauses of this process
-	Streams  int           // streams that have received their first token
-	Bytes    float64       // prompt and accepted text over those streams
-	Rumoured bool          // a current report of a peer says that it fails
+	Gaps         Shares        // observed gaps, including the prior
+	Silence      time.Duration // since its last token on any stream, without pauses of this process
+	Streams      int           // streams that have received their first token
+	Bytes        float64       // prompt and accepted text over those streams
+	PeerReported bool          // a current report of a peer says that it fails
 }
 
 // Decision is the result of evaluating a History.
@@ -20,9 +20,9 @@
 	Threshold time.Duration // silence from which it is suspected
 }
 
-// Judge decides whether an engine has been silent for long enough to resume its streams
+// Evaluate decides whether an engine has been silent for long enough to resume its streams
 // elsewhere.
-func Judge(h History, p *Policy) Decision {
+func Evaluate(h History, p *Policy) Decision {
 	if h.Streams == 0 {
 		return Decision{Threshold: p.MaxSilence}
 	}
@@ -48,8 +48,8 @@
 // the histogram, and deployments with opposite weights resume at the same silence.
 func Threshold(h History, p *Policy) time.Duration {
 	f := p.FailuresPerHour / time.Hour.Seconds() * h.Gaps.mean()
-	if h.Rumoured {
-		f *= p.RumourFactor
+	if h.PeerReported {
+		f *= p.PeerReportFactor
 	}
 	f = min(f, maxFailureShare)
 	n := float64(max(h.Streams, 1))
--- a/health/tick.go
+++ b/health/tick.go
@@ -110,7 +110,7 @@
 	}
 	h := e.history(t)
 	v = evaluation{engine: e, silence: h.Silence}
-	h.Rumoured = t < e.peerReportUntil
+	h.PeerReported = t < e.peerReportUntil
 	d := Decision{Threshold: m.policy.MaxSilence}
 	if m.policy.FixedTimeout > 0 {
 		m.evaluateFixedTimeout(&v, t)
@@ -142,11 +142,11 @@
 // threshold returns the cached threshold, or computes it when the engine's circumstances changed.
 func (m *Monitor) threshold(e *engine, h *History, t int64) time.Duration {
 	k := &e.cachedThreshold
-	if k.streams == h.Streams && k.peerReported == h.Rumoured && t-k.at < thresholdTTL {
+	if k.streams == h.Streams && k.peerReported == h.PeerReported && t-k.at < thresholdTTL {
 		return k.value
 	}
-	h.Gaps = e.gaps.Shares().With(m.priorShares())
-	*k = thresholdCache{t, h.Streams, h.Rumoured, Judge(*h, &m.policy).Threshold}
+	h.Gaps = e.gaps.Shares().WithPrior(m.priorShares())
+	*k = thresholdCache{t, h.Streams, h.PeerReported, Evaluate(*h, &m.policy).Threshold}
 	return k.value
 }
 
@@ -300,7 +300,7 @@
 		m.suspects.Inc()
 	case ErrStalled:
 		m.stalls.Inc()
-	case ErrEnded:
+	case ErrRestarted:
 		m.restarts.Inc()
 	default:
 		m.noFirstTokens.Inc()
@@ -312,7 +312,7 @@
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
-		return s.With(syntheticPrior(m.policy.TypicalGap))
+		return s.WithPrior(syntheticPrior(m.policy.TypicalGap))
 	}
 	return s
 }
--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -7,8 +7,8 @@
 	"wigeondale/event"
 	"wigeondale/fleet"
 	"wigeondale/health"
+	"wigeondale/replacement"
 	"wigeondale/route"
-	"wigeondale/succession"
 )
 
 // While the store is away, successors of crashed replicas are adopted: few nodes look
@@ -56,7 +56,7 @@
 type adopter struct {
 	view   *view
 	news   *news
-	seeker *succession.Seeker
+	seeker *replacement.Finder
 	tell   func(m adoptedMessage)
 
 	told  time.Time
@@ -86,8 +86,8 @@
 	if !ok || !a.news.reader() {
 		return
 	}
-	found := a.seeker.Seek(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Found) bool {
-		return f.Memory == service.Memory
+	found := a.seeker.Find(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f replacement.Replica) bool {
+		return f.MemoryTokens == service.Memory
 	})
 	var toTell []adoptedReplica
 	for i := range found {
@@ -180,7 +180,7 @@
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
 	v.adopted[b.ID] = true
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.succeed(b, 0)
 	v.changed = true
 }
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -21,23 +21,23 @@
 	"github.com/zeebo/errs"
 
 	"wigeondale/admission"
+	"wigeondale/cachelookup"
 	"wigeondale/directory"
 	"wigeondale/dump"
 	"wigeondale/event"
 	"wigeondale/generation"
 	"wigeondale/health"
-	"wigeondale/holders"
 	"wigeondale/listen"
 	"wigeondale/mirror"
 	"wigeondale/placement"
 	"wigeondale/platform"
 	"wigeondale/quarantine"
 	"wigeondale/relay"
+	"wigeondale/replacement"
 	"wigeondale/route"
 	"wigeondale/routing"
 	"wigeondale/settings"
 	"wigeondale/signals"
-	"wigeondale/succession"
 )
 
 // Error is the class of this package's errors.
@@ -108,13 +108,13 @@
 func (n *node) newRelay() (*relay.Relay, error) {
 	replicas := platform.NewReplicas()
 	replicas.OnLoad = n.view.load
-	n.adopter = &adopter{view: n.view, news: n.news, seeker: succession.New(replicas), tell: n.peers.tellAdopted}
+	n.adopter = &adopter{view: n.view, news: n.news, seeker: replacement.New(replicas), tell: n.peers.tellAdopted}
 	n.peers.adopter = n.adopter
 	ask := inquirer{n.dir, replicas}
-	n.mon.Inquirer = ask
+	n.mon.RunQuerier = ask
 	n.guard = n.newGuard(ask)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
-	find := holders.New(replicas, holders.Config{Set: n.meter})
+	find := cachelookup.New(replicas, cachelookup.Config{Set: n.meter})
 	asks, err := newSurvey(replicas, n.dir, n.meter)
 	if err != nil {
 		return nil, err
--- a/hosted/lifetime_test.go
+++ b/hosted/lifetime_test.go
@@ -56,7 +56,7 @@
 	if !v.dir.Leaving(lifeID("i", 1000)) {
 		t.Error("the earlier lifetime still gets work")
 	}
-	if context.Cause(ctx) != health.ErrEnded {
+	if context.Cause(ctx) != health.ErrRestarted {
 		t.Errorf("the run of the earlier lifetime is waited for: %v", context.Cause(ctx))
 	}
 }
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -153,9 +153,9 @@
 // ended tells whether a replica has crashed, which the failure detector learns only by the
 // next attempts there.
 func (s *rollouts) ended(b fleet.Backend) bool {
-	ctx, stop := context.WithTimeout(context.Background(), quarantine.LookTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
-	return s.looker.Look(ctx, b) == quarantine.Ended
+	return s.looker.Probe(ctx, b) == quarantine.Exited
 }
 
 func (r *observedRun) end(s *rollouts) {
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -269,11 +269,11 @@
 		return nil, Error.Wrap(err)
 	}
 	peer.HandleFlood(mesh, tellLoads, p.takeLoads)
-	peer.HandleFlood(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.DomainRumour(m.Domain) })
+	peer.HandleFlood(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.HandleDomainReport(m.Domain) })
 	peer.HandleFlood(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
 	peer.HandleFlood(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.hear(m) })
 	peer.HandleFlood(mesh, floodRollout, p.rollouts.hear)
-	peer.HandleFlood(mesh, quarantine.FloodNews, p.guard.Hear)
+	peer.HandleFlood(mesh, quarantine.FloodUpdate, p.guard.HandleUpdate)
 	p.news.join(mesh)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"wigeondale/admission"
+	"wigeondale/cachelookup"
 	"wigeondale/directory"
 	"wigeondale/event"
 	"wigeondale/fleet"
 	"wigeondale/generation"
 	"wigeondale/health"
-	"wigeondale/holders"
 	"wigeondale/placement"
 	"wigeondale/route"
 	"wigeondale/routing"
@@ -41,7 +41,7 @@
 	work    *routing.Router // of engines
 	home    *routing.Router // of engines, among a request's homes
 	standby *routing.Router
-	holders *holders.Finder
+	holders *cachelookup.Finder
 	log     *event.Log
 	queues  queues
 	survey  *survey
@@ -52,7 +52,7 @@
 	tellSoon func()
 }
 
-func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, find *holders.Finder, asks *survey, log *event.Log) (*picker, error) {
+func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, find *cachelookup.Finder, asks *survey, log *event.Log) (*picker, error) {
 	p := &picker{refusal: admission.RefuseLate, survey: asks, table: table, dir: dir, mon: mon, holders: find, log: log, tellSoon: func() {}}
 	for _, r := range []struct {
 		to    **routing.Router
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -54,13 +54,13 @@
 	return p
 }
 
-// inquirer has replicas asked about their runs. It implements health.Inquirer.
+// inquirer has replicas asked about their runs. It implements health.RunQuerier.
 type inquirer struct {
 	dir      *directory.Directory
 	replicas generation.Inquirer
 }
 
-func (q inquirer) Ask(ctx context.Context, id string) (health.Word, error) {
+func (q inquirer) QueryRuns(ctx context.Context, id string) (health.RunReport, error) {
 	b, ok := q.dir.Backend(id)
 	if !ok {
 		return nil, Error.New("replica %s is not known", id)
--- a/hosted/survey_test.go
+++ b/hosted/survey_test.go
@@ -6,9 +6,9 @@
 	"sync"
 	"testing"
 
+	"wigeondale/cachelookup"
 	"wigeondale/fleet"
 	"wigeondale/generation"
-	"wigeondale/holders"
 )
 
 // idleStates answers for engines that have nothing to do.
@@ -25,7 +25,7 @@
 	asked int
 }
 
-func (h *heldParts) Held(_ context.Context, b fleet.Backend) (map[string]int, error) {
+func (h *heldParts) CachedParts(_ context.Context, b fleet.Backend) (map[string]int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked++
@@ -57,7 +57,7 @@
 		held.at[own] = b.ID
 	}
 	for own, id := range held.at {
-		after.holders = holders.New(held, holders.Config{})
+		after.holders = cachelookup.New(held, cachelookup.Config{})
 		held.asked = 0
 		a := generation.Ask{Request: "back", Service: "llm", Size: replayPrompt, Answer: replayAnswer, Target: replayTarget, Own: own, Parts: []string{own}}
 		b, share, err := after.Pick(t.Context(), a)
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -141,7 +141,7 @@
 }
 
 // held are the requests that a node holds back.
-func (n *testNode) held() int { return len(n.guard.Held()) }
+func (n *testNode) held() int { return len(n.guard.Holds()) }
 
 // Guards against: all nodes end, and a request that they held back crashes its way through the
 // replicas again. An operator lifts a hold by removing its record.
@@ -189,7 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.held(h, true)
 	time.Sleep(200 * time.Millisecond)
@@ -213,7 +213,7 @@
 	record := holdPrefix + d.String()
 	f.store.PutJSON(record, holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(-time.Second).UnixMilli()})
 	await(t, "the ended record", func() bool { return n.holds.knows(d) })
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.held(h, false)
 	f.store.Delete(record)
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -130,7 +130,7 @@
 	}
 	delete(v.adopted, b.ID)
 	v.replicas[b.ID] = b
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.changed = true
 	switch {
 	case b.Leaving && !old.Leaving:
@@ -184,7 +184,7 @@
 // endLife drops a lifetime that another one has followed: its runs are lost, and what
 // was known of it says nothing of its successor.
 func (v *view) endLife(life fleet.Lifetime) {
-	v.mon.Ended(life.ID())
+	v.mon.Restarted(life.ID())
 	v.drop(life.ID(), "it has started again")
 }
 
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -6,7 +6,7 @@
 )
 
 // isCulprit reports whether the crashes under s are caused by s.
-func (t *Book) isCulprit(s *suspect, now time.Duration) bool {
+func (t *Tracker) isCulprit(s *suspect, now time.Duration) bool {
 	counted := t.countedCrashes(s, now)
 	if s.cleared {
 		return len(counted) >= minUnsharedCrashes // a bystander is rarely present at another crash
@@ -23,13 +23,13 @@
 func (s *suspect) crashedRepeatedly(counted []string) bool {
 	seen := map[uint64]bool{}
 	for _, c := range s.crashes {
-		if !slices.Contains(counted, c.Lifetime) {
+		if !slices.Contains(counted, c.Incarnation) {
 			continue
 		}
-		if seen[c.Try] {
+		if seen[c.Submission] {
 			return true
 		}
-		seen[c.Try] = true
+		seen[c.Submission] = true
 	}
 	return false
 }
@@ -37,7 +37,7 @@
 // extraCrashes returns how many more crashes are required while backend servers often exit for
 // other reasons: then some requests are present at three crashes by chance. None is present at
 // manyCrashes by chance.
-func (t *Book) extraCrashes(s *suspect, now time.Duration) int {
+func (t *Tracker) extraCrashes(s *suspect, now time.Duration) int {
 	if len(s.crashes) >= manyCrashes {
 		return 0
 	}
@@ -53,23 +53,23 @@
 // countedCrashes returns the incarnations whose crashes count against s. Of crashes at the same
 // moment only one counts, unless the request was sent to the later one after the earlier crash:
 // a request that runs at many backend servers loses several of them to one cause.
-func (t *Book) countedCrashes(s *suspect, now time.Duration) []string {
+func (t *Tracker) countedCrashes(s *suspect, now time.Duration) []string {
 	var out []string
 	var last Crash
 	for i, c := range s.crashes { // in order of time
-		if now-c.At >= crashTTL || t.explained(s, c.Lifetime, now) || t.simultaneousExits(s, c, now) >= massExits {
+		if now-c.At >= crashTTL || t.explained(s, c.Incarnation, now) || t.simultaneousExits(s, c, now) >= massExits {
 			continue
 		}
-		if i > 0 && len(out) > 0 && c.At-last.At <= simultaneousWindow && c.Began < last.At {
+		if i > 0 && len(out) > 0 && c.At-last.At <= simultaneousWindow && c.SentAt < last.At {
 			continue
 		}
-		out, last = append(out, c.Lifetime), c
+		out, last = append(out, c.Incarnation), c
 	}
 	return out
 }
 
 // explained reports whether another request, which is quarantined, was running at the crash too.
-func (t *Book) explained(s *suspect, incarnation string, now time.Duration) bool {
+func (t *Tracker) explained(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && t.suspects[d].holdUntil > now
 	})
@@ -79,7 +79,7 @@
 // neither s nor a quarantined request is known to have been running. For a request with
 // manyCrashes the result is 0, so that such exits can't clear it: not all backend servers where
 // it was running may be known.
-func (t *Book) simultaneousExits(s *suspect, c Crash, now time.Duration) (n int) {
+func (t *Tracker) simultaneousExits(s *suspect, c Crash, now time.Duration) (n int) {
 	if len(s.crashes) >= manyCrashes {
 		return 0
 	}
@@ -93,7 +93,7 @@
 
 // shared reports whether another suspected request was running at the crash, so that it is
 // unknown which of the two caused it.
-func (t *Book) shared(s *suspect, incarnation string, now time.Duration) bool {
+func (t *Tracker) shared(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && len(t.countedCrashes(t.suspects[d], now)) >= minCrashes-1
 	})
@@ -101,7 +101,7 @@
 
 // unsharedCrashes counts those of the counted crashes of s at which no other suspected request
 // was running.
-func (t *Book) unsharedCrashes(s *suspect, counted []string, now time.Duration) (n int) {
+func (t *Tracker) unsharedCrashes(s *suspect, counted []string, now time.Duration) (n int) {
 	for _, incarnation := range counted {
 		if !t.shared(s, incarnation, now) {
 			n++
@@ -112,9 +112,9 @@
 
 // clearBystanders ends the hold of requests that turn out to have only run alongside s: s was
 // running at all their crashes but fewer than minUnsharedCrashes.
-func (t *Book) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
+func (t *Tracker) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
 	for _, c := range s.crashes {
-		for _, d := range slices.Clone(t.suspectsByCrash[c.Lifetime]) {
+		for _, d := range slices.Clone(t.suspectsByCrash[c.Incarnation]) {
 			other := t.suspects[d]
 			if other != s && other.holdUntil > now && other.crashesWithout(s) < minUnsharedCrashes {
 				other.holdStart, other.holdUntil, other.cleared = 0, 0, true
@@ -128,7 +128,7 @@
 // crashesWithout counts the crashes under s at which other was not running.
 func (s *suspect) crashesWithout(other *suspect) (n int) {
 	for _, c := range s.crashes {
-		if !other.crashedAt(c.Lifetime) {
+		if !other.crashedAt(c.Incarnation) {
 			n++
 		}
 	}
--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// LookTimeout bounds one probe of a backend server.
-	LookTimeout = 300 * time.Millisecond
+	// ProbeTimeout bounds one probe of a backend server.
+	ProbeTimeout = 300 * time.Millisecond
 	// probeInterval is the pause before a backend server that seems to work is probed again: a
 	// process that crashes may close its connections before it stops listening.
 	probeInterval = 100 * time.Millisecond
@@ -28,9 +28,9 @@
 // Loss is an attempt that ended before its answer was complete.
 type Loss struct {
 	Backend fleet.Backend
-	// Pieces is the number of tokens or chunks that the attempt had delivered; SinceFirst is how
+	// Chunks is the number of tokens or chunks that the attempt had delivered; SinceFirst is how
 	// long ago the first of them came.
-	Pieces     int
+	Chunks     int
 	Ran        time.Duration // since the attempt was sent
 	SinceFirst time.Duration
 	// Cause is how the loss was noticed.
@@ -41,12 +41,12 @@
 }
 
 // examine finds out what caused a loss, and counts a crash against the request.
-func (g *Guard) examine(s *Case, l Loss) {
+func (g *Guard) examine(s *Submission, l Loss) {
 	state := g.probe(l.Backend)
-	onItsOwn := state == Ended && !g.domainExited(l)
+	onItsOwn := state == Exited && !g.domainExited(l)
 	g.metrics.loss(state, onItsOwn).Inc()
 	g.cfg.Log.Emit(event.LossExamined, "digest", s.digest.String(), "backend", l.Backend.ID, "domain", l.Backend.FailureDomain,
-		"found", state.String(), "alone", onItsOwn, "pieces", l.Pieces, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
+		"found", state.String(), "alone", onItsOwn, "pieces", l.Chunks, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
 	if !onItsOwn {
 		return
 	}
@@ -54,17 +54,17 @@
 		g.recordExit(l)
 		return
 	}
-	if g.crashed(s.digest, s.account, Crash{Lifetime: l.incarnation, At: l.at, Began: l.at - l.Ran, Try: s.submission}) {
-		g.broadcast(News{Crashes: []CrashNews{{s.digest, s.account, l.incarnation, (g.cfg.Now() - l.at).Milliseconds(), s.submission, l.Ran.Milliseconds()}}})
+	if g.crashed(s.digest, s.account, Crash{Incarnation: l.incarnation, At: l.at, SentAt: l.at - l.Ran, Submission: s.submission}) {
+		g.broadcast(Update{Crashes: []CrashUpdate{{s.digest, s.account, l.incarnation, (g.cfg.Now() - l.at).Milliseconds(), s.submission, l.Ran.Milliseconds()}}})
 	}
 }
 
 // recordExit records the exit of a backend server that counts against no request.
 func (g *Guard) recordExit(l Loss) {
 	var added bool
-	g.withTracker(func(t *Book, _ time.Duration) { added = t.Ended(l.incarnation, l.at) })
+	g.withTracker(func(t *Tracker, _ time.Duration) { added = t.Exited(l.incarnation, l.at) })
 	if added {
-		g.broadcast(News{Ended: []EndNews{{l.incarnation, (g.cfg.Now() - l.at).Milliseconds()}}})
+		g.broadcast(Update{Exits: []ExitUpdate{{l.incarnation, (g.cfg.Now() - l.at).Milliseconds()}}})
 	}
 }
 
@@ -75,7 +75,7 @@
 		if n > 0 {
 			time.Sleep(probeInterval)
 		}
-		if state = g.probeOnce(b); state == Ended {
+		if state = g.probeOnce(b); state == Exited {
 			break
 		}
 	}
@@ -83,9 +83,9 @@
 }
 
 func (g *Guard) probeOnce(b fleet.Backend) State {
-	ctx, stop := context.WithTimeout(context.Background(), LookTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), ProbeTimeout)
 	defer stop()
-	return g.cfg.Prober.Look(ctx, b)
+	return g.cfg.Prober.Probe(ctx, b)
 }
 
 // domainExited reports whether all other backend servers of the failure domain exited together
@@ -95,7 +95,7 @@
 func (g *Guard) domainExited(l Loss) bool {
 	moment := l.at - min(l.Ran, simultaneousWindow)
 	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, maxNeighbours), func(b fleet.Backend) bool {
-		return g.exitedBefore(g.cfg.Lifetime(b), moment)
+		return g.exitedBefore(g.cfg.Incarnation(b), moment)
 	})
 	if len(others) < minNeighbours {
 		return false // too few to decide
@@ -105,7 +105,7 @@
 		go func() { found <- g.probeOnce(other) }()
 	}
 	for range others {
-		if <-found != Ended {
+		if <-found != Exited {
 			return false
 		}
 	}
@@ -116,7 +116,7 @@
 func (g *Guard) exitedBefore(incarnation string, moment time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.tracker.EndedBefore(incarnation, moment)
+	return g.tracker.ExitedBefore(incarnation, moment)
 }
 
 // metricSet are the metrics of a Guard.
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -19,7 +19,7 @@
 	rng          *rand.Rand
 	now          time.Duration
 	queue        events
-	routers      []*Book
+	routers      []*Tracker
 	isolated     int           // router that receives no updates for modelIsolation
 	isolatedFrom time.Duration // when that starts
 	servers      []*server
@@ -95,7 +95,7 @@
 		crashes: map[string]int{}, thirdCrash: map[string]time.Duration{}, lateRuns: map[string]int{}, wrongHolds: map[string]bool{},
 	}
 	for range routers {
-		m.routers = append(m.routers, NewBook())
+		m.routers = append(m.routers, NewTracker())
 	}
 	for i := range 36 {
 		m.servers = append(m.servers, &server{number: i, domain: i % modelDomains, up: true})
@@ -146,7 +146,7 @@
 
 func (m *fleetModel) send(r *modelRun) {
 	switch tr := m.routers[r.router]; {
-	case tr.Held(r.digest, m.now):
+	case tr.IsQuarantined(r.digest, m.now):
 		if !r.crashesServers() {
 			m.wrongHolds[r.name] = true
 		}
@@ -215,7 +215,7 @@
 	}
 	if suspected, _ := m.routers[r.router].Answered(r.digest, m.now, m.now); suspected {
 		at := m.now
-		m.broadcast(r.router, func(tr *Book) { tr.Answered(r.digest, at, m.now) })
+		m.broadcast(r.router, func(tr *Tracker) { tr.Answered(r.digest, at, m.now) })
 	}
 }
 
@@ -259,7 +259,7 @@
 	m.allCrashes[r.digest][incarnation] = true
 	early := r.firstToken == 0 || m.now-r.firstToken < earlyWindow
 	if !withDomain {
-		c := Crash{Lifetime: incarnation, At: m.now, Began: r.sent, Try: r.submission}
+		c := Crash{Incarnation: incarnation, At: m.now, SentAt: r.sent, Submission: r.submission}
 		m.after(3*time.Millisecond, func() { m.examined(r.router, r.digest, c, early) })
 	}
 	m.after(5*time.Millisecond, func() { m.send(r) })
@@ -268,22 +268,22 @@
 // examined has a router record the cause of a loss and broadcast it.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
-		if m.routers[router].Ended(c.Lifetime, c.At) {
-			m.broadcast(router, func(tr *Book) { tr.Ended(c.Lifetime, c.At) })
+		if m.routers[router].Exited(c.Incarnation, c.At) {
+			m.broadcast(router, func(tr *Tracker) { tr.Exited(c.Incarnation, c.At) })
 		}
 		return
 	}
 	if !m.crashed(m.routers[router], d, c) {
 		return
 	}
-	m.broadcast(router, func(tr *Book) {
-		if at, clears := tr.Covered(d, c.At); !m.crashed(tr, d, c) && clears {
-			m.broadcast(-1, func(tr *Book) { tr.Answered(d, at, m.now) })
+	m.broadcast(router, func(tr *Tracker) {
+		if at, clears := tr.ClearedByAnswer(d, c.At); !m.crashed(tr, d, c) && clears {
+			m.broadcast(-1, func(tr *Tracker) { tr.Answered(d, at, m.now) })
 		}
 	})
 }
 
-func (m *fleetModel) crashed(tr *Book, d Digest, c Crash) bool {
+func (m *fleetModel) crashed(tr *Tracker, d Digest, c Crash) bool {
 	added, pending := tr.Crashed(d, "acc", c, m.now)
 	if pending {
 		m.after(decisionDelay, func() { m.confirm(tr, d) })
@@ -293,21 +293,21 @@
 
 // confirm has a router decide, and pass the decision to the others by a message and through
 // the store.
-func (m *fleetModel) confirm(tr *Book, d Digest) {
+func (m *fleetModel) confirm(tr *Tracker, d Digest) {
 	router := slices.Index(m.routers, tr)
 	quarantined, cleared := tr.Confirm(d, m.now, m.isIsolated(router))
 	if quarantined {
 		to := m.now + HoldTime
-		m.broadcast(router, func(tr *Book) { tr.Hold(d, "acc", to, m.now) })
-		m.writeStore(func(tr *Book) { tr.Hold(d, "acc", to, m.now) })
+		m.broadcast(router, func(tr *Tracker) { tr.Hold(d, "acc", to, m.now) })
+		m.writeStore(func(tr *Tracker) { tr.Hold(d, "acc", to, m.now) })
 	}
 	for _, d := range cleared {
-		m.writeStore(func(tr *Book) { tr.Lift(d, m.now) })
+		m.writeStore(func(tr *Tracker) { tr.Lift(d, m.now) })
 	}
 }
 
 // writeStore has all routers apply a change of the store, once they can reach it.
-func (m *fleetModel) writeStore(apply func(tr *Book)) {
+func (m *fleetModel) writeStore(apply func(tr *Tracker)) {
 	for i, tr := range m.routers {
 		wait := 100*time.Millisecond + time.Duration(m.rng.Int64N(int64(time.Second)))
 		if m.isIsolated(i) {
@@ -330,7 +330,7 @@
 
 // broadcast has the other routers apply an update, each after a delay, sometimes twice and
 // sometimes never.
-func (m *fleetModel) broadcast(from int, apply func(tr *Book)) {
+func (m *fleetModel) broadcast(from int, apply func(tr *Tracker)) {
 	for i, tr := range m.routers {
 		if i == from || m.isIsolated(i) || m.isIsolated(from) || m.rng.IntN(50) == 0 {
 			continue
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -15,8 +15,8 @@
 	"wigeondale/fleet"
 )
 
-// ErrHeld reports that a request is quarantined and was not sent.
-var ErrHeld = Error.New("backend servers crashed under this request")
+// ErrQuarantined reports that a request is quarantined and was not sent.
+var ErrQuarantined = Error.New("backend servers crashed under this request")
 
 // keyBytes is the length of the random key that a router uses until the shared one is set.
 const keyBytes = 32
@@ -24,23 +24,23 @@
 // Config configures a Guard.
 type Config struct {
 	Prober Prober
-	// Lifetime returns the id of the current incarnation of a backend server; nil for the
+	// Incarnation returns the id of the current incarnation of a backend server; nil for the
 	// backend server's id.
-	Lifetime func(b fleet.Backend) string
+	Incarnation func(b fleet.Backend) string
 	// Leaving reports whether a backend server is known to be leaving the fleet.
 	Leaving func(id string) bool
 	// Neighbours returns up to n other backend servers of the same service and failure
 	// domain, those that seem to work first.
 	Neighbours func(b fleet.Backend, n int) []fleet.Backend
-	// CutOff reports whether other routers are known and none of them can be reached; nil for
+	// Isolated reports whether other routers are known and none of them can be reached; nil for
 	// never.
-	CutOff func() bool
-	// Tell sends an update to all other routers; it must not block. With nil nothing is sent.
-	Tell func(News)
+	Isolated func() bool
+	// Broadcast sends an update to all other routers; it must not block. With nil nothing is sent.
+	Broadcast func(Update)
 	// OnHold is called for each request that is newly quarantined, with found true if this
 	// router found it. OnLift is called for each hold that this router ended because it was
 	// wrong or because an operator lifted it. They must not block.
-	OnHold func(h HeldNews, found bool)
+	OnHold func(h HoldUpdate, found bool)
 	OnLift func(d Digest)
 	// Now is a clock that includes suspensions of the machine; nil for the system's clock of
 	// that kind.
@@ -56,17 +56,17 @@
 	if c.Set == nil {
 		c.Set = metrics.NewSet()
 	}
-	if c.Lifetime == nil {
-		c.Lifetime = func(b fleet.Backend) string { return b.ID }
+	if c.Incarnation == nil {
+		c.Incarnation = func(b fleet.Backend) string { return b.ID }
 	}
-	if c.CutOff == nil {
-		c.CutOff = func() bool { return false }
+	if c.Isolated == nil {
+		c.Isolated = func() bool { return false }
 	}
-	if c.Tell == nil {
-		c.Tell = func(News) {}
+	if c.Broadcast == nil {
+		c.Broadcast = func(Update) {}
 	}
 	if c.OnHold == nil {
-		c.OnHold = func(HeldNews, bool) {}
+		c.OnHold = func(HoldUpdate, bool) {}
 	}
 	if c.OnLift == nil {
 		c.OnLift = func(Digest) {}
@@ -84,7 +84,7 @@
 	nonEmpty atomic.Bool
 
 	mu      sync.Mutex
-	tracker *Book
+	tracker *Tracker
 	outbox  outbox
 	// decided is closed and replaced at each decision.
 	decided chan struct{}
@@ -94,11 +94,11 @@
 // key, so that other routers can't match the digests in its updates.
 func NewGuard(cfg Config) *Guard {
 	cfg = cfg.withDefaults()
-	g := &Guard{cfg: cfg, tracker: NewBook(), decided: make(chan struct{})}
+	g := &Guard{cfg: cfg, tracker: NewTracker(), decided: make(chan struct{})}
 	localKey := make([]byte, keyBytes)
 	crand.Read(localKey) // never returns an error: the runtime ends the process instead
 	g.key.Store(&localKey)
-	g.metrics = newMetricSet(cfg.Set, func() float64 { return float64(len(g.Held())) })
+	g.metrics = newMetricSet(cfg.Set, func() float64 { return float64(len(g.Holds())) })
 	return g
 }
 
@@ -109,19 +109,19 @@
 		return
 	}
 	g.key.Store(&key)
-	g.withTracker(func(t *Book, _ time.Duration) { t.ForgetCrashes() })
+	g.withTracker(func(t *Tracker, _ time.Duration) { t.ForgetCrashes() })
 }
 
-// Follow starts to track one submission of a request.
-func (g *Guard) Follow(s Subject) *Case {
+// Track starts to track one submission of a request.
+func (g *Guard) Track(s Subject) *Submission {
 	if g == nil {
 		return nil
 	}
-	return &Case{guard: g, digest: s.digest(*g.key.Load()), account: s.Account, submission: rand.Uint64()}
+	return &Submission{guard: g, digest: s.digest(*g.key.Load()), account: s.Account, submission: rand.Uint64()}
 }
 
 // withTracker runs f on the tracker, after dropping entries that have expired.
-func (g *Guard) withTracker(f func(t *Book, now time.Duration)) {
+func (g *Guard) withTracker(f func(t *Tracker, now time.Duration)) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,13 +134,13 @@
 func (g *Guard) crashed(d Digest, account string, c Crash) (added bool) {
 	var pending bool
 	var crashes int
-	g.withTracker(func(t *Book, now time.Duration) {
+	g.withTracker(func(t *Tracker, now time.Duration) {
 		if added, pending = t.Crashed(d, account, c, now); added {
-			crashes = t.Crashes(d)
+			crashes = t.CrashCount(d)
 		}
 	})
 	if added {
-		g.cfg.Log.Emit(event.CrashCounted, "digest", d.String(), "account", account, "backend", c.Lifetime,
+		g.cfg.Log.Emit(event.CrashCounted, "digest", d.String(), "account", account, "backend", c.Incarnation,
 			"from", c.From, "crashes", crashes, "pending", pending)
 	}
 	if pending {
@@ -154,10 +154,10 @@
 func (g *Guard) confirm(d Digest, foundHere bool) {
 	var quarantined bool
 	var cleared []Digest
-	var hold HeldNews
+	var hold HoldUpdate
 	var report Report
-	isolated := g.cfg.CutOff()
-	g.withTracker(func(t *Book, now time.Duration) {
+	isolated := g.cfg.Isolated()
+	g.withTracker(func(t *Tracker, now time.Duration) {
 		if quarantined, cleared = t.Confirm(d, now, isolated); quarantined {
 			hold, _ = t.HoldOf(d, now)
 			report = t.Report(d, now)
@@ -179,7 +179,7 @@
 func (g *Guard) decision(d Digest) (quarantined bool, decided <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.tracker.Held(d, g.cfg.Now()) {
+	if g.tracker.IsQuarantined(d, g.cfg.Now()) {
 		return true, nil
 	}
 	if g.tracker.Pending(d) {
@@ -198,9 +198,9 @@
 
 // announce calls OnHold for a newly quarantined request, and broadcasts the hold if it was
 // found here.
-func (g *Guard) announce(n HeldNews, foundHere bool) {
+func (g *Guard) announce(n HoldUpdate, foundHere bool) {
 	if foundHere {
-		g.broadcast(News{Held: []HeldNews{n}})
+		g.broadcast(Update{Holds: []HoldUpdate{n}})
 	}
 	g.cfg.OnHold(n, foundHere)
 }
@@ -208,7 +208,7 @@
 // answered records an answer to a request.
 func (g *Guard) answered(d Digest, at time.Duration) {
 	var suspected, lifted bool
-	g.withTracker(func(t *Book, now time.Duration) { suspected, lifted = t.Answered(d, at, now) })
+	g.withTracker(func(t *Tracker, now time.Duration) { suspected, lifted = t.Answered(d, at, now) })
 	if suspected {
 		g.cfg.Log.Emit(event.RequestCleared, "digest", d.String(), "was_held", lifted)
 	}
@@ -216,29 +216,29 @@
 		g.cfg.OnLift(d)
 	}
 	if suspected {
-		g.broadcast(News{Answered: []AnswerNews{{d, (g.cfg.Now() - at).Milliseconds()}}})
+		g.broadcast(Update{Answers: []AnswerUpdate{{d, (g.cfg.Now() - at).Milliseconds()}}})
 	}
 }
 
-// Hear applies an update from another router.
-func (g *Guard) Hear(from string, n News) {
+// HandleUpdate applies an update from another router.
+func (g *Guard) HandleUpdate(from string, n Update) {
 	now := g.cfg.Now()
 	ago := func(ms int64) time.Duration { return now - time.Duration(ms)*time.Millisecond }
 	for _, c := range n.Crashes {
 		if !g.crashed(c.Digest, c.Account, Crash{
-			Lifetime: c.Lifetime, At: ago(c.AgeMS), Began: ago(c.AgeMS + c.RanMS), Try: c.Try, From: from,
+			Incarnation: c.Incarnation, At: ago(c.AgeMS), SentAt: ago(c.AgeMS + c.RanMS), Submission: c.Submission, From: from,
 		}) {
 			g.broadcastAnswer(c)
 		}
 	}
-	for _, e := range n.Ended {
-		g.withTracker(func(t *Book, _ time.Duration) { t.Ended(e.Lifetime, ago(e.AgeMS)) })
+	for _, e := range n.Exits {
+		g.withTracker(func(t *Tracker, _ time.Duration) { t.Exited(e.Incarnation, ago(e.AgeMS)) })
 	}
-	for _, h := range n.Held {
+	for _, h := range n.Holds {
 		g.Hold(h, from)
 	}
-	for _, a := range n.Answered {
-		g.withTracker(func(t *Book, now time.Duration) { t.Answered(a.Digest, ago(a.AgeMS), now) })
+	for _, a := range n.Answers {
+		g.withTracker(func(t *Tracker, now time.Duration) { t.Answered(a.Digest, ago(a.AgeMS), now) })
 	}
 	for _, d := range n.Lifted {
 		g.liftLocally(d, from)
@@ -247,28 +247,28 @@
 
 // broadcastAnswer reports to the other routers that a request which one of them suspects was
 // answered here.
-func (g *Guard) broadcastAnswer(c CrashNews) {
+func (g *Guard) broadcastAnswer(c CrashUpdate) {
 	var age time.Duration
 	var clears bool
-	g.withTracker(func(t *Book, now time.Duration) {
+	g.withTracker(func(t *Tracker, now time.Duration) {
 		var answered time.Duration
-		answered, clears = t.Covered(c.Digest, now-time.Duration(c.AgeMS)*time.Millisecond)
+		answered, clears = t.ClearedByAnswer(c.Digest, now-time.Duration(c.AgeMS)*time.Millisecond)
 		age = now - answered
 	})
 	if clears {
-		g.broadcast(News{Answered: []AnswerNews{{c.Digest, age.Milliseconds()}}})
+		g.broadcast(Update{Answers: []AnswerUpdate{{c.Digest, age.Milliseconds()}}})
 	}
 }
 
 // Hold quarantines a request that another router, or an earlier incarnation of this one, has
 // quarantined.
-func (g *Guard) Hold(h HeldNews, from string) {
+func (g *Guard) Hold(h HoldUpdate, from string) {
 	var added bool
-	g.withTracker(func(t *Book, now time.Duration) {
-		added = t.Hold(h.Digest, h.Account, now+time.Duration(h.LeftMS)*time.Millisecond, now)
+	g.withTracker(func(t *Tracker, now time.Duration) {
+		added = t.Hold(h.Digest, h.Account, now+time.Duration(h.RemainingMS)*time.Millisecond, now)
 	})
 	if added {
-		g.cfg.Log.Emit(event.RequestHeld, "digest", h.Digest.String(), "account", h.Account, "from", from, "left_ms", h.LeftMS)
+		g.cfg.Log.Emit(event.RequestHeld, "digest", h.Digest.String(), "account", h.Account, "from", from, "left_ms", h.RemainingMS)
 		g.announce(h, false)
 	}
 }
@@ -277,50 +277,50 @@
 func (g *Guard) Lift(d Digest, by string) (wasQuarantined bool) {
 	wasQuarantined = g.liftLocally(d, by)
 	g.cfg.OnLift(d)
-	g.broadcast(News{Lifted: []Digest{d}})
+	g.broadcast(Update{Lifted: []Digest{d}})
 	return wasQuarantined
 }
 
 // liftLocally ends the hold of a request at this router.
 func (g *Guard) liftLocally(d Digest, by string) (wasQuarantined bool) {
-	g.withTracker(func(t *Book, now time.Duration) { wasQuarantined = t.Lift(d, now) })
+	g.withTracker(func(t *Tracker, now time.Duration) { wasQuarantined = t.Lift(d, now) })
 	if wasQuarantined {
 		g.cfg.Log.Emit(event.RequestLifted, "digest", d.String(), "by", by)
 	}
 	return wasQuarantined
 }
 
-// RecordGone ends the hold of a request at this router, because the record in the store that
+// RecordRemoved ends the hold of a request at this router, because the record in the store that
 // all routers share was removed.
-func (g *Guard) RecordGone(d Digest) { g.liftLocally(d, "record") }
+func (g *Guard) RecordRemoved(d Digest) { g.liftLocally(d, "record") }
 
-// Held lists the holds of all quarantined requests.
-func (g *Guard) Held() (out []HeldNews) {
-	g.withTracker(func(t *Book, now time.Duration) { out = t.Holds(now) })
+// Holds lists the holds of all quarantined requests.
+func (g *Guard) Holds() (out []HoldUpdate) {
+	g.withTracker(func(t *Tracker, now time.Duration) { out = t.Holds(now) })
 	return out
 }
 
 // HoldOf returns the hold of a request, and false if it isn't quarantined.
-func (g *Guard) HoldOf(d Digest) (hold HeldNews, quarantined bool) {
-	g.withTracker(func(t *Book, now time.Duration) { hold, quarantined = t.HoldOf(d, now) })
+func (g *Guard) HoldOf(d Digest) (hold HoldUpdate, quarantined bool) {
+	g.withTracker(func(t *Tracker, now time.Duration) { hold, quarantined = t.HoldOf(d, now) })
 	return hold, quarantined
 }
 
-// Repeat broadcasts the hold of a request once more.
-func (g *Guard) Repeat(d Digest) {
+// RebroadcastHold broadcasts the hold of a request once more.
+func (g *Guard) RebroadcastHold(d Digest) {
 	if hold, quarantined := g.HoldOf(d); quarantined {
-		g.broadcast(News{Held: []HeldNews{hold}})
+		g.broadcast(Update{Holds: []HoldUpdate{hold}})
 	}
 }
 
 // List returns what is recorded of all suspected requests, for operators.
 func (g *Guard) List() (out []Report) {
-	g.withTracker(func(t *Book, now time.Duration) { out = t.List(now) })
+	g.withTracker(func(t *Tracker, now time.Duration) { out = t.List(now) })
 	return out
 }
 
 // broadcast sends an update to the other routers, together with others of the next milliseconds.
-func (g *Guard) broadcast(n News) {
+func (g *Guard) broadcast(n Update) {
 	g.mu.Lock()
 	wait, arm, kept := g.outbox.put(n, g.cfg.Now())
 	g.mu.Unlock()
@@ -336,5 +336,5 @@
 	g.mu.Lock()
 	n := g.outbox.take()
 	g.mu.Unlock()
-	g.cfg.Tell(n)
+	g.cfg.Broadcast(n)
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -24,7 +24,7 @@
 const (
 	Unreachable State = iota // no answer: can't be distinguished from a broken network
 	Working                  // the same incarnation still answers
-	Ended                    // nothing listens at its address, or another incarnation does
+	Exited                   // nothing listens at its address, or another incarnation does
 )
 
 // String returns the name of the state in logs.
@@ -32,7 +32,7 @@
 	switch s {
 	case Working:
 		return "working"
-	case Ended:
+	case Exited:
 		return "ended"
 	}
 	return "unreachable"
@@ -40,5 +40,5 @@
 
 // Prober probes backend servers.
 type Prober interface {
-	Look(ctx context.Context, b fleet.Backend) State
+	Probe(ctx context.Context, b fleet.Backend) State
 }
--- a/quarantine/case.go
+++ b/quarantine/submission.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Case is one submission of a request by a client; the client's repeats are further ones. The
+// Submission is one submission of a request by a client; the client's repeats are further ones. The
 // router may send it to several backend servers, one after the other. A nil one belongs to a
 // request that isn't tracked.
-type Case struct {
+type Submission struct {
 	guard      *Guard
 	digest     Digest
 	account    string
 	submission uint64 // random id that tells the submissions of one request apart
 }
 
-// Name returns the digest of the request as text, empty if it isn't tracked.
-func (s *Case) Name() string {
+// DigestString returns the digest of the request as text, empty if it isn't tracked.
+func (s *Submission) DigestString() string {
 	if s == nil {
 		return ""
 	}
@@ -25,7 +25,7 @@
 
 // Refusal returns why the request must not be sent now, nil if it may. While a decision about
 // the request is due it waits for that.
-func (s *Case) Refusal(ctx context.Context) error {
+func (s *Submission) Refusal(ctx context.Context) error {
 	if s == nil || !s.guard.nonEmpty.Load() {
 		return nil
 	}
@@ -34,7 +34,7 @@
 		switch {
 		case quarantined:
 			s.guard.metrics.refused.Inc()
-			return ErrHeld
+			return ErrQuarantined
 		case decided == nil:
 			return nil
 		}
@@ -47,7 +47,7 @@
 }
 
 // Suspected reports whether one more crash may be enough to quarantine the request.
-func (s *Case) Suspected() bool {
+func (s *Submission) Suspected() bool {
 	if s == nil || !s.guard.nonEmpty.Load() {
 		return false
 	}
@@ -58,13 +58,13 @@
 
 // Lost records that an attempt was lost. It finds out in the background whether the backend
 // server has crashed, and closes the channel when that is known.
-func (s *Case) Lost(l Loss) (examined <-chan struct{}) {
+func (s *Submission) Lost(l Loss) (examined <-chan struct{}) {
 	done := make(chan struct{})
 	if s == nil || s.guard.cfg.Leaving(l.Backend.ID) {
 		close(done)
 		return done
 	}
-	l.incarnation, l.at = s.guard.cfg.Lifetime(l.Backend), s.guard.cfg.Now()
+	l.incarnation, l.at = s.guard.cfg.Incarnation(l.Backend), s.guard.cfg.Now()
 	go func() {
 		defer close(done)
 		s.guard.examine(s, l)
@@ -76,9 +76,9 @@
 // server that crashed refuses connections at once.
 const maxLossWait = 250 * time.Millisecond
 
-// Await delays a request that may have crashed its backend servers until it is known whether
+// AwaitExamination delays a request that may have crashed its backend servers until it is known whether
 // the latest one crashed too, before the request is sent on. Other requests don't wait.
-func (s *Case) Await(ctx context.Context, examined <-chan struct{}) {
+func (s *Submission) AwaitExamination(ctx context.Context, examined <-chan struct{}) {
 	if examined == nil || !s.Suspected() {
 		return
 	}
@@ -91,13 +91,13 @@
 	}
 }
 
-// Outlived reports whether a run has lasted long enough past its first token or chunk to show
+// PastEarlyWindow reports whether a run has lasted long enough past its first token or chunk to show
 // that the request doesn't crash its backend server.
-func Outlived(sinceFirst time.Duration) bool { return sinceFirst >= earlyWindow }
+func PastEarlyWindow(sinceFirst time.Duration) bool { return sinceFirst >= earlyWindow }
 
 // Answered records that the request was answered completely, or that a run has lasted longer
 // than earlyWindow.
-func (s *Case) Answered() {
+func (s *Submission) Answered() {
 	if s != nil {
 		s.guard.answered(s.digest, s.guard.cfg.Now())
 	}
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -11,11 +11,11 @@
 
 // Crash is the exit of a backend server on its own while it ran a request.
 type Crash struct {
-	Lifetime string        // of the backend server
-	At       time.Duration // on the clock that is passed to the tracker
-	Began    time.Duration // when the request was sent there
-	Try      uint64        // id of the client's submission, which may reach several backend servers
-	From     string        // router that reported it, empty for this one
+	Incarnation string        // of the backend server
+	At          time.Duration // on the clock that is passed to the tracker
+	SentAt      time.Duration // when the request was sent there
+	Submission  uint64        // id of the client's submission, which may reach several backend servers
+	From        string        // router that reported it, empty for this one
 }
 
 // suspect is one suspected request.
@@ -30,7 +30,7 @@
 }
 
 func (s *suspect) crashedAt(incarnation string) bool {
-	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Lifetime == incarnation })
+	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Incarnation == incarnation })
 }
 
 // Report describes one suspected request to operators.
@@ -53,7 +53,7 @@
 func (s *suspect) report(now time.Duration) Report {
 	out := Report{Digest: s.digest.String(), Account: s.account, HeldForMS: max(s.holdUntil-now, 0).Milliseconds()}
 	for _, c := range s.crashes {
-		out.Crashes = append(out.Crashes, ReportedCrash{c.Lifetime, (now - c.At).Milliseconds(), c.From})
+		out.Crashes = append(out.Crashes, ReportedCrash{c.Incarnation, (now - c.At).Milliseconds(), c.From})
 	}
 	return out
 }
@@ -69,7 +69,7 @@
 
 // weakest returns the suspect with the least evidence against it, of equal ones the least
 // recently updated.
-func (t *Book) weakest(now time.Duration, among func(*suspect) bool) *suspect {
+func (t *Tracker) weakest(now time.Duration, among func(*suspect) bool) *suspect {
 	var least *suspect
 	for _, s := range t.suspects {
 		if among(s) && (least == nil || weaker(s, least, now)) {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -47,7 +47,7 @@
 	maxExits = 1024
 )
 
-// Book decides which requests are quarantined. Its decisions depend only on the reports and
+// Tracker decides which requests are quarantined. Its decisions depend only on the reports and
 // the clock readings that are passed in. It isn't safe for concurrent use.
 //
 // A plain count of crashes would quarantine harmless requests: a crash ends all runs at the
@@ -56,7 +56,7 @@
 // backend server exited early in the run, if no other backend servers without this request
 // exited at the same moment, if the same request was not answered since or just before, and
 // if no request that is already quarantined was running there too.
-type Book struct {
+type Tracker struct {
 	suspects        map[Digest]*suspect
 	countByAccount  map[string]int
 	suspectsByCrash map[string][]Digest // by incarnation, the requests that its crash counts against
@@ -64,31 +64,31 @@
 	answers         *answerTimes
 }
 
-// NewBook returns an empty tracker.
-func NewBook() *Book {
-	return &Book{suspects: map[Digest]*suspect{}, countByAccount: map[string]int{}, suspectsByCrash: map[string][]Digest{}, answers: newAnswerTimes(maxAnswers),
+// NewTracker returns an empty tracker.
+func NewTracker() *Tracker {
+	return &Tracker{suspects: map[Digest]*suspect{}, countByAccount: map[string]int{}, suspectsByCrash: map[string][]Digest{}, answers: newAnswerTimes(maxAnswers),
 		exits: exitTimes{at: map[string]time.Duration{}}}
 }
 
 // Empty reports whether no request is suspected.
-func (t *Book) Empty() bool { return len(t.suspects) == 0 }
+func (t *Tracker) Empty() bool { return len(t.suspects) == 0 }
 
-// Ended records that a backend server exited on its own, not with its failure domain, whatever
+// Exited records that a backend server exited on its own, not with its failure domain, whatever
 // was running there. added is false if that was known.
-func (t *Book) Ended(incarnation string, at time.Duration) (added bool) {
+func (t *Tracker) Exited(incarnation string, at time.Duration) (added bool) {
 	return t.exits.add(incarnation, at)
 }
 
 // Crashed records that a backend server crashed early in the run of a request. added is false
 // if the crash was known or doesn't count. If pending is true, the caller must call Confirm
 // after decisionDelay.
-func (t *Book) Crashed(d Digest, account string, c Crash, now time.Duration) (added, pending bool) {
-	t.Ended(c.Lifetime, c.At)
-	if _, clears := t.Covered(d, c.At); clears || now-c.At >= crashTTL {
+func (t *Tracker) Crashed(d Digest, account string, c Crash, now time.Duration) (added, pending bool) {
+	t.Exited(c.Incarnation, c.At)
+	if _, clears := t.ClearedByAnswer(d, c.At); clears || now-c.At >= crashTTL {
 		return false, false
 	}
 	s := t.suspect(d, account, now)
-	if s.crashedAt(c.Lifetime) {
+	if s.crashedAt(c.Incarnation) {
 		return false, false
 	}
 	t.addCrash(s, c)
@@ -104,7 +104,7 @@
 // crashes to it. An isolated router knows few of the other exits, so it requires
 // conclusiveCrashes. cleared lists requests that were quarantined until now, and that the
 // crashes of this one show to have only run alongside it.
-func (t *Book) Confirm(d Digest, now time.Duration, isolated bool) (quarantined bool, cleared []Digest) {
+func (t *Tracker) Confirm(d Digest, now time.Duration, isolated bool) (quarantined bool, cleared []Digest) {
 	s := t.suspects[d]
 	if s == nil || !s.pending {
 		return false, nil
@@ -118,26 +118,26 @@
 }
 
 // Pending reports whether a decision about the request is due.
-func (t *Book) Pending(d Digest) bool {
+func (t *Tracker) Pending(d Digest) bool {
 	s := t.suspects[d]
 	return s != nil && s.pending
 }
 
 // addCrash adds a crash to the record of s.
-func (t *Book) addCrash(s *suspect, c Crash) {
+func (t *Tracker) addCrash(s *suspect, c Crash) {
 	if len(s.crashes) >= maxCrashesPerSuspect {
-		t.unindex(s, s.crashes[0].Lifetime)
+		t.unindex(s, s.crashes[0].Incarnation)
 		s.crashes = slices.Delete(s.crashes, 0, 1)
 	}
 	s.crashes = append(s.crashes, c)
 	slices.SortStableFunc(s.crashes, func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
-	t.suspectsByCrash[c.Lifetime] = append(t.suspectsByCrash[c.Lifetime], s.digest)
+	t.suspectsByCrash[c.Incarnation] = append(t.suspectsByCrash[c.Incarnation], s.digest)
 }
 
 // Answered records that the request was answered. Crashes from before the answer, or up to
 // answerGrace after it, are dropped; later ones stay. suspected reports whether anything was
 // dropped, and lifted whether the request was quarantined until now.
-func (t *Book) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
+func (t *Tracker) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
 	t.answers.add(d, at)
 	s := t.suspects[d]
 	if s == nil {
@@ -145,8 +145,8 @@
 	}
 	for _, c := range slices.Clone(s.crashes) {
 		if c.At < at+answerGrace {
-			t.unindex(s, c.Lifetime)
-			s.crashes = slices.DeleteFunc(s.crashes, func(one Crash) bool { return one.Lifetime == c.Lifetime })
+			t.unindex(s, c.Incarnation)
+			s.crashes = slices.DeleteFunc(s.crashes, func(one Crash) bool { return one.Incarnation == c.Incarnation })
 			suspected = true
 		}
 	}
@@ -158,15 +158,15 @@
 	return true, lifted
 }
 
-// Covered reports whether an answer of the request rules out that it caused a crash at the
+// ClearedByAnswer reports whether an answer of the request rules out that it caused a crash at the
 // given time, and when the answer was given.
-func (t *Book) Covered(d Digest, crash time.Duration) (answered time.Duration, clears bool) {
+func (t *Tracker) ClearedByAnswer(d Digest, crash time.Duration) (answered time.Duration, clears bool) {
 	answered, ok := t.answers.at(d)
 	return answered, ok && crash < answered+answerGrace
 }
 
 // Hold quarantines a request that another router has quarantined, until the time to.
-func (t *Book) Hold(d Digest, account string, to, now time.Duration) (added bool) {
+func (t *Tracker) Hold(d Digest, account string, to, now time.Duration) (added bool) {
 	if to <= now {
 		return false
 	}
@@ -181,7 +181,7 @@
 
 // Lift ends the hold of a request. Its crashes are kept, so that fewer more are needed to
 // quarantine it again.
-func (t *Book) Lift(d Digest, now time.Duration) (wasQuarantined bool) {
+func (t *Tracker) Lift(d Digest, now time.Duration) (wasQuarantined bool) {
 	s := t.suspects[d]
 	if s == nil {
 		return false
@@ -194,7 +194,7 @@
 }
 
 // ForgetCrashes drops all requests that are suspected because of crashes.
-func (t *Book) ForgetCrashes() {
+func (t *Tracker) ForgetCrashes() {
 	for _, s := range t.suspects {
 		if len(s.crashes) > 0 {
 			t.drop(s)
@@ -202,44 +202,44 @@
 	}
 }
 
-// Held reports whether a request is quarantined.
-func (t *Book) Held(d Digest, now time.Duration) bool {
+// IsQuarantined reports whether a request is quarantined.
+func (t *Tracker) IsQuarantined(d Digest, now time.Duration) bool {
 	s := t.suspects[d]
 	return s != nil && s.holdUntil > now
 }
 
 // Suspected reports whether one more crash may be enough to quarantine the request.
-func (t *Book) Suspected(d Digest, now time.Duration) bool {
+func (t *Tracker) Suspected(d Digest, now time.Duration) bool {
 	s := t.suspects[d]
 	return s != nil && len(t.countedCrashes(s, now)) >= minCrashes-1
 }
 
-// Crashes returns how many crashes under a request are recorded.
-func (t *Book) Crashes(d Digest) int {
+// CrashCount returns how many crashes under a request are recorded.
+func (t *Tracker) CrashCount(d Digest) int {
 	if s := t.suspects[d]; s != nil {
 		return len(s.crashes)
 	}
 	return 0
 }
 
-// EndedBefore reports whether an incarnation is known to have exited on its own before
+// ExitedBefore reports whether an incarnation is known to have exited on its own before
 // moment.
-func (t *Book) EndedBefore(incarnation string, moment time.Duration) bool {
+func (t *Tracker) ExitedBefore(incarnation string, moment time.Duration) bool {
 	at, known := t.exits.at[incarnation]
 	return known && at < moment
 }
 
 // HoldOf returns the hold of a request, and false if it isn't quarantined.
-func (t *Book) HoldOf(d Digest, now time.Duration) (hold HeldNews, quarantined bool) {
+func (t *Tracker) HoldOf(d Digest, now time.Duration) (hold HoldUpdate, quarantined bool) {
 	s := t.suspects[d]
 	if s == nil || s.holdUntil <= now {
-		return HeldNews{}, false
+		return HoldUpdate{}, false
 	}
-	return HeldNews{d, s.account, (s.holdUntil - now).Milliseconds()}, true
+	return HoldUpdate{d, s.account, (s.holdUntil - now).Milliseconds()}, true
 }
 
 // Holds lists the holds of all quarantined requests.
-func (t *Book) Holds(now time.Duration) (out []HeldNews) {
+func (t *Tracker) Holds(now time.Duration) (out []HoldUpdate) {
 	for d := range t.suspects {
 		if hold, quarantined := t.HoldOf(d, now); quarantined {
 			out = append(out, hold)
@@ -249,7 +249,7 @@
 }
 
 // Report returns what is recorded of one request, for operators.
-func (t *Book) Report(d Digest, now time.Duration) Report {
+func (t *Tracker) Report(d Digest, now time.Duration) Report {
 	if s := t.suspects[d]; s != nil {
 		return s.report(now)
 	}
@@ -257,7 +257,7 @@
 }
 
 // List returns what is recorded of all suspected requests, for operators.
-func (t *Book) List(now time.Duration) []Report {
+func (t *Tracker) List(now time.Duration) []Report {
 	out := make([]Report, 0, len(t.suspects))
 	for _, s := range t.suspects {
 		out = append(out, s.report(now))
@@ -269,7 +269,7 @@
 }
 
 // Expire drops requests that are no longer quarantined and whose crashes have expired.
-func (t *Book) Expire(now time.Duration) {
+func (t *Tracker) Expire(now time.Duration) {
 	for _, s := range t.suspects {
 		if s.holdUntil <= now && now-s.updatedAt >= crashTTL {
 			t.drop(s)
@@ -278,7 +278,7 @@
 }
 
 // suspect returns the entry of a request, a new one if there is none.
-func (t *Book) suspect(d Digest, account string, now time.Duration) *suspect {
+func (t *Tracker) suspect(d Digest, account string, now time.Duration) *suspect {
 	if s := t.suspects[d]; s != nil {
 		return s
 	}
@@ -293,9 +293,9 @@
 	return s
 }
 
-func (t *Book) drop(s *suspect) {
+func (t *Tracker) drop(s *suspect) {
 	for _, c := range s.crashes {
-		t.unindex(s, c.Lifetime)
+		t.unindex(s, c.Incarnation)
 	}
 	delete(t.suspects, s.digest)
 	if t.countByAccount[s.account]--; t.countByAccount[s.account] == 0 {
@@ -304,7 +304,7 @@
 }
 
 // unindex removes s from the requests that a crash counts against.
-func (t *Book) unindex(s *suspect, incarnation string) {
+func (t *Tracker) unindex(s *suspect, incarnation string) {
 	remaining := slices.DeleteFunc(t.suspectsByCrash[incarnation], func(d Digest) bool { return d == s.digest })
 	if len(remaining) == 0 {
 		delete(t.suspectsByCrash, incarnation)
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -13,22 +13,22 @@
 
 // crash records the crash of a backend server under a request, and reports whether the request
 // is quarantined.
-func crash(tr *Book, request, incarnation string, at time.Duration) bool {
-	if _, pending := tr.Crashed(digestOf(request), "acc", Crash{Lifetime: incarnation, At: at, Began: at, Try: 1}, at); pending {
+func crash(tr *Tracker, request, incarnation string, at time.Duration) bool {
+	if _, pending := tr.Crashed(digestOf(request), "acc", Crash{Incarnation: incarnation, At: at, SentAt: at, Submission: 1}, at); pending {
 		tr.Confirm(digestOf(request), at+decisionDelay, false)
 	}
-	return tr.Held(digestOf(request), at+decisionDelay)
+	return tr.IsQuarantined(digestOf(request), at+decisionDelay)
 }
 
 // Guards against: a request is not quarantined after the third crash under it.
 func TestThirdCrashHoldsARequestBack(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	for i, want := range []bool{false, false, true} {
 		if got := crash(tr, "bad", fmt.Sprint("e", i), time.Duration(i)*time.Second); got != want {
 			t.Fatalf("after %d crashes: quarantined is %v", i+1, got)
 		}
 	}
-	if tr.Held(digestOf("bad"), 2*time.Second+decisionDelay+HoldTime) {
+	if tr.IsQuarantined(digestOf("bad"), 2*time.Second+decisionDelay+HoldTime) {
 		t.Error("quarantined for ever")
 	}
 }
@@ -36,7 +36,7 @@
 // Guards against: reports of a crash that arrive twice, from several routers or out of order,
 // count twice.
 func TestOneCrashCountsOnce(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	for _, at := range []time.Duration{3, 1, 2, 1, 9} {
 		if crash(tr, "good", "e0", at*time.Second) {
 			t.Fatal("quarantined for one crash")
@@ -47,7 +47,7 @@
 // Guards against: a request that many clients send is quarantined while backend servers crash
 // for other reasons.
 func TestAnswersClearARequest(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	d := digestOf("hot")
 	tr.Answered(d, 0, 0)
 	for i := range 5 {
@@ -65,7 +65,7 @@
 	if !crash(tr, "hot", "e5", 2*time.Minute) {
 		t.Fatal("three crashes without an answer don't count")
 	}
-	if _, lifted := tr.Answered(d, 2*time.Minute+time.Second, 2*time.Minute+time.Second); !lifted || tr.Held(d, 3*time.Minute) {
+	if _, lifted := tr.Answered(d, 2*time.Minute+time.Second, 2*time.Minute+time.Second); !lifted || tr.IsQuarantined(d, 3*time.Minute) {
 		t.Error("a later answer doesn't lift the hold")
 	}
 }
@@ -73,22 +73,22 @@
 // Guards against: a request that was answered long ago, or for which the report of such an
 // answer arrives late, can never be quarantined.
 func TestOldAnswersClearNothing(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	d := digestOf("bad")
 	tr.Answered(d, 0, 0)
 	for i := range 3 {
 		crash(tr, "bad", fmt.Sprint("e", i), answerGrace+time.Duration(i)*time.Second)
 	}
 	now := answerGrace + 3*time.Second
-	if tr.Answered(d, time.Second, now); !tr.Held(d, now) {
+	if tr.Answered(d, time.Second, now); !tr.IsQuarantined(d, now) {
 		t.Error("an answer from before the crashes lifts the hold")
 	}
 	other := digestOf("told")
 	tr.Hold(other, "acc", now+time.Minute, now)
-	if tr.Answered(other, now-time.Second, now); !tr.Held(other, now) {
+	if tr.Answered(other, now-time.Second, now); !tr.IsQuarantined(other, now) {
 		t.Error("an answer from before the hold lifts it")
 	}
-	if tr.Answered(other, now+time.Second, now+time.Second); tr.Held(other, now+time.Second) {
+	if tr.Answered(other, now+time.Second, now+time.Second); tr.IsQuarantined(other, now+time.Second) {
 		t.Error("a later answer doesn't lift it")
 	}
 }
@@ -96,7 +96,7 @@
 // Guards against: a request that ran alongside the one that causes the crashes is quarantined
 // for them.
 func TestCrashIsHeldAgainstOneRequest(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	for i := range 3 {
 		crash(tr, "bad", fmt.Sprint("e", i), time.Second)
 	}
@@ -108,7 +108,7 @@
 	for i := range 3 {
 		crash(tr, "beside", fmt.Sprint("other", i), 2*time.Second)
 	}
-	if !tr.Held(digestOf("beside"), 2*time.Second) {
+	if !tr.IsQuarantined(digestOf("beside"), 2*time.Second) {
 		t.Error("a request that ran alongside a quarantined one can never be quarantined itself")
 	}
 }
@@ -117,19 +117,19 @@
 // quarantined, whichever was reported first.
 func TestTwinsAreToldApartByTheNextCrashes(t *testing.T) {
 	for _, order := range [][]string{{"bad", "beside"}, {"beside", "bad"}} {
-		tr := NewBook()
+		tr := NewTracker()
 		for i := range 3 {
 			for _, name := range order {
 				crash(tr, name, fmt.Sprint("e", i), time.Second)
 			}
 		}
 		n := 3
-		for ; n < 6 && !tr.Held(digestOf("bad"), time.Second); n++ {
+		for ; n < 6 && !tr.IsQuarantined(digestOf("bad"), time.Second); n++ {
 			crash(tr, "bad", fmt.Sprint("e", n), time.Second)
 		}
-		if !tr.Held(digestOf("bad"), time.Second) || tr.Held(digestOf("beside"), time.Second) {
+		if !tr.IsQuarantined(digestOf("bad"), time.Second) || tr.IsQuarantined(digestOf("beside"), time.Second) {
 			t.Errorf("%v: after %d crashes quarantined are bad %v, beside %v", order, n,
-				tr.Held(digestOf("bad"), time.Second), tr.Held(digestOf("beside"), time.Second))
+				tr.IsQuarantined(digestOf("bad"), time.Second), tr.IsQuarantined(digestOf("beside"), time.Second))
 		}
 	}
 }
@@ -137,13 +137,13 @@
 // Guards against: one client account fills the table, so that crashes under the requests of
 // other accounts are forgotten.
 func TestOneAccountCannotFillTheTable(t *testing.T) {
-	tr := NewBook()
+	tr := NewTracker()
 	crash(tr, "bad", "e0", 0)
 	crash(tr, "bad", "e1", 0)
 	other := digestOf("of another account")
-	tr.Crashed(other, "another", Crash{Lifetime: "x"}, 0)
+	tr.Crashed(other, "another", Crash{Incarnation: "x"}, 0)
 	for i := range 10 * maxSuspectsPerAccount {
-		tr.Crashed(digestOf(fmt.Sprint("flood", i)), "acc", Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+		tr.Crashed(digestOf(fmt.Sprint("flood", i)), "acc", Crash{Incarnation: fmt.Sprint("f", i), At: time.Second}, time.Second)
 	}
 	if tr.countByAccount["acc"] > maxSuspectsPerAccount || tr.suspects[other] == nil {
 		t.Errorf("%d entries of one account, the other's is kept: %v", tr.countByAccount["acc"], tr.suspects[other] != nil)
@@ -152,10 +152,10 @@
 		t.Error("a request with two crashes was evicted before requests with one")
 	}
 	for i := range 2 * maxSuspects {
-		tr.Crashed(digestOf(fmt.Sprint("flood", i)), fmt.Sprint("a", i), Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+		tr.Crashed(digestOf(fmt.Sprint("flood", i)), fmt.Sprint("a", i), Crash{Incarnation: fmt.Sprint("f", i), At: time.Second}, time.Second)
 	}
-	if len(tr.suspects) > maxSuspects || !tr.Held(digestOf("bad"), 3*backgroundWindow) {
-		t.Errorf("%d entries, the quarantined one is kept: %v", len(tr.suspects), tr.Held(digestOf("bad"), 3*backgroundWindow))
+	if len(tr.suspects) > maxSuspects || !tr.IsQuarantined(digestOf("bad"), 3*backgroundWindow) {
+		t.Errorf("%d entries, the quarantined one is kept: %v", len(tr.suspects), tr.IsQuarantined(digestOf("bad"), 3*backgroundWindow))
 	}
 	tr.Expire(2 * HoldTime)
 	if !tr.Empty() || len(tr.suspectsByCrash) > 0 || len(tr.countByAccount) > 0 {
@@ -184,7 +184,7 @@
 func BenchmarkRefusalWithNothingSuspected(b *testing.B) {
 	g := NewGuard(Config{})
 	g.SetKey([]byte("key"))
-	c := g.Follow(Subject{Account: "acc", Body: make([]byte, 4096)})
+	c := g.Track(Subject{Account: "acc", Body: make([]byte, 4096)})
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Refusal(b.Context()) != nil {
@@ -199,6 +199,6 @@
 	body := make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Follow(Subject{Account: "acc", Target: "/draft/x", Body: body})
+		g.Track(Subject{Account: "acc", Target: "/draft/x", Body: body})
 	}
 }
--- a/succession/succession.go
+++ b/replacement/replacement.go
@@ -1,4 +1,4 @@
-// Package succession finds out which replica has taken the address of one that
+// Package replacement finds out which replica has taken the address of one that
 // crashed, while the registry is unavailable.
 //
 // When a failure domain crashes, its replicas are back a second later, at the same addresses and
@@ -7,7 +7,7 @@
 // Then a third to two thirds of all generations are late or lost until the registry is back.
 // So the addresses of lost replicas are probed to see which replica answers now. Addresses may
 // also be reused by other services: a replica is accepted only by what it reports of itself.
-package succession
+package replacement
 
 import (
 	"context"
@@ -18,22 +18,22 @@
 	"wigeondale/fleet"
 )
 
-// ErrNone reports that the known replica still has its address and has not restarted.
-var ErrNone = errors.New("no other replica has the address")
+// ErrUnchanged reports that the known replica still has its address and has not restarted.
+var ErrUnchanged = errors.New("no other replica has the address")
 
-// Found is a replica that answered at the address of another one.
-type Found struct {
+// Replica is a replica that answered at the address of another one.
+type Replica struct {
 	fleet.Lifetime
-	Memory  int  // tokens that fit into its engine's memory
-	Leaving bool // it accepts no more work
+	MemoryTokens int  // tokens that fit into its engine's memory
+	Leaving      bool // it accepts no more work
 }
 
-// Asker finds out which replica has the address of another one now.
-type Asker interface {
-	// Successor returns the replica that has the address of b, or ErrNone when that is b
+// Prober finds out which replica has the address of another one now.
+type Prober interface {
+	// Identify returns the replica that has the address of b, or ErrUnchanged when that is b
 	// itself. Any other error means that it could not be found out. checkPath is the path of
 	// the health check of its service.
-	Successor(ctx context.Context, b fleet.Backend, checkPath string) (Found, error)
+	Identify(ctx context.Context, b fleet.Backend, checkPath string) (Replica, error)
 }
 
 const (
@@ -46,20 +46,20 @@
 	maxProbes = 16
 )
 
-// Seeker probes the addresses of lost replicas. It isn't safe for concurrent use.
-type Seeker struct {
-	prober   Asker
+// Finder probes the addresses of lost replicas. It isn't safe for concurrent use.
+type Finder struct {
+	prober   Prober
 	probedAt map[string]time.Time // by address
 }
 
-// New returns a Seeker.
-func New(prober Asker) *Seeker { return &Seeker{prober: prober, probedAt: map[string]time.Time{}} }
+// New returns a Finder.
+func New(prober Prober) *Finder { return &Finder{prober: prober, probedAt: map[string]time.Time{}} }
 
-// Seek returns the replicas that have taken the addresses of lost ones, each with the failure
+// Find returns the replicas that have taken the addresses of lost ones, each with the failure
 // domain and other fields of the one whose address it has. fits decides by what a replica
 // reports of itself whether it serves what the lost one did. Addresses that were probed
 // recently are skipped.
-func (s *Seeker) Seek(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Found) bool) []fleet.Backend {
+func (s *Finder) Find(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Replica) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
 	var group sync.WaitGroup
@@ -70,7 +70,7 @@
 			defer func() { <-slots }()
 			ctx, stop := context.WithTimeout(ctx, probeTimeout)
 			defer stop()
-			f, err := s.prober.Successor(ctx, b, checkPath)
+			f, err := s.prober.Identify(ctx, b, checkPath)
 			// An address that gave no result is probed again later.
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
@@ -87,7 +87,7 @@
 
 // due returns the replicas whose addresses are to be probed now, and drops the probe times of
 // addresses whose replicas are no longer lost.
-func (s *Seeker) due(lost []fleet.Backend, now time.Time) []fleet.Backend {
+func (s *Finder) due(lost []fleet.Backend, now time.Time) []fleet.Backend {
 	probedAt := make(map[string]time.Time, len(lost))
 	var out []fleet.Backend
 	for _, b := range lost {
--- a/succession/succession_test.go
+++ b/replacement/replacement_test.go
@@ -1,4 +1,4 @@
-package succession
+package replacement
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 // fakeProber is a fake prober that holds which replica answers at each address.
 type fakeProber struct {
 	mu       sync.Mutex
-	replicas map[string]Found
+	replicas map[string]Replica
 	probed   []string
 }
 
-func (a *fakeProber) Successor(ctx context.Context, b fleet.Backend, _ string) (Found, error) {
+func (a *fakeProber) Identify(ctx context.Context, b fleet.Backend, _ string) (Replica, error) {
 	a.mu.Lock()
 	a.probed = append(a.probed, b.Addr)
 	f, ok := a.replicas[b.Addr]
@@ -26,11 +26,11 @@
 	switch {
 	case !ok:
 		<-ctx.Done()
-		return Found{}, ctx.Err()
+		return Replica{}, ctx.Err()
 	case f.Name == b.ID:
-		return Found{}, ErrNone
+		return Replica{}, ErrUnchanged
 	case f.Name == "":
-		return Found{}, errors.New("refused")
+		return Replica{}, errors.New("refused")
 	}
 	return f, nil
 }
@@ -41,19 +41,19 @@
 // belongs to another service now.
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &fakeProber{replicas: map[string]Found{
-			"h:1": {Lifetime: fleet.Lifetime{Name: "n1"}, Memory: 55000},
-			"h:2": {Lifetime: fleet.Lifetime{Name: "o2"}, Memory: 55000},
+		prober := &fakeProber{replicas: map[string]Replica{
+			"h:1": {Lifetime: fleet.Lifetime{Name: "n1"}, MemoryTokens: 55000},
+			"h:2": {Lifetime: fleet.Lifetime{Name: "o2"}, MemoryTokens: 55000},
 			"h:3": {},
-			"h:5": {Lifetime: fleet.Lifetime{Name: "n5"}, Memory: 55000, Leaving: true},
+			"h:5": {Lifetime: fleet.Lifetime{Name: "n5"}, MemoryTokens: 55000, Leaving: true},
 			"h:6": {Lifetime: fleet.Lifetime{Name: "n6"}},
 		}}
 		var lost []fleet.Backend
 		for _, n := range []string{"1", "2", "3", "4", "5", "6"} {
 			lost = append(lost, fleet.Backend{ID: "o" + n, Addr: "h:" + n, Service: "llm", FailureDomain: "d1"})
 		}
-		fits := func(_ fleet.Backend, f Found) bool { return f.Memory == 55000 }
-		got := New(prober).Seek(t.Context(), lost, "/check", fits)
+		fits := func(_ fleet.Backend, f Replica) bool { return f.MemoryTokens == 55000 }
+		got := New(prober).Find(t.Context(), lost, "/check", fits)
 		want := fleet.Backend{ID: "n1", Lifetime: fleet.Lifetime{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
 		if len(got) != 1 || got[0] != want {
 			t.Errorf("found %+v, want only %+v", got, want)
@@ -65,11 +65,11 @@
 // because each search probes an address again that didn't answer.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &fakeProber{replicas: map[string]Found{"h:1": {}}}
+		prober := &fakeProber{replicas: map[string]Replica{"h:1": {}}}
 		s := New(prober)
 		lost := []fleet.Backend{{ID: "o1", Addr: "h:1"}}
 		for range 10 {
-			s.Seek(t.Context(), lost, "/check", func(fleet.Backend, Found) bool { return true })
+			s.Find(t.Context(), lost, "/check", func(fleet.Backend, Replica) bool { return true })
 		}
 		if want := []string{"h:1"}; !slices.Equal(prober.probed, want) {
 			t.Errorf("probed %v at one moment, want %v", prober.probed, want)
