--- /dev/null
+++ b/cachelookup/cachelookup.go
@@ -0,0 +1,175 @@
+// Package cachelookup finds the backend server that still has the prompt of a request in its
+// cache, after the client reconnected because its router was lost.
+//
+// When a router dies in the middle of an answer, the client reconnects through another one,
+// which knows nothing of the answer and would send it to any backend server. A prompt of
+// thousands of tokens would be read once more while the backend server that read it first still
+// has it cached: prefill would be paid for twice after each loss of a router, and answers would
+// continue a second late. What a router remembers is lost with it, or with all routers, but the
+// backend servers know what they have cached, so they are queried. This is done only for clients
+// that reconnected, and at most once per backend server while a result may be reused, because
+// queries cost the backend servers work.
+package cachelookup
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"golang.org/x/sync/singleflight"
+
+	"wigeondale/fleet"
+)
+
+// Lister queries a backend server for the parts of prompts that it has cached, with the number of
+// tokens of each.
+type Lister interface {
+	CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error)
+}
+
+// Config configures a Finder. Zero values mean the defaults.
+type Config struct {
+	MaxAge        time.Duration // how long the result of a query is reused
+	Timeout       time.Duration // of one query
+	MaxCandidates int           // most candidates to query at once, drawn at random
+	Set           *metrics.Set
+}
+
+const (
+	defaultMaxAge  = 2 * time.Second
+	defaultTimeout = 150 * time.Millisecond
+	// defaultMaxCandidates bounds the connections that the return of one client can open where there
+	// are thousands of replicas.
+	defaultMaxCandidates = 200
+)
+
+// Finder remembers the results of queries. It is safe for concurrent use.
+type Finder struct {
+	cfg    Config
+	lister Lister
+	flight singleflight.Group
+
+	mu      sync.Mutex
+	results map[string]cachedParts
+
+	queries, hits *metrics.Counter
+}
+
+// cachedParts is the result of querying one backend server. A failure counts as an empty cache.
+type cachedParts struct {
+	at     time.Time
+	tokens map[string]int
+}
+
+// New returns a Finder that queries backend servers by lister.
+func New(lister Lister, cfg Config) *Finder {
+	if cfg.MaxAge <= 0 {
+		cfg.MaxAge = defaultMaxAge
+	}
+	if cfg.Timeout <= 0 {
+		cfg.Timeout = defaultTimeout
+	}
+	if cfg.MaxCandidates <= 0 {
+		cfg.MaxCandidates = defaultMaxCandidates
+	}
+	if cfg.Set == nil {
+		cfg.Set = metrics.NewSet()
+	}
+	return &Finder{
+		cfg:     cfg,
+		lister:  lister,
+		results: map[string]cachedParts{},
+		queries: cfg.Set.GetOrCreateCounter("wigeon_holders_asked_total"),
+		hits:    cfg.Set.GetOrCreateCounter("wigeon_holders_found_total"),
+	}
+}
+
+// Find returns which of the candidates has most of the leading parts cached, and how many tokens
+// these are; 0 when none has any of them.
+func (f *Finder) Find(ctx context.Context, candidates []fleet.Backend, parts []string) (id string, tokens int) {
+	candidates = f.sample(candidates)
+	f.queryAll(ctx, candidates)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, b := range candidates {
+		if n := f.results[b.ID].leadingTokens(parts); n > tokens {
+			id, tokens = b.ID, n
+		}
+	}
+	if tokens > 0 {
+		f.hits.Inc()
+	}
+	return id, tokens
+}
+
+// sample returns the candidates, or a random sample if there are too many.
+func (f *Finder) sample(candidates []fleet.Backend) []fleet.Backend {
+	if len(candidates) <= f.cfg.MaxCandidates {
+		return candidates
+	}
+	drawn := slices.Clone(candidates)
+	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
+	return drawn[:f.cfg.MaxCandidates]
+}
+
+// leadingTokens counts the tokens of the cached parts up to the first that is missing: a
+// part is of use only with all that come before it.
+func (h cachedParts) leadingTokens(parts []string) int {
+	n := 0
+	for _, p := range parts {
+		t := h.tokens[p]
+		if t == 0 {
+			break
+		}
+		n += t
+	}
+	return n
+}
+
+// queryAll queries, concurrently, those candidates whose last result is too old.
+func (f *Finder) queryAll(ctx context.Context, candidates []fleet.Backend) {
+	var wg sync.WaitGroup
+	for _, b := range candidates {
+		if f.isCurrent(b.ID) {
+			continue
+		}
+		wg.Go(func() { f.query(ctx, b) })
+	}
+	wg.Wait()
+}
+
+func (f *Finder) isCurrent(id string) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	h, ok := f.results[id]
+	return ok && time.Since(h.at) < f.cfg.MaxAge
+}
+
+// query queries one backend server, or joins a query of it that is under way.
+func (f *Finder) query(ctx context.Context, b fleet.Backend) {
+	f.flight.Do(b.ID, func() (any, error) {
+		f.queries.Inc()
+		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), f.cfg.Timeout)
+		defer stop()
+		tokens, err := f.lister.CachedParts(ctx, b)
+		if err != nil {
+			tokens = nil // nothing is known to be cached: the prompt is read again
+		}
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		f.dropExpired()
+		f.results[b.ID] = cachedParts{at: time.Now(), tokens: tokens}
+		return nil, err
+	})
+}
+
+func (f *Finder) dropExpired() {
+	for id, h := range f.results {
+		if time.Since(h.at) >= f.cfg.MaxAge {
+			delete(f.results, id)
+		}
+	}
+}
--- a/health/dump.go
+++ b/health/dump.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// BackendDump is one backend server in a dump.
+// BackendDump is the state of one backend server in a dump.
 type BackendDump struct {
 	State        string        `json:"state"`
 	Streams      int           `json:"streams"`
@@ -13,9 +13,9 @@
 	PeerReported bool          `json:"rumoured"`
 }
 
-// Dump returns what is known of each backend server, by id.
+// Dump returns the state of each backend server, by id.
 func (m *Monitor) Dump() map[string]BackendDump {
-	t := m.at(time.Now())
+	t := m.sinceEpoch(time.Now())
 	out := map[string]BackendDump{}
 	for _, e := range m.list() {
 		out[e.id] = m.dumpOne(e, t)
@@ -28,11 +28,11 @@
 	defer e.mu.Unlock()
 	h := e.history(t)
 	h.Gaps = e.gaps.Shares().WithPrior(m.priorShares())
-	h.PeerReported = t < e.rumourUntil
+	h.PeerReported = t < e.peerReportUntil
 	return BackendDump{
-		State:        e.current(t).String(),
+		State:        e.currentState(t).String(),
 		Streams:      len(e.streams),
-		Refused:      e.refused,
+		Refused:      e.refusedInRow,
 		Backoff:      e.backoff,
 		Threshold:    Evaluate(h, &m.policy).Threshold,
 		Incarnation:  e.incarnation,
--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -7,8 +7,8 @@
 	"wigeondale/event"
 	"wigeondale/fleet"
 	"wigeondale/health"
+	"wigeondale/replacement"
 	"wigeondale/route"
-	"wigeondale/succession"
 )
 
 // While the store is away, successors of crashed replicas are adopted: few nodes look
@@ -56,7 +56,7 @@
 type adopter struct {
 	view   *view
 	news   *news
-	seeker *succession.Finder
+	seeker *replacement.Finder
 	tell   func(m adoptedMessage)
 
 	told  time.Time
@@ -86,7 +86,7 @@
 	if !ok || !a.news.reader() {
 		return
 	}
-	found := a.seeker.Find(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Replica) bool {
+	found := a.seeker.Find(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f replacement.Replica) bool {
 		return f.MemoryTokens == service.Memory
 	})
 	var toTell []adoptedReplica
