--- a/admission/admission.go
+++ b/admission/admission.go
@@ -70,12 +70,12 @@
 
 // Config configures a Controller. Zero values select the defaults.
 type Config struct {
-	MaxQueue       int           // tickets waiting per class (default 1024)
-	MaxRetryAfter  time.Duration // longest Retry-After returned (default 30 s)
-	MinService     time.Duration // minimum time that any request needs (default 20 ms)
-	DefaultRetry   time.Duration // Retry-After if no estimate is available (default 1 s)
-	DemandHalfLife time.Duration // of the observed demand (default 2 s)
-	Patience       time.Duration // longest wait for a pool without any capacity (default 3 s)
+	MaxQueue        int           // tickets waiting per class (default 1024)
+	MaxRetryAfter   time.Duration // longest Retry-After returned (default 30 s)
+	MinService      time.Duration // minimum time that any request needs (default 20 ms)
+	DefaultRetry    time.Duration // Retry-After if no estimate is available (default 1 s)
+	DemandHalfLife  time.Duration // of the observed demand (default 2 s)
+	MaxCapacityWait time.Duration // longest wait for a pool without any capacity (default 3 s)
 	// Capacity returns how many requests of this router the backend servers of a pool can run
 	// now. nil means no bound. It is called with a lock held and must return quickly.
 	Capacity func(pool string) int
@@ -84,11 +84,11 @@
 	// minutes: if they could fill every slot, an interactive request would wait until one of them
 	// has ended.
 	BatchCapacity func(pool string) int
-	// UrgentFloor returns how many interactive requests this router may run, and how many resumes
+	// MinUrgentSlots returns how many interactive requests this router may run, and how many resumes
 	// beyond Capacity, whatever else runs; nil means none. Engines serve them first, so that
 	// behind batch requests already sent they wait for one free slot, not for all of those
 	// requests.
-	UrgentFloor func(pool string) int
+	MinUrgentSlots func(pool string) int
 }
 
 func (c Config) withDefaults() Config {
@@ -97,7 +97,7 @@
 	c.MinService = cmp.Or(c.MinService, 20*time.Millisecond)
 	c.DefaultRetry = cmp.Or(c.DefaultRetry, time.Second)
 	c.DemandHalfLife = cmp.Or(c.DemandHalfLife, 2*time.Second)
-	c.Patience = cmp.Or(c.Patience, 3*time.Second)
+	c.MaxCapacityWait = cmp.Or(c.MaxCapacityWait, 3*time.Second)
 	return c
 }
 
@@ -115,11 +115,11 @@
 	return c.BatchCapacity(pool)
 }
 
-func (c *Config) urgentFloor(pool string) int {
-	if c.UrgentFloor == nil {
+func (c *Config) minUrgentSlots(pool string) int {
+	if c.MinUrgentSlots == nil {
 		return 0
 	}
-	return c.UrgentFloor(pool)
+	return c.MinUrgentSlots(pool)
 }
 
 // refuse returns a refusal with a bounded Retry-After.
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -301,7 +301,7 @@
 					unreachable = append(unreachable, demand[j])
 				}
 			}
-			sum += Share(limit, demand[i], reachable, unreachable)
+			sum += LimitShare(limit, demand[i], reachable, unreachable)
 		}
 		if sum > limit*MaxOvershoot*1.000001 {
 			t.Fatalf("%d parts use %g of %g", parts, sum, limit)
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -7,9 +7,9 @@
 type PeerDemand struct {
 	Node   string
 	Demand map[string]float64
-	// Lost is true while the peer is unreachable but still in the VM list: it may have crashed or
+	// Unreachable is true while the peer is unreachable but still in the VM list: it may have crashed or
 	// be cut off. Peers that are known to have been removed must be left out.
-	Lost bool
+	Unreachable bool
 }
 
 // SetLimits replaces the limits of all client accounts. Requests of an account that is left out
@@ -60,7 +60,7 @@
 		switch {
 		case len(p.Demand) > 0:
 			t.peers = append(t.peers, p)
-		case p.Lost:
+		case p.Unreachable:
 			t.unreachable++
 		default:
 			t.reachable++
@@ -73,7 +73,7 @@
 func (a *account) setPeers(t peerDemands) {
 	a.reachable, a.unreachable = peerTotals{nodes: t.reachable}, peerTotals{nodes: t.unreachable}
 	for _, p := range t.peers {
-		if p.Lost {
+		if p.Unreachable {
 			a.unreachable.add(p.Demand[a.id])
 			continue
 		}
--- a/admission/losses.go
+++ b/admission/losses.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Losses records when a run was last lost with its engine, and derives from it how much of an
+// LossHistory records when a run was last lost with its engine, and derives from it how much of an
 // engine's memory copies may use.
 //
 // It balances the use of scarce memory. A copy saves reading the prompt again if its run is lost,
 // and takes the space of another run if not. When failure domains crash every few seconds, copies
 // are worth most of the memory even in a burst; in a burst without any crash, each copy causes a
 // run to be refused.
-type Losses struct {
+type LossHistory struct {
 	mu   sync.Mutex
 	last time.Time
 }
@@ -28,19 +28,19 @@
 	oldLossAge    = 40 * time.Second
 )
 
-// NewLosses returns a history that expects engines to fail until it has seen no loss for a while:
+// NewLossHistory returns a history that expects engines to fail until it has seen no loss for a while:
 // the first crash comes without a warning.
-func NewLosses(now time.Time) *Losses { return &Losses{last: now} }
+func NewLossHistory(now time.Time) *LossHistory { return &LossHistory{last: now} }
 
-// Lost records that a run was lost.
-func (l *Losses) Lost(now time.Time) {
+// RecordLoss records that a run was lost.
+func (l *LossHistory) RecordLoss(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last = now
 }
 
 // CopyShare is the part of an engine's memory up to which copies are kept there.
-func (l *Losses) CopyShare(now time.Time) float64 {
+func (l *LossHistory) CopyShare(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := now.Sub(l.last)
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -220,7 +220,7 @@
 		ticket := Ticket{Account: "a", Cost: 1, Deadline: time.Now().Add(10 * time.Minute)}
 		got := make(chan string, 3)
 		admitInBackground(c, ticket, "first", got)
-		time.Sleep(c.cfg.Patience + recheckInterval)
+		time.Sleep(c.cfg.MaxCapacityWait + recheckInterval)
 		synctest.Wait()
 		admitInBackground(c, ticket, "late", got)
 		if len(got) != 2 {
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -146,7 +146,7 @@
 // Without it, when all replicas of a model are leaving or down, its requests queue until the
 // callers' deadlines, minutes later, although no replica exists that could run them.
 func (p *pool) unavailable(cfg *Config, now time.Time) bool {
-	return !p.noCapacitySince.IsZero() && now.Sub(p.noCapacitySince) >= cfg.Patience
+	return !p.noCapacitySince.IsZero() && now.Sub(p.noCapacitySince) >= cfg.MaxCapacityWait
 }
 
 // hasSlot reports whether there is a free slot for work of a class.
@@ -154,11 +154,11 @@
 	capacity := cfg.capacity(p.name)
 	switch c {
 	case interactiveNew:
-		return p.running < capacity || p.load[fleet.Interactive].running < cfg.urgentFloor(p.name)
+		return p.running < capacity || p.load[fleet.Interactive].running < cfg.minUrgentSlots(p.name)
 	case batchNew:
 		return p.running < capacity && p.hasBatchSlot(cfg)
 	}
-	return p.running < capacity+cfg.urgentFloor(p.name)
+	return p.running < capacity+cfg.minUrgentSlots(p.name)
 }
 
 // hasBatchSlot reports whether new batch work leaves enough capacity for other work. One slot in
--- a/admission/prefillrate.go
+++ b/admission/prefillrate.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Reading estimates how fast the engines of a service read prompts, from the time between the
+// PrefillRate estimates how fast the engines of a service read prompts, from the time between the
 // sending of a request and its first chunk. Other work of the engine in that time is included:
 // the estimate is how fast a prompt is read there at present.
 //
 // Otherwise the time that a backlog of prompts takes would have to be configured for each
 // deployment: if it is too high, requests wait at engines until they are late; if it is too low,
 // they are refused while engines are idle.
-type Reading struct {
+type PrefillRate struct {
 	mu   sync.Mutex
 	rate float64 // tokens per second; 0 while unknown
 }
@@ -22,7 +22,7 @@
 const rateWeight = 0.1
 
 // Observe records that a number of tokens was read before a first chunk arrived.
-func (r *Reading) Observe(tokens float64, took time.Duration) {
+func (r *PrefillRate) Observe(tokens float64, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -36,8 +36,8 @@
 	r.rate += rateWeight * (rate - r.rate)
 }
 
-// Within is how many tokens are read within a time; 0 while that isn't known.
-func (r *Reading) Within(d time.Duration) float64 {
+// TokensWithin is how many tokens are read within a time; 0 while that isn't known.
+func (r *PrefillRate) TokensWithin(d time.Duration) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rate * d.Seconds()
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Refusal is a policy that decides which of the requests that wait for an engine are refused.
+// RefusalPolicy is a policy that decides which of the requests that wait for an engine are refused.
 //
 // It applies when for some seconds more prompts arrive than engines read. Which policy is better
 // depends on how much a late answer is worth to its caller, which only the operator knows:
 // serving late answers makes some others late that would have been in time.
-type Refusal string
+type RefusalPolicy string
 
 const (
 	// RefuseLate refuses requests that would be late. Requests in time are not delayed by them,
 	// and the refused clients are told when to come back.
-	RefuseLate Refusal = "late"
+	RefuseLate RefusalPolicy = "late"
 	// RefuseUnservable refuses only requests that can't be answered any more. A request that
 	// would be late goes behind all that can be in time, and only to an engine that reads no
 	// prompt.
@@ -20,11 +20,11 @@
 	// With RefuseLate, refused clients come back into the same overload, are late by then, and
 	// are refused again. The symptom is callers without any answer in a burst, after which the
 	// engines are idle.
-	RefuseUnservable Refusal = "unservable"
+	RefuseUnservable RefusalPolicy = "unservable"
 )
 
-// Refusals lists the names of the policies.
-func Refusals() []string {
+// RefusalPolicies lists the names of the policies.
+func RefusalPolicies() []string {
 	return []string{string(RefuseLate), string(RefuseUnservable)}
 }
 
@@ -40,40 +40,40 @@
 	answerShare = 0.4
 )
 
-// Wait is what is known about a waiting request.
-type Wait struct {
-	Turn
-	Expect time.Duration // until it is granted a slot; 0 while no estimate is available
-	Target time.Duration // time from the start of the request after which its first chunk is late; 0 for never
-	Left   time.Duration // remaining time of its caller; 0 if not known
+// WaitState is what is known about a waiting request.
+type WaitState struct {
+	Position
+	Expected       time.Duration // until it is granted a slot; 0 while no estimate is available
+	Target         time.Duration // time from the start of the request after which its first chunk is late; 0 for never
+	CallerTimeLeft time.Duration // remaining time of its caller; 0 if not known
 }
 
 // maxWaitInTime is how long a request may wait here and still be in time.
-func (w Wait) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
+func (w WaitState) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
 // InTime reports whether its first chunk is still expected in time.
-func (w Wait) InTime() bool { return w.Target <= 0 || w.Waited+w.Expect <= w.maxWaitInTime() }
+func (w WaitState) InTime() bool { return w.Target <= 0 || w.Waited+w.Expected <= w.maxWaitInTime() }
 
 // servable reports whether it can still be answered.
-func (w Wait) servable() bool {
-	if w.Waited+w.Expect > uselessFactor*w.Target {
+func (w WaitState) servable() bool {
+	if w.Waited+w.Expected > uselessFactor*w.Target {
 		return false
 	}
-	return w.Left <= 0 || w.Expect <= time.Duration((1-answerShare)*float64(w.Left))
+	return w.CallerTimeLeft <= 0 || w.Expected <= time.Duration((1-answerShare)*float64(w.CallerTimeLeft))
 }
 
 // Refuses reports whether a request is refused now, and when it should come back: not before it
 // would have been granted a slot. A request that has waited in vain should stay away for at least
 // as long as it waited, since it would not be granted one sooner.
-func (r Refusal) Refuses(w Wait) (back time.Duration, refused bool) {
+func (r RefusalPolicy) Refuses(w WaitState) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
 	}
-	return max(w.Expect, w.Waited), true
+	return max(w.Expected, w.Waited), true
 }
 
-// Patience is how long a request may wait, whatever wait is expected.
-func (r Refusal) Patience(target time.Duration) time.Duration {
+// MaxWait is how long a request may wait, whatever wait is expected.
+func (r RefusalPolicy) MaxWait(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
 		return uselessFactor * target
 	}
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Line is a queue of the requests that wait at this router for a free slot at an engine.
+// WaitQueue is a queue of the requests that wait at this router for a free slot at an engine.
 //
 // It serves overload: for some seconds more prompts arrive than engines read, or engines crash
 // and all their runs need another engine at once. Without an order each request tries on its own
@@ -16,7 +16,7 @@
 //
 // It only makes decisions: callers pass the time in and poll their position at short intervals. A
 // request that is no longer polled is dropped from the queue.
-type Line struct {
+type WaitQueue struct {
 	mu            sync.Mutex
 	waiters       map[string]*queueEntry
 	grantInterval time.Duration // between two grants while requests were waiting; 0 while unknown
@@ -44,8 +44,8 @@
 	polls     int
 }
 
-// Turn is the position of a request in the queue.
-type Turn struct {
+// Position is the position of a request in the queue.
+type Position struct {
 	Ahead  int           // number of requests that go before it
 	Waited time.Duration // time since it entered the queue
 	Late   bool          // it can't be in time any more
@@ -63,13 +63,13 @@
 	intervalMaxAge = 5 * time.Second
 )
 
-// NewLine returns an empty queue.
-func NewLine() *Line { return &Line{waiters: map[string]*queueEntry{}} }
+// NewWaitQueue returns an empty queue.
+func NewWaitQueue() *WaitQueue { return &WaitQueue{waiters: map[string]*queueEntry{}} }
 
-// Wait adds a request to the queue, or polls it if it is already there. age is the time since its
+// Poll adds a request to the queue, or polls it if it is already there. age is the time since its
 // client's first try: a client that was told to come back goes before requests that arrived since
 // then.
-func (l *Line) Wait(id string, rank Rank, age time.Duration, now time.Time) Turn {
+func (l *WaitQueue) Poll(id string, rank Rank, age time.Duration, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiters[id]
@@ -82,31 +82,31 @@
 	}
 	w.rank, w.lastPoll = rank, now
 	w.polls++
-	return Turn{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: w.late}
+	return Position{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: w.late}
 }
 
-// Late moves a waiting request behind all requests that can still be in time, permanently, and
+// MarkLate moves a waiting request behind all requests that can still be in time, permanently, and
 // returns its new position.
-func (l *Line) Late(id string, now time.Time) Turn {
+func (l *WaitQueue) MarkLate(id string, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiters[id]
 	if w == nil {
-		return Turn{}
+		return Position{}
 	}
 	w.late = true
 	w.rank = max(w.rank, RankLate)
-	return Turn{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: true}
+	return Position{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: true}
 }
 
-// Had records that a request was granted a slot, and takes it out of the queue. grantInterval is
+// RecordGrant records that a request was granted a slot, and takes it out of the queue. grantInterval is
 // measured only from grants to requests that had to wait, during an interval throughout which
 // requests were waiting.
 //
 // If other intervals counted, then at a router with little traffic the measure would be the
 // interval at which requests arrive, not the one at which engines have free slots, and a request
 // that is alone in the queue would be refused although it is the next one.
-func (l *Line) Had(id string, now time.Time) {
+func (l *WaitQueue) RecordGrant(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	gap, busy := now.Sub(l.lastGrant), !l.longestWaitingSince(now).After(l.lastGrant)
@@ -127,17 +127,17 @@
 	l.lastGrant = now
 }
 
-// Leave takes a request out of the queue because it is refused or its client has disconnected.
-func (l *Line) Leave(id string) {
+// Remove takes a request out of the queue because it is refused or its client has disconnected.
+func (l *WaitQueue) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiters, id)
 }
 
-// Expect returns how long a request with so many others ahead is expected to wait; false while
+// ExpectedWait returns how long a request with so many others ahead is expected to wait; false while
 // that isn't known. While no slot is granted the expectation grows with the time since the last
 // grant.
-func (l *Line) Expect(ahead int, now time.Time) (time.Duration, bool) {
+func (l *WaitQueue) ExpectedWait(ahead int, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.grantInterval == 0 || now.Sub(l.lastGrant) > intervalMaxAge {
@@ -149,7 +149,7 @@
 
 // longestWaitingSince returns when the request that has waited longest entered the queue, or now
 // if the queue is empty.
-func (l *Line) longestWaitingSince(now time.Time) time.Time {
+func (l *WaitQueue) longestWaitingSince(now time.Time) time.Time {
 	first := now
 	for _, w := range l.waiters {
 		if w.queuedAt.Before(first) {
@@ -168,7 +168,7 @@
 }
 
 // countAhead counts the requests that go before w, and drops those that are no longer polled.
-func (l *Line) countAhead(self string, w *queueEntry, now time.Time) int {
+func (l *WaitQueue) countAhead(self string, w *queueEntry, now time.Time) int {
 	n := 0
 	for id, o := range l.waiters {
 		if now.Sub(o.lastPoll) > dropAfter {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -379,7 +379,7 @@
 			if sink.Flush() == nil {
 				t.Error("a later write is given its time again")
 			}
-			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerGone}
+			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerDisconnected}
 		}))
 		go func() {
 			r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
--- a/callerapi/fake_test.go
+++ b/callerapi/fake_test.go
@@ -76,7 +76,7 @@
 
 // tokens delivers texts from an offset on, as one attempt on engine e1.
 func tokens(sink generation.Sink, from int, texts ...string) error {
-	if err := sink.Begin(generation.Place{Backend: "e1", Incarnation: "i1", Attempt: 1}, nil); err != nil {
+	if err := sink.Begin(generation.Position{Backend: "e1", Incarnation: "i1", Attempt: 1}, nil); err != nil {
 		return err
 	}
 	for i, text := range texts {
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -53,7 +53,7 @@
 }
 
 // Begin implements generation.Sink.
-func (*wholeSink) Begin(generation.Place, *backend.Head) error { return nil }
+func (*wholeSink) Begin(generation.Position, *backend.Head) error { return nil }
 
 // Token implements generation.Sink.
 func (s *wholeSink) Token(index int, text []byte, finish string) error {
@@ -136,7 +136,7 @@
 
 // Begin implements generation.Sink: the cursors of the events that follow name
 // this attempt.
-func (s *streamSink) Begin(p generation.Place, _ *backend.Head) error {
+func (s *streamSink) Begin(p generation.Position, _ *backend.Head) error {
 	s.place.Backend = p.Backend
 	s.place.Incarnation = p.Incarnation
 	s.place.Attempt = p.Attempt
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -35,13 +35,13 @@
 	var own []float64
 	var lost []float64
 	for _, p := range heard.take([]peer.Member{member("b", false), member("c", false)}) {
-		if !p.Lost {
+		if !p.Unreachable {
 			t.Errorf("%s counts as heard", p.Node)
 		}
 		lost = append(lost, p.Demand["acme"])
 	}
 	for range 3 {
-		sum += admission.Share(100, 100, own, lost)
+		sum += admission.LimitShare(100, 100, own, lost)
 	}
 	if sum > 100*admission.MaxOvershoot {
 		t.Errorf("three routers admit %.0f of a limit of 100", sum)
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -132,7 +132,7 @@
 	resp, release, err := hedge.Do(ctx, s.hedge, hedge.Call[*http.Response]{
 		Pool:       call.Service,
 		Idempotent: call.Idempotent,
-		Other: func() bool {
+		HasOther: func() bool {
 			return !followed.Suspected() && len(s.pick.dir.Service(call.Service)) > tried.len()
 		},
 		Try: func(one context.Context, second bool) (*http.Response, error) {
@@ -140,7 +140,7 @@
 			tried.note(err)
 			return resp, err
 		},
-		Drop: func(resp *http.Response) { resp.Body.Close() },
+		Discard: func(resp *http.Response) { resp.Body.Close() },
 	})
 	if err != nil {
 		return nil, err
@@ -182,7 +182,7 @@
 func (s *services) judge(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
-	case err != nil && errors.Is(cause, hedge.ErrLost):
+	case err != nil && errors.Is(cause, hedge.ErrOtherAnswered):
 		if !second {
 			s.mon.Late(id)
 		}
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -77,7 +77,7 @@
 		if m.Linked {
 			d[m.ID] = m.Summary.Demand
 		}
-		out = append(out, admission.PeerDemand{Node: m.ID, Demand: d[m.ID], Lost: !m.Linked})
+		out = append(out, admission.PeerDemand{Node: m.ID, Demand: d[m.ID], Unreachable: !m.Linked})
 	}
 	for id := range d {
 		if !listed[id] {
--- a/directory/share.go
+++ b/directory/share.go
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// Begun tells that the request's prompt has been read: it makes tokens from now on.
-func (s *Share) Begun() {
+// PrefillDone tells that the request's prompt has been read: it makes tokens from now on.
+func (s *Share) PrefillDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.record == nil || s.ended || s.load.Reading == 0 {
--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -19,12 +19,12 @@
 // attempt is one run of the request on one engine.
 type attempt struct {
 	backend        fleet.Backend
-	origin         Place
+	origin         Position
 	stream         Stream // nil while the stream isn't read
 	ctx            context.Context
 	cancel         context.CancelCauseFunc
 	watch          Watch
-	loadShare      Share
+	loadShare      LoadShare
 	copy           standbyCopy
 	copyResult     chan standbyCopy // result of makeCopy, which runs alongside the stream; buffers one
 	copyInProgress bool             // makeCopy is running
@@ -74,7 +74,7 @@
 	}
 	a.firstAt = now
 	if a.loadShare != nil {
-		a.loadShare.Begun()
+		a.loadShare.PrefillDone()
 	}
 }
 
@@ -125,7 +125,7 @@
 // promptBytes is the size of the text that an attempt has to prefill.
 func (x *run) promptBytes() int {
 	if o := x.req.Opaque; o != nil {
-		return o.Size * bytesPerToken
+		return o.PromptTokens * bytesPerToken
 	}
 	return len(x.req.Prompt) + len(x.text)
 }
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -32,7 +32,7 @@
 	backend   fleet.Backend // no copy if the address is empty
 	name      string        // of a copy made on demand; empty if the backend server keeps the copy up to date itself
 	madeAt    time.Time
-	loadShare Share // of the copy, in the load of the backend server that keeps it
+	loadShare LoadShare // of the copy, in the load of the backend server that keeps it
 }
 
 func (c *standbyCopy) release() {
@@ -59,7 +59,7 @@
 		return
 	}
 	to := a.copy
-	if to.backend.Addr == "" || to.name == "" || !x.Picker.Keeps(to.backend.ID) {
+	if to.backend.Addr == "" || to.name == "" || !x.Picker.KeepsCopy(to.backend.ID) {
 		at, share, ok := x.Picker.Standby(x.pickRequest(), a.backend)
 		if !ok {
 			return
@@ -89,7 +89,7 @@
 
 // copyIsCurrent reports whether the copy still exists and needs no refresh yet.
 func (x *run) copyIsCurrent(a *attempt, now time.Time) bool {
-	if a.copy.backend.Addr == "" || !x.Picker.Keeps(a.copy.backend.ID) {
+	if a.copy.backend.Addr == "" || !x.Picker.KeepsCopy(a.copy.backend.ID) {
 		return false
 	}
 	return a.copy.name == "" || now.Sub(a.copy.madeAt) < copyRefreshAge
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -18,7 +18,7 @@
 	}
 	a := &attempt{backend: x.backend, loadShare: x.loadShare, copyResult: make(chan standbyCopy, 1)}
 	x.loadShare = nil
-	a.origin = Place{Backend: a.backend.ID, Attempt: x.nextAttemptNumber()}
+	a.origin = Position{Backend: a.backend.ID, Attempt: x.nextAttemptNumber()}
 	x.watchAttempt(a)
 	x.m.attempts.Inc()
 	x.attemptsSent++
@@ -62,7 +62,7 @@
 // there pause for a second or more while another engine reads its prompt again, and the prefill
 // is paid for twice.
 func (x *run) chooseStandby(a *attempt) fleet.Backend {
-	if x.req.Opaque == nil || !x.req.Opaque.Copies.Kept || x.tracked.Suspected() {
+	if x.req.Opaque == nil || !x.req.Opaque.Copies.KeptUpToDate || x.tracked.Suspected() {
 		return fleet.Backend{}
 	}
 	standby, share, ok := x.Picker.Standby(x.pickRequest(), a.backend)
@@ -235,7 +235,7 @@
 	}
 	x.callerSlow = false
 	// The engine may be back in a moment, and callers wait for a few seconds at most.
-	if x.fruitlessTries > 1 && time.Since(x.lostAt) > x.opts.StartedPatience {
+	if x.fruitlessTries > 1 && time.Since(x.lostAt) > x.opts.StartedMaxWait {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
 	if x.current.origin.Backend == "" || (x.current.confirmed && errors.Is(x.waitErr, backend.ErrUnknownStream)) {
@@ -269,7 +269,7 @@
 	if x.req.NonIdempotent {
 		return maxReattachTries
 	}
-	return x.opts.MaxFruitless
+	return x.opts.MaxTokenlessAttempts
 }
 
 // resume attaches to the run that the engine still keeps.
@@ -301,7 +301,7 @@
 func (x *run) attemptFromResume() *attempt {
 	p := x.req.Resume
 	return &attempt{
-		origin:    Place{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
+		origin:    Position{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
 		confirmed: true,
 	}
 }
--- a/generation/end.go
+++ b/generation/end.go
@@ -22,7 +22,7 @@
 // giveUp ends the run with the event that is true. It is the only place that decides whether
 // "not-run" may be reported.
 func (x *run) giveUp(code string, err error) string {
-	if errors.Is(err, ErrCallerGone) {
+	if errors.Is(err, ErrCallerDisconnected) {
 		return x.callerDisconnected(err)
 	}
 	if x.failedAnswer != nil && !x.started() {
@@ -52,7 +52,7 @@
 // complete answer.
 func (x *run) deliverFailedAnswer() string {
 	x.detach()
-	if err := x.sink.Begin(Place{Attempt: x.attemptNumber}, &x.failedAnswer.Head); err != nil {
+	if err := x.sink.Begin(Position{Attempt: x.attemptNumber}, &x.failedAnswer.Head); err != nil {
 		return x.callerDisconnected(err)
 	}
 	if err := x.sink.Token(x.filter.next, x.failedAnswer.Body, finishComplete); err != nil {
@@ -92,7 +92,7 @@
 
 func (x *run) callerDisconnected(err error) string {
 	x.detach()
-	return x.end("cancel", CodeCallerGone, err)
+	return x.end("cancel", CodeCallerDisconnected, err)
 }
 
 func (x *run) result(state string) Result {
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -40,8 +40,8 @@
 	ErrEngineLost = errors.New("engine lost")
 	// ErrDeadline means that the caller's deadline has passed.
 	ErrDeadline = errors.New("deadline passed")
-	// ErrCallerGone means that the caller no longer accepts the answer.
-	ErrCallerGone = errors.New("caller is gone")
+	// ErrCallerDisconnected means that the caller no longer accepts the answer.
+	ErrCallerDisconnected = errors.New("caller is gone")
 	// ErrDuplicate means that the key of the request is already claimed.
 	ErrDuplicate = errors.New("key is claimed already")
 	// ErrMoved means that an attempt was ended so that the answer is continued elsewhere. It is
@@ -54,20 +54,20 @@
 
 // Codes of Result, in addition to the codes of engine refusals.
 const (
-	CodeDeadline      = "deadline"
-	CodeCallerGone    = "caller_gone"
-	CodeDuplicate     = "duplicate_key"
-	CodeKeyReused     = "key_reused" // the key is claimed by a request with another body
-	CodeNoClaim       = "claims_unavailable"
-	CodeNoReplica     = "no_replica"
-	CodeNotAdmitted   = "not_admitted"
-	CodeRetryBudget   = "retry_budget"
-	CodeEngineLost    = "engine_lost"
-	CodeNoResume      = "resume_impossible"
-	CodeBadRequest    = "bad_request"
-	CodeQuarantined   = "request_quarantined" // backend servers crashed while they ran it or its repeats
-	codeAttemptExists = "attempt_exists"
-	codeInternalFlow  = "internal"
+	CodeDeadline           = "deadline"
+	CodeCallerDisconnected = "caller_gone"
+	CodeDuplicate          = "duplicate_key"
+	CodeKeyReused          = "key_reused" // the key is claimed by a request with another body
+	CodeNoClaim            = "claims_unavailable"
+	CodeNoReplica          = "no_replica"
+	CodeNotAdmitted        = "not_admitted"
+	CodeRetryBudget        = "retry_budget"
+	CodeEngineLost         = "engine_lost"
+	CodeNoResume           = "resume_impossible"
+	CodeBadRequest         = "bad_request"
+	CodeQuarantined        = "request_quarantined" // backend servers crashed while they ran it or its repeats
+	codeAttemptExists      = "attempt_exists"
+	codeInternalFlow       = "internal"
 )
 
 // Unavailable is the error with which an Admitter, Claims or Picker reports the cause and when to
@@ -116,23 +116,23 @@
 // Opaque is an opaque request with the parameters of its run.
 type Opaque struct {
 	*backend.Opaque
-	Service     string
-	First       int           // number of the first chunk that the caller wants
-	Size        int           // estimated tokens of the prompt
-	Answer      int           // maximum number of tokens of the answer
-	Parts       []string      // ids of the prompt's parts, in order
-	Returned    bool          // the client already has part of the answer, through another router
-	MaxAttempts int           // maximum number of backend servers that may run it
-	Patience    time.Duration // longest wait for a backend server
-	Target      time.Duration // time from the start of the request after which the first chunk is late
-	Age         time.Duration // time since the client's first try, as far as known
-	Copies      Copying       // standby copies of the run
+	Service          string
+	FirstChunk       int           // number of the first chunk that the caller wants
+	PromptTokens     int           // estimated tokens of the prompt
+	MaxAnswerTokens  int           // maximum number of tokens of the answer
+	PromptParts      []string      // ids of the prompt's parts, in order
+	HasPartialAnswer bool          // the client already has part of the answer, through another router
+	MaxAttempts      int           // maximum number of backend servers that may run it
+	MaxWait          time.Duration // longest wait for a backend server
+	FirstChunkTarget time.Duration // time from the start of the request after which the first chunk is late
+	SinceFirstTry    time.Duration // time since the client's first try, as far as known
+	Copies           Copying       // standby copies of the run
 }
 
 // Copying states how the backend servers of a service copy the state of a run to another one.
 type Copying struct {
-	Kept     bool // they keep a copy up to date from the start of a run
-	OnDemand bool // they make one on request
+	KeptUpToDate bool // they keep a copy up to date from the start of a run
+	OnDemand     bool // they make one on request
 }
 
 // ResumePoint is where to continue an answer that was started through another router. Its origin
@@ -147,8 +147,8 @@
 	Finished    bool // the caller has already received the last token
 }
 
-// Place identifies the attempt that produces tokens.
-type Place struct {
+// Position identifies the attempt that produces tokens.
+type Position struct {
 	Backend     string
 	Incarnation string
 	Attempt     int
@@ -158,7 +158,7 @@
 type Sink interface {
 	// Begin is called once for each attempt that delivers, before its tokens. head is the head of
 	// the attempt's response if the request is opaque, else nil.
-	Begin(p Place, head *backend.Head) error
+	Begin(p Position, head *backend.Head) error
 	// Token receives the token at index. text is valid only during the call.
 	Token(index int, text []byte, finish string) error
 	// Flush is called when no further token is buffered.
@@ -174,10 +174,10 @@
 	Tokens     int // delivered by this run
 	Resumes    int
 	Digest     string // identifies the request and its repeats; empty if crashes under it aren't tracked
-	// FirstAfter is the time until the first token was delivered, and LongestPause the longest
+	// TimeToFirstToken is the time until the first token was delivered, and LongestPause the longest
 	// time between two consecutive tokens.
-	FirstAfter   time.Duration
-	LongestPause time.Duration
+	TimeToFirstToken time.Duration
+	LongestPause     time.Duration
 }
 
 // Ticket is the information on which admission decides.
@@ -204,35 +204,35 @@
 	Void(ctx context.Context, account, key, attempt string) error
 }
 
-// Ask states what a Picker needs to choose an engine for a request.
-type Ask struct {
-	Request  string // id; spreads the resumes of one prompt over engines
-	Ref      fleet.ModelRef
-	Priority fleet.Priority
-	Prompt   string
-	Exclude  map[string]bool
-	Resume   bool // a started answer has priority over new work
-	Again    bool // an attempt of the request was sent before
-	Reached  bool // an attempt of the request may have run
-
-	Service string // of an opaque request, instead of Ref
-	Size    int    // estimated tokens of its prompt, 0 if not stated
-	Answer  int    // maximum number of tokens of its answer
-	// Target is the time from the start of the request after which the first chunk is late; 0 if
+// PickRequest states what a Picker needs to choose an engine for a request.
+type PickRequest struct {
+	RequestID  string // id; spreads the resumes of one prompt over engines
+	Ref        fleet.ModelRef
+	Priority   fleet.Priority
+	Prompt     string
+	Exclude    map[string]bool
+	Resume     bool // a started answer has priority over new work
+	IsRetry    bool // an attempt of the request was sent before
+	MayHaveRun bool // an attempt of the request may have run
+
+	Service         string // of an opaque request, instead of Ref
+	PromptTokens    int    // estimated tokens of its prompt, 0 if not stated
+	MaxAnswerTokens int    // maximum number of tokens of its answer
+	// FirstChunkTarget is the time from the start of the request after which the first chunk is late; 0 if
 	// it is never late.
-	Target time.Duration
-	// Age is the time since the first try by the client of an opaque request, as far as known.
-	Age time.Duration
-	// Left is the time for which the client of an opaque request still waits; 0 if not known.
-	Left time.Duration
+	FirstChunkTarget time.Duration
+	// SinceFirstTry is the time since the first try by the client of an opaque request, as far as known.
+	SinceFirstTry time.Duration
+	// TimeLeft is the time for which the client of an opaque request still waits; 0 if not known.
+	TimeLeft time.Duration
 	// Late reports that the first chunk can't arrive in time any more.
 	Late bool
-	// Own is the id of the part of the prompt that no other request shares, "" if not known.
-	Own string
-	// Parts are the ids of the prompt's parts if the client came back with part of its answer: a
+	// UniquePart is the id of the part of the prompt that no other request shares, "" if not known.
+	UniquePart string
+	// PromptParts are the ids of the prompt's parts if the client came back with part of its answer: a
 	// backend server may still have them in its cache.
-	Parts  []string
-	Prefer string // backend server that has a copy; chosen if it is available
+	PromptParts []string
+	Prefer      string // backend server that has a copy; chosen if it is available
 	// LostDomain is the failure domain of the most recently lost attempt. Other domains are
 	// preferred: the fault that took that backend server may have taken its neighbours.
 	LostDomain string
@@ -241,20 +241,20 @@
 // Picker chooses engines. At the time of the call, Pick must check that the engine is not
 // leaving. The share accounts for the attempt in the engine's load until it is ended.
 type Picker interface {
-	Pick(ctx context.Context, a Ask) (b fleet.Backend, s Share, err error)
+	Pick(ctx context.Context, a PickRequest) (b fleet.Backend, s LoadShare, err error)
 	// Lookup finds a known engine, leaving or not.
 	Lookup(backendID string) (fleet.Backend, bool)
-	// Keeps reports whether the copy at a backend server can still be expected to exist.
-	Keeps(backendID string) bool
+	// KeepsCopy reports whether the copy at a backend server can still be expected to exist.
+	KeepsCopy(backendID string) bool
 	// Standby chooses where the run at b keeps a copy. ok is false if there is no such backend
 	// server.
-	Standby(a Ask, b fleet.Backend) (standby fleet.Backend, s Share, ok bool)
+	Standby(a PickRequest, b fleet.Backend) (standby fleet.Backend, s LoadShare, ok bool)
 }
 
-// Share accounts for an attempt, or a copy, in the load of its backend server.
-type Share interface {
-	// Begun records that the prompt has been read. Further calls do nothing.
-	Begun()
+// LoadShare accounts for an attempt, or a copy, in the load of its backend server.
+type LoadShare interface {
+	// PrefillDone records that the prompt has been read. Further calls do nothing.
+	PrefillDone()
 	// End removes the attempt or copy from the load. Further calls do nothing.
 	End()
 }
--- a/generation/maxwait_test.go
+++ b/generation/maxwait_test.go
@@ -12,7 +12,7 @@
 // count the silence as part of the wait.
 func TestSilenceIsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Runner{opts: Options{StartedPatience: 4 * time.Second}}
+		r := &Runner{opts: Options{StartedMaxWait: 4 * time.Second}}
 		x := newRun(r, t.Context(), Request{ID: "q"}, &fakeSink{})
 		x.filter.next = 30
 		time.Sleep(4300 * time.Millisecond)
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -41,7 +41,7 @@
 	lost         map[string]bool // backend servers that no longer keep copies
 	copies       int
 	excluded     []map[string]bool
-	pickRequests []Ask
+	pickRequests []PickRequest
 	results      []error     // reported to the failure detector
 	running      func() bool // whether a queried backend server has the run
 	unavailable  bool        // no backend server takes the request; try again soon
@@ -56,7 +56,7 @@
 
 func (w *fakeFleet) Admit(context.Context, Ticket) (func(), error) { return nil, nil }
 func (w *fakeFleet) Lookup(string) (fleet.Backend, bool)           { return fleet.Backend{}, false }
-func (w *fakeFleet) Keeps(id string) bool                          { return !w.lost[id] }
+func (w *fakeFleet) KeepsCopy(id string) bool                      { return !w.lost[id] }
 func (w *fakeFleet) Add(backend.Abandoned)                         {}
 
 func (w *fakeFleet) Take(string) bool {
@@ -69,7 +69,7 @@
 	return w.overdraft >= 0 || w.Take("")
 }
 
-func (w *fakeFleet) Pick(_ context.Context, a Ask) (fleet.Backend, Share, error) {
+func (w *fakeFleet) Pick(_ context.Context, a PickRequest) (fleet.Backend, LoadShare, error) {
 	w.excluded = append(w.excluded, a.Exclude)
 	w.pickRequests = append(w.pickRequests, a)
 	if w.unavailable {
@@ -82,7 +82,7 @@
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "d" + id}, &fakeShare{}, nil
 }
 
-func (w *fakeFleet) Standby(_ Ask, b fleet.Backend) (fleet.Backend, Share, bool) {
+func (w *fakeFleet) Standby(_ PickRequest, b fleet.Backend) (fleet.Backend, LoadShare, bool) {
 	id := fmt.Sprintf("s%d-%d", len(w.opened), w.copies)
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "other"}, &fakeShare{}, true
 }
@@ -149,7 +149,7 @@
 	readDelay time.Duration // time that the caller takes to read each chunk
 }
 
-func (a *callerAnswer) Begin(_ Place, h *backend.Head) error {
+func (a *callerAnswer) Begin(_ Position, h *backend.Head) error {
 	if a.text == "" {
 		a.status = h.Status
 	}
@@ -170,14 +170,14 @@
 }
 
 func (w *fakeFleet) runTo(t testing.TB, out *callerAnswer, change func(*Request)) Result {
-	d := Deps{Admitter: w, Picker: w, Watcher: fleetWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, Inquirer: w}
-	r, err := New(d, Options{StartedPatience: time.Second})
+	d := Deps{Admitter: w, Picker: w, Watcher: fleetWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, RunQuerier: w}
+	r, err := New(d, Options{StartedMaxWait: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := Request{ID: "q", Opaque: &Opaque{
-		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", First: 1, MaxAttempts: 5,
-		Patience: time.Second, Copies: Copying{Kept: true, OnDemand: true},
+		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", FirstChunk: 1, MaxAttempts: 5,
+		MaxWait: time.Second, Copies: Copying{KeptUpToDate: true, OnDemand: true},
 	}}
 	if change != nil {
 		change(&req)
@@ -282,8 +282,8 @@
 			t.Errorf("%v was reported to the failure detector", err)
 		}
 	}
-	if a := w.pickRequests[1]; a.LostDomain != "" || !a.Again || w.pickRequests[0].Again {
-		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.Again)
+	if a := w.pickRequests[1]; a.LostDomain != "" || !a.IsRetry || w.pickRequests[0].IsRetry {
+		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.IsRetry)
 	}
 	if !w.opened[0].First || w.opened[1].First {
 		t.Error("only the first attempt must be marked as the first")
@@ -316,7 +316,7 @@
 		made     int
 	}{
 		"on demand only":   {Copying{OnDemand: true}, "copy1", 1},
-		"kept up to date":  {Copying{Kept: true}, "", 0},
+		"kept up to date":  {Copying{KeptUpToDate: true}, "", 0},
 		"neither of these": {Copying{}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -325,7 +325,7 @@
 				out := &callerAnswer{readDelay: 100 * time.Millisecond}
 				w.runTo(t, out, func(r *Request) { r.Opaque.Copies = c.copying })
 				first, second := w.opened[0].Copies, w.opened[1].Copies
-				if out.text != chunkText(20) || (first.Standby.Addr != "") != c.copying.Kept {
+				if out.text != chunkText(20) || (first.Standby.Addr != "") != c.copying.KeptUpToDate {
 					t.Fatalf("got %q; the first attempt has the standby %q", out.text, first.Standby.Addr)
 				}
 				if second.Held != (c.copying != Copying{}) || second.Name != c.copyName || (w.copies > 0) != (c.made > 0) {
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -37,32 +37,32 @@
 
 // Options configures a Runner. Zero durations and counts select the defaults.
 type Options struct {
-	Node            string        // prefix of the names under which requests are claimed
-	Linger          time.Duration // how long engines keep an attempt without a reader; default 10 s
-	Patience        time.Duration // longest wait for an engine before the first token; default 3 s
-	StartedPatience time.Duration // the same once the answer has started; default 20 s
-	AttachTimeout   time.Duration // of one try to re-attach; default 2 s
-	RetryAfter      time.Duration // sent to the caller when no better value is known; default 1 s
-	MaxFruitless    int           // consecutive attempts without a token; default 8
-	PauseGap        time.Duration // silence that may have been a pause of this process; default 250 ms
-	CallerGrace     time.Duration // how long a loss after such a silence waits for the caller's disconnect to be noticed; default 200 ms
-	Rand            func() float64
-	Log             *event.Log
-	Metrics         *metrics.Set
+	Node                 string        // prefix of the names under which requests are claimed
+	Linger               time.Duration // how long engines keep an attempt without a reader; default 10 s
+	MaxWait              time.Duration // longest wait for an engine before the first token; default 3 s
+	StartedMaxWait       time.Duration // the same once the answer has started; default 20 s
+	AttachTimeout        time.Duration // of one try to re-attach; default 2 s
+	RetryAfter           time.Duration // sent to the caller when no better value is known; default 1 s
+	MaxTokenlessAttempts int           // consecutive attempts without a token; default 8
+	PauseGap             time.Duration // silence that may have been a pause of this process; default 250 ms
+	CallerGrace          time.Duration // how long a loss after such a silence waits for the caller's disconnect to be noticed; default 200 ms
+	Rand                 func() float64
+	Log                  *event.Log
+	Metrics              *metrics.Set
 }
 
 // Deps are the components that a Runner uses.
 type Deps struct {
-	Admitter Admitter
-	Claims   Claims
-	Picker   Picker
-	Watcher  Watcher
-	Engines  Engines
-	Abandon  Abandoner
-	Budget   RetryBudget
-	Inquirer Inquirer          // nil if backend servers aren't queried for runs
-	Copier   Copier            // nil if backend servers make no copies on demand
-	Guard    *quarantine.Guard // nil if crashes aren't attributed to requests
+	Admitter   Admitter
+	Claims     Claims
+	Picker     Picker
+	Watcher    Watcher
+	Engines    Engines
+	Abandon    Abandoner
+	Budget     RetryBudget
+	RunQuerier RunQuerier        // nil if backend servers aren't queried for runs
+	Copier     Copier            // nil if backend servers make no copies on demand
+	Guard      *quarantine.Guard // nil if crashes aren't attributed to requests
 }
 
 // Runner runs generations. It is safe for concurrent use.
@@ -108,11 +108,11 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Linger, defaultLinger)
-	setDefault(&o.Patience, defaultMaxWait)
-	setDefault(&o.StartedPatience, defaultStartedMaxWait)
+	setDefault(&o.MaxWait, defaultMaxWait)
+	setDefault(&o.StartedMaxWait, defaultStartedMaxWait)
 	setDefault(&o.AttachTimeout, defaultAttachTimeout)
 	setDefault(&o.RetryAfter, defaultRetryAfter)
-	setDefault(&o.MaxFruitless, defaultMaxTokenlessAttempts)
+	setDefault(&o.MaxTokenlessAttempts, defaultMaxTokenlessAttempts)
 	setDefault(&o.PauseGap, defaultPauseGap)
 	setDefault(&o.CallerGrace, defaultCallerGrace)
 	if o.Rand == nil {
@@ -184,7 +184,7 @@
 	anySent        bool                  // an attempt was sent, whether it may have run or not
 	failedAnswer   *backend.FailedAnswer // the latest one; delivered if nothing better arrives
 	backend        fleet.Backend         // picked, or still running the attempt
-	loadShare      Share                 // in the load of backend
+	loadShare      LoadShare             // in the load of backend
 	current        *attempt              // attempt to read, re-attach to or cancel
 	attemptNumber  int                   // number of the latest attempt
 	exclude        map[string]bool
@@ -205,7 +205,7 @@
 	x.tracked = r.Guard.Track(req.subject())
 	x.keepsText = !req.NonIdempotent
 	if req.Opaque != nil {
-		x.filter.next = req.Opaque.First
+		x.filter.next = req.Opaque.FirstChunk
 		x.keepsText = false
 	}
 	if p := req.Resume; p != nil {
@@ -225,7 +225,7 @@
 
 func (x *run) started() bool {
 	if o := x.req.Opaque; o != nil {
-		return x.filter.next > o.First
+		return x.filter.next > o.FirstChunk
 	}
 	return x.filter.next > 0
 }
--- a/generation/runquery.go
+++ b/generation/runquery.go
@@ -19,8 +19,8 @@
 	runQueryTimeout  = 300 * time.Millisecond
 )
 
-// Inquirer queries a backend server for its runs.
-type Inquirer interface {
+// RunQuerier queries a backend server for its runs.
+type RunQuerier interface {
 	Runs(ctx context.Context, b fleet.Backend) (RunReport, error)
 }
 
@@ -28,28 +28,28 @@
 type RunReport struct {
 	Queued int // requests that wait for a slot
 	Active int // runs, including requests whose prompts are being read
-	// Made is the number of chunks that each run has produced, by request id. Only runs that have
+	// ChunksMade is the number of chunks that each run has produced, by request id. Only runs that have
 	// produced at least one are listed.
-	Made map[string]int
-	// Reborn reports that the backend server was restarted, so that it has none of its earlier
+	ChunksMade map[string]int
+	// Restarted reports that the backend server was restarted, so that it has none of its earlier
 	// runs.
-	Reborn bool
+	Restarted bool
 }
 
 // mayHave reports whether the backend server may have a run of the request. A request that isn't
 // listed may be queued or have its prompt read, as long as the report counts such requests.
 func (r RunReport) mayHave(request string) bool {
-	if r.Reborn {
+	if r.Restarted {
 		return false
 	}
-	_, named := r.Made[request]
-	return named || r.Queued > 0 || r.Active > len(r.Made)
+	_, named := r.ChunksMade[request]
+	return named || r.Queued > 0 || r.Active > len(r.ChunksMade)
 }
 
 // HasRun implements the report interface of package health. It reports false for a run whose
 // latest chunks were not received: the run exists, but its connection no longer delivers.
 func (r RunReport) HasRun(request string, received int) bool {
-	if made, named := r.Made[request]; named {
+	if made, named := r.ChunksMade[request]; named {
 		return made <= received
 	}
 	return r.mayHave(request)
@@ -72,7 +72,7 @@
 // time limit for the first chunk is long. Without the query the answer would be late by many
 // times the duration of the run.
 func (x *run) pollRun(a *attempt) (stop func()) {
-	if x.Inquirer == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
+	if x.RunQuerier == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
@@ -97,6 +97,6 @@
 func (x *run) queryRun(ctx context.Context, b fleet.Backend) (bool, error) {
 	ctx, stop := context.WithTimeout(ctx, runQueryTimeout)
 	defer stop()
-	report, err := x.Inquirer.Runs(ctx, b)
+	report, err := x.RunQuerier.Runs(ctx, b)
 	return report.mayHave(x.req.ID), err
 }
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -50,7 +50,7 @@
 // cost is the work of the request in tokens.
 func (x *run) cost() float64 {
 	if o := x.req.Opaque; o != nil {
-		return float64(o.Size + o.Answer)
+		return float64(o.PromptTokens + o.MaxAnswerTokens)
 	}
 	return float64(len(x.req.Prompt)/bytesPerToken + x.req.MaxTokens - x.filter.next)
 }
@@ -133,22 +133,22 @@
 	return "none"
 }
 
-func (x *run) pickRequest() Ask {
-	a := Ask{
-		Request: x.req.ID, Ref: x.req.Ref, Priority: x.req.Priority, Prompt: x.req.Prompt,
-		Exclude: x.exclude, Resume: x.started(), Again: x.anySent, Reached: x.mayHaveRun, Prefer: x.lostCopy.backendID,
+func (x *run) pickRequest() PickRequest {
+	a := PickRequest{
+		RequestID: x.req.ID, Ref: x.req.Ref, Priority: x.req.Priority, Prompt: x.req.Prompt,
+		Exclude: x.exclude, Resume: x.started(), IsRetry: x.anySent, MayHaveRun: x.mayHaveRun, Prefer: x.lostCopy.backendID,
 	}
 	if o := x.req.Opaque; o != nil {
-		a.Service, a.Size, a.Answer = o.Service, o.Size, o.Answer
-		a.Target, a.Age = o.Target, o.Age
+		a.Service, a.PromptTokens, a.MaxAnswerTokens = o.Service, o.PromptTokens, o.MaxAnswerTokens
+		a.FirstChunkTarget, a.SinceFirstTry = o.FirstChunkTarget, o.SinceFirstTry
 		if !o.Deadline.IsZero() {
-			a.Left = max(o.Deadline.Left(), 1)
+			a.TimeLeft = max(o.Deadline.Left(), 1)
 		}
-		if len(o.Parts) > 0 {
-			a.Own = o.Parts[len(o.Parts)-1]
+		if len(o.PromptParts) > 0 {
+			a.UniquePart = o.PromptParts[len(o.PromptParts)-1]
 		}
-		if o.Returned && x.attemptsSent == 0 {
-			a.Parts = o.Parts
+		if o.HasPartialAnswer && x.attemptsSent == 0 {
+			a.PromptParts = o.PromptParts
 		}
 		a.LostDomain = x.lostDomain
 	}
@@ -184,12 +184,12 @@
 // earlier pauses the failure detector tolerates an engine's silence for longer. The answer would
 // be cut at the moment at which the silence is detected, though another engine could continue it.
 func (x *run) waitLeft() time.Duration {
-	maxWait, since := x.opts.Patience, x.lastToken
+	maxWait, since := x.opts.MaxWait, x.lastToken
 	if o := x.req.Opaque; o != nil {
-		maxWait = o.Patience
+		maxWait = o.MaxWait
 	}
 	if x.started() {
-		maxWait = x.opts.StartedPatience
+		maxWait = x.opts.StartedMaxWait
 		if x.req.Opaque == nil && x.lossCause != "" && x.lostAt.After(since) {
 			since = x.lostAt
 		}
@@ -234,7 +234,7 @@
 	case errors.Is(cause, context.DeadlineExceeded):
 		return ErrDeadline
 	}
-	return errors.Join(ErrCallerGone, cause)
+	return errors.Join(ErrCallerDisconnected, cause)
 }
 
 func (x *run) finish() string {
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ErrLost is the cause with which the context of a try is cancelled when the other try answered
+// ErrOtherAnswered is the cause with which the context of a try is cancelled when the other try answered
 // first.
-var ErrLost = errors.New("the other try answered first")
+var ErrOtherAnswered = errors.New("the other try answered first")
 
 // Call is one call that may be hedged.
 type Call[T any] struct {
@@ -20,10 +20,10 @@
 	// try. Try is called at most twice, possibly concurrently. Its answer may be read until
 	// release is called or ctx ends.
 	Try func(ctx context.Context, second bool) (T, error)
-	// Other reports whether there is another backend server for a second try.
-	Other func() bool
-	// Drop disposes of an answer that is not used.
-	Drop func(T)
+	// HasOther reports whether there is another backend server for a second try.
+	HasOther func() bool
+	// Discard disposes of an answer that is not used.
+	Discard func(T)
 }
 
 // outcome is the result of one try.
@@ -77,7 +77,7 @@
 	r.start(false)
 	got := r.firstResult(delay)
 	winner := index(got.second)
-	r.stop(1-winner, ErrLost)
+	r.stop(1-winner, ErrOtherAnswered)
 	if got.err != nil {
 		r.stop(winner, nil)
 		return got.value, func() {}, got.err
@@ -154,7 +154,7 @@
 }
 
 func (r *race[T]) hedge() {
-	if !r.call.Other() {
+	if !r.call.HasOther() {
 		return
 	}
 	if !r.h.budget.Take() {
@@ -169,7 +169,7 @@
 func (r *race[T]) drain() {
 	for ; r.pending > 0; r.pending-- {
 		if got := <-r.results; got.err == nil {
-			r.call.Drop(got.value)
+			r.call.Discard(got.value)
 		}
 	}
 }
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -125,31 +125,31 @@
 	}
 	pick.tellSoon = n.peers.tellSoon
 	pick.rollouts = n.rollouts
-	pick.refusal = admission.Refusal(n.set.Hosted.Decisions.Refusing)
+	pick.refusal = admission.RefusalPolicy(n.set.Hosted.Decisions.Refusing)
 	budgets := newBudgets(n.set.Hosted, n.peers.nodes)
 	runner, err := generation.New(generation.Deps{
-		Admitter: openDoor{},
-		Picker:   pick,
-		Watcher:  placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
-		Engines:  observed{replicas, n.rollouts},
-		Budget:   budgets,
-		Copier:   replicas,
-		Inquirer: replicas,
-		Guard:    n.guard,
+		Admitter:   openDoor{},
+		Picker:     pick,
+		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
+		Engines:    observed{replicas, n.rollouts},
+		Budget:     budgets,
+		Copier:     replicas,
+		RunQuerier: replicas,
+		Guard:      n.guard,
 	}, generation.Options{
-		Node:            n.set.Node.ID,
-		StartedPatience: startedPatience,
-		RetryAfter:      refusedRetry,
-		MaxFruitless:    maxFruitless,
-		Rand:            rand.Float64,
-		Log:             n.log,
-		Metrics:         n.meter,
+		Node:                 n.set.Node.ID,
+		StartedMaxWait:       startedPatience,
+		RetryAfter:           refusedRetry,
+		MaxTokenlessAttempts: maxFruitless,
+		Rand:                 rand.Float64,
+		Log:                  n.log,
+		Metrics:              n.meter,
 	})
 	if err != nil {
 		return nil, err
 	}
 	return relay.New(relay.Config{
-		Table: n.table, Runner: runner, Budgets: budgets, Patience: pick.refusal.Patience, Log: n.log, Set: n.meter,
+		Table: n.table, Runner: runner, Budgets: budgets, StreamMaxWait: pick.refusal.MaxWait, Log: n.log, Set: n.meter,
 	}), nil
 }
 
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -57,7 +57,7 @@
 // inquirer has replicas asked about their runs. It implements health.RunQuerier.
 type inquirer struct {
 	dir      *directory.Directory
-	replicas generation.Inquirer
+	replicas generation.RunQuerier
 }
 
 func (q inquirer) QueryRuns(ctx context.Context, id string) (health.RunReport, error) {
@@ -66,7 +66,7 @@
 		return nil, Error.New("replica %s is not known", id)
 	}
 	report, err := q.replicas.Runs(ctx, b)
-	if err == nil && report.Reborn {
+	if err == nil && report.Restarted {
 		err = Error.New("replica %s has started again", b.ID)
 	}
 	return report, err
--- a/hosted/survey.go
+++ b/hosted/survey.go
@@ -143,7 +143,7 @@
 }
 
 // look has engines asked for a request whose turn it is, which has waited for some time.
-func (p *picker) look(ctx context.Context, a generation.Ask, q *queue, waited time.Duration) {
+func (p *picker) look(ctx context.Context, a generation.PickRequest, q *queue, waited time.Duration) {
 	if !p.survey.needed() || !q.gate.due(waited == 0, time.Now()) {
 		return
 	}
@@ -152,14 +152,14 @@
 	ask.OtherDomain = a.LostDomain
 	drawn := p.survey.drawn(p.candidates(a), ask, homeKey(a), int(waited/surveyEvery))
 	answered := p.survey.ask(ctx, drawn, q.usual.get())
-	p.log.Emit(event.EnginesSurveyed, "request", a.Request, "service", a.Service,
+	p.log.Emit(event.EnginesSurveyed, "request", a.RequestID, "service", a.Service,
 		"asked", len(drawn), "answered", answered, "took_ms", time.Since(began).Milliseconds())
 }
 
 // homeKey is the key of a request's homes.
-func homeKey(a generation.Ask) uint64 {
-	if a.Own == "" {
-		return xxhash.Sum64String(a.Request)
+func homeKey(a generation.PickRequest) uint64 {
+	if a.UniquePart == "" {
+		return xxhash.Sum64String(a.RequestID)
 	}
-	return xxhash.Sum64String(a.Own)
+	return xxhash.Sum64String(a.UniquePart)
 }
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -22,7 +22,7 @@
 	if state != quarantine.Working || b.Lifetime.Born == 0 {
 		return state
 	}
-	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Reborn {
+	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Restarted {
 		return quarantine.Exited
 	}
 	return state
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -84,15 +84,15 @@
 }
 
 // candidates are the replicas that the next attempt of a request may use.
-func (p *picker) candidates(a generation.Ask) []routing.Candidate {
+func (p *picker) candidates(a generation.PickRequest) []routing.Candidate {
 	all := p.dir.Service(a.Service)
 	one := p.rollouts.of(a.Service)
 	if one == nil {
 		return all
 	}
 	// What follows a lost attempt, and a client that came back, goes where it surely is served.
-	first := !a.Again && !a.Resume && len(a.Parts) == 0
-	return one.among(all, first && one.Assign(a.Request, clock.Boot()), p.rollouts.limits)
+	first := !a.IsRetry && !a.Resume && len(a.PromptParts) == 0
+	return one.among(all, first && one.Assign(a.RequestID, clock.Boot()), p.rollouts.limits)
 }
 
 // allowedReplicas are those that any attempt may use that is not on trial.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -30,26 +30,26 @@
 
 // Request is one request as a client sent it.
 type Request struct {
-	ID     string // as chosen by the client
-	Method string
-	Target string // request target, unchanged
-	Path   string // of the target, unchanged
-	Host   string
-	Header http.Header // end-to-end headers
-	Body   []byte
-	Key    string        // API key, if any
-	Budget time.Duration // how long the client waits; 0 if not stated
-	// First is the number of the first chunk that the client wants of a stream.
-	First int
-	// Returned reports that the client has chunks before that one from an earlier try.
-	Returned bool
-	Size     int      // tokens of the prompt, 0 if not stated
-	Answer   int      // maximum number of tokens of the answer, 0 if not stated
-	Parts    []string // ids of the prompt's parts, in order
+	ID            string // as chosen by the client
+	Method        string
+	Target        string // request target, unchanged
+	Path          string // of the target, unchanged
+	Host          string
+	Header        http.Header // end-to-end headers
+	Body          []byte
+	Key           string        // API key, if any
+	ClientTimeout time.Duration // how long the client waits; 0 if not stated
+	// FirstChunk is the number of the first chunk that the client wants of a stream.
+	FirstChunk int
+	// HasPartialAnswer reports that the client has chunks before that one from an earlier try.
+	HasPartialAnswer bool
+	PromptTokens     int      // tokens of the prompt, 0 if not stated
+	MaxAnswerTokens  int      // maximum number of tokens of the answer, 0 if not stated
+	PromptParts      []string // ids of the prompt's parts, in order
 }
 
-// Verdict is how a request ended.
-type Verdict struct {
+// Result is how a request ended.
+type Result struct {
 	// Status is the status of the answer that still has to be sent to the client; 0 if the
 	// backend server's answer was delivered.
 	Status     int
@@ -74,11 +74,11 @@
 	Table   *route.Current
 	Runner  Runner
 	Budgets Budgets
-	// Patience returns how long a stream waits for a backend server, given its target time; nil
+	// StreamMaxWait returns how long a stream waits for a backend server, given its target time; nil
 	// selects half of the target.
-	Patience func(target time.Duration) time.Duration
-	Log      *event.Log
-	Set      *metrics.Set
+	StreamMaxWait func(target time.Duration) time.Duration
+	Log           *event.Log
+	Set           *metrics.Set
 }
 
 // Relay serves requests. It is safe for concurrent use.
@@ -113,7 +113,7 @@
 
 // Serve runs req to its end. It delivers to sink from the calling goroutine; ctx ends when the
 // client disconnects.
-func (r *Relay) Serve(ctx context.Context, req *Request, sink generation.Sink) Verdict {
+func (r *Relay) Serve(ctx context.Context, req *Request, sink generation.Sink) Result {
 	startedAt := time.Now()
 	table := r.table(ctx)
 	if table == nil {
@@ -196,29 +196,29 @@
 // timeoutOf returns the shorter of the client's and the route's timeout.
 func timeoutOf(req *Request, rt *route.Route) time.Duration {
 	switch {
-	case req.Budget <= 0:
+	case req.ClientTimeout <= 0:
 		return rt.Timeout
 	case rt.Timeout <= 0:
-		return req.Budget
+		return req.ClientTimeout
 	}
-	return min(req.Budget, rt.Timeout)
+	return min(req.ClientTimeout, rt.Timeout)
 }
 
 // age estimates how long ago the client tried first from its remaining time, assuming that
 // clients wait for about as long as the route allows. It is used only to order waiting requests,
 // since a client may have set a shorter timeout from the start.
 func (j *job) age() time.Duration {
-	if j.req.Budget <= 0 || j.route.Timeout <= 0 {
+	if j.req.ClientTimeout <= 0 || j.route.Timeout <= 0 {
 		return 0
 	}
-	return max(j.route.Timeout-j.req.Budget, 0)
+	return max(j.route.Timeout-j.req.ClientTimeout, 0)
 }
 
 // maxWait is how long a request waits for a backend server: half of the time until its answer is
 // late, since the rest is needed to run it, or as configured.
 func (j *job) maxWait() time.Duration {
-	if j.route.Kind == route.Stream && j.cfg.Patience != nil {
-		return j.cfg.Patience(j.route.Target)
+	if j.route.Kind == route.Stream && j.cfg.StreamMaxWait != nil {
+		return j.cfg.StreamMaxWait(j.route.Target)
 	}
 	return j.route.Target / 2
 }
@@ -243,17 +243,17 @@
 				Deadline:  j.deadline,
 				Urgency:   j.priority,
 			},
-			Service:     j.service,
-			First:       j.req.First,
-			Size:        j.req.Size,
-			Answer:      j.req.Answer,
-			Parts:       j.req.Parts,
-			Returned:    j.req.Returned,
-			MaxAttempts: max(j.route.MaxAttempts, 1),
-			Patience:    j.maxWait(),
-			Target:      j.route.Target,
-			Age:         j.age(),
-			Copies:      j.copying(),
+			Service:          j.service,
+			FirstChunk:       j.req.FirstChunk,
+			PromptTokens:     j.req.PromptTokens,
+			MaxAnswerTokens:  j.req.MaxAnswerTokens,
+			PromptParts:      j.req.PromptParts,
+			HasPartialAnswer: j.req.HasPartialAnswer,
+			MaxAttempts:      max(j.route.MaxAttempts, 1),
+			MaxWait:          j.maxWait(),
+			FirstChunkTarget: j.route.Target,
+			SinceFirstTry:    j.age(),
+			Copies:           j.copying(),
 		},
 	}
 	if j.route.Kind != route.Stream {
@@ -271,31 +271,31 @@
 	if j.route.Kind != route.Stream || !j.route.Resumable {
 		return generation.Copying{}
 	}
-	return generation.Copying{Kept: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
+	return generation.Copying{KeptUpToDate: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
 }
 
 // result derives what still has to be sent to the client from the outcome.
-func (j *job) result(res generation.Result) Verdict {
+func (j *job) result(res generation.Result) Result {
 	switch {
 	case res.Outcome == fleet.Complete:
-		return Verdict{}
+		return Result{}
 	case res.Tokens > 0:
-		return Verdict{Broken: true}
+		return Result{Broken: true}
 	case res.Code == generation.CodeQuarantined:
-		return Verdict{Status: http.StatusInternalServerError}
+		return Result{Status: http.StatusInternalServerError}
 	case res.Outcome == fleet.NotRun:
-		return Verdict{Status: http.StatusServiceUnavailable, RetryAfter: j.retryAfter(res.RetryAfter)}
+		return Result{Status: http.StatusServiceUnavailable, RetryAfter: j.retryAfter(res.RetryAfter)}
 	case j.deadline.Passed():
-		return Verdict{Status: http.StatusGatewayTimeout}
+		return Result{Status: http.StatusGatewayTimeout}
 	}
-	return Verdict{Status: http.StatusBadGateway}
+	return Result{Status: http.StatusBadGateway}
 }
 
 // retryAfter limits the time to come back to a third of the client's remaining time.
 func (j *job) retryAfter(advice time.Duration) time.Duration {
-	if j.req.Budget <= 0 {
+	if j.req.ClientTimeout <= 0 {
 		return advice
 	}
-	left := j.deadline.Left() + j.req.Budget - j.timeout
+	left := j.deadline.Left() + j.req.ClientTimeout - j.timeout
 	return max(min(advice, left/retryAfterDivisor), 0)
 }
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -86,7 +86,7 @@
 	within(c, "hosted.min_prefill_ms", h.MinPrefillMS, 10, 60000)
 	within(c, "hosted.prefill_tokens_per_second", h.PrefillTokensPerSecond, 1, 1e9)
 	within(c, "hosted.gc_percent", h.GCPercent, 5, 1000)
-	c.oneOf("hosted.decisions.refusing", h.Decisions.Refusing, admission.Refusals())
+	c.oneOf("hosted.decisions.refusing", h.Decisions.Refusing, admission.RefusalPolicies())
 }
 
 // oneOf reports a value that is not among the names.
