--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -54,7 +54,7 @@
 	return p
 }
 
-// inquirer has replicas asked about their runs. It implements health.Inquirer.
+// inquirer has replicas asked about their runs. It implements health.RunQuerier.
 type inquirer struct {
 	dir      *directory.Directory
 	replicas generation.RunQuerier
