--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -38,7 +38,7 @@
 // Pick chooses an engine and checks once more, at the moment of dispatch, that
 // it is neither leaving nor taken by another probe.
 func (p *picker) Pick(_ context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
-	ask := routing.Ask{
+	ask := routing.PickRequest{
 		Ref:           a.Ref,
 		Priority:      a.Priority,
 		Blocks:        fleet.PrefixBlocks(a.Prompt, prefixBlocks),
@@ -55,7 +55,7 @@
 
 // service chooses a backend server of a plain service.
 func (p *picker) service(name string, exclude map[string]bool) (fleet.Backend, generation.LoadShare, error) {
-	ask := routing.Ask{
+	ask := routing.PickRequest{
 		Priority:      fleet.Interactive,
 		Exclude:       exclude,
 		FailureDomain: p.domain,
@@ -65,7 +65,7 @@
 	return p.pick(p.dir.Service(name), ask)
 }
 
-func (p *picker) pick(candidates []routing.Candidate, ask routing.Ask) (fleet.Backend, generation.LoadShare, error) {
+func (p *picker) pick(candidates []routing.Candidate, ask routing.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaWait}
 	return c.Pick(p.router, candidates, ask, directory.Load{Requests: 1})
 }
--- a/daemon/rumours.go
+++ b/daemon/rumours.go
@@ -34,7 +34,7 @@
 	}
 	peer.HandleFlood(r.mesh, floodHealth, func(_ string, v rumour) { mon.HandlePeerReport(v.Backend, v.Incarnation, v.Kind) })
 	peer.HandleFlood(r.mesh, floodLeaving, func(_ string, v rumour) {
-		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromRumour)
+		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromPeerReport)
 	})
 }
 
@@ -44,10 +44,10 @@
 // that don't read it: each of hundreds of routers would flood it once more.
 func spreads(source directory.Source, duty inventory.Duty) bool {
 	switch source {
-	case directory.FromRumour, directory.FromIntent:
+	case directory.FromPeerReport, directory.FromIntent:
 		return false
 	case directory.FromVMList:
-		return duty != inventory.Rests
+		return duty != inventory.NotReader
 	}
 	return true
 }
--- a/directory/batch.go
+++ b/directory/batch.go
@@ -113,9 +113,9 @@
 	return max(int(sum), 1)
 }
 
-// Places sums the slots of all candidates, whichever router uses them now: perBackend
+// Slots sums the slots of all candidates, whichever router uses them now: perBackend
 // for each candidate or, when that is 0, the number that its reports showed.
-func Places(candidates []routing.Candidate, perBackend float64) int {
+func Slots(candidates []routing.Candidate, perBackend float64) int {
 	var sum float64
 	for _, c := range candidates {
 		r, ok := c.Live.(*record)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -29,8 +29,8 @@
 	PollJitter   = 0.25
 )
 
-// RumourDelay bounds how long a peer report takes to reach every router.
-const RumourDelay = time.Second
+// PeerReportDelay bounds how long a peer report takes to reach every router.
+const PeerReportDelay = time.Second
 
 // LeavingBound is the time after which a leaving backend server gets no new work,
 // counted from when the VM list, a load report or an engine's refusal would first show
@@ -39,7 +39,7 @@
 // at different times, so the first of them usually has it sooner. The lag of the
 // platform's VM list comes on top; and when a flood is lost, digests deliver the update
 // later, within some rounds.
-const LeavingBound = PollInterval + PollInterval/4 + RumourDelay
+const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
 // missingGrace is how long a backend server may be missing from the VM list before it
 // is removed. The list lags and may be served by an old replica.
@@ -50,11 +50,11 @@
 
 // Sources of MarkLeaving.
 const (
-	FromIntent  Source = "intent"
-	FromVMList  Source = "vm-list"
-	FromReport  Source = "report"
-	FromRefusal Source = "refusal"
-	FromRumour  Source = "rumour"
+	FromIntent     Source = "intent"
+	FromVMList     Source = "vm-list"
+	FromReport     Source = "report"
+	FromRefusal    Source = "refusal"
+	FromPeerReport Source = "rumour"
 )
 
 // table is an immutable view of the fleet; changes replace it as a whole.
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -20,9 +20,9 @@
 // which this router has just sent a prompt seems idle.
 const reportLag = 300 * time.Millisecond
 
-// Usual is the size in tokens of a typical request of a service: reports list the runs,
+// RequestSize is the size in tokens of a typical request of a service: reports list the runs,
 // but not how large they will become.
-type Usual struct{ Prompt, Answer float64 }
+type RequestSize struct{ Prompt, Answer float64 }
 
 // observation is the peers' load derived from one report of an engine.
 type observation struct {
@@ -39,7 +39,7 @@
 }
 
 // Observe applies an engine's report of its state.
-func (d *Directory) Observe(id string, s fleet.EngineState, size Usual, now time.Time) {
+func (d *Directory) Observe(id string, s fleet.EngineState, size RequestSize, now time.Time) {
 	if r := d.table.Load().byID[id]; r != nil {
 		r.observe(loadFromState(s, size), now)
 	}
@@ -49,24 +49,24 @@
 // and the rest of the prompts being read and of the answers being generated, are added
 // to what is in memory. Reports don't include how far a prompt has been read, so it
 // counts in full.
-func loadFromState(s fleet.EngineState, size Usual) Load {
+func loadFromState(s fleet.EngineState, size RequestSize) Load {
 	total := size.Prompt + size.Answer
 	queued := float64(s.Queued) * size.Prompt
-	if s.Next > 0 {
-		queued += float64(s.Next) - size.Prompt
+	if s.NextPromptTokens > 0 {
+		queued += float64(s.NextPromptTokens) - size.Prompt
 	}
 	out := Load{
 		Requests: float64(s.Queued + s.Reading + len(s.Runs)),
 		Reading:  queued + float64(s.Reading)*size.Prompt,
 		Running:  float64(len(s.Runs)),
-		Held:     float64(s.Used) + queued + float64(s.Queued)*size.Answer,
+		Memory:   float64(s.MemoryUsed) + queued + float64(s.Queued)*size.Answer,
 	}
-	beingRead := float64(s.Used - s.Copies) // memory taken by the prompts that are being read
+	beingRead := float64(s.MemoryUsed - s.CopyTokens) // memory taken by the prompts that are being read
 	for _, run := range s.Runs {
-		out.Held += max(total-float64(run.Held), 0)
-		beingRead -= float64(run.Held)
+		out.Memory += max(total-float64(run.Memory), 0)
+		beingRead -= float64(run.Memory)
 	}
-	out.Held += max(float64(s.Reading)*total-max(beingRead, 0), 0)
+	out.Memory += max(float64(s.Reading)*total-max(beingRead, 0), 0)
 	return out
 }
 
@@ -92,8 +92,8 @@
 	r.recentStarts = append(kept, recentStart{now, l})
 }
 
-// Seen is when the engine last reported its state; zero if it never did.
-func (r *record) Seen() time.Time {
+// ReportedAt is when the engine last reported its state; zero if it never did.
+func (r *record) ReportedAt() time.Time {
 	if o := r.observed.Load(); o != nil {
 		return o.at
 	}
@@ -119,7 +119,7 @@
 		Requests: max(sum.Requests, 0),
 		Reading:  max(sum.Reading, 0),
 		Running:  max(sum.Running, 0),
-		Held:     max(sum.Held, 0),
+		Memory:   max(sum.Memory, 0),
 	}
 }
 
@@ -130,10 +130,10 @@
 	if r == nil {
 		return Load{}, 0, false
 	}
-	seen := r.Seen()
+	seen := r.ReportedAt()
 	return r.estimatedLoad(), now.Sub(seen), !seen.IsZero()
 }
 
-// OthersTell reports whether other routers send their loads. If not, engines must be
+// PeersSendLoads reports whether other routers send their loads. If not, engines must be
 // queried for them.
-func (d *Directory) OthersTell() bool { return d.loads.peersSendLoads.Load() }
+func (d *Directory) PeersSendLoads() bool { return d.loads.peersSendLoads.Load() }
--- a/directory/peers_test.go
+++ b/directory/peers_test.go
@@ -59,7 +59,7 @@
 						local[id] = Load{Requests: float64(n)}
 					}
 				}
-				if got := d.OwnLoads(); !maps.Equal(got, local) {
+				if got := d.LocalLoads(); !maps.Equal(got, local) {
 					t.Fatalf("broadcasts %v, has %v", got, local)
 				}
 				for id, r := range d.table.Load().byID {
@@ -83,7 +83,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.OwnLoads()
+		d.LocalLoads()
 		d.SetPeerLoads(sum)
 	}
 }
--- a/directory/record.go
+++ b/directory/record.go
@@ -157,9 +157,9 @@
 	return float64(r.last.Running + r.last.Waiting)
 }
 
-// Places is how many requests the backend server runs at once, as far as its reports
+// Slots is how many requests the backend server runs at once, as far as its reports
 // showed it; 0 when they did not.
-func (r *record) Places() float64 { return math.Float64frombits(r.slots.Load()) }
+func (r *record) Slots() float64 { return math.Float64frombits(r.slots.Load()) }
 
 // Leaving reports that no new work may be sent there.
 func (r *record) Leaving() bool { return r.leaving.Load() }
@@ -173,7 +173,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.local.add(change)
-	if change.Held > 0 {
+	if change.Memory > 0 {
 		r.rememberStart(change, now)
 	}
 	if units := int64(change.Requests * milli); units != 0 {
@@ -187,8 +187,8 @@
 // Running is the number of runs that are generating tokens.
 func (r *record) Running() float64 { return r.estimatedLoad().Running }
 
-// Held is the number of tokens that runs, at their ends, and copies take in memory.
-func (r *record) Held() float64 { return r.estimatedLoad().Held }
+// Memory is the number of tokens that runs, at their ends, and copies take in memory.
+func (r *record) Memory() float64 { return r.estimatedLoad().Memory }
 
 func (r *record) serves(ref fleet.ModelRef) bool {
 	r.mu.Lock()
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -48,7 +48,7 @@
 
 // Members returns the engines that this router polls regularly: for each model, the
 // subset of the engines known to serve it. Engines that never reported are polled
-// separately, see Unheard.
+// separately, see LeastRecentlyReported.
 func (d *Directory) Members(router string, size int) map[string]bool {
 	byModel := map[string][]string{}
 	for id, r := range d.table.Load().byID {
@@ -65,10 +65,10 @@
 	return members
 }
 
-// Unheard returns up to n engines outside members to be polled for what they serve:
+// LeastRecentlyReported returns up to n engines outside members to be polled for what they serve:
 // first those that never reported, in this router's own order, then the others with the
 // oldest report first, so that changes of placement are noticed.
-func (d *Directory) Unheard(router string, members map[string]bool, n int) []string {
+func (d *Directory) LeastRecentlyReported(router string, members map[string]bool, n int) []string {
 	key := xxhash.Sum64String(router)
 	var all []ranked
 	for id, r := range d.table.Load().byID {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -82,14 +82,14 @@
 // Backend is a backend server as announced in the VM list.
 type Backend struct {
 	ID string `json:"id"`
-	// Lifetime is set where a backend server may restart under the same name; ID is
+	// Incarnation is set where a backend server may restart under the same name; ID is
 	// then the ID of this value.
-	Lifetime      Lifetime `json:"-"`
-	Addr          string   `json:"addr"` // host:port
-	VM            string   `json:"vm"`
-	FailureDomain string   `json:"failure_domain"`
-	Kind          Kind     `json:"kind"`
-	Service       string   `json:"service,omitempty"` // name under /services/, for Kind Service
+	Incarnation   Incarnation `json:"-"`
+	Addr          string      `json:"addr"` // host:port
+	VM            string      `json:"vm"`
+	FailureDomain string      `json:"failure_domain"`
+	Kind          Kind        `json:"kind"`
+	Service       string      `json:"service,omitempty"` // name under /services/, for Kind Service
 	// Version is that of its software, where a roll-out may replace it; empty
 	// elsewhere.
 	Version string `json:"-"`
@@ -105,8 +105,8 @@
 
 // Name is the name by which the backend server is addressed.
 func (b *Backend) Name() string {
-	if b.Lifetime.Name != "" {
-		return b.Lifetime.Name
+	if b.Incarnation.Name != "" {
+		return b.Incarnation.Name
 	}
 	return b.ID
 }
@@ -130,16 +130,16 @@
 // EngineState is an engine's report of its work and memory, made when it is queried. It
 // describes a moment some tenths of a second ago.
 type EngineState struct {
-	Queued  int        // requests that wait for a slot in the batch
-	Next    int        // prompt tokens of the first of them, 0 if none waits
-	Reading int        // requests in the batch whose prompts are being read
-	Used    int        // tokens in memory that can't be evicted
-	Copies  int        // of those, tokens of copies of runs of other engines
-	Runs    []RunState // in the batch, with their prompts read
+	Queued           int        // requests that wait for a slot in the batch
+	NextPromptTokens int        // prompt tokens of the first of them, 0 if none waits
+	Reading          int        // requests in the batch whose prompts are being read
+	MemoryUsed       int        // tokens in memory that can't be evicted
+	CopyTokens       int        // of those, tokens of copies of runs of other engines
+	Runs             []RunState // in the batch, with their prompts read
 }
 
 // RunState is one run in an EngineState.
 type RunState struct {
-	Held int // tokens in memory
-	Made int // chunks of its answer
+	Memory int // tokens in memory
+	Chunks int // chunks of its answer
 }
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Lifetime is one run of a backend server's process, from start to exit. A backend
+// Incarnation is one run of a backend server's process, from start to exit. A backend
 // server may restart under the same name; it has then lost all its state.
 //
 // If a name stood for all of its runs, a generation would wait for a run that ended
@@ -10,21 +10,21 @@
 // of leaving or a suspicion about the earlier process would keep a healthy backend
 // server without work. So everything known of a backend server is recorded under ID,
 // which has both parts.
-type Lifetime struct {
-	Name string // under which the backend server is addressed
-	Born int64  // Unix milliseconds of its start by its own clock; 0 when it does not report it
+type Incarnation struct {
+	Name      string // under which the backend server is addressed
+	StartedAt int64  // Unix milliseconds of its start by its own clock; 0 when it does not report it
 }
 
 // ID is unique to the incarnation. It is the name alone when the start time is unknown.
-func (l Lifetime) ID() string {
-	if l.Born == 0 {
+func (l Incarnation) ID() string {
+	if l.StartedAt == 0 {
 		return l.Name
 	}
-	return l.Name + "@" + strconv.FormatInt(l.Born, 10)
+	return l.Name + "@" + strconv.FormatInt(l.StartedAt, 10)
 }
 
 // SameAs reports whether a backend server that reports the given start time is this
 // incarnation. It returns true when either start time is unknown.
-func (l Lifetime) SameAs(startedAt int64) bool {
-	return l.Born == 0 || startedAt == 0 || l.Born == startedAt
+func (l Incarnation) SameAs(startedAt int64) bool {
+	return l.StartedAt == 0 || startedAt == 0 || l.StartedAt == startedAt
 }
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -55,7 +55,7 @@
 	}
 	v.table.Install(route.NewTable(cfg))
 	v.Put(replicaEntry("i-a", "10.0.0.1:80", 5))
-	v.Settled()
+	v.BatchDone()
 	return v
 }
 
@@ -74,7 +74,7 @@
 	}
 	v.adopt([]adoptedReplica{{Name: "i-c", Addr: "10.0.0.1:80"}})
 	v.Put(replicaEntry("i-c", "10.0.0.1:80", 7))
-	v.Settled()
+	v.BatchDone()
 	v.dropAdopted()
 	if v.dir.Leaving("i-c") {
 		t.Error("a replica that the store lists is dropped")
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -96,7 +96,7 @@
 	n.holds = newHolds(store, n.log)
 	n.view = newView(n.table, n.dir, n.mon, n.peers, n.rollouts, log)
 	n.view.holds = n.holds
-	n.mirror = mirror.New(store, n.view, mirror.Config{Reads: n.news.reads, OnNews: n.news.say, Log: log, Set: n.meter})
+	n.mirror = mirror.New(store, n.view, mirror.Config{IsReader: n.news.reads, OnUpdate: n.news.say, Log: log, Set: n.meter})
 	n.news.mirror = n.mirror
 	relay, err := n.newRelay()
 	if err != nil {
--- a/hosted/news.go
+++ b/hosted/news.go
@@ -72,7 +72,7 @@
 
 func (n *news) join(mesh *peer.Mesh) {
 	peer.HandleFlood(mesh, tellNews, n.hear)
-	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.Question) (mirror.Delta, error) {
+	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.DeltaRequest) (mirror.Delta, error) {
 		return n.mirror.Delta(q), nil
 	})
 	n.mu.Lock()
@@ -166,10 +166,10 @@
 
 // pull takes in what a neighbour knows more.
 func (n *news) pull(mesh *peer.Mesh, from string) {
-	err := n.mirror.Pull(from, func(q mirror.Question) (mirror.Delta, error) {
+	err := n.mirror.Pull(from, func(q mirror.DeltaRequest) (mirror.Delta, error) {
 		ctx, stop := context.WithTimeout(context.Background(), pullTimeout)
 		defer stop()
-		return peer.Call[mirror.Question, mirror.Delta](ctx, mesh, from, callDelta, q)
+		return peer.Call[mirror.DeltaRequest, mirror.Delta](ctx, mesh, from, callDelta, q)
 	})
 	if err != nil {
 		n.log.Emit(event.PeerAskFailed, "peer", from, "err", err)
--- a/hosted/news_size_test.go
+++ b/hosted/news_size_test.go
@@ -118,8 +118,8 @@
 	h.got = max(h.got, v.ModRev)
 }
 
-func (*hearing) Gone(string) {}
-func (*hearing) Settled()    {}
+func (*hearing) Removed(string) {}
+func (*hearing) BatchDone()     {}
 
 // newsNode is one node with its links and what it knows of the store.
 type newsNode struct {
@@ -143,7 +143,7 @@
 	}
 	mesh.SetDiscoveredSeeds(seeds) // as from the store
 	news := newNews(id, domain, nil)
-	news.mirror = mirror.New(turnable{log, n.away}, n.heard, mirror.Config{Reads: news.reads, OnNews: news.say, Set: metrics.NewSet()})
+	news.mirror = mirror.New(turnable{log, n.away}, n.heard, mirror.Config{IsReader: news.reads, OnUpdate: news.say, Set: metrics.NewSet()})
 	n.news = news
 	news.join(mesh)
 	srv := &http.Server{Handler: mesh, ReadHeaderTimeout: time.Second}
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -270,7 +270,7 @@
 	}
 	peer.HandleFlood(mesh, tellLoads, p.takeLoads)
 	peer.HandleFlood(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.HandleDomainReport(m.Domain) })
-	peer.HandleFlood(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
+	peer.HandleFlood(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromPeerReport) })
 	peer.HandleFlood(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.hear(m) })
 	peer.HandleFlood(mesh, floodRollout, p.rollouts.hear)
 	peer.HandleFlood(mesh, quarantine.FloodUpdate, p.guard.HandleUpdate)
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -87,7 +87,7 @@
 	standbySteps = guarded(
 		routing.StepConfig{Name: routing.FilterHealthy},
 		routing.StepConfig{Name: routing.FilterFresh},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.ScoreMemory},
 	)
 )
@@ -98,7 +98,7 @@
 	return guarded(
 		routing.StepConfig{Name: routing.FilterUsable},
 		routing.StepConfig{Name: byAge},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.FilterBacklog},
 		routing.StepConfig{Name: routing.ScoreDelay},
 		routing.StepConfig{Name: routing.ScoreMemory, Weight: memoryWeight},
@@ -209,7 +209,7 @@
 	if !p.survey.needed() || a.UniquePart == "" {
 		return all
 	}
-	return routing.Homes(all, homeKey(a), 2*homes)
+	return routing.PreferredEngines(all, homeKey(a), 2*homes)
 }
 
 // KeepsCopy implements generation.Picker.
@@ -229,11 +229,11 @@
 	if err != nil {
 		return fleet.Backend{}, nil, false
 	}
-	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Held: float64(ask.Holds)}), true
+	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Memory: float64(ask.MemoryTokens)}), true
 }
 
-func (p *picker) ask(a generation.PickRequest) routing.Ask {
-	ask := routing.Ask{
+func (p *picker) ask(a generation.PickRequest) routing.PickRequest {
+	ask := routing.PickRequest{
 		Priority:   a.Priority,
 		Exclude:    a.Exclude,
 		Resume:     a.Resume,
@@ -247,7 +247,7 @@
 		ask.Backlog = idleOnly
 	}
 	prompt, answer := tokensOf(a)
-	ask.Tokens, ask.Holds = prompt, prompt+answer
+	ask.PromptTokens, ask.MemoryTokens = prompt, prompt+answer
 	return ask
 }
 
@@ -275,6 +275,6 @@
 	return directory.Load{
 		Requests: 1,
 		Reading:  float64(max(prompt-held, 1)),
-		Held:     float64(prompt + answer),
+		Memory:   float64(prompt + answer),
 	}
 }
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -109,14 +109,14 @@
 		ageMS = max(age.Milliseconds(), 0)
 	}
 	p.log.Emit(event.EngineChosen, "request", a.RequestID, "backend", id, "waited_ms", turn.Waited.Milliseconds(),
-		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Held), "age_ms", ageMS)
+		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Memory), "age_ms", ageMS)
 }
 
 // place chooses an engine for a run: one of its homes if any of them can take it.
 func (p *picker) place(a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	all, load := p.candidates(a), loadOf(a, 0)
 	if p.survey.needed() {
-		b, share, err := p.choose(p.home, routing.Homes(all, homeKey(a), homes), a, load)
+		b, share, err := p.choose(p.home, routing.PreferredEngines(all, homeKey(a), homes), a, load)
 		if err == nil {
 			return b, share, nil
 		}
--- a/hosted/queue_test.go
+++ b/hosted/queue_test.go
@@ -16,7 +16,7 @@
 	list := engineList(2, 2)
 	p := pickerOf(t, list, memory)
 	for _, b := range list {
-		p.dir.Begin(b.ID, directory.Load{Held: float64(memory - free)})
+		p.dir.Begin(b.ID, directory.Load{Memory: float64(memory - free)})
 	}
 	return p
 }
@@ -77,7 +77,7 @@
 // what other routers keep there is known in part.
 func TestIdleEngineWithoutCopiesGoesFirst(t *testing.T) {
 	p := fullPicker(t, 50000)
-	p.dir.Begin("e0", directory.Load{Held: 6000})
+	p.dir.Begin("e0", directory.Load{Memory: 6000})
 	for i := range 20 {
 		b, share, err := p.Pick(t.Context(), draftAsk(fmt.Sprint("q", i), 5000))
 		if err != nil || b.ID != "e1" {
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -19,7 +19,7 @@
 // Probe implements quarantine.Prober.
 func (l looker) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
 	state := l.Looker.Probe(ctx, b)
-	if state != quarantine.Working || b.Lifetime.Born == 0 {
+	if state != quarantine.Working || b.Incarnation.StartedAt == 0 {
 		return state
 	}
 	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Restarted {
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -35,7 +35,7 @@
 	withheld map[string]bool        // names whose entries can't be used any more
 	unnamed  map[string]infra.Value // entries, by name, of services that the configuration doesn't name
 	at       map[string]string      // id of the youngest replica that has an address
-	found    []fleet.Backend        // new since the last Settled
+	found    []fleet.Backend        // new since the last BatchDone
 	changed  bool
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(v.unnamed, name)
-	before, n := v.lives.follow(b.Lifetime)
+	before, n := v.lives.follow(b.Incarnation)
 	if n == outdated {
 		v.log.Emit(event.ReplicaWordOutdated, "backend", b.ID, "known", before.ID(), "revision", item.ModRev)
 		return
@@ -148,7 +148,7 @@
 
 // checkRewrite tells whether an entry can be the replica's own, by what it said before.
 func (v *view) checkRewrite(b fleet.Backend) error {
-	if known, ok := v.lives.of(b.Lifetime.Name); ok && known.Born != 0 && b.Lifetime.Born == 0 {
+	if known, ok := v.lives.of(b.Incarnation.Name); ok && known.StartedAt != 0 && b.Incarnation.StartedAt == 0 {
 		return errUnborn
 	}
 	return nil
@@ -183,7 +183,7 @@
 
 // endLife drops a lifetime that another one has followed: its runs are lost, and what
 // was known of it says nothing of its successor.
-func (v *view) endLife(life fleet.Lifetime) {
+func (v *view) endLife(life fleet.Incarnation) {
 	v.mon.Restarted(life.ID())
 	v.drop(life.ID(), "it has started again")
 }
@@ -201,8 +201,8 @@
 	v.at[b.Addr] = b.ID
 }
 
-// Gone implements mirror.Receiver.
-func (v *view) Gone(key string) {
+// Removed implements mirror.Receiver.
+func (v *view) Removed(key string) {
 	name, ok := platform.ReplicaID(key)
 	if !ok {
 		v.rollouts.gone(key)
@@ -232,7 +232,7 @@
 	v.changed = true
 }
 
-// leave takes effect at once, not with the next Settled.
+// leave takes effect at once, not with the next BatchDone.
 func (v *view) leave(id, reason string, revision int64) {
 	if v.dir.Leaving(id) {
 		if _, known := v.dir.Backend(id); known {
@@ -240,7 +240,7 @@
 		}
 	}
 	v.log.Emit(event.ReplicaLeaving, "backend", id, "reason", reason, "revision", revision)
-	// The directory may not know it yet: then the next Settled tells it.
+	// The directory may not know it yet: then the next BatchDone tells it.
 	if b, ok := v.replicas[id]; ok {
 		b.Leaving = true
 		v.replicas[id] = b
@@ -248,8 +248,8 @@
 	v.dir.MarkLeaving(id, "", directory.FromVMList)
 }
 
-// Settled implements mirror.Receiver.
-func (v *view) Settled() {
+// BatchDone implements mirror.Receiver.
+func (v *view) BatchDone() {
 	v.peers.settled()
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -79,7 +79,7 @@
 	buckets := w.nodes[a].Differing(w.nodes[b].Answer(w.nodes[a].Digest()))
 	for len(buckets) > 0 {
 		batch := w.nodes[a].Batch(buckets)
-		batch.Asked = buckets[:batch.Done]
+		batch.Buckets = buckets[:batch.Done]
 		answer, _ := w.nodes[b].Exchange(batch, w.now)
 		w.nodes[a].Merge(answer.Records, w.now)
 		buckets = buckets[answer.Done:]
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -94,7 +94,7 @@
 		state:         NewState(),
 		observer:      NewObserver(cfg.Node),
 		lastReadingAt: time.Now(),
-		duty:          Reads,
+		duty:          Reader,
 	}
 	v.membersStale.Store(true)
 	v.met = newMeters(cfg.Metrics, v)
@@ -182,18 +182,18 @@
 	}
 	before := v.duty
 	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.lastReadingAt), v.fallbackActive})
-	if v.duty == Alone && before != Alone {
+	if v.duty == FallbackReader && before != FallbackReader {
 		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.lastReadingAt).String())
 		// Spreads the readings: all nodes notice the silence at the same time.
 		v.nextFallback = now.Add(time.Duration(rand.Float64() * float64(fallbackInterval)))
 	}
-	if v.duty == Rests && before != Rests {
+	if v.duty == NotReader && before != NotReader {
 		v.observer.Reset()
 	}
-	if v.duty == Alone {
+	if v.duty == FallbackReader {
 		return v.fallbackDue(now)
 	}
-	return v.duty == Reads
+	return v.duty == Reader
 }
 
 func (v *Inventory) fallbackDue(now time.Time) bool {
@@ -217,7 +217,7 @@
 	if first && len(out) == 0 {
 		// Other nodes that would read as a fallback find out at once that they need
 		// not.
-		out = append(out, Delta{Heard: v.state.newest})
+		out = append(out, Delta{Newest: v.state.newest})
 	}
 	return out
 }
@@ -225,20 +225,20 @@
 // recordReading records this reading as the newest one; it returns true if it is the
 // first one of a fallback reader.
 func (v *Inventory) recordReading(started time.Time) (first bool) {
-	h := Heard{Reading: v.state.nextStamp(started)}
-	if v.duty == Reads {
+	h := NewestReadings{Reading: v.state.nextStamp(started)}
+	if v.duty == Reader {
 		h.Chosen = h.Reading
 	}
 	v.recordReadings(h)
-	first = v.duty == Alone && !v.fallbackActive
-	v.fallbackActive = v.duty == Alone
+	first = v.duty == FallbackReader && !v.fallbackActive
+	v.fallbackActive = v.duty == FallbackReader
 	return first
 }
 
 // logDecision logs when this node starts to withhold readings, and how that ends.
-func (v *Inventory) logDecision(decision Verdict, shown int) {
+func (v *Inventory) logDecision(decision Decision, shown int) {
 	switch decision {
-	case Held:
+	case Withheld:
 		v.met.readWithheld.Inc()
 		if !v.withholding {
 			v.cfg.Events.Emit(event.InventoryHeld, "shown", shown, "known", len(v.state.Live()))
@@ -249,7 +249,7 @@
 	default:
 		v.met.readOK.Inc()
 	}
-	v.withholding = decision == Held
+	v.withholding = decision == Withheld
 }
 
 // merge merges records and counts those that changed something. Callers hold v.mu.
@@ -268,9 +268,9 @@
 
 // deltas splits changes into floods. Records that no node saw change are left to
 // digests: every node that starts makes the same ones.
-func deltas(h Heard, changes []Record) []Delta {
+func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
-	d := Delta{Heard: h}
+	d := Delta{Newest: h}
 	for _, r := range changes {
 		if r.At == 0 {
 			continue
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -38,14 +38,14 @@
 	since  time.Time
 }
 
-// Verdict is the decision on a reading.
-type Verdict int
+// Decision is the decision on a reading.
+type Decision int
 
 // The decisions of Observe.
 const (
-	Taken     Verdict = iota
-	Held              // much smaller than the inventory: nothing is changed by it
-	Confirmed         // much smaller, but so were the readings before it
+	Accepted  Decision = iota
+	Withheld           // much smaller than the inventory: nothing is changed by it
+	Confirmed          // much smaller, but so were the readings before it
 )
 
 // NewObserver returns the Observer of the reader with the id self.
@@ -57,7 +57,7 @@
 
 // Observe returns the records to be merged into s after a reading that started at
 // started.
-func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Verdict) {
+func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Decision) {
 	reading := make(map[string]Item, len(list))
 	for _, i := range list {
 		if i.ID != "" {
@@ -65,7 +65,7 @@
 		}
 	}
 	decision := o.evaluate(s, reading, started)
-	if decision == Held {
+	if decision == Withheld {
 		return nil, decision
 	}
 	found := &findings{Observer: o, state: s, started: started, newMismatches: map[string]mismatch{}}
@@ -76,7 +76,7 @@
 		next[key] = i
 	}
 	for key, r := range s.records {
-		if _, listed := reading[key]; listed || r.Gone {
+		if _, listed := reading[key]; listed || r.Removed {
 			continue
 		}
 		_, seen := o.last[key]
@@ -90,10 +90,10 @@
 // evaluate withholds a reading that is empty or lacks more than half of the inventory:
 // an outage of the list must not take the fleet out of service. An empty reading is
 // never accepted, since the reader itself is on the list.
-func (o *Observer) evaluate(s *State, reading map[string]Item, now time.Time) Verdict {
+func (o *Observer) evaluate(s *State, reading map[string]Item, now time.Time) Decision {
 	live, missing := 0, 0
 	for key, r := range s.records {
-		if r.Gone {
+		if r.Removed {
 			continue
 		}
 		live++
@@ -103,11 +103,11 @@
 	}
 	if len(reading) > 0 && missingDivisor*missing <= live {
 		o.smallSince = time.Time{}
-		return Taken
+		return Accepted
 	}
 	if len(reading) == 0 {
 		o.smallSince = time.Time{}
-		return Held
+		return Withheld
 	}
 	// When a list fills up again after a restart of its service, the wait starts again.
 	if o.smallSince.IsZero() || missing < o.lastMissing {
@@ -115,7 +115,7 @@
 	}
 	o.lastMissing = missing
 	if now.Sub(o.smallSince) < confirmAfter {
-		return Held
+		return Withheld
 	}
 	o.smallSince = time.Time{}
 	return Confirmed
@@ -136,7 +136,7 @@
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
-	case known && r.Gone && !listed, known && listed && r.matches(i):
+	case known && r.Removed && !listed, known && listed && r.matches(i):
 		return
 	case !known && f.last == nil:
 		f.changes = append(f.changes, firstRecord(i))
@@ -174,15 +174,15 @@
 
 func (f *findings) changedRecord(old Record, known bool, i Item, listed bool) Record {
 	at := f.state.nextStamp(f.started)
-	next := Record{Item: i, Gone: !listed, At: at, Reader: f.self, Born: at, Left: old.Left}
-	if known && !old.Gone && old.Item.sameIncarnation(i) {
-		next.Born = old.Born
+	next := Record{Item: i, Removed: !listed, At: at, Reader: f.self, FirstSeen: at, LeavingAt: old.LeavingAt}
+	if known && !old.Removed && old.Item.sameIncarnation(i) {
+		next.FirstSeen = old.FirstSeen
 	}
-	if known && !old.Gone && old.Item.Leaving {
-		next.Left = max(next.Left, at-1)
+	if known && !old.Removed && old.Item.Leaving {
+		next.LeavingAt = max(next.LeavingAt, at-1)
 	}
 	if listed && i.Leaving {
-		next.Left = at
+		next.LeavingAt = at
 	}
 	return next
 }
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -21,9 +21,9 @@
 
 // The duties of a node.
 const (
-	Rests Duty = iota // others read
-	Reads             // it is one of the chosen readers of its failure domain
-	Alone             // fallback: it isn't chosen, but gets no updates from a chosen reader
+	NotReader      Duty = iota // others read
+	Reader                     // it is one of the chosen readers of its failure domain
+	FallbackReader             // fallback: it isn't chosen, but gets no updates from a chosen reader
 )
 
 // String names the duty in dumps.
@@ -33,12 +33,12 @@
 type View struct {
 	Members       []peer.Member // all visible members, including this node
 	FailureDomain string
-	// Unheard is how long ago the last update about a reading arrived, by this node's
+	// Silence is how long ago the last update about a reading arrived, by this node's
 	// own clock; the readers' clocks need not agree with it.
-	Unheard time.Duration
-	// Standing reports that this node has read as a fallback, and that no chosen reader
+	Silence time.Duration
+	// FallbackActive reports that this node has read as a fallback, and that no chosen reader
 	// has reported a reading since.
-	Standing bool
+	FallbackActive bool
 }
 
 // Choose determines a node's duty. A reader that is leaving reads until it stops, when
@@ -56,10 +56,10 @@
 		}
 	}
 	if peer.ContainsSelf(peer.Rendezvous("inventory/"+v.FailureDomain, near, readersPerDomain)) {
-		return Reads
+		return Reader
 	}
-	if v.Standing || v.Unheard >= silence {
-		return Alone
+	if v.FallbackActive || v.Silence >= silence {
+		return FallbackReader
 	}
-	return Rests
+	return NotReader
 }
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -57,57 +57,57 @@
 func (i Item) sameIncarnation(o Item) bool { return i.VM == o.VM && i.Addr == o.Addr }
 
 // Record is the known state of one entry of the VM list. (At, Reader) orders the
-// readings that it came from; Left grows independently, see Merge.
+// readings that it came from; LeavingAt grows independently, see Merge.
 type Record struct {
-	_    struct{} `cbor:",toarray"`
-	Item Item
-	Gone bool // removed from the list: a tombstone
+	_       struct{} `cbor:",toarray"`
+	Item    Item
+	Removed bool // removed from the list: a tombstone
 	// At is when the reader started the reading that first showed this state, in Unix
 	// milliseconds of a hybrid clock. 0 means that no reader saw the entry change: it
 	// was on the first list that a node read.
 	At     int64
 	Reader string
-	// Born is the At at which this incarnation of the VM was first seen, Left the last
+	// FirstSeen is the At at which this incarnation of the VM was first seen, LeavingAt the last
 	// At at which any reader saw it leaving; 0 means never.
-	Born, Left int64
+	FirstSeen, LeavingAt int64
 }
 
-// compare is a total order of everything but Left, the newest reading last.
+// compare is a total order of everything but LeavingAt, the newest reading last.
 func (r Record) compare(o Record) int {
 	return cmp.Or(
 		cmp.Compare(r.At, o.At),
 		cmp.Compare(r.Reader, o.Reader),
-		compareBool(r.Gone, o.Gone),
+		compareBool(r.Removed, o.Removed),
 		r.Item.compare(o.Item),
-		cmp.Compare(r.Born, o.Born),
+		cmp.Compare(r.FirstSeen, o.FirstSeen),
 	)
 }
 
-// Merge joins two records of one key. The newer reading prevails completely; Left is
+// Merge joins two records of one key. The newer reading prevails completely; LeavingAt is
 // the greater of both, whichever reading it came with.
 //
 // Readers see the list through replicas that lag by different times, and messages
 // arrive out of order: without the order, a node would keep whatever arrived last, and
-// two nodes would differ for ever. Without Left, a node that missed "leaving" and then
+// two nodes would differ for ever. Without LeavingAt, a node that missed "leaving" and then
 // receives only a "live" that is newer by its time but outdated would send new work to
 // a VM that is about to stop.
 func Merge(a, b Record) Record {
-	left := max(a.Left, b.Left)
+	left := max(a.LeavingAt, b.LeavingAt)
 	if a.compare(b) < 0 {
 		a = b
 	}
-	a.Left = left
+	a.LeavingAt = left
 	return a
 }
 
 // MarkedLeaving reports that a reader has seen this incarnation of the VM leaving, even
 // when the newest reading shows it live again: that may be older information.
 func (r Record) MarkedLeaving() bool {
-	return !r.Gone && (r.Item.Leaving || r.Left > 0 && r.Left >= r.Born)
+	return !r.Removed && (r.Item.Leaving || r.LeavingAt > 0 && r.LeavingAt >= r.FirstSeen)
 }
 
 // matches reports whether the record has the state that a reading shows.
-func (r Record) matches(i Item) bool { return !r.Gone && r.Item == i }
+func (r Record) matches(i Item) bool { return !r.Removed && r.Item == i }
 
 // hash covers all fields, so that two nodes that differ in any field notice it.
 func (r Record) hash() uint64 {
@@ -121,9 +121,9 @@
 	}
 	var b [25]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(r.At))
-	binary.LittleEndian.PutUint64(b[8:], uint64(r.Born))
-	binary.LittleEndian.PutUint64(b[16:], uint64(r.Left))
-	for bit, set := range []bool{r.Gone, r.Item.ChecksFence, r.Item.Leaving} {
+	binary.LittleEndian.PutUint64(b[8:], uint64(r.FirstSeen))
+	binary.LittleEndian.PutUint64(b[16:], uint64(r.LeavingAt))
+	for bit, set := range []bool{r.Removed, r.Item.ChecksFence, r.Item.Leaving} {
 		if set {
 			b[24] |= 1 << bit
 		}
@@ -135,7 +135,7 @@
 // valid checks what a peer sent. A time far ahead would prevail over every later
 // reading, and a time near the maximum would leave no greater one.
 func (r Record) valid(now time.Time) bool {
-	if ahead := max(r.At, r.Born, r.Left) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
+	if ahead := max(r.At, r.FirstSeen, r.LeavingAt) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
 		return false
 	}
 	for _, s := range []string{
@@ -145,7 +145,7 @@
 			return false
 		}
 	}
-	return r.Item.ID != "" && len(r.Item.ID) <= maxNameBytes && min(r.At, r.Born, r.Left) >= 0
+	return r.Item.ID != "" && len(r.Item.ID) <= maxNameBytes && min(r.At, r.FirstSeen, r.LeavingAt) >= 0
 }
 
 func compareBool(a, b bool) int {
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -22,11 +22,11 @@
 	records map[string]Record
 	buckets [bucketCount]uint64 // xor of the records' hashes
 	clock   int64               // highest At or reading time seen
-	newest  Heard
+	newest  NewestReadings
 }
 
-// Heard holds the times of the newest readings known to a node.
-type Heard struct {
+// NewestReadings holds the times of the newest readings known to a node.
+type NewestReadings struct {
 	_       struct{} `cbor:",toarray"`
 	Reading int64    // by any node
 	Chosen  int64    // by one of the chosen readers
@@ -89,12 +89,12 @@
 }
 
 func expired(r Record, now time.Time) bool {
-	return r.Gone && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
+	return r.Removed && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
 }
 
-// Hear records the newest readings known to another node, and reports which of the two
+// RecordReadings records the newest readings known to another node, and reports which of the two
 // are newer than those known here.
-func (s *State) Hear(h Heard, now time.Time) (reading, chosen bool) {
+func (s *State) RecordReadings(h NewestReadings, now time.Time) (reading, chosen bool) {
 	if max(h.Reading, h.Chosen)-now.UnixMilli() > maxAhead.Milliseconds() {
 		return false, false
 	}
@@ -116,7 +116,7 @@
 func (s *State) Live() []Record {
 	out := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
-		if !r.Gone {
+		if !r.Removed {
 			out = append(out, r)
 		}
 	}
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -27,10 +27,10 @@
 type Receiver interface {
 	// Put is called for a new or changed item.
 	Put(v infra.Value)
-	// Gone is called when the item has been removed.
-	Gone(key string)
-	// Settled is called after each batch of Put and Gone calls.
-	Settled()
+	// Removed is called when the item has been removed.
+	Removed(key string)
+	// BatchDone is called after each batch of Put and Removed calls.
+	BatchDone()
 }
 
 // Config of a Mirror. Zero durations mean the defaults.
@@ -45,19 +45,19 @@
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
-	// Keep is how long the pages of a failed read may be used. It must be less than the
+	// PageMaxAge is how long the pages of a failed read may be used. It must be less than the
 	// time for which the store keeps its history of changes.
-	Keep time.Duration
-	// Doubt is how long after an outage of the store a missing item may still come
+	PageMaxAge time.Duration
+	// ConfirmAfter is how long after an outage of the store a missing item may still come
 	// back.
-	Doubt time.Duration
-	// Reads reports whether this node reads the store; nil means always. A node that
+	ConfirmAfter time.Duration
+	// IsReader reports whether this node reads the store; nil means always. A node that
 	// has not yet read everything once reads it in any case.
-	Reads func() bool
-	// OnNews, if set, is called after changes; it must not block.
-	OnNews func()
-	Log    *event.Log
-	Set    *metrics.Set
+	IsReader func() bool
+	// OnUpdate, if set, is called after changes; it must not block.
+	OnUpdate func()
+	Log      *event.Log
+	Set      *metrics.Set
 }
 
 // Defaults of Config.
@@ -85,13 +85,13 @@
 	set(&c.Slack, defaultSlack)
 	set(&c.Pause, defaultPause)
 	set(&c.Timeout, defaultTimeout)
-	set(&c.Keep, defaultKeep)
-	set(&c.Doubt, defaultConfirmAfter)
-	if c.Reads == nil {
-		c.Reads = func() bool { return true }
+	set(&c.PageMaxAge, defaultKeep)
+	set(&c.ConfirmAfter, defaultConfirmAfter)
+	if c.IsReader == nil {
+		c.IsReader = func() bool { return true }
 	}
-	if c.OnNews == nil {
-		c.OnNews = func() {}
+	if c.OnUpdate == nil {
+		c.OnUpdate = func() {}
 	}
 	if c.Set == nil {
 		c.Set = metrics.NewSet()
--- a/mirror/fake_test.go
+++ b/mirror/fake_test.go
@@ -142,14 +142,14 @@
 	r.calls = append(r.calls, "put "+v.Key)
 }
 
-func (r *recorder) Gone(key string) {
+func (r *recorder) Removed(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.items, key)
 	r.calls = append(r.calls, "gone "+key)
 }
 
-func (r *recorder) Settled() {}
+func (r *recorder) BatchDone() {}
 
 func (r *recorder) has(key string) bool {
 	r.mu.Lock()
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -41,7 +41,7 @@
 	retryDelay    time.Duration // used by Run's goroutine only, as is partial
 	partial       *fullRead     // nil unless a read of all items is in progress
 	failing       atomic.Bool   // the latest call failed
-	callRequested atomic.Bool   // Catch requested a call
+	callRequested atomic.Bool   // CatchUp requested a call
 
 	mu            sync.Mutex
 	state         state
@@ -68,7 +68,7 @@
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := idlePoll
-		if m.callRequested.Swap(false) || !m.Synced() || m.cfg.Reads() {
+		if m.callRequested.Swap(false) || !m.Synced() || m.cfg.IsReader() {
 			pause = m.read(ctx)
 		}
 		m.confirmRemovals(time.Now())
@@ -125,11 +125,11 @@
 	m.state.advance(upTo)
 }
 
-// Catch makes Run call the store once soon, even at a node that doesn't read it.
-func (m *Mirror) Catch() { m.callRequested.Store(true) }
+// CatchUp makes Run call the store once soon, even at a node that doesn't read it.
+func (m *Mirror) CatchUp() { m.callRequested.Store(true) }
 
 // update runs f with the state locked, then tells the receiver that the batch is complete
-// and, if the revision advanced, calls OnNews.
+// and, if the revision advanced, calls OnUpdate.
 func (m *Mirror) update(f func()) {
 	m.mu.Lock()
 	before := m.state.newest
@@ -138,7 +138,7 @@
 	advanced := m.state.newest != before
 	m.mu.Unlock()
 	if advanced {
-		m.cfg.OnNews()
+		m.cfg.OnUpdate()
 	}
 }
 
@@ -172,7 +172,7 @@
 
 // Delta responds to a neighbour's request. It is empty when this node has nothing
 // newer, or isn't complete itself.
-func (m *Mirror) Delta(req Question) Delta {
+func (m *Mirror) Delta(req DeltaRequest) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.synced || m.state.newest <= req.After {
@@ -182,11 +182,11 @@
 }
 
 // Merge applies a neighbour's Delta, which was made for this node's Newest or an
-// earlier revision. A Full one must contain all pages; an Uncovered one contains
+// earlier revision. A Full one must contain all pages; one with RemovalsUnknown contains
 // nothing.
 func (m *Mirror) Merge(d Delta) {
 	m.update(func() {
-		m.state.merge(d, time.Now().Add(m.cfg.Doubt))
+		m.state.merge(d, time.Now().Add(m.cfg.ConfirmAfter))
 		m.synced = m.synced || d.Full
 	})
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.missingPolicy.until = time.Now().Add(m.cfg.Doubt)
+	m.missingPolicy.until = time.Now().Add(m.cfg.ConfirmAfter)
 	m.state.setUnconfirmedEnd(m.missingPolicy.until)
 	m.mu.Unlock()
 	m.cfg.Log.Emit(event.StoreRegained, "newest", m.Newest())
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -100,7 +100,7 @@
 		s := newFakeStore()
 		s.put("a")
 		var reads atomic.Bool
-		out, m := startMirrorWith(t, s, Config{Reads: reads.Load})
+		out, m := startMirrorWith(t, s, Config{IsReader: reads.Load})
 		if !out.has("a") {
 			t.Fatal("the first read was not made")
 		}
@@ -129,7 +129,7 @@
 			s.put(key)
 		}
 		_, reader := startMirrorWith(t, s, Config{})
-		out, other := startMirrorWith(t, s, Config{Reads: func() bool { return false }})
+		out, other := startMirrorWith(t, s, Config{IsReader: func() bool { return false }})
 		s.fail(errors.New("down"))
 		time.Sleep(time.Second)
 		s.mu.Lock()
@@ -140,7 +140,7 @@
 		s.fail(nil)
 		time.Sleep(1500 * time.Millisecond)
 		pull := func() {
-			if err := other.Pull("reader", func(req Question) (Delta, error) { return reader.Delta(req), nil }); err != nil {
+			if err := other.Pull("reader", func(req DeltaRequest) (Delta, error) { return reader.Delta(req), nil }); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -166,11 +166,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a")
-		out, m := startMirrorWith(t, s, Config{Reads: func() bool { return false }})
+		out, m := startMirrorWith(t, s, Config{IsReader: func() bool { return false }})
 		s.put("b")
 		_, later := startMirrorWith(t, s, Config{})
-		var requests []Question
-		request := func(req Question) (Delta, error) {
+		var requests []DeltaRequest
+		request := func(req DeltaRequest) (Delta, error) {
 			requests = append(requests, req)
 			return later.Delta(req), nil
 		}
@@ -183,11 +183,11 @@
 		}
 		s.put("c")
 		s.fail(errors.New("turned away"))
-		m.Catch()
+		m.CatchUp()
 		time.Sleep(time.Second)
 		third := New(nil, &recorder{items: map[string]int64{}}, Config{})
 		third.Merge(Delta{Newest: 90, Full: true, Items: []infra.Value{{Key: "c", ModRev: 80}}})
-		if err := m.Pull("third", func(req Question) (Delta, error) { return third.Delta(req), nil }); err != nil {
+		if err := m.Pull("third", func(req DeltaRequest) (Delta, error) { return third.Delta(req), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !out.has("c") || out.has("a") {
--- a/mirror/panicguard.go
+++ b/mirror/panicguard.go
@@ -21,16 +21,16 @@
 	g.out.Put(v)
 }
 
-// Gone implements Receiver.
-func (g panicGuard) Gone(key string) {
+// Removed implements Receiver.
+func (g panicGuard) Removed(key string) {
 	defer g.recoverPanic(key)
-	g.out.Gone(key)
+	g.out.Removed(key)
 }
 
-// Settled implements Receiver.
-func (g panicGuard) Settled() {
+// BatchDone implements Receiver.
+func (g panicGuard) BatchDone() {
 	defer g.recoverPanic("")
-	g.out.Settled()
+	g.out.BatchDone()
 }
 
 func (g panicGuard) recoverPanic(key string) {
--- a/mirror/pull.go
+++ b/mirror/pull.go
@@ -2,8 +2,8 @@
 
 import "wigeondale/event"
 
-// Ask sends a request to one neighbour.
-type Ask func(Question) (Delta, error)
+// DeltaFunc sends a request to one neighbour.
+type DeltaFunc func(DeltaRequest) (Delta, error)
 
 // Pull requests changes from a neighbour until it has nothing newer, and applies them.
 //
@@ -12,15 +12,15 @@
 // uses no other node's network link. A router that has just started knows no earlier
 // removals, so after a start of many at once each would request everything from its
 // neighbours.
-func (m *Mirror) Pull(from string, request Ask) error {
+func (m *Mirror) Pull(from string, request DeltaFunc) error {
 	for {
 		before := m.Newest()
-		d, err := fetchAll(request, Question{After: before, All: m.failing.Load()})
+		d, err := fetchAll(request, DeltaRequest{After: before, All: m.failing.Load()})
 		if err != nil {
 			return err
 		}
-		if d.Uncovered {
-			m.Catch()
+		if d.RemovalsUnknown {
+			m.CatchUp()
 			return nil
 		}
 		m.Merge(d)
@@ -35,7 +35,7 @@
 
 // fetchAll joins the pages of a response. Changes made meanwhile are newer than the
 // first page, so the next request fetches them.
-func fetchAll(request Ask, req Question) (Delta, error) {
+func fetchAll(request DeltaFunc, req DeltaRequest) (Delta, error) {
 	all, err := request(req)
 	for d := all; err == nil && d.More && len(d.Items) > 0; {
 		req.Last = d.Items[len(d.Items)-1].Key
--- a/mirror/read.go
+++ b/mirror/read.go
@@ -27,7 +27,7 @@
 // pages, which the store serves without a rate limit, and then fetches the changes
 // since, before any of the items is used.
 func (m *Mirror) readAll(ctx context.Context) error {
-	if m.partial == nil || time.Since(m.partial.startedAt) > m.cfg.Keep {
+	if m.partial == nil || time.Since(m.partial.startedAt) > m.cfg.PageMaxAge {
 		m.partial = &fullRead{startedAt: time.Now(), stale: !m.Synced()}
 	}
 	for !m.partial.complete {
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -17,23 +17,23 @@
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Doubtful marks an item that went missing by an outage and may come back.
-	Doubtful bool `cbor:"3,keyasint,omitempty"`
-	// DoubtMS is for how much longer it may come back; 0 while that isn't known.
-	DoubtMS int64 `cbor:"4,keyasint,omitempty"`
+	// Unconfirmed marks an item that went missing by an outage and may come back.
+	Unconfirmed bool `cbor:"3,keyasint,omitempty"`
+	// UnconfirmedMS is for how much longer it may come back; 0 while that isn't known.
+	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // unconfirmedUntil is until when the removal is unconfirmed; unknown is used when it
 // doesn't say.
 func (r Removal) unconfirmedUntil(unknown time.Time) time.Time {
-	if r.DoubtMS == 0 {
+	if r.UnconfirmedMS == 0 {
 		return unknown
 	}
-	return time.Now().Add(time.Duration(r.DoubtMS) * time.Millisecond)
+	return time.Now().Add(time.Duration(r.UnconfirmedMS) * time.Millisecond)
 }
 
-// Question requests the changes after a revision.
-type Question struct {
+// DeltaRequest requests the changes after a revision.
+type DeltaRequest struct {
 	After int64 `cbor:"1,keyasint"`
 	// All requests all items if the changes since aren't available, page by page: the
 	// items whose keys come after Last.
@@ -48,10 +48,10 @@
 	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all items
 	Items   []infra.Value `cbor:"3,keyasint,omitempty"`
 	Removed []Removal     `cbor:"4,keyasint,omitempty"`
-	// Uncovered reports that removals since the requested revision aren't known, so
+	// RemovalsUnknown reports that removals since the requested revision aren't known, so
 	// that only a read of all items would help.
-	Uncovered bool `cbor:"5,keyasint,omitempty"`
-	More      bool `cbor:"6,keyasint,omitempty"` // more pages follow
+	RemovalsUnknown bool `cbor:"5,keyasint,omitempty"`
+	More            bool `cbor:"6,keyasint,omitempty"` // more pages follow
 }
 
 // pageBytes is the size from which a Delta is cut. A page of this size occupies a slow
@@ -135,7 +135,7 @@
 	delete(s.unconfirmed, key)
 	s.addTombstone(key, rev)
 	s.dirty = true
-	s.receiver.Gone(key)
+	s.receiver.Removed(key)
 }
 
 // addTombstone remembers that an item was removed at rev.
@@ -194,12 +194,12 @@
 }
 
 // delta responds to a neighbour that has all changes up to the requested revision.
-func (s *state) delta(req Question) Delta {
+func (s *state) delta(req DeltaRequest) Delta {
 	if req.After >= s.removalsFloor {
 		return s.changesAfter(req.After)
 	}
 	if !req.All {
-		return Delta{Newest: s.newest, Uncovered: true}
+		return Delta{Newest: s.newest, RemovalsUnknown: true}
 	}
 	return s.page(req.Last)
 }
@@ -233,7 +233,7 @@
 	var out []Removal
 	for key, d := range s.unconfirmed {
 		if d.rev > after && d.rev <= upTo {
-			out = append(out, Removal{Key: key, Rev: d.rev, Doubtful: true, DoubtMS: d.remainingMS()})
+			out = append(out, Removal{Key: key, Rev: d.rev, Unconfirmed: true, UnconfirmedMS: d.remainingMS()})
 		}
 	}
 	return out
@@ -293,7 +293,7 @@
 // still holds that removal as unconfirmed for a moment may notify the others first:
 // they would then go on sending work to the replica for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
-	if d.Newest <= s.newest || d.Uncovered {
+	if d.Newest <= s.newest || d.RemovalsUnknown {
 		return
 	}
 	if d.Full {
@@ -303,7 +303,7 @@
 		s.put(v)
 	}
 	for _, r := range d.Removed {
-		s.remove(r.Key, r.Rev, removalPolicy{unconfirmed: r.Doubtful, until: r.unconfirmedUntil(end)})
+		s.remove(r.Key, r.Rev, removalPolicy{unconfirmed: r.Unconfirmed, until: r.unconfirmedUntil(end)})
 	}
 	s.advance(d.Newest)
 }
@@ -313,5 +313,5 @@
 		return
 	}
 	s.dirty = false
-	s.receiver.Settled()
+	s.receiver.BatchDone()
 }
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -77,7 +77,7 @@
 			}
 			first.state.advance(rev)
 		}
-		request := func(req Question) (Delta, error) {
+		request := func(req DeltaRequest) (Delta, error) {
 			d := first.Delta(req)
 			if rapid.IntRange(0, 3).Draw(t, "meanwhile") == 0 {
 				change()
@@ -94,7 +94,7 @@
 		rev++
 		first.state.put(infra.Value{Key: "last", ModRev: rev})
 		first.state.advance(rev)
-		if err := second.Pull("first", func(req Question) (Delta, error) { return first.Delta(req), nil }); err != nil {
+		if err := second.Pull("first", func(req DeltaRequest) (Delta, error) { return first.Delta(req), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !maps.EqualFunc(first.state.items, second.state.items, func(a, b infra.Value) bool { return a.ModRev == b.ModRev }) {
@@ -131,7 +131,7 @@
 		}
 		reader.remove("a", 2, removalPolicy{unconfirmed: true, until: time.Now().Add(remaining)})
 		reader.advance(2)
-		neighbour.merge(reader.delta(Question{After: 1}), time.Now().Add(full))
+		neighbour.merge(reader.delta(DeltaRequest{After: 1}), time.Now().Add(full))
 		time.Sleep(remaining - 10*time.Millisecond)
 		neighbour.confirmExpired(time.Now())
 		if len(out.items) != 1 {
@@ -155,11 +155,11 @@
 	r.recorder.Put(v)
 }
 
-func (r *panickingReceiver) Gone(key string) {
+func (r *panickingReceiver) Removed(key string) {
 	if key == "bad" {
 		panic("panics on purpose")
 	}
-	r.recorder.Gone(key)
+	r.recorder.Removed(key)
 }
 
 // Guards against an item that makes its receiver panic and so stops every node, again
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -33,7 +33,7 @@
 
 // Pick chooses by router and counts the attempt, with its load, until its share
 // ends. Without a choice the error is a *generation.Unavailable.
-func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, ask routing.Ask, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
+func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, ask routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range tries {
 		ask.Now = time.Now()
 		chosen, _, err := router.Pick(candidates, ask)
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -23,7 +23,7 @@
 
 // Replica is a replica that answered at the address of another one.
 type Replica struct {
-	fleet.Lifetime
+	fleet.Incarnation
 	MemoryTokens int  // tokens that fit into its engine's memory
 	Leaving      bool // it accepts no more work
 }
@@ -75,7 +75,7 @@
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
 			}
-			b.ID, b.Lifetime, b.Leaving = f.ID(), f.Lifetime, false
+			b.ID, b.Incarnation, b.Leaving = f.ID(), f.Incarnation, false
 			mu.Lock()
 			defer mu.Unlock()
 			found = append(found, b)
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -42,11 +42,11 @@
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{
-			"h:1": {Lifetime: fleet.Lifetime{Name: "n1"}, MemoryTokens: 55000},
-			"h:2": {Lifetime: fleet.Lifetime{Name: "o2"}, MemoryTokens: 55000},
+			"h:1": {Incarnation: fleet.Incarnation{Name: "n1"}, MemoryTokens: 55000},
+			"h:2": {Incarnation: fleet.Incarnation{Name: "o2"}, MemoryTokens: 55000},
 			"h:3": {},
-			"h:5": {Lifetime: fleet.Lifetime{Name: "n5"}, MemoryTokens: 55000, Leaving: true},
-			"h:6": {Lifetime: fleet.Lifetime{Name: "n6"}},
+			"h:5": {Incarnation: fleet.Incarnation{Name: "n5"}, MemoryTokens: 55000, Leaving: true},
+			"h:6": {Incarnation: fleet.Incarnation{Name: "n6"}},
 		}}
 		var lost []fleet.Backend
 		for _, n := range []string{"1", "2", "3", "4", "5", "6"} {
@@ -54,7 +54,7 @@
 		}
 		fits := func(_ fleet.Backend, f Replica) bool { return f.MemoryTokens == 55000 }
 		got := New(prober).Find(t.Context(), lost, "/check", fits)
-		want := fleet.Backend{ID: "n1", Lifetime: fleet.Lifetime{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
+		want := fleet.Backend{ID: "n1", Incarnation: fleet.Incarnation{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
 		if len(got) != 1 || got[0] != want {
 			t.Errorf("found %+v, want only %+v", got, want)
 		}
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -130,15 +130,15 @@
 		return
 	}
 	e.shown = now
-	e.report = fleet.EngineState{Used: e.held(), Copies: e.copies}
+	e.report = fleet.EngineState{MemoryUsed: e.held(), CopyTokens: e.copies}
 	for _, r := range e.running {
-		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.held(), Made: r.made})
+		e.report.Runs = append(e.report.Runs, fleet.RunState{Memory: r.held(), Chunks: r.made})
 	}
 	if len(e.waiting) > 0 {
 		e.report.Reading, e.report.Queued = 1, len(e.waiting)-1
 	}
 	if len(e.waiting) > 1 {
-		e.report.Next = e.waiting[1].Prompt
+		e.report.NextPromptTokens = e.waiting[1].Prompt
 	}
 }
 
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -4,8 +4,8 @@
 
 // Names of the steps that choose the engine for a prompt.
 const (
-	// FilterRoom keeps engines that have enough free memory to finish the request.
-	FilterRoom = "room"
+	// FilterMemory keeps engines that have enough free memory to finish the request.
+	FilterMemory = "room"
 	// FilterBacklog keeps engines whose queue of unread prompt tokens is short enough.
 	FilterBacklog = "backlog"
 	// ScoreDelay prefers the engine where the prompt causes the least delay.
@@ -20,19 +20,19 @@
 	Reading() float64
 	// Running is the number of runs that are generating tokens.
 	Running() float64
-	// Held is the number of tokens in memory, of runs and of copies of runs.
-	Held() float64
-	// Seen is when the engine last reported its load; zero if it never did.
-	Seen() time.Time
+	// Memory is the number of tokens in memory, of runs and of copies of runs.
+	Memory() float64
+	// ReportedAt is when the engine last reported its load; zero if it never did.
+	ReportedAt() time.Time
 }
 
 // idleEngine is the load of candidates about which nothing is known.
 type idleEngine struct{}
 
-func (idleEngine) Reading() float64 { return 0 }
-func (idleEngine) Running() float64 { return 0 }
-func (idleEngine) Held() float64    { return 0 }
-func (idleEngine) Seen() time.Time  { return time.Time{} }
+func (idleEngine) Reading() float64      { return 0 }
+func (idleEngine) Running() float64      { return 0 }
+func (idleEngine) Memory() float64       { return 0 }
+func (idleEngine) ReportedAt() time.Time { return time.Time{} }
 
 func (c *Candidate) engineLoad() EngineLoad {
 	if e, ok := c.Live.(EngineLoad); ok {
@@ -58,7 +58,7 @@
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
-	tokens := float64(max(v.req.Tokens, 1))
+	tokens := float64(max(v.req.PromptTokens, 1))
 	least := -1.0
 	for k := range out {
 		e := v.candidate(k).engineLoad()
@@ -78,9 +78,9 @@
 // Without this filter, an engine that has just restarted has all its memory free, so
 // every waiting prompt is sent there and read one after the other, while other engines
 // become idle. Answers then miss their deadlines after a crash.
-func backlogWithinBound(c *Candidate, req *Ask) bool {
+func backlogWithinBound(c *Candidate, req *PickRequest) bool {
 	reading := c.engineLoad().Reading()
-	return req.Backlog <= 0 || reading == 0 || reading+float64(req.Tokens) <= req.Backlog
+	return req.Backlog <= 0 || reading == 0 || reading+float64(req.PromptTokens) <= req.Backlog
 }
 
 // memoryScorer rates by free memory.
@@ -91,7 +91,7 @@
 		return
 	}
 	for k := range out {
-		out[k] = max(1-v.candidate(k).engineLoad().Held()/float64(v.req.Capacity), 0)
+		out[k] = max(1-v.candidate(k).engineLoad().Memory()/float64(v.req.Capacity), 0)
 	}
 }
 
@@ -101,6 +101,6 @@
 // then preempted and read their prompts again later, for which other runs are
 // preempted. Tokens are read in vain, and answers are late long after a burst has
 // ended.
-func fitsMemory(c *Candidate, req *Ask) bool {
-	return req.Capacity <= 0 || c.engineLoad().Held()+float64(req.Holds) <= float64(req.Capacity)
+func fitsMemory(c *Candidate, req *PickRequest) bool {
+	return req.Capacity <= 0 || c.engineLoad().Memory()+float64(req.MemoryTokens) <= float64(req.Capacity)
 }
--- a/routing/delay_test.go
+++ b/routing/delay_test.go
@@ -11,15 +11,15 @@
 )
 
 // fakeEngine is an engine with a known load.
-type fakeEngine struct{ reading, running, held float64 }
+type fakeEngine struct{ reading, running, memory float64 }
 
 func (e fakeEngine) Load(time.Time) float64       { return 0 }
 func (e fakeEngine) Leaving() bool                { return false }
 func (e fakeEngine) Hits([]uint64, time.Time) int { return 0 }
 func (e fakeEngine) Reading() float64             { return e.reading }
 func (e fakeEngine) Running() float64             { return e.running }
-func (e fakeEngine) Held() float64                { return e.held }
-func (e fakeEngine) Seen() time.Time              { return time.Time{} }
+func (e fakeEngine) Memory() float64              { return e.memory }
+func (e fakeEngine) ReportedAt() time.Time        { return time.Time{} }
 
 func engines(loads ...fakeEngine) []Candidate {
 	var out []Candidate
@@ -31,7 +31,7 @@
 
 func promptRouter(t testing.TB) *Router {
 	r, err := New([]StepConfig{
-		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterRoom}, {Name: FilterBacklog},
+		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterMemory}, {Name: FilterBacklog},
 		{Name: ScoreDelay}, {Name: PickBest},
 	}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
@@ -44,7 +44,7 @@
 // engines read nothing. It happens when a stored copy, a run that generates tokens and
 // a prompt that is being read all count the same.
 func TestPromptGoesWhereItDelaysLeast(t *testing.T) {
-	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	req := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 5600, Capacity: 55000, Backlog: 10000}
 	for _, c := range []struct {
 		name  string
 		loads []fakeEngine
@@ -68,7 +68,7 @@
 // Guards against refusing a prompt for ever although engines are idle: it happens when
 // the prompt alone is longer than the bound on the backlog and the bound includes it.
 func TestIdleEngineTakesAnyPrompt(t *testing.T) {
-	req := Ask{FleetKnown: true, Tokens: 30000, Holds: 31000, Capacity: 55000, Backlog: 10000}
+	req := PickRequest{FleetKnown: true, PromptTokens: 30000, MemoryTokens: 31000, Capacity: 55000, Backlog: 10000}
 	if _, _, err := promptRouter(t).Pick(engines(fakeEngine{}), req); err != nil {
 		t.Error(err)
 	}
@@ -85,7 +85,7 @@
 		loads = append(loads, fakeEngine{float64(i%3) * 2000, float64(i % 5), float64(i%7) * 5000})
 	}
 	all, r := engines(loads...), promptRouter(b)
-	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	req := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 5600, Capacity: 55000, Backlog: 10000}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, err := r.Pick(all, req); err != nil {
@@ -100,7 +100,7 @@
 	age time.Duration
 }
 
-func (s fakeReportingEngine) Seen() time.Time {
+func (s fakeReportingEngine) ReportedAt() time.Time {
 	if s.age < 0 {
 		return time.Time{}
 	}
@@ -111,10 +111,10 @@
 // engines reported recently, others long ago or never; an engine without a report must
 // not count as idle.
 func TestKnownEnginesGoFirst(t *testing.T) {
-	never, old, recent := fakeReportingEngine{fakeEngine{}, -1}, fakeReportingEngine{fakeEngine{}, time.Minute}, fakeReportingEngine{fakeEngine{reading: 3000, held: 3000}, time.Millisecond}
-	req := Ask{FleetKnown: true, Tokens: 5000, Holds: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
+	never, old, recent := fakeReportingEngine{fakeEngine{}, -1}, fakeReportingEngine{fakeEngine{}, time.Minute}, fakeReportingEngine{fakeEngine{reading: 3000, memory: 3000}, time.Millisecond}
+	req := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
 	r, err := New([]StepConfig{
-		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterFresh}, {Name: FilterRoom},
+		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterFresh}, {Name: FilterMemory},
 		{Name: ScoreDelay}, {Name: PickBest},
 	}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
@@ -126,7 +126,7 @@
 	}{
 		"one is known":   {[]fakeReportingEngine{never, old, recent}, "e2"},
 		"none is known":  {[]fakeReportingEngine{{fakeEngine{reading: 5000}, -1}, old}, "e1"},
-		"known and full": {[]fakeReportingEngine{never, {fakeEngine{held: 54000}, 0}}, ""},
+		"known and full": {[]fakeReportingEngine{never, {fakeEngine{memory: 54000}, 0}}, ""},
 	} {
 		var all []Candidate
 		for i, l := range c.loads {
@@ -145,7 +145,7 @@
 	r := promptRouter(t)
 	for range 200 {
 		once := map[string]bool{}
-		for _, c := range r.Draw(all, Ask{FleetKnown: true, Exclude: map[string]bool{"e0": true}}, 4) {
+		for _, c := range r.Draw(all, PickRequest{FleetKnown: true, Exclude: map[string]bool{"e0": true}}, 4) {
 			once[c.Backend.ID] = true
 			drawn[c.Backend.ID]++
 		}
@@ -156,7 +156,7 @@
 	if len(drawn) != 9 || drawn["e0"] != 0 {
 		t.Errorf("drew %v", drawn)
 	}
-	if got := promptRouter(t).Draw(all, Ask{FleetKnown: true}, 20); len(got) != 10 {
+	if got := promptRouter(t).Draw(all, PickRequest{FleetKnown: true}, 20); len(got) != 10 {
 		t.Errorf("drew %d of 10", len(got))
 	}
 }
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -10,18 +10,18 @@
 // place and returns the remaining ones.
 type Filter interface {
 	Name() string
-	Keep(all []Candidate, left []int32, req *Ask, sc *scratch) []int32
+	Keep(all []Candidate, left []int32, req *PickRequest, sc *scratch) []int32
 }
 
 // perCandidate is a filter that decides on each candidate separately.
 type perCandidate struct {
 	name string
-	keep func(c *Candidate, req *Ask) bool
+	keep func(c *Candidate, req *PickRequest) bool
 }
 
 func (f perCandidate) Name() string { return f.name }
 
-func (f perCandidate) Keep(all []Candidate, left []int32, req *Ask, _ *scratch) []int32 {
+func (f perCandidate) Keep(all []Candidate, left []int32, req *PickRequest, _ *scratch) []int32 {
 	kept := left[:0]
 	for _, i := range left {
 		if f.keep(&all[i], req) {
@@ -50,34 +50,34 @@
 // prompt was read by a prefill engine.
 const roleDecode = "decode"
 
-func serves(c *Candidate, req *Ask) bool {
+func serves(c *Candidate, req *PickRequest) bool {
 	if req.Ref.Model == "" {
 		return true
 	}
 	return slices.Contains(c.Serves, req.Ref)
 }
 
-func notLeaving(c *Candidate, _ *Ask) bool { return !c.leaving() }
+func notLeaving(c *Candidate, _ *PickRequest) bool { return !c.leaving() }
 
-func notExcluded(c *Candidate, req *Ask) bool { return !req.Exclude[c.Backend.ID] }
+func notExcluded(c *Candidate, req *PickRequest) bool { return !req.Exclude[c.Backend.ID] }
 
 // notSuspected queries the health monitor; without one, it keeps every candidate.
-func notSuspected(c *Candidate, req *Ask) bool {
+func notSuspected(c *Candidate, req *PickRequest) bool {
 	return req.Healthy == nil || req.Healthy(c.Backend.ID)
 }
 
-func otherDomain(c *Candidate, req *Ask) bool {
+func otherDomain(c *Candidate, req *PickRequest) bool {
 	return req.OtherDomain == "" || c.Backend.FailureDomain != req.OtherDomain
 }
 
-func acceptsPrompts(c *Candidate, _ *Ask) bool { return c.Role != roleDecode }
+func acceptsPrompts(c *Candidate, _ *PickRequest) bool { return c.Role != roleDecode }
 
 // usableFilter queries the health monitor about all candidates at once.
 type usableFilter struct{}
 
 func (usableFilter) Name() string { return FilterUsable }
 
-func (usableFilter) Keep(all []Candidate, left []int32, req *Ask, sc *scratch) []int32 {
+func (usableFilter) Keep(all []Candidate, left []int32, req *PickRequest, sc *scratch) []int32 {
 	if req.Usable == nil {
 		return perCandidate{FilterUsable, isHealthy}.Keep(all, left, req, sc)
 	}
@@ -98,6 +98,6 @@
 	return kept
 }
 
-func isHealthy(c *Candidate, _ *Ask) bool {
+func isHealthy(c *Candidate, _ *PickRequest) bool {
 	return c.State == health.Healthy || c.State == health.Probing
 }
--- a/routing/fresh.go
+++ b/routing/fresh.go
@@ -32,7 +32,7 @@
 
 func (freshFilter) Name() string { return FilterFresh }
 
-func (freshFilter) Keep(all []Candidate, left []int32, req *Ask, _ *scratch) []int32 {
+func (freshFilter) Keep(all []Candidate, left []int32, req *PickRequest, _ *scratch) []int32 {
 	next := 0
 	for k, i := range left {
 		if !hasRecentReport(&all[i], req) {
@@ -47,10 +47,10 @@
 	return left[:next]
 }
 
-func hasRecentReport(c *Candidate, req *Ask) bool {
-	return req.Now.Sub(c.engineLoad().Seen()) <= maxReportAge
+func hasRecentReport(c *Candidate, req *PickRequest) bool {
+	return req.Now.Sub(c.engineLoad().ReportedAt()) <= maxReportAge
 }
 
-func hasStaleReport(c *Candidate, req *Ask) bool {
-	return req.Now.Sub(c.engineLoad().Seen()) > queryAgainAfter
+func hasStaleReport(c *Candidate, req *PickRequest) bool {
+	return req.Now.Sub(c.engineLoad().ReportedAt()) > queryAgainAfter
 }
--- a/routing/hosted_test.go
+++ b/routing/hosted_test.go
@@ -22,7 +22,7 @@
 		{Backend: fleet.Backend{ID: "suspect", FailureDomain: "b"}},
 		{Backend: fleet.Backend{ID: "good", FailureDomain: "b"}, EstLoad: 9},
 	}
-	req := Ask{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
+	req := PickRequest{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
 	for range 20 {
 		if c, _, err := r.Pick(all, req); err != nil || c.Backend.ID != "good" {
 			t.Fatalf("got %s, %v", c.Backend.ID, err)
--- a/routing/preferred.go
+++ b/routing/preferred.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Homes returns the n candidates with the highest rendezvous weight for a key. All
+// PreferredEngines returns the n candidates with the highest rendezvous weight for a key. All
 // routers that see the same candidates get the same result, and removing a candidate
 // changes the result only for keys that it was returned for.
-func Homes(all []Candidate, key uint64, n int) []Candidate {
+func PreferredEngines(all []Candidate, key uint64, n int) []Candidate {
 	if n >= len(all) {
 		return all
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -69,8 +69,8 @@
 	return c.Live.Hits(blocks, now)
 }
 
-// Ask describes the attempt for which a backend server is chosen.
-type Ask struct {
+// PickRequest describes the attempt for which a backend server is chosen.
+type PickRequest struct {
 	Ref           fleet.ModelRef // zero for services that are not model engines
 	Priority      fleet.Priority
 	Blocks        []uint64 // leading blocks of the prompt, see fleet.PrefixBlocks
@@ -78,10 +78,10 @@
 	FailureDomain string // of this router
 	OtherDomain   string // failure domain that FilterOtherDomain removes; empty for none
 	PromptBytes   int
-	// Tokens is the number of prompt tokens to be read, Holds the number of tokens that
+	// PromptTokens is the number of prompt tokens to be read, MemoryTokens the number of tokens that
 	// the run occupies in memory at its end, and Capacity the number of tokens that an
 	// engine of the service can hold in memory; 0 when that isn't known.
-	Tokens, Holds, Capacity int
+	PromptTokens, MemoryTokens, Capacity int
 	// Backlog bounds the tokens that an engine has yet to read, including this prompt;
 	// 0 for no bound.
 	Backlog float64
@@ -145,7 +145,7 @@
 
 // Pick chooses a candidate from the snapshot, which it only reads. When the filters
 // leave none, the error is a *NoCandidate.
-func (r *Router) Pick(snapshot []Candidate, req Ask) (Candidate, Trace, error) {
+func (r *Router) Pick(snapshot []Candidate, req PickRequest) (Candidate, Trace, error) {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	trace := Trace{Considered: len(snapshot)}
@@ -163,7 +163,7 @@
 
 // filter stores the candidates that pass all filters in sc, and returns the name of the
 // last filter applied.
-func (r *Router) filter(snapshot []Candidate, req *Ask, sc *scratch, trace *Trace) (last string) {
+func (r *Router) filter(snapshot []Candidate, req *PickRequest, sc *scratch, trace *Trace) (last string) {
 	sc.left = sc.left[:0]
 	for i := range snapshot {
 		sc.left = append(sc.left, int32(i))
@@ -184,7 +184,7 @@
 
 // Draw returns up to n of the candidates that pass the filters, at random and without
 // rating them. The caller queries them for their state before it chooses one.
-func (r *Router) Draw(snapshot []Candidate, req Ask, n int) []Candidate {
+func (r *Router) Draw(snapshot []Candidate, req PickRequest, n int) []Candidate {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	var trace Trace
@@ -204,7 +204,7 @@
 // rate fills in the weighted scores. Scores that express affinity to a candidate are
 // also summed separately: the picker must be able to find that candidate, which two
 // random draws out of many would miss.
-func (r *Router) rate(snapshot []Candidate, req *Ask, sc *scratch) {
+func (r *Router) rate(snapshot []Candidate, req *PickRequest, sc *scratch) {
 	n := len(sc.left)
 	sc.loads = resize(sc.loads, n)
 	sc.score = resize(sc.score, n)
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -9,7 +9,7 @@
 	all   []Candidate
 	left  []int32
 	loads []float64
-	req   *Ask
+	req   *PickRequest
 }
 
 func (v *View) candidate(k int) *Candidate { return &v.all[v.left[k]] }
@@ -35,7 +35,7 @@
 	ScoreRendezvous = "prefix-rendezvous"
 	ScoreDomain     = "failure-domain"
 	ScoreSpread     = "resume-spread"
-	ScorePlaces     = "free-places"
+	ScoreSlots      = "free-places"
 )
 
 // loadSlack is added to loads before they are compared. A continuous batch accepts that
@@ -83,19 +83,19 @@
 
 func overloaded(load, mean float64) bool { return load > boundedLoad*mean+1 }
 
-// Placer is implemented by a Live that knows how many requests its backend server runs
+// SlotCounter is implemented by a Live that knows how many requests its backend server runs
 // at once.
-type Placer interface {
-	// Places is that number as shown by the reports, 0 when unknown.
-	Places() float64
+type SlotCounter interface {
+	// Slots is that number as shown by the reports, 0 when unknown.
+	Slots() float64
 }
 
 func (v *View) slots(k int) float64 {
-	p, ok := v.candidate(k).Live.(Placer)
+	p, ok := v.candidate(k).Live.(SlotCounter)
 	if !ok {
 		return 0
 	}
-	return p.Places()
+	return p.Slots()
 }
 
 // fullShare is the share of its slots from which a backend server counts as full:
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -27,7 +27,7 @@
 	FilterExclude: perCandidate{FilterExclude, notExcluded},
 	FilterRole:    perCandidate{FilterRole, acceptsPrompts},
 
-	FilterRoom:        perCandidate{FilterRoom, fitsMemory},
+	FilterMemory:      perCandidate{FilterMemory, fitsMemory},
 	FilterBacklog:     perCandidate{FilterBacklog, backlogWithinBound},
 	FilterFresh:       freshFilter{},
 	FilterFreshOnly:   perCandidate{FilterFreshOnly, hasRecentReport},
@@ -45,7 +45,7 @@
 	ScoreDelay:      {scorer: delayScorer{}},
 	ScoreMemory:     {scorer: memoryScorer{}},
 	ScoreSpread:     {scorer: spreadScorer{}, affinity: true},
-	ScorePlaces:     {scorer: slotsScorer{}, affinity: true},
+	ScoreSlots:      {scorer: slotsScorer{}, affinity: true},
 }
 
 // DefaultSteps is the configuration used when the settings name none. ScorePrefix is
@@ -62,7 +62,7 @@
 		{Name: ScoreRendezvous, Weight: 0.4},
 		{Name: ScoreDomain, Weight: 0.05},
 		{Name: ScoreSpread, Weight: 0.2},
-		{Name: ScorePlaces, Weight: 0.5},
+		{Name: ScoreSlots, Weight: 0.5},
 		{Name: PickTwoChoices},
 	}
 }
