--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -7,12 +7,12 @@
 	"wigeondale/event"
 	"wigeondale/fleet"
 	"wigeondale/health"
+	"wigeondale/replacement"
 	"wigeondale/route"
-	"wigeondale/succession"
 )
 
 // While the store is unavailable, replacements of crashed replicas are adopted: a few nodes search
-// for them (package succession) and broadcast what they find. The store has precedence once it is
+// for them (package replacement) and broadcast what they find. The store has precedence once it is
 // back: an adopted replica that it does not list is removed.
 //
 // Replicas are adopted only for a service that is the configuration's only service of model
@@ -56,7 +56,7 @@
 type adopter struct {
 	view      *view
 	storeSync *storeSync
-	finder    *succession.Finder
+	finder    *replacement.Finder
 	broadcast func(m adoptedMessage)
 
 	lastBroadcast time.Time
@@ -86,7 +86,7 @@
 	if !ok || !a.storeSync.isReader() {
 		return
 	}
-	found := a.finder.Find(ctx, a.view.unreachable(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Replica) bool {
+	found := a.finder.Find(ctx, a.view.unreachable(service.Name), service.HealthPath, func(_ fleet.Backend, f replacement.Replica) bool {
 		return f.MemoryTokens == service.Memory
 	})
 	var toBroadcast []adoptedReplica
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -21,23 +21,23 @@
 	"github.com/zeebo/errs"
 
 	"wigeondale/admission"
+	"wigeondale/cachelookup"
 	"wigeondale/directory"
 	"wigeondale/dump"
 	"wigeondale/event"
 	"wigeondale/generation"
 	"wigeondale/health"
-	"wigeondale/holders"
 	"wigeondale/listen"
 	"wigeondale/mirror"
 	"wigeondale/placement"
 	"wigeondale/platform"
 	"wigeondale/quarantine"
 	"wigeondale/relay"
+	"wigeondale/replacement"
 	"wigeondale/route"
 	"wigeondale/routing"
 	"wigeondale/settings"
 	"wigeondale/signals"
-	"wigeondale/succession"
 )
 
 // Error is the class of this package's errors.
@@ -108,13 +108,13 @@
 func (n *node) newRelay() (*relay.Relay, error) {
 	replicas := platform.NewReplicas()
 	replicas.OnLoad = n.view.recordLoad
-	n.adopter = &adopter{view: n.view, storeSync: n.storeSync, finder: succession.New(replicas), broadcast: n.peers.broadcastAdopted}
+	n.adopter = &adopter{view: n.view, storeSync: n.storeSync, finder: replacement.New(replicas), broadcast: n.peers.broadcastAdopted}
 	n.peers.adopter = n.adopter
 	queryRuns := runQuerier{n.dir, replicas}
 	n.mon.RunQuerier = queryRuns
 	n.guard = n.newGuard(queryRuns)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
-	finder := holders.New(replicas, holders.Config{Set: n.meter})
+	finder := cachelookup.New(replicas, cachelookup.Config{Set: n.meter})
 	queryLoads, err := newLoadQuerier(replicas, n.dir, n.meter)
 	if err != nil {
 		return nil, err
--- a/hosted/load_query_test.go
+++ b/hosted/load_query_test.go
@@ -6,9 +6,9 @@
 	"sync"
 	"testing"
 
+	"wigeondale/cachelookup"
 	"wigeondale/fleet"
 	"wigeondale/generation"
-	"wigeondale/holders"
 )
 
 // idleStates reports for each engine that it is idle.
@@ -57,7 +57,7 @@
 		parts.engineOf[own] = b.ID
 	}
 	for own, id := range parts.engineOf {
-		after.cacheFinder = holders.New(parts, holders.Config{})
+		after.cacheFinder = cachelookup.New(parts, cachelookup.Config{})
 		parts.queries = 0
 		a := generation.PickRequest{RequestID: "back", Service: "llm", PromptTokens: replayPrompt, MaxAnswerTokens: replayAnswer, FirstChunkTarget: replayTarget, UniquePart: own, PromptParts: []string{own}}
 		b, share, err := after.Pick(t.Context(), a)
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"wigeondale/admission"
+	"wigeondale/cachelookup"
 	"wigeondale/directory"
 	"wigeondale/event"
 	"wigeondale/fleet"
 	"wigeondale/generation"
 	"wigeondale/health"
-	"wigeondale/holders"
 	"wigeondale/placement"
 	"wigeondale/route"
 	"wigeondale/routing"
@@ -42,7 +42,7 @@
 	anyEngine       *routing.Router // for engines
 	preferredEngine *routing.Router // for engines, among the preferred ones of a request
 	standby         *routing.Router
-	cacheFinder     *holders.Finder
+	cacheFinder     *cachelookup.Finder
 	log             *event.Log
 	queues          queues
 	loadQuerier     *loadQuerier
@@ -53,7 +53,7 @@
 	broadcastSoon func()
 }
 
-func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, finder *holders.Finder, queryLoads *loadQuerier, log *event.Log) (*picker, error) {
+func newPicker(table *route.Current, dir *directory.Directory, mon *health.Monitor, finder *cachelookup.Finder, queryLoads *loadQuerier, log *event.Log) (*picker, error) {
 	p := &picker{refusal: admission.RefuseLate, loadQuerier: queryLoads, table: table, dir: dir, mon: mon, cacheFinder: finder, log: log, broadcastSoon: func() {}}
 	for _, r := range []struct {
 		to    **routing.Router
