--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -133,7 +133,7 @@
 }
 
 func (n *node) watcher() placement.Watcher {
-	return placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: codeLeaving}
+	return placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: codeLeaving}
 }
 
 // attemptNode names this life of the router in the names of its attempts: after
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -66,7 +66,7 @@
 }
 
 func (p *picker) pick(candidates []routing.Candidate, ask routing.PickRequest) (fleet.Backend, generation.LoadShare, error) {
-	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaWait}
+	c := placement.Chooser{Dir: p.dir, Mon: p.mon, RetryAfter: replicaWait}
 	return c.Pick(p.router, candidates, ask, directory.Load{Requests: 1})
 }
 
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -52,7 +52,7 @@
 func (t *triedSet) add(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ids = placement.With(t.ids, id) // a copy: the old map may be in use
+	t.ids = placement.WithID(t.ids, id) // a copy: the old map may be in use
 }
 
 func (t *triedSet) all() map[string]bool {
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -130,7 +130,7 @@
 	runner, err := generation.New(generation.Deps{
 		Admitter:   admitAll{},
 		Picker:     pick,
-		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
+		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: platform.CodeElsewhere},
 		Engines:    observedEngines{replicas, n.rollouts},
 		Budget:     budgets,
 		Copier:     replicas,
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if !r.Opaque.Streaming {
-		run.observeTime(o.rollouts, rollout.Whole)
+		run.observeTime(o.rollouts, rollout.TotalTime)
 		run.end(o.rollouts)
 		return s, nil
 	}
@@ -88,7 +88,7 @@
 	}
 	run.rollout, run.startedAt = ro, clock.Boot()
 	if r.Opaque.Streaming {
-		run.aspect = rollout.First
+		run.aspect = rollout.TimeToFirst
 	}
 	return run
 }
@@ -100,7 +100,7 @@
 	}
 	rule := r.rollout.Rule()
 	s.rated.Inc()
-	r.rollout.Observe(rollout.Cell{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
+	r.rollout.Observe(rollout.CountKey{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
 		r.b.Version == rule.Target, clock.Boot())
 }
 
@@ -194,7 +194,7 @@
 	r.chunks++
 	switch r.chunks {
 	case 1:
-		r.observeTime(s, rollout.First)
+		r.observeTime(s, rollout.TimeToFirst)
 		r.firstAt = clock.Boot()
 	case paceChunks:
 		r.observePace(s, paceChunks)
@@ -206,7 +206,7 @@
 	if r.rollout == nil || r.chunks < least || r.firstAt == 0 {
 		return
 	}
-	r.observe(s, rollout.Pace, rollout.GradeOf((clock.Boot()-r.firstAt)/time.Duration(r.chunks-1)))
+	r.observe(s, rollout.ChunkInterval, rollout.GradeOf((clock.Boot()-r.firstAt)/time.Duration(r.chunks-1)))
 	r.firstAt = 0
 }
 
@@ -259,7 +259,7 @@
 		return 0
 	}
 	for _, r := range k.of(service) {
-		if r.resumable && rule.Moves(&r.b) && r.ctx.Err() == nil {
+		if r.resumable && rule.MovesRuns(&r.b) && r.ctx.Err() == nil {
 			r.cancel(generation.ErrMoved)
 			n++
 		}
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -129,7 +129,7 @@
 	switch {
 	case ro == nil:
 	case err == nil:
-		ro.Sent(a.RequestID)
+		ro.MarkSent(a.RequestID)
 	case ro.Unassign(a.RequestID): // the version on trial has no replica for it
 		return p.Pick(ctx, a)
 	}
@@ -153,7 +153,7 @@
 func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.PickRequest, load directory.Load) (fleet.Backend, generation.LoadShare, error) {
 	req := p.pickRequest(a)
 	req.OtherDomain = a.LostDomain
-	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: waitForReplica}
+	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, RetryAfter: waitForReplica}
 	b, share, err := chooser.Pick(router, among, req, load)
 	if err == nil || req.OtherDomain == "" {
 		return b, share, err
@@ -223,7 +223,7 @@
 func (p *picker) Standby(a generation.PickRequest, b fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	req := p.pickRequest(a)
 	req.Now = time.Now()
-	req.Exclude = placement.With(a.Exclude, b.ID)
+	req.Exclude = placement.WithID(a.Exclude, b.ID)
 	req.OtherDomain = b.FailureDomain
 	req.Capacity = int(p.queues.of(a.Service).losses.CopyShare(req.Now) * float64(req.Capacity))
 	c, _, err := p.standby.Pick(p.allowedReplicas(a.Service), req)
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -126,7 +126,7 @@
 	ro := s.byService[service]
 	if ro == nil {
 		ro = &serviceRollout{service: service, Rollout: rollout.New(rollout.Config{
-			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Life: s.incarnation,
+			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Incarnation: s.incarnation,
 		})}
 		s.byService[service] = ro
 	}
@@ -151,7 +151,7 @@
 		s.log.Emit(event.ItemUnreadable, "key", item.Key, "revision", item.ModRev, "err", err)
 		return true
 	}
-	s.forService(service).Recorded(rec, item.ModRev, clock.Boot())
+	s.forService(service).SetRecord(rec, item.ModRev, clock.Boot())
 	return true
 }
 
@@ -163,7 +163,7 @@
 	}
 	s.log.Emit(event.RolloutOrdered, "service", service, "target", order.Target,
 		"within_ms", order.Duration.Milliseconds(), "revision", order.Revision)
-	s.forService(service).Ordered(order, clock.Boot())
+	s.forService(service).SetOrder(order, clock.Boot())
 }
 
 // removed handles the removal of an item from the store.
@@ -177,14 +177,14 @@
 	}
 	if ro := s.of(service); ro != nil {
 		s.log.Emit(event.RolloutOrdered, "service", service, "target", "")
-		ro.Withdrawn()
+		ro.WithdrawOrder()
 	}
 }
 
 // handleReport applies a report from another node.
 func (s *rollouts) handleReport(from string, rep rollout.Report) {
 	if ro := s.of(rep.Service); ro != nil {
-		ro.Hear(from, rep, clock.Boot())
+		ro.HandleReport(from, rep, clock.Boot())
 	}
 }
 
@@ -207,7 +207,7 @@
 		Record  rollout.Record
 		Stage   rollout.Stage
 		Verdict rollout.Verdict
-		Ready   rollout.Ready
+		Ready   rollout.ReplicaCounts
 	}
 	out := map[string]shown{}
 	for _, ro := range s.all() {
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -57,10 +57,10 @@
 }
 
 // ready counts the replicas of a service that accept work.
-func (s *rollouts) ready(ro *serviceRollout) rollout.Ready {
+func (s *rollouts) ready(ro *serviceRollout) rollout.ReplicaCounts {
 	rule := ro.Rule()
 	domains := map[string]bool{}
-	var out rollout.Ready
+	var out rollout.ReplicaCounts
 	for _, c := range s.dir.Service(ro.service) {
 		b := &c.Backend
 		if s.dir.Leaving(b.ID) || s.mon.State(b.ID) != health.Healthy {
@@ -78,7 +78,7 @@
 }
 
 // logChanges logs what has changed since the last call.
-func (s *rollouts) logChanges(ro *serviceRollout, now time.Duration, ready rollout.Ready) {
+func (s *rollouts) logChanges(ro *serviceRollout, now time.Duration, ready rollout.ReplicaCounts) {
 	stage := ro.Stage()
 	if stage != ro.logged {
 		ro.logged, ro.stageSince = stage, now
@@ -89,10 +89,10 @@
 	verdict, bad := ro.Verdict()
 	if bad && !ro.loggedBad {
 		s.log.Emit(event.RolloutJudged, "service", ro.service, "route", verdict.Route, "evidence", verdict.Evidence,
-			"answers", verdict.Answers, "bad", verdict.BadOnes)
+			"answers", verdict.Answers, "bad", verdict.BadAnswers)
 	}
 	ro.loggedBad = bad
-	if blocker := ro.Missing(now, ready); blocker != ro.loggedBlocker {
+	if blocker := ro.TrialBlocker(now, ready); blocker != ro.loggedBlocker {
 		ro.loggedBlocker = blocker
 		if blocker != "" {
 			s.log.Emit(event.RolloutHeld, "service", ro.service, "reason", blocker)
@@ -114,8 +114,8 @@
 }
 
 // writeIfDue writes the change of the record that is due, if this node's rank allows it by now.
-func (s *rollouts) writeIfDue(ro *serviceRollout, now time.Duration, ready rollout.Ready) {
-	next, revision, due := ro.Next(now, ready)
+func (s *rollouts) writeIfDue(ro *serviceRollout, now time.Duration, ready rollout.ReplicaCounts) {
+	next, revision, due := ro.NextRecord(now, ready)
 	if !due {
 		ro.dueSince = 0
 		return
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -64,7 +64,7 @@
 		if b.Version != rule.Target {
 			o.sawOtherVersion.Store(true)
 		}
-		if rule.Tries(b) {
+		if rule.AllowsTrial(b) {
 			ofTarget = append(ofTarget, *b)
 		}
 		if rule.Allows(b) {
@@ -74,7 +74,7 @@
 	if len(s.allowed) == 0 && !o.sawOtherVersion.Load() {
 		s.allowed = all // the service never had another version
 	}
-	set := rollout.TrialSet(ofTarget, limits)
+	set := rollout.TrialReplicas(ofTarget, limits)
 	for i := range all {
 		if set[all[i].Backend.ID] {
 			s.trial = append(s.trial, all[i])
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -28,8 +28,8 @@
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
-	// Wait is the retry time that is returned when a backend server is expected back soon.
-	Wait time.Duration
+	// RetryAfter is the retry time that is returned when a backend server is expected back soon.
+	RetryAfter time.Duration
 }
 
 // Pick chooses with the router and counts the attempt, with its load, until the share ends. If no
@@ -45,9 +45,9 @@
 		if !c.Dir.Leaving(id) && c.Mon.Allow(id) {
 			return chosen.Backend, c.Dir.Begin(id, load), nil
 		}
-		req.Exclude = With(req.Exclude, id)
+		req.Exclude = WithID(req.Exclude, id)
 	}
-	return fleet.Backend{}, nil, &generation.Unavailable{Retryable: true, RetryAfter: c.Wait}
+	return fleet.Backend{}, nil, &generation.Unavailable{Retryable: true, RetryAfter: c.RetryAfter}
 }
 
 func (c Chooser) unavailable(err error) error {
@@ -55,11 +55,11 @@
 	if !ok {
 		return &generation.Unavailable{Err: err}
 	}
-	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.Wait, Err: err}
+	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.RetryAfter, Err: err}
 }
 
-// With returns a copy of set with one more id.
-func With(set map[string]bool, id string) map[string]bool {
+// WithID returns a copy of set with one more id.
+func WithID(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k, v := range set {
 		out[k] = v
@@ -72,9 +72,9 @@
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
-	// Leaves is the code of the refusal with which a backend server reports that it accepts no more
+	// LeavingCode is the code of the refusal with which a backend server reports that it accepts no more
 	// work.
-	Leaves string
+	LeavingCode string
 }
 
 // Watch starts to watch one attempt.
@@ -90,7 +90,7 @@
 		w.Monitor.Result(id, err)
 		return
 	}
-	if refused.Code == w.Leaves {
+	if refused.Code == w.LeavingCode {
 		w.Dir.MarkLeaving(id, "", directory.FromRefusal)
 	}
 	w.Monitor.Result(id, nil)
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -46,13 +46,13 @@
 
 // Verdict is an evaluation of the evidence about the new version.
 type Verdict struct {
-	Bad      bool
-	Route    string // route with the strongest evidence; empty for all routes together
-	Aspect   Aspect
-	Evidence float64
-	Doubt    float64 `json:"Doubt"` // evidence without that of the failure domain that contributes most
-	Answers  int     // answers of the new version
-	BadOnes  int     `json:"BadOnes"` // bad ones among those
+	Bad           bool
+	Route         string // route with the strongest evidence; empty for all routes together
+	Aspect        Aspect
+	Evidence      float64
+	OtherEvidence float64 `json:"Doubt"` // evidence without that of the failure domain that contributes most
+	Answers       int     // answers of the new version
+	BadAnswers    int     `json:"BadOnes"` // bad ones among those
 }
 
 func (v Verdict) String() string {
@@ -60,7 +60,7 @@
 	if on == "" {
 		on = "all routes"
 	}
-	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadOnes, v.Answers)
+	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadAnswers, v.Answers)
 }
 
 // baseline describes the answers of the old version, by one route and aspect.
@@ -74,7 +74,7 @@
 func (b baseline) bad(g Grade) bool { return g == Failed || (b.known && g >= b.slowFrom) }
 
 // baselineOf computes the baseline of one route and aspect from the answers of the old version.
-func baselineOf(old map[Cell]uint32, route string, aspect Aspect) baseline {
+func baselineOf(old map[CountKey]uint32, route string, aspect Aspect) baseline {
 	var buckets [lastGrade + 1]uint32
 	var timed, failed uint32
 	for c, n := range old {
@@ -130,7 +130,7 @@
 
 // add evaluates answers of the new version that became known together, against the given answers of
 // the old version.
-func (e *evaluator) add(answers map[Cell]uint32, old map[Cell]uint32) {
+func (e *evaluator) add(answers map[CountKey]uint32, old map[CountKey]uint32) {
 	baselines := map[evidenceKey]baseline{}
 	g := evidenceGains{}
 	for c, n := range answers {
@@ -144,7 +144,7 @@
 		added := float64(n) * weight(b.badRate, bad)
 		g.add(key, c.Domain, added)
 		g.add(evidenceKey{all: true}, c.Domain, added)
-		if c.Aspect != Pace {
+		if c.Aspect != ChunkInterval {
 			e.answers += int(n)
 		}
 		if bad {
@@ -172,7 +172,7 @@
 // new version has replicas. Where there are several, the evidence of one domain is not sufficient:
 // a domain that crashes, or one replica that fails, is not a fault of the version.
 func (e *evaluator) verdict(domains int) Verdict {
-	v := Verdict{Answers: e.answers, BadOnes: e.badAnswers}
+	v := Verdict{Answers: e.answers, BadAnswers: e.badAnswers}
 	domainMax := badEvidence
 	if domains != 1 { // 0: not known yet
 		domainMax = maxDomainShare * badEvidence
@@ -184,9 +184,9 @@
 			largest = max(largest, min(s, domainMax))
 		}
 		if domains > 1 {
-			v.Doubt = max(v.Doubt, sum-largest)
+			v.OtherEvidence = max(v.OtherEvidence, sum-largest)
 		} else {
-			v.Doubt = max(v.Doubt, sum)
+			v.OtherEvidence = max(v.OtherEvidence, sum)
 		}
 		if sum > v.Evidence {
 			v.Evidence, v.Route, v.Aspect = sum, key.route, key.aspect
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,12 +10,12 @@
 
 // The aspects. Each has its own baseline.
 const (
-	// Whole is the time to an answer that is not streamed.
-	Whole Aspect = iota
-	// First is the time to the first chunk of a stream.
-	First
-	// Pace is the mean time between chunks of a stream.
-	Pace
+	// TotalTime is the time to an answer that is not streamed.
+	TotalTime Aspect = iota
+	// TimeToFirst is the time to the first chunk of a stream.
+	TimeToFirst
+	// ChunkInterval is the mean time between chunks of a stream.
+	ChunkInterval
 )
 
 // Grade rates one answer: it is the index of a latency bucket on a logarithmic scale, or Failed.
@@ -42,8 +42,8 @@
 	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeRatio), lastGrade))
 }
 
-// Cell identifies a kind of answers that are counted together.
-type Cell struct {
+// CountKey identifies a kind of answers that are counted together.
+type CountKey struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
 	Domain string `cbor:"3,keyasint,omitempty"` // failure domain of the replica; empty for the old version
@@ -52,19 +52,19 @@
 
 // Count is the number of answers of one kind.
 type Count struct {
-	Cell
+	CountKey
 	N uint32 `cbor:"5,keyasint"`
 }
 
 // Report holds the answers that one router has seen. Routers broadcast it; each report contains the
 // totals so far and replaces the one before, so a lost report does no harm.
 type Report struct {
-	Service   string  `cbor:"1,keyasint"`
-	Order     int64   `cbor:"2,keyasint"` // revision of the order
-	Life      uint64  `cbor:"8,keyasint"` // identifies the run of the router process; its counts start at zero with each run
-	Number    uint64  `cbor:"3,keyasint"` // increases with each report of one run
-	ElapsedMS int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
-	New       []Count `cbor:"5,keyasint,omitempty"`
+	Service     string  `cbor:"1,keyasint"`
+	Order       int64   `cbor:"2,keyasint"` // revision of the order
+	Incarnation uint64  `cbor:"8,keyasint"` // identifies the run of the router process; its counts start at zero with each run
+	Sequence    uint64  `cbor:"3,keyasint"` // increases with each report of one run
+	ElapsedMS   int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
+	New         []Count `cbor:"5,keyasint,omitempty"`
 	// Old counts the answers of the old version within the last oldSpan, which are the baseline for
 	// the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
@@ -78,7 +78,7 @@
 
 // window counts answers within the last baselineWindow, in a ring of time slots.
 type window struct {
-	slots  [windowSlots]map[Cell]uint32
+	slots  [windowSlots]map[CountKey]uint32
 	latest int64 // number of the latest slot that was started
 }
 
@@ -98,16 +98,16 @@
 	return current
 }
 
-func (w *window) add(c Cell, now time.Duration) {
+func (w *window) add(c CountKey, now time.Duration) {
 	at := w.advance(now) % windowSlots
 	if w.slots[at] == nil {
-		w.slots[at] = map[Cell]uint32{}
+		w.slots[at] = map[CountKey]uint32{}
 	}
 	w.slots[at][c]++
 }
 
 // addTo adds the counts of the window to a total.
-func (w *window) addTo(now time.Duration, to map[Cell]uint32) {
+func (w *window) addTo(now time.Duration, to map[CountKey]uint32) {
 	w.advance(now)
 	for _, slot := range w.slots {
 		for c, n := range slot {
@@ -116,7 +116,7 @@
 	}
 }
 
-func counts(of map[Cell]uint32) []Count {
+func counts(of map[CountKey]uint32) []Count {
 	out := make([]Count, 0, len(of))
 	for c, n := range of {
 		out = append(out, Count{c, n})
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -91,7 +91,7 @@
 
 // simRun is an attempt that has no answer yet.
 type simRun struct {
-	cell      Cell
+	cell      CountKey
 	isNew     bool
 	startedAt time.Duration
 	observed  bool
@@ -133,13 +133,13 @@
 		list = append(list, r.b)
 	}
 	limits := Limits{Share: 0.1, Burst: 50}
-	s.trialSet = TrialSet(list, limits)
+	s.trialSet = TrialReplicas(list, limits)
 	for i := range p.routerCount {
-		ro := New(Config{Limits: limits, Chart: c, Routers: func() int { return p.routerCount }, Random: s.rng.Float64, Life: uint64(i + 1)})
+		ro := New(Config{Limits: limits, Chart: c, Routers: func() int { return p.routerCount }, Random: s.rng.Float64, Incarnation: uint64(i + 1)})
 		s.routers = append(s.routers, &simRouter{ro: ro})
 	}
 	start := s.now
-	s.notifyRouters(func(r *simRouter) { r.ro.Ordered(p.order, s.now) })
+	s.notifyRouters(func(r *simRouter) { r.ro.SetOrder(p.order, s.now) })
 	for _, r := range s.routers {
 		s.after(time.Duration(s.rng.Int64N(int64(simTick))), func() { s.tick(r, start) })
 	}
@@ -202,7 +202,7 @@
 		for i, other := range s.routers {
 			if other != r {
 				_ = i
-				s.after(time.Duration(5+s.rng.IntN(200))*time.Millisecond, func() { other.ro.Hear(fmt.Sprintf("%p", r), *rep, s.now) })
+				s.after(time.Duration(5+s.rng.IntN(200))*time.Millisecond, func() { other.ro.HandleReport(fmt.Sprintf("%p", r), *rep, s.now) })
 			}
 		}
 	}
@@ -212,7 +212,7 @@
 // writeDue writes the change of the record that is due: the first router at once, each further one
 // if the routers before it have not written for a while.
 func (s *simulation) writeDue(r *simRouter, start time.Duration) {
-	next, rev, due := r.ro.Next(s.now, Ready{New: s.replicas, Old: s.replicas, Domains: simDomains})
+	next, rev, due := r.ro.NextRecord(s.now, ReplicaCounts{New: s.replicas, Old: s.replicas, Domains: simDomains})
 	if !due {
 		r.isDue = false
 		return
@@ -235,8 +235,8 @@
 		s.out.ended = s.now - start
 	}
 	written, at := next, s.rev
-	s.notifyRouters(func(o *simRouter) { o.ro.Recorded(written, at, s.now) })
-	r.ro.Recorded(written, at, s.now)
+	s.notifyRouters(func(o *simRouter) { o.ro.SetRecord(written, at, s.now) })
+	r.ro.SetRecord(written, at, s.now)
 }
 
 func (s *simulation) arrive(start time.Duration) {
@@ -252,7 +252,7 @@
 	trial := r.ro.Assign(id, s.now)
 	rule := r.ro.Rule()
 	s.send(r, route, rule, trial, start)
-	r.ro.Sent(id)
+	r.ro.MarkSent(id)
 }
 
 // send runs a request at a replica that the rule allows.
@@ -265,7 +265,7 @@
 		if unknown || s.down(rep, start) {
 			continue
 		}
-		if (trial && rule.Tries(&rep.b) && s.trialSet[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
+		if (trial && rule.AllowsTrial(&rep.b) && s.trialSet[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
 			able = append(able, rep)
 		}
 	}
@@ -282,7 +282,7 @@
 	}
 	rep.busy++
 	took, grade := s.answer(rep, route, isNew, start)
-	run := &simRun{cell: Cell{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, startedAt: s.now}
+	run := &simRun{cell: CountKey{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, startedAt: s.now}
 	r.open = append(r.open, run)
 	s.after(took, func() { s.answered(r, rep, route, run, start) })
 }
@@ -338,9 +338,9 @@
 
 func (r simRoute) aspect() Aspect {
 	if r.pace > 0 {
-		return First
+		return TimeToFirst
 	}
-	return Whole
+	return TotalTime
 }
 
 func (s *simulation) answered(r *simRouter, rep *simReplica, route simRoute, run *simRun, start time.Duration) {
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -24,15 +24,15 @@
 // by other routers.
 type evidence struct {
 	evaluator   evaluator
-	local       map[Cell]uint32 // answers of the new version seen by this router
-	localOld    window          // answers of the old version seen by this router
+	local       map[CountKey]uint32 // answers of the new version seen by this router
+	localOld    window              // answers of the old version seen by this router
 	peerReports map[string]peerReport
 	// peerOld counts the recent answers of the old version that other routers reported.
-	peerOld map[Cell]uint32
+	peerOld map[CountKey]uint32
 	// frozenOld is the baseline while all work moves to the new version, when the old version gives
 	// no answers any more. Without it the baseline expires within seconds, and a route on which
 	// either version fails now and then makes a healthy version appear bad while work moves.
-	frozenOld map[Cell]uint32
+	frozenOld map[CountKey]uint32
 	sendsOld  bool // this router reports answers of the old version even without new answers of the new one
 
 	unsent    bool // local has answers that were not reported yet
@@ -46,13 +46,13 @@
 	receivedAt  time.Duration
 	incarnation uint64
 	sequence    uint64
-	new         map[Cell]uint32
+	new         map[CountKey]uint32
 	old         []Count
 }
 
 // Observe counts an answer that this router saw. Only the first attempt of a request counts: an
 // attempt that follows a failure is sent where the first one was not.
-func (r *Rollout) Observe(c Cell, ofNew bool, now time.Duration) {
+func (r *Rollout) Observe(c CountKey, ofNew bool, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || !r.record.Stage.Open() {
@@ -65,11 +65,11 @@
 		return
 	}
 	if e.local == nil {
-		e.local = map[Cell]uint32{}
+		e.local = map[CountKey]uint32{}
 	}
 	e.local[c]++
 	old := e.recentOld(now)
-	e.evaluator.add(map[Cell]uint32{c: 1}, old)
+	e.evaluator.add(map[CountKey]uint32{c: 1}, old)
 	e.unsent = true
 	e.unsentBad = e.unsentBad || baselineOf(old, c.Route, c.Aspect).bad(c.Grade)
 	r.evaluate()
@@ -83,8 +83,8 @@
 	return b.known && GradeOf(waited) >= b.slowFrom
 }
 
-// Hear applies a report from another router.
-func (r *Rollout) Hear(from string, rep Report, now time.Duration) {
+// HandleReport applies a report from another router.
+func (r *Rollout) HandleReport(from string, rep Report, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || rep.Order != r.order.Revision {
@@ -101,20 +101,20 @@
 
 func (e *evidence) merge(from string, rep Report, now time.Duration) {
 	before := e.peerReports[from]
-	if before.incarnation != rep.Life {
+	if before.incarnation != rep.Incarnation {
 		before = peerReport{}
 	}
-	if rep.Number <= before.sequence {
+	if rep.Sequence <= before.sequence {
 		return
 	}
-	latest := peerReport{receivedAt: now, incarnation: rep.Life, sequence: rep.Number, new: map[Cell]uint32{}, old: rep.Old}
+	latest := peerReport{receivedAt: now, incarnation: rep.Incarnation, sequence: rep.Sequence, new: map[CountKey]uint32{}, old: rep.Old}
 	e.removePeerOld(e.peerReports[from].old)
 	e.addPeerOld(rep.Old)
-	added := map[Cell]uint32{}
+	added := map[CountKey]uint32{}
 	for _, c := range rep.New {
-		latest.new[c.Cell] = c.N
-		if c.N > before.new[c.Cell] {
-			added[c.Cell] = c.N - before.new[c.Cell]
+		latest.new[c.CountKey] = c.N
+		if c.N > before.new[c.CountKey] {
+			added[c.CountKey] = c.N - before.new[c.CountKey]
 		}
 	}
 	if e.peerReports == nil {
@@ -128,17 +128,17 @@
 
 func (e *evidence) addPeerOld(old []Count) {
 	if e.peerOld == nil {
-		e.peerOld = map[Cell]uint32{}
+		e.peerOld = map[CountKey]uint32{}
 	}
 	for _, c := range old {
-		e.peerOld[c.Cell] += c.N
+		e.peerOld[c.CountKey] += c.N
 	}
 }
 
 func (e *evidence) removePeerOld(old []Count) {
 	for _, c := range old {
-		if e.peerOld[c.Cell] -= c.N; e.peerOld[c.Cell] == 0 {
-			delete(e.peerOld, c.Cell)
+		if e.peerOld[c.CountKey] -= c.N; e.peerOld[c.CountKey] == 0 {
+			delete(e.peerOld, c.CountKey)
 		}
 	}
 }
@@ -156,13 +156,13 @@
 
 // recentOld returns the recent answers of the old version, seen by this router or reported by
 // others.
-func (e *evidence) recentOld(now time.Duration) map[Cell]uint32 {
+func (e *evidence) recentOld(now time.Duration) map[CountKey]uint32 {
 	if e.frozenOld != nil {
 		return e.frozenOld
 	}
 	sum := maps.Clone(e.peerOld)
 	if sum == nil {
-		sum = map[Cell]uint32{}
+		sum = map[CountKey]uint32{}
 	}
 	e.localOld.addTo(now, sum)
 	return sum
@@ -182,10 +182,10 @@
 	}
 	e.lastSent, e.unsent, e.unsentBad = now, false, false
 	e.sequence++
-	old := map[Cell]uint32{}
+	old := map[CountKey]uint32{}
 	e.localOld.addTo(now, old)
 	return &Report{
-		Service: r.order.Service, Order: r.order.Revision, Life: r.cfg.Life, Number: e.sequence, ElapsedMS: (now - r.orderedAt).Milliseconds(),
+		Service: r.order.Service, Order: r.order.Revision, Incarnation: r.cfg.Incarnation, Sequence: e.sequence, ElapsedMS: (now - r.orderedAt).Milliseconds(),
 		New: counts(e.local), Old: counts(old), Bad: r.bad,
 	}
 }
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Next returns the change of the record that is due now, if any. Which event of the state chart has
+// NextRecord returns the change of the record that is due now, if any. Which event of the state chart has
 // occurred is decided by this router's knowledge; whether the change is made depends on the
 // condition that the record is still at the given revision.
-func (r *Rollout) Next(now time.Duration, ready Ready) (next Record, revision int64, due bool) {
+func (r *Rollout) NextRecord(now time.Duration, ready ReplicaCounts) (next Record, revision int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	event, reason := r.event(now, ready)
@@ -30,7 +30,7 @@
 	return next, r.revision, true
 }
 
-func (r *Rollout) event(now time.Duration, ready Ready) (event, reason string) {
+func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
 		// The order may become known later than the record that it caused.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
@@ -56,7 +56,7 @@
 }
 
 // endTrial decides the result of a trial whose time has passed.
-func (r *Rollout) endTrial(now time.Duration, ready Ready) (event, reason string) {
+func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.orderedAt
 	if elapsed < r.order.trialEnd() {
 		return "", ""
@@ -75,7 +75,7 @@
 const enoughReady = 0.7
 
 // trialBlocker returns why a trial can't pass, "" if it can.
-func (r *Rollout) trialBlocker(ready Ready, now time.Duration) string {
+func (r *Rollout) trialBlocker(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
 	case r.stale:
@@ -84,7 +84,7 @@
 		return "the trial has just begun"
 	case float64(ready.New) < enoughReady*float64(ready.Old) || ready.New == 0:
 		return fmt.Sprintf("%d new replicas are ready, %d old ones", ready.New, ready.Old)
-	case r.verdict.Doubt >= maxOtherEvidence:
+	case r.verdict.OtherEvidence >= maxOtherEvidence:
 		return "doubt: " + r.verdict.String()
 	case answers < minAnswers && !r.lowTraffic():
 		return fmt.Sprintf("%d answers of the new version", answers)
@@ -99,8 +99,8 @@
 // know to fail. The bad version would then get all requests for a second.
 func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
-// Missing returns why a trial whose time has passed does not pass, "" if it passes or is not over.
-func (r *Rollout) Missing(now time.Duration, ready Ready) string {
+// TrialBlocker returns why a trial whose time has passed does not pass, "" if it passes or is not over.
+func (r *Rollout) TrialBlocker(now time.Duration, ready ReplicaCounts) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || r.stage() != Trial || now-r.orderedAt < r.order.trialEnd() {
--- a/rollout/quota.go
+++ b/rollout/quota.go
@@ -74,10 +74,10 @@
 // undo returns the quota of a request that was not sent to the new version after all.
 func (q *quota) undo() { q.sent-- }
 
-// TrialSet chooses the replicas of the new version that take part in a trial: at least one in each
+// TrialReplicas chooses the replicas of the new version that take part in a trial: at least one in each
 // failure domain, and so few that each has about as much load as it will have after the roll-out,
 // so that a version that fails under load shows it. All routers choose the same replicas.
-func TrialSet(replicas []fleet.Backend, l Limits) map[string]bool {
+func TrialReplicas(replicas []fleet.Backend, l Limits) map[string]bool {
 	byDomain := map[string][]string{}
 	for i := range replicas {
 		b := &replicas[i]
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -9,15 +9,15 @@
 
 // Config holds the parameters of a Rollout.
 type Config struct {
-	Limits  Limits
-	Chart   *chart.Chart
-	Routers func() int     // number of routers that share the requests
-	Random  func() float64 // uniform in [0, 1)
-	Life    uint64         // random number drawn at process start; identifies this run of the router
+	Limits      Limits
+	Chart       *chart.Chart
+	Routers     func() int     // number of routers that share the requests
+	Random      func() float64 // uniform in [0, 1)
+	Incarnation uint64         // random number drawn at process start; identifies this run of the router
 }
 
-// Ready counts the replicas of a service that accept work.
-type Ready struct {
+// ReplicaCounts counts the replicas of a service that accept work.
+type ReplicaCounts struct {
 	New, Old int
 	Domains  int // failure domains that have replicas of the new version
 }
@@ -57,8 +57,8 @@
 	return &Rollout{cfg: cfg, assigned: map[string]assignment{}}
 }
 
-// Ordered sets the order in force. A new revision discards all evidence about the previous order.
-func (r *Rollout) Ordered(o Order, now time.Duration) {
+// SetOrder sets the order in force. A new revision discards all evidence about the previous order.
+func (r *Rollout) SetOrder(o Order, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order != nil && r.order.Revision == o.Revision {
@@ -73,8 +73,8 @@
 	r.epoch++
 }
 
-// Withdrawn removes the order in force.
-func (r *Rollout) Withdrawn() {
+// WithdrawOrder removes the order in force.
+func (r *Rollout) WithdrawOrder() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order != nil {
@@ -83,9 +83,9 @@
 	}
 }
 
-// Recorded applies a record read from the store, unless its revision is older than the one already
+// SetRecord applies a record read from the store, unless its revision is older than the one already
 // known.
-func (r *Rollout) Recorded(rec Record, revision int64, now time.Duration) {
+func (r *Rollout) SetRecord(rec Record, revision int64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision <= r.revision {
@@ -138,7 +138,7 @@
 		rule.Target, rule.Barred = next.Target, next.Barred
 	}
 	if rule.Stage == Completed {
-		rule.Since = r.revision
+		rule.CompletedRevision = r.revision
 	}
 	return rule
 }
@@ -184,8 +184,8 @@
 	return trial
 }
 
-// Sent drops the assignment of a request that was sent.
-func (r *Rollout) Sent(request string) {
+// MarkSent drops the assignment of a request that was sent.
+func (r *Rollout) MarkSent(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.assigned, request)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 func newRollout(t testing.TB) *Rollout {
 	return New(Config{
 		Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 1 },
-		Random: func() float64 { return 0.5 }, Life: 1,
+		Random: func() float64 { return 0.5 }, Incarnation: 1,
 	})
 }
 
@@ -73,19 +73,19 @@
 	if rule := r.Rule(); !rule.Allows(&newer) || !rule.Allows(&old) {
 		t.Error("without an order all versions must be allowed")
 	}
-	r.Ordered(testOrder, 0)
-	if rule := r.Rule(); rule.Allows(&newer) || rule.Tries(&newer) || !rule.Allows(&old) {
+	r.SetOrder(testOrder, 0)
+	if rule := r.Rule(); rule.Allows(&newer) || rule.AllowsTrial(&newer) || !rule.Allows(&old) {
 		t.Errorf("ordered: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if rule := r.Rule(); rule.Allows(&newer) || !rule.Tries(&newer) || !rule.Allows(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	if rule := r.Rule(); rule.Allows(&newer) || !rule.AllowsTrial(&newer) || !rule.Allows(&old) {
 		t.Errorf("on trial: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 8*time.Second)
-	if rule := r.Rule(); !rule.Allows(&newer) || rule.Allows(&old) || !rule.Moves(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 8*time.Second)
+	if rule := r.Rule(); !rule.Allows(&newer) || rule.Allows(&old) || !rule.MovesRuns(&old) {
 		t.Errorf("moving: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Completed}, 20, 10*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Completed}, 20, 10*time.Second)
 	later := fleet.Backend{Version: "v3", Started: 21}
 	if rule := r.Rule(); !rule.Allows(&newer) || rule.Allows(&old) || !rule.Allows(&later) {
 		t.Errorf("completed: %+v", rule)
@@ -98,17 +98,17 @@
 func TestTakenBackStaysSo(t *testing.T) {
 	r := newRollout(t)
 	newer := fleet.Backend{Version: "v2"}
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: RolledBack}, 9, 2*time.Second)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 3*time.Second)
-	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&newer) || rule.Tries(&newer) {
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: RolledBack}, 9, 2*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 3*time.Second)
+	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&newer) || rule.AllowsTrial(&newer) {
 		t.Errorf("got %+v", rule)
 	}
-	r.Ordered(Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}, 4*time.Second)
+	r.SetOrder(Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}, 4*time.Second)
 	if rule := r.Rule(); rule.Allows(&newer) || rule.Target != "v3" {
 		t.Errorf("the next order: %+v", rule)
 	}
-	next, rev, due := r.Next(4*time.Second, Ready{New: 1, Old: 1, Domains: 1})
+	next, rev, due := r.NextRecord(4*time.Second, ReplicaCounts{New: 1, Old: 1, Domains: 1})
 	if !due || rev != 9 || next.Stage != Trial || next.Target != "v3" || len(next.Barred) != 1 {
 		t.Errorf("got %+v after %d, due %v", next, rev, due)
 	}
@@ -119,16 +119,16 @@
 func TestTrialEndsWhereTheStoreIsNotHeard(t *testing.T) {
 	r := newRollout(t)
 	newer, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	r.Tick(2*time.Second, false, 1)
 	for i := range 100 {
 		if r.Assign(fmt.Sprint(i), 3*time.Second) {
 			t.Fatal("a request was assigned to the trial")
 		}
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 4*time.Second)
-	if rule := r.Rule(); !rule.Allows(&newer) || !rule.Allows(&old) || rule.Moves(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 4*time.Second)
+	if rule := r.Rule(); !rule.Allows(&newer) || !rule.Allows(&old) || rule.MovesRuns(&old) {
 		t.Errorf("moving, with a stale store: %+v", rule)
 	}
 }
@@ -137,8 +137,8 @@
 // engine.
 func TestRequestIsDrawnOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	inTrial := ""
 	for i := 0; inTrial == ""; i++ {
 		if id := fmt.Sprint(i); r.Assign(id, 3*time.Second) {
@@ -158,10 +158,10 @@
 // Guards against a withdrawn order that goes on because only bad versions are rolled back.
 func TestWithdrawnOrderIsTakenBack(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	r.Withdrawn()
-	next, _, due := r.Next(2*time.Second, Ready{New: 1, Old: 1, Domains: 1})
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.WithdrawOrder()
+	next, _, due := r.NextRecord(2*time.Second, ReplicaCounts{New: 1, Old: 1, Domains: 1})
 	if !due || next.Stage != RolledBack || next.Reason == "" {
 		t.Errorf("got %+v, due %v", next, due)
 	}
@@ -172,12 +172,12 @@
 // evaluated.
 func TestTooFewReplicasDoNotComplete(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 1, Old: 3, Domains: 1}); due {
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	if next, _, due := r.NextRecord(testOrder.trialEnd(), ReplicaCounts{New: 1, Old: 3, Domains: 1}); due {
 		t.Errorf("got %+v", next)
 	}
-	next, _, due := r.Next(testOrder.giveUpAt(), Ready{New: 1, Old: 3, Domains: 1})
+	next, _, due := r.NextRecord(testOrder.giveUpAt(), ReplicaCounts{New: 1, Old: 3, Domains: 1})
 	if !due || next.Stage != RolledBack {
 		t.Errorf("at the end of its time: %+v, due %v", next, due)
 	}
@@ -200,16 +200,16 @@
 // in reports are totals, not increments.
 func TestReportsCountOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	report := func(number uint64, n uint32) Report {
-		return Report{Service: "s", Order: 7, Life: 3, Number: number, New: []Count{{Cell{Route: "r", Domain: "d0", Grade: Failed}, n}}}
+		return Report{Service: "s", Order: 7, Incarnation: 3, Sequence: number, New: []Count{{CountKey{Route: "r", Domain: "d0", Grade: Failed}, n}}}
 	}
 	for _, rep := range []Report{report(1, 2), report(3, 3), report(2, 2), report(3, 3)} {
-		r.Hear("other", rep, time.Second)
+		r.HandleReport("other", rep, time.Second)
 	}
 	r.Tick(time.Second, true, 1)
-	if v, _ := r.Verdict(); v.BadOnes != 3 {
+	if v, _ := r.Verdict(); v.BadAnswers != 3 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -219,15 +219,15 @@
 func TestOneDomainAloneDoesNotConvict(t *testing.T) {
 	for _, failing := range []int{1, 2} {
 		r := newRollout(t)
-		r.Ordered(testOrder, 0)
-		r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+		r.SetOrder(testOrder, 0)
+		r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 		for i := range 30 {
 			for d := range 3 {
-				c := Cell{Route: "r", Domain: fmt.Sprint("d", d), Grade: 10}
+				c := CountKey{Route: "r", Domain: fmt.Sprint("d", d), Grade: 10}
 				if d < failing {
 					c.Grade = Failed
 				}
-				r.Observe(Cell{Route: "r", Grade: 10}, false, time.Duration(i)*time.Millisecond)
+				r.Observe(CountKey{Route: "r", Grade: 10}, false, time.Duration(i)*time.Millisecond)
 				r.Observe(c, true, time.Duration(i)*time.Millisecond)
 			}
 		}
@@ -243,12 +243,12 @@
 // although requests arrived at this router itself.
 func TestTrialIsNotPassedUnheard(t *testing.T) {
 	r := New(Config{Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 4 }, Random: func() float64 { return 0.5 }})
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 12 {
 		r.Assign(fmt.Sprint(i), 2*time.Second)
 	}
-	if next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 3, Old: 3, Domains: 3}); due {
+	if next, _, due := r.NextRecord(testOrder.trialEnd(), ReplicaCounts{New: 3, Old: 3, Domains: 3}); due {
 		t.Errorf("got %+v", next)
 	}
 }
@@ -258,12 +258,12 @@
 // order alone.
 func TestTrialThatBeginsLateLastsAWhile(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
+	r.SetOrder(testOrder, 0)
 	begin := testOrder.trialEnd() - 100*time.Millisecond
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, begin)
-	ready := Ready{New: 3, Old: 3, Domains: 3}
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, begin)
+	ready := ReplicaCounts{New: 3, Old: 3, Domains: 3}
 	for at := begin; at < begin+testOrder.minTrialAfterStart() && at < testOrder.giveUpAt()-storeLag; at += simTick {
-		if next, _, due := r.Next(at, ready); due {
+		if next, _, due := r.NextRecord(at, ready); due {
 			t.Fatalf("after %v: %+v", at-begin, next)
 		}
 	}
@@ -280,7 +280,7 @@
 			all = append(all, fleet.Backend{ID: fmt.Sprint("e", i), FailureDomain: fmt.Sprint("d", i%3)})
 		}
 		byDomain := map[string]int{}
-		for id := range TrialSet(all, limits) {
+		for id := range TrialReplicas(all, limits) {
 			for i := range all {
 				if all[i].ID == id {
 					byDomain[all[i].FailureDomain]++
@@ -301,8 +301,8 @@
 // after some seconds.
 func TestUsualIsKeptWhileWorkMoves(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	grade := func(i int) Grade {
 		if i%4 == 0 {
 			return Failed
@@ -310,14 +310,14 @@
 		return 10
 	}
 	for i := range 140 {
-		r.Observe(Cell{Route: "r", Grade: grade(i)}, false, time.Second)
+		r.Observe(CountKey{Route: "r", Grade: grade(i)}, false, time.Second)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 2*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 2*time.Second)
 	for i := range 140 {
-		r.Observe(Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*baselineWindow)
+		r.Observe(CountKey{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*baselineWindow)
 	}
 	r.Tick(2*time.Second+2*baselineWindow, true, 3)
-	if v, bad := r.Verdict(); bad || v.BadOnes != 35 {
+	if v, bad := r.Verdict(); bad || v.BadAnswers != 35 {
 		t.Errorf("bad %v: %+v", bad, v)
 	}
 }
@@ -326,18 +326,18 @@
 // replicas answer: the evidence of a single failure domain must not block it.
 func TestOneDomainIsNoDoubt(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(testOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(testOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 60 {
-		c := Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: 10}
+		c := CountKey{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: 10}
 		if i%3 == 0 {
 			c.Grade = Failed
 		}
-		r.Observe(Cell{Route: "r", Grade: 10}, false, 2*time.Second)
+		r.Observe(CountKey{Route: "r", Grade: 10}, false, 2*time.Second)
 		r.Observe(c, true, 2*time.Second)
 	}
 	r.Tick(2*time.Second, true, 3)
-	next, _, due := r.Next(testOrder.trialEnd(), Ready{New: 3, Old: 3, Domains: 3})
+	next, _, due := r.NextRecord(testOrder.trialEnd(), ReplicaCounts{New: 3, Old: 3, Domains: 3})
 	if !due || next.Stage != Moving {
 		t.Errorf("due %v: %+v", due, next)
 	}
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -14,9 +14,9 @@
 	Target string
 	// Barred versions get no requests.
 	Barred []string
-	// Since is the store revision at which the roll-out was recorded as completed. Replicas created
+	// CompletedRevision is the store revision at which the roll-out was recorded as completed. Replicas created
 	// after it may be used whatever their version; those created before it have stopped.
-	Since int64
+	CompletedRevision int64
 	// Stale reports that this router's copy of the store is out of date: the roll-out may have
 	// advanced or ended meanwhile.
 	Stale bool
@@ -36,18 +36,18 @@
 		// used.
 		return isNew || r.Stale
 	case Completed:
-		return isNew || b.Started > r.Since
+		return isNew || b.Started > r.CompletedRevision
 	}
 	return true
 }
 
-// Tries reports whether an attempt that is part of the trial may use a replica.
-func (r *Rule) Tries(b *fleet.Backend) bool {
+// AllowsTrial reports whether an attempt that is part of the trial may use a replica.
+func (r *Rule) AllowsTrial(b *fleet.Backend) bool {
 	return r.Stage == Trial && !r.Stale && b.Version == r.Target && !slices.Contains(r.Barred, b.Version)
 }
 
-// Moves reports whether runs at a replica have to continue elsewhere.
-func (r *Rule) Moves(b *fleet.Backend) bool {
+// MovesRuns reports whether runs at a replica have to continue elsewhere.
+func (r *Rule) MovesRuns(b *fleet.Backend) bool {
 	if r.Stale || (r.Stage != Moving && r.Stage != RolledBack) {
 		return false
 	}
