--- /dev/null
+++ b/generation/maxwait_test.go
@@ -0,0 +1,28 @@
+package generation
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+// Guards against: an answer is cut with "no replica" as soon as its silence is detected, though
+// its engine would take the next attempt. The machine is busy: the engine paused before, so that
+// its next silence is tolerated for 4.3 s; a started answer may wait for 4 s. The fault is to
+// count the silence as part of the wait.
+func TestSilenceIsNoWait(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		r := &Runner{opts: Options{StartedMaxWait: 4 * time.Second}}
+		x := newRun(r, t.Context(), Request{ID: "q"}, &fakeSink{})
+		x.filter.next = 30
+		time.Sleep(4300 * time.Millisecond)
+		x.lossCause, x.lostAt = causeSilence, time.Now()
+		if got := x.waitLeft(); got != 4*time.Second {
+			t.Errorf("%v are left when the loss is noticed", got)
+		}
+		time.Sleep(3 * time.Second)
+		if got := x.waitLeft(); got != time.Second {
+			t.Errorf("%v are left after three seconds", got)
+		}
+	})
+}
