--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -120,7 +120,7 @@
 // placements that planning had derived from the old base are derived anew.
 func (a *API) writeConflict(w http.ResponseWriter, r *http.Request, op Operator, old intent.Plan, c *intent.ConflictError) {
 	p := Problem{Code: CodeConflict, Message: c.Error(), Conflicts: c.Conflicts}
-	offer, err := a.plan(r, op, intent.Intents{Changes: old.Asked(), Force: old.Force})
+	offer, err := a.plan(r, op, intent.Intents{Changes: old.Requested(), Force: old.Force})
 	if err == nil {
 		p.NewPlan = &offer
 	}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -94,7 +94,7 @@
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, log: &memLog{}}
 	for i := range 2 {
-		k := intent.NewKeeper(intent.Config{Log: b.log, Spread: noPeers{}})
+		k := intent.NewKeeper(intent.Config{Log: b.log, PeerClient: noPeers{}})
 		k.Sync(t.Context())
 		var ops []adminapi.Operator
 		for name, role := range map[string]adminapi.Role{"eve": adminapi.Editor, "carl": adminapi.Confirmer} {
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -22,7 +22,7 @@
 		Lease:       order.NewLease(n.kv, orderPrefix, n.id),
 		Backends:    order.NewBackends(n.engines),
 		State:       n.keeper.State,
-		Fresh:       n.keeper.Fresh,
+		UpToDate:    n.keeper.UpToDate,
 		List:        n.engineList,
 		Sizes:       n.placedSizes,
 		Candidate:   n.givesOrders,
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -51,8 +51,8 @@
 	members := s.mesh.Members()
 	for _, m := range members {
 		if !m.Self && m.Alive && !m.Suspect {
-			s.keeper.Heard()
-			s.keeper.Behind(m.ID, m.Summary.Revision)
+			s.keeper.RecordContact()
+			s.keeper.HandlePeerRevision(m.ID, m.Summary.Revision)
 		}
 	}
 	s.admit.SetPeerDemand(s.heard.take(members))
--- a/intent/change.go
+++ b/intent/change.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Before returns the object that a change would replace, or nil.
-func (s *State) Before(c Change) any {
+// Current returns the object that a change would replace, or nil.
+func (s *State) Current(c Change) any {
 	switch c.Kind {
 	case KindAccount:
 		return valueOrNil(s.Accounts, c.Account.ID)
--- a/intent/confirm_test.go
+++ b/intent/confirm_test.go
@@ -82,7 +82,7 @@
 		r.log.next = func() appendOutcome { return appendOutcome(rapid.IntRange(0, int(outcomeCount)-1).Draw(t, "fate")) }
 		r.log.before = r.runBetween
 		for i := range 3 {
-			k := NewKeeper(Config{Node: fmt.Sprint("n", i), Log: r.log, Spread: fakePeers{}})
+			k := NewKeeper(Config{Node: fmt.Sprint("n", i), Log: r.log, PeerClient: fakePeers{}})
 			k.loaded.Store(true)
 			last := uint64(0)
 			k.Subscribe(func(s *State) {
@@ -154,7 +154,7 @@
 // first one, which may have.
 func TestConfirmTellsDoubt(t *testing.T) {
 	log := newFakeLog()
-	k := NewKeeper(Config{Log: log, Spread: fakePeers{}})
+	k := NewKeeper(Config{Log: log, PeerClient: fakePeers{}})
 	p := MakePlan(NewState(), FleetView{}, "op", "1", Intents{Changes: []Change{account("a")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	log.next = func() appendOutcome {
--- a/intent/fake_test.go
+++ b/intent/fake_test.go
@@ -118,7 +118,7 @@
 	if !ok {
 		return Batch{}, errors.New("unreachable")
 	}
-	return k.Serve(from)
+	return k.BatchFrom(from)
 }
 
 func account(id string) Change {
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -43,7 +43,7 @@
 	cfg = cfg.withDefaults()
 	k := &Keeper{
 		cfg:           cfg,
-		clock:         newPauseClock(cfg.PauseBound, cfg.Contact),
+		clock:         newPauseClock(cfg.PauseBound, cfg.ContactTimeout),
 		fetchQueue:    make(chan string, 16),
 		snapshotQueue: make(chan *State, 1),
 		applied:       cfg.Metrics.GetOrCreateCounter("wigeon_revisions_applied_total"),
@@ -65,10 +65,10 @@
 	k.subscribers = append(k.subscribers, f)
 }
 
-// Fresh reports whether this node may act on its state. It is false from a pause until
+// UpToDate reports whether this node may act on its state. It is false from a pause until
 // the revision has been confirmed with a peer or the service. Every request checks it,
 // because after a pause a request may run before any timer does.
-func (k *Keeper) Fresh() bool {
+func (k *Keeper) UpToDate() bool {
 	ok, _ := k.Ready()
 	return ok
 }
@@ -81,30 +81,30 @@
 	return k.clock.ready(time.Now())
 }
 
-// Offer handles a revision that peer from has broadcast. This node doesn't broadcast it
+// HandleRevision handles a revision that peer from has broadcast. This node doesn't broadcast it
 // again: a broadcast goes to every router, and repeating it at each would take a number
 // of messages that grows with the square of the number of routers.
-func (k *Keeper) Offer(from string, r Revision) {
-	k.Heard()
+func (k *Keeper) HandleRevision(from string, r Revision) {
+	k.RecordContact()
 	s := k.State()
 	if r.N <= s.Revision {
 		return
 	}
 	if r.N > s.Revision+1 || !k.loaded.Load() {
-		k.Behind(from, r.N)
+		k.HandlePeerRevision(from, r.N)
 		return
 	}
 	k.install(r)
 }
 
-// Heard records a message from another router, so that a node that can't reach the
+// RecordContact records a message from another router, so that a node that can't reach the
 // service but can reach its peers stays ready.
-func (k *Keeper) Heard() { k.clock.recordContact(time.Now()) }
+func (k *Keeper) RecordContact() { k.clock.recordContact(time.Now()) }
 
-// Behind handles the revision in a peer's summary. If it is newer than this node's, the
+// HandlePeerRevision handles the revision in a peer's summary. If it is newer than this node's, the
 // missing revisions are fetched from that peer in the background.
-func (k *Keeper) Behind(node string, revision uint64) {
-	k.Heard()
+func (k *Keeper) HandlePeerRevision(node string, revision uint64) {
+	k.RecordContact()
 	if revision <= k.State().Revision {
 		return
 	}
@@ -114,13 +114,13 @@
 	}
 }
 
-// Serve returns the revisions from number from on for a peer that has all earlier ones.
-func (k *Keeper) Serve(from uint64) (Batch, error) {
+// BatchFrom returns the revisions from number from on for a peer that has all earlier ones.
+func (k *Keeper) BatchFrom(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
 	recent := slices.Clone(k.recent)
 	k.mu.Unlock()
-	b := Batch{Fresh: k.Fresh()}
+	b := Batch{UpToDate: k.UpToDate()}
 	if from > s.Revision {
 		return b, nil
 	}
@@ -171,7 +171,7 @@
 	for _, f := range k.subscribers {
 		f(s)
 	}
-	if s.Revision%k.cfg.Snapshots == 0 {
+	if s.Revision%k.cfg.SnapshotInterval == 0 {
 		select {
 		case k.snapshotQueue <- s:
 		default: // another snapshot is queued; the next multiple of the snapshot interval gets one
@@ -228,7 +228,7 @@
 // Revisions returns at most max revisions from number from on: from the log or, if the
 // log is unavailable, those that this node still has in memory.
 func (k *Keeper) Revisions(ctx context.Context, from uint64, max int) ([]Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	entries, err := k.cfg.Log.Read(ctx, from, max)
 	if err != nil {
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -16,7 +16,7 @@
 func TestStateOnlyForwards(t *testing.T) {
 	full := filledLog(t, 8)
 	rapid.Check(t, func(t *rapid.T) {
-		k := NewKeeper(Config{Log: newFakeLog(), Spread: fakePeers{}})
+		k := NewKeeper(Config{Log: newFakeLog(), PeerClient: fakePeers{}})
 		k.loaded.Store(true)
 		last := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "arrivals") {
@@ -27,7 +27,7 @@
 			data, err := EncodeState(s)
 			switch rapid.IntRange(0, 2).Draw(t, "way") {
 			case 0:
-				k.Offer("peer", r)
+				k.HandleRevision("peer", r)
 			case 1:
 				err = k.installBatch(Batch{Revisions: []Revision{r}})
 			case 2:
@@ -53,9 +53,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := filledLog(t, 1)
-		a := NewKeeper(Config{Node: "a", Log: log, Spread: fakePeers{}})
-		b := NewKeeper(Config{Node: "b", Log: log, Spread: fakePeers{"a": a}})
-		a.cfg.Spread = fakePeers{"b": b}
+		a := NewKeeper(Config{Node: "a", Log: log, PeerClient: fakePeers{}})
+		b := NewKeeper(Config{Node: "b", Log: log, PeerClient: fakePeers{"a": a}})
+		a.cfg.PeerClient = fakePeers{"b": b}
 		expect := func(what string, k *Keeper, want bool) {
 			t.Helper()
 			if got, why := k.Ready(); got != want {
@@ -96,10 +96,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := filledLog(t, 3)
-		oldNode := NewKeeper(Config{Node: "old", Log: log, Spread: fakePeers{}})
+		oldNode := NewKeeper(Config{Node: "old", Log: log, PeerClient: fakePeers{}})
 		link := &cutLink{fakePeers: fakePeers{"old": oldNode}}
-		newNode := NewKeeper(Config{Node: "young", Log: log, Spread: link})
-		oldNode.cfg.Spread = fakePeers{"young": newNode}
+		newNode := NewKeeper(Config{Node: "young", Log: log, PeerClient: link})
+		oldNode.cfg.PeerClient = fakePeers{"young": newNode}
 		oldNode.Sync(ctx)
 		log.down = true
 		go oldNode.Run(ctx)
--- a/intent/run.go
+++ b/intent/run.go
@@ -75,7 +75,7 @@
 	if k.syncLog(ctx) {
 		return true
 	}
-	peers := k.cfg.Spread.Peers()
+	peers := k.cfg.PeerClient.Peers()
 	first := int(k.cfg.Random() * float64(len(peers)))
 	for i := range min(len(peers), peersPerSync) {
 		if k.fetch(ctx, peers[(first+i)%len(peers)]) {
@@ -87,7 +87,7 @@
 
 func (k *Keeper) syncLog(ctx context.Context) bool {
 	startedAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	if !k.loaded.Load() && !k.loadSnapshot(ctx) {
 		return false
@@ -122,7 +122,7 @@
 // Other nodes don't: many may read the same revisions at once, for example when the
 // service comes back.
 func (k *Keeper) broadcastSince(before uint64) {
-	if !k.cfg.Watcher() {
+	if !k.cfg.IsWatcher() {
 		return
 	}
 	k.mu.Lock()
@@ -137,7 +137,7 @@
 		return // this node has just started; the others have these already or will fetch them
 	}
 	for _, r := range added {
-		k.cfg.Spread.Flood(r)
+		k.cfg.PeerClient.Flood(r)
 	}
 }
 
@@ -146,17 +146,17 @@
 // same time must not confirm each other.
 func (k *Keeper) fetch(ctx context.Context, node string) bool {
 	startedAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
-	b, err := k.cfg.Spread.FetchFrom(ctx, node, k.State().Revision+1)
+	b, err := k.cfg.PeerClient.FetchFrom(ctx, node, k.State().Revision+1)
 	if err != nil {
 		return false
 	}
 	if err := k.installBatch(b); err != nil {
 		return false
 	}
-	k.Heard()
-	if !b.Fresh {
+	k.RecordContact()
+	if !b.UpToDate {
 		return false
 	}
 	k.loaded.Store(true)
@@ -179,7 +179,7 @@
 // followLoop follows the log while this node is one of the watchers.
 func (k *Keeper) followLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if k.loaded.Load() && k.cfg.Watcher() {
+		if k.loaded.Load() && k.cfg.IsWatcher() {
 			k.follow(ctx)
 		}
 		clock.Sleep(ctx, k.jittered(k.cfg.Tick))
@@ -193,7 +193,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			clock.Sleep(ctx, k.cfg.Tick)
-			if !k.cfg.Watcher() {
+			if !k.cfg.IsWatcher() {
 				cancel()
 			}
 		}
@@ -209,12 +209,12 @@
 }
 
 func (k *Keeper) handleEntry(e LogEntry) {
-	k.Heard()
+	k.RecordContact()
 	if !k.installEntry(e) {
 		return
 	}
 	r, _ := entryRevision(e)
-	k.cfg.Spread.Flood(r)
+	k.cfg.PeerClient.Flood(r)
 }
 
 // snapshotLoop stores snapshots, so that a starting node need not read all revisions.
@@ -226,21 +226,21 @@
 		case <-ctx.Done():
 			return nil
 		case s := <-k.snapshotQueue:
-			clock.Sleep(ctx, k.jittered(k.cfg.Call))
+			clock.Sleep(ctx, k.jittered(k.cfg.CallTimeout))
 			k.storeSnapshot(ctx, s)
 		}
 	}
 }
 
 func (k *Keeper) storeSnapshot(ctx context.Context, s *State) {
-	if !k.cfg.Watcher() {
+	if !k.cfg.IsWatcher() {
 		return
 	}
 	data, err := EncodeState(s)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	err = k.cfg.Log.Snapshot(ctx, s.Revision, data)
 	if err != nil && !errors.Is(err, ErrStaleSnapshot) {
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -52,7 +52,7 @@
 		if got.Load() != 6 {
 			t.Errorf("by poll while the watch is silent: %d", got.Load())
 		}
-		store.CutWatches()
+		store.CloseWatches()
 		appendSome(7, 7)
 		time.Sleep(3 * time.Second)
 		if got.Load() != 7 {
@@ -106,7 +106,7 @@
 // outside the window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		controller := kvtest.NewBench()
+		controller := kvtest.NewController()
 		opts := kvlog.Options{Window: 2, SettleTries: 1}
 		log := kvlog.New(controller.Client(), "l/", opts)
 		otherLog := kvlog.New(controller.Store, "l/", opts)
@@ -116,7 +116,7 @@
 				defer close(done)
 				n, err = log.Append(t.Context(), id, nil)
 			}()
-			for synctest.Wait(); controller.Held() > 0; synctest.Wait() {
+			for synctest.Wait(); controller.Blocked() > 0; synctest.Wait() {
 				f := kvtest.OK
 				if len(faults) > 0 {
 					f, faults = faults[0], faults[1:]
--- a/kvlog/kvtest/controller.go
+++ b/kvlog/kvtest/controller.go
@@ -20,8 +20,8 @@
 	FaultCount
 )
 
-// Bench blocks the calls of its clients until a test releases them, each with a fault.
-type Bench struct {
+// Controller blocks the calls of its clients until a test releases them, each with a fault.
+type Controller struct {
 	Store *Store
 
 	mu      sync.Mutex
@@ -36,26 +36,26 @@
 	answer  chan error
 }
 
-// NewBench returns one with an empty store.
-func NewBench() *Bench { return &Bench{Store: New()} }
+// NewController returns one with an empty store.
+func NewController() *Controller { return &Controller{Store: New()} }
 
-// Held returns the number of blocked calls.
-func (b *Bench) Held() int {
+// Blocked returns the number of blocked calls.
+func (b *Controller) Blocked() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.blocked)
 }
 
-// Late returns the number of delayed writes that can still take effect.
-func (b *Bench) Late() int {
+// DelayedWrites returns the number of delayed writes that can still take effect.
+func (b *Controller) DelayedWrites() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.delayed)
 }
 
-// Land applies the i-th delayed write, with i modulo their number; without any it does
+// ApplyDelayed applies the i-th delayed write, with i modulo their number; without any it does
 // nothing.
-func (b *Bench) Land(i int) {
+func (b *Controller) ApplyDelayed(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.delayed) == 0 {
@@ -68,7 +68,7 @@
 
 // Release completes the i-th blocked call with fault f, with i modulo their number;
 // without any it does nothing.
-func (b *Bench) Release(i int, f Fault) {
+func (b *Controller) Release(i int, f Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.blocked) == 0 {
@@ -85,7 +85,7 @@
 	c.answer <- b.complete(c, f)
 }
 
-func (b *Bench) complete(c *blockedCall, f Fault) error {
+func (b *Controller) complete(c *blockedCall, f Fault) error {
 	if f == Refused && c.applied {
 		f = AnswerLost
 	}
@@ -106,17 +106,17 @@
 // Client is the access of one process to the store.
 type Client struct {
 	*Store
-	bench *Bench
+	controller *Controller
 }
 
 // Client returns a client whose calls block until they are released, except watches.
-func (b *Bench) Client() *Client { return &Client{Store: b.Store, bench: b} }
+func (b *Controller) Client() *Client { return &Client{Store: b.Store, controller: b} }
 
 // waitForRelease blocks until the call is released. A call whose ctx ends is abandoned;
 // if it is a write, it may still take effect later.
 func (c *Client) waitForRelease(ctx context.Context, write bool, apply func()) error {
 	call := &blockedCall{write: write, apply: apply, answer: make(chan error, 1)}
-	b := c.bench
+	b := c.controller
 	b.mu.Lock()
 	b.blocked = append(b.blocked, call)
 	b.mu.Unlock()
--- a/kvlog/kvtest/store.go
+++ b/kvlog/kvtest/store.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// CutWatches closes every watch.
-func (s *Store) CutWatches() {
+// CloseWatches closes every watch.
+func (s *Store) CloseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.watchers {
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -19,14 +19,14 @@
 // harness runs appenders against a fake store in an order given by random numbers, and
 // records the history that the store itself sees.
 type harness struct {
-	bench    *kvtest.Bench
-	window   uint64
-	logs     []*kvlog.Log
-	busy     []bool
-	restarts []int                     // number of restarts of each appender
-	history  map[uint64]string         // id of the first entry created at each position
-	last     map[string]map[int]string // id -> process -> last result
-	problems []string
+	controller *kvtest.Controller
+	window     uint64
+	logs       []*kvlog.Log
+	busy       []bool
+	restarts   []int                     // number of restarts of each appender
+	history    map[uint64]string         // id of the first entry created at each position
+	last       map[string]map[int]string // id -> process -> last result
+	problems   []string
 }
 
 const (
@@ -36,10 +36,10 @@
 
 func newHarness(window uint64) *harness {
 	h := &harness{
-		bench: kvtest.NewBench(), window: window, busy: make([]bool, appenders), restarts: make([]int, appenders),
+		controller: kvtest.NewController(), window: window, busy: make([]bool, appenders), restarts: make([]int, appenders),
 		history: map[uint64]string{}, last: map[string]map[int]string{},
 	}
-	h.bench.Store.OnCreate = h.recordCreate
+	h.controller.Store.OnCreate = h.recordCreate
 	for range appenders {
 		h.logs = append(h.logs, h.newLog())
 	}
@@ -47,11 +47,11 @@
 }
 
 func (h *harness) newLog() *kvlog.Log {
-	return kvlog.New(h.bench.Client(), "l/", kvlog.Options{Window: h.window, SettleTries: 2, SettleDelay: time.Millisecond, PageEntries: 3})
+	return kvlog.New(h.controller.Client(), "l/", kvlog.Options{Window: h.window, SettleTries: 2, SettleDelay: time.Millisecond, PageEntries: 3})
 }
 
 func (h *harness) directLog() *kvlog.Log {
-	return kvlog.New(h.bench.Store, "l/", kvlog.Options{Window: h.window, PageEntries: 3})
+	return kvlog.New(h.controller.Store, "l/", kvlog.Options{Window: h.window, PageEntries: 3})
 }
 
 func (h *harness) addProblem(format string, args ...any) {
@@ -178,7 +178,7 @@
 	case 2:
 		h.startSnapshot(actor)
 	case 3:
-		h.bench.Land(m.A)
+		h.controller.ApplyDelayed(m.A)
 	case 4:
 		h.checkRead(1 + uint64(m.A)%(head+1))
 	case 5:
@@ -189,9 +189,9 @@
 	case 6:
 		h.burst()
 	case 7, 8, 9, 10:
-		h.bench.Release(m.A, kvtest.OK)
+		h.controller.Release(m.A, kvtest.OK)
 	default:
-		h.bench.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
+		h.controller.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
 	}
 	time.Sleep(2 * time.Millisecond)
 	synctest.Wait()
@@ -199,16 +199,16 @@
 
 // finish lets all calls complete, then compares the log with the reported results.
 func (h *harness) finish(applyDelayedFirst bool) {
-	for applyDelayedFirst && h.bench.Late() > 0 {
-		h.bench.Land(0)
+	for applyDelayedFirst && h.controller.DelayedWrites() > 0 {
+		h.controller.ApplyDelayed(0)
 	}
-	for h.bench.Held() > 0 {
-		h.bench.Release(0, kvtest.OK)
+	for h.controller.Blocked() > 0 {
+		h.controller.Release(0, kvtest.OK)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 	}
-	for h.bench.Late() > 0 {
-		h.bench.Land(0)
+	for h.controller.DelayedWrites() > 0 {
+		h.controller.ApplyDelayed(0)
 	}
 	inLog := map[string]bool{}
 	for _, id := range h.history {
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -30,7 +30,7 @@
 // routers and make the routers disagree on the owner of the shard.
 type testFleet struct {
 	mu             sync.Mutex // guards the fields below, except kv and attempts
-	kv             *kvtest.Bench
+	kv             *kvtest.Controller
 	routers        []*Claims
 	cancels        []context.CancelFunc
 	owners         []int  // by router: the router that it considers the owner
@@ -80,7 +80,7 @@
 
 func newFleet() *testFleet {
 	f := &testFleet{
-		kv: kvtest.NewBench(), granted: map[string][]string{}, reportedNotRun: map[string]bool{}, routerOf: map[string]*Claims{},
+		kv: kvtest.NewController(), granted: map[string][]string{}, reportedNotRun: map[string]bool{}, routerOf: map[string]*Claims{},
 		owners: make([]int, routerCount), linkCut: make([]bool, routerCount), answersLost: make([]bool, routerCount),
 	}
 	f.routers = make([]*Claims, routerCount)
@@ -160,12 +160,12 @@
 	case 5:
 		f.update(func() { f.answersLost[r] = !f.answersLost[r] })
 	case 6:
-		f.kv.Land(m.A)
+		f.kv.ApplyDelayed(m.A)
 	case 7:
 		time.Sleep(time.Duration(m.B*m.B) * 100 * time.Millisecond)
 	case 8:
 		f.cancels[r]() // the router crashes; the restarted one has none of its state
-		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.kv.Held(), time.Now().UnixNano()))
+		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.kv.Blocked(), time.Now().UnixNano()))
 	case 9, 10:
 		f.kv.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
 	default:
@@ -179,11 +179,11 @@
 // it checks that no key is held by an attempt of a running router that never ran,
 // and that all routers read the same state.
 func (f *testFleet) finish() {
-	for f.kv.Late() > 0 {
-		f.kv.Land(0)
+	for f.kv.DelayedWrites() > 0 {
+		f.kv.ApplyDelayed(0)
 	}
 	for range 4000 {
-		if f.kv.Held() > 0 {
+		if f.kv.Blocked() > 0 {
 			f.kv.Release(0, kvtest.OK)
 		} else {
 			time.Sleep(20 * time.Millisecond)
@@ -221,7 +221,7 @@
 			_, err = v.log.Head(context.Background())
 		}
 	}()
-	for synctest.Wait(); f.kv.Held() > 0; synctest.Wait() {
+	for synctest.Wait(); f.kv.Blocked() > 0; synctest.Wait() {
 		f.kv.Release(0, kvtest.OK)
 	}
 	<-done
--- a/order/executor.go
+++ b/order/executor.go
@@ -28,7 +28,7 @@
 	Lease    Lease
 	Backends Backends
 	State    func() *intent.State
-	Fresh    func() bool            // whether State may be acted on
+	UpToDate func() bool            // whether State may be acted on
 	List     func() []fleet.Backend // the backend servers
 	// Sizes returns the size in bytes of the weights of all placements, by
 	// ModelRef.String().
@@ -52,7 +52,7 @@
 
 	// Used only by the goroutine that acquires and renews the lease.
 	machine   *chart.Machine
-	heldLease Held
+	heldLease HeldLease
 	nextTry   time.Time // earliest time of the next try to acquire the lease
 
 	// Used only by the goroutine that sends orders.
@@ -164,7 +164,7 @@
 // mayAcquire limits the rate of tries to acquire the lease, so that waiting routers
 // cost little.
 func (e *Executor) mayAcquire(now time.Time) bool {
-	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.Fresh() {
+	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.UpToDate() {
 		return false
 	}
 	third := float64(e.cfg.Policy.TTL) / 3
@@ -182,7 +182,7 @@
 	}
 	e.mu.Lock()
 	e.heldLease = h
-	e.tenure = Begin(e.cfg.Policy, h.Fence, startedAt, time.Now())
+	e.tenure = NewTenure(e.cfg.Policy, h.Fence, startedAt, time.Now())
 	e.mu.Unlock()
 	e.fireChartEvent("acquired")
 	e.cfg.Events.Emit(event.OrderLeaseHeld, "fence", h.Fence)
@@ -195,17 +195,17 @@
 	e.mu.Lock()
 	t := *e.tenure
 	e.mu.Unlock()
-	if t.Lapsed(startedAt) {
+	if t.Expired(startedAt) {
 		e.endTenure("the lease expired by this node's clock")
 		return
 	}
-	if e.machine.State() == "quiet" && !t.Quiet(startedAt) {
+	if e.machine.State() == "quiet" && !t.InQuietPeriod(startedAt) {
 		e.fireChartEvent("quiet-over")
 	}
 	if !t.RenewDue(startedAt) {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, t.Until())
+	ctx, cancel := context.WithDeadline(ctx, t.ValidUntil())
 	defer cancel()
 	err := e.cfg.Lease.Renew(ctx, e.heldLease)
 	if errors.Is(err, ErrLeaseLost) {
@@ -214,7 +214,7 @@
 	}
 	if err == nil {
 		e.mu.Lock()
-		e.tenure.Renewed(startedAt)
+		e.tenure.RecordRenewal(startedAt)
 		e.mu.Unlock()
 	}
 }
@@ -286,7 +286,7 @@
 	}
 	e.mu.Lock()
 	if e.tenure != nil && e.tenure.Fence == fence {
-		e.tenure.Answered(s.Backend)
+		e.tenure.RecordAnswer(s.Backend)
 	}
 	e.mu.Unlock()
 	e.sent.Inc()
@@ -301,6 +301,6 @@
 	if e.tenure == nil {
 		return time.Time{}, 0, false
 	}
-	deadline, ok := e.tenure.Send(time.Now(), b)
+	deadline, ok := e.tenure.PermitSend(time.Now(), b)
 	return deadline, e.tenure.Fence, ok
 }
--- a/order/order.go
+++ b/order/order.go
@@ -60,8 +60,8 @@
 	Status(ctx context.Context, b fleet.Backend) (Status, error)
 }
 
-// Held is an acquired lease.
-type Held struct {
+// HeldLease is an acquired lease.
+type HeldLease struct {
 	Fence uint64
 	ID    int64
 	TTL   time.Duration // as granted
@@ -70,12 +70,12 @@
 // Lease is the lease for orders in the key-value service.
 type Lease interface {
 	// Acquire takes the lease if it is free; ok is false if another router holds it.
-	Acquire(ctx context.Context, ttl time.Duration) (h Held, ok bool, err error)
+	Acquire(ctx context.Context, ttl time.Duration) (h HeldLease, ok bool, err error)
 	// Renew extends the lease. ErrLeaseLost means that it has expired or isn't held any
 	// more.
-	Renew(ctx context.Context, h Held) error
+	Renew(ctx context.Context, h HeldLease) error
 	// Release gives the lease up.
-	Release(ctx context.Context, h Held) error
+	Release(ctx context.Context, h HeldLease) error
 }
 
 // Defaults of Policy.
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// Sweep is the longest time between two queries of an engine that answers. An
+	// SweepInterval is the longest time between two queries of an engine that answers. An
 	// engine that changes without a sign of it is corrected within that time and one
 	// round.
-	Sweep = time.Minute
+	SweepInterval = time.Minute
 	// promptRetries is the number of consecutive failures after each of which the engine
 	// is queried again in the next round; after that the delay doubles, up to one minute.
 	promptRetries = 3
@@ -72,16 +72,16 @@
 	return due
 }
 
-// Answered records the answer of an engine that was due.
-func (c *Schedule) Answered(id string, st Status) {
+// RecordAnswer records the answer of an engine that was due.
+func (c *Schedule) RecordAnswer(id string, st Status) {
 	if k, ok := c.known[id]; ok {
 		k.failures = 0
 		c.status[id] = st
 	}
 }
 
-// Failed records that an engine that was due didn't answer.
-func (c *Schedule) Failed(id string) {
+// RecordFailure records that an engine that was due didn't answer.
+func (c *Schedule) RecordFailure(id string) {
 	if k, ok := c.known[id]; ok {
 		k.failures++
 		delete(c.status, id)
@@ -141,8 +141,8 @@
 // was last queried. These times are distributed by a hash of the engine's id and never
 // move, so no change of the list can delay an engine.
 func (c *Schedule) sweepDue(id string, last, now time.Time) bool {
-	phase := time.Duration(xxhash.Sum64String(id) % uint64(Sweep))
-	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + Sweep - phase) / Sweep) }
+	phase := time.Duration(xxhash.Sum64String(id) % uint64(SweepInterval))
+	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + SweepInterval - phase) / SweepInterval) }
 	return sweepNumber(now) > sweepNumber(last)
 }
 
@@ -218,8 +218,8 @@
 		return 0
 	}
 	d := firstBackoff
-	for i := promptRetries + 1; i < failures && d < Sweep; i++ {
-		d = min(2*d, Sweep)
+	for i := promptRetries + 1; i < failures && d < SweepInterval; i++ {
+		d = min(2*d, SweepInterval)
 	}
 	return d
 }
--- a/order/schedule_test.go
+++ b/order/schedule_test.go
@@ -62,10 +62,10 @@
 		for _, b := range due {
 			out[b.ID], r.lastQueried[b.ID] = true, r.now
 			if r.unresponsive[b.ID] {
-				r.Failed(b.ID)
+				r.RecordFailure(b.ID)
 				continue
 			}
-			r.Answered(b.ID, r.f.status[b.ID])
+			r.RecordAnswer(b.ID, r.f.status[b.ID])
 		}
 	}
 }
@@ -106,8 +106,8 @@
 				t.Fatalf("%s changed and wasn't queried in the next round", id)
 			}
 			for _, b := range r.f.list {
-				if sinceQuery := r.now.Sub(r.lastQueried[b.ID]); sinceQuery > Sweep {
-					t.Fatalf("%s was last queried %v ago, at most %v is allowed", b.ID, sinceQuery, Sweep)
+				if sinceQuery := r.now.Sub(r.lastQueried[b.ID]); sinceQuery > SweepInterval {
+					t.Fatalf("%s was last queried %v ago, at most %v is allowed", b.ID, sinceQuery, SweepInterval)
 				}
 			}
 			for _, step := range Next(r.s, View{Backends: r.f.list, Status: r.status}, Policy{}.WithDefaults(), prog, r.now) {
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -17,11 +17,11 @@
 	busyUntil  map[string]time.Time
 }
 
-// Begin starts a tenure. startedAt is the time when the call that acquired the lease
+// NewTenure starts a tenure. startedAt is the time when the call that acquired the lease
 // started: the service counts the lease's duration from some time after that.
-func Begin(p Policy, fence uint64, startedAt, now time.Time) *Tenure {
+func NewTenure(p Policy, fence uint64, startedAt, now time.Time) *Tenure {
 	t := &Tenure{Fence: fence, policy: p, busyUntil: map[string]time.Time{}}
-	t.Renewed(startedAt)
+	t.RecordRenewal(startedAt)
 	// The former holder may consider its lease valid for one TTL after its last
 	// renewal, even if the service has lost the lease earlier, and an order sent at the
 	// end of that time takes up to the deadline of an order.
@@ -29,8 +29,8 @@
 	return t
 }
 
-// Renewed records a renewal whose call started at startedAt.
-func (t *Tenure) Renewed(startedAt time.Time) {
+// RecordRenewal records a renewal whose call started at startedAt.
+func (t *Tenure) RecordRenewal(startedAt time.Time) {
 	t.validUntil = startedAt.Add(t.policy.TTL - t.policy.margin())
 	t.renewAt = startedAt.Add(t.policy.TTL / 3)
 }
@@ -38,25 +38,25 @@
 // RenewDue reports whether the lease should be renewed now.
 func (t *Tenure) RenewDue(now time.Time) bool { return !now.Before(t.renewAt) }
 
-// Lapsed reports whether the tenure has ended by the holder's own clock.
-func (t *Tenure) Lapsed(now time.Time) bool { return !now.Before(t.validUntil) }
+// Expired reports whether the tenure has ended by the holder's own clock.
+func (t *Tenure) Expired(now time.Time) bool { return !now.Before(t.validUntil) }
 
-// Until returns the time at which the tenure ends unless it is renewed.
-func (t *Tenure) Until() time.Time { return t.validUntil }
+// ValidUntil returns the time at which the tenure ends unless it is renewed.
+func (t *Tenure) ValidUntil() time.Time { return t.validUntil }
 
-// Quiet reports whether it is too early for orders to backend servers that don't check
+// InQuietPeriod reports whether it is too early for orders to backend servers that don't check
 // the fencing number.
-func (t *Tenure) Quiet(now time.Time) bool { return now.Before(t.quietUntil) }
+func (t *Tenure) InQuietPeriod(now time.Time) bool { return now.Before(t.quietUntil) }
 
-// Send reports whether an order to b may be sent now, and the deadline by which it must
+// PermitSend reports whether an order to b may be sent now, and the deadline by which it must
 // have ended. It marks b as busy until b's answer is recorded or the deadline has
 // passed: until then an unanswered order may still arrive, and would undo a newer one.
-func (t *Tenure) Send(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
+func (t *Tenure) PermitSend(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
 	deadline = now.Add(t.policy.OrderDeadline)
 	if deadline.After(t.validUntil) {
 		return time.Time{}, false
 	}
-	if !b.ChecksFence && t.Quiet(now) {
+	if !b.ChecksFence && t.InQuietPeriod(now) {
 		return time.Time{}, false
 	}
 	if now.Before(t.busyUntil[b.ID]) {
@@ -68,5 +68,5 @@
 	return deadline, true
 }
 
-// Answered records that b has answered its last order, so that it may get another one.
-func (t *Tenure) Answered(b fleet.Backend) { delete(t.busyUntil, b.ID) }
+// RecordAnswer records that b has answered its last order, so that it may get another one.
+func (t *Tenure) RecordAnswer(b fleet.Backend) { delete(t.busyUntil, b.ID) }
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -64,20 +64,20 @@
 // keepLease does what the executor does before each round.
 func (sim *simulation) keepLease(i int) {
 	h := sim.holders[i]
-	if h.tenure != nil && h.tenure.Lapsed(sim.now) {
+	if h.tenure != nil && h.tenure.Expired(sim.now) {
 		h.tenure = nil
 	}
 	switch {
 	case h.tenure == nil && sim.owner < 0:
 		sim.fence++
 		sim.owner, sim.expires = i, sim.now.Add(policy.TTL)
-		h.tenure = Begin(policy, sim.fence, sim.now, sim.now)
+		h.tenure = NewTenure(policy, sim.fence, sim.now, sim.now)
 	case h.tenure != nil && h.tenure.RenewDue(sim.now) && sim.owner == i && h.tenure.Fence == sim.fence:
 		sim.expires = sim.now.Add(policy.TTL)
 		if !sim.faultsEnded && rapid.IntRange(0, 3).Draw(sim.t, "answer of the renewal is lost if 3") == 3 {
 			return
 		}
-		h.tenure.Renewed(sim.now)
+		h.tenure.RecordRenewal(sim.now)
 	case h.tenure != nil && h.tenure.RenewDue(sim.now):
 		h.tenure = nil
 	}
@@ -90,14 +90,14 @@
 	if h.tenure == nil {
 		return
 	}
-	deadline, ok := h.tenure.Send(sim.now, e.Backend)
+	deadline, ok := h.tenure.PermitSend(sim.now, e.Backend)
 	if !ok {
 		return
 	}
 	sim.sentOrders = append(sim.sentOrders, &sentOrder{to: e, fence: h.tenure.Fence, serial: len(sim.sentOrders) + 1, plan: h.plan, deadline: deadline})
 	if sim.faultsEnded || rapid.Bool().Draw(sim.t, "arrives at once") {
 		sim.arrive(sim.sentOrders[len(sim.sentOrders)-1])
-		h.tenure.Answered(e.Backend)
+		h.tenure.RecordAnswer(e.Backend)
 	}
 }
 
