--- /dev/null
+++ b/generation/runquery.go
@@ -0,0 +1,102 @@
+package generation
+
+import (
+	"context"
+	"time"
+
+	"wigeondale/clock"
+	"wigeondale/event"
+	"wigeondale/fleet"
+)
+
+const (
+	// runQueryDelay is how long an attempt waits for its first chunk before its backend server is
+	// queried for it. Most prompts are read in less time.
+	runQueryDelay = 1800 * time.Millisecond
+	// runQueryInterval is the time between further queries, and runQueryTimeout bounds each of
+	// them.
+	runQueryInterval = 700 * time.Millisecond
+	runQueryTimeout  = 300 * time.Millisecond
+)
+
+// RunQuerier queries a backend server for its runs.
+type RunQuerier interface {
+	Runs(ctx context.Context, b fleet.Backend) (RunReport, error)
+}
+
+// RunReport is what a backend server reports about its runs.
+type RunReport struct {
+	Queued int // requests that wait for a slot
+	Active int // runs, including requests whose prompts are being read
+	// ChunksMade is the number of chunks that each run has produced, by request id. Only runs that have
+	// produced at least one are listed.
+	ChunksMade map[string]int
+	// Restarted reports that the backend server was restarted, so that it has none of its earlier
+	// runs.
+	Restarted bool
+}
+
+// mayHave reports whether the backend server may have a run of the request. A request that isn't
+// listed may be queued or have its prompt read, as long as the report counts such requests.
+func (r RunReport) mayHave(request string) bool {
+	if r.Restarted {
+		return false
+	}
+	_, named := r.ChunksMade[request]
+	return named || r.Queued > 0 || r.Active > len(r.ChunksMade)
+}
+
+// HasRun implements the report interface of package health. It reports false for a run whose
+// latest chunks were not received: the run exists, but its connection no longer delivers.
+func (r RunReport) HasRun(request string, received int) bool {
+	if made, named := r.ChunksMade[request]; named {
+		return made <= received
+	}
+	return r.mayHave(request)
+}
+
+// runNotFound is the cause with which an attempt is cancelled if its backend server reports that
+// it has no such run.
+type runNotFound struct{}
+
+func (runNotFound) Error() string { return "the backend server has no such run" }
+
+// Resume reports that the answer is to be continued on another backend server.
+func (runNotFound) Resume() bool { return true }
+
+// pollRun queries the backend server for an attempt that waits long for its first chunk, until
+// stop is called.
+//
+// It detects a backend server that loses an answer, or accepts requests and never works on them,
+// while its other streams continue. Silence alone can't tell that from a queue, which is why the
+// time limit for the first chunk is long. Without the query the answer would be late by many
+// times the duration of the run.
+func (x *run) pollRun(a *attempt) (stop func()) {
+	if x.RunQuerier == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
+		return func() {}
+	}
+	ctx, cancel := context.WithCancel(a.ctx)
+	b := a.backend
+	go func() {
+		for wait := runQueryDelay; clock.Sleep(ctx, wait); wait = runQueryInterval {
+			running, err := x.queryRun(ctx, b)
+			if ctx.Err() != nil {
+				return
+			}
+			x.opts.Log.Emit(event.RunInquired, "request", x.req.ID, "attempt", a.origin.Attempt,
+				"backend", b.ID, "running", running, "err", err)
+			if err == nil && !running {
+				a.cancel(runNotFound{})
+				return
+			}
+		}
+	}()
+	return cancel
+}
+
+func (x *run) queryRun(ctx context.Context, b fleet.Backend) (bool, error) {
+	ctx, stop := context.WithTimeout(ctx, runQueryTimeout)
+	defer stop()
+	report, err := x.RunQuerier.Runs(ctx, b)
+	return report.mayHave(x.req.ID), err
+}
