--- a/backend/backend.go
+++ b/backend/backend.go
@@ -28,8 +28,8 @@
 var Error = errs.Class("backend")
 
 var (
-	// ErrDial means that no byte of the request has left this process.
-	ErrDial = errors.New("no byte was sent")
+	// ErrNotSent means that no byte of the request has left this process.
+	ErrNotSent = errors.New("no byte was sent")
 	// ErrBroken means that the exchange ended early, after bytes of the request
 	// may have been sent.
 	ErrBroken = errors.New("connection broken")
@@ -69,10 +69,10 @@
 
 	// Opaque, when set, is the complete request. Of the fields above only
 	// ResumeTokens is then used, as the number of the first chunk to send.
-	Opaque *Opaque
-	Copies Copies
-	First  bool // no attempt of the request was sent before
-	Last   bool // no other attempt of the request may follow
+	Opaque       *Opaque
+	Copies       Copies
+	FirstAttempt bool // no attempt of the request was sent before
+	LastAttempt  bool // no other attempt of the request may follow
 }
 
 // Token is one token of an answer. Text is valid until the next call of
--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -27,8 +27,8 @@
 	incarnationLag = 10 * time.Second
 )
 
-// Abandoned is an attempt whose stream is no longer read by any router.
-type Abandoned struct {
+// AbandonedAttempt is an attempt whose stream is no longer read by any router.
+type AbandonedAttempt struct {
 	Backend     fleet.Backend
 	Incarnation string // of the engine when the attempt was opened; may be empty
 	Request     string
@@ -75,7 +75,7 @@
 }
 
 type queuedCancel struct {
-	Abandoned
+	AbandonedAttempt
 	queuedAt         time.Time
 	knownIncarnation string // last reported incarnation of the engine at queuedAt
 }
@@ -118,7 +118,7 @@
 
 // Add queues the cancel of an attempt. It never blocks. If the queue is full the
 // attempt is dropped and counted; the engine then ends it after its linger time.
-func (c *Canceller) Add(a Abandoned) {
+func (c *Canceller) Add(a AbandonedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending >= c.opts.Max {
@@ -129,7 +129,7 @@
 	c.pending++
 	id := a.Backend.ID
 	queue, working := c.queues[id]
-	c.queues[id] = append(queue, queuedCancel{Abandoned: a, queuedAt: time.Now(), knownIncarnation: c.opts.Incarnation(a.Backend.ID)})
+	c.queues[id] = append(queue, queuedCancel{AbandonedAttempt: a, queuedAt: time.Now(), knownIncarnation: c.opts.Incarnation(a.Backend.ID)})
 	if !working && c.ctx != nil {
 		c.startWorker(id)
 	}
--- a/backend/opaque.go
+++ b/backend/opaque.go
@@ -30,9 +30,9 @@
 	// Standby is the backend server that keeps a copy of the attempt's state up
 	// to date while the attempt runs. No copy is made if its address is empty.
 	Standby fleet.Backend
-	// Held means that the attempt continues from the copy that its backend server
+	// FromCopy means that the attempt continues from the copy that its backend server
 	// has. A backend server without that copy refuses the attempt.
-	Held bool
+	FromCopy bool
 	// Name and Source describe a copy that was made on demand: its name, and the
 	// backend server that the run was copied from. Name is empty for a copy that
 	// was kept up to date during the run.
--- a/backend/probe.go
+++ b/backend/probe.go
@@ -10,14 +10,14 @@
 	"wigeondale/quarantine"
 )
 
-// Looker probes with a TCP connection whether the process of a backend server has
+// Prober probes with a TCP connection whether the process of a backend server has
 // exited. It implements quarantine.Prober.
-type Looker struct{}
+type Prober struct{}
 
 // Probe implements quarantine.Prober. If no process listens on the port, the host
 // refuses the connection at once. A host that is powered off or unreachable doesn't
 // answer.
-func (Looker) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
+func (Prober) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", b.Addr)
 	switch {
 	case err == nil:
--- a/backend/send.go
+++ b/backend/send.go
@@ -21,25 +21,25 @@
 	readBufferBytes = 8 << 10
 )
 
-// Dial configures how connections are opened and when they are given up.
-type Dial struct {
+// DialConfig configures how connections are opened and when they are given up.
+type DialConfig struct {
 	Timeout time.Duration // for opening a connection
-	// Unanswered is how long sent bytes, or keep-alive probes on an idle
+	// UnackedTimeout is how long sent bytes, or keep-alive probes on an idle
 	// connection, may stay unacknowledged before the connection is closed. Without
 	// it a connection whose peer is unreachable or lost power fails only minutes
 	// later. 0 uses the defaults of the operating system.
-	Unanswered time.Duration
-	ReadBuffer int // size of the read buffer and of the write buffer, in bytes
+	UnackedTimeout time.Duration
+	BufferBytes    int // size of the read buffer and of the write buffer, in bytes
 }
 
 // newTransport returns the transport for the engine protocol and for services.
 func newTransport() *http.Transport {
-	return NewTransport(Dial{Timeout: dialTimeout, ReadBuffer: readBufferBytes})
+	return NewTransport(DialConfig{Timeout: dialTimeout, BufferBytes: readBufferBytes})
 }
 
 // NewTransport returns a transport that speaks HTTP/1.1 only, because HTTP/2
 // resends requests after GOAWAY.
-func NewTransport(d Dial) *http.Transport {
+func NewTransport(d DialConfig) *http.Transport {
 	dialer := d.dialer()
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -55,23 +55,23 @@
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idleConnsPerSrv,
 		IdleConnTimeout:     idleTimeout,
-		ReadBufferSize:      d.ReadBuffer,
-		WriteBufferSize:     d.ReadBuffer,
+		ReadBufferSize:      d.BufferBytes,
+		WriteBufferSize:     d.BufferBytes,
 	}
 }
 
-func (d Dial) dialer() *net.Dialer {
+func (d DialConfig) dialer() *net.Dialer {
 	dialer := &net.Dialer{Timeout: d.Timeout}
-	if d.Unanswered <= 0 {
+	if d.UnackedTimeout <= 0 {
 		return dialer
 	}
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
-		Enable: true, Idle: d.Unanswered / 2, Interval: d.Unanswered / 4, Count: 2,
+		Enable: true, Idle: d.UnackedTimeout / 2, Interval: d.UnackedTimeout / 4, Count: 2,
 	}
 	dialer.Control = func(_, _ string, c syscall.RawConn) error {
 		var err error
 		set := func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Unanswered.Milliseconds()))
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.UnackedTimeout.Milliseconds()))
 		}
 		return errors.Join(c.Control(set), err)
 	}
@@ -154,7 +154,7 @@
 }
 
 // RoundTrip sends req once, does not follow redirects, and wraps an error in
-// ErrDial if no byte was sent, else in ErrBroken.
+// ErrNotSent if no byte was sent, else in ErrBroken.
 func RoundTrip(rt http.RoundTripper, req *http.Request) (*http.Response, error) {
 	w := &sendTracker{}
 	trace := &httptrace.ClientTrace{GotConn: w.gotConn}
@@ -166,7 +166,7 @@
 	if w.mayHaveSent() {
 		return nil, Error.New("%w: %w", ErrBroken, err)
 	}
-	return nil, Error.New("%w: %w", ErrDial, err)
+	return nil, Error.New("%w: %w", ErrNotSent, err)
 }
 
 // OnceBody hides the type of a body from net/http, which then can't rewind it
--- a/backend/send_test.go
+++ b/backend/send_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Guards against ErrDial being returned for a request that ran. The caller's
+// Guards against ErrNotSent being returned for a request that ran. The caller's
 // context ends after a connection is assigned, while the transport's writer
 // goroutine still writes; the connection must be sealed before the error is
 // classified.
@@ -105,7 +105,7 @@
 		t.Fatalf("wrote %d after the seal", n)
 	}
 	_, err := NewClient().Load(t.Context(), fleet.Backend{Addr: refusingAddr(t)})
-	if !errors.Is(err, ErrDial) {
+	if !errors.Is(err, ErrNotSent) {
 		t.Fatal(err)
 	}
 }
@@ -203,7 +203,7 @@
 			api := &fakeCancelAPI{failures: tc.fails}
 			reported := tc.first
 			c := NewCanceller(api, CancellerOptions{Incarnation: func(string) string { return reported }, Max: 1})
-			a := Abandoned{Backend: fleet.Backend{ID: "e"}, Incarnation: "i1", Attempt: 1, Accepted: 5}
+			a := AbandonedAttempt{Backend: fleet.Backend{ID: "e"}, Incarnation: "i1", Attempt: 1, Accepted: 5}
 			c.Add(a)
 			c.Add(a) // above Max: dropped without blocking
 			reported = tc.later
--- a/backend/service.go
+++ b/backend/service.go
@@ -38,13 +38,13 @@
 func (c *ServiceClient) CloseIdle() { c.rt.CloseIdleConnections() }
 
 // Do sends a call and returns the service's answer, whatever its status; the
-// caller closes its body. Redirects are not followed. ErrDial means that no byte
+// caller closes its body. Redirects are not followed. ErrNotSent means that no byte
 // was sent, ErrBroken that the call may have run, ErrMismatch that the answer
 // names another request. A call that is not idempotent is sent at most once.
 func (c *ServiceClient) Do(ctx context.Context, b fleet.Backend, call Call) (*http.Response, error) {
 	req, err := newCallRequest(ctx, b, call)
 	if err != nil {
-		return nil, Error.New("%w: %w", ErrDial, err)
+		return nil, Error.New("%w: %w", ErrNotSent, err)
 	}
 	resp, err := RoundTrip(c.rt, req)
 	if err != nil {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -347,7 +347,7 @@
 		}
 		tokens(sink, 0, "one ")
 		return generation.Result{Outcome: fleet.Failed, Code: generation.CodeEngineLost}
-	}, func(c *callerapi.Config) { c.Pointers = fakePointers{} })
+	}, func(c *callerapi.Config) { c.KeyRegistry = fakeKeyRegistry{} })
 	got := readStream(t, post(s, "/v1/completions", body, "Idempotency-Key: k"))
 	if f := failureIn(t, post(s, "/v1/completions", body, "Idempotency-Key: k")); f.Code != "in_progress" || f.Outcome != "unknown" {
 		t.Errorf("same body: %+v", f)
--- a/callerapi/fake_test.go
+++ b/callerapi/fake_test.go
@@ -61,16 +61,16 @@
 	return f(ctx, call)
 }
 
-// fakePointers reports that every announced key is running on another node.
-type fakePointers map[string][16]byte
+// fakeKeyRegistry reports that every announced key is running on another node.
+type fakeKeyRegistry map[string][16]byte
 
-func (p fakePointers) Live(_ context.Context, account, key string) (string, [16]byte, bool) {
+func (p fakeKeyRegistry) Locate(_ context.Context, account, key string) (string, [16]byte, bool) {
 	hash, ok := p[account+"/"+key]
 	return "node-2", hash, ok
 }
 
-func (p fakePointers) Announce(account, key string, hash [16]byte) { p[account+"/"+key] = hash }
-func (p fakePointers) Drop(string, string)                         {}
+func (p fakeKeyRegistry) Announce(account, key string, hash [16]byte) { p[account+"/"+key] = hash }
+func (p fakeKeyRegistry) Drop(string, string)                         {}
 
 var errNotReady = errors.New("no configuration")
 
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -101,9 +101,9 @@
 	}
 	var kept *finishedAnswer
 	defer func() { s.keys.release(e, kept) }()
-	if s.Pointers != nil {
-		s.Pointers.Announce(c.id.Account, c.id.Key, c.params.Hash)
-		defer s.Pointers.Drop(c.id.Account, c.id.Key)
+	if s.KeyRegistry != nil {
+		s.KeyRegistry.Announce(c.id.Account, c.id.Key, c.params.Hash)
+		defer s.KeyRegistry.Drop(c.id.Account, c.id.Key)
 	}
 	kept, f = s.run(ctx, w, c)
 	return f
@@ -117,12 +117,12 @@
 // reconnect is allowed: it takes over its own stream from a node that has lost the
 // connection to the caller.
 func (s *Server) checkOtherNodes(ctx context.Context, c *generationCall) *Failure {
-	if s.Pointers == nil || c.id.KeyGenerated || c.resumeFrom != nil {
+	if s.KeyRegistry == nil || c.id.KeyGenerated || c.resumeFrom != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	_, hash, ok := s.Pointers.Live(ctx, c.id.Account, c.id.Key)
+	_, hash, ok := s.KeyRegistry.Locate(ctx, c.id.Account, c.id.Key)
 	if !ok {
 		return nil
 	}
@@ -190,7 +190,7 @@
 	}
 	sink := newStreamSink(w, s.Sealer, start, c.form)
 	sink.http2 = c.http2
-	sink.limit = s.KeepBytes / 4
+	sink.limit = s.KeptAnswerBytes / 4
 	// The text before the cursor is known only if the caller sent it. Without it
 	// the answer can't be kept, so its text isn't collected.
 	if c.resumeFrom != nil && c.params.ResumeText != nil {
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -58,12 +58,12 @@
 	Ready() error
 }
 
-// Pointers records which keys are running, and on which node, and shares this with
+// KeyRegistry records which keys are running, and on which node, and shares this with
 // other nodes. It only saves work and guarantees nothing: a caller that needs a
-// guarantee marks its request as non-idempotent. Live returns the node only if it
+// guarantee marks its request as non-idempotent. Locate returns the node only if it
 // is another one and believed to be alive; when in doubt it returns none.
-type Pointers interface {
-	Live(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
+type KeyRegistry interface {
+	Locate(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
 	Drop(account, key string)
 }
@@ -78,21 +78,21 @@
 	DefaultTokens   int           // max_tokens of a request that has none; 1024
 	GenerateTimeout time.Duration // default deadline of a generation; 1 h
 	ServiceTimeout  time.Duration // default deadline of a service call; 10 s
-	KeepBytes       int           // total size of finished answers that are kept; 16 MiB
-	KeepTime        time.Duration // how long a finished answer is kept; 2 min
+	KeptAnswerBytes int           // total size of finished answers that are kept; 16 MiB
+	KeptAnswerTime  time.Duration // how long a finished answer is kept; 2 min
 }
 
-// Config configures a Server. Pointers, Services, Log and Metrics may be nil.
+// Config configures a Server. KeyRegistry, Services, Log and Metrics may be nil.
 type Config struct {
 	Options
-	Gate     Gate
-	Accounts Accounts
-	Runner   Runner
-	Services Services
-	Pointers Pointers
-	Sealer   *cursor.Sealer
-	Log      *event.Log
-	Metrics  *metrics.Set
+	Gate        Gate
+	Accounts    Accounts
+	Runner      Runner
+	Services    Services
+	KeyRegistry KeyRegistry
+	Sealer      *cursor.Sealer
+	Log         *event.Log
+	Metrics     *metrics.Set
 }
 
 // Server handles the requests of callers.
@@ -112,7 +112,7 @@
 	s := &Server{
 		Config: cfg,
 		mux:    http.NewServeMux(),
-		keys:   newKeyTable(cfg.KeepBytes, cfg.KeepTime),
+		keys:   newKeyTable(cfg.KeptAnswerBytes, cfg.KeptAnswerTime),
 	}
 	s.Metrics.NewGauge("wigeon_caller_open_requests", func() float64 { return float64(s.open.Load()) })
 	s.handle("/v1/completions", s.generate(completions))
@@ -133,8 +133,8 @@
 	o.DefaultTokens = cmp.Or(o.DefaultTokens, 1024)
 	o.GenerateTimeout = cmp.Or(o.GenerateTimeout, time.Hour)
 	o.ServiceTimeout = cmp.Or(o.ServiceTimeout, 10*time.Second)
-	o.KeepBytes = cmp.Or(o.KeepBytes, 16<<20)
-	o.KeepTime = cmp.Or(o.KeepTime, 2*time.Minute)
+	o.KeptAnswerBytes = cmp.Or(o.KeptAnswerBytes, 16<<20)
+	o.KeptAnswerTime = cmp.Or(o.KeptAnswerTime, 2*time.Minute)
 }
 
 // ServeHTTP implements http.Handler.
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -167,7 +167,7 @@
 
 func (s *streamSink) event(text []byte, finish string) error {
 	b := append(s.buf[:0], "id: "...)
-	b = s.writer.Append(b, s.cursor.Place)
+	b = s.writer.Append(b, s.cursor.Position)
 	b = append(b, '\n')
 	if s.firstEvent {
 		b = append(b, s.firstHead...)
--- a/client/call.go
+++ b/client/call.go
@@ -33,7 +33,7 @@
 	Body     []byte
 	Outcome  fleet.Outcome
 	Endpoint string
-	Took     time.Duration
+	Duration time.Duration
 }
 
 // maxAnswerBytes bounds the answer of a service.
@@ -59,7 +59,7 @@
 	startedAt := time.Now()
 	res, err := c.callLoop(ctx, req)
 	res.Key = req.Key
-	res.Took = time.Since(startedAt)
+	res.Duration = time.Since(startedAt)
 	return res, Error.Wrap(err)
 }
 
--- a/client/client.go
+++ b/client/client.go
@@ -51,12 +51,12 @@
 	// IdleTimeout ends a connection on which no byte arrives for this long. With
 	// zero, a frozen router is noticed only when the deadline of the request passes.
 	IdleTimeout time.Duration
-	// Spread starts each request at the next endpoint in round-robin order. Without
+	// RoundRobin starts each request at the next endpoint in round-robin order. Without
 	// it each request starts at the first endpoint.
-	Spread bool
-	// Connected is called with the endpoint each time a router starts to answer a
+	RoundRobin bool
+	// OnConnect is called with the endpoint each time a router starts to answer a
 	// request.
-	Connected func(endpoint string)
+	OnConnect func(endpoint string)
 	// Rand returns values in [0,1) for jitter.
 	Rand func() float64
 }
@@ -103,22 +103,22 @@
 
 // Gap is a wait between two tokens during which the client reconnected.
 type Gap struct {
-	At       int // number of stream events delivered before the wait
-	Duration time.Duration
+	EventsBefore int // number of stream events delivered before the wait
+	Duration     time.Duration
 }
 
 // Result is the result of a request. It is also filled if an error is returned.
 type Result struct {
-	Key        string
-	Text       string
-	Outcome    fleet.Outcome
-	Reconnects int
-	Gaps       []Gap
-	FirstToken time.Duration // time until the first token; zero if no token arrived
-	Finish     string        // finish reason of the last token
-	Endpoint   string        // the endpoint that was tried last
-	Events     int           // number of stream events with text
-	RetryAfter time.Duration // of the refusal that ended the request
+	Key              string
+	Text             string
+	Outcome          fleet.Outcome
+	Reconnects       int
+	Gaps             []Gap
+	TimeToFirstToken time.Duration // time until the first token; zero if no token arrived
+	Finish           string        // finish reason of the last token
+	Endpoint         string        // the endpoint that was tried last
+	Events           int           // number of stream events with text
+	RetryAfter       time.Duration // of the refusal that ended the request
 }
 
 func newHTTPClient(roots *x509.CertPool) *http.Client {
@@ -134,7 +134,7 @@
 }
 
 func (c *Client) firstEndpoint() int {
-	if !c.opts.Spread {
+	if !c.opts.RoundRobin {
 		return 0
 	}
 	return int(c.next.Add(1)-1) % len(c.endpoints)
--- a/client/generate.go
+++ b/client/generate.go
@@ -56,8 +56,8 @@
 	return c.start(ctx, req, onToken, true)
 }
 
-// Whole requests the answer as a single response, without streaming.
-func (c *Client) Whole(ctx context.Context, req Request) (Result, error) {
+// GenerateNonStreaming requests the answer as a single response, without streaming.
+func (c *Client) GenerateNonStreaming(ctx context.Context, req Request) (Result, error) {
 	return c.start(ctx, req, nil, false)
 }
 
@@ -167,8 +167,8 @@
 		return readRefusal(resp)
 	}
 	r.mayHaveRun = true
-	if r.c.opts.Connected != nil {
-		r.c.opts.Connected(endpoint)
+	if r.c.opts.OnConnect != nil {
+		r.c.opts.OnConnect(endpoint)
 	}
 	if r.stream {
 		return r.readStream(idle.wrap(resp.Body))
@@ -272,10 +272,10 @@
 func (r *generateRun) token(text string) {
 	now := time.Now()
 	if r.res.Events == 0 {
-		r.res.FirstToken = now.Sub(r.startedAt)
+		r.res.TimeToFirstToken = now.Sub(r.startedAt)
 	}
 	if r.reconnecting {
-		r.res.Gaps = append(r.res.Gaps, Gap{At: r.res.Events, Duration: now.Sub(r.lastToken)})
+		r.res.Gaps = append(r.res.Gaps, Gap{EventsBefore: r.res.Events, Duration: now.Sub(r.lastToken)})
 		r.reconnecting = false
 	}
 	r.triesWithoutProgress = 0
@@ -295,7 +295,7 @@
 		return errBroken
 	}
 	choice := chunk.Choices[0]
-	r.res.FirstToken = time.Since(r.startedAt)
+	r.res.TimeToFirstToken = time.Since(r.startedAt)
 	r.text.WriteString(choice.Text)
 	if choice.FinishReason != nil {
 		r.res.Finish = *choice.FinishReason
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -58,11 +58,11 @@
 	BodyHash    [16]byte
 	IssuedUnixS int64 // when the attempt began, in Unix seconds
 	Attempt     int
-	Place
+	Position
 }
 
-// Place is the part of a cursor that changes with each token.
-type Place struct {
+// Position is the part of a cursor that changes with each token.
+type Position struct {
 	Offset    int    // number of tokens delivered
 	TextBytes int    // bytes of text delivered
 	Digest    uint64 // digest of all delivered text, computed with Extend
--- a/cursor/seal.go
+++ b/cursor/seal.go
@@ -80,7 +80,7 @@
 
 // Append appends the encoded cursor at the given position to dst. It allocates only
 // if dst lacks capacity.
-func (w *Writer) Append(dst []byte, at Place) []byte {
+func (w *Writer) Append(dst []byte, at Position) []byte {
 	binary.BigEndian.PutUint32(w.raw[0:], uint32(at.Offset))
 	binary.BigEndian.PutUint32(w.raw[4:], uint32(at.TextBytes))
 	binary.BigEndian.PutUint64(w.raw[8:], at.Digest)
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -57,15 +57,15 @@
 		return err
 	}
 	n.callers = callerapi.New(callerapi.Config{
-		Options:  callerapi.Options{BodyBytes: set.Limits.BodyBytes, MaxOpen: int64(set.Limits.MaxOpenRequests)},
-		Gate:     n,
-		Accounts: accs,
-		Runner:   n.runner,
-		Services: n.newServices(set, pick, budget),
-		Pointers: newPointers(n.mesh, n.id),
-		Sealer:   sealer,
-		Log:      n.log,
-		Metrics:  n.set,
+		Options:     callerapi.Options{BodyBytes: set.Limits.BodyBytes, MaxOpen: int64(set.Limits.MaxOpenRequests)},
+		Gate:        n,
+		Accounts:    accs,
+		Runner:      n.runner,
+		Services:    n.newServices(set, pick, budget),
+		KeyRegistry: newPointers(n.mesh, n.id),
+		Sealer:      sealer,
+		Log:         n.log,
+		Metrics:     n.set,
 	})
 	return nil
 }
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -75,7 +75,7 @@
 		t.Errorf("room for %d beside a router that has all places, want half of them", got)
 	}
 	for range 100 {
-		mon.Result("e2", backend.ErrDial)
+		mon.Result("e2", backend.ErrNotSent)
 	}
 	if got := fresh().all("m"); got != places/2 {
 		t.Errorf("room for %d with one engine down, want half of the other's", got)
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -163,7 +163,7 @@
 	s.judge(ctx, b.ID, err, second)
 	if err == nil {
 		followed.Answered()
-	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrDial) {
+	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrNotSent) {
 		followed.AwaitExamination(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
 	}
 	return resp, err
@@ -220,7 +220,7 @@
 	f := &callerapi.Failure{Status: http.StatusBadGateway, Code: codeLost,
 		Message: "the connection to the backend server broke", Outcome: fleet.Unknown, RetryAfter: unknownWait}
 	switch {
-	case errors.Is(err, backend.ErrDial):
+	case errors.Is(err, backend.ErrNotSent):
 		f.Status, f.Code = http.StatusServiceUnavailable, codeNoReplica
 		f.Message, f.Outcome, f.RetryAfter = "no backend server could be reached", fleet.NotRun, replicaWait
 	case expired(call.Deadline):
--- a/daemon/suspects.go
+++ b/daemon/suspects.go
@@ -24,7 +24,7 @@
 
 func (n *node) buildGuard(set *settings.Settings) {
 	n.guard = quarantine.NewGuard(quarantine.Config{
-		Prober:      backend.Looker{},
+		Prober:      backend.Prober{},
 		Incarnation: func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
 		Leaving:     n.dir.Leaving,
 		Neighbours:  placement.Neighbours(n.dir, n.mon),
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -24,7 +24,7 @@
 }
 
 func (t *triedSet) note(err error) {
-	if err == nil || errors.Is(err, backend.ErrDial) {
+	if err == nil || errors.Is(err, backend.ErrNotSent) {
 		return
 	}
 	if _, none := errors.AsType[*generation.Unavailable](err); none {
--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -151,7 +151,7 @@
 	if a.backend.Addr == "" {
 		return // handed over from a backend server that is no longer known
 	}
-	x.Abandon.Add(backend.Abandoned{
+	x.Abandon.Add(backend.AbandonedAttempt{
 		Backend: a.backend, Incarnation: a.origin.Incarnation,
 		Request: x.req.ID, Attempt: a.origin.Attempt, Accepted: a.accepted,
 	})
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -27,14 +27,14 @@
 	copies := x.copiesFor(a.backend)
 	copies.Standby = x.chooseStandby(a)
 	x.opts.Log.Emit(event.AttemptBegun, "request", x.req.ID, "attempt", a.origin.Attempt,
-		"backend", a.backend.ID, "standby", a.copy.backend.ID, "from_copy", copies.Held, "from", x.filter.next)
-	if x.mayHaveRun && !copies.Held {
+		"backend", a.backend.ID, "standby", a.copy.backend.ID, "from_copy", copies.FromCopy, "from", x.filter.next)
+	if x.mayHaveRun && !copies.FromCopy {
 		x.m.prefill.Add(x.promptBytes())
 	}
 	stopPolling := x.pollRun(a)
 	a.sentAt = time.Now()
 	s, err := x.Engines.Open(a.ctx, a.backend, backend.StartRequest{
-		Opaque: x.opaque(), Copies: copies, First: first, Last: x.isLastAttempt(),
+		Opaque: x.opaque(), Copies: copies, FirstAttempt: first, LastAttempt: x.isLastAttempt(),
 		ID: x.req.ID, Attempt: a.origin.Attempt, Ref: x.req.Ref,
 		Prompt: x.req.Prompt, MaxTokens: x.req.MaxTokens, Priority: x.req.Priority, Resume: x.started(),
 		ResumeText: string(x.text), ResumeTokens: x.filter.next, Linger: x.linger(),
@@ -82,7 +82,7 @@
 	if lost.backendID == "" || lost.backendID != b.ID {
 		return backend.Copies{}
 	}
-	return backend.Copies{Held: true, Name: lost.name, Source: lost.source}
+	return backend.Copies{FromCopy: true, Name: lost.name, Source: lost.source}
 }
 
 // makeCurrent makes a the attempt from which tokens are accepted.
@@ -107,7 +107,7 @@
 	if failed, ok := errors.AsType[*backend.FailedAnswer](err); ok {
 		return x.recordFailedAnswer(a, failed)
 	}
-	if !isRefusal && !errors.Is(err, backend.ErrDial) {
+	if !isRefusal && !errors.Is(err, backend.ErrNotSent) {
 		x.mayHaveRun = true
 		x.current = a
 		return x.handleLoss(a, err)
--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -163,7 +163,7 @@
 	noBudget      bool
 
 	watched   int
-	abandoned []backend.Abandoned
+	abandoned []backend.AbandonedAttempt
 	voided    []string
 	released  int
 	inFlight  int
@@ -219,7 +219,7 @@
 	return fleet.Backend{}, nil, false
 }
 
-func (h *harness) Add(a backend.Abandoned) { h.abandoned = append(h.abandoned, a) }
+func (h *harness) Add(a backend.AbandonedAttempt) { h.abandoned = append(h.abandoned, a) }
 
 func (h *harness) Result(string, error) {}
 
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -320,7 +320,7 @@
 
 // Abandoner cancels attempts that no client reads, implemented by *backend.Canceller.
 type Abandoner interface {
-	Add(a backend.Abandoned)
+	Add(a backend.AbandonedAttempt)
 }
 
 // RetryBudget limits retries to a share of first tries.
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -57,7 +57,7 @@
 func (w *fakeFleet) Admit(context.Context, Ticket) (func(), error) { return nil, nil }
 func (w *fakeFleet) Lookup(string) (fleet.Backend, bool)           { return fleet.Backend{}, false }
 func (w *fakeFleet) KeepsCopy(id string) bool                      { return !w.lost[id] }
-func (w *fakeFleet) Add(backend.Abandoned)                         {}
+func (w *fakeFleet) Add(backend.AbandonedAttempt)                  {}
 
 func (w *fakeFleet) Take(string) bool {
 	w.budget--
@@ -250,7 +250,7 @@
 	if out.text != chunkText(9) || len(w.opened) != 2 {
 		t.Fatalf("got %q in %d attempts", out.text, len(w.opened))
 	}
-	if w.backends[1] != "s0-0" || !w.opened[1].Copies.Held || w.opened[1].ResumeTokens != 5 {
+	if w.backends[1] != "s0-0" || !w.opened[1].Copies.FromCopy || w.opened[1].ResumeTokens != 5 {
 		t.Errorf("continued at %s with %+v from %d", w.backends[1], w.opened[1].Copies, w.opened[1].ResumeTokens)
 	}
 	if w.opened[1].Copies.Standby.Addr == "" {
@@ -264,7 +264,7 @@
 	refused := &backend.Refused{Status: 503, Code: "overloaded"}
 	w := &fakeFleet{chunks: 9, budget: 9, scripts: []script{{lastChunk: 4, err: errBroken}, {openErr: refused}}}
 	res, out := w.run(t, nil)
-	if res.Outcome != fleet.Complete || out.text != chunkText(9) || w.opened[2].Copies.Held {
+	if res.Outcome != fleet.Complete || out.text != chunkText(9) || w.opened[2].Copies.FromCopy {
 		t.Errorf("got %s, %q", res.Outcome, out.text)
 	}
 }
@@ -285,7 +285,7 @@
 	if a := w.pickRequests[1]; a.LostDomain != "" || !a.IsRetry || w.pickRequests[0].IsRetry {
 		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.IsRetry)
 	}
-	if !w.opened[0].First || w.opened[1].First {
+	if !w.opened[0].FirstAttempt || w.opened[1].FirstAttempt {
 		t.Error("only the first attempt must be marked as the first")
 	}
 }
@@ -300,7 +300,7 @@
 		if out.text != chunkText(20) {
 			t.Fatalf("got %q", out.text)
 		}
-		if c := w.opened[1].Copies; !c.Held || c.Name != "copy1" || c.Source.ID != "b1" {
+		if c := w.opened[1].Copies; !c.FromCopy || c.Name != "copy1" || c.Source.ID != "b1" {
 			t.Errorf("continued with %+v", c)
 		}
 	})
@@ -328,7 +328,7 @@
 				if out.text != chunkText(20) || (first.Standby.Addr != "") != c.copying.KeptUpToDate {
 					t.Fatalf("got %q; the first attempt has the standby %q", out.text, first.Standby.Addr)
 				}
-				if second.Held != (c.copying != Copying{}) || second.Name != c.copyName || (w.copies > 0) != (c.made > 0) {
+				if second.FromCopy != (c.copying != Copying{}) || second.Name != c.copyName || (w.copies > 0) != (c.made > 0) {
 					t.Errorf("continued with %+v, %d copies were made", second, w.copies)
 				}
 			})
@@ -346,7 +346,7 @@
 			t.Errorf("%v: %d attempts, %s", first, len(w.opened), res.Outcome)
 		}
 	}
-	w := &fakeFleet{chunks: 1, budget: 9, scripts: []script{{openErr: &backend.Refused{Status: 503}}, {openErr: backend.ErrDial}}}
+	w := &fakeFleet{chunks: 1, budget: 9, scripts: []script{{openErr: &backend.Refused{Status: 503}}, {openErr: backend.ErrNotSent}}}
 	res, _ := w.run(t, func(r *Request) { r.NonIdempotent = true; r.Opaque.MaxAttempts = 3 })
 	if len(w.opened) != 3 || res.Outcome != fleet.Complete {
 		t.Errorf("after refusals: %d attempts, %s", len(w.opened), res.Outcome)
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -82,8 +82,8 @@
 // newObservedRun rates only the first attempt of a request: a later attempt goes to the old
 // version, and often follows a crash.
 func newObservedRun(b fleet.Backend, r *backend.StartRequest, ro *serviceRollout) *observedRun {
-	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.Last}
-	if ro == nil || !r.First || r.Copies.Held || !ro.Stage().Open() {
+	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.LastAttempt}
+	if ro == nil || !r.FirstAttempt || r.Copies.FromCopy || !ro.Stage().Open() {
 		return run
 	}
 	run.rollout, run.startedAt = ro, clock.Boot()
@@ -135,7 +135,7 @@
 	case answered || errors.Is(err, backend.ErrMismatch):
 		r.timeCounted.Store(true)
 		r.observe(s, r.aspect, rollout.Failed)
-	case refused || errors.Is(err, backend.ErrDial) || r.ctx.Err() != nil:
+	case refused || errors.Is(err, backend.ErrNotSent) || r.ctx.Err() != nil:
 		// It did not run, or this router ended it.
 	default:
 		time.AfterFunc(cutOffCheck, func() { r.observeCutOff(s) })
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -12,13 +12,13 @@
 // crashProber finds out whether replicas have crashed, also if another incarnation listens at the
 // address. It implements quarantine.Prober.
 type crashProber struct {
-	backend.Looker
+	backend.Prober
 	querier runQuerier
 }
 
 // Probe implements quarantine.Prober.
 func (l crashProber) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
-	state := l.Looker.Probe(ctx, b)
+	state := l.Prober.Probe(ctx, b)
 	if state != quarantine.Working || b.Incarnation.StartedAt == 0 {
 		return state
 	}
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -117,7 +117,7 @@
 
 // callAll makes the calls; a wrong answer is an error.
 func callAll(ctx context.Context, r *Running, start time.Time, length time.Duration, rng *rand.Rand) (durations, int, error) {
-	c := client.New(r.Endpoints, APIKey, client.Options{Spread: true, MaxTries: 1})
+	c := client.New(r.Endpoints, APIKey, client.Options{RoundRobin: true, MaxTries: 1})
 	var (
 		wg    sync.WaitGroup
 		mu    sync.Mutex
@@ -161,7 +161,7 @@
 	if got.Key != key || got.Value != service.Digest([]byte(key)) {
 		return 0, Error.New("the answer to %q is that of %q", key, got.Key)
 	}
-	return res.Took, nil
+	return res.Duration, nil
 }
 
 func lookupsRun(ctx context.Context, r *Running) (int, error) {
--- a/measure/parts.go
+++ b/measure/parts.go
@@ -56,7 +56,7 @@
 // as sends by the caller's library for one client account; class names get the
 // account's name before them.
 func as(r *Running, account, key string) Sender {
-	c := client.New(r.Endpoints, key, client.Options{Spread: true})
+	c := client.New(r.Endpoints, key, client.Options{RoundRobin: true})
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
 		got := newAnswer(start, a)
 		got.Request = load.RequestID(account, a.Key)
--- a/scenario/generate_test.go
+++ b/scenario/generate_test.go
@@ -64,7 +64,7 @@
 	}
 	c := client.New(b.endpoints(*first), apiKey, client.Options{
 		IdleTimeout: *idle, MaxTries: *tries, HTTP: &http.Client{Transport: &cursorTap{g: g, next: b.tls.transport(*http1)}},
-		Connected: func(e string) { g.change(func() { g.endpoint = e }) },
+		OnConnect: func(e string) { g.change(func() { g.endpoint = e }) },
 	})
 	b.mu.Lock()
 	b.gens[g.name] = g
