--- a/kvlog/kvtest/held.go
+++ b/kvlog/kvtest/controller.go
@@ -7,53 +7,54 @@
 	"wigeondale/infra"
 )
 
-// Fault is what becomes of a held call.
+// Fault is the outcome of a blocked call.
 type Fault int
 
-// The faults that Release plays.
+// Outcomes of a blocked call that a test can choose.
 const (
 	OK         Fault = iota // applied and answered
-	Refused                 // not applied, ErrUnavailable
-	AnswerLost              // applied, ErrUnknownOutcome
-	Delayed                 // ErrUnknownOutcome now; Land applies it later
-	Paused                  // applied now, answered by a later Release
+	Refused                 // not applied, returns ErrUnavailable
+	AnswerLost              // applied, returns ErrUnknownOutcome
+	Delayed                 // returns ErrUnknownOutcome now; the test applies it later
+	Paused                  // applied now, returns when released again
 	FaultCount
 )
 
-// Controller holds the calls of its clients until they are released.
+// Controller blocks the calls of its clients until a test releases them, each with a fault.
 type Controller struct {
 	Store *Store
 
 	mu      sync.Mutex
-	held    []*heldCall
+	blocked []*blockedCall
 	delayed []func()
 }
 
-type heldCall struct {
+type blockedCall struct {
 	write   bool
 	apply   func()
 	applied bool
 	answer  chan error
 }
 
-// NewController returns a bench over an empty store.
+// NewController returns one with an empty store.
 func NewController() *Controller { return &Controller{Store: New()} }
 
-// Blocked returns how many calls wait.
+// Blocked returns the number of blocked calls.
 func (b *Controller) Blocked() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.held)
+	return len(b.blocked)
 }
 
-// DelayedWrites returns how many delayed writes may still land.
+// DelayedWrites returns the number of delayed writes that can still take effect.
 func (b *Controller) DelayedWrites() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.delayed)
 }
 
-// ApplyDelayed applies the i-th delayed write, counted around; none is no effect.
+// ApplyDelayed applies the i-th delayed write, with i modulo their number; without any it does
+// nothing.
 func (b *Controller) ApplyDelayed(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,25 +66,26 @@
 	b.delayed = append(b.delayed[:i], b.delayed[i+1:]...)
 }
 
-// Release lets the i-th held call go, counted around; none is no effect.
+// Release completes the i-th blocked call with fault f, with i modulo their number;
+// without any it does nothing.
 func (b *Controller) Release(i int, f Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.held) == 0 {
+	if len(b.blocked) == 0 {
 		return
 	}
-	i %= len(b.held)
-	c := b.held[i]
+	i %= len(b.blocked)
+	c := b.blocked[i]
 	if f == Paused && !c.applied {
 		c.apply()
 		c.applied = true
 		return
 	}
-	b.held = append(b.held[:i], b.held[i+1:]...)
-	c.answer <- b.play(c, f)
+	b.blocked = append(b.blocked[:i], b.blocked[i+1:]...)
+	c.answer <- b.complete(c, f)
 }
 
-func (b *Controller) play(c *heldCall, f Fault) error {
+func (b *Controller) complete(c *blockedCall, f Fault) error {
 	if f == Refused && c.applied {
 		f = AnswerLost
 	}
@@ -101,22 +103,22 @@
 	return infra.ErrUnknownOutcome
 }
 
-// Client is one process's access to the benchmark's store.
+// Client is the access of one process to the store.
 type Client struct {
 	*Store
 	controller *Controller
 }
 
-// Client returns a client whose calls are held, watches apart.
+// Client returns a client whose calls block until they are released, except watches.
 func (b *Controller) Client() *Client { return &Client{Store: b.Store, controller: b} }
 
-// hold waits for a release. A call whose ctx ends is abandoned: if it was a
-// write, it may still land.
-func (c *Client) hold(ctx context.Context, write bool, apply func()) error {
-	call := &heldCall{write: write, apply: apply, answer: make(chan error, 1)}
+// waitForRelease blocks until the call is released. A call whose ctx ends is abandoned;
+// if it is a write, it may still take effect later.
+func (c *Client) waitForRelease(ctx context.Context, write bool, apply func()) error {
+	call := &blockedCall{write: write, apply: apply, answer: make(chan error, 1)}
 	b := c.controller
 	b.mu.Lock()
-	b.held = append(b.held, call)
+	b.blocked = append(b.blocked, call)
 	b.mu.Unlock()
 	select {
 	case err := <-call.answer:
@@ -125,66 +127,66 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, h := range b.held {
+	for i, h := range b.blocked {
 		if h == call {
-			b.held = append(b.held[:i], b.held[i+1:]...)
-			return b.play(call, Delayed)
+			b.blocked = append(b.blocked[:i], b.blocked[i+1:]...)
+			return b.complete(call, Delayed)
 		}
 	}
 	return <-call.answer
 }
 
-// Get is held, then reads.
+// Get blocks until released, then reads.
 func (c *Client) Get(ctx context.Context, key string) (v infra.Value, ok bool, err error) {
 	var got infra.Value
 	var found bool
-	err = c.hold(ctx, false, func() { got, found, _ = c.Store.Get(ctx, key) })
+	err = c.waitForRelease(ctx, false, func() { got, found, _ = c.Store.Get(ctx, key) })
 	if err != nil {
 		return v, false, err
 	}
 	return got, found, nil
 }
 
-// Range is held, then reads.
+// Range blocks until released, then reads.
 func (c *Client) Range(ctx context.Context, from, end string, limit int) ([]infra.Value, error) {
 	var got []infra.Value
-	err := c.hold(ctx, false, func() { got, _ = c.Store.Range(ctx, from, end, limit) })
+	err := c.waitForRelease(ctx, false, func() { got, _ = c.Store.Range(ctx, from, end, limit) })
 	if err != nil {
 		return nil, err
 	}
 	return got, nil
 }
 
-// Create is held, then writes.
+// Create blocks until released, then writes.
 func (c *Client) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
 	return c.CompareAndSwap(ctx, key, 0, data)
 }
 
-// CompareAndSwap is held, then writes.
+// CompareAndSwap blocks until released, then writes.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, rev int64, data []byte) (bool, infra.Value, error) {
 	type result struct {
 		ok bool
 		v  infra.Value
 	}
 	got := new(result)
-	err := c.hold(ctx, true, func() { got.ok, got.v, _ = c.Store.CompareAndSwap(ctx, key, rev, data) })
+	err := c.waitForRelease(ctx, true, func() { got.ok, got.v, _ = c.Store.CompareAndSwap(ctx, key, rev, data) })
 	if err != nil {
 		return false, infra.Value{}, err
 	}
 	return got.ok, got.v, nil
 }
 
-// Put is held, then writes.
+// Put blocks until released, then writes.
 func (c *Client) Put(ctx context.Context, key string, data []byte, _ infra.LeaseID) error {
-	return c.hold(ctx, true, func() { _ = c.Store.Put(ctx, key, data, 0) })
+	return c.waitForRelease(ctx, true, func() { _ = c.Store.Put(ctx, key, data, 0) })
 }
 
-// Delete is held, then writes.
+// Delete blocks until released, then writes.
 func (c *Client) Delete(ctx context.Context, key string) error {
-	return c.hold(ctx, true, func() { _ = c.Store.Delete(ctx, key) })
+	return c.waitForRelease(ctx, true, func() { _ = c.Store.Delete(ctx, key) })
 }
 
-// DeleteRange is held, then writes.
+// DeleteRange blocks until released, then writes.
 func (c *Client) DeleteRange(ctx context.Context, from, end string) error {
-	return c.hold(ctx, true, func() { _ = c.Store.DeleteRange(ctx, from, end) })
+	return c.waitForRelease(ctx, true, func() { _ = c.Store.DeleteRange(ctx, from, end) })
 }
--- /dev/null
+++ b/quarantine/submission.go
@@ -0,0 +1,104 @@
+package quarantine
+
+import (
+	"context"
+	"time"
+)
+
+// Submission is one submission of a request by a client; the client's repeats are further ones. The
+// router may send it to several backend servers, one after the other. A nil one belongs to a
+// request that isn't tracked.
+type Submission struct {
+	guard      *Guard
+	digest     Digest
+	account    string
+	submission uint64 // random id that tells the submissions of one request apart
+}
+
+// DigestString returns the digest of the request as text, empty if it isn't tracked.
+func (s *Submission) DigestString() string {
+	if s == nil {
+		return ""
+	}
+	return s.digest.String()
+}
+
+// Refusal returns why the request must not be sent now, nil if it may. While a decision about
+// the request is due it waits for that.
+func (s *Submission) Refusal(ctx context.Context) error {
+	if s == nil || !s.guard.nonEmpty.Load() {
+		return nil
+	}
+	for {
+		quarantined, decided := s.guard.decision(s.digest)
+		switch {
+		case quarantined:
+			s.guard.metrics.refused.Inc()
+			return ErrQuarantined
+		case decided == nil:
+			return nil
+		}
+		select {
+		case <-decided:
+		case <-ctx.Done():
+			return nil // the caller handles the end of its context
+		}
+	}
+}
+
+// Suspected reports whether one more crash may be enough to quarantine the request.
+func (s *Submission) Suspected() bool {
+	if s == nil || !s.guard.nonEmpty.Load() {
+		return false
+	}
+	s.guard.mu.Lock()
+	defer s.guard.mu.Unlock()
+	return s.guard.tracker.Suspected(s.digest, s.guard.cfg.Now())
+}
+
+// Lost records that an attempt was lost. It finds out in the background whether the backend
+// server has crashed, and closes the channel when that is known.
+func (s *Submission) Lost(l Loss) (examined <-chan struct{}) {
+	done := make(chan struct{})
+	if s == nil || s.guard.cfg.Leaving(l.Backend.ID) {
+		close(done)
+		return done
+	}
+	l.incarnation, l.at = s.guard.cfg.Incarnation(l.Backend), s.guard.cfg.Now()
+	go func() {
+		defer close(done)
+		s.guard.examine(s, l)
+	}()
+	return done
+}
+
+// maxLossWait bounds the wait until the cause of a loss is known. The machine of a backend
+// server that crashed refuses connections at once.
+const maxLossWait = 250 * time.Millisecond
+
+// AwaitExamination delays a request that may have crashed its backend servers until it is known whether
+// the latest one crashed too, before the request is sent on. Other requests don't wait.
+func (s *Submission) AwaitExamination(ctx context.Context, examined <-chan struct{}) {
+	if examined == nil || !s.Suspected() {
+		return
+	}
+	t := time.NewTimer(maxLossWait)
+	defer t.Stop()
+	select {
+	case <-examined:
+	case <-ctx.Done():
+	case <-t.C:
+	}
+}
+
+// PastEarlyWindow reports whether a run has lasted long enough past its first token or chunk to show
+// that the request doesn't crash its backend server.
+func PastEarlyWindow(sinceFirst time.Duration) bool { return sinceFirst >= earlyWindow }
+
+// Answered records that the request was answered completely, or that a run has lasted longer
+// than earlyWindow.
+func (s *Submission) Answered() {
+	if s != nil {
+		s.guard.answered(s.digest, s.guard.cfg.Now())
+	}
+}
