--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -40,7 +40,7 @@
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Revision      uint64 `json:"revision"` // in force there, as last reported
-	Heard         bool   `json:"heard"`    // false if it was not heard from recently
+	Reachable     bool   `json:"heard"`    // false if it was not heard from recently
 }
 
 // Members lists the routers.
@@ -62,9 +62,9 @@
 	Node    string
 	Keeper  Keeper
 	Members Members
-	// View returns the state of the fleet, including the weight sizes of refs.
-	View     func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
-	Backends func() []BackendStatus
+	// FleetView returns the state of the fleet, including the weight sizes of refs.
+	FleetView func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
+	Backends  func() []BackendStatus
 	// Quarantine lists and lifts the quarantined requests.
 	Quarantine Quarantine
 	Operators  []Operator
@@ -117,23 +117,23 @@
 
 // Status reports on which nodes a revision is in force.
 type Status struct {
-	Node     string   `json:"node"`
-	Revision uint64   `json:"revision"` // in force on the answering node
-	Ready    bool     `json:"ready"`
-	Reason   string   `json:"reason,omitempty"`
-	InForce  int      `json:"in_force"`  // reachable nodes at this revision or later
-	NotHeard []string `json:"not_heard"` // known nodes that were not heard from recently
-	Nodes    []Node   `json:"nodes"`
+	Node        string   `json:"node"`
+	Revision    uint64   `json:"revision"` // in force on the answering node
+	Ready       bool     `json:"ready"`
+	Reason      string   `json:"reason,omitempty"`
+	InForce     int      `json:"in_force"`  // reachable nodes at this revision or later
+	Unreachable []string `json:"not_heard"` // known nodes that were not heard from recently
+	Nodes       []Node   `json:"nodes"`
 }
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request, _ Operator) {
-	s := Status{Node: a.cfg.Node, Revision: a.cfg.Keeper.State().Revision, NotHeard: []string{}}
+	s := Status{Node: a.cfg.Node, Revision: a.cfg.Keeper.State().Revision, Unreachable: []string{}}
 	s.Ready, s.Reason = a.cfg.Keeper.Ready()
 	s.Nodes = a.cfg.Members.Nodes()
 	for _, n := range s.Nodes {
 		switch {
-		case !n.Heard:
-			s.NotHeard = append(s.NotHeard, n.ID)
+		case !n.Reachable:
+			s.Unreachable = append(s.Unreachable, n.ID)
 		case n.Revision >= s.Revision:
 			s.InForce++
 		}
--- a/adminapi/operator.go
+++ b/adminapi/operator.go
@@ -58,9 +58,9 @@
 	})
 }
 
-// Guard protects another handler of the same listener, such as the state dump: only
+// RequireRole protects another handler of the same listener, such as the state dump: only
 // operators with at least the given role may use it.
-func (a *API) Guard(minRole Role, next http.Handler) http.Handler {
+func (a *API) RequireRole(minRole Role, next http.Handler) http.Handler {
 	return a.allow(minRole, func(w http.ResponseWriter, r *http.Request, _ Operator) { next.ServeHTTP(w, r) })
 }
 
--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -20,8 +20,8 @@
 	Signature string      `json:"signature"` // HMAC-SHA-256, hex
 }
 
-// Accepted is the answer to a confirmation.
-type Accepted struct {
+// ConfirmResult is the answer to a confirmation.
+type ConfirmResult struct {
 	PlanID   string `json:"plan_id"`
 	Revision uint64 `json:"revision"`
 }
@@ -80,7 +80,7 @@
 	if ok, reason := a.cfg.Keeper.Ready(); !ok {
 		return SignedPlan{}, Error.New("%w: %s", intent.ErrNotReady, reason)
 	}
-	view, err := a.cfg.View(r.Context(), intent.Refs(in.Changes))
+	view, err := a.cfg.FleetView(r.Context(), intent.Refs(in.Changes))
 	if err != nil {
 		return SignedPlan{}, Error.Wrap(err)
 	}
@@ -113,7 +113,7 @@
 		writeFailure(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, Accepted{PlanID: rev.PlanID, Revision: rev.N})
+	writeJSON(w, http.StatusOK, ConfirmResult{PlanID: rev.PlanID, Revision: rev.N})
 }
 
 // writeConflict refuses a plan and offers a new one for the same changes; placements
--- a/check/check.go
+++ b/check/check.go
@@ -35,8 +35,8 @@
 	return c
 }
 
-// Next returns the index of the token that Append will write.
-func (c *Chain) Next() int { return c.next }
+// NextIndex returns the index of the token that Append will write.
+func (c *Chain) NextIndex() int { return c.next }
 
 // Append appends the next token to dst, with rnd as its random part.
 func (c *Chain) Append(dst []byte, rnd uint16) []byte {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the machine was started, including suspensions.
-func Boot() time.Duration {
+// SinceBoot returns the time since the machine was started, including suspensions.
+func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Every kernel that Go supports has this clock. The monotonic clock is the best
@@ -32,14 +32,14 @@
 	at time.Duration
 }
 
-// In returns the deadline that is d from now.
-func In(d time.Duration) Deadline { return Deadline{at: Boot() + d} }
+// DeadlineIn returns the deadline that is d from now.
+func DeadlineIn(d time.Duration) Deadline { return Deadline{at: SinceBoot() + d} }
 
 // IsZero reports whether there is no deadline.
 func (d Deadline) IsZero() bool { return d.at == 0 }
 
-// Left returns the time until the deadline, 0 or less if it has passed.
-func (d Deadline) Left() time.Duration { return d.at - Boot() }
+// Remaining returns the time until the deadline, 0 or less if it has passed.
+func (d Deadline) Remaining() time.Duration { return d.at - SinceBoot() }
 
 // Passed reports whether there is a deadline and it has passed.
-func (d Deadline) Passed() bool { return !d.IsZero() && d.Left() <= 0 }
+func (d Deadline) Passed() bool { return !d.IsZero() && d.Remaining() <= 0 }
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -112,8 +112,8 @@
 // confirm sends a plan to one node after another until one knows the outcome. If a node
 // dies after it has appended the plan to the log, the outcome is unknown; the next node
 // reads the log and settles it.
-func (c *adminClient) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.Accepted, error) {
-	var acc adminapi.Accepted
+func (c *adminClient) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.ConfirmResult, error) {
+	var acc adminapi.ConfirmResult
 	var last error
 	uncertain := false
 	for range confirmRounds {
--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -157,7 +157,7 @@
 	var behind, notHeard []string
 	for _, n := range s.Nodes {
 		switch {
-		case !n.Heard:
+		case !n.Reachable:
 			notHeard = append(notHeard, n.ID)
 		case n.Revision >= revision:
 			inForce++
@@ -197,7 +197,7 @@
 
 func (t *tool) quarantine(ctx context.Context) error {
 	if digest := t.args.Quarantine.Lift; digest != "" {
-		var lifted adminapi.Lifted
+		var lifted adminapi.LiftResult
 		return t.api.call(ctx, http.MethodPost, "/admin/v1/quarantine/"+url.PathEscape(digest)+"/lift", nil, &lifted)
 	}
 	var list []quarantine.Report
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -105,7 +105,7 @@
 			Node:       fmt.Sprint("n", i),
 			Keeper:     k,
 			Members:    &b.nodes,
-			View:       func(context.Context, []fleet.ModelRef) (intent.FleetView, error) { return intent.FleetView{}, nil },
+			FleetView:  func(context.Context, []fleet.ModelRef) (intent.FleetView, error) { return intent.FleetView{}, nil },
 			Operators:  ops,
 			PlanKey:    []byte("plan key"),
 			Quarantine: &b.quarantine,
@@ -164,14 +164,14 @@
 // answers; the second must find the plan in the log.
 func TestConfirmAtAnotherNode(t *testing.T) {
 	b := newTestNodes(t)
-	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}, {ID: "n1", Revision: 1, Heard: true}}
+	b.nodes = members{{ID: "n0", Revision: 1, Reachable: true}, {ID: "n1", Revision: 1, Reachable: true}}
 	b.loseAnswers = true
 	b.expect(ExitOK, "revision 1 in force on 2 of 2 nodes", "carl", "apply", "-f", "../examples/demo/intents.json", "-yes")
 	if len(b.log.entries) != 1 {
 		t.Fatalf("the log has %d entries, want 1", len(b.log.entries))
 	}
 	b.expect(ExitOK, "access/acme-notas/redactor-llm", "carl", "state")
-	b.nodes[1].Heard = false
+	b.nodes[1].Reachable = false
 	b.expect(ExitUnreachable, "not heard from: n1", "carl", "apply", "-yes", "-wait-timeout", "1ms", "leave", "vm-1")
 }
 
@@ -185,7 +185,7 @@
 	b.expect(ExitOK, "traffic/m", "eve", "plan", "-o", plan, "traffic", "m", "v1=100")
 	b.expect(ExitRefused, "forbidden", "eve", "confirm", plan)
 	b.confirmTampered(plan)
-	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}}
+	b.nodes = members{{ID: "n0", Revision: 1, Reachable: true}}
 	b.expect(ExitOK, "in force on 1 of 1", "carl", "apply", "-yes", "traffic", "m", "v2=100")
 	b.expect(ExitRefused, "a new plan for the same intents", "carl", "confirm", plan)
 	b.log.down = true
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -113,7 +113,7 @@
 		Guard:    n.guard,
 	}, generation.Options{
 		Node:           attemptPrefix(set),
-		StartedMaxWait: max(millis(set.Policy.PatienceMS), time.Second),
+		StartedMaxWait: max(millis(set.Policy.MaxWaitMS), time.Second),
 		Rand:           rand.Float64,
 		Log:            n.log,
 		Metrics:        n.set,
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -106,8 +106,8 @@
 		Heartbeat:     millis(set.Peers.HeartbeatMS),
 		Topology: peer.Topology{
 			FullMeshLimit:    set.Peers.FullMeshLimit,
-			SameDomainLinks:  set.Peers.LinksInside,
-			OtherDomainLinks: set.Peers.LinksAcross,
+			SameDomainLinks:  set.Peers.SameDomainLinks,
+			OtherDomainLinks: set.Peers.OtherDomainLinks,
 		},
 	}, set.PeerKey(), n.log, n.set)
 	return err
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -25,8 +25,8 @@
 
 // Limits define when an answer is late.
 type Limits struct {
-	First time.Duration // time to the first chunk of a stream, or to a complete answer
-	Pause time.Duration // time between two chunks
+	FirstChunk time.Duration // time to the first chunk of a stream, or to a complete answer
+	ChunkPause time.Duration // time between two chunks
 }
 
 // Cause is one row: the requests with the same outcome for the same reason.
@@ -39,9 +39,9 @@
 
 // Report is the result of reading a log.
 type Report struct {
-	Requests int
-	Unread   int // lines that are not events
-	Causes   []Cause
+	Requests     int
+	SkippedLines int // lines that are not events
+	Causes       []Cause
 }
 
 // request collects what was logged about one request before its end.
@@ -126,9 +126,9 @@
 		return "failed", code + " after an attempt was lost: " + r.lostCause
 	case f["outcome"] != "complete":
 		return "failed", code + ", " + r.describe(f)
-	case parseMillis(f["first_ms"]) > s.limits.First:
+	case parseMillis(f["first_ms"]) > s.limits.FirstChunk:
 		return "late", "first piece, " + r.describe(f)
-	case parseMillis(f["pause_ms"]) > s.limits.Pause:
+	case parseMillis(f["pause_ms"]) > s.limits.ChunkPause:
 		return "late", "pause, " + r.describe(f)
 	}
 	return "in time", ""
@@ -159,7 +159,7 @@
 }
 
 func (s *logReader) report() Report {
-	out := Report{Requests: s.total, Unread: s.skipped}
+	out := Report{Requests: s.total, SkippedLines: s.skipped}
 	for _, row := range s.rows {
 		out.Causes = append(out.Causes, *row)
 	}
@@ -193,6 +193,6 @@
 	for _, c := range r.Causes {
 		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", c.Count, c.Outcome, c.Reason, c.Example)
 	}
-	fmt.Fprintf(t, "%d\tall\t%d lines were no events\t\n", r.Requests, r.Unread)
+	fmt.Fprintf(t, "%d\tall\t%d lines were no events\t\n", r.Requests, r.SkippedLines)
 	return Error.Wrap(t.Flush())
 }
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -440,14 +440,14 @@
 func TestOpaqueDeadlineIsOnTheBootClock(t *testing.T) {
 	early := func(r *Request) {
 		r.Deadline = time.Now().Add(time.Hour)
-		r.Opaque.Deadline = clock.In(-time.Second)
+		r.Opaque.Deadline = clock.DeadlineIn(-time.Second)
 	}
 	w := &fakeFleet{chunks: 1, budget: 9}
 	if res, _ := w.run(t, early); res.Outcome != fleet.NotRun || len(w.opened) != 0 {
 		t.Errorf("after its time on the boot clock: got %s in %d attempts", res.Outcome, len(w.opened))
 	}
 	w = &fakeFleet{chunks: 1, budget: 9}
-	if res, _ := w.run(t, func(r *Request) { r.Opaque.Deadline = clock.In(time.Hour) }); res.Outcome != fleet.Complete {
+	if res, _ := w.run(t, func(r *Request) { r.Opaque.Deadline = clock.DeadlineIn(time.Hour) }); res.Outcome != fleet.Complete {
 		t.Errorf("before it: got %s", res.Outcome)
 	}
 }
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -142,7 +142,7 @@
 		a.Service, a.PromptTokens, a.MaxAnswerTokens = o.Service, o.PromptTokens, o.MaxAnswerTokens
 		a.FirstChunkTarget, a.SinceFirstTry = o.FirstChunkTarget, o.SinceFirstTry
 		if !o.Deadline.IsZero() {
-			a.TimeLeft = max(o.Deadline.Left(), 1)
+			a.TimeLeft = max(o.Deadline.Remaining(), 1)
 		}
 		if len(o.PromptParts) > 0 {
 			a.UniquePart = o.PromptParts[len(o.PromptParts)-1]
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -125,12 +125,12 @@
 	}
 	pick.broadcastSoon = n.peers.broadcastSoon
 	pick.rollouts = n.rollouts
-	pick.refusal = admission.RefusalPolicy(n.set.Hosted.Decisions.Refusing)
+	pick.refusal = admission.RefusalPolicy(n.set.Hosted.Decisions.RefusalPolicy)
 	budgets := newBudgets(n.set.Hosted, n.peers.registeredNodes)
 	runner, err := generation.New(generation.Deps{
 		Admitter:   admitAll{},
 		Picker:     pick,
-		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: platform.CodeElsewhere},
+		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: platform.CodeMisdirected},
 		Engines:    observedEngines{replicas, n.rollouts},
 		Budget:     budgets,
 		Copier:     replicas,
@@ -161,10 +161,10 @@
 		}, h)
 	}
 	var err error
-	if n.front, err = open(n.set.Hosted.FrontAddress, &platform.Front{Relay: r, Table: n.table}); err != nil {
+	if n.front, err = open(n.set.Hosted.FrontAddress, &platform.ClientHandler{Relay: r, Table: n.table}); err != nil {
 		return err
 	}
-	if n.ready, err = open(n.set.Hosted.ReadinessAddress, platform.Readiness{Ready: n.readiness}); err != nil {
+	if n.ready, err = open(n.set.Hosted.ReadinessAddress, platform.ReadinessHandler{Ready: n.readiness}); err != nil {
 		return err
 	}
 	n.stats, err = open(n.set.Hosted.MetricsAddress, n.inspection())
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -86,7 +86,7 @@
 	if ro == nil || !r.FirstAttempt || r.Copies.FromCopy || !ro.Stage().Open() {
 		return run
 	}
-	run.rollout, run.startedAt = ro, clock.Boot()
+	run.rollout, run.startedAt = ro, clock.SinceBoot()
 	if r.Opaque.Streaming {
 		run.aspect = rollout.TimeToFirst
 	}
@@ -101,13 +101,13 @@
 	rule := r.rollout.Rule()
 	s.rated.Inc()
 	r.rollout.Observe(rollout.CountKey{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
-		r.b.Version == rule.Target, clock.Boot())
+		r.b.Version == rule.Target, clock.SinceBoot())
 }
 
 // observeTime counts the time to the answer, or to its first chunk.
 func (r *observedRun) observeTime(s *rollouts, aspect rollout.Aspect) {
 	if r.rollout != nil && !r.timeCounted.Swap(true) {
-		r.observe(s, aspect, rollout.GradeOf(clock.Boot()-r.startedAt))
+		r.observe(s, aspect, rollout.GradeOf(clock.SinceBoot()-r.startedAt))
 	}
 }
 
@@ -195,7 +195,7 @@
 	switch r.chunks {
 	case 1:
 		r.observeTime(s, rollout.TimeToFirst)
-		r.firstAt = clock.Boot()
+		r.firstAt = clock.SinceBoot()
 	case paceChunks:
 		r.observePace(s, paceChunks)
 	}
@@ -206,7 +206,7 @@
 	if r.rollout == nil || r.chunks < least || r.firstAt == 0 {
 		return
 	}
-	r.observe(s, rollout.ChunkInterval, rollout.GradeOf((clock.Boot()-r.firstAt)/time.Duration(r.chunks-1)))
+	r.observe(s, rollout.ChunkInterval, rollout.GradeOf((clock.SinceBoot()-r.firstAt)/time.Duration(r.chunks-1)))
 	r.firstAt = 0
 }
 
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -264,7 +264,7 @@
 		Heartbeat:     peerHeartbeat,
 		DialTimeout:   peerDialTimeout,
 		MaxBackoff:    peerMaxBackoff,
-		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, SameDomainLinks: p.set.Peers.LinksInside, OtherDomainLinks: p.set.Peers.LinksAcross},
+		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, SameDomainLinks: p.set.Peers.SameDomainLinks, OtherDomainLinks: p.set.Peers.OtherDomainLinks},
 	}, p.key, p.log, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -151,7 +151,7 @@
 		s.log.Emit(event.ItemUnreadable, "key", item.Key, "revision", item.ModRev, "err", err)
 		return true
 	}
-	s.forService(service).SetRecord(rec, item.ModRev, clock.Boot())
+	s.forService(service).SetRecord(rec, item.ModRev, clock.SinceBoot())
 	return true
 }
 
@@ -163,7 +163,7 @@
 	}
 	s.log.Emit(event.RolloutOrdered, "service", service, "target", order.Target,
 		"within_ms", order.Duration.Milliseconds(), "revision", order.Revision)
-	s.forService(service).SetOrder(order, clock.Boot())
+	s.forService(service).SetOrder(order, clock.SinceBoot())
 }
 
 // removed handles the removal of an item from the store.
@@ -184,7 +184,7 @@
 // handleReport applies a report from another node.
 func (s *rollouts) handleReport(from string, rep rollout.Report) {
 	if ro := s.of(rep.Service); ro != nil {
-		ro.HandleReport(from, rep, clock.Boot())
+		ro.HandleReport(from, rep, clock.SinceBoot())
 	}
 }
 
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -21,7 +21,7 @@
 	if none {
 		return
 	}
-	at := clock.Boot()
+	at := clock.SinceBoot()
 	if at-s.lastTick < rolloutTick {
 		return
 	}
@@ -147,7 +147,7 @@
 		return
 	}
 	// It takes effect here when it comes back from the store, with the revision that it has there.
-	ro.retryAt.Store(int64(clock.Boot() + rolloutEcho))
+	ro.retryAt.Store(int64(clock.SinceBoot() + rolloutEcho))
 }
 
 // rankIn returns the number of nodes that come before this one in the order in which they write.
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -93,7 +93,7 @@
 	// An attempt after a lost one, and the attempt of a returning client, go to a version that is
 	// known to work.
 	firstAttempt := !a.IsRetry && !a.Resume && len(a.PromptParts) == 0
-	return ro.candidates(all, firstAttempt && ro.Assign(a.RequestID, clock.Boot()), p.rollouts.limits)
+	return ro.candidates(all, firstAttempt && ro.Assign(a.RequestID, clock.SinceBoot()), p.rollouts.limits)
 }
 
 // allowedReplicas returns the replicas that an attempt may use that is not part of a trial.
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -59,7 +59,7 @@
 func (v *view) Put(item infra.Value) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if platform.IsConfig(item.Key) {
+	if platform.IsConfigKey(item.Key) {
 		v.putConfig(item)
 		return
 	}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -51,7 +51,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.Now == nil {
-		c.Now = clock.Boot
+		c.Now = clock.SinceBoot
 	}
 	if c.Set == nil {
 		c.Set = metrics.NewSet()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -188,7 +188,7 @@
 		}
 	}
 	if j.timeout > 0 {
-		j.deadline = clock.In(j.timeout)
+		j.deadline = clock.DeadlineIn(j.timeout)
 	}
 	return j
 }
@@ -296,6 +296,6 @@
 	if j.req.ClientTimeout <= 0 {
 		return advice
 	}
-	left := j.deadline.Left() + j.req.ClientTimeout - j.timeout
+	left := j.deadline.Remaining() + j.req.ClientTimeout - j.timeout
 	return max(min(advice, left/retryAfterDivisor), 0)
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -107,7 +107,7 @@
 // its route's timeout, or an account's priority doesn't override that of the route.
 func TestRouteDecidesWhatMayBeRepeated(t *testing.T) {
 	_, got := serve(t, generation.Result{Outcome: fleet.Complete}, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: time.Hour}, nil)
-	left := got.Opaque.Deadline.Left()
+	left := got.Opaque.Deadline.Remaining()
 	if !got.NonIdempotent || got.Opaque.Urgency != 3 || got.Account != "acc" || left > 2*time.Second || left < time.Second {
 		t.Errorf("got %+v with %v left", got, left)
 	}
--- a/settings/check.go
+++ b/settings/check.go
@@ -148,8 +148,8 @@
 	}
 	c.key("peers.key", p.KeyFile, p.KeyEnv, true)
 	inRange(c, "peers.full_mesh_limit", p.FullMeshLimit, 1, 1000)
-	inRange(c, "peers.links_inside", p.LinksInside, 1, 100)
-	inRange(c, "peers.links_across", p.LinksAcross, 1, 100)
+	inRange(c, "peers.links_inside", p.SameDomainLinks, 1, 100)
+	inRange(c, "peers.links_across", p.OtherDomainLinks, 1, 100)
 	inRange(c, "peers.heartbeat_ms", p.HeartbeatMS, 10, 60000)
 }
 
@@ -199,7 +199,7 @@
 	inRange(c, "policy.tail_exponent", p.TailExponent, 0.1, 20)
 	inRange(c, "policy.prefill_bytes_per_second", p.PrefillBytesPerSecond, 1, 1e12)
 	inRange(c, "policy.fixed_timeout_ms", p.FixedTimeoutMS, 0, 600000)
-	inRange(c, "policy.patience_ms", p.PatienceMS, 0, dayMS)
+	inRange(c, "policy.patience_ms", p.MaxWaitMS, 0, dayMS)
 	inRange(c, "policy.retry_budget_percent", p.RetryBudgetPercent, 0, maxPercent)
 	inRange(c, "policy.hedge.budget_percent", p.Hedge.BudgetPercent, 0, maxPercent)
 }
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -47,7 +47,7 @@
 
 // Decisions select one variant of each decision that has several.
 type Decisions struct {
-	Refusing string `json:"refusing"` // name of a refusal policy of package admission
+	RefusalPolicy string `json:"refusing"` // name of a refusal policy of package admission
 }
 
 // SetDefaults sets the values of fields that a file with this section does not set.
@@ -65,7 +65,7 @@
 		MinPrefillMS:           2500,
 		PrefillTokensPerSecond: 5000,
 		GCPercent:              30,
-		Decisions:              Decisions{Refusing: string(admission.RefuseLate)},
+		Decisions:              Decisions{RefusalPolicy: string(admission.RefuseLate)},
 	}
 }
 
@@ -87,7 +87,7 @@
 	inRange(c, "hosted.min_prefill_ms", h.MinPrefillMS, 10, 60000)
 	inRange(c, "hosted.prefill_tokens_per_second", h.PrefillTokensPerSecond, 1, 1e9)
 	inRange(c, "hosted.gc_percent", h.GCPercent, 5, 1000)
-	c.oneOf("hosted.decisions.refusing", h.Decisions.Refusing, admission.RefusalPolicies())
+	c.oneOf("hosted.decisions.refusing", h.Decisions.RefusalPolicy, admission.RefusalPolicies())
 }
 
 // oneOf reports a value that is not among the names.
