--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -107,10 +107,10 @@
 	e.serveStream(w, r, s, rd, incarnation, 0)
 }
 
-// crash kills the engine and starts it again after fault.CrashTime.
+// crash kills the engine and starts it again after fault.RestartDelay.
 func (e *Engine) crash() {
 	e.Kill()
-	time.AfterFunc(fault.CrashTime, func() {
+	time.AfterFunc(fault.RestartDelay, func() {
 		if err := e.Start(); err != nil {
 			panic(err) // the fake's own address is in use
 		}
--- a/fakes/fault/crash.go
+++ b/fakes/fault/crash.go
@@ -5,5 +5,5 @@
 // CrashMark in the body of a request makes every fake backend server crash that starts to run it.
 const CrashMark = "crashes its backend server"
 
-// CrashTime is how long after such a crash the backend server starts again.
-const CrashTime = 2 * time.Second
+// RestartDelay is how long after such a crash the backend server starts again.
+const RestartDelay = 2 * time.Second
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -160,8 +160,8 @@
 	return l.addr
 }
 
-// Wait blocks while bytes from the clients are stopped, by a cut or a kill, or until ctx ends.
-func (l *Listener) Wait(ctx context.Context) error {
+// WaitInbound blocks while bytes from the clients are stopped, by a cut or a kill, or until ctx ends.
+func (l *Listener) WaitInbound(ctx context.Context) error {
 	select {
 	case <-l.inGate():
 		return nil
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -16,11 +16,11 @@
 	"wigeondale/fakes/fault"
 )
 
-// CheckPath is the path of the replicas' health check. Memory is the capacity of an engine's
+// HealthPath is the path of the replicas' health check. KVCapacity is the capacity of an engine's
 // KV cache in tokens.
 const (
-	CheckPath = "/healthz"
-	Memory    = 55000
+	HealthPath = "/healthz"
+	KVCapacity = 55000
 )
 
 // CrashMark in the body of a request makes every replica crash that starts to run it.
@@ -35,22 +35,22 @@
 	Header http.Header
 	Body   string
 	Ran    bool
-	// Ended is set when the run has completed. It stays false for a run that was cut off.
-	Ended bool
+	// Completed is set when the run has completed. It stays false for a run that was cut off.
+	Completed bool
 }
 
 // Replica is a fake replica of a model engine or of another service. Its responses are a
 // function of the request's id, so that two runs of a request produce the same bytes.
 type Replica struct {
-	ID      string
-	Born    int64 // Unix milliseconds of its start; 0 if the replica does not publish it
-	Service string
-	Domain  string
-	Version string // of the service; empty for v1
-	Engine  bool
-	Listen  string        // address to listen on; empty for any
-	Pieces  int           // number of chunks in a stream
-	Gap     time.Duration // time between two chunks
+	ID        string
+	StartedAt int64 // Unix milliseconds of its start; 0 if the replica does not publish it
+	Service   string
+	Domain    string
+	Version   string // of the service; empty for v1
+	Engine    bool
+	Listen    string        // address to listen on; empty for any
+	Chunks    int           // number of chunks in a stream
+	ChunkGap  time.Duration // time between two chunks
 	// OnCrash, if set, is called after a request has made the replica crash.
 	OnCrash func(r *Replica)
 
@@ -68,19 +68,19 @@
 	replicaAt    func(addr string) *Replica
 }
 
-// Faults holds the fault switches of a replica. They stay set until the next call of Set.
+// Faults holds the fault switches of a replica. They stay set until the next call of SetFaults.
 type Faults struct {
-	Refuse     bool          // responds with 503, marked as not executed
-	FailStatus int           // status of its own responses after the run; 0 for success
-	FailShare  float64       // share of the requests that get FailStatus; 0 for all
-	FailFrom   time.Duration // FailStatus applies this long after Set; 0 for at once
-	WrongID    bool          // responds with another request's id
-	NoSeal     bool
-	Encoded    bool
-	Torn       bool // closes the connection in the middle of the response
-	Unframed   bool // no Content-Length: the end of the connection ends the response
-	Silent     bool // reads requests and never responds
-	Repeat     bool // sends each chunk of a stream twice
+	Refuse       bool          // responds with 503, marked as not executed
+	FailStatus   int           // status of its own responses after the run; 0 for success
+	FailShare    float64       // share of the requests that get FailStatus; 0 for all
+	FailAfter    time.Duration // FailStatus applies this long after SetFaults; 0 for at once
+	WrongID      bool          // responds with another request's id
+	NoSeal       bool
+	Encoded      bool
+	Truncated    bool // closes the connection in the middle of the response
+	NoLength     bool // no Content-Length: the end of the connection ends the response
+	NoResponse   bool // reads requests and never responds
+	RepeatChunks bool // sends each chunk of a stream twice
 }
 
 // Start starts the replica. replicaAt returns the replica at an address, for copies of runs.
@@ -98,7 +98,7 @@
 	mux.HandleFunc("GET /kv-list", r.serveList)
 	mux.HandleFunc("POST /kv-move", r.serveMove)
 	mux.HandleFunc("GET /report", r.serveReport)
-	mux.HandleFunc("GET "+CheckPath, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Replica-Id", r.ID) })
+	mux.HandleFunc("GET "+HealthPath, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Replica-Id", r.ID) })
 	mux.HandleFunc("DELETE /kv-handle/{name}", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("/", r.serve)
 	r.server = &http.Server{Handler: mux}
@@ -109,8 +109,8 @@
 // Addr returns the address on which the replica listens.
 func (r *Replica) Addr() string { return r.ln.Addr().String() }
 
-// Link returns the listener, which can cut, delay and reset the replica's connections.
-func (r *Replica) Link() *fault.Listener { return r.listener }
+// Listener returns the listener, which can cut, delay and reset the replica's connections.
+func (r *Replica) Listener() *fault.Listener { return r.listener }
 
 // Crash closes all connections and ends the replica.
 func (r *Replica) Crash() { r.server.Close() }
@@ -132,8 +132,8 @@
 	}
 }
 
-// Set replaces the faults.
-func (r *Replica) Set(f Faults) {
+// SetFaults replaces the faults.
+func (r *Replica) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults, r.faultsSetAt = f, time.Now()
@@ -145,7 +145,7 @@
 	r.mu.Lock()
 	since := time.Since(r.faultsSetAt)
 	r.mu.Unlock()
-	if f.FailStatus == 0 || since < f.FailFrom {
+	if f.FailStatus == 0 || since < f.FailAfter {
 		return false
 	}
 	return f.FailShare == 0 || float64(xxhash.Sum64String(id)%1000) < 1000*f.FailShare
@@ -162,18 +162,18 @@
 
 // withStartTime adds the replica's start time to an entry or a report, unless it is not published.
 func (r *Replica) withStartTime(values map[string]any) map[string]any {
-	if r.Born != 0 {
-		values["born"] = r.Born
+	if r.StartedAt != 0 {
+		values["born"] = r.StartedAt
 	}
 	return values
 }
 
-// Reborn starts a new incarnation of a replica that has crashed, with its id and address but
+// Restart starts a new incarnation of a replica that has crashed, with its id and address but
 // none of its state. startedAt is the start time in Unix milliseconds.
-func (r *Replica) Reborn(startedAt int64) (*Replica, error) {
+func (r *Replica) Restart(startedAt int64) (*Replica, error) {
 	restarted := &Replica{
-		ID: r.ID, Born: startedAt, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
-		Listen: r.Addr(), Pieces: r.Pieces, Gap: r.Gap, OnCrash: r.OnCrash,
+		ID: r.ID, StartedAt: startedAt, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
+		Listen: r.Addr(), Chunks: r.Chunks, ChunkGap: r.ChunkGap, OnCrash: r.OnCrash,
 	}
 	return restarted, restarted.Start(r.replicaAt)
 }
@@ -189,8 +189,8 @@
 	return out
 }
 
-// Open returns the number of requests in progress.
-func (r *Replica) Open() int {
+// OpenRequests returns the number of requests in progress.
+func (r *Replica) OpenRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.openRequests
@@ -202,13 +202,13 @@
 	r.openRequests += n
 }
 
-// Piece returns chunk n of the stream that responds to a request, as a server-sent event.
-func Piece(id string, n int) string {
+// Chunk returns chunk n of the stream that responds to a request, as a server-sent event.
+func Chunk(id string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n)
 }
 
-// Whole returns the complete response to a request from a service that is not a model engine.
-func Whole(id string) string { return "answer to " + id }
+// CompleteResponse returns the complete response to a request from a service that is not a model engine.
+func CompleteResponse(id string) string { return "answer to " + id }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
 	r.addOpen(1)
@@ -230,7 +230,7 @@
 		w.WriteHeader(refuse)
 		return
 	}
-	if f.Silent {
+	if f.NoResponse {
 		<-req.Context().Done()
 		return
 	}
@@ -306,9 +306,9 @@
 }
 
 func (r *Replica) serveComplete(w http.ResponseWriter, a *Arrival, f Faults) {
-	text := Whole(a.ID)
+	text := CompleteResponse(a.ID)
 	switch {
-	case f.Unframed:
+	case f.NoLength:
 		conn, buf, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -316,7 +316,7 @@
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\nConnection: close\r\n\r\n%s", a.ID, text)
 		buf.Flush()
 		conn.Close()
-	case f.Torn:
+	case f.Truncated:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
@@ -329,19 +329,19 @@
 func (r *Replica) serveStream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
 	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
-	for n := from + 1; n <= r.Pieces; n++ {
+	for n := from + 1; n <= r.Chunks; n++ {
 		if !r.waitForChunk(req) {
 			return
 		}
-		chunk := Piece(a.ID, n)
-		if f.Torn && n == r.Pieces/2 {
+		chunk := Chunk(a.ID, n)
+		if f.Truncated && n == r.Chunks/2 {
 			io.WriteString(w, chunk[:len(chunk)/2])
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, chunk); err != nil {
 			return
 		}
-		if f.Repeat {
+		if f.RepeatChunks {
 			io.WriteString(w, chunk)
 		}
 		w.(http.Flusher).Flush()
@@ -352,7 +352,7 @@
 // waitForChunk waits until the next chunk is due and the replica is not frozen. It returns false if
 // the request ends before.
 func (r *Replica) waitForChunk(req *http.Request) bool {
-	t := time.NewTimer(r.Gap)
+	t := time.NewTimer(r.ChunkGap)
 	defer t.Stop()
 	select {
 	case <-req.Context().Done():
@@ -376,5 +376,5 @@
 func (r *Replica) markEnded(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.Ended = true
+	a.Completed = true
 }
--- a/fakes/hosted/store.go
+++ b/fakes/hosted/store.go
@@ -62,15 +62,15 @@
 // Addr returns the address without a scheme.
 func (s *Store) Addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Door is an additional address of the store, which can be closed on its own.
-type Door struct {
+// Endpoint is an additional address of the store, which can be closed on its own.
+type Endpoint struct {
 	*httptest.Server
 	closed atomic.Bool
 }
 
-// NewDoor opens an additional address of the store.
-func (s *Store) NewDoor() *Door {
-	e := &Door{}
+// NewEndpoint opens an additional address of the store.
+func (s *Store) NewEndpoint() *Endpoint {
+	e := &Endpoint{}
 	e.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.closed.Load() {
 			http.Error(w, `{"error":"not you"}`, http.StatusServiceUnavailable)
@@ -82,24 +82,24 @@
 }
 
 // Addr returns the address without a scheme.
-func (e *Door) Addr() string { return strings.TrimPrefix(e.URL, "http://") }
+func (e *Endpoint) Addr() string { return strings.TrimPrefix(e.URL, "http://") }
 
-// Shut makes calls at this address fail with 503 and closes the connections of those in progress.
-func (e *Door) Shut() {
+// Disable makes calls at this address fail with 503 and closes the connections of those in progress.
+func (e *Endpoint) Disable() {
 	e.closed.Store(true)
 	e.CloseClientConnections()
 }
 
-// Down sets whether every call fails with 503.
-func (s *Store) Down(failing bool) {
+// SetFailing sets whether every call fails with 503.
+func (s *Store) SetFailing(failing bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failing = failing
 	s.notifyChanged()
 }
 
-// Silent sets whether calls wait without a response.
-func (s *Store) Silent(unresponsive bool) {
+// SetUnresponsive sets whether calls wait without a response.
+func (s *Store) SetUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unresponsive = unresponsive
--- a/fakes/kv/server.go
+++ b/fakes/kv/server.go
@@ -80,8 +80,8 @@
 	return maps.Clone(s.calls)
 }
 
-// Watching returns the number of open watches whose first key has this prefix.
-func (s *Server) Watching(prefix string) int {
+// OpenWatches returns the number of open watches whose first key has this prefix.
+func (s *Server) OpenWatches(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/fakes/service/service.go
+++ b/fakes/service/service.go
@@ -171,10 +171,10 @@
 	s.reply(w, r, a)
 }
 
-// crash kills the replica and starts it again after fault.CrashTime.
+// crash kills the replica and starts it again after fault.RestartDelay.
 func (s *Service) crash() {
 	s.server.Kill()
-	time.AfterFunc(fault.CrashTime, func() {
+	time.AfterFunc(fault.RestartDelay, func() {
 		if err := s.server.Start(); err != nil {
 			panic(err) // the fake's own address is in use
 		}
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -84,7 +84,7 @@
 	s.addLoading(1)
 	defer s.addLoading(-1)
 	size := s.sizes[path.Join(ref.Model, ref.Version, ref.Adapter)]
-	return s.readAtRate(ctx, size, func(int) error { return s.server.Listener.Wait(ctx) })
+	return s.readAtRate(ctx, size, func(int) error { return s.server.Listener.WaitInbound(ctx) })
 }
 
 func (s *Store) addLoading(n int) {
@@ -94,8 +94,8 @@
 	s.maxLoading = max(s.maxLoading, s.loading)
 }
 
-// MostLoads returns the highest number of concurrent loads so far.
-func (s *Store) MostLoads() int {
+// MaxConcurrentLoads returns the highest number of concurrent loads so far.
+func (s *Store) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxLoading
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -16,11 +16,11 @@
 // store must not be the only source of replicas.
 func TestSuccessorIsAdoptedWhileTheStoreIsAway(t *testing.T) {
 	f := newFleet(t)
-	old := f.startReplica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: freeAddr(t)})
+	old := f.startReplica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Chunks: 2, Listen: freeAddr(t)})
 	n := f.startServingNode()
-	f.store.Silent(true)
+	f.store.SetUnresponsive(true)
 	old.Crash()
-	successor := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: old.Addr()}
+	successor := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Chunks: 2, Listen: old.Addr()}
 	if err := successor.Start(f.replicaAt); err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 		return err == nil && resp.StatusCode == http.StatusOK && len(text) > 0
 	})
 	f.store.Register(successor, false)
-	f.store.Silent(false)
+	f.store.SetUnresponsive(false)
 	await(t, "an up-to-date copy of the store", func() bool { return n.storeSync.age(time.Now()) < staleAfter })
 	time.Sleep(listedWithin + 2*adoptInterval) // nothing must happen to it
 	if n.dir.Leaving("e1") {
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -111,8 +111,8 @@
 	var engines []*fakes.Replica
 	for i := range 4 {
 		engines = append(engines, f.startReplica(&fakes.Replica{
-			ID: fmt.Sprintf("e%d", i), Born: 1000, Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true,
-			Pieces: 40, Gap: 10 * time.Millisecond, Listen: freeAddr(t),
+			ID: fmt.Sprintf("e%d", i), StartedAt: 1000, Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true,
+			Chunks: 40, ChunkGap: 10 * time.Millisecond, Listen: freeAddr(t),
 		}))
 	}
 	n := f.startServingNode()
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -122,7 +122,7 @@
 	}
 	got := 0
 	err = waitUntil("open watches", func() bool {
-		got = b.set.KV.Watching(args[0])
+		got = b.set.KV.OpenWatches(args[0])
 		return got == want
 	})
 	if err != nil {
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -100,7 +100,7 @@
 }
 
 func atMostLoads(b *bench, _ *testscript.TestScript, args []string) error {
-	if got := strconv.Itoa(b.set.Weights.MostLoads()); got > args[0] {
+	if got := strconv.Itoa(b.set.Weights.MaxConcurrentLoads()); got > args[0] {
 		return fmt.Errorf("%s loads were under way at once, at most %s may", got, args[0])
 	}
 	return nil
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -13,7 +13,7 @@
 
 // checks collects the results of requests and the violations found in them.
 type checks struct {
-	checkTimes bool // Config.Timed
+	checkTimes bool // Config.CheckTimes
 
 	mu         sync.Mutex
 	requests   int
@@ -83,11 +83,11 @@
 	if r.status != http.StatusOK {
 		return ""
 	}
-	want := fakes.Whole(r.id)
+	want := fakes.CompleteResponse(r.id)
 	if r.kind == "draft" {
 		var b strings.Builder
 		for n := 1; n <= chunkCount; n++ {
-			b.WriteString(fakes.Piece(r.id, n))
+			b.WriteString(fakes.Chunk(r.id, n))
 		}
 		want = b.String()
 	}
@@ -194,10 +194,10 @@
 func (r *platformRun) checkIdle(all []*fakes.Replica) {
 	deadline := time.Now().Add(workEndTime)
 	for _, rep := range all {
-		for rep.Open() > 0 && time.Now().Before(deadline) {
+		for rep.OpenRequests() > 0 && time.Now().Before(deadline) {
 			time.Sleep(20 * time.Millisecond)
 		}
-		if n := rep.Open(); n > 0 {
+		if n := rep.OpenRequests(); n > 0 {
 			r.checks.violated("work ends when nobody waits for it", "", fmt.Sprintf("%d requests at %s", n, rep.ID))
 		}
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -19,7 +19,7 @@
 func completeDraft(id string) string {
 	var b strings.Builder
 	for n := 1; n <= chunkCount; n++ {
-		b.WriteString(fakes.Piece(id, n))
+		b.WriteString(fakes.Chunk(id, n))
 	}
 	return b.String()
 }
@@ -28,7 +28,7 @@
 func TestAnswersAreJudged(t *testing.T) {
 	const id = "c1-1"
 	complete := completeDraft(id)
-	firstTwo := fakes.Piece(id, 1) + fakes.Piece(id, 2)
+	firstTwo := fakes.Chunk(id, 1) + fakes.Chunk(id, 2)
 	cut := errors.New("connection reset")
 	for name, c := range map[string]struct {
 		result result
@@ -39,11 +39,11 @@
 		"client disconnected":         {result{kind: "draft", status: 200, body: firstTwo, abandoned: true}, ""},
 		"refused":                     {result{kind: "draft", status: 503}, ""},
 		"cut, but looks complete":     {result{kind: "draft", status: 200, body: firstTwo}, "look whole"},
-		"a chunk is missing":          {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece(id, 3), err: cut}, "missing"},
-		"a chunk is repeated":         {result{kind: "draft", status: 200, body: firstTwo + fakes.Piece(id, 2), err: cut}, "repeated"},
-		"chunks of another response":  {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece("c2-9", 2), err: cut}, "another answer"},
+		"a chunk is missing":          {result{kind: "draft", status: 200, body: fakes.Chunk(id, 1) + fakes.Chunk(id, 3), err: cut}, "missing"},
+		"a chunk is repeated":         {result{kind: "draft", status: 200, body: firstTwo + fakes.Chunk(id, 2), err: cut}, "repeated"},
+		"chunks of another response":  {result{kind: "draft", status: 200, body: fakes.Chunk(id, 1) + fakes.Chunk("c2-9", 2), err: cut}, "another answer"},
 		"chunks after the end":        {result{kind: "draft", status: 200, body: complete + firstTwo}, "repeated"},
-		"response to another request": {result{kind: "look", status: 200, body: fakes.Whole("c2-9")}, "another answer"},
+		"response to another request": {result{kind: "look", status: 200, body: fakes.CompleteResponse("c2-9")}, "another answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.result.id = id
@@ -71,7 +71,7 @@
 
 func TestOlderConfigurationIsFound(t *testing.T) {
 	answer := func(status int, incarnation string, startedAt time.Time) result {
-		return result{id: "c1-1", kind: "look", key: "k", status: status, incarnation: incarnation, startedAt: startedAt, body: fakes.Whole("c1-1")}
+		return result{id: "c1-1", kind: "look", key: "k", status: status, incarnation: incarnation, startedAt: startedAt, body: fakes.CompleteResponse("c1-1")}
 	}
 	c := newChecks(true)
 	beforeRejection := time.Now()
@@ -102,7 +102,7 @@
 	}
 	draft, app := r.services["llm"][0], r.services["app"][0]
 	request := func(rep *fakes.Replica, path, id string) *http.Request {
-		req, err := fakes.Ask{Addr: rep.Addr(), Path: path, ID: id, Key: "", Budget: time.Minute, Prompt: "aa:40"}.Request()
+		req, err := fakes.ClientRequest{Addr: rep.Addr(), Path: path, ID: id, Key: "", Budget: time.Minute, Prompt: "aa:40"}.HTTPRequest()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/soak/platform_restarts.go
+++ b/soak/platform_restarts.go
@@ -11,7 +11,7 @@
 // that write to the store. They are optional, since a longer list of faults changes which faults
 // the kept seeds draw.
 func (r *platformRun) restartFaults() []fault {
-	if !r.cfg.Lifetimes {
+	if !r.cfg.Restarts {
 		return nil
 	}
 	return []fault{
@@ -31,7 +31,7 @@
 	rep.Thaw()
 	rep.Crash()
 	return func() {
-		restarted, err := rep.Reborn(time.Now().Add(clockOffset).UnixMilli())
+		restarted, err := rep.Restart(time.Now().Add(clockOffset).UnixMilli())
 		if err != nil {
 			r.replace(rep) // its port is in use by another listener
 			return
--- a/soak/platform_rollouts.go
+++ b/soak/platform_rollouts.go
@@ -23,7 +23,7 @@
 
 // versionFaults lists the faults that a bad version can have.
 var versionFaults = []fakes.Faults{
-	{FailStatus: 500, FailShare: 0.7}, {FailStatus: 500}, {FailStatus: 500, FailShare: 0.6, FailFrom: 1500 * time.Millisecond},
+	{FailStatus: 500, FailShare: 0.7}, {FailStatus: 500}, {FailStatus: 500, FailShare: 0.6, FailAfter: 1500 * time.Millisecond},
 }
 
 // rolloutOrder is one roll-out that a run has ordered.
@@ -63,7 +63,7 @@
 		r.badVersions[o.version] = versionFaults[r.orderedVersions%len(versionFaults)]
 		r.mu.Unlock()
 	}
-	o.requestsBefore = fakes.Ran(r.allOfService(service))
+	o.requestsBefore = fakes.CountRuns(r.allOfService(service))
 	r.store.OrderRollout(service, o.version, rolloutTime)
 	r.rollouts[service] = o
 	for _, rep := range old {
@@ -130,7 +130,7 @@
 		if r.remove(rep) {
 			rep.Thaw()
 			rep.Crash()
-			r.store.Lapse(rep)
+			r.store.Unregister(rep)
 		}
 	}
 	r.endRollout(o)
@@ -140,21 +140,21 @@
 // reach them after rollbackTime.
 func (r *platformRun) finishRolledBack(o *rolloutOrder) {
 	time.Sleep(rollbackTime)
-	before := fakes.Ran(r.allOfVersion(o))
+	before := fakes.CountRuns(r.allOfVersion(o))
 	_, newReplicas := r.servingByVersion(o)
 	for _, rep := range newReplicas {
 		r.store.Register(rep, true)
 		r.remove(rep)
 	}
 	time.Sleep(rollbackTime / 5)
-	if after := fakes.Ran(r.allOfVersion(o)); after > before && !r.faultsEnded.Load() {
+	if after := fakes.CountRuns(r.allOfVersion(o)); after > before && !r.faultsEnded.Load() {
 		r.history.add(fmt.Sprintf("%d requests reached %s after it was taken back, beside faults", after-before, o.version))
 	} else if after > before {
 		r.checks.violated("a version that was taken back gets nothing", "", fmt.Sprintf("%d requests at %s", after-before, o.version))
 	}
 	r.checkExposure(o)
 	for _, rep := range newReplicas {
-		r.store.Lapse(rep)
+		r.store.Unregister(rep)
 	}
 	r.endRollout(o)
 }
@@ -164,7 +164,7 @@
 	if !o.bad {
 		return
 	}
-	reached, all := fakes.Ran(r.allOfVersion(o)), fakes.Ran(r.allOfService(o.service))-o.requestsBefore
+	reached, all := fakes.CountRuns(r.allOfVersion(o)), fakes.CountRuns(r.allOfService(o.service))-o.requestsBefore
 	if limit := exposureShare*float64(all) + exposureBurst; float64(reached) > limit {
 		r.checks.violated("few requests reach a bad version", "", fmt.Sprintf("%d of %d at %s", reached, all, o.version))
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -25,28 +25,28 @@
 
 // Config of one run.
 type Config struct {
-	Seed     uint64
-	Wigeond  string   // path of the wigeond program to start
-	Env      []string // added to the environment of each wigeond process
-	Nodes    int
-	Engines  int // model engines: in two failure domains on the platform, in three on the product's interface
-	Services int
-	Clients  int
-	Length   time.Duration // of the phase in which faults are injected
-	Dir      string        // for settings and log files
-	Out      io.Writer
-	// Timed also checks that each response ends in time. It is off in CI, where the result
+	Seed      uint64
+	Wigeond   string   // path of the wigeond program to start
+	Env       []string // added to the environment of each wigeond process
+	Nodes     int
+	Engines   int // model engines: in two failure domains on the platform, in three on the product's interface
+	Services  int
+	Clients   int
+	FaultTime time.Duration // of the phase in which faults are injected
+	Dir       string        // for settings and log files
+	Out       io.Writer
+	// CheckTimes also checks that each response ends in time. It is off in CI, where the result
 	// must not depend on how busy the machine is.
-	Timed bool
-	// Lifetimes adds faults of the users' platform: replicas that restart under the same id,
+	CheckTimes bool
+	// Restarts adds faults of the users' platform: replicas that restart under the same id,
 	// and store entries written by other programs.
-	Lifetimes bool
+	Restarts bool
 	// Rollouts orders roll-outs of good and bad versions of the services on the users'
 	// platform.
 	Rollouts bool
-	// Crashers repeatedly sends requests that crash every backend server that runs them, on
+	// CrashingRequests repeatedly sends requests that crash every backend server that runs them, on
 	// the users' platform.
-	Crashers bool
+	CrashingRequests bool
 }
 
 // Violation is one observation that breaks a promise of the product.
@@ -106,7 +106,7 @@
 		cfg:     cfg,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, stream)),
 		history: &history{startedAt: time.Now()},
-		checks:  newChecks(cfg.Timed),
+		checks:  newChecks(cfg.CheckTimes),
 	}
 }
 
@@ -141,7 +141,7 @@
 		c := bed.newClient(i)
 		clients.Go(func() { c.loop(clientCtx) })
 	}
-	injectFaults(ctx, r.rng, r.cfg.Length, bed.faults(), r.history.add)
+	injectFaults(ctx, r.rng, r.cfg.FaultTime, bed.faults(), r.history.add)
 	bed.endFaults()
 	stopClients()
 	clients.Wait()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -31,7 +31,7 @@
 // to an older configuration, and work ends when no client waits for it.
 func TestSeeds(t *testing.T) {
 	for _, seed := range seeds {
-		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
@@ -39,7 +39,7 @@
 // the store.
 func TestLifetimeSeeds(t *testing.T) {
 	for _, seed := range []uint64{3} {
-		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second, Lifetimes: true})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second, Restarts: true})
 	}
 }
 
@@ -52,19 +52,19 @@
 // 8003: a trial started late and ended before the version turned bad.
 func TestRolloutSeeds(t *testing.T) {
 	for seed, length := range map[uint64]time.Duration{8002: 20 * time.Second, 8003: 15 * time.Second} {
-		checkSeed(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: length, Rollouts: true})
+		checkSeed(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, FaultTime: length, Rollouts: true})
 	}
 }
 
 // As TestSeeds, with requests that crash every replica that runs them.
 func TestCrasherSeeds(t *testing.T) {
-	checkSeed(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, Length: 8 * time.Second, Crashers: true})
+	checkSeed(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, FaultTime: 8 * time.Second, CrashingRequests: true})
 }
 
 // Runs on the product's own interface.
 func TestProductSeeds(t *testing.T) {
 	for _, seed := range productSeeds {
-		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, Length: 5 * time.Second})
+		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
@@ -74,7 +74,7 @@
 // death by the signal counted as a violation.
 func TestSeedsThatFailedOnTheProductsInterface(t *testing.T) {
 	for _, seed := range []uint64{5002} {
-		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: 8 * time.Second})
+		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, FaultTime: 8 * time.Second})
 	}
 }
 
