--- a/replay/arrivals.go
+++ b/replay/arrivals.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Rate is a load: so many arrivals a second from a moment on.
+// Rate is a rate of arrivals that applies from the offset From until the From of the next
+// Rate in the list.
 type Rate struct {
 	From      time.Duration
 	PerSecond float64
 }
 
-// Arrivals draws the moments of arrivals from a seed, at the rates in their order, until
-// the end.
+// Arrivals returns the times of Poisson arrivals, as offsets from the start, that are drawn
+// from seed at the given rates, which are sorted by From. The last arrival is the first one
+// at or after end.
 func Arrivals(seed uint64, end time.Duration, rates ...Rate) []time.Duration {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var out []time.Duration
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -1,11 +1,11 @@
-// Package replay plays load patterns against a model of engines, on whatever clock the
-// caller runs (testing/synctest in tests), so that decisions about waiting, refusing and
-// placing are tried without sockets.
+// Package replay runs load patterns against a model of engines, on the clock of the
+// caller (testing/synctest in tests), so that decisions to queue, refuse and place requests
+// are tested without sockets.
 //
-// The model has batched steps, prompts read in chunks between them, memory with
-// preemption, a queue, copies and crashes. It is no simulator of a cluster: networks,
-// processors and the engines' own schedulers are left out, and its figures are not those
-// of a deployment. What it is for is the order of two policies under one load.
+// The model has batched decode steps, prompts that are prefilled in chunks between them,
+// memory with preemption, a queue, stored prompt copies and crashes. It does not simulate a
+// cluster: networks, processors and the schedulers of real engines are left out, so its
+// figures are not those of a deployment. It serves to rank two policies under the same load.
 package replay
 
 import (
@@ -17,68 +17,69 @@
 	"wigeondale/fleet"
 )
 
-// Config is what one engine can do.
+// Config is the capacity of one engine.
 type Config struct {
-	ReadPerSecond float64       // tokens of prompts
-	Chunk         int           // tokens of a prompt that are read between two steps
-	Step          time.Duration // that makes a token of each run, alone
-	StepPerRun    time.Duration // that each run adds to it
-	Memory        int           // tokens of runs and copies
+	ReadPerSecond float64       // prompt tokens prefilled per second
+	Chunk         int           // prompt tokens prefilled between two decode steps
+	Step          time.Duration // fixed part of a decode step, which generates one token of each run
+	StepPerRun    time.Duration // added to Step for each run in the batch
+	Memory        int           // capacity in tokens, for runs and stored copies
 }
 
-// Signal is what happens to a run.
+// Signal is an event in the progress of a run.
 type Signal uint8
 
 const (
-	// First says that the prompt is read and the first token made.
+	// First is sent when the prompt is prefilled and the first token generated.
 	First Signal = iota
-	// Done says that the last token is made.
+	// Done is sent when the last token is generated.
 	Done
-	// Lost says that the engine crashed.
+	// Lost is sent when the engine crashes.
 	Lost
 )
 
 // Run is one request at an engine.
 type Run struct {
-	Prompt  int // tokens that are to be read
-	Kept    int // tokens of the prompt that a copy there spares
-	Answer  int // tokens that are to be made
+	Prompt  int // tokens of the prompt
+	Kept    int // tokens of the prompt that a stored copy saves from prefill
+	Answer  int // tokens to generate
 	Signals chan Signal
 
-	read, made int
-	cancelled  bool
+	prefilled, generated int
+	cancelled            bool
 }
 
-// NewRun returns a run whose signals are kept until they are read.
-func NewRun(prompt, kept, answer int) *Run {
-	return &Run{Prompt: prompt, Kept: kept, Answer: answer, Signals: make(chan Signal, 3), read: kept}
+// NewRun returns a run. Signals has room for all signals of a run, so the engine never blocks
+// on a caller that does not read them.
+func NewRun(prompt, cached, answer int) *Run {
+	return &Run{Prompt: prompt, Kept: cached, Answer: answer, Signals: make(chan Signal, 3), prefilled: cached}
 }
 
-func (r *Run) held() int { return r.read + r.made }
+func (r *Run) cacheTokens() int { return r.prefilled + r.generated }
 
 // Engine is the model of one engine.
 type Engine struct {
 	cfg  Config
 	wake chan struct{}
 
-	mu      sync.Mutex
-	waiting []*Run // their prompts are read one after the other
-	running []*Run
-	copies  int // tokens
-	report  fleet.EngineState
-	shown   time.Time // when report was made
-	vain    int       // tokens that were read again
-	longest int       // most prompts that waited at once
+	mu         sync.Mutex
+	waiting    []*Run // queued for prefill, which takes one prompt at a time
+	running    []*Run
+	copies     int // tokens of stored copies
+	report     fleet.EngineState
+	reportedAt time.Time // when report was made
+	recomputed int       // tokens that had to be prefilled again after a preemption
+	maxWaiting int       // maximum length of waiting
 }
 
-// NewEngine returns an engine that works while Serve runs.
+// NewEngine returns an engine. It makes progress only while Serve runs.
 func NewEngine(cfg Config) *Engine { return &Engine{cfg: cfg, wake: make(chan struct{}, 1)} }
 
-// Begin has the engine work on a run.
+// Begin queues a run.
 func (e *Engine) Begin(r *Run) {
 	e.mu.Lock()
 	e.waiting = append(e.waiting, r)
-	e.longest = max(e.longest, len(e.waiting))
+	e.maxWaiting = max(e.maxWaiting, len(e.waiting))
 	e.mu.Unlock()
 	select {
 	case e.wake <- struct{}{}:
@@ -86,53 +87,55 @@
 	}
 }
 
-// Cancel takes a run out whose caller is gone.
+// Cancel marks a run whose caller has disconnected; it is removed before the next step.
 func (e *Engine) Cancel(r *Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r.cancelled = true
 }
 
-// Keep holds a copy of so many tokens, until Keep with as many less than none.
+// Keep changes the number of tokens that stored copies occupy. A negative number of tokens
+// removes a copy.
 func (e *Engine) Keep(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.copies = max(e.copies+tokens, 0)
 }
 
-// Crash loses everything.
+// Crash drops all runs, copies and the report, and sends Lost to each run.
 func (e *Engine) Crash() {
 	e.mu.Lock()
 	lost := append(slices.Clone(e.waiting), e.running...)
 	e.waiting, e.running, e.copies = nil, nil, 0
-	e.report, e.shown = fleet.EngineState{}, time.Time{}
+	e.report, e.reportedAt = fleet.EngineState{}, time.Time{}
 	e.mu.Unlock()
 	for _, r := range lost {
 		r.Signals <- Lost
 	}
 }
 
-// reportEvery is how often an engine makes a new report of itself.
-const reportEvery = 300 * time.Millisecond
+// reportInterval is the minimum age of the engine's load report before a new one replaces it.
+const reportInterval = 300 * time.Millisecond
 
-// Report is what the engine says of itself: as it was when it last made a report.
+// Report returns the engine's load report. It describes the state at the time at which it was
+// made, up to reportInterval ago.
 func (e *Engine) Report() fleet.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.renew()
+	e.refreshReport()
 	return e.report
 }
 
-// renew makes a new report when the last one is old. e.mu is held.
-func (e *Engine) renew() {
+// refreshReport replaces the report if it is older than reportInterval. The caller holds e.mu.
+func (e *Engine) refreshReport() {
 	now := time.Now()
-	if now.Sub(e.shown) < reportEvery {
+	if now.Sub(e.reportedAt) < reportInterval {
 		return
 	}
-	e.shown = now
-	e.report = fleet.EngineState{Used: e.held(), Copies: e.copies}
+	e.reportedAt = now
+	e.report = fleet.EngineState{Used: e.usedTokens(), Copies: e.copies}
 	for _, r := range e.running {
-		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.held(), Made: r.made})
+		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.cacheTokens(), Made: r.generated})
 	}
 	if len(e.waiting) > 0 {
 		e.report.Reading, e.report.Queued = 1, len(e.waiting)-1
@@ -142,16 +145,16 @@
 	}
 }
 
-// Vain is how many tokens were read again, and Longest how many prompts waited at most.
-func (e *Engine) Vain() int { e.mu.Lock(); defer e.mu.Unlock(); return e.vain }
+// Vain returns the number of tokens that were prefilled again after preemptions.
+func (e *Engine) Vain() int { e.mu.Lock(); defer e.mu.Unlock(); return e.recomputed }
 
-// Longest is how many prompts waited at once at most.
-func (e *Engine) Longest() int { e.mu.Lock(); defer e.mu.Unlock(); return e.longest }
+// Longest returns the maximum number of runs that were queued at the same time.
+func (e *Engine) Longest() int { e.mu.Lock(); defer e.mu.Unlock(); return e.maxWaiting }
 
-// Serve works until ctx ends.
+// Serve executes steps until ctx ends.
 func (e *Engine) Serve(ctx context.Context) {
 	for ctx.Err() == nil {
-		d, busy := e.plan()
+		d, busy := e.nextStep()
 		if !busy {
 			select {
 			case <-ctx.Done():
@@ -165,43 +168,43 @@
 	}
 }
 
-// plan is how long the next step takes.
-func (e *Engine) plan() (d time.Duration, busy bool) {
+// nextStep returns the duration of the next step; busy is false if there is no run.
+func (e *Engine) nextStep() (d time.Duration, busy bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.renew()
+	e.refreshReport()
 	e.dropCancelled()
 	if len(e.waiting)+len(e.running) == 0 {
 		return 0, false
 	}
 	d = e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerRun
-	if chunk := e.chunk(); chunk > 0 {
+	if chunk := e.nextChunk(); chunk > 0 {
 		d += time.Duration(float64(chunk) / e.cfg.ReadPerSecond * float64(time.Second))
 	}
 	return d, true
 }
 
-// chunk is how much of the first prompt is read in the next step: none while memory
-// for it lacks.
-func (e *Engine) chunk() int {
+// nextChunk returns how many tokens of the first queued prompt are prefilled in the next step:
+// none while there is not enough memory for them.
+func (e *Engine) nextChunk() int {
 	if len(e.waiting) == 0 {
 		return 0
 	}
 	r := e.waiting[0]
-	chunk := min(e.cfg.Chunk, r.Prompt-r.read)
-	if e.held()+chunk > e.cfg.Memory && len(e.running) > 0 {
-		return 0 // until a run ends; where none does, copies and other prompts yield
+	chunk := min(e.cfg.Chunk, r.Prompt-r.prefilled)
+	if e.usedTokens()+chunk > e.cfg.Memory && len(e.running) > 0 {
+		return 0 // wait until a run ends; without any run, copies and other prompts make room
 	}
 	return chunk
 }
 
-func (e *Engine) held() int {
+func (e *Engine) usedTokens() int {
 	sum := e.copies
 	for _, r := range e.running {
-		sum += r.held()
+		sum += r.cacheTokens()
 	}
 	for _, r := range e.waiting {
-		sum += r.held()
+		sum += r.cacheTokens()
 	}
 	return sum
 }
@@ -209,35 +212,36 @@
 func (e *Engine) step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.makeTokens()
+	e.generateTokens()
 	if len(e.waiting) == 0 {
 		return
 	}
 	r := e.waiting[0]
-	r.read += e.chunk()
-	if r.read < r.Prompt {
+	r.prefilled += e.nextChunk()
+	if r.prefilled < r.Prompt {
 		return
 	}
 	e.waiting = e.waiting[1:]
 	e.running = append(e.running, r)
-	if r.made == 0 {
-		r.made = 1
+	if r.generated == 0 {
+		r.generated = 1
 		r.Signals <- First
 	}
 }
 
-// makeTokens gives each run a token. When memory runs out the newest is put off.
-func (e *Engine) makeTokens() {
-	for e.held()+len(e.running) > e.cfg.Memory && len(e.running) > 1 {
+// generateTokens generates one token for each run. While memory is short, it first preempts the
+// newest run: the run returns to the queue and its prompt is prefilled again.
+func (e *Engine) generateTokens() {
+	for e.usedTokens()+len(e.running) > e.cfg.Memory && len(e.running) > 1 {
 		last := e.running[len(e.running)-1]
 		e.running = e.running[:len(e.running)-1]
-		e.vain += last.read
-		last.read = 0
+		e.recomputed += last.prefilled
+		last.prefilled = 0
 		e.waiting = append(e.waiting, last)
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *Run) bool {
-		r.made++
-		if r.made < r.Answer {
+		r.generated++
+		if r.generated < r.Answer {
 			return false
 		}
 		r.Signals <- Done
@@ -246,7 +250,7 @@
 }
 
 func (e *Engine) dropCancelled() {
-	gone := func(r *Run) bool { return r.cancelled }
-	e.waiting = slices.DeleteFunc(e.waiting, gone)
-	e.running = slices.DeleteFunc(e.running, gone)
+	isCancelled := func(r *Run) bool { return r.cancelled }
+	e.waiting = slices.DeleteFunc(e.waiting, isCancelled)
+	e.running = slices.DeleteFunc(e.running, isCancelled)
 }
--- a/scenario/bench_test.go
+++ b/scenario/bench_test.go
@@ -37,23 +37,24 @@
 	rivalKey = "rival-key"
 	operator = "operator-token"
 	model    = "redactor-llm"
-	plain    = "portal-notas" // the plain service
+	plain    = "portal-notas" // a service that is not a model engine
 )
 
 var domains = []string{"bog-a", "bog-b", "mde-a"}
 
-// router is one wigeond, over several lives.
+// router is one wigeond, over all incarnations of its process.
 type router struct {
 	name, file, log     string
 	caller, admin, peer string // host:port
 	via                 string // host:port of the relay through which peers dial it
 	tls                 *certs // nil: plain HTTP
 	cmd                 *exec.Cmd
-	exited              chan struct{} // closed when the process of cmd has ended
+	exited              chan struct{} // closed when the process of cmd has exited
 }
 
-// bench is the fleet of one script. The stand-ins live in the test's own
-// process: their deaths are played, while those of routers are real.
+// bench is the fleet of one script. The stand-ins of backend servers and platform services
+// run in the test's own process, where their crashes are simulated; routers are real
+// processes, which are killed.
 type bench struct {
 	env     *testscript.Env
 	dir     string
@@ -62,25 +63,25 @@
 	routers []*router
 
 	tls        *certs           // nil: plain HTTP
-	unfenced   bool             // the engines don't check fencing numbers
+	unfenced   bool             // the engines do not check fencing numbers
 	sizes      map[string]int64 // bytes of weights by model version
-	storeRate  float64          // bytes/s that the weight store grants
-	budgetRate int64            // bytes/s that the routers' settings name
-	marks      map[string]int   // dispatches that a back end had got at its mark
+	storeRate  float64          // bytes/s that the weight store delivers
+	budgetRate int64            // bytes/s in the routers' settings
+	marks      map[string]int   // by backend server: its dispatches when the command count ran
 	posts      map[string]*posted
 
 	mu     sync.Mutex
 	gens   map[string]*gen
 	calls  map[string]*plainCall
-	marked int // see noteBegun
+	marked int // begun at the time of the command notebegun
 }
 
 func newBench(env *testscript.Env) *bench {
 	return &bench{env: env, dir: env.WorkDir, gens: make(map[string]*gen), calls: make(map[string]*plainCall)}
 }
 
-// up starts the stand-ins and n routers, applies the first intents and waits
-// until every router is ready.
+// up starts the stand-ins and n routers, applies the first intents and waits until every
+// router is ready.
 func (b *bench) up(n int, engines []string) error {
 	for i := range n {
 		name := fmt.Sprintf("r%d", i+1)
@@ -108,7 +109,8 @@
 	return b.configure()
 }
 
-// prefillOf lets an engine named "...-prefill" never get to a first token.
+// prefillOf returns the prefill time of an engine per block, in microseconds: an hour for a
+// name that ends in "-prefill", so that the engine never generates a first token.
 func prefillOf(id string) float64 {
 	if strings.HasSuffix(id, "-prefill") {
 		return float64(time.Hour / time.Microsecond)
@@ -139,12 +141,12 @@
 		cfg.VMs.Extra = append(cfg.VMs.Extra, vms.Entry{
 			ID: r.name, VM: "vm-" + r.name, Role: "entry", Addr: r.via, FailureDomain: domains[i%len(domains)],
 		})
-		// Each router reaches the key-value service and the VM list through relays
-		// of its own.
+		// Each router connects to the key-value service and the VM list through its own
+		// relays, so that a script can cut off a single router.
 		cfg.Relays = append(cfg.Relays, control.RelayConfig{ID: "kv-" + r.name, Target: b.kv})
 		cfg.Relays = append(cfg.Relays, control.RelayConfig{ID: "vms-" + r.name, Target: list})
-		// Each router is dialled by its peers through a relay: with those of all
-		// but one router cut, none hears another.
+		// Peers dial each router through a relay. Cutting the relays of all routers but one
+		// stops all messages between routers.
 		cfg.Relays = append(cfg.Relays, control.RelayConfig{ID: "peer-" + r.name, Listen: r.via, Target: r.peer})
 	}
 	set, err := control.New(cfg)
@@ -160,8 +162,8 @@
 	def := settings.Default()
 	policy, peers, directory := def.Policy, def.Peers, def.Directory
 	directory.VMsPollMS, directory.LoadPollMS = 100, 50
-	// Long silences only: on a busy machine a shorter one is a false alarm, whose
-	// extra attempt would upset the scripts that count attempts.
+	// Only long silences count as failures: on a busy machine a shorter one is a false
+	// suspicion, whose extra attempt would break scripts that count attempts.
 	policy.MinSuspectMS, policy.MaxSuspectMS = 1000, 3000
 	peers.HeartbeatMS, peers.KeyFile = 100, "peer.key"
 	for _, other := range b.routers {
@@ -198,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own copy
+	defer log.Close() // the process has its own file descriptor
 	cmd := exec.Command("wigeond", "--config", r.file)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
@@ -206,7 +208,7 @@
 	}
 	exited := make(chan struct{})
 	go func() {
-		cmd.Wait() // its outcome is kept in cmd.ProcessState
+		cmd.Wait() // the result is in cmd.ProcessState
 		close(exited)
 	}()
 	r.cmd, r.exited = cmd, exited
@@ -228,8 +230,8 @@
 	if err != nil {
 		return err
 	}
-	// A router answers before it has read the log: until then it refuses, and
-	// nothing was changed.
+	// A router answers before it has read the configuration log. Until then it refuses
+	// changes with not_ready, without applying any.
 	waitErr := waitUntil("first intents", func() bool {
 		err = b.ctl(intents, "apply", "-f", "-", "--yes", "--wait-timeout", hung.String())
 		return err == nil || !strings.Contains(err.Error(), "not_ready")
@@ -247,7 +249,7 @@
 
 func (b *bench) admins() string { return b.adminsBut("") }
 
-// adminsBut leaves one router out.
+// adminsBut returns the administration addresses of all routers except the named one.
 func (b *bench) adminsBut(name string) string {
 	var list []string
 	for _, r := range b.routers {
@@ -285,11 +287,12 @@
 	return nil
 }
 
-// close ends every process that the script started, by its id.
+// close kills every process that the script started, by its process id, and logs the ends of
+// the routers' logs if the test failed.
 func (b *bench) close() {
 	for _, r := range b.routers {
 		if r.cmd != nil {
-			r.cmd.Process.Signal(syscall.SIGKILL) // also ends a stopped one
+			r.cmd.Process.Signal(syscall.SIGKILL) // also ends a process that SIGSTOP has stopped
 			<-r.exited
 		}
 	}
@@ -313,11 +316,11 @@
 	}
 }
 
-// freeAddr is an address that no other test program uses.
+// freeAddr returns a loopback address that no other test program uses.
 func freeAddr() string {
 	addr, err := ports.FreeAddr()
 	if err != nil {
-		panic(err) // no ports left on this machine
+		panic(err) // the machine has no free ports left
 	}
 	return addr
 }
@@ -331,7 +334,7 @@
 	return nil
 }
 
-// get reads an operational page of the router.
+// get reads a page of the router's administration listener.
 func (r *router) get(path string) ([]byte, error) {
 	return getBy(r.tls.transport(false), r.tls.scheme()+r.admin+path)
 }
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -23,10 +23,11 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// claimsPrefix is where the claims' logs are in the key-value service.
+// claimsPrefix is the key prefix of the claim logs in the key-value service.
 const claimsPrefix = "wigeondale/claims/"
 
-// plainCall is one call of a plain service that runs beside the script.
+// plainCall is one call of a service that is not a model engine. It runs in the background
+// of the script.
 type plainCall struct {
 	name, key, body string
 	lookup          bool
@@ -34,21 +35,21 @@
 	done            chan struct{}
 
 	// After done:
-	status            int // 0 when no answer came
+	status            int // 0 if no answer came
 	outcome, code     string
-	retry             bool // Retry-After was told
-	own               bool // the answer names this very request
+	retry             bool // the answer has a Retry-After header
+	own               bool // the answer is that to this request: its id and digest match
 	before            int  // answers before this one, with -until
 	err               error
-	everPerhaps       bool // some answer left open whether it ran
+	everPerhaps       bool // at least one answer did not rule out that the call ran
 	endpoint, method  string
 	path, timeoutText string
 	until             string
 }
 
-// call sends one call of the plain service in the background: NAME ROUTER
+// call sends one call of the service in the background: NAME ROUTER
 // [-key k] [-body text|none] [-lookup] [-timeout d] [-until outcome]. With -until it
-// asks again under the same key, as a caller would, until that outcome.
+// repeats the call under the same key, as a caller would, until that outcome.
 func (b *bench) call(args []string) error {
 	args = slices.DeleteFunc(slices.Clone(args), func(s string) bool { return s == "&" })
 	r, err := b.mustRouter(args[1])
@@ -83,7 +84,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.calls[c.name] != nil {
-		return fmt.Errorf("want a new name")
+		return fmt.Errorf("call %q already exists", c.name)
 	}
 	b.calls[c.name] = c
 	go c.run()
@@ -102,7 +103,7 @@
 	}
 }
 
-// callers keeps connections alive, as callers do.
+// callers is the HTTP client of all calls. It reuses connections, as callers do.
 var callers = &http.Client{Timeout: hung}
 
 func (c *plainCall) once() {
@@ -112,7 +113,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, c.endpoint+"/services/"+plain+c.path, strings.NewReader(c.body))
 	if err == nil {
-		// Without it the test's own transport would send the call again.
+		// With GetBody set, the test's own transport could send the call a second time.
 		req.GetBody = nil
 		req.Header.Set("Authorization", "Bearer "+apiKey)
 		req.Header.Set("Idempotency-Key", c.key)
@@ -195,10 +196,10 @@
 }
 
 func claimed(b *bench, _ *testscript.TestScript, args []string) error {
-	// The range begins above the claims' prefix, so that slowness of the claims
-	// alone doesn't hold this read up.
+	// The range uses a shorter prefix than that of the claims, so that a fault that slows
+	// down only requests for claims does not delay this read.
 	const above = "wigeondale/"
-	// Generations are claimed under the id that engines see.
+	// Claims of generations use the request id that engines see.
 	call, gen := once.NewKeyID(account, args[0]), once.NewKeyID(account, load.RequestID(account, args[0]))
 	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + b.kv}, nil)
 	return waitUntil("claim of "+args[0], func() bool {
@@ -231,7 +232,7 @@
 	})
 }
 
-// executions returns how often the services ran the key's bookings.
+// executions returns how many times the services ran bookings under the key.
 func (b *bench) executions(key string) int {
 	n, id := 0, load.RequestID(account, key)
 	for _, s := range b.set.Record().Services {
@@ -258,11 +259,11 @@
 
 func checkRun(b *bench, _ *testscript.TestScript, _ []string) error { return b.checkRun() }
 
-// checkRun compares the answers of all calls with the services' own record:
-// no booking ran twice; one that was only ever refused as not run did not run;
-// one that was answered ran, and the answer is its own.
+// checkRun compares the answers to all calls with the services' own record: no booking ran
+// twice; a booking whose answers were all not-run did not run; a booking with a complete
+// answer ran, and the answer is that to this booking.
 func (b *bench) checkRun() error {
-	perhaps := make(map[string]bool) // by body, which the record counts too
+	perhaps := make(map[string]bool) // by body, since the record counts executions by body too
 	for _, c := range b.allCalls() {
 		if err := c.await(); err != nil {
 			return err
@@ -284,7 +285,7 @@
 		case n > 1:
 			return fmt.Errorf("%s: key %s ran %d times", c.name, c.key, n)
 		case !perhaps[c.body] && byBody > 0:
-			return fmt.Errorf("%s: answered not-run, but ran %d times", c.name, byBody)
+			return fmt.Errorf("%s: answered not-run, but the services ran it %d times", c.name, byBody)
 		case c.outcome == string(fleet.Complete) && byBody == 0:
 			return fmt.Errorf("%s: answered, but no service has it on record", c.name)
 		}
@@ -302,7 +303,7 @@
 	return list
 }
 
-// setting replaces one of the outermost keys of a router's settings file.
+// setting replaces the value of a top-level key in a router's settings file.
 func setting(b *bench, _ *testscript.TestScript, args []string) error {
 	r, err := b.mustRouter(args[0])
 	if err != nil {
@@ -323,7 +324,8 @@
 	return os.WriteFile(r.file, data, 0o600)
 }
 
-// begun counts bookings and dispatches of generations, by all back ends.
+// begun returns the number of bookings and of dispatched generations that all backend
+// servers have recorded.
 func (b *bench) begun() int {
 	r := b.set.Record()
 	n := r.Totals.Bookings
@@ -340,7 +342,7 @@
 
 func unmoved(b *bench, _ *testscript.TestScript, _ []string) error {
 	if n := b.begun(); n != b.marked {
-		return fmt.Errorf("back ends have begun %d requests, %d when noted", n, b.marked)
+		return fmt.Errorf("backend servers have started %d requests, %d at notebegun", n, b.marked)
 	}
 	return nil
 }
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -14,39 +14,39 @@
 	"github.com/valyala/fastjson"
 )
 
-// command is one command of the scripts; an error fails the script.
+// command implements one command of the scripts; an error fails the script.
 type command func(b *bench, ts *testscript.TestScript, args []string) error
 
 var commands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
 	"up":        wrap(1, up),        // up N [engines...]
 	"fault":     wrap(2, fault),     // fault COMPONENT NAME [json]
 	"signal":    wrap(2, signal),    // signal ROUTER KILL|STOP|CONT|TERM|HUP
-	"start":     wrap(1, start),     // start ROUTER: again, after it has exited; waits until ready
-	"exited":    wrap(2, exited),    // exited ROUTER CODE: waits for its end
+	"start":     wrap(1, start),     // start ROUTER: starts it again after it has exited and waits until it is ready
+	"exited":    wrap(2, exited),    // exited ROUTER CODE: waits until it exits and compares the exit code
 	"generate":  wrap(1, generate),  // see bench.generate
 	"await":     wrap(2, await),     // await NAME tokens=N | done
-	"expect":    wrap(2, expect),    // expect NAME FIELD=VALUE...: after done
-	"engineof":  wrap(2, engineOf),  // engineof NAME VARIABLE
-	"routerof":  wrap(2, routerOf),  // routerof NAME VARIABLE
-	"idle":      wrap(1, idle),      // idle ENGINE [cancelled]: waits until it runs no stream; if so asked, until each was ended by a cancel
+	"expect":    wrap(2, expect),    // expect NAME FIELD=VALUE...: waits until done, then compares the fields
+	"engineof":  wrap(2, engineOf),  // engineof NAME VARIABLE: waits for an engine that runs it and sets VARIABLE to its id
+	"routerof":  wrap(2, routerOf),  // routerof NAME VARIABLE: sets VARIABLE to the router to which its caller is connected
+	"idle":      wrap(1, idle),      // idle ENGINE [cancelled]: waits until it runs no stream; with cancelled, until all its streams were ended by a cancel
 	"checkall":  wrap(0, checkAll),  // see bench.checkAll
-	"record":    wrap(0, record),    // prints the back ends' record
+	"record":    wrap(0, record),    // prints the record of the backend servers
 	"many":      wrap(2, many),      // many N NAME [flags of generate]: NAME1 to NAMEN
 	"complete":  wrap(0, complete),  // waits for every generation and fails unless each is complete
-	"requestof": wrap(2, requestOf), // requestof NAME VARIABLE: its id towards backend servers
-	"runs":      wrap(2, runs),      // runs NAME N: on the record of the engines it was begun N times
-	"reconnect": wrap(6, reconnect), // reconnect NAME ROUTER APIKEY STATUS CODE OUTCOME: comes back by hand with its latest cursor
+	"requestof": wrap(2, requestOf), // requestof NAME VARIABLE: sets VARIABLE to the request id that backend servers see
+	"runs":      wrap(2, runs),      // runs NAME N: fails unless the engines recorded that they started it N times
+	"reconnect": wrap(6, reconnect), // reconnect NAME ROUTER APIKEY STATUS CODE OUTCOME: sends it again with its latest cursor, without the client library, and compares the answer
 	"waitfor":   wrap(3, waitFor),   // waitfor record|ROUTER/PATH dotted.path VALUE
 	"call":      wrap(2, call),      // see bench.call
-	"answer":    wrap(2, answer),    // answer NAME FIELD=VALUE|VALUE...: after its end
-	"claimed":   wrap(1, claimed),   // claimed KEY: waits until the key-value service holds its claim
+	"answer":    wrap(2, answer),    // answer NAME FIELD=VALUE|VALUE...: waits until the call ends, then compares the fields
+	"claimed":   wrap(1, claimed),   // claimed KEY: waits until its claim is in the key-value service
 	"overdue":   wrap(1, overdue),   // overdue NAME: waits until the call's deadline has passed
-	"owns":      wrap(2, owns),      // owns ROUTER OWNER: waits until ROUTER takes OWNER for the owner of every shard
-	"ran":       wrap(2, ran),       // ran KEY N: waits until the services ran it N times; more fails
+	"owns":      wrap(2, owns),      // owns ROUTER OWNER: waits until ROUTER considers OWNER the owner of every claim shard
+	"ran":       wrap(2, ran),       // ran KEY N: waits until the services ran it N times; fails if they ran it more often
 	"checkrun":  wrap(0, checkRun),  // see bench.checkRun
-	"notebegun": wrap(0, noteBegun), // notes how much the back ends have begun
-	"unmoved":   wrap(0, unmoved),   // fails if they have begun more since notebegun
-	"setting":   wrap(3, setting),   // setting ROUTER KEY JSON: for its next start
+	"notebegun": wrap(0, noteBegun), // stores how many requests the backend servers have started
+	"unmoved":   wrap(0, unmoved),   // fails if they have started another request since notebegun
+	"setting":   wrap(3, setting),   // setting ROUTER KEY JSON: edits its settings file; takes effect at its next start
 }
 
 func wrap(least int, f command) func(*testscript.TestScript, bool, []string) {
@@ -256,7 +256,8 @@
 	return nil
 }
 
-// read gets the record, or an operational page such as r1/debug/dump.
+// read returns the record ("record") or a page of a router's administration listener, such as
+// r1/debug/dump.
 func (b *bench) read(what string) ([]byte, error) {
 	if what == "record" {
 		return json.Marshal(b.set.Record())
@@ -269,7 +270,8 @@
 	return r.get("/" + path)
 }
 
-// valueAt follows names and array indices; strings are shown without quotes.
+// valueAt returns the JSON value at a dotted path of names and array indices, a string
+// without its quotes, or "absent".
 func valueAt(data []byte, path string) string {
 	v, err := fastjson.ParseBytes(data)
 	if err != nil {
