--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -26,9 +26,9 @@
 // claimsPrefix is the key prefix of the claim logs in the key-value service.
 const claimsPrefix = "wigeondale/claims/"
 
-// plainCall is one call of a service that is not a model engine. It runs in the background
+// serviceCall is one call of a service that is not a model engine. It runs in the background
 // of the script.
-type plainCall struct {
+type serviceCall struct {
 	name, key, body string
 	lookup          bool
 	deadline        time.Time
@@ -37,11 +37,11 @@
 	// After done:
 	status            int // 0 if no answer came
 	outcome, code     string
-	retry             bool // the answer has a Retry-After header
-	own               bool // the answer is that to this request: its id and digest match
-	before            int  // answers before this one, with -until
+	hasRetryAfter     bool // the answer has a Retry-After header
+	matches           bool // the answer is that to this request: its id and digest match
+	earlierAnswers    int  // answers before this one, with -until
 	err               error
-	everPerhaps       bool // at least one answer did not rule out that the call ran
+	mayHaveRun        bool // at least one answer did not rule out that the call ran
 	endpoint, method  string
 	path, timeoutText string
 	until             string
@@ -50,9 +50,9 @@
 // call sends one call of the service in the background: NAME ROUTER
 // [-key k] [-body text|none] [-lookup] [-timeout d] [-until outcome]. With -until it
 // repeats the call under the same key, as a caller would, until that outcome.
-func (b *bench) call(args []string) error {
+func (f *testFleet) call(args []string) error {
 	args = slices.DeleteFunc(slices.Clone(args), func(s string) bool { return s == "&" })
-	r, err := b.mustRouter(args[1])
+	r, err := f.mustRouter(args[1])
 	if err != nil {
 		return err
 	}
@@ -61,12 +61,12 @@
 	key := fs.String("key", args[0], "")
 	body := fs.String("body", "", "the key's own text if absent")
 	lookup := fs.Bool("lookup", false, "")
-	timeout := fs.Duration("timeout", hung, "")
+	timeout := fs.Duration("timeout", hangTimeout, "")
 	until := fs.String("until", "", "")
 	if err := fs.Parse(args[2:]); err != nil {
 		return err
 	}
-	c := &plainCall{
+	c := &serviceCall{
 		name: args[0], key: *key, body: *body, lookup: *lookup, until: *until,
 		deadline: time.Now().Add(*timeout), done: make(chan struct{}),
 		endpoint: "http://" + r.caller, method: http.MethodPost, path: "/book",
@@ -81,44 +81,44 @@
 	if c.lookup {
 		c.method, c.path, c.body = http.MethodGet, "/lookup/"+c.key, ""
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.calls[c.name] != nil {
-		return fmt.Errorf("call %q already exists", c.name)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.calls[c.name] != nil {
+		return fmt.Errorf("a call with this name already exists")
 	}
-	b.calls[c.name] = c
+	f.calls[c.name] = c
 	go c.run()
 	return nil
 }
 
-func (c *plainCall) run() {
+func (c *serviceCall) run() {
 	defer close(c.done)
-	for end := time.Now().Add(hung); ; c.before++ {
-		c.once()
-		c.everPerhaps = c.everPerhaps || c.outcome != string(fleet.NotRun)
+	for end := time.Now().Add(hangTimeout); ; c.earlierAnswers++ {
+		c.attempt()
+		c.mayHaveRun = c.mayHaveRun || c.outcome != string(fleet.NotRun)
 		if c.until == "" || c.outcome == c.until || time.Now().After(end) {
 			return
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 }
 
-// callers is the HTTP client of all calls. It reuses connections, as callers do.
-var callers = &http.Client{Timeout: hung}
+// callerClient is the HTTP client of all calls. It reuses connections, as callers do.
+var callerClient = &http.Client{Timeout: hangTimeout}
 
-func (c *plainCall) once() {
-	c.status, c.outcome, c.code, c.retry, c.own = 0, "", "", false, false
+func (c *serviceCall) attempt() {
+	c.status, c.outcome, c.code, c.hasRetryAfter, c.matches = 0, "", "", false, false
 	var resp *http.Response
-	ctx, cancel := context.WithTimeout(context.Background(), hung)
+	ctx, cancel := context.WithTimeout(context.Background(), hangTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, c.method, c.endpoint+"/services/"+plain+c.path, strings.NewReader(c.body))
+	req, err := http.NewRequestWithContext(ctx, c.method, c.endpoint+"/services/"+serviceName+c.path, strings.NewReader(c.body))
 	if err == nil {
 		// With GetBody set, the test's own transport could send the call a second time.
 		req.GetBody = nil
 		req.Header.Set("Authorization", "Bearer "+apiKey)
 		req.Header.Set("Idempotency-Key", c.key)
 		req.Header.Set("Wigeon-Timeout-Ms", c.timeoutText)
-		resp, err = callers.Do(req)
+		resp, err = callerClient.Do(req)
 	}
 	if c.err = err; err != nil {
 		return
@@ -129,29 +129,29 @@
 		return
 	}
 	c.status, c.outcome = resp.StatusCode, resp.Header.Get("Wigeon-Outcome")
-	c.code, c.retry = valueAt(data, "error.code"), resp.Header.Get("Retry-After") != ""
+	c.code, c.hasRetryAfter = valueAt(data, "error.code"), resp.Header.Get("Retry-After") != ""
 	var a service.Answer
 	if json.Unmarshal(data, &a) != nil {
 		return
 	}
-	c.own = a.RequestID == load.RequestID(account, c.key)
+	c.matches = a.RequestID == load.RequestID(account, c.key)
 	if c.lookup {
-		c.own = c.own && a.Key == c.key && a.Value == service.Digest([]byte(c.key))
+		c.matches = c.matches && a.Key == c.key && a.Value == service.Digest([]byte(c.key))
 	} else {
-		c.own = c.own && a.Body == service.Digest([]byte(c.body))
+		c.matches = c.matches && a.Body == service.Digest([]byte(c.body))
 	}
 }
 
-func (c *plainCall) await() error {
+func (c *serviceCall) await() error {
 	select {
 	case <-c.done:
 		return nil
-	case <-time.After(hung):
+	case <-time.After(hangTimeout):
 		return fmt.Errorf("hung: call %s", c.name)
 	}
 }
 
-func (c *plainCall) field(name string) string {
+func (c *serviceCall) field(name string) string {
 	switch name {
 	case "status":
 		return strconv.Itoa(c.status)
@@ -160,26 +160,26 @@
 	case "code":
 		return c.code
 	case "retry-after":
-		return strconv.FormatBool(c.retry)
+		return strconv.FormatBool(c.hasRetryAfter)
 	case "own":
-		return strconv.FormatBool(c.own)
+		return strconv.FormatBool(c.matches)
 	}
 	return "no such field"
 }
 
-func call(b *bench, _ *testscript.TestScript, args []string) error { return b.call(args) }
+func call(f *testFleet, _ *testscript.TestScript, args []string) error { return f.call(args) }
 
-func (b *bench) mustCall(name string) (*plainCall, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if c := b.calls[name]; c != nil {
+func (f *testFleet) mustCall(name string) (*serviceCall, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if c := f.calls[name]; c != nil {
 		return c, nil
 	}
 	return nil, fmt.Errorf("no call %q", name)
 }
 
-func answer(b *bench, _ *testscript.TestScript, args []string) error {
-	c, err := b.mustCall(args[0])
+func answer(f *testFleet, _ *testscript.TestScript, args []string) error {
+	c, err := f.mustCall(args[0])
 	if err != nil {
 		return err
 	}
@@ -195,13 +195,13 @@
 	return nil
 }
 
-func claimed(b *bench, _ *testscript.TestScript, args []string) error {
+func waitClaimed(f *testFleet, _ *testscript.TestScript, args []string) error {
 	// The range uses a shorter prefix than that of the claims, so that a fault that slows
 	// down only requests for claims does not delay this read.
 	const above = "wigeondale/"
 	// Claims of generations use the request id that engines see.
 	call, gen := once.NewKeyID(account, args[0]), once.NewKeyID(account, load.RequestID(account, args[0]))
-	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + b.kv}, nil)
+	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + f.kv}, nil)
 	return waitUntil("claim of "+args[0], func() bool {
 		values, err := store.Range(context.Background(), above, infra.PrefixEnd(above), 0)
 		return err == nil && slices.ContainsFunc(values, func(v infra.Value) bool {
@@ -210,17 +210,17 @@
 	})
 }
 
-func overdue(b *bench, _ *testscript.TestScript, args []string) error {
-	c, err := b.mustCall(args[0])
+func waitOverdue(f *testFleet, _ *testscript.TestScript, args []string) error {
+	c, err := f.mustCall(args[0])
 	if err != nil {
 		return err
 	}
-	return waitUntil("deadline of "+c.name, func() bool { return time.Now().After(c.deadline.Add(poll)) })
+	return waitUntil("deadline of "+c.name, func() bool { return time.Now().After(c.deadline.Add(pollInterval)) })
 }
 
-func owns(b *bench, _ *testscript.TestScript, args []string) error {
+func waitOwner(f *testFleet, _ *testscript.TestScript, args []string) error {
 	return waitUntil("owner in "+args[0], func() bool {
-		data, err := b.read(args[0] + "/debug/dump")
+		data, err := f.read(args[0] + "/debug/dump")
 		var d struct {
 			Claims []once.ShardDump `json:"claims"`
 		}
@@ -233,22 +233,22 @@
 }
 
 // executions returns how many times the services ran bookings under the key.
-func (b *bench) executions(key string) int {
+func (f *testFleet) executions(key string) int {
 	n, id := 0, load.RequestID(account, key)
-	for _, s := range b.set.Record().Services {
+	for _, s := range f.set.Record().Services {
 		n += s.ByRequest[id]
 	}
 	return n
 }
 
-func ran(b *bench, _ *testscript.TestScript, args []string) error {
+func waitRan(f *testFleet, _ *testscript.TestScript, args []string) error {
 	want, err := strconv.Atoi(args[1])
 	if err != nil {
 		return err
 	}
 	got := 0
 	err = waitUntil("runs of "+args[0], func() bool {
-		got = b.executions(args[0])
+		got = f.executions(args[0])
 		return got >= want
 	})
 	if err == nil && got != want {
@@ -257,34 +257,34 @@
 	return err
 }
 
-func checkRun(b *bench, _ *testscript.TestScript, _ []string) error { return b.checkRun() }
+func checkRun(f *testFleet, _ *testscript.TestScript, _ []string) error { return f.checkRun() }
 
 // checkRun compares the answers to all calls with the services' own record: no booking ran
 // twice; a booking whose answers were all not-run did not run; a booking with a complete
 // answer ran, and the answer is that to this booking.
-func (b *bench) checkRun() error {
-	perhaps := make(map[string]bool) // by body, since the record counts executions by body too
-	for _, c := range b.allCalls() {
+func (f *testFleet) checkRun() error {
+	mayHaveRun := make(map[string]bool) // by body, since the record counts executions by body too
+	for _, c := range f.allCalls() {
 		if err := c.await(); err != nil {
 			return err
 		}
-		perhaps[c.body] = perhaps[c.body] || c.everPerhaps
+		mayHaveRun[c.body] = mayHaveRun[c.body] || c.mayHaveRun
 	}
 	bodies := make(map[string]int)
-	for _, s := range b.set.Record().Services {
+	for _, s := range f.set.Record().Services {
 		for digest, n := range s.ByBody {
 			bodies[digest] += n
 		}
 	}
-	for _, c := range b.allCalls() {
-		n, byBody := b.executions(c.key), bodies[service.Digest([]byte(c.body))]
+	for _, c := range f.allCalls() {
+		n, byBody := f.executions(c.key), bodies[service.Digest([]byte(c.body))]
 		switch {
-		case c.outcome == string(fleet.Complete) && !c.own:
+		case c.outcome == string(fleet.Complete) && !c.matches:
 			return fmt.Errorf("%s got another request's answer", c.name)
 		case c.lookup:
 		case n > 1:
 			return fmt.Errorf("%s: key %s ran %d times", c.name, c.key, n)
-		case !perhaps[c.body] && byBody > 0:
+		case !mayHaveRun[c.body] && byBody > 0:
 			return fmt.Errorf("%s: answered not-run, but the services ran it %d times", c.name, byBody)
 		case c.outcome == string(fleet.Complete) && byBody == 0:
 			return fmt.Errorf("%s: answered, but no service has it on record", c.name)
@@ -293,23 +293,23 @@
 	return nil
 }
 
-func (b *bench) allCalls() []*plainCall {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var list []*plainCall
-	for _, c := range b.calls {
+func (f *testFleet) allCalls() []*serviceCall {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var list []*serviceCall
+	for _, c := range f.calls {
 		list = append(list, c)
 	}
 	return list
 }
 
 // setting replaces the value of a top-level key in a router's settings file.
-func setting(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func setting(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
-	data, err := os.ReadFile(r.file)
+	data, err := os.ReadFile(r.settingsFile)
 	if err != nil {
 		return err
 	}
@@ -321,13 +321,13 @@
 	if data, err = json.Marshal(all); err != nil {
 		return err
 	}
-	return os.WriteFile(r.file, data, 0o600)
+	return os.WriteFile(r.settingsFile, data, 0o600)
 }
 
-// begun returns the number of bookings and of dispatched generations that all backend
+// startedRequests returns the number of bookings and of dispatched generations that all backend
 // servers have recorded.
-func (b *bench) begun() int {
-	r := b.set.Record()
+func (f *testFleet) startedRequests() int {
+	r := f.set.Record()
 	n := r.Totals.Bookings
 	for _, e := range r.Engines {
 		n += len(e.Streams)
@@ -335,14 +335,14 @@
 	return n
 }
 
-func noteBegun(b *bench, _ *testscript.TestScript, _ []string) error {
-	b.marked = b.begun()
+func noteStarted(f *testFleet, _ *testscript.TestScript, _ []string) error {
+	f.startedAtNote = f.startedRequests()
 	return nil
 }
 
-func unmoved(b *bench, _ *testscript.TestScript, _ []string) error {
-	if n := b.begun(); n != b.marked {
-		return fmt.Errorf("backend servers have started %d requests, %d at notebegun", n, b.marked)
+func checkNoneStarted(f *testFleet, _ *testscript.TestScript, _ []string) error {
+	if n := f.startedRequests(); n != f.startedAtNote {
+		return fmt.Errorf("backend servers have started %d requests, %d at notebegun", n, f.startedAtNote)
 	}
 	return nil
 }
--- a/scenario/commands_test.go
+++ b/scenario/commands_test.go
@@ -15,38 +15,38 @@
 )
 
 // command implements one command of the scripts; an error fails the script.
-type command func(b *bench, ts *testscript.TestScript, args []string) error
+type command func(f *testFleet, ts *testscript.TestScript, args []string) error
 
 var commands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	"up":        wrap(1, up),        // up N [engines...]
-	"fault":     wrap(2, fault),     // fault COMPONENT NAME [json]
-	"signal":    wrap(2, signal),    // signal ROUTER KILL|STOP|CONT|TERM|HUP
-	"start":     wrap(1, start),     // start ROUTER: starts it again after it has exited and waits until it is ready
-	"exited":    wrap(2, exited),    // exited ROUTER CODE: waits until it exits and compares the exit code
-	"generate":  wrap(1, generate),  // see bench.generate
-	"await":     wrap(2, await),     // await NAME tokens=N | done
-	"expect":    wrap(2, expect),    // expect NAME FIELD=VALUE...: waits until done, then compares the fields
-	"engineof":  wrap(2, engineOf),  // engineof NAME VARIABLE: waits for an engine that runs it and sets VARIABLE to its id
-	"routerof":  wrap(2, routerOf),  // routerof NAME VARIABLE: sets VARIABLE to the router to which its caller is connected
-	"idle":      wrap(1, idle),      // idle ENGINE [cancelled]: waits until it runs no stream; with cancelled, until all its streams were ended by a cancel
-	"checkall":  wrap(0, checkAll),  // see bench.checkAll
-	"record":    wrap(0, record),    // prints the record of the backend servers
-	"many":      wrap(2, many),      // many N NAME [flags of generate]: NAME1 to NAMEN
-	"complete":  wrap(0, complete),  // waits for every generation and fails unless each is complete
-	"requestof": wrap(2, requestOf), // requestof NAME VARIABLE: sets VARIABLE to the request id that backend servers see
-	"runs":      wrap(2, runs),      // runs NAME N: fails unless the engines recorded that they started it N times
-	"reconnect": wrap(6, reconnect), // reconnect NAME ROUTER APIKEY STATUS CODE OUTCOME: sends it again with its latest cursor, without the client library, and compares the answer
-	"waitfor":   wrap(3, waitFor),   // waitfor record|ROUTER/PATH dotted.path VALUE
-	"call":      wrap(2, call),      // see bench.call
-	"answer":    wrap(2, answer),    // answer NAME FIELD=VALUE|VALUE...: waits until the call ends, then compares the fields
-	"claimed":   wrap(1, claimed),   // claimed KEY: waits until its claim is in the key-value service
-	"overdue":   wrap(1, overdue),   // overdue NAME: waits until the call's deadline has passed
-	"owns":      wrap(2, owns),      // owns ROUTER OWNER: waits until ROUTER considers OWNER the owner of every claim shard
-	"ran":       wrap(2, ran),       // ran KEY N: waits until the services ran it N times; fails if they ran it more often
-	"checkrun":  wrap(0, checkRun),  // see bench.checkRun
-	"notebegun": wrap(0, noteBegun), // stores how many requests the backend servers have started
-	"unmoved":   wrap(0, unmoved),   // fails if they have started another request since notebegun
-	"setting":   wrap(3, setting),   // setting ROUTER KEY JSON: edits its settings file; takes effect at its next start
+	"up":        wrap(1, up),               // up N [ENGINE...]: starts the stand-ins and N routers and waits until they are ready
+	"fault":     wrap(2, fault),            // fault COMPONENT NAME [JSON]: sets a fault of a stand-in
+	"signal":    wrap(2, signal),           // signal ROUTER KILL|STOP|CONT|TERM|HUP
+	"start":     wrap(1, start),            // start ROUTER: starts it again after it has exited and waits until it is ready
+	"exited":    wrap(2, exited),           // exited ROUTER CODE: waits until it exits and compares the exit code
+	"generate":  wrap(1, generate),         // see testFleet.generate
+	"await":     wrap(2, await),            // await NAME tokens=N|done: waits until the generation has N tokens, or has ended
+	"expect":    wrap(2, expect),           // expect NAME FIELD=VALUE...: waits until done, then compares the fields
+	"engineof":  wrap(2, engineOf),         // engineof NAME VARIABLE: waits for an engine that runs it and sets VARIABLE to its id
+	"routerof":  wrap(2, routerOf),         // routerof NAME VARIABLE: sets VARIABLE to the router to which its caller is connected
+	"idle":      wrap(1, idle),             // idle ENGINE [cancelled]: waits until it runs no stream; with cancelled, until all its streams were ended by a cancel
+	"checkall":  wrap(0, checkAll),         // see testFleet.checkAll
+	"record":    wrap(0, record),           // prints the record of the backend servers
+	"many":      wrap(2, many),             // many N NAME [flags of generate]: starts N generations, NAME1 to NAMEN
+	"complete":  wrap(0, complete),         // waits for every generation and fails unless each is complete
+	"requestof": wrap(2, requestOf),        // requestof NAME VARIABLE: sets VARIABLE to the request id that backend servers see
+	"runs":      wrap(2, runs),             // runs NAME N: fails unless the engines recorded that they started it N times
+	"reconnect": wrap(6, reconnect),        // reconnect NAME ROUTER APIKEY STATUS CODE OUTCOME: sends it again with its latest cursor, without the client library, and compares the answer
+	"waitfor":   wrap(3, waitFor),          // waitfor record|ROUTER/PATH dotted.path VALUE: waits until the JSON value at the path is VALUE
+	"call":      wrap(2, call),             // see testFleet.call
+	"answer":    wrap(2, answer),           // answer NAME FIELD=VALUE|VALUE...: waits until the call ends, then compares the fields
+	"claimed":   wrap(1, waitClaimed),      // claimed KEY: waits until its claim is in the key-value service
+	"overdue":   wrap(1, waitOverdue),      // overdue NAME: waits until the call's deadline has passed
+	"owns":      wrap(2, waitOwner),        // owns ROUTER OWNER: waits until ROUTER considers OWNER the owner of every claim shard
+	"ran":       wrap(2, waitRan),          // ran KEY N: waits until the services ran it N times; fails if they ran it more often
+	"checkrun":  wrap(0, checkRun),         // see testFleet.checkRun
+	"notebegun": wrap(0, noteStarted),      // stores how many requests the backend servers have started
+	"unmoved":   wrap(0, checkNoneStarted), // fails if they have started another request since notebegun
+	"setting":   wrap(3, setting),          // setting ROUTER KEY JSON: edits its settings file; takes effect at its next start
 }
 
 func wrap(least int, f command) func(*testscript.TestScript, bool, []string) {
@@ -54,11 +54,11 @@
 		if neg || len(args) < least {
 			ts.Fatalf("want at least %d arguments and no !", least)
 		}
-		ts.Check(f(ts.Value(benchKey{}).(*bench), ts, args))
+		ts.Check(f(ts.Value(testFleetKey{}).(*testFleet), ts, args))
 	}
 }
 
-func up(b *bench, ts *testscript.TestScript, args []string) error {
+func up(f *testFleet, ts *testscript.TestScript, args []string) error {
 	n, err := strconv.Atoi(args[0])
 	if err != nil {
 		return err
@@ -67,35 +67,35 @@
 	if len(engines) == 0 {
 		engines = []string{"e1", "e2", "e3"}
 	}
-	if err := b.up(n, engines); err != nil {
+	if err := f.up(n, engines); err != nil {
 		return err
 	}
-	ts.Setenv("WIGEON_ADMIN", b.admins())
+	ts.Setenv("WIGEON_ADMIN", f.admins())
 	ts.Setenv("WIGEON_TOKEN", operator)
-	ts.Setenv("WIGEON_CA", b.tls.caFile())
+	ts.Setenv("WIGEON_CA", f.tls.caFile())
 	ts.Setenv("MODEL", model)
 	ts.Setenv("WIGEON_API_KEY", apiKey)
-	ts.Setenv("RECORD", "http://"+b.set.Addr()+"/control/record")
-	for i, r := range b.routers {
-		ts.Setenv("R"+strconv.Itoa(i+1), b.tls.scheme()+r.caller)
+	ts.Setenv("RECORD", "http://"+f.set.Addr()+"/control/record")
+	for i, r := range f.routers {
+		ts.Setenv("R"+strconv.Itoa(i+1), f.tls.scheme()+r.caller)
 		ts.Setenv("ADMIN"+strconv.Itoa(i+1), r.admin)
 	}
 	return nil
 }
 
-func fault(b *bench, _ *testscript.TestScript, args []string) error {
-	return b.set.Fault(args[0], args[1], json.RawMessage(strings.Join(args[2:], " ")))
+func fault(f *testFleet, _ *testscript.TestScript, args []string) error {
+	return f.set.Fault(args[0], args[1], json.RawMessage(strings.Join(args[2:], " ")))
 }
 
-func (b *bench) mustRouter(name string) (*router, error) {
-	if r := b.router(name); r != nil {
+func (f *testFleet) mustRouter(name string) (*router, error) {
+	if r := f.router(name); r != nil {
 		return r, nil
 	}
 	return nil, fmt.Errorf("no router %q", name)
 }
 
-func signal(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func signal(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 	return r.cmd.Process.Signal(sig)
 }
 
-func start(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func start(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -120,14 +120,14 @@
 	return waitUntil("readiness of "+r.name, r.ready)
 }
 
-func exited(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func exited(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
 	select {
 	case <-r.exited:
-	case <-time.After(hung):
+	case <-time.After(hangTimeout):
 		return fmt.Errorf("hung: %s does not exit", r.name)
 	}
 	if code := strconv.Itoa(r.cmd.ProcessState.ExitCode()); code != args[1] {
@@ -136,17 +136,17 @@
 	return nil
 }
 
-func generate(b *bench, _ *testscript.TestScript, args []string) error { return b.generate(args) }
+func generate(f *testFleet, _ *testscript.TestScript, args []string) error { return f.generate(args) }
 
-func (b *bench) mustGen(name string) (*gen, error) {
-	if g := b.gen(name); g != nil {
+func (f *testFleet) mustGen(name string) (*gen, error) {
+	if g := f.gen(name); g != nil {
 		return g, nil
 	}
 	return nil, fmt.Errorf("no generation %q", name)
 }
 
-func await(b *bench, _ *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func await(f *testFleet, _ *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
@@ -160,8 +160,8 @@
 	return g.await(n)
 }
 
-func expect(b *bench, _ *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func expect(f *testFleet, _ *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
@@ -177,14 +177,14 @@
 	return nil
 }
 
-func engineOf(b *bench, ts *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func engineOf(f *testFleet, ts *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
 	id := load.RequestID(account, g.key)
 	return waitUntil("an engine that runs "+g.name, func() bool {
-		for _, e := range b.set.Record().Engines {
+		for _, e := range f.set.Record().Engines {
 			for _, s := range e.Streams {
 				if s.Request == id && !s.Finished && s.Cancelled == "" {
 					ts.Setenv(args[1], e.Engine)
@@ -196,15 +196,15 @@
 	})
 }
 
-func routerOf(b *bench, ts *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func routerOf(f *testFleet, ts *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, r := range b.routers {
-		if g.endpoint == b.tls.scheme()+r.caller {
+	for _, r := range f.routers {
+		if g.endpoint == f.tls.scheme()+r.caller {
 			ts.Setenv(args[1], r.name)
 			return nil
 		}
@@ -212,10 +212,10 @@
 	return fmt.Errorf("%s is connected to no router", g.name)
 }
 
-func idle(b *bench, _ *testscript.TestScript, args []string) error {
+func idle(f *testFleet, _ *testscript.TestScript, args []string) error {
 	how := args[1:]
 	return waitUntil(args[0]+" runs no stream", func() bool {
-		for _, e := range b.set.Record().Engines {
+		for _, e := range f.set.Record().Engines {
 			if e.Engine != args[0] {
 				continue
 			}
@@ -231,18 +231,18 @@
 	})
 }
 
-func checkAll(b *bench, _ *testscript.TestScript, _ []string) error { return b.checkAll() }
+func checkAll(f *testFleet, _ *testscript.TestScript, _ []string) error { return f.checkAll() }
 
-func record(b *bench, ts *testscript.TestScript, _ []string) error {
+func record(f *testFleet, ts *testscript.TestScript, _ []string) error {
 	enc := json.NewEncoder(ts.Stdout())
 	enc.SetIndent("", "  ")
-	return enc.Encode(b.set.Record())
+	return enc.Encode(f.set.Record())
 }
 
-func waitFor(b *bench, _ *testscript.TestScript, args []string) error {
+func waitFor(f *testFleet, _ *testscript.TestScript, args []string) error {
 	last := ""
 	err := waitUntil(strings.Join(args, " "), func() bool {
-		data, err := b.read(args[0])
+		data, err := f.read(args[0])
 		if err != nil {
 			last = err.Error()
 			return false
@@ -258,12 +258,12 @@
 
 // read returns the record ("record") or a page of a router's administration listener, such as
 // r1/debug/dump.
-func (b *bench) read(what string) ([]byte, error) {
+func (f *testFleet) read(what string) ([]byte, error) {
 	if what == "record" {
-		return json.Marshal(b.set.Record())
+		return json.Marshal(f.set.Record())
 	}
 	name, path, _ := strings.Cut(what, "/")
-	r, err := b.mustRouter(name)
+	r, err := f.mustRouter(name)
 	if err != nil {
 		return nil, err
 	}
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -22,56 +22,56 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Commands of the scripts on configuration, leaving and orders.
+// Script commands for configuration, for VMs that leave, and for orders to engines.
 func init() {
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
-		"unfenced": wrap(0, unfenced),       // before up: engines don't check fencing numbers
-		"weights":  wrap(3, weightStore),    // before up: weights STORE-BYTES/S BUDGET-BYTES/S VERSION=BYTES...
-		"begin":    wrap(1, begin),          // begin ROUTER: start, without waiting until it is ready
-		"ready":    wrap(2, readyIs),        // ready ROUTER yes|no [TEXT]: waits; TEXT is in the reason
-		"logged":   wrap(2, logged),         // logged ROUTER TEXT: waits for a line of its log
-		"watches":  wrap(2, watches),        // watches PREFIX N: waits until so many are open
-		"race":     wrap(3, race),           // race one|both PLAN PLAN: confirms both at once, at r1 and r2
-		"post":     wrap(2, post),           // post NAME ROUTER [TOKENS]: sends a request and returns when its bytes have left
-		"answered": wrap(2, answered),       // answered NAME STATUS|STATUS... [OUTCOME]
-		"count":    wrap(1, countSent),      // count ENGINE: remembers what it was sent so far
-		"nonew":    wrap(1, noNew),          // nonew ENGINE: fails if it was sent anything since
-		"others":   wrap(1, others),         // others ROUTER: wigeonctl asks all but this one from now on
-		"refused":  wrap(1, refusedBy),      // refused ROUTER: waits until it refuses a new request as not run
-		"place":    wrap(3, place),          // place FILE ENGINE VERSION...: writes intents
-		"rising":   wrap(0, rising),         // no engine followed an order after one of a higher number
-		"looking":  wrap(1, looking),        // looking ROUTER: waits until it begins to look at the engines' orders
-		"holder":   wrap(1, holder),         // holder VARIABLE [ROUTER]: waits until some router, but not this one, gives orders
-		"engine":   wrap(3, engineStatus),   // engine ENGINE dotted.path VALUE|VALUE...: waits on its order status
-		"atmost":   wrap(1, atMostLoads),    // atmost N: no more loads were under way at once
-		"served":   wrap(2, servedVersions), // served VERSION N|N+: waits until so many engines, or more, serve it
+		"unfenced": wrap(0, unfenced),        // before up: engines do not check fencing numbers
+		"weights":  wrap(3, weightStore),     // before up: weights STORE-BYTES/S BUDGET-BYTES/S VERSION=BYTES...
+		"begin":    wrap(1, startNoWait),     // begin ROUTER: starts it again after it has exited, without waiting until it is ready
+		"ready":    wrap(2, waitReady),       // ready ROUTER yes|no [TEXT]: waits until /readyz says so, with TEXT in its body
+		"logged":   wrap(2, logged),          // logged ROUTER TEXT: waits until its log contains TEXT
+		"watches":  wrap(2, watches),         // watches PREFIX N: waits until N watches of the prefix are open
+		"race":     wrap(3, race),            // race one|both PLAN PLAN: confirms the plans at the same time, at r1 and r2
+		"post":     wrap(2, post),            // post NAME ROUTER [TOKENS]: writes a request to the router's socket and returns without waiting for the answer
+		"answered": wrap(2, answered),        // answered NAME STATUS|STATUS... [OUTCOME]: waits for the answer to post and compares it
+		"count":    wrap(1, count),           // count ENGINE: stores how many dispatches it has received
+		"nonew":    wrap(1, noNew),           // nonew ENGINE: fails if it has received a dispatch since count
+		"others":   wrap(1, excludeRouter),   // others ROUTER: from now on wigeonctl connects to all routers except this one
+		"refused":  wrap(1, waitRefused),     // refused ROUTER: waits until it refuses a new request as not run
+		"place":    wrap(3, place),           // place FILE ENGINE VERSION...: writes an intent that places the versions on the engine
+		"rising":   wrap(0, checkFencesRise), // fails if an engine executed an order after one with a higher fencing number
+		"looking":  wrap(1, waitOrderRound),  // looking ROUTER: waits until it starts another round over the engines' order status
+		"holder":   wrap(1, waitHolder),      // holder VARIABLE [ROUTER]: waits until a router other than ROUTER holds the lease for orders and sets VARIABLE
+		"engine":   wrap(3, engineStatus),    // engine ENGINE dotted.path VALUE|VALUE...: waits until its order status has one of the values
+		"atmost":   wrap(1, atMostLoads),     // atmost N: fails if more than N loads from the weight store ran at once
+		"served":   wrap(2, servedVersions),  // served VERSION N|N+: waits until N engines (with +: at least N) serve it
 	} {
 		commands[name] = c
 	}
 }
 
-func unfenced(b *bench, _ *testscript.TestScript, _ []string) error {
-	b.unfenced = true
+func unfenced(f *testFleet, _ *testscript.TestScript, _ []string) error {
+	f.unfenced = true
 	return nil
 }
 
-func weightStore(b *bench, _ *testscript.TestScript, args []string) error {
+func weightStore(f *testFleet, _ *testscript.TestScript, args []string) error {
 	store, err1 := strconv.ParseFloat(args[0], 64)
 	budget, err2 := strconv.ParseInt(args[1], 10, 64)
-	b.storeRate, b.budgetRate, b.sizes = store, budget, map[string]int64{}
+	f.weightStoreRate, f.weightBudgetRate, f.weightSizes = store, budget, map[string]int64{}
 	for _, a := range args[2:] {
 		version, size, _ := strings.Cut(a, "=")
 		n, err := strconv.ParseInt(size, 10, 64)
 		if err != nil {
 			return err
 		}
-		b.sizes[model+"/"+version] = n
+		f.weightSizes[model+"/"+version] = n
 	}
 	return errors.Join(err1, err2)
 }
 
-func begin(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func startNoWait(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -79,8 +79,8 @@
 	return r.start()
 }
 
-func readyIs(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func waitReady(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -98,31 +98,31 @@
 		return (resp.StatusCode == http.StatusNoContent) == (args[1] == "yes") && strings.Contains(last, text)
 	})
 	if err != nil {
-		return fmt.Errorf("%w: it says %q", err, last)
+		return fmt.Errorf("%w: /readyz answers %q", err, last)
 	}
 	return nil
 }
 
-func logged(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func logged(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
 	text := strings.Join(args[1:], " ")
 	return waitUntil(r.name+" logs "+text, func() bool {
-		data, err := os.ReadFile(r.log)
+		data, err := os.ReadFile(r.logFile)
 		return err == nil && bytes.Contains(data, []byte(text))
 	})
 }
 
-func watches(b *bench, _ *testscript.TestScript, args []string) error {
+func watches(f *testFleet, _ *testscript.TestScript, args []string) error {
 	want, err := strconv.Atoi(args[1])
 	if err != nil {
 		return err
 	}
 	got := 0
 	err = waitUntil("open watches", func() bool {
-		got = b.set.KV.Watching(args[0])
+		got = f.set.KV.Watching(args[0])
 		return got == want
 	})
 	if err != nil {
@@ -131,9 +131,9 @@
 	return nil
 }
 
-// race confirms two plans at once and tells whether one or both were accepted.
-// The plan that the loser is offered is kept as offer.json.
-func race(b *bench, ts *testscript.TestScript, args []string) error {
+// race confirms two plans at the same time and fails unless one or both, as given, were
+// accepted. The new plan that wigeonctl prints for the rejected one is saved as offer.json.
+func race(f *testFleet, ts *testscript.TestScript, args []string) error {
 	type result struct {
 		stdout, stderr bytes.Buffer
 		code           int
@@ -144,10 +144,10 @@
 		res := &result{}
 		results[i] = res
 		cmd := exec.Command("wigeonctl", "--json", "confirm", ts.MkAbs(args[1+i]))
-		cmd.Env = append(os.Environ(), "WIGEON_ADMIN="+b.routers[i].admin, "WIGEON_TOKEN="+operator)
+		cmd.Env = append(os.Environ(), "WIGEON_ADMIN="+f.routers[i].admin, "WIGEON_TOKEN="+operator)
 		cmd.Stdout, cmd.Stderr = &res.stdout, &res.stderr
 		go func() {
-			cmd.Run() // its exit code is looked at
+			cmd.Run() // the exit code is checked below
 			res.code = cmd.ProcessState.ExitCode()
 			done <- struct{}{}
 		}()
@@ -160,9 +160,9 @@
 		case res.code == 0:
 			won++
 		case res.code != 1 || !strings.Contains(res.stderr.String(), "conflict"):
-			return fmt.Errorf("the loser exits with %d: %s", res.code, res.stderr.String())
+			return fmt.Errorf("the rejected confirm exits with %d: %s", res.code, res.stderr.String())
 		default:
-			if err := os.WriteFile(filepath.Join(b.dir, "offer.json"), res.stdout.Bytes(), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(f.dir, "offer.json"), res.stdout.Bytes(), 0o600); err != nil {
 				return err
 			}
 		}
@@ -173,16 +173,16 @@
 	return nil
 }
 
-// posted is a request whose bytes lie in the router's socket.
-type posted struct {
+// postedRequest is a request whose bytes were written to the router's socket by the command post.
+type postedRequest struct {
 	done   chan struct{}
 	answer *http.Response
 	body   bytes.Buffer
 	err    error
 }
 
-func post(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[1])
+func post(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[1])
 	if err != nil {
 		return err
 	}
@@ -204,21 +204,21 @@
 	if _, err := conn.Write([]byte(text)); err != nil {
 		return err
 	}
-	p := &posted{done: make(chan struct{})}
-	b.mu.Lock()
-	if b.posts == nil {
-		b.posts = map[string]*posted{}
+	p := &postedRequest{done: make(chan struct{})}
+	f.mu.Lock()
+	if f.posts == nil {
+		f.posts = map[string]*postedRequest{}
 	}
-	b.posts[args[0]] = p
-	b.mu.Unlock()
+	f.posts[args[0]] = p
+	f.mu.Unlock()
 	go p.read(conn)
 	return nil
 }
 
-func (p *posted) read(conn net.Conn) {
+func (p *postedRequest) read(conn net.Conn) {
 	defer close(p.done)
 	defer conn.Close()
-	if p.err = conn.SetReadDeadline(time.Now().Add(hung)); p.err != nil {
+	if p.err = conn.SetReadDeadline(time.Now().Add(hangTimeout)); p.err != nil {
 		return
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -230,12 +230,12 @@
 	_, p.err = p.body.ReadFrom(resp.Body)
 }
 
-func answered(b *bench, _ *testscript.TestScript, args []string) error {
-	b.mu.Lock()
-	p := b.posts[args[0]]
-	b.mu.Unlock()
+func answered(f *testFleet, _ *testscript.TestScript, args []string) error {
+	f.mu.Lock()
+	p := f.posts[args[0]]
+	f.mu.Unlock()
 	if p == nil {
-		return fmt.Errorf("nothing posted as %q", args[0])
+		return fmt.Errorf("no request was posted as %q", args[0])
 	}
 	<-p.done
 	if p.err != nil {
@@ -246,7 +246,7 @@
 		return fmt.Errorf("%s: status %s, outcome %q: %s", args[0], status, outcome, p.body.String())
 	}
 	ran := 0
-	for _, e := range b.set.Record().Engines {
+	for _, e := range f.set.Record().Engines {
 		for _, s := range e.Streams {
 			if s.Request == load.RequestID(account, args[0]) {
 				ran++
@@ -254,14 +254,14 @@
 		}
 	}
 	if outcome == string(fleet.NotRun) && ran > 0 {
-		return fmt.Errorf("%s: not-run, but engines began it %d times", args[0], ran)
+		return fmt.Errorf("%s: not-run, but engines started it %d times", args[0], ran)
 	}
 	return nil
 }
 
-// sentTo is how many dispatches a back end got.
-func (b *bench) sentTo(id string) int {
-	rec := b.set.Record()
+// sentTo returns how many dispatches a backend server has received, refused ones included.
+func (f *testFleet) sentTo(id string) int {
+	rec := f.set.Record()
 	for _, e := range rec.Engines {
 		if e.Engine == id {
 			return len(e.Streams) + e.Refused
@@ -275,46 +275,46 @@
 	return 0
 }
 
-func countSent(b *bench, _ *testscript.TestScript, args []string) error {
-	if b.marks == nil {
-		b.marks = map[string]int{}
+func count(f *testFleet, _ *testscript.TestScript, args []string) error {
+	if f.sentAtCount == nil {
+		f.sentAtCount = map[string]int{}
 	}
-	b.marks[args[0]] = b.sentTo(args[0])
+	f.sentAtCount[args[0]] = f.sentTo(args[0])
 	return nil
 }
 
-func noNew(b *bench, _ *testscript.TestScript, args []string) error {
-	before, marked := b.marks[args[0]]
-	if now := b.sentTo(args[0]); !marked || now != before {
-		return fmt.Errorf("%s was sent %d requests before the mark and %d by now", args[0], before, now)
+func noNew(f *testFleet, _ *testscript.TestScript, args []string) error {
+	before, marked := f.sentAtCount[args[0]]
+	if now := f.sentTo(args[0]); !marked || now != before {
+		return fmt.Errorf("%s had received %d requests at count and has received %d now", args[0], before, now)
 	}
 	return nil
 }
 
-func others(b *bench, ts *testscript.TestScript, args []string) error {
-	ts.Setenv("WIGEON_ADMIN", b.adminsBut(args[0]))
+func excludeRouter(f *testFleet, ts *testscript.TestScript, args []string) error {
+	ts.Setenv("WIGEON_ADMIN", f.adminsBut(args[0]))
 	return nil
 }
 
-func refusedBy(b *bench, ts *testscript.TestScript, args []string) error {
+func waitRefused(f *testFleet, ts *testscript.TestScript, args []string) error {
 	return waitUntil(args[0]+" refuses new work", func() bool {
-		name := fmt.Sprintf("refused-%d", b.posted())
-		return post(b, ts, []string{name, args[0]}) == nil && answered(b, ts, []string{name, "503", string(fleet.NotRun)}) == nil
+		name := fmt.Sprintf("refused-%d", f.postedCount())
+		return post(f, ts, []string{name, args[0]}) == nil && answered(f, ts, []string{name, "503", string(fleet.NotRun)}) == nil
 	})
 }
 
-func (b *bench) posted() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.posts)
+func (f *testFleet) postedCount() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return len(f.posts)
 }
 
-// postedIDs are the requests of the command post.
-func (b *bench) postedIDs() map[string]bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// postedIDs returns the request ids of all requests of the command post.
+func (f *testFleet) postedIDs() map[string]bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	ids := make(map[string]bool)
-	for name := range b.posts {
+	for name := range f.posts {
 		ids[load.RequestID(account, name)] = true
 	}
 	return ids
--- a/scenario/generate_test.go
+++ b/scenario/generate_test.go
@@ -17,7 +17,7 @@
 	"wigeondale/load"
 )
 
-// gen is one generation that runs beside the script.
+// gen is one generation that runs in the background of the script.
 type gen struct {
 	name, prompt, key string
 	maxTokens         int
@@ -26,29 +26,29 @@
 	done              chan struct{}
 
 	mu       sync.Mutex
-	news     chan struct{} // closed at each change, then replaced
+	changed  chan struct{} // closed and replaced at each change of the fields below
 	tokens   int
 	endpoint string
 	cursor   string        // id of the latest event
-	proto    string        // of the latest answer
-	res      client.Result // after done
-	err      error         // after done
+	proto    string        // HTTP version of the latest answer
+	res      client.Result // valid once done is closed
+	err      error         // valid once done is closed
 }
 
 // generate starts a generation: NAME [-key k] [-non-idempotent] [-router i]
 // [-tokens n] [-timeout d] [-idle d] [-tries n] [-prompt text] [-http1]. It runs in the background.
-func (b *bench) generate(args []string) error {
+func (f *testFleet) generate(args []string) error {
 	args = slices.DeleteFunc(slices.Clone(args), func(s string) bool { return s == "&" })
-	if len(args) == 0 || b.gen(args[0]) != nil {
-		return fmt.Errorf("want a new name")
+	if len(args) == 0 || f.gen(args[0]) != nil {
+		return fmt.Errorf("the generation has no name, or the name is in use")
 	}
 	fs := flag.NewFlagSet("generate", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	key := fs.String("key", args[0], "idempotency key")
-	non := fs.Bool("non-idempotent", false, "")
-	first := fs.Int("router", 1, "number of the router to begin with")
+	nonIdempotent := fs.Bool("non-idempotent", false, "")
+	firstRouter := fs.Int("router", 1, "number of the router to begin with")
 	tokens := fs.Int("tokens", 300, "")
-	timeout := fs.Duration("timeout", hung, "")
+	timeout := fs.Duration("timeout", hangTimeout, "")
 	idle := fs.Duration("idle", 0, "leave a router that is silent for so long")
 	tries := fs.Int("tries", 0, "")
 	prompt := fs.String("prompt", "", "made from the key if empty")
@@ -58,17 +58,17 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &gen{
-		name: args[0], key: *key, maxTokens: *tokens, nonIdempotent: *non, cancel: cancel,
+		name: args[0], key: *key, maxTokens: *tokens, nonIdempotent: *nonIdempotent, cancel: cancel,
 		prompt: cmp.Or(*prompt, "Summarise for "+*key+": "+strings.Repeat("fix a lost line break; ", 40)),
-		done:   make(chan struct{}), news: make(chan struct{}),
+		done:   make(chan struct{}), changed: make(chan struct{}),
 	}
-	c := client.New(b.endpoints(*first), apiKey, client.Options{
-		IdleTimeout: *idle, MaxTries: *tries, HTTP: &http.Client{Transport: &cursorTap{g: g, next: b.tls.transport(*http1)}},
+	c := client.New(f.endpoints(*firstRouter), apiKey, client.Options{
+		IdleTimeout: *idle, MaxTries: *tries, HTTP: &http.Client{Transport: &cursorRecorder{g: g, next: f.tls.transport(*http1)}},
 		Connected: func(e string) { g.change(func() { g.endpoint = e }) },
 	})
-	b.mu.Lock()
-	b.gens[g.name] = g
-	b.mu.Unlock()
+	f.mu.Lock()
+	f.gens[g.name] = g
+	f.mu.Unlock()
 	go g.run(ctx, c, *timeout)
 	return nil
 }
@@ -88,16 +88,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f()
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.changed)
+	g.changed = make(chan struct{})
 }
 
 // await returns once the answer has n tokens.
 func (g *gen) await(n int) error {
-	deadline := time.After(hung)
+	deadline := time.After(hangTimeout)
 	for {
 		g.mu.Lock()
-		got, news := g.tokens, g.news
+		got, news := g.tokens, g.changed
 		g.mu.Unlock()
 		if got >= n {
 			return nil
@@ -116,12 +116,12 @@
 	select {
 	case <-g.done:
 		return nil
-	case <-time.After(hung):
+	case <-time.After(hangTimeout):
 		return fmt.Errorf("hung: %s has %d tokens", g.name, g.tokens)
 	}
 }
 
-// field is what the command expect compares; only after done.
+// field returns a value for the command expect. It may be called only once done is closed.
 func (g *gen) field(name string) string {
 	switch name {
 	case "outcome":
@@ -138,41 +138,41 @@
 	return "no such field"
 }
 
-func (b *bench) gen(name string) *gen {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.gens[name]
+func (f *testFleet) gen(name string) *gen {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.gens[name]
 }
 
-func (b *bench) all() []*gen {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (f *testFleet) allGens() []*gen {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var list []*gen
-	for _, g := range b.gens {
+	for _, g := range f.gens {
 		list = append(list, g)
 	}
 	return list
 }
 
-func (b *bench) endpoints(first int) []string {
+func (f *testFleet) endpoints(first int) []string {
 	var list []string
-	for i := range b.routers {
-		list = append(list, b.tls.scheme()+b.routers[(first-1+i)%len(b.routers)].caller)
+	for i := range f.routers {
+		list = append(list, f.tls.scheme()+f.routers[(first-1+i)%len(f.routers)].caller)
 	}
 	return list
 }
 
-// checkAll proves every answer by its own text, and every outcome by what the
-// engines recorded.
-func (b *bench) checkAll() error {
-	ran := make(map[string]int) // dispatches that an engine began, by request
-	for _, e := range b.set.Record().Engines {
+// checkAll checks the text of every answer token by token, and every outcome against the
+// record of the engines.
+func (f *testFleet) checkAll() error {
+	ran := make(map[string]int) // dispatches that engines started, by request
+	for _, e := range f.set.Record().Engines {
 		for _, s := range e.Streams {
 			ran[s.Request]++
 		}
 	}
-	known := b.postedIDs()
-	for _, g := range b.all() {
+	known := f.postedIDs()
+	for _, g := range f.allGens() {
 		if err := g.awaitDone(); err != nil {
 			return err
 		}
@@ -196,11 +196,11 @@
 	}
 	switch {
 	case g.res.Outcome == fleet.NotRun && ran > 0:
-		return fmt.Errorf("%s: not-run, but engines began it %d times", g.name, ran)
+		return fmt.Errorf("%s: not-run, but engines started it %d times", g.name, ran)
 	case g.res.Outcome == fleet.Complete && ran == 0:
 		return fmt.Errorf("%s: complete, but no engine has it on record", g.name)
 	case g.nonIdempotent && ran > 1:
-		return fmt.Errorf("%s: non-idempotent, but engines began it %d times", g.name, ran)
+		return fmt.Errorf("%s: non-idempotent, but engines started it %d times", g.name, ran)
 	}
 	return nil
 }
--- a/scenario/inventory_test.go
+++ b/scenario/inventory_test.go
@@ -10,34 +10,34 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Commands of the scripts on the inventory of VMs.
+// Script commands for the inventory of VMs.
 func init() {
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
-		"relist":  wrap(1, relist),  // relist ENGINE: the VM list shows it again
-		"resting": wrap(2, resting), // resting VARIABLE READER: waits until all routers but one read the list; sets that one and another of its failure domain
-		"unread":  wrap(2, unread),  // unread ROUTER N: waits for N more readings of the list and fails if one was this router's
+		"relist":  wrap(1, relist),      // relist ENGINE: adds it to the VM list again
+		"resting": wrap(2, waitResting), // resting VARIABLE READER: waits until all routers but one read the VM list; sets VARIABLE to that one and READER to a reader in its failure domain
+		"unread":  wrap(2, checkUnread), // unread ROUTER N: waits for N more reads of the VM list and fails if this router made one
 	} {
 		commands[name] = c
 	}
 }
 
-func relist(b *bench, _ *testscript.TestScript, args []string) error {
-	for _, e := range b.set.Engines {
+func relist(f *testFleet, _ *testscript.TestScript, args []string) error {
+	for _, e := range f.set.Engines {
 		if e.ID() != args[0] {
 			continue
 		}
 		entry, err := json.Marshal(vms.Entry{
-			ID: e.ID(), VM: "vm-" + e.ID(), Role: "engine", Addr: e.Addr(), FailureDomain: domains[0], ChecksFence: !b.unfenced,
+			ID: e.ID(), VM: "vm-" + e.ID(), Role: "engine", Addr: e.Addr(), FailureDomain: domains[0], ChecksFence: !f.unfenced,
 		})
 		if err != nil {
 			return err
 		}
-		return b.set.Fault("vms", "add", entry)
+		return f.set.Fault("vms", "add", entry)
 	}
 	return fmt.Errorf("no engine %q", args[0])
 }
 
-func (b *bench) inventoryOf(r *router, field string) string {
+func (f *testFleet) inventoryOf(r *router, field string) string {
 	data, err := r.get("/debug/dump")
 	if err != nil {
 		return err.Error()
@@ -45,33 +45,33 @@
 	return valueAt(data, "inventory."+field)
 }
 
-func resting(b *bench, ts *testscript.TestScript, args []string) error {
-	var rest int
-	err := waitUntil("one router that rests", func() bool {
+func waitResting(f *testFleet, ts *testscript.TestScript, args []string) error {
+	var nonReader int
+	err := waitUntil("one router that does not read the VM list", func() bool {
 		n := 0
-		for i, r := range b.routers {
-			switch b.inventoryOf(r, "duty") {
+		for i, r := range f.routers {
+			switch f.inventoryOf(r, "duty") {
 			case "rests":
-				rest = i
+				nonReader = i
 			case "reads":
 				n++
 			}
 		}
-		return n == len(b.routers)-1
+		return n == len(f.routers)-1
 	})
 	if err != nil {
 		return err
 	}
-	ts.Setenv(args[0], b.routers[rest].name)
-	ts.Setenv(args[1], b.routers[(rest+len(domains))%len(b.routers)].name)
-	if rest%len(domains) != (rest+len(domains))%len(b.routers)%len(domains) {
-		ts.Setenv(args[1], b.routers[rest-len(domains)].name)
+	ts.Setenv(args[0], f.routers[nonReader].name)
+	ts.Setenv(args[1], f.routers[(nonReader+len(domains))%len(f.routers)].name)
+	if nonReader%len(domains) != (nonReader+len(domains))%len(f.routers)%len(domains) {
+		ts.Setenv(args[1], f.routers[nonReader-len(domains)].name)
 	}
 	return nil
 }
 
-func unread(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func checkUnread(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -79,12 +79,12 @@
 	if err != nil {
 		return err
 	}
-	own, all := b.inventoryOf(r, "readings"), b.set.VMs.Calls()
-	if err := waitUntil("readings of the list", func() bool { return b.set.VMs.Calls() >= all+more }); err != nil {
+	readsBefore, allBefore := f.inventoryOf(r, "readings"), f.set.VMs.Calls()
+	if err := waitUntil("reads of the VM list", func() bool { return f.set.VMs.Calls() >= allBefore+more }); err != nil {
 		return err
 	}
-	if now := b.inventoryOf(r, "readings"); now != own {
-		return fmt.Errorf("%s read the list: %s readings, then %s", r.name, own, now)
+	if now := f.inventoryOf(r, "readings"); now != readsBefore {
+		return fmt.Errorf("%s read the VM list: %s reads, then %s", r.name, readsBefore, now)
 	}
 	return nil
 }
--- a/scenario/main_test.go
+++ b/scenario/main_test.go
@@ -1,6 +1,6 @@
-// Package scenario runs whole fleets as real processes under scripted
-// failures. A script names components and events; every wait ends on an event,
-// and the one long deadline means only that something hangs.
+// Package scenario tests fleets of real router processes under scripted failures. A script
+// names components and events. Every wait ends with an event; the one long deadline that
+// bounds them all only detects a hang.
 package scenario
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	// hung bounds every wait. It is no figure: a wait that reaches it will
-	// never end.
-	hung = 60 * time.Second
-	// poll is the pause between two looks at something that sends no event.
-	poll = 10 * time.Millisecond
-	// atOnce is how many fleets run side by side.
-	atOnce = 4
+	// hangTimeout bounds every wait. It is far above any expected duration: a wait that reaches it
+	// would not end by itself.
+	hangTimeout = 60 * time.Second
+	// pollInterval is the interval at which a state that sends no event is checked.
+	pollInterval = 10 * time.Millisecond
+	// maxParallel is the maximum number of fleets that run at the same time.
+	maxParallel = 4
 )
 
 func TestMain(m *testing.M) {
@@ -38,18 +38,18 @@
 	})
 }
 
-type benchKey struct{}
+type testFleetKey struct{}
 
 func TestScenarios(t *testing.T) {
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxParallel)
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
 			slots <- struct{}{}
-			b := newBench(env)
-			env.Values[benchKey{}] = b
+			f := newTestFleet(env)
+			env.Values[testFleetKey{}] = f
 			env.Defer(func() {
-				b.close()
+				f.close()
 				<-slots
 			})
 			return nil
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -15,9 +15,9 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-func holder(b *bench, ts *testscript.TestScript, args []string) error {
-	return waitUntil("a router that gives orders", func() bool {
-		for _, r := range b.routers {
+func waitHolder(f *testFleet, ts *testscript.TestScript, args []string) error {
+	return waitUntil("a router that holds the lease for orders", func() bool {
+		for _, r := range f.routers {
 			if slices.Contains(args[1:], r.name) {
 				continue
 			}
@@ -31,8 +31,8 @@
 	})
 }
 
-func looking(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func waitOrderRound(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
@@ -50,14 +50,14 @@
 	})
 }
 
-func (b *bench) orders(engine string) ([]byte, error) {
-	return get("http://" + b.set.Ports()[engine] + "/v1/orders")
+func (f *testFleet) orders(engine string) ([]byte, error) {
+	return get("http://" + f.set.Ports()[engine] + "/v1/orders")
 }
 
-func engineStatus(b *bench, _ *testscript.TestScript, args []string) error {
+func engineStatus(f *testFleet, _ *testscript.TestScript, args []string) error {
 	last := ""
 	err := waitUntil("order status "+strings.Join(args, " "), func() bool {
-		data, err := b.orders(args[0])
+		data, err := f.orders(args[0])
 		if err != nil {
 			last = err.Error()
 			return false
@@ -71,23 +71,23 @@
 	return nil
 }
 
-// rising needs no moment to look at: an order that a former holder sent late
-// stays on the record after it was put right.
-func rising(b *bench, _ *testscript.TestScript, _ []string) error {
+// checkFencesRise may run at any time after the fault: an order that a former lease holder sent late
+// stays on the engine's record even after later orders have corrected it.
+func checkFencesRise(f *testFleet, _ *testscript.TestScript, _ []string) error {
 	orders := 0
-	for _, e := range b.set.Record().Engines {
+	for _, e := range f.set.Record().Engines {
 		orders += len(e.Fences)
 		if !slices.IsSorted(e.Fences) {
-			return fmt.Errorf("%s followed orders with the numbers %v", e.Engine, e.Fences)
+			return fmt.Errorf("%s executed orders with the fencing numbers %v", e.Engine, e.Fences)
 		}
 	}
 	if orders == 0 {
-		return errors.New("no engine was given an order")
+		return errors.New("no engine executed an order")
 	}
 	return nil
 }
 
-func place(b *bench, ts *testscript.TestScript, args []string) error {
+func place(f *testFleet, ts *testscript.TestScript, args []string) error {
 	p := intent.Placement{Backend: args[1]}
 	for _, version := range args[2:] {
 		p.Desired = append(p.Desired, fleet.ModelRef{Model: model, Version: version})
@@ -99,18 +99,18 @@
 	return os.WriteFile(ts.MkAbs(args[0]), data, 0o600)
 }
 
-func atMostLoads(b *bench, _ *testscript.TestScript, args []string) error {
-	if got := strconv.Itoa(b.set.Weights.MostLoads()); got > args[0] {
-		return fmt.Errorf("%s loads were under way at once, at most %s may", got, args[0])
+func atMostLoads(f *testFleet, _ *testscript.TestScript, args []string) error {
+	if got := strconv.Itoa(f.set.Weights.MostLoads()); got > args[0] {
+		return fmt.Errorf("%s loads ran at once, want at most %s", got, args[0])
 	}
 	return nil
 }
 
-func servedVersions(b *bench, _ *testscript.TestScript, args []string) error {
+func servedVersions(f *testFleet, _ *testscript.TestScript, args []string) error {
 	return waitUntil(strings.Join(args, " engines: "), func() bool {
 		n := 0
-		for _, e := range b.set.Engines {
-			data, err := b.orders(e.ID())
+		for _, e := range f.set.Engines {
+			data, err := f.orders(e.ID())
 			if err == nil && strings.Contains(valueAt(data, "actual"), strconv.Quote(args[0])) {
 				n++
 			}
--- a/scenario/raw_test.go
+++ b/scenario/raw_test.go
@@ -14,56 +14,56 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cursorTap notes the id of each event on its way to the client, for reconnects
-// that a well-behaved client does not make.
-type cursorTap struct {
+// cursorRecorder records the id of each event that passes to the client, for the command
+// reconnect, which reconnects in ways that the client library does not.
+type cursorRecorder struct {
 	g    *gen
 	next http.RoundTripper
 }
 
-func (t *cursorTap) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *cursorRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := t.next.RoundTrip(req)
 	if err == nil {
 		t.g.change(func() { t.g.proto = resp.Proto })
-		resp.Body = &tappedBody{ReadCloser: resp.Body, g: t.g}
+		resp.Body = &recordingBody{ReadCloser: resp.Body, g: t.g}
 	}
 	return resp, err
 }
 
-type tappedBody struct {
+type recordingBody struct {
 	io.ReadCloser
-	g    *gen
-	rest []byte // a line whose end has not come
+	g           *gen
+	partialLine []byte // a line that is not complete yet
 }
 
-func (b *tappedBody) Read(p []byte) (int, error) {
+func (b *recordingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.rest = append(b.rest, p[:n]...)
+	b.partialLine = append(b.partialLine, p[:n]...)
 	for {
-		line, rest, whole := bytes.Cut(b.rest, []byte("\n"))
-		if !whole {
+		line, rest, found := bytes.Cut(b.partialLine, []byte("\n"))
+		if !found {
 			return n, err
 		}
-		b.rest = rest
+		b.partialLine = rest
 		if id, ok := bytes.CutPrefix(line, []byte("id: ")); ok {
 			b.g.change(func() { b.g.cursor = string(id) })
 		}
 	}
 }
 
-func reconnect(b *bench, _ *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func reconnect(f *testFleet, _ *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
-	r, err := b.mustRouter(args[1])
+	r, err := f.mustRouter(args[1])
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	last := g.cursor
 	g.mu.Unlock()
-	got, err := g.post(r.caller, args[2], last)
+	got, err := g.resend(r.caller, args[2], last)
 	if err != nil {
 		return err
 	}
@@ -73,8 +73,9 @@
 	return nil
 }
 
-// post sends the request once more and returns status, code and outcome.
-func (g *gen) post(addr, key, lastEvent string) (string, error) {
+// resend sends the request again, with a Last-Event-ID header, and returns status, code and
+// outcome of the answer.
+func (g *gen) resend(addr, key, lastEvent string) (string, error) {
 	body, err := json.Marshal(map[string]any{"model": model, "prompt": g.prompt, "max_tokens": g.maxTokens, "stream": true})
 	if err != nil {
 		return "", err
@@ -103,22 +104,22 @@
 	return fmt.Sprintf("%d %s %s", resp.StatusCode, answer.Error.Code, answer.Error.Outcome), nil
 }
 
-func many(b *bench, _ *testscript.TestScript, args []string) error {
+func many(f *testFleet, _ *testscript.TestScript, args []string) error {
 	n, err := strconv.Atoi(args[0])
 	if err != nil {
 		return err
 	}
 	for i := range n {
 		one := append([]string{args[1] + strconv.Itoa(i+1)}, args[2:]...)
-		if err := b.generate(one); err != nil {
+		if err := f.generate(one); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func complete(b *bench, _ *testscript.TestScript, _ []string) error {
-	for _, g := range b.all() {
+func complete(f *testFleet, _ *testscript.TestScript, _ []string) error {
+	for _, g := range f.allGens() {
 		if err := g.awaitDone(); err != nil {
 			return err
 		}
@@ -129,8 +130,8 @@
 	return nil
 }
 
-func requestOf(b *bench, ts *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func requestOf(f *testFleet, ts *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
@@ -138,13 +139,13 @@
 	return nil
 }
 
-func runs(b *bench, _ *testscript.TestScript, args []string) error {
-	g, err := b.mustGen(args[0])
+func runs(f *testFleet, _ *testscript.TestScript, args []string) error {
+	g, err := f.mustGen(args[0])
 	if err != nil {
 		return err
 	}
 	id, n := load.RequestID(account, g.key), 0
-	for _, e := range b.set.Record().Engines {
+	for _, e := range f.set.Record().Engines {
 		for _, s := range e.Streams {
 			if s.Request == id {
 				n++
@@ -152,7 +153,7 @@
 		}
 	}
 	if got := strconv.Itoa(n); got != args[1] {
-		return fmt.Errorf("%s: engines began it %s times, want %s", g.name, got, args[1])
+		return fmt.Errorf("%s: engines started it %s times, want %s", g.name, got, args[1])
 	}
 	return nil
 }
--- a/scenario/tls_test.go
+++ b/scenario/tls_test.go
@@ -23,23 +23,23 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Commands of the scripts on TLS.
+// Script commands for TLS.
 func init() {
-	commands["tls"] = wrap(0, secure)    // before up: certificates on all listeners; the peers' must present theirs
-	commands["knock"] = wrap(3, peerAsk) // knock ROUTER none|other|own TEXT: asks its peer listener with no certificate, another CA's or the fleet's; TEXT is in the error or the status
+	commands["tls"] = wrap(0, enableTLS) // before up: all listeners get certificates; peer listeners require client certificates
+	commands["knock"] = wrap(3, knock)   // knock ROUTER none|other|own TEXT: connects to its peer listener without a certificate, with one of another CA or with the fleet's; TEXT is in the error or the status
 }
 
-// certs are the files of a fleet with TLS; nil is a fleet without.
+// certs holds the certificate files of a fleet with TLS; it is nil for a fleet without.
 type certs struct {
-	node, other settings.TLS // other is signed by a CA that the fleet doesn't trust
+	node, other settings.TLS // other is signed by a CA that the fleet does not trust
 	h2, h1      *http.Transport
 }
 
-func secure(b *bench, _ *testscript.TestScript, _ []string) error {
+func enableTLS(f *testFleet, _ *testscript.TestScript, _ []string) error {
 	c := &certs{}
 	var err1, err2 error
-	c.node, err1 = issue(b.dir, "node")
-	c.other, err2 = issue(b.dir, "other")
+	c.node, err1 = issue(f.dir, "node")
+	c.other, err2 = issue(f.dir, "other")
 	if err := errors.Join(err1, err2); err != nil {
 		return err
 	}
@@ -47,14 +47,14 @@
 	if err != nil {
 		return err
 	}
-	trust.Certificates = nil // a caller has none
+	trust.Certificates = nil // callers have no certificate
 	c.h1 = &http.Transport{TLSClientConfig: trust}
 	c.h2 = &http.Transport{TLSClientConfig: trust.Clone(), ForceAttemptHTTP2: true}
-	b.tls = c
+	f.tls = c
 	return nil
 }
 
-// issue makes a CA and one certificate for all nodes of the loopback address.
+// issue creates a CA and one certificate for the loopback address, which all nodes share.
 func issue(dir, name string) (settings.TLS, error) {
 	file := func(kind string) string { return filepath.Join(dir, name+"-"+kind+".pem") }
 	out := settings.TLS{CertFile: file("cert"), KeyFile: file("key"), ClientCAFile: file("ca")}
@@ -85,14 +85,16 @@
 	return os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600)
 }
 
-// listening is a listener of the settings, where tls is absent and not null.
-type listening struct {
+// listenerSettings is a listener in the settings file. Without TLS the key tls is left out, since
+// the settings do not accept null.
+type listenerSettings struct {
 	Address string        `json:"address"`
 	TLS     *settings.TLS `json:"tls,omitempty"`
 }
 
-// listener is one that callers and operators without certificates reach.
-func (c *certs) listener(addr string) listening {
+// listener returns the settings of a listener that requires no client certificates, for
+// callers and operators.
+func (c *certs) listener(addr string) listenerSettings {
 	l := c.peerListener(addr)
 	if l.TLS != nil {
 		l.TLS.ClientCAFile = ""
@@ -100,12 +102,12 @@
 	return l
 }
 
-func (c *certs) peerListener(addr string) listening {
+func (c *certs) peerListener(addr string) listenerSettings {
 	if c == nil {
-		return listening{Address: addr}
+		return listenerSettings{Address: addr}
 	}
 	files := c.node
-	return listening{Address: addr, TLS: &files}
+	return listenerSettings{Address: addr, TLS: &files}
 }
 
 func (c *certs) scheme() string {
@@ -132,24 +134,24 @@
 	return c.h2
 }
 
-func peerAsk(b *bench, _ *testscript.TestScript, args []string) error {
-	r, err := b.mustRouter(args[0])
+func knock(f *testFleet, _ *testscript.TestScript, args []string) error {
+	r, err := f.mustRouter(args[0])
 	if err != nil {
 		return err
 	}
-	cfg := b.tls.h1.TLSClientConfig.Clone()
-	files, has := map[string]settings.TLS{"own": b.tls.node, "other": b.tls.other}[args[1]]
+	cfg := f.tls.h1.TLSClientConfig.Clone()
+	files, has := map[string]settings.TLS{"own": f.tls.node, "other": f.tls.other}[args[1]]
 	if has {
 		pair, err := tls.LoadX509KeyPair(files.CertFile, files.KeyFile)
 		if err != nil {
 			return err
 		}
-		// Sent whether or not the listener asks for one of its CA.
+		// Sends the certificate even if the listener requests one of another CA.
 		cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
 	}
 	tr := &http.Transport{TLSClientConfig: cfg, DisableKeepAlives: true}
 	got := ""
-	resp, err := (&http.Client{Transport: tr, Timeout: hung}).Get("https://" + r.peer + peer.Path)
+	resp, err := (&http.Client{Transport: tr, Timeout: hangTimeout}).Get("https://" + r.peer + peer.Path)
 	if err == nil {
 		resp.Body.Close()
 		got = resp.Status
