--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -19,34 +19,35 @@
 )
 
 const (
-	fastModel        = "fast"  // tokens as fast as they are read
-	pacedModel       = "paced" // one token per stream each 30 ms, as a real engine
+	fastModel        = "fast"  // generates tokens as fast as they are read
+	pacedModel       = "paced" // generates one token per stream every 30 ms, as a real engine does
 	pacedStepMS      = 30
 	enginesEach      = 4 // engines of each model
 	runningPerEngine = 256
 )
 
-// job is a piece of load; First asks for first tokens instead of streams.
+// job is a load that the load process generates. If First is set, it measures the time to
+// the first token of single requests; otherwise it opens Streams streams.
 type job struct {
 	URL     string
 	Model   string
 	Streams int
 	Tokens  int // of each stream
-	First   int // requests by each of the two ways
+	First   int // number of requests through the daemon, and of requests directly to an engine
 }
 
-// report answers a job: first with Open, when all streams have a token, then
-// with the rest.
+// report is an answer to a job. A job with streams gets two: one with Open alone, once every
+// stream has a token, and one with the results at the end.
 type report struct {
 	Open    bool
 	Tokens  int
 	Seconds float64
-	Via     []time.Duration // first token through the daemon
-	Direct  []time.Duration // first token from the engine
+	Via     []time.Duration // time to first token through the daemon, sorted
+	Direct  []time.Duration // time to first token directly from the engine, sorted
 	Err     string
 }
 
-// serveJobs is the main function of the process of stand-ins and callers.
+// serveJobs is the main function of the load process, which runs the stand-ins and callers.
 func serveJobs(in io.Reader, out io.Writer) error {
 	set, err := control.New(control.Config{
 		KV: &control.AddrConfig{}, VMs: &control.VMsConfig{}, Weights: &control.WeightsConfig{BytesPerSecond: 1e9},
@@ -63,16 +64,16 @@
 	if err := send.Encode(set.Ports()); err != nil {
 		return err
 	}
-	w := &worker{
+	w := &loadWorker{
 		direct: "http://" + set.Ports()[fastModel+"0"],
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}},
 	}
 	for {
 		var j job
 		if err := recv.Decode(&j); err != nil {
-			return nil // the benchmark has ended
+			return nil // the benchmark process has exited or closed the pipe
 		}
-		r := w.run(j, func() { _ = send.Encode(report{Open: true}) }) // as below
+		r := w.run(j, func() { _ = send.Encode(report{Open: true}) }) // an error recurs at the next Encode
 		if err := send.Encode(r); err != nil {
 			return err
 		}
@@ -90,17 +91,17 @@
 	return out
 }
 
-type worker struct {
-	direct string // an engine's own address
-	client *http.Client
-	made   int
+type loadWorker struct {
+	direct         string // URL of an engine
+	client         *http.Client
+	directRequests int
 }
 
-func (w *worker) run(j job, open func()) report {
+func (w *loadWorker) run(j job, open func()) report {
 	var r report
 	var err error
 	if j.First > 0 {
-		r, err = w.firsts(j)
+		r, err = w.firstTokens(j)
 	} else {
 		r, err = w.streams(j, open)
 	}
@@ -110,30 +111,31 @@
 	return r
 }
 
-// streams reads all streams to their ends.
-func (w *worker) streams(j job, open func()) (report, error) {
-	var all, begun sync.WaitGroup
+// streams opens all streams of a job, calls open once each has a token, and reads all to
+// their ends.
+func (w *loadWorker) streams(j job, open func()) (report, error) {
+	var all, started sync.WaitGroup
 	errs := make([]error, j.Streams)
 	var once sync.Once
-	begun.Add(j.Streams)
-	began := time.Now()
+	started.Add(j.Streams)
+	start := time.Now()
 	for i := range j.Streams {
 		all.Go(func() {
-			done := sync.OnceFunc(begun.Done)
+			done := sync.OnceFunc(started.Done)
 			defer done()
-			errs[i] = w.one(j, done)
+			errs[i] = w.stream(j, done)
 		})
 	}
 	all.Go(func() {
-		begun.Wait()
+		started.Wait()
 		once.Do(open)
 	})
 	all.Wait()
-	return report{Tokens: j.Streams * j.Tokens, Seconds: time.Since(began).Seconds()}, errors.Join(errs...)
+	return report{Tokens: j.Streams * j.Tokens, Seconds: time.Since(start).Seconds()}, errors.Join(errs...)
 }
 
-func (w *worker) one(j job, first func()) error {
-	resp, err := w.post(j.URL, viaBody(j.Model, j.Tokens))
+func (w *loadWorker) stream(j job, first func()) error {
+	resp, err := w.post(j.URL, daemonBody(j.Model, j.Tokens))
 	if err != nil {
 		return err
 	}
@@ -145,14 +147,15 @@
 	return err
 }
 
-// read counts the tokens of a stream, which must end with its mark.
+// read returns the number of tokens of a stream and calls first at each token. It fails if
+// the stream ends without [DONE].
 func read(body io.Reader, first func()) (int, error) {
 	br := bufio.NewReaderSize(body, 16<<10)
-	n, whole := 0, false
+	n, done := 0, false
 	for {
 		line, err := br.ReadSlice('\n')
 		switch {
-		case err == io.EOF && whole:
+		case err == io.EOF && done:
 			return n, nil
 		case err != nil:
 			return n, fmt.Errorf("after %d tokens: %w", n, err)
@@ -160,20 +163,21 @@
 			n++
 			first()
 		case bytes.HasPrefix(line, []byte("data: [DONE]")):
-			whole = true
+			done = true
 		}
 	}
 }
 
-// firsts times first tokens one after the other, by both ways in turn.
-func (w *worker) firsts(j job) (report, error) {
+// firstTokens measures times to the first token, one request after the other, alternating between
+// the daemon and an engine.
+func (w *loadWorker) firstTokens(j job) (report, error) {
 	var r report
 	for range j.First {
-		via, err := w.first(j.URL, viaBody(j.Model, 1))
+		via, err := w.firstToken(j.URL, daemonBody(j.Model, 1))
 		if err != nil {
 			return r, err
 		}
-		direct, err := w.first(w.direct, w.nextDirect(j.Model))
+		direct, err := w.firstToken(w.direct, w.nextDirect(j.Model))
 		if err != nil {
 			return r, err
 		}
@@ -185,19 +189,19 @@
 	return r, nil
 }
 
-func (w *worker) first(url, body string) (time.Duration, error) {
-	began := time.Now()
+func (w *loadWorker) firstToken(url, body string) (time.Duration, error) {
+	start := time.Now()
 	resp, err := w.post(url, body)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
 	var took time.Duration
-	_, err = read(resp.Body, func() { took = time.Since(began) })
+	_, err = read(resp.Body, func() { took = time.Since(start) })
 	return took, err
 }
 
-func (w *worker) post(url, body string) (*http.Response, error) {
+func (w *loadWorker) post(url, body string) (*http.Response, error) {
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -211,22 +215,22 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // only for the message
+	text, _ := io.ReadAll(resp.Body) // used only in the error message
 	return nil, fmt.Errorf("status %d: %s", resp.StatusCode, text)
 }
 
 var prompt = strings.Repeat("digest of a diff ", 60) // about 1 KB
 
-func viaBody(model string, tokens int) string {
+func daemonBody(model string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true}`, model, prompt, tokens)
 }
 
-func (w *worker) nextDirect(model string) string {
-	w.made++
-	return directBody(model, fmt.Sprint("direct-", w.made), 1)
+func (w *loadWorker) nextDirect(model string) string {
+	w.directRequests++
+	return directBody(model, fmt.Sprint("direct-", w.directRequests), 1)
 }
 
-// directBody asks an engine as the daemon does.
+// directBody is the body of a request to an engine, in the form that the daemon sends.
 func directBody(model, request string, tokens int) string {
 	return fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":true,"priority":1,`+
 		`"ext":{"request_id":%q,"attempt":1,"version":"v1","linger_ms":1000}}`, model, prompt, tokens, request)
--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -1,8 +1,8 @@
-// Package bench measures the whole path of a daemon: the performance bar of
-// docs/CAPACITY.md. The daemon runs in the test's process with everything that
-// it has when deployed, and is configured through its administration
-// interface. Stand-ins and callers run in a second process of the same test
-// binary, so that the processor time of this process is that of the daemon.
+// Package bench measures the complete request path of a daemon against the performance
+// limits of docs/CAPACITY.md. The daemon runs in the test process with all components that
+// it has in a deployment, and is configured through its administration API. Stand-ins and
+// callers run in a second process of the same test binary, so that the processor time of the
+// test process is that of the daemon.
 package bench
 
 import (
@@ -33,9 +33,10 @@
 	loadEnv  = "WIGEON_BENCH_LOAD" // set in the process of stand-ins and callers
 	apiKey   = "bench-key"
 	operator = "bench-operator"
-	// patient keeps the failure detector out of the measurement: on a busy
-	// machine it would resume streams whose engines merely wait for a processor.
-	patient = 16_000 // ms, the longest that package health takes
+	// suspectMS is a suspicion threshold that keeps the failure detector out of the
+	// measurement: on a busy machine a shorter one would resume streams whose engines merely
+	// wait for a processor.
+	suspectMS = 16_000 // ms, the maximum that package health accepts
 )
 
 func TestMain(m *testing.M) {
@@ -51,7 +52,7 @@
 	os.Exit(code)
 }
 
-// path is a running daemon and the process of its stand-ins and callers.
+// path is a running daemon and the load process with its stand-ins and callers.
 type path struct {
 	cmd    *exec.Cmd
 	send   *json.Encoder
@@ -62,7 +63,7 @@
 	dir    string
 }
 
-// shared serves all benchmarks: a daemon in this process can't be ended.
+// shared is used by all benchmarks, since a daemon in this process cannot be shut down.
 var shared path
 
 var (
@@ -70,7 +71,7 @@
 	openErr   error
 )
 
-func thePath(b *testing.B) *path {
+func sharedPath(b *testing.B) *path {
 	startOnce.Do(func() {
 		openErr = shared.open()
 	})
@@ -103,18 +104,18 @@
 	if err != nil {
 		return err
 	}
-	// The daemon's log would stand between the benchmarks' results.
+	// The daemon's log would mix with the results of the benchmarks.
 	if os.Stderr, err = os.OpenFile(os.DevNull, os.O_WRONLY, 0); err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	go func() {
 		var out bytes.Buffer
 		code := daemon.Main([]string{"--config", file}, &out, &out)
-		ended <- fmt.Errorf("the daemon ended with exit code %d: %s", code, out.String())
+		exited <- fmt.Errorf("the daemon exited with code %d: %s", code, out.String())
 	}()
 	p.caller, p.admin = "http://"+caller, admin
-	return configure(admin, ended)
+	return configure(admin, exited)
 }
 
 func (p *path) startLoad() error {
@@ -145,7 +146,7 @@
 	}
 	def := settings.Default()
 	policy, peers, limits := def.Policy, def.Peers, def.Limits
-	policy.MinSuspectMS, policy.MaxSuspectMS = patient-1000, patient
+	policy.MinSuspectMS, policy.MaxSuspectMS = suspectMS-1000, suspectMS
 	peers.KeyFile = "peer.key"
 	limits.RequestsPerEngine = runningPerEngine
 	data, err := json.Marshal(map[string]any{
@@ -175,7 +176,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func configure(admin string, ended <-chan error) error {
+func configure(admin string, exited <-chan error) error {
 	changes := []string{fmt.Sprintf(`{"kind":"account","op":"set","account":{"id":"bench","key_hashes":[%q],`+
 		`"tokens_per_second":1000000000,"burst":1000000000,"max_concurrent":100000}}`, digest(apiKey))}
 	for _, model := range []string{fastModel, pacedModel} {
@@ -190,7 +191,7 @@
 			return nil
 		}
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return err
 		case <-time.After(50 * time.Millisecond):
 		}
@@ -219,11 +220,12 @@
 	if resp.StatusCode == http.StatusNoContent {
 		return nil
 	}
-	why, _ := io.ReadAll(resp.Body) // only for the message
+	why, _ := io.ReadAll(resp.Body) // used only in the error message
 	return fmt.Errorf("status %d: %s", resp.StatusCode, why)
 }
 
-// freeAddr returns an address that was free a moment ago.
+// freeAddr returns a loopback address that was free when it was checked; another process may
+// take it before it is used.
 func freeAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -18,7 +18,8 @@
 	"wigeondale/fleet"
 )
 
-// do has the other process carry out a job. open runs once all streams do.
+// do sends a job to the load process and returns its result. It calls open once all streams
+// of the job have a token.
 func (p *path) do(b *testing.B, j job, open func()) report {
 	if j.URL == "" {
 		j.URL = p.caller
@@ -41,12 +42,12 @@
 	}
 }
 
-// BenchmarkFirstToken compares the first token of an unloaded request through
-// the daemon with that of the same engine asked directly.
-// The bar: at most 1 ms added at the 99th percentile.
+// BenchmarkFirstToken compares the time to the first token of a request through an idle
+// daemon with that of a request sent directly to an engine.
+// The limit: at most 1 ms added at the 99th percentile.
 func BenchmarkFirstToken(b *testing.B) {
 	const requests = 1000
-	p := thePath(b)
+	p := sharedPath(b)
 	p.do(b, job{Model: fastModel, First: 50}, nil) // connections and caches
 	var r report
 	for b.Loop() {
@@ -64,41 +65,42 @@
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// BenchmarkForward measures forwarded tokens per second of processor time of
-// the daemon's process on one core, streams being read as fast as they come, so
-// that several tokens share one read and one write. The bar: 60,000.
+// BenchmarkForward measures the tokens that the daemon forwards per second of processor time
+// on one core. The streams are read as fast as they come, so that several tokens share one
+// read and one write. The limit: at least 60,000.
 func BenchmarkForward(b *testing.B) {
 	forward(b, job{Model: fastModel, Streams: 64, Tokens: 2000})
 }
 
-// BenchmarkForwardPaced is the same with 600 streams of a token each 30 ms,
-// the rhythm of real engines: each token is a read and a write of its own.
+// BenchmarkForwardPaced measures the same with 600 streams of one token every 30 ms, the rate
+// of real engines: each token takes its own read and write.
 func BenchmarkForwardPaced(b *testing.B) {
 	forward(b, job{Model: pacedModel, Streams: 600, Tokens: 200})
 }
 
-// bareRequests numbers the bare handler's requests over all rounds: an engine
-// refuses an attempt that it has seen.
+// bareRequests counts the bare handler's requests over all rounds, for unique request ids: an
+// engine refuses an attempt that it has already received.
 var bareRequests atomic.Int64
 
-// BenchmarkForwardPacedBare is the same through a bare handler, which copies
-// what it reads and flushes: what net/http and the kernel cost by themselves.
+// BenchmarkForwardPacedBare measures the same with a bare handler in place of the daemon. The
+// handler copies what it reads and flushes, which shows the cost of net/http and the kernel
+// alone.
 func BenchmarkForwardPacedBare(b *testing.B) {
-	p := thePath(b)
+	p := sharedPath(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		var ask struct {
+		var request struct {
 			MaxTokens int `json:"max_tokens"`
 		}
-		if err := json.NewDecoder(r.Body).Decode(&ask); err != nil {
-			return // the caller sees an answer without tokens
+		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
+			return // the caller receives an answer without tokens, which fails the benchmark
 		}
 		n := bareRequests.Add(1)
-		body := directBody(pacedModel, fmt.Sprint("bare-", n), ask.MaxTokens)
+		body := directBody(pacedModel, fmt.Sprint("bare-", n), request.MaxTokens)
 		engine := p.ports[fmt.Sprint(pacedModel, n%enginesEach)]
 		resp, err := client.Post("http://"+engine+"/v1/completions", "application/json", strings.NewReader(body))
 		if err != nil {
-			return // as above
+			return // the same
 		}
 		defer resp.Body.Close()
 		copyFlushing(w, resp.Body)
@@ -118,86 +120,85 @@
 	}
 }
 
-// usage is what the process has used so far.
+// usage is the processor time and the number of allocations of this process since its start.
 type usage struct {
 	cpu     time.Duration
 	mallocs uint64
 }
 
-// forward reports the whole cost for each token, and apart from that its two
-// parts: that of a request with an answer of one token, and that of each
-// further token.
+// forward reports the total cost per token and its two parts: the cost of a request with an
+// answer of one token, and the cost of each further token.
 func forward(b *testing.B, j job) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	p := thePath(b)
+	p := sharedPath(b)
 	short := job{URL: j.URL, Model: j.Model, Streams: j.Streams, Tokens: 1}
-	p.do(b, short, func() {}) // opens the connections
-	began := used()
+	p.do(b, short, func() {}) // warm up: opens the connections
+	start := currentUsage()
 	p.do(b, short, func() {})
-	request := used().since(began, j.Streams)
+	request := currentUsage().since(start, j.Streams)
 	var seconds float64
 	tokens := 0
-	began = used()
+	start = currentUsage()
 	for b.Loop() {
 		r := p.do(b, j, func() {})
 		tokens += r.Tokens
 		seconds += r.Seconds
 	}
-	whole := used().since(began, tokens)
-	b.ReportMetric(1e9/whole.ns, "tokens/core-s")
+	total := currentUsage().since(start, tokens)
+	b.ReportMetric(1e9/total.ns, "tokens/core-s")
 	b.ReportMetric(float64(tokens)/seconds, "tokens/s")
 	b.ReportMetric(request.ns, "cpu-ns/request")
 	b.ReportMetric(request.mallocs, "allocs/request")
 	each := float64(j.Tokens)
-	b.ReportMetric((whole.ns*each-request.ns)/(each-1), "cpu-ns/further-token")
-	b.ReportMetric((whole.mallocs*each-request.mallocs)/(each-1), "allocs/further-token")
+	b.ReportMetric((total.ns*each-request.ns)/(each-1), "cpu-ns/further-token")
+	b.ReportMetric((total.mallocs*each-request.mallocs)/(each-1), "allocs/further-token")
 }
 
-// cost is usage for each of a number of things.
+// cost is usage divided by a number of requests, tokens or polls.
 type cost struct{ ns, mallocs float64 }
 
-func (u usage) since(began usage, n int) cost {
+func (u usage) since(start usage, n int) cost {
 	return cost{
-		ns:      float64((u.cpu - began.cpu).Nanoseconds()) / float64(n),
-		mallocs: float64(u.mallocs-began.mallocs) / float64(n),
+		ns:      float64((u.cpu - start.cpu).Nanoseconds()) / float64(n),
+		mallocs: float64(u.mallocs-start.mallocs) / float64(n),
 	}
 }
 
-func used() usage {
+func currentUsage() usage {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	var u syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // can't fail for the own process
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u) // cannot fail for RUSAGE_SELF
 	return usage{time.Duration(u.Utime.Nano() + u.Stime.Nano()), m.Mallocs}
 }
 
-// BenchmarkOpenStream measures the memory of one open stream in mid-answer,
-// with both of its connections. It is to run alone, since connections that
-// earlier streams left idle would count for nothing.
+// BenchmarkOpenStream measures the memory of one open stream in mid-answer, with both of its
+// connections. It must be run on its own: idle connections that earlier streams left open
+// would be reused, and their memory would not be counted.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 600
-	p := thePath(b)
+	p := sharedPath(b)
 	var before, after memory
 	for b.Loop() {
-		before = takeMemory()
-		p.do(b, job{Model: pacedModel, Streams: streams, Tokens: 60}, func() { after = takeMemory() })
+		before = readMemory()
+		p.do(b, job{Model: pacedModel, Streams: streams, Tokens: 60}, func() { after = readMemory() })
 	}
 	b.ReportMetric(float64(after.heap-before.heap)/streams, "heap-B/stream")
 	b.ReportMetric(float64(after.stack-before.stack)/streams, "stack-B/stream")
 	b.ReportMetric(float64(after.goroutines-before.goroutines)/streams, "goroutines/stream")
 }
 
-// BenchmarkIdle measures a daemon without callers, alone with eight engines,
-// over some seconds: processor time and calls on the key-value service.
+// BenchmarkIdle measures a daemon with eight engines, without peers and without callers, over
+// ten seconds: processor time, calls to the key-value service, and memory.
 func BenchmarkIdle(b *testing.B) {
 	const span = 10 * time.Second
-	p := thePath(b)
+	p := sharedPath(b)
 	for b.Loop() {
-		calls, began := p.kvCalls(b), used()
+		calls, start := p.kvCalls(b), currentUsage()
 		time.Sleep(span)
-		b.ReportMetric(100*used().since(began, 1).ns/float64(span), "%core")
+		b.ReportMetric(100*currentUsage().since(start, 1).ns/float64(span), "%core")
 		b.ReportMetric(float64(p.kvCalls(b)-calls)/span.Seconds(), "kv-calls/s")
-		m := takeMemory()
+		m := readMemory()
 		b.ReportMetric(float64(m.heap), "heap-B")
 		b.ReportMetric(float64(m.stack), "stack-B")
 	}
@@ -225,19 +226,19 @@
 	return total
 }
 
-// BenchmarkPoll is the client's cost of asking one engine for its load, and for
-// its cache events as well, which only the scorer prefix-reported needs.
+// BenchmarkPoll measures the client's cost of polling one engine for its load, and for its
+// load and its cache events, which only the scorer prefix-reported needs.
 func BenchmarkPoll(b *testing.B) {
 	b.Run("load", func(b *testing.B) { poll(b, false) })
 	b.Run("load-and-cache-events", func(b *testing.B) { poll(b, true) })
 }
 
 func poll(b *testing.B, events bool) {
-	p := thePath(b)
+	p := sharedPath(b)
 	engine := fleet.Backend{ID: "e", Addr: p.ports[pacedModel+"0"], Kind: fleet.Engine}
 	c := backend.NewClient()
 	n := 0
-	began := used()
+	start := currentUsage()
 	for b.Loop() {
 		n++
 		_, err := c.Load(b.Context(), engine)
@@ -248,7 +249,7 @@
 			b.Fatal(err)
 		}
 	}
-	each := used().since(began, n)
+	each := currentUsage().since(start, n)
 	b.ReportMetric(each.ns, "cpu-ns/poll")
 	paths := []string{"/v1/load"}
 	if events {
@@ -257,8 +258,8 @@
 	b.ReportMetric(float64(pollBytes(b, engine.Addr, paths)), "bytes/poll")
 }
 
-// pollBytes counts the bytes of the same questions, each over a plain
-// connection.
+// pollBytes returns the bytes of the requests of one poll and their answers, each sent over
+// its own connection without net/http.
 func pollBytes(b *testing.B, addr string, paths []string) int {
 	total := 0
 	for _, path := range paths {
@@ -282,7 +283,7 @@
 
 type memory struct{ heap, stack, goroutines int64 }
 
-func takeMemory() memory {
+func readMemory() memory {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
