--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// arrival is one request to start at a moment after the start of the run.
+// arrival is one request of the schedule.
 type arrival struct {
-	at     time.Duration
+	at     time.Duration // after the start of the run
 	class  int
 	prompt string
 	key    string
 }
 
-// arrivals draws the whole schedule of a run from its seed, in order of time.
+// arrivals returns the complete schedule of a run, which depends only on the configuration and
+// its seed, sorted by time.
 func arrivals(cfg Config) []arrival {
 	var all []arrival
 	for i, cl := range cfg.Classes {
--- a/load/command.go
+++ b/load/command.go
@@ -18,7 +18,7 @@
 // Exit codes of wigeonload.
 const (
 	ExitOK    = 0
-	ExitBad   = 1 // an answer's check failed, or the run could not be made
+	ExitBad   = 1 // an answer failed its check, or the run could not be completed
 	ExitUsage = 2
 )
 
@@ -82,8 +82,8 @@
 		"Exit codes: 0 every check held; 1 a check failed or the run broke off; 2 usage."
 }
 
-// Main runs the command line argv (without the program's name) and returns
-// the exit code.
+// Main runs wigeonload with the arguments argv (without the program's name) and returns the
+// exit code.
 func Main(argv []string, stdout, stderr io.Writer) int {
 	var a args
 	p, err := arg.NewParser(arg.Config{Program: "wigeonload"}, &a)
@@ -194,7 +194,7 @@
 func printJSON(w io.Writer, v any) {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(v) // a closed standard output has no one left to tell
+	_ = enc.Encode(v) // if standard output is closed, the error cannot be reported there either
 }
 
 func saveCurves(res *Result, path string) error {
--- a/load/config.go
+++ b/load/config.go
@@ -1,7 +1,7 @@
-// Package load is an open-loop load generator for a fleet of routers. Requests
-// start at seeded Poisson moments whether or not earlier ones have ended, so
-// that a slow fleet can't slow its own load down and hide its latency. Each
-// complete answer is checked token by token.
+// Package load is an open-loop load generator for a fleet of routers. Requests start at the
+// times of a seeded Poisson process whether or not earlier ones have ended, so that a slow
+// fleet does not reduce its own load and hide its latency. Each answer is checked token by
+// token.
 package load
 
 import (
@@ -15,37 +15,38 @@
 // Error is the class of every error that this package returns.
 var Error = errs.Class("load")
 
-// Class is one kind of request within the load.
+// Class describes the requests of one kind.
 type Class struct {
 	Name        string
-	Rate        float64 // requests per second; zero leaves the class out
+	Rate        float64 // requests per second; zero sends none
 	MaxTokens   int
 	PromptBytes int
-	// Prefixes is the number of distinct documents; the prompts of a class
-	// share them as prefixes and differ in their last line.
+	// Prefixes is the number of distinct documents. Each prompt of the class consists of one
+	// of these as a shared prefix and a last line of its own.
 	Prefixes int
 	Priority fleet.Priority
 	Timeout  time.Duration
-	// Service, when set, makes the class plain calls of GET Path.
+	// Service, if set, makes the requests calls of GET Path to this service, which is not a
+	// model engine, instead of generations.
 	Service, Path string
-	// NonIdempotent marks the requests so.
+	// NonIdempotent marks the requests as non-idempotent.
 	NonIdempotent bool
 }
 
-// Config is one run.
+// Config describes one run.
 type Config struct {
 	Endpoints   []string
 	APIKey      string
-	Account     string // client account of APIKey, as the record needs it
+	Account     string // client account of APIKey; needed to find the requests in the record
 	Model       string
 	Seed        uint64
-	Duration    time.Duration // arrivals stop after it; open requests are finished
-	MaxRequests int           // arrivals also stop after so many
-	MaxTries    int           // tries of each request; see client.Options
+	Duration    time.Duration // arrivals stop after it; Run waits for open requests to end
+	MaxRequests int           // arrivals also stop after this number of requests
+	MaxTries    int           // maximum number of tries of each request; see client.Options
 	IdleTimeout time.Duration // see client.Options
 	Classes     []Class
-	// RecordURL is the stand-ins' /control/record. It tells at which token an
-	// engine took an answer over, and so which gaps were resumes.
+	// RecordURL is the URL of /control/record of the stand-ins. The record shows at which
+	// token another engine resumed an answer, and so which token gaps were resumes.
 	RecordURL string
 }
 
--- a/load/curves.go
+++ b/load/curves.go
@@ -8,11 +8,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ticksPerHalfDistance sets how finely a curve nears 100%.
+// ticksPerHalfDistance is the number of points of a curve each time the distance to 100%
+// halves.
 const ticksPerHalfDistance = 5
 
-// WriteCurves writes the percentile curve of each class and measure as CSV:
-// class, measure, percentile, value in milliseconds, count up to it.
+// WriteCurves writes the percentile curve of each class and measure as CSV: class, measure,
+// percentile, value in milliseconds, number of values up to it.
 func (r *Result) WriteCurves(w io.Writer) error {
 	out := csv.NewWriter(w)
 	rows := [][]string{{"class", "measure", "percentile", "ms", "count"}}
@@ -20,7 +21,7 @@
 		rows = append(rows, curve(c.Name, "first_token", c.firstToken)...)
 		rows = append(rows, curve(c.Name, "token_gap", c.gap)...)
 		rows = append(rows, curve(c.Name, "resume_latency", c.resume)...)
-		rows = append(rows, curve(c.Name, "whole_answer", c.whole)...)
+		rows = append(rows, curve(c.Name, "whole_answer", c.completeAnswer)...)
 	}
 	return Error.Wrap(out.WriteAll(rows))
 }
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestArrivalsRepeat proves that a seed names one schedule, so that two runs
-// can be compared, and that both bounds hold.
+// TestArrivalsRepeat checks that a seed always yields the same schedule, so that two runs can
+// be compared, and that the limits on duration and number of requests hold.
 func TestArrivalsRepeat(t *testing.T) {
 	cfg := Config{Seed: 3, Duration: time.Second, MaxRequests: 40, Classes: []Class{
 		{Name: "a", Rate: 30, PromptBytes: 100, Prefixes: 2}, {Name: "b", Rate: 30}, {Name: "off"},
@@ -38,11 +38,9 @@
 	}
 }
 
-// Symptom: a run reports success although an answer was wrong.
-// Sequence: the router leaves one token out, or ends a token early, or cuts an
-// answer and says so.
-// Cause: the first two look complete to a caller that only counts answers; the
-// third is no fault.
+// Guards against a run that reports success although an answer was wrong. The router leaves a
+// token out, or ends the answer a token early: both look complete to a caller that only counts
+// answers. An answer that the router cuts short and marks with an error is not a fault.
 func TestRunFindsWrongAnswers(t *testing.T) {
 	const tokens = 5
 	cases := []struct {
@@ -55,7 +53,7 @@
 		{"whole", func(s []string) []string { return s }, "data: [DONE]\n\n", fleet.Complete, 0},
 		{"token left out", func(s []string) []string { return append(s[:2:2], s[3:]...) }, "data: [DONE]\n\n", fleet.Complete, 1},
 		{"end missing", func(s []string) []string { return s[:tokens-1] }, "data: [DONE]\n\n", fleet.Complete, 1},
-		{"cut, and said so", func(s []string) []string { return s[:2] },
+		{"cut with an error", func(s []string) []string { return s[:2] },
 			"event: error\ndata: {\"error\":{\"code\":\"x\",\"outcome\":\"failed\",\"retry_after_ms\":1}}\n\n", fleet.Failed, 0},
 	}
 	for _, tc := range cases {
--- a/load/one.go
+++ b/load/one.go
@@ -14,14 +14,15 @@
 	"wigeondale/fleet"
 )
 
-// Loss is one wait that a failure caused, as the caller saw it.
+// Loss is one wait between two tokens that the crash of an engine or a router caused, as the
+// caller saw it.
 type Loss struct {
 	Kind  string  `json:"kind"` // "engine" or "router"
 	Token int     `json:"token"`
 	MS    float64 `json:"resume_latency_ms"`
 }
 
-// OneResult is what one generation came to.
+// OneResult is the result of a single generation.
 type OneResult struct {
 	Request    string        `json:"request"`
 	Key        string        `json:"key"`
@@ -38,7 +39,7 @@
 	Text       string        `json:"text"`
 }
 
-// ok reports whether the whole answer came and its check held.
+// ok reports whether the answer was complete and passed its check.
 func (r *OneResult) ok() bool { return r.Outcome == fleet.Complete && r.Check.OK }
 
 func (a *args) one(ctx context.Context, stdout, stderr io.Writer) int {
@@ -85,7 +86,7 @@
 	}, nil
 }
 
-// progress prints what a script that injects failures has to know.
+// progress prints the connections and token counts that a script uses to time its failures.
 type progress struct {
 	w      io.Writer
 	every  int
@@ -126,7 +127,7 @@
 		RetryAfter: toMS(got.RetryAfter), Text: got.Text,
 		Check: Check(req.Prompt, req.MaxTokens, got),
 	}
-	res.Code, res.Error = explain(genErr)
+	res.Code, res.Error = errorCode(genErr)
 	for _, g := range got.Gaps {
 		res.Losses = append(res.Losses, Loss{"router", g.At, toMS(g.Duration)})
 	}
@@ -141,12 +142,12 @@
 	return res, nil
 }
 
-// addRecord adds the losses that the caller could not tell from a slow token:
-// another engine took over behind the same connection.
+// addRecord adds the losses that the caller could not distinguish from a slow token, because
+// another engine resumed the answer behind the same connection to the router.
 func (r *OneResult) addRecord(rec *Record, gaps []time.Duration) {
 	for _, at := range rec.Resumes()[r.Request] {
-		seen := slices.ContainsFunc(r.Losses, func(l Loss) bool { return l.Token == at })
-		if !seen && at <= len(gaps) {
+		known := slices.ContainsFunc(r.Losses, func(l Loss) bool { return l.Token == at })
+		if !known && at <= len(gaps) {
 			r.Losses = append(r.Losses, Loss{"engine", at, toMS(gaps[at-1])})
 		}
 	}
@@ -155,12 +156,12 @@
 	r.Extra = &x
 }
 
-func explain(err error) (code, message string) {
+func errorCode(err error) (code, message string) {
 	if err == nil {
 		return "", ""
 	}
 	var a answer
-	a.fail(err)
+	a.setError(err)
 	return a.endedBy, err.Error()
 }
 
@@ -175,7 +176,7 @@
 	fmt.Fprintf(w, "first token %.1f ms\n", r.FirstToken)
 	c := r.Check
 	fmt.Fprintf(w, "check       %d tokens, %d missing, %d repeated, %d spliced: %s\n",
-		c.Tokens, c.Missing, c.Repeated, c.Spliced, verdict(c.OK))
+		c.Tokens, c.Missing, c.Repeated, c.Spliced, checkResult(c.OK))
 	for _, l := range r.Losses {
 		fmt.Fprintf(w, "loss        %s at token %d: resume latency %.1f ms\n", l.Kind, l.Token, l.MS)
 	}
--- a/load/record.go
+++ b/load/record.go
@@ -9,7 +9,7 @@
 	"wigeondale/fleet"
 )
 
-// RequestID is the name that routers give a request towards engines.
+// RequestID returns the id under which engines see a request.
 func RequestID(account, key string) string { return fleet.RequestID(account, key) }
 
 // Record is the part of the stand-ins' record that load reads.
@@ -17,13 +17,13 @@
 	Engines []EngineRecord `json:"engines"`
 }
 
-// EngineRecord is what one engine did.
+// EngineRecord lists the attempts that one engine ran.
 type EngineRecord struct {
 	Engine  string          `json:"engine"`
 	Streams []AttemptRecord `json:"streams"`
 }
 
-// AttemptRecord is what one engine did for one attempt of one request.
+// AttemptRecord is the work of one engine for one attempt of a request.
 type AttemptRecord struct {
 	Request   string `json:"request"`
 	Attempt   int    `json:"attempt"`
@@ -56,8 +56,8 @@
 	return &rec, nil
 }
 
-// Resumes lists for each request the token indices at which a further attempt
-// took over. An attempt that delivered nothing took nothing over.
+// Resumes returns for each request the token indices at which a later attempt resumed the
+// answer. Attempts that delivered no token are left out.
 func (r *Record) Resumes() map[string][]int {
 	out := make(map[string][]int)
 	for _, e := range r.Engines {
@@ -73,13 +73,13 @@
 	return out
 }
 
-// Serving returns the engine that runs an attempt of the request now, or "".
-// An empty request means any.
+// Serving returns an engine that runs an attempt of the request now, or "" if none does. An
+// empty request matches all requests.
 func (r *Record) Serving(request string) string {
 	for _, e := range r.Engines {
 		for _, s := range e.Streams {
-			mine := request == "" || s.Request == request
-			if mine && !s.Finished && s.Cancelled == "" {
+			matches := request == "" || s.Request == request
+			if matches && !s.Finished && s.Cancelled == "" {
 				return e.Engine
 			}
 		}
@@ -87,13 +87,13 @@
 	return ""
 }
 
-// Extra is engine work beyond a run without failures.
+// Extra is the work of engines beyond that of a run without failures.
 type Extra struct {
 	Generated int `json:"generated"` // tokens generated beyond those of the answer
 	Prefilled int `json:"prefilled"` // prompt tokens prefilled again
 }
 
-// Extra reckons the extra work of one request whose answer has so many tokens.
+// Extra returns the extra work for one request whose answer has the given number of tokens.
 func (r *Record) Extra(request string, tokens int) Extra {
 	var x Extra
 	first := 0
--- a/load/result.go
+++ b/load/result.go
@@ -28,7 +28,7 @@
 	Mean  float64 `json:"mean_ms"`
 }
 
-// ClassResult is what one class of requests came to.
+// ClassResult holds the results of one class of requests.
 type ClassResult struct {
 	Name       string                `json:"name"`
 	Sent       int                   `json:"sent"`
@@ -36,7 +36,7 @@
 	EndedBy    map[string]int        `json:"ended_by"`
 	Reconnects int                   `json:"reconnects"`
 	Resumes    int                   `json:"resumes"`     // by another engine, from the record
-	NoAdvice   int                   `json:"no_advice"`   // refusals without Retry-After
+	NoAdvice   int                   `json:"no_advice"`   // incomplete answers without Retry-After
 	Tokens     int                   `json:"tokens"`      // delivered
 	Missing    int                   `json:"missing"`     // tokens, over all answers
 	Repeated   int                   `json:"repeated"`    // tokens
@@ -47,14 +47,14 @@
 	Resume     Quantiles             `json:"resume_latency"`
 	Whole      Quantiles             `json:"whole_answer"`
 
-	firstToken, gap, resume, whole *hdrhistogram.Histogram
+	firstToken, gap, resume, completeAnswer *hdrhistogram.Histogram
 }
 
-// Result is what one run came to.
+// Result holds the results of one run.
 type Result struct {
 	Seed    uint64         `json:"seed"`
 	Seconds float64        `json:"seconds"`
-	OK      bool           `json:"ok"` // every answer's check held
+	OK      bool           `json:"ok"` // all answers passed their checks
 	Classes []*ClassResult `json:"classes"`
 }
 
@@ -65,7 +65,7 @@
 			Name:       cl.Name,
 			Outcomes:   make(map[fleet.Outcome]int),
 			EndedBy:    make(map[string]int),
-			firstToken: newHist(), gap: newHist(), resume: newHist(), whole: newHist(),
+			firstToken: newHist(), gap: newHist(), resume: newHist(), completeAnswer: newHist(),
 		})
 	}
 	return res
@@ -75,11 +75,11 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(d.Microseconds(), 1), histMax)
-	_ = h.RecordValue(us) // can't fail: the value is within the range
+	_ = h.RecordValue(us) // cannot fail: the value is within the range
 }
 
-// add counts one answer; resumedAt lists the token indices at which another
-// engine took the answer over.
+// add counts one answer. resumedAt lists the token indices at which another engine resumed
+// the answer.
 func (r *Result) add(a *answer, resumedAt []int) {
 	c := r.Classes[a.class]
 	c.Sent++
@@ -92,7 +92,7 @@
 		c.NoAdvice++
 	}
 	if a.outcome == fleet.Complete {
-		record(c.whole, a.took)
+		record(c.completeAnswer, a.duration)
 	}
 	if a.firstToken > 0 {
 		record(c.firstToken, a.firstToken)
@@ -131,7 +131,7 @@
 		c.FirstToken = quantiles(c.firstToken)
 		c.Gap = quantiles(c.gap)
 		c.Resume = quantiles(c.resume)
-		c.Whole = quantiles(c.whole)
+		c.Whole = quantiles(c.completeAnswer)
 		r.OK = r.OK && c.BadAnswers == 0
 	}
 }
@@ -165,7 +165,7 @@
 		c.printQuantiles(t, "whole answer", c.Whole)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\nseed %d, %.1f s, check %s\n", r.Seed, r.Seconds, verdict(r.OK))
+	fmt.Fprintf(w, "\nseed %d, %.1f s, check %s\n", r.Seed, r.Seconds, checkResult(r.OK))
 }
 
 func (c *ClassResult) printQuantiles(w io.Writer, name string, q Quantiles) {
@@ -175,7 +175,7 @@
 	fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", c.Name, name, q.Count, q.P50, q.P90, q.P99, q.Max)
 }
 
-func verdict(ok bool) string {
+func checkResult(ok bool) string {
 	if ok {
 		return "holds"
 	}
--- a/load/run.go
+++ b/load/run.go
@@ -12,14 +12,14 @@
 	"wigeondale/fleet"
 )
 
-// answer is what one request came to.
+// answer is the result of one request.
 type answer struct {
 	class      int
-	id         string // request id as the engines record it
+	id         string // request id as engines see it; empty for a call to a service
 	outcome    fleet.Outcome
-	endedBy    string // code of the refusal or name of the error; empty when complete
+	endedBy    string // code of the refusal or name of the error; empty if complete
 	firstToken time.Duration
-	took       time.Duration
+	duration   time.Duration
 	gaps       []time.Duration // gaps[i] is the wait before token i+1
 	reconnects int
 	report     check.Report
@@ -27,8 +27,8 @@
 	retryAfter bool
 }
 
-// Run sends the whole schedule and waits for every request to end. It ends
-// early, with what has been measured, when ctx ends.
+// Run sends the requests of the schedule and waits until all have ended. If ctx ends first, it
+// sends no more requests and returns the results so far.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -41,9 +41,9 @@
 		mu      sync.Mutex
 		answers []answer
 	)
-	began := time.Now()
+	start := time.Now()
 	for _, a := range arrivals(cfg) {
-		if !SleepUntil(ctx, began.Add(a.at)) {
+		if !SleepUntil(ctx, start.Add(a.at)) {
 			break
 		}
 		wg.Go(func() {
@@ -54,7 +54,7 @@
 		})
 	}
 	wg.Wait()
-	res := newResult(cfg, time.Since(began))
+	res := newResult(cfg, time.Since(start))
 	resumes, err := fetchResumes(ctx, cfg.RecordURL)
 	for i := range answers {
 		res.add(&answers[i], resumes[answers[i].id])
@@ -76,15 +76,15 @@
 		Service: cl.Service, Path: cl.Path, Key: a.key,
 		Timeout: cl.Timeout, Priority: cl.Priority, NonIdempotent: cl.NonIdempotent,
 	})
-	got := answer{class: a.class, outcome: res.Outcome, took: res.Took, firstToken: res.Took}
-	got.fail(err)
+	got := answer{class: a.class, outcome: res.Outcome, duration: res.Took, firstToken: res.Took}
+	got.setError(err)
 	return got
 }
 
 func generate(ctx context.Context, c *client.Client, cfg Config, a arrival) answer {
 	cl := cfg.Classes[a.class]
 	got := answer{class: a.class}
-	began := time.Now()
+	start := time.Now()
 	var last time.Time
 	res, err := c.Generate(ctx, client.Request{
 		Model: cfg.Model, Prompt: a.prompt, MaxTokens: cl.MaxTokens, Key: a.key,
@@ -96,19 +96,19 @@
 		}
 		last = now
 	})
-	got.took = time.Since(began)
+	got.duration = time.Since(start)
 	got.id = RequestID(cfg.Account, a.key)
 	got.outcome = res.Outcome
 	got.firstToken = res.FirstToken
 	got.reconnects = res.Reconnects
-	got.fail(err)
+	got.setError(err)
 	got.report = Check(a.prompt, cl.MaxTokens, res)
 	got.checked = true
 	return got
 }
 
-// addGap notes the wait before an event that brought n tokens: the first of
-// them waited, the others came with it.
+// addGap records the wait before an event with n tokens: the first token gets the wait, the
+// others, which arrived with it, get none.
 func (a *answer) addGap(d time.Duration, n int) {
 	a.gaps = append(a.gaps, d)
 	for range n - 1 {
@@ -116,7 +116,7 @@
 	}
 }
 
-func (a *answer) fail(err error) {
+func (a *answer) setError(err error) {
 	if err == nil {
 		return
 	}
@@ -134,9 +134,9 @@
 	}
 }
 
-// Check proves the text of one answer. Text that came beside an error is
-// checked too: it may be cut short but never wrong. A complete answer must
-// also have its end.
+// Check checks the text of one answer. The text of an answer that ended with an error is
+// checked too: it may be cut short, but its tokens must be right. A complete answer must also
+// have a finish reason, and with the finish reason length all its tokens.
 func Check(prompt string, maxTokens int, res client.Result) check.Report {
 	rep := check.Answer(prompt, res.Text)
 	if res.Outcome != fleet.Complete {
@@ -154,7 +154,7 @@
 	return rep
 }
 
-// SleepUntil waits until t; false means that ctx ended first.
+// SleepUntil waits until t and returns false if ctx ended first.
 func SleepUntil(ctx context.Context, t time.Time) bool {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
