--- a/measure/command.go
+++ b/measure/command.go
@@ -14,7 +14,7 @@
 // Exit codes of wigeonmeasure.
 const (
 	ExitOK    = 0
-	ExitBad   = 1 // an answer's check failed, or the run broke off
+	ExitBad   = 1 // an answer failed its check, or the run could not be completed
 	ExitUsage = 2
 )
 
@@ -24,21 +24,22 @@
 	Dir        string `arg:"--dir" help:"folder of the processes' settings"`
 }
 
-type none struct{}
+type emptyCommand struct{}
 
 type runCommand struct {
 	Out string `arg:"--out" default:"out" help:"folder for CSV and SVG files"`
 }
 
 type args struct {
-	List     *none       `arg:"subcommand:list" help:"print the experiments' names"`
-	Plan     *none       `arg:"subcommand:plan" help:"write the stand-ins' configuration"`
-	Settings *none       `arg:"subcommand:settings" help:"write the routers' settings"`
-	Run      *runCommand `arg:"subcommand:run" help:"measure"`
+	List     *emptyCommand `arg:"subcommand:list" help:"print the experiments' names"`
+	Plan     *emptyCommand `arg:"subcommand:plan" help:"write the stand-ins' configuration"`
+	Settings *emptyCommand `arg:"subcommand:settings" help:"write the routers' settings"`
+	Run      *runCommand   `arg:"subcommand:run" help:"measure"`
 	common
 }
 
-// Main runs the command line argv and returns the exit code.
+// Main runs wigeonmeasure with the arguments argv (without the program's name) and returns the
+// exit code.
 func Main(argv []string, stdout, stderr io.Writer) int {
 	if len(argv) == 1 && argv[0] == "list" {
 		for _, x := range experiments() {
@@ -71,7 +72,7 @@
 }
 
 func (a *args) dispatch(stdout io.Writer) error {
-	x, err := find(a.Experiment)
+	x, err := findExperiment(a.Experiment)
 	if err != nil {
 		return err
 	}
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -13,20 +13,20 @@
 	"wigeondale/settings"
 )
 
-// detection compares how soon a silent engine is given up: resume latency
-// against extra work, over thresholds, beside fixed timeouts and start-over
-// without resume.
+// detection compares policies for the silence after which an engine counts as failed: resume
+// latency against extra work, over several weights of the learned threshold, with fixed
+// timeouts, and with clients that start over without resume.
 type detection struct{}
 
 // Name implements Experiment.
 func (detection) Name() string { return "detection" }
 
-// Engines of the detection experiment: one decode step of 30 ms, and 10,000
-// prompt tokens a second of prefill.
+// Engines of the detection experiment: a decode step takes 30 ms, and 10,000 prompt tokens are
+// prefilled per second.
 const (
 	detectionEngines = 8
 	stepMS           = 30
-	prefillRate      = 40_000 // bytes of prompt a second
+	prefillRate      = 40_000 // bytes of prompt per second
 	usPerSecond      = 1_000_000
 )
 
@@ -36,51 +36,51 @@
 	MaxRunning: 64, CacheBlocks: 1024, ReportLagMS: 200, EventsLagMS: 300, EventsDropPercent: 5,
 }
 
-// baselineFleet is the one that ratios refer to.
+// baselineFleet is the fleet whose results are the denominators of all ratios.
 const baselineFleet = "fixed-1s"
 
-// candidate is one policy under comparison. The names of the sweep tell the
-// tail exponent, the failures an hour (0.1 where not named) and the weights of
-// resume latency and extra work.
+// candidate is one policy under comparison. In the names of the sweep, t is the tail exponent,
+// f the failures per hour (0.1 if absent), and the last part the weights of resume latency and
+// extra work.
 type candidate struct {
 	name      string
-	startOver time.Duration // above 0: without routers, with this timeout
+	startOver time.Duration // if above 0, clients connect to engines directly, with this timeout
 	policy    func(*settings.Policy)
 }
 
 func candidates() []candidate {
 	return []candidate{
 		{name: "start-over-1s", startOver: time.Second},
-		{name: "fixed-300ms", policy: fixed(300)},
-		{name: baselineFleet, policy: fixed(1000)},
-		{name: "fixed-5s", policy: fixed(5000)},
-		{name: "t2-2:1", policy: judged(weights{2, 1, 0.1, 2})},
-		{name: "t2-1:1", policy: judged(weights{1, 1, 0.1, 2})},
-		{name: "t2-1:2", policy: judged(weights{1, 2, 0.1, 2})},
-		{name: "t2-f10-4:1", policy: judged(weights{4, 1, 10, 2})},
-		{name: "t2-f10-2:1", policy: judged(weights{2, 1, 10, 2})},
-		{name: "t2-f10-1:1", policy: judged(weights{1, 1, 10, 2})},
-		{name: "t2-f10-1:2", policy: judged(weights{1, 2, 10, 2})},
-		{name: "t2-f10-1:4", policy: judged(weights{1, 4, 10, 2})},
-		{name: "t4-1:1", policy: judged(weights{1, 1, 0.1, 4})},
-		{name: "t4-f10-1:1", policy: judged(weights{1, 1, 10, 4})},
+		{name: "fixed-300ms", policy: fixedTimeout(300)},
+		{name: baselineFleet, policy: fixedTimeout(1000)},
+		{name: "fixed-5s", policy: fixedTimeout(5000)},
+		{name: "t2-2:1", policy: learnedThreshold(thresholdWeights{2, 1, 0.1, 2})},
+		{name: "t2-1:1", policy: learnedThreshold(thresholdWeights{1, 1, 0.1, 2})},
+		{name: "t2-1:2", policy: learnedThreshold(thresholdWeights{1, 2, 0.1, 2})},
+		{name: "t2-f10-4:1", policy: learnedThreshold(thresholdWeights{4, 1, 10, 2})},
+		{name: "t2-f10-2:1", policy: learnedThreshold(thresholdWeights{2, 1, 10, 2})},
+		{name: "t2-f10-1:1", policy: learnedThreshold(thresholdWeights{1, 1, 10, 2})},
+		{name: "t2-f10-1:2", policy: learnedThreshold(thresholdWeights{1, 2, 10, 2})},
+		{name: "t2-f10-1:4", policy: learnedThreshold(thresholdWeights{1, 4, 10, 2})},
+		{name: "t4-1:1", policy: learnedThreshold(thresholdWeights{1, 1, 0.1, 4})},
+		{name: "t4-f10-1:1", policy: learnedThreshold(thresholdWeights{1, 1, 10, 4})},
 	}
 }
 
-// The sweep's bounds on the threshold are wide, so that the weights decide.
+// The sweep sets wide bounds on the threshold, so that the weights determine it.
 const (
 	sweepMinMS = 80
 	sweepMaxMS = 8000
 )
 
-// weights are what the threshold follows from.
-type weights struct{ latency, extra, failuresPerHour, tail float64 }
+// thresholdWeights holds the policy settings from which the silence threshold is computed.
+type thresholdWeights struct{ latency, extra, failuresPerHour, tail float64 }
 
-func fixed(ms int) func(*settings.Policy) {
+func fixedTimeout(ms int) func(*settings.Policy) {
 	return func(p *settings.Policy) { p.FixedTimeoutMS = ms }
 }
 
-func judged(w weights) func(*settings.Policy) {
+func learnedThreshold(w thresholdWeights) func(*settings.Policy) {
 	return func(p *settings.Policy) {
 		p.ResumeLatencyWeight, p.ExtraWorkWeight = w.latency, w.extra
 		p.FailuresPerHour, p.TailExponent = w.failuresPerHour, w.tail
@@ -110,15 +110,15 @@
 	return out
 }
 
-// detectionPlan is how long one run lasts and how dense its faults are.
+// detectionPlan sets the number and length of the runs and the times of the faults.
 type detectionPlan struct {
 	seeds    int
 	duration time.Duration
-	first    time.Duration // of the faults
-	every    time.Duration // between two faults
+	first    time.Duration // time of the first fault
+	every    time.Duration // time between two faults
 }
 
-func planOf(m Mode) detectionPlan {
+func detectionPlanFor(m Mode) detectionPlan {
 	if m == Full {
 		return detectionPlan{seeds: 3, duration: 48 * time.Second, first: 4 * time.Second, every: 1500 * time.Millisecond}
 	}
@@ -127,7 +127,7 @@
 
 // Run implements Experiment.
 func (detection) Run(ctx context.Context, env *Env) error {
-	plan := planOf(env.Mode)
+	plan := detectionPlanFor(env.Mode)
 	results := make([][]tally, len(env.Fleets))
 	for seed := range plan.seeds {
 		tallies, err := runDetection(ctx, env, plan, uint64(seed+1))
@@ -141,7 +141,7 @@
 	return reportDetection(env, results)
 }
 
-// runDetection sends one seed's load and faults to all fleets at once.
+// runDetection runs the load and the faults of one seed on all fleets at the same time.
 func runDetection(ctx context.Context, env *Env, plan detectionPlan, seed uint64) ([]tally, error) {
 	l := Load{Classes: []Class{Drafts, Lookups}, Seed: seed, Duration: plan.duration}
 	events := detectionFaults(plan)
@@ -176,7 +176,8 @@
 	if err := <-played; err != nil {
 		return tally{}, err
 	}
-	// What a thawed engine goes on generating for nobody ends by its linger.
+	// Wait until thawed engines have stopped: without a client, they generate until their
+	// linger time has passed.
 	if !load.SleepUntil(ctx, time.Now().Add(settleTime)) {
 		return tally{}, Error.Wrap(ctx.Err())
 	}
@@ -188,7 +189,7 @@
 }
 
 const (
-	// firstTokenLimit is the start-over client's wait for a first token.
+	// firstTokenLimit is the time for which the start-over client waits for a first token.
 	firstTokenLimit = 5 * time.Second
 	settleTime      = time.Second
 )
--- a/measure/domainloss.go
+++ b/measure/domainloss.go
@@ -10,15 +10,15 @@
 	"wigeondale/load"
 )
 
-// domainLoss kills every engine of one failure domain of three and of four
-// while the fleet runs at full load, and starts them again later.
+// domainLoss kills all engines of one failure domain, in fleets with three and with four
+// domains, while the fleet runs at full load, and starts them again later.
 type domainLoss struct{}
 
 // Name implements Experiment.
 func (domainLoss) Name() string { return "domain-loss" }
 
-// enginesPerDomain of the domain-loss experiment; each carries as many drafts
-// a second as leave about a tenth of its places free.
+// Fleet and load of the domain-loss experiment: draftsPerEngine is the number of drafts per second that
+// leaves about a tenth of an engine's slots free.
 const (
 	enginesPerDomain = 2
 	draftsPerEngine  = 6
@@ -56,8 +56,8 @@
 	if env.Mode == Full {
 		times, n = overloadTimes{5 * time.Second, 13 * time.Second, 24 * time.Second}, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			return x.run(ctx, r, start, times, seed)
 		})
 	})
@@ -81,10 +81,10 @@
 	played := make(chan error, 1)
 	go func() { played <- script.Play(ctx, start, r) }()
 	engines := float64(r.Engines)
-	answers, err := driveParts(ctx, start, []part{
-		{0, Load{[]Class{shortDrafts.rate(draftsPerEngine * engines), pageLookups.rate(lookupsPerEngine * engines)}, seed, t.end}, as(r, Account, APIKey)},
-		{0, Load{[]Class{shortDrafts.rate(smallDrafts).named("small-draft")}, seed, t.end}, as(r, smallAccount, smallAccount)},
-		{t.over, Load{[]Class{probes}, seed, t.normal - t.over}, once(r, Account, APIKey)},
+	answers, err := driveLoads(ctx, start, []timedLoad{
+		{0, Load{[]Class{shortDrafts.rate(draftsPerEngine * engines), pageLookups.rate(lookupsPerEngine * engines)}, seed, t.end}, clientSender(r, Account, APIKey)},
+		{0, Load{[]Class{shortDrafts.rate(smallDrafts).named("small-draft")}, seed, t.end}, clientSender(r, smallAccount, smallAccount)},
+		{t.over, Load{[]Class{probes}, seed, t.normal - t.over}, singleTrySender(r, Account, APIKey)},
 	})
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	return append(tables, []row{resumed}), err
 }
 
-// resumeRow sums up the answers that went on at another engine.
+// resumeRow returns the figures of the answers that were resumed on another engine.
 func resumeRow(ctx context.Context, r *Running, answers []Answer) (row, error) {
 	rec, err := load.FetchRecord(ctx, r.Record())
 	if err != nil {
--- a/measure/drive.go
+++ b/measure/drive.go
@@ -14,7 +14,7 @@
 	"wigeondale/load"
 )
 
-// Class is one kind of request within the load of an experiment.
+// Class describes the requests of one kind in the load of an experiment.
 type Class struct {
 	Name        string
 	Rate        float64 // requests per second
@@ -25,7 +25,7 @@
 	Timeout     time.Duration
 }
 
-// Two kinds of work. One decode step of 30 ms gives drafts of 9 s.
+// Classes of the detection experiment. With a decode step of 30 ms, a draft takes 9 s.
 var (
 	Drafts = Class{Name: "draft", Rate: 5, MaxTokens: 300, PromptBytes: 8 << 10, Documents: 64,
 		Priority: fleet.Batch, Timeout: 60 * time.Second}
@@ -33,30 +33,30 @@
 		Priority: fleet.Interactive, Timeout: 10 * time.Second}
 )
 
-// Load is one seeded open-loop run.
+// Load is an open-loop load with seeded arrivals.
 type Load struct {
 	Classes  []Class
 	Seed     uint64
-	Duration time.Duration // arrivals stop after it; open requests are finished
+	Duration time.Duration // arrivals stop after it; Drive waits for open requests to end
 }
 
-// Answer is what one request came to. Times are offsets from the start.
+// Answer is the result of one request. Times are offsets from the start.
 type Answer struct {
 	Class     string
-	Request   string // as the stand-ins' record names it
+	Request   string // request id in the record of the stand-ins
 	Prompt    string
-	Want      int // tokens
+	Want      int // tokens requested
 	Began     time.Duration
 	Ended     time.Duration
 	Tokens    []time.Duration // arrival of each token
 	Text      string
 	Outcome   fleet.Outcome
-	Reason    string // why it did not complete
-	RetryWait time.Duration
-	Lost      []Loss // start-over client only
+	Reason    string        // error or code of an incomplete answer
+	RetryWait time.Duration // Retry-After of an incomplete answer
+	Lost      []Loss        // set by the start-over client only
 }
 
-// Sender sends one request and returns when it has ended.
+// Sender sends one request and returns its answer when the request has ended.
 type Sender func(ctx context.Context, start time.Time, a *Arrival) Answer
 
 // Arrival is one request to send.
@@ -67,8 +67,8 @@
 	Key    string
 }
 
-// ThroughRouters sends by the caller's library.
-func ThroughRouters(r *Running) Sender { return as(r, Account, APIKey) }
+// ThroughRouters returns a Sender that uses the client library, for the main client account.
+func ThroughRouters(r *Running) Sender { return clientSender(r, Account, APIKey) }
 
 func newAnswer(start time.Time, a *Arrival) Answer {
 	return Answer{
@@ -77,8 +77,8 @@
 	}
 }
 
-// Drive sends the whole load and returns the checked answers once all ended.
-// A wrong answer is an error.
+// Drive sends all requests of the load and returns the answers once all requests have ended.
+// It returns an error if an answer is wrong.
 func Drive(ctx context.Context, start time.Time, l Load, send Sender) ([]Answer, error) {
 	var (
 		wg      sync.WaitGroup
@@ -103,8 +103,8 @@
 	return answers, checkAll(answers)
 }
 
-// checkAll fails on the first answer that no single generation wrote, also
-// where the request ended beside an error: it may be cut short, never wrong.
+// checkAll fails on the first answer that is not the text of a single generation. An answer
+// that ended with an error may be cut short, but its tokens must be right.
 func checkAll(answers []Answer) error {
 	for i := range answers {
 		a := &answers[i]
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// arrivals draws the schedule from the seed: equal for each fleet.
+// arrivals returns the schedule, which depends only on the load and its seed and so is the
+// same for each fleet.
 func (l Load) arrivals() []Arrival {
 	var all []Arrival
 	for i, c := range l.Classes {
--- a/measure/env.go
+++ b/measure/env.go
@@ -12,7 +12,7 @@
 	"wigeondale/settings"
 )
 
-// Env is what an experiment works with.
+// Env provides an experiment with its fleets and with the outputs for its results.
 type Env struct {
 	Mode   Mode
 	Fleets []*Running
@@ -21,7 +21,7 @@
 	name   string
 }
 
-// readyWait bounds the wait for each router.
+// readyWait is the maximum time that a router may take to become ready.
 const readyWait = 20 * time.Second
 
 // Open finds the running fleets of an experiment and waits until each router
@@ -90,7 +90,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Error.New("%s did not get ready: %v", url, err)
+			return Error.New("%s: not ready in time: %v", url, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
--- a/measure/experiments.go
+++ b/measure/experiments.go
@@ -1,6 +1,6 @@
 package measure
 
-// experiments lists every experiment by its name. Add yours here.
+// experiments returns all experiments. A new experiment must be added here.
 func experiments() []Experiment {
 	return []Experiment{
 		detection{},
@@ -12,7 +12,7 @@
 	}
 }
 
-func find(name string) (Experiment, error) {
+func findExperiment(name string) (Experiment, error) {
 	for _, x := range experiments() {
 		if x.Name() == name {
 			return x, nil
--- a/measure/extras.go
+++ b/measure/extras.go
@@ -13,7 +13,7 @@
 	"wigeondale/settings"
 )
 
-// extraAccounts sets the fleet's further client accounts.
+// extraAccounts returns the changes that configure the additional client accounts of a fleet.
 func extraAccounts(f Fleet) []intent.Change {
 	var out []intent.Change
 	for _, a := range f.Accounts {
@@ -26,8 +26,8 @@
 	return out
 }
 
-// peersFile keeps the addresses of the peer listeners, which relays need
-// before the routers start.
+// peersFile stores the addresses of the peer listeners between Plan and Settings: the relays
+// need them before the routers start.
 const peersFile = "peers.json"
 
 func relayID(i int) string { return fmt.Sprintf("peer-%d", i+1) }
@@ -36,7 +36,7 @@
 	if !f.PeerRelays {
 		return nil, nil
 	}
-	targets, err := freePorts(f.Routers)
+	targets, err := allocateRelayPorts(f.Routers)
 	if err != nil {
 		return nil, err
 	}
@@ -47,9 +47,9 @@
 	return out, writeJSON(filepath.Join(dir, peersFile), targets)
 }
 
-// throughRelays lets router i listen where its relay leads, and all routers
-// dial relays only.
-func throughRelays(f Fleet, s *settings.Settings, i int, dir string, ports map[string]string) error {
+// usePeerRelays sets the peer address of router i to the target of its relay, and makes the
+// router advertise and dial the addresses of relays only.
+func usePeerRelays(f Fleet, s *settings.Settings, i int, dir string, ports map[string]string) error {
 	if !f.PeerRelays {
 		return nil
 	}
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -7,37 +7,37 @@
 	"wigeondale/load"
 )
 
-// kind is what happens to an engine.
-type kind string
+// faultKind is a kind of fault of an engine.
+type faultKind string
 
-// The kinds of faults. After the first two an answer must go on elsewhere;
-// the others end by themselves, and a resume there was for nothing.
+// The kinds of faults. After the first two an answer must be resumed on another engine; the
+// others end by themselves, so that a resume is wasted work.
 const (
-	killed    kind = "killed"    // connections reset, a new incarnation 3 s later
-	frozen    kind = "frozen"    // silent for 6.5 s, then thawed
-	pause10   kind = "pause-10"  // silent for 10 decode steps
-	pause20   kind = "pause-20"  // 20 decode steps
-	pause40   kind = "pause-40"  // 40 decode steps
-	preempted kind = "preempted" // one stream silent for 50 steps beside live ones
-	noFault   kind = "none"      // whatever happens without a fault
+	killed    faultKind = "killed"    // connections are reset, a new incarnation starts 3 s later
+	frozen    faultKind = "frozen"    // silent for 6.5 s, then thawed
+	pause10   faultKind = "pause-10"  // silent for 10 decode steps
+	pause20   faultKind = "pause-20"  // 20 decode steps
+	pause40   faultKind = "pause-40"  // 40 decode steps
+	preempted faultKind = "preempted" // one stream is silent for 50 steps while others continue
+	noFault   faultKind = "none"      // for waits and resumes without a fault
 )
 
-var kinds = []kind{killed, pause10, frozen, pause20, preempted, pause40}
+var faultKinds = []faultKind{killed, pause10, frozen, pause20, preempted, pause40}
 
-// real tells whether the engine is lost to its callers.
-func (k kind) real() bool { return k == killed || k == frozen }
+// losesEngine reports whether the engine is lost to its callers, so that a resume is necessary.
+func (k faultKind) losesEngine() bool { return k == killed || k == frozen }
 
 const (
 	step         = stepMS * time.Millisecond
 	restartAfter = 3 * time.Second
 	frozenFor    = 6500 * time.Millisecond
 	preemptedFor = 50 * step
-	// afterFault is for how long after its end a fault explains a loss: what
-	// waited in sockets and for the next tick.
+	// afterFault is the time after the end of a fault in which a loss still counts as caused
+	// by it: data in socket buffers and work until the next tick arrive late.
 	afterFault = 300 * time.Millisecond
 )
 
-func (k kind) length() time.Duration {
+func (k faultKind) duration() time.Duration {
 	switch k {
 	case killed:
 		return restartAfter
@@ -55,15 +55,15 @@
 
 // fault is one event on one engine.
 type fault struct {
-	kind   kind
+	kind   faultKind
 	engine string
 	at     time.Duration // after the start
 }
 
-func (f fault) end() time.Duration { return f.at + f.kind.length() }
+func (f fault) end() time.Duration { return f.at + f.kind.duration() }
 
-// detectionFaults deals the kinds to the engines in turn. The step of three
-// engines gives each engine another kind on each round.
+// detectionFaults assigns the kinds to the engines in turn. The increment of three engines
+// gives each engine another kind in each round.
 func detectionFaults(p detectionPlan) []fault {
 	ids := engineIDs()
 	var out []fault
@@ -72,11 +72,11 @@
 		if at+time.Second > p.duration {
 			return out
 		}
-		out = append(out, fault{kind: kinds[i%len(kinds)], engine: ids[i*3%len(ids)], at: at})
+		out = append(out, fault{kind: faultKinds[i%len(faultKinds)], engine: ids[i*3%len(ids)], at: at})
 	}
 }
 
-// playFaults turns the switches of all faults, which may overlap.
+// playFaults sets and clears all faults at their times. Faults may overlap.
 func playFaults(ctx context.Context, start time.Time, r *Running, faults []fault) error {
 	errs := make(chan error, len(faults))
 	for _, f := range faults {
@@ -101,13 +101,14 @@
 	return Script{{f.at, f.engine, "freeze", nil}, {f.end(), f.engine, "thaw", nil}}.Play(ctx, start, r)
 }
 
-// lateArgs are the arguments of the switch that silences one request.
+// lateArgs are the arguments of the fault "late", which delays one request.
 type lateArgs struct {
 	Request string  `json:"request"`
 	MS      float64 `json:"ms"`
 }
 
-// preempt silences one draft that the engine is decoding, if there is one.
+// preempt silences one draft that the engine decodes, if there is one: a stream with more
+// tokens than any lookup and less than half of those of a draft.
 func (f fault) preempt(ctx context.Context, start time.Time, r *Running) error {
 	if !load.SleepUntil(ctx, start.Add(f.at)) {
 		return Error.Wrap(ctx.Err())
@@ -121,8 +122,8 @@
 			continue
 		}
 		for _, s := range e.Streams {
-			young := s.Generated > 2*Lookups.MaxTokens && s.ResumedAt+s.Generated < Drafts.MaxTokens/2
-			if s.Finished || s.Cancelled != "" || !young {
+			eligible := s.Generated > 2*Lookups.MaxTokens && s.ResumedAt+s.Generated < Drafts.MaxTokens/2
+			if s.Finished || s.Cancelled != "" || !eligible {
 				continue
 			}
 			return Turn(ctx, r, f.engine, "late", lateArgs{s.Request, float64(preemptedFor.Milliseconds())})
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -16,20 +16,20 @@
 	"wigeondale/settings"
 )
 
-// hedged compares second tries of plain lookups within several budgets: gain
-// at the high percentiles against lookups executed beyond the calls made.
+// hedged compares budgets for hedged lookups of a service that is not a model engine: lower
+// latency at the high percentiles against lookups executed in excess of the calls.
 type hedged struct{}
 
 // Name implements Experiment.
 func (hedged) Name() string { return "hedge" }
 
-// Load and fault of the hedge experiment: now and then one answer of a random
-// replica is late, as by a pause or a lost packet.
+// Load and fault of the hedge experiment: at random times one answer of a random replica is
+// delayed, as a pause or a lost packet would delay it.
 const (
 	tagService   = "tags"
 	tagReplicas  = 4
-	callRate     = 300.0 // a second
-	lateRate     = 9.0   // a second: three in a hundred calls
+	callRate     = 300.0 // per second
+	lateRate     = 9.0   // per second: 3% of the calls
 	lateMS       = 250
 	callDeadline = time.Second
 )
@@ -64,8 +64,8 @@
 	if env.Mode == Full {
 		length, n = 15*time.Second, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			return x.run(ctx, r, start, length, seed)
 		})
 	})
@@ -76,12 +76,12 @@
 }
 
 func (hedged) run(ctx context.Context, r *Running, start time.Time, length time.Duration, seed uint64) ([][]row, error) {
-	before, err := lookupsRun(ctx, r)
+	before, err := executedLookups(ctx, r)
 	if err != nil {
 		return nil, err
 	}
 	faults := make(chan error, 1)
-	go func() { faults <- makeLate(ctx, r, start, length, rand.New(rand.NewPCG(seed, 1))) }()
+	go func() { faults <- delayAnswers(ctx, r, start, length, rand.New(rand.NewPCG(seed, 1))) }()
 	took, calls, err := callAll(ctx, r, start, length, rand.New(rand.NewPCG(seed, 2)))
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 	if err := <-faults; err != nil {
 		return nil, err
 	}
-	after, err := lookupsRun(ctx, r)
+	after, err := executedLookups(ctx, r)
 	if err != nil {
 		return nil, err
 	}
@@ -97,9 +97,9 @@
 		took.at(0.99), took.at(0.999), percent(after-before-calls, calls)}}}}, nil
 }
 
-// makeLate delays one answer of a random replica at random moments.
-func makeLate(ctx context.Context, r *Running, start time.Time, length time.Duration, rng *rand.Rand) error {
-	at := time.Second // the delay of second tries is learned first
+// delayAnswers delays one answer of a random replica at each of a series of random times.
+func delayAnswers(ctx context.Context, r *Running, start time.Time, length time.Duration, rng *rand.Rand) error {
+	at := time.Second // routers first need time to learn the delay after which they hedge
 	for {
 		at += time.Duration(rng.ExpFloat64() / lateRate * float64(time.Second))
 		if at > length {
@@ -115,7 +115,8 @@
 	}
 }
 
-// callAll makes the calls; a wrong answer is an error.
+// callAll makes the calls and returns the durations of the complete ones and the number of
+// all. It returns an error if an answer is wrong.
 func callAll(ctx context.Context, r *Running, start time.Time, length time.Duration, rng *rand.Rand) (durations, int, error) {
 	c := client.New(r.Endpoints, APIKey, client.Options{Spread: true, MaxTries: 1})
 	var (
@@ -152,7 +153,7 @@
 		Service: tagService, Path: "lookup/" + key, Timeout: callDeadline, Priority: fleet.Interactive,
 	})
 	if err != nil {
-		return 0, nil // counted as not complete
+		return 0, nil // 0 counts as not complete
 	}
 	var got lookupAnswer
 	if err := json.Unmarshal(res.Body, &got); err != nil {
@@ -164,7 +165,7 @@
 	return res.Took, nil
 }
 
-func lookupsRun(ctx context.Context, r *Running) (int, error) {
+func executedLookups(ctx context.Context, r *Running) (int, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, r.Record(), nil)
 	if err != nil {
 		return 0, Error.Wrap(err)
--- a/measure/limit.go
+++ b/measure/limit.go
@@ -10,21 +10,21 @@
 	"wigeondale/intent"
 )
 
-// limit cuts all links between three routers and measures what client accounts
-// are then admitted, against their limits in the whole fleet.
+// limit cuts all links between three routers and measures how much of the load of client
+// accounts is admitted then, relative to the accounts' limits for the complete fleet.
 type limit struct{}
 
 // Name implements Experiment.
 func (limit) Name() string { return "limit" }
 
-// Accounts of the limit experiment ask for five times their limit: one at all
-// routers alike, one mostly at the first.
+// Accounts of the limit experiment. Each sends five times its limit: one equally to all
+// routers, the other mostly to the first.
 const (
 	evenAccount      = "even"
 	skewedAccount    = "skewed"
-	accountRate      = 2000.0 // tokens a second
-	overDemand       = 5.0    // times the limit
-	skewShare        = 0.8    // share of the skewed demand at the first router
+	accountRate      = 2000.0 // tokens per second
+	overDemand       = 5.0    // demand as a multiple of the limit
+	skewShare        = 0.8    // share of the skewed account's demand at the first router
 	limitPromptBytes = 400
 	limitMaxTokens   = 20
 	limitCost        = limitPromptBytes/bytesPerToken + limitMaxTokens
@@ -50,8 +50,8 @@
 	if env.Mode == Full {
 		each, n = 6*time.Second, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			return x.run(ctx, r, start, each, seed)
 		})
 	})
@@ -64,7 +64,7 @@
 func (limit) run(ctx context.Context, r *Running, start time.Time, each time.Duration, seed uint64) ([][]row, error) {
 	played := make(chan error, 1)
 	go func() { played <- limitScript(r, each).Play(ctx, start, r) }()
-	answers, err := driveParts(ctx, start, limitParts(r, each, seed))
+	answers, err := driveLoads(ctx, start, limitLoads(r, each, seed))
 	if err != nil {
 		return nil, err
 	}
@@ -76,15 +76,15 @@
 		for i, state := range []string{"whole", "cut", "healed"} {
 			from := time.Duration(i) * each
 			if i == 0 {
-				from = time.Second // the routers learn of each other's demand
+				from = time.Second // leaves out the time until routers know each other's demand
 			}
-			rows = append(rows, limitRow(account, stretch{state, from, time.Duration(i+1) * each}, answers))
+			rows = append(rows, limitRow(account, phase{state, from, time.Duration(i+1) * each}, answers))
 		}
 	}
 	return [][]row{rows}, nil
 }
 
-// limitScript cuts all links and heals them.
+// limitScript cuts all links between routers and later restores them.
 func limitScript(r *Running, each time.Duration) Script {
 	var script Script
 	for i, fault := range []string{"cut", "heal"} {
@@ -95,10 +95,10 @@
 	return script
 }
 
-// limitParts is the load of both accounts at each router.
-func limitParts(r *Running, each time.Duration, seed uint64) []part {
-	total := overDemand * accountRate / limitCost // requests a second
-	var parts []part
+// limitLoads returns the load of both accounts at each router.
+func limitLoads(r *Running, each time.Duration, seed uint64) []timedLoad {
+	total := overDemand * accountRate / limitCost // requests per second
+	var out []timedLoad
 	for k, endpoint := range r.Endpoints {
 		one := *r
 		one.Endpoints = []string{endpoint}
@@ -109,14 +109,14 @@
 		loads := map[string]float64{evenAccount: total / float64(r.Routers), skewedAccount: total * share}
 		for account, rate := range loads {
 			class := limitClass.rate(rate).named(fmt.Sprintf("%s-%d", account, k))
-			parts = append(parts, part{0, Load{[]Class{class}, seed, 3 * each}, once(&one, account, account)})
+			out = append(out, timedLoad{0, Load{[]Class{class}, seed, 3 * each}, singleTrySender(&one, account, account)})
 		}
 	}
-	return parts
+	return out
 }
 
-// limitRow sums up what one account was admitted in a stretch.
-func limitRow(account string, s stretch, answers []Answer) row {
+// limitRow returns the figures of one account for the requests that arrived in a phase.
+func limitRow(account string, s phase, answers []Answer) row {
 	var refusal durations
 	sent, admitted := 0, 0.0
 	seconds := make([]float64, int((s.to-s.from)/time.Second))
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -13,9 +13,9 @@
 	"wigeondale/settings"
 )
 
-// Symptom: a run fails minutes later, or measures something else than it says,
-// since a process refused or misread its settings. Every fleet's files must be
-// taken by the programs that read them.
+// Guards against a run that fails after minutes, or measures something other than intended,
+// because a process rejects or misreads its settings. The programs that read the files of each
+// fleet must accept them.
 func TestWrittenSettingsAreTaken(t *testing.T) {
 	for _, x := range experiments() {
 		dir := t.TempDir()
@@ -55,7 +55,7 @@
 	}
 }
 
-// steps returns n token times, one each decode step, from a moment on.
+// steps returns n token times, one decode step apart, the first at from.
 func steps(from time.Duration, n int) []time.Duration {
 	var out []time.Duration
 	for i := range n {
@@ -64,9 +64,9 @@
 	return out
 }
 
-// An answer of 20 tokens: ten on e1, which is frozen; a wait of 2 s; ten on e2,
-// which then pauses in the middle. The first wait belongs to the frozen engine
-// with one resume, the second to the pause, with none.
+// An answer has 20 tokens: ten of e1, which then freezes; a wait of 2 s; and ten of e2, which
+// pauses after five of them. The first wait must count for the frozen engine, with one resume,
+// and the second for the pause, without a resume.
 func TestWaitsAndExtraGoToTheirFault(t *testing.T) {
 	tokens := append(steps(time.Second, 10), steps(3270*time.Millisecond, 5)...)
 	tokens = append(tokens, steps(3790*time.Millisecond, 5)...)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Symptom: a policy looks fast because it skipped, repeated or mixed tokens.
+// Guards against a policy that appears fast because it skipped, repeated or mixed up tokens.
 func TestWrongAnswersFailTheRun(t *testing.T) {
 	rnd := uint16(0)
 	text := func(n int) string {
@@ -108,7 +108,7 @@
 	} {
 		a := Answer{Prompt: "p", Want: 4, Text: bad, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
 		if checkAll([]Answer{a}) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 	good := Answer{Prompt: "p", Want: 4, Text: one, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -11,23 +11,24 @@
 	"wigeondale/settings"
 )
 
-// overload sends about twice what the engines can take for a while, then the
-// normal load again.
+// overload sends about twice the load that the engines can serve for a while, then the normal
+// load again.
 type overload struct{}
 
 // Name implements Experiment.
 func (overload) Name() string { return "overload" }
 
-// Accounts of the overload experiment: Account is the large one.
+// The overload experiment has two client accounts: Account, which sends most of the load, and
+// this one.
 const smallAccount = "small"
 
-// Six engines of 16 places and drafts of 2 s: 48 drafts a second, less what
-// the lookups take.
+// Six engines with 16 slots each and drafts of 2 s give a capacity of 48 drafts per second,
+// less what the lookups use.
 const (
 	overloadEngines = 6
-	normalDrafts    = 20 // a second, of the large account
-	excessDrafts    = 70 // a second, on top, while overloaded
-	smallDrafts     = 2
+	normalDrafts    = 20 // per second, of Account
+	excessDrafts    = 70 // per second, in addition, during the overload
+	smallDrafts     = 2  // per second, of smallAccount
 )
 
 var (
@@ -49,11 +50,11 @@
 	return c
 }
 
-// openRequests is a bound per engine that never binds: admission is then out,
-// and requests queue and are refused at the engines alone.
-const openRequests = 100_000
+// unlimitedRequests is a limit on requests per engine that is never reached. It disables admission
+// control, so that only the engines queue and refuse requests.
+const unlimitedRequests = 100_000
 
-// loadPolicies names the settings under comparison.
+// loadPolicies returns fleets with the names and settings of the policies under comparison.
 func loadPolicies(m Mode) []Fleet {
 	set := func(perEngine, reserve, retry int) func(*settings.Settings) {
 		return func(s *settings.Settings) {
@@ -63,8 +64,8 @@
 		}
 	}
 	all := []Fleet{
-		{Name: "engines-alone", Set: set(openRequests, 0, 20)},
-		{Name: "engines-alone-retry-100", Set: set(openRequests, 0, 100)},
+		{Name: "engines-alone", Set: set(unlimitedRequests, 0, 20)},
+		{Name: "engines-alone-retry-100", Set: set(unlimitedRequests, 0, 100)},
 		{Name: "fixed-64", Set: set(64, 12, 20)},
 		{Name: "fixed-16", Set: set(16, 12, 20)},
 		{Name: "learned-no-reserve", Set: set(0, 0, 20)},
@@ -95,15 +96,15 @@
 	ReportLagMS: 200, EventsLagMS: 300, EventsDropPercent: 5,
 }
 
-// overloadTimes are the moments at which the load changes.
+// overloadTimes holds the times at which the load changes.
 type overloadTimes struct{ over, normal, end time.Duration }
 
-func (t overloadTimes) phases() []stretch {
-	return []stretch{{"before", 0, t.over}, {"overload", t.over, t.normal}, {"after", t.normal, t.end}}
+func (t overloadTimes) phases() []phase {
+	return []phase{{"before", 0, t.over}, {"overload", t.over, t.normal}, {"after", t.normal, t.end}}
 }
 
-// stretch is a time between two moments, by the arrival of requests.
-type stretch struct {
+// phase is a span of time; a request belongs to the phase in which it arrived.
+type phase struct {
 	name     string
 	from, to time.Duration
 }
@@ -114,8 +115,8 @@
 	if env.Mode == Full {
 		times, n = overloadTimes{4 * time.Second, 12 * time.Second, 26 * time.Second}, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			return x.run(ctx, r, start, times, seed)
 		})
 	})
@@ -135,12 +136,12 @@
 }
 
 func (x overload) run(ctx context.Context, r *Running, start time.Time, t overloadTimes, seed uint64) ([][]row, error) {
-	large, small := as(r, Account, APIKey), as(r, smallAccount, smallAccount)
-	answers, err := driveParts(ctx, start, []part{
+	large, small := clientSender(r, Account, APIKey), clientSender(r, smallAccount, smallAccount)
+	answers, err := driveLoads(ctx, start, []timedLoad{
 		{0, Load{[]Class{shortDrafts.rate(normalDrafts), pageLookups}, seed, t.end}, large},
 		{0, Load{[]Class{shortDrafts.rate(smallDrafts).named("small-draft")}, seed, t.end}, small},
 		{t.over, Load{[]Class{shortDrafts.rate(excessDrafts)}, seed + 100, t.normal - t.over}, large},
-		{t.over, Load{[]Class{probes}, seed, t.normal - t.over}, once(r, Account, APIKey)},
+		{t.over, Load{[]Class{probes}, seed, t.normal - t.over}, singleTrySender(r, Account, APIKey)},
 	})
 	if err != nil {
 		return nil, err
@@ -148,8 +149,8 @@
 	return loadRows(ctx, r, answers, t.phases(), t.normal)
 }
 
-// loadRows makes the rows of both tables.
-func loadRows(ctx context.Context, r *Running, answers []Answer, phases []stretch, normal time.Duration) ([][]row, error) {
+// loadRows returns the rows of the tables phases and summary.
+func loadRows(ctx context.Context, r *Running, answers []Answer, phases []phase, normal time.Duration) ([][]row, error) {
 	rec, err := load.FetchRecord(ctx, r.Record())
 	if err != nil {
 		return nil, err
@@ -163,8 +164,8 @@
 	return [][]row{rows, {summaryRow(r.Name, answers, rec, phases, normal)}}, nil
 }
 
-func phaseRow(name string, p stretch, class string, answers []Answer) row {
-	var s answered
+func phaseRow(name string, p phase, class string, answers []Answer) row {
+	var s answerStats
 	for i := range answers {
 		a := &answers[i]
 		if a.Class != class || a.Began < p.from || a.Began >= p.to {
@@ -173,19 +174,19 @@
 		s.add(a)
 	}
 	return row{[]string{name, p.name, class}, []float64{float64(s.sent), percent(s.complete, s.sent),
-		s.first.at(0.5), s.first.at(0.99), s.whole.at(0.5), s.whole.at(0.99)}}
+		s.first.at(0.5), s.first.at(0.99), s.total.at(0.5), s.total.at(0.99)}}
 }
 
-// summaryRow sums up one run: what was started must end whole, what was
-// refused must be told at once, truly and with a time to come back.
-func summaryRow(name string, answers []Answer, rec *load.Record, phases []stretch, normal time.Duration) row {
+// summaryRow returns the figures of one run that show whether started requests complete and
+// whether refusals are fast, correct and have a Retry-After.
+func summaryRow(name string, answers []Answer, rec *load.Record, phases []phase, normal time.Duration) row {
 	var refusal durations
-	var advice durations
-	started, survived, refused, advised, untrue, useful, made := 0, 0, 0, 0, 0, 0, 0
+	var retryAfters durations
+	started, survived, refused, withRetryAfter, wrongNotRun, useful, generated := 0, 0, 0, 0, 0, 0, 0
 	attempts := attemptsOf(rec)
 	for i := range answers {
 		a := &answers[i]
-		made += generated(attempts[a.Request]) // the record holds earlier runs too
+		generated += generatedTokens(attempts[a.Request]) // by request, since the record contains earlier runs too
 		if len(a.Tokens) > 0 {
 			started++
 		}
@@ -193,8 +194,8 @@
 			survived++
 			useful += len(a.Tokens)
 		}
-		if a.Outcome == fleet.NotRun && generated(attempts[a.Request]) > 0 {
-			untrue++
+		if a.Outcome == fleet.NotRun && generatedTokens(attempts[a.Request]) > 0 {
+			wrongNotRun++
 		}
 		if a.Class != probes.Name || a.Outcome != fleet.NotRun {
 			continue
@@ -202,18 +203,18 @@
 		refused++
 		refusal = append(refusal, a.Ended-a.Began)
 		if a.RetryWait > 0 {
-			advised++
-			advice = append(advice, a.RetryWait)
+			withRetryAfter++
+			retryAfters = append(retryAfters, a.RetryWait)
 		}
 	}
 	end := phases[len(phases)-1].to
 	recovered, worst := recovery(answers, phases[0], normal, end)
 	return row{[]string{name}, []float64{float64(started), percent(survived, started), float64(refused), refusal.at(0.5), refusal.at(0.99),
-		percent(advised, refused), advice.at(0.5) / 1000, float64(untrue), 1000 * float64(made-useful) / float64(max(useful, 1)),
+		percent(withRetryAfter, refused), retryAfters.at(0.5) / 1000, float64(wrongNotRun), 1000 * float64(generated-useful) / float64(max(useful, 1)),
 		float64(useful) / end.Seconds(), recovered, worst}}
 }
 
-func generated(list []tried) int {
+func generatedTokens(list []engineAttempt) int {
 	n := 0
 	for _, try := range list {
 		n += try.Generated
@@ -221,12 +222,12 @@
 	return n
 }
 
-// recovery looks at the requests that arrive in each second after the load is
-// normal again: a second is good when 95 of 100 get their first token within
-// three times the median of before. It returns the seconds until the first
-// good one, and of the worst second after it the share that was good: 100
-// means that there was no second dip.
-func recovery(answers []Answer, before stretch, normal, end time.Duration) (after, worst float64) {
+// recovery evaluates the requests that arrive in each second after the load is normal again. A
+// second is good if 95 of 100 of its requests complete and get their first token within three
+// times the median from before the overload. It returns the number of seconds until the first
+// good one, and the percentage of such requests in the worst second from there on: 100 means
+// that the latency did not rise a second time.
+func recovery(answers []Answer, before phase, normal, end time.Duration) (after, worst float64) {
 	limit := map[string]time.Duration{}
 	for _, class := range []string{"lookup", "draft"} {
 		p50 := phaseRow("", before, class, answers).vals[2]
@@ -235,7 +236,7 @@
 	const good = 95
 	after, worst = -1, -1
 	for from := normal; from+time.Second <= end; from += time.Second {
-		share := inTime(answers, from, limit)
+		share := percentInTime(answers, from, limit)
 		if after < 0 && share >= good {
 			after, worst = (from - normal).Seconds(), share
 		}
@@ -246,7 +247,7 @@
 	return after, worst
 }
 
-func inTime(answers []Answer, from time.Duration, limit map[string]time.Duration) float64 {
+func percentInTime(answers []Answer, from time.Duration, limit map[string]time.Duration) float64 {
 	sent, ok := 0, 0
 	for i := range answers {
 		a := &answers[i]
--- a/measure/parts.go
+++ b/measure/parts.go
@@ -20,18 +20,18 @@
 	"wigeondale/load"
 )
 
-// part is a stretch of one client account's load that begins at some moment.
-type part struct {
+// timedLoad is a load of one client account that starts at the offset at.
+type timedLoad struct {
 	at   time.Duration
 	load Load
 	send Sender
 }
 
-// driveParts sends all parts; the times of the answers are offsets from start.
-func driveParts(ctx context.Context, start time.Time, parts []part) ([]Answer, error) {
-	all := make([][]Answer, len(parts))
+// driveLoads sends all loads. The times of the answers are offsets from start.
+func driveLoads(ctx context.Context, start time.Time, loads []timedLoad) ([]Answer, error) {
+	all := make([][]Answer, len(loads))
 	g, ctx := errgroup.WithContext(ctx)
-	for i, p := range parts {
+	for i, p := range loads {
 		g.Go(func() error {
 			got, err := Drive(ctx, start.Add(p.at), p.load, p.send)
 			for k := range got {
@@ -53,9 +53,8 @@
 	}
 }
 
-// as sends by the caller's library for one client account; class names get the
-// account's name before them.
-func as(r *Running, account, key string) Sender {
+// clientSender returns a Sender that uses the client library with the API key of one client account.
+func clientSender(r *Running, account, key string) Sender {
 	c := client.New(r.Endpoints, key, client.Options{Spread: true})
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
 		got := newAnswer(start, a)
@@ -78,9 +77,10 @@
 	}
 }
 
-// once sends each request a single time, by plain HTTP and not streamed, so
-// that a refusal is seen as it was given.
-func once(r *Running, account, key string) Sender {
+// singleTrySender returns a Sender that sends each request a single time, with net/http and not streamed,
+// so that a refusal is recorded as the router sent it, without the retries of the client
+// library.
+func singleTrySender(r *Running, account, key string) Sender {
 	var next atomic.Uint64
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
 		got := newAnswer(start, a)
@@ -116,8 +116,8 @@
 	return http.DefaultClient.Do(req)
 }
 
-// plainBody is an answer that is not streamed, or an error.
-type plainBody struct {
+// responseBody is the body of an answer that is not streamed, or of an error.
+type responseBody struct {
 	Choices []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
@@ -133,7 +133,7 @@
 		a.Reason = err.Error()
 		return
 	}
-	var body plainBody
+	var body responseBody
 	if err := json.Unmarshal(data, &body); err != nil {
 		a.Reason = err.Error()
 		return
@@ -153,20 +153,20 @@
 	}
 }
 
-// row is one line of figures of one run, under its key.
+// row is one row of a table for one run: the cells that identify it and its figures.
 type row struct {
 	key  []string
 	vals []float64
 }
 
-// saveMedians writes the medians over the runs, which have equal keys. A
-// negative figure means that there was none.
+// saveMedians writes a table of the medians over the runs, whose rows have the same keys. A
+// negative figure means that the run has no value.
 func saveMedians(env *Env, name string, columns []string, runs [][]row) error {
 	t := &Table{Name: name, Columns: columns}
 	for i, first := range runs[0] {
 		cells := slices.Clone(first.key)
 		for k := range first.vals {
-			cells = append(cells, figure(medianOf(runs, i, k)))
+			cells = append(cells, formatFigure(medianOf(runs, i, k)))
 		}
 		t.Add(cells...)
 	}
@@ -187,7 +187,7 @@
 	return (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 }
 
-func figure(v float64) string {
+func formatFigure(v float64) string {
 	switch {
 	case v < 0:
 		return "-"
@@ -197,7 +197,7 @@
 	return strconv.FormatFloat(v, 'f', 0, 64)
 }
 
-// percent is 100 a/b, negative without b.
+// percent returns 100 a/b, or -1 if b is 0.
 func percent(a, b int) float64 {
 	if b == 0 {
 		return -1
@@ -205,7 +205,7 @@
 	return 100 * float64(a) / float64(b)
 }
 
-// durations summarises some times in milliseconds.
+// durations is a sample whose quantiles are returned in milliseconds.
 type durations []time.Duration
 
 func (d durations) at(q float64) float64 {
@@ -217,26 +217,26 @@
 	return float64(s[min(int(q*float64(len(s))), len(s)-1)].Microseconds()) / 1000
 }
 
-// answered counts a set of answers and the times of those that came.
-type answered struct {
+// answerStats summarises a set of answers.
+type answerStats struct {
 	sent, complete int
-	first, whole   durations // to the first token; to the end of complete ones
+	first, total   durations // time to the first token; time to the end of complete answers
 }
 
-func (s *answered) add(a *Answer) {
+func (s *answerStats) add(a *Answer) {
 	s.sent++
 	if a.Outcome == fleet.Complete {
 		s.complete++
-		s.whole = append(s.whole, a.Ended-a.Began)
+		s.total = append(s.total, a.Ended-a.Began)
 	}
 	if len(a.Tokens) > 0 {
 		s.first = append(s.first, a.Tokens[0]-a.Began)
 	}
 }
 
-// eachFleet runs one seed on all fleets at once and joins their rows in the
-// order of the fleets, table by table.
-func eachFleet(ctx context.Context, env *Env, run func(context.Context, *Running, time.Time) ([][]row, error)) ([][]row, error) {
+// runOnFleets calls run for all fleets at the same time and concatenates the rows of each table
+// in the order of the fleets.
+func runOnFleets(ctx context.Context, env *Env, run func(context.Context, *Running, time.Time) ([][]row, error)) ([][]row, error) {
 	start := time.Now().Add(100 * time.Millisecond)
 	parts := make([][][]row, len(env.Fleets))
 	g, ctx := errgroup.WithContext(ctx)
@@ -262,8 +262,9 @@
 	return tables, nil
 }
 
-// seeds repeats a run for each seed; result[table][seed] holds rows.
-func seeds(n int, run func(seed uint64) ([][]row, error)) ([][][]row, error) {
+// runSeeds calls run with the seeds 1 to n. In the result, [table][seed-1] holds the rows of a
+// table.
+func runSeeds(n int, run func(seed uint64) ([][]row, error)) ([][][]row, error) {
 	var out [][][]row
 	for s := range n {
 		tables, err := run(uint64(s + 1))
--- a/measure/plan.go
+++ b/measure/plan.go
@@ -14,8 +14,8 @@
 	"wigeondale/settings"
 )
 
-// Names and secrets of the measured deployment. They protect nothing: all of
-// it listens on loopback for the length of a run.
+// Names and secrets of the measured deployment. The secrets protect nothing: all processes
+// listen on loopback, and only during a run.
 const (
 	Model   = "redactor-llm"
 	version = "v1"
@@ -32,11 +32,11 @@
 	fileMode      = 0o600
 )
 
-// Plan writes the stand-ins' configuration of each fleet into dir, one folder
-// a fleet, with the list of the folders in dir/fleets, one a line.
+// Plan writes the stand-ins' configuration of each fleet to a folder of its own in dir, and
+// the names of the folders to dir/fleets, one per line.
 func Plan(x Experiment, mode Mode, dir string) error {
 	list := ""
-	free := &ports{used: map[int]bool{}}
+	free := &portPool{used: map[int]bool{}}
 	for _, f := range x.Fleets(mode) {
 		list += f.Name + "\n"
 		at := filepath.Join(dir, f.Name)
@@ -77,7 +77,7 @@
 	}
 }
 
-// changes is the form of a file that wigeonctl applies.
+// changes is the content of a file for wigeonctl apply.
 type changes struct {
 	Changes []intent.Change `json:"changes"`
 }
@@ -95,10 +95,10 @@
 	}, extraAccounts(f)...)}
 }
 
-// Settings writes the settings of each fleet's routers, once its stand-ins
-// have written their ports.
+// Settings writes the settings files of each fleet's routers. The stand-ins must have written
+// their ports before.
 func Settings(x Experiment, mode Mode, dir string) error {
-	free := &ports{used: map[int]bool{}}
+	free := &portPool{used: map[int]bool{}}
 	for _, f := range x.Fleets(mode) {
 		at := filepath.Join(dir, f.Name)
 		standIns, err := readPorts(at)
@@ -112,8 +112,8 @@
 	return nil
 }
 
-func routerSettings(f Fleet, dir string, standIns map[string]string, free *ports) error {
-	listeners, err := free.free(3 * f.Routers)
+func routerSettings(f Fleet, dir string, standIns map[string]string, free *portPool) error {
+	listeners, err := free.forRouters(3 * f.Routers)
 	if err != nil {
 		return err
 	}
@@ -126,7 +126,7 @@
 				s.Peers.Seeds = append(s.Peers.Seeds, listeners[3*j+2])
 			}
 		}
-		if err := throughRelays(f, s, i, dir, standIns); err != nil {
+		if err := usePeerRelays(f, s, i, dir, standIns); err != nil {
 			return err
 		}
 		if f.Set != nil {
@@ -164,29 +164,29 @@
 	return s
 }
 
-// ports hands out addresses for routers. Nothing holds a port until its router
-// starts, and the kernel gives ports of its own range to any connection that
-// is opened meanwhile: a router would then fail with "address in use". So
-// ports below that range are taken, each once in a run.
-type ports struct{ used map[int]bool }
+// portPool allocates addresses for routers and engines. A port stays unbound until its process
+// starts. Meanwhile the kernel may give a port of its ephemeral range to a new connection,
+// and the process would fail with "address in use". So ports below that range are allocated,
+// each once per run.
+type portPool struct{ used map[int]bool }
 
-// The kernel's own range begins at 32768 by default. What is chosen before the
-// stand-ins start has a range of its own, since that choice is not remembered.
-// The demonstration's ports, from 19100 on, are left alone.
+// The kernel's ephemeral range starts at 32768 by default. Ports that are chosen before the
+// stand-ins start have a range of their own, since Settings runs in another process and does
+// not know which were chosen. The demonstration's ports, from 19100 on, are not used.
 const (
-	enginePort     = 10_000
-	lastEnginePort = 19_000
-	earlyPort      = 20_000
-	firstPort      = 23_000
-	lastPort       = 32_000
+	minEnginePort = 10_000
+	maxEnginePort = 19_000
+	minRelayPort  = 20_000
+	minRouterPort = 23_000
+	maxRouterPort = 32_000
 )
 
-// enginesOf names the engines e1, e2 and so on, each on a VM of its own. Their
-// ports are chosen here because a killed engine leaves its port unused for a
-// while: the kernel could give one of its own range to a connection, and the
-// engine could never start again.
-func enginesOf(f Fleet, free *ports) ([]engine.Config, error) {
-	addresses, err := free.within(enginePort, lastEnginePort, f.Engines)
+// enginesOf returns the configurations of the engines e1, e2 and so on, each on its own VM.
+// Their ports are chosen here because a killed engine leaves its port unbound for a while: the
+// kernel could give a port of the ephemeral range to a connection, and the engine could not
+// start again.
+func enginesOf(f Fleet, free *portPool) ([]engine.Config, error) {
+	addresses, err := free.pick(minEnginePort, maxEnginePort, f.Engines)
 	if err != nil {
 		return nil, err
 	}
@@ -202,15 +202,17 @@
 	return out, nil
 }
 
-// freePorts chooses addresses before the stand-ins start.
-func freePorts(n int) ([]string, error) {
-	p := &ports{used: map[int]bool{}}
-	return p.within(earlyPort, firstPort, n)
+// allocateRelayPorts allocates n addresses for Plan, before the stand-ins start.
+func allocateRelayPorts(n int) ([]string, error) {
+	p := &portPool{used: map[int]bool{}}
+	return p.pick(minRelayPort, minRouterPort, n)
 }
 
-func (p *ports) free(n int) ([]string, error) { return p.within(firstPort, lastPort, n) }
+func (p *portPool) forRouters(n int) ([]string, error) {
+	return p.pick(minRouterPort, maxRouterPort, n)
+}
 
-func (p *ports) within(low, high, n int) ([]string, error) {
+func (p *portPool) pick(low, high, n int) ([]string, error) {
 	var out []string
 	for tries := 0; len(out) < n; tries++ {
 		if tries > high-low {
@@ -223,7 +225,7 @@
 		p.used[port] = true
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
-			continue // somebody else's
+			continue // in use by another process
 		}
 		out = append(out, l.Addr().String())
 		_ = l.Close()
@@ -231,7 +233,7 @@
 	return out, nil
 }
 
-// writeSettings leaves absent fields out, since the settings refuse null.
+// writeSettings writes a settings file without null fields, which the settings do not accept.
 func writeSettings(path string, s *settings.Settings) error {
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -241,17 +243,17 @@
 	if err := json.Unmarshal(data, &tree); err != nil {
 		return Error.Wrap(err)
 	}
-	dropNull(tree)
+	removeNulls(tree)
 	return writeJSON(path, tree)
 }
 
-func dropNull(tree map[string]any) {
+func removeNulls(tree map[string]any) {
 	for k, v := range tree {
 		switch v := v.(type) {
 		case nil:
 			delete(tree, k)
 		case map[string]any:
-			dropNull(v)
+			removeNulls(v)
 		}
 	}
 }
--- a/measure/report.go
+++ b/measure/report.go
@@ -7,7 +7,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// reportDetection writes one row for each policy, medians over the runs.
+// reportDetection writes the results of the detection experiment: a row of medians over the
+// runs for each policy, a row for each policy and kind of fault, and a plot.
 func reportDetection(env *Env, results [][]tally) error {
 	base := slices.IndexFunc(env.Fleets, func(r *Running) bool { return r.Name == baselineFleet })
 	curve := &Table{Name: "curve", Columns: []string{"policy", "complete", "lost streams", "resume p50 ms", "p99 ms", "mean ms",
@@ -18,8 +19,8 @@
 		name := env.Fleets[i].Name
 		m, b := summary(runs), summary(results[base])
 		latency, extra := m.mean/b.mean, m.extra/b.extra
-		curve.Add(name, m.complete, num(m.lost), num(m.p50), num(m.p99), num(m.mean), ratio(latency), num(m.extra), ratio(extra),
-			num(m.prefilled), num(m.wasted), num(m.falseResumes), num(m.waited), ratio((4*latency+extra)/5), ratio((latency+4*extra)/5))
+		curve.Add(name, m.complete, formatCount(m.lost), formatCount(m.p50), formatCount(m.p99), formatCount(m.mean), formatRatio(latency), formatCount(m.extra), formatRatio(extra),
+			formatCount(m.prefilled), formatCount(m.wasted), formatCount(m.falseResumes), formatCount(m.waited), formatRatio((4*latency+extra)/5), formatRatio((latency+4*extra)/5))
 		points = append(points, Point{name, m.extra, m.mean})
 		addKinds(perKind, name, runs)
 	}
@@ -32,7 +33,8 @@
 	return env.SavePlot("curve", "Resume latency against extra work", "extra tokens per 1000 delivered", "mean resume latency, ms", points)
 }
 
-// figures are medians over runs; times in milliseconds.
+// figures holds medians over runs. Times are in milliseconds, except waited, which is in
+// seconds.
 type figures struct {
 	complete                 string
 	lost, p50, p99, mean     float64
@@ -66,7 +68,7 @@
 }
 
 func addKinds(table *Table, name string, runs []tally) {
-	for _, k := range append(slices.Clone(kinds), noFault) {
+	for _, k := range append(slices.Clone(faultKinds), noFault) {
 		waits := newHist()
 		resumes, prefilled, wasted := 0, 0, 0
 		for _, t := range runs {
@@ -80,7 +82,7 @@
 	}
 }
 
-func sum(m map[kind]int) int {
+func sum(m map[faultKind]int) int {
 	n := 0
 	for _, v := range m {
 		n += v
@@ -97,5 +99,5 @@
 	return (all[(len(all)-1)/2] + all[len(all)/2]) / 2
 }
 
-func num(v float64) string   { return fmt.Sprintf("%.0f", v) }
-func ratio(v float64) string { return fmt.Sprintf("%.2f", v) }
+func formatCount(v float64) string { return fmt.Sprintf("%.0f", v) }
+func formatRatio(v float64) string { return fmt.Sprintf("%.2f", v) }
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -11,19 +11,20 @@
 	"wigeondale/settings"
 )
 
-// routingChoice compares ways to choose an engine while load reports lag and
-// cache events come late and with gaps.
+// routingChoice compares routing policies while load reports are outdated and cache events
+// arrive late and with gaps.
 type routingChoice struct{}
 
 // Name implements Experiment.
 func (routingChoice) Name() string { return "routing" }
 
-// Lag of the engines' news in the routing experiment.
+// Engines of the routing experiment, and the lag and loss of their load reports and cache
+// events.
 const (
 	routingEngines = 9
 	reportLagMS    = 1000
 	eventsLagMS    = 500
-	eventsDrop     = 10 // per cent
+	eventsDrop     = 10 // percent
 )
 
 var (
@@ -33,8 +34,8 @@
 		Priority: fleet.Interactive, Timeout: 5 * time.Second}
 )
 
-// routingSteps names the policies under comparison; the last one that has no
-// steps is the default of package routing.
+// routingSteps returns the policies under comparison by name. The policy without steps is the
+// default of package routing.
 func routingSteps() map[string][]routing.StepConfig {
 	pick := func(scorers ...routing.StepConfig) []routing.StepConfig {
 		steps := []routing.StepConfig{
@@ -89,8 +90,8 @@
 	if env.Mode == Full {
 		length, n = 20*time.Second, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			l := Load{Classes: []Class{routingDrafts, routingLookups}, Seed: seed, Duration: length}
 			return x.run(ctx, r, start, l)
 		})
@@ -119,9 +120,9 @@
 	return [][]row{rows}, nil
 }
 
-func routingRow(name string, c Class, answers []Answer, attempts map[string][]tried) row {
-	var s answered
-	prefilled, asked := 0, 0
+func routingRow(name string, c Class, answers []Answer, attempts map[string][]engineAttempt) row {
+	var s answerStats
+	prefilled, promptTokens := 0, 0
 	for i := range answers {
 		a := &answers[i]
 		if a.Class != c.Name {
@@ -130,12 +131,12 @@
 		s.add(a)
 		for _, try := range attempts[a.Request] {
 			prefilled += try.Prefilled
-			asked += len(a.Prompt) / bytesPerToken
+			promptTokens += len(a.Prompt) / bytesPerToken
 		}
 	}
-	return row{[]string{name, c.Name}, []float64{float64(s.sent), percent(s.complete, s.sent), 100 - percent(prefilled, asked),
-		s.first.at(0.5), s.first.at(0.9), s.first.at(0.99), s.whole.at(0.5)}}
+	return row{[]string{name, c.Name}, []float64{float64(s.sent), percent(s.complete, s.sent), 100 - percent(prefilled, promptTokens),
+		s.first.at(0.5), s.first.at(0.9), s.first.at(0.99), s.total.at(0.5)}}
 }
 
-// bytesPerToken is the stand-in engines' size of a prompt token.
+// bytesPerToken is the size of a prompt token of the stand-in engines.
 const bytesPerToken = 4
--- a/measure/script.go
+++ b/measure/script.go
@@ -10,18 +10,18 @@
 	"wigeondale/load"
 )
 
-// Step is one turn of a fault switch of the stand-ins.
+// Step sets or clears one fault of a stand-in at a given time.
 type Step struct {
 	At        time.Duration // after the start
 	Component string
 	Fault     string
-	Args      any // as the switch takes them; nil for none
+	Args      any // arguments of the fault, encoded as JSON; nil for none
 }
 
-// Script turns fault switches at set moments.
+// Script is a list of steps that are sorted by time.
 type Script []Step
 
-// Play turns the switches of one fleet; the steps are in order of time.
+// Play executes the steps on the stand-ins of one fleet, each at its time after start.
 func (s Script) Play(ctx context.Context, start time.Time, r *Running) error {
 	for _, step := range s {
 		if !load.SleepUntil(ctx, start.Add(step.At)) {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Turn turns one fault switch now.
+// Turn sets or clears one fault of a stand-in now.
 func Turn(ctx context.Context, r *Running, component, fault string, args any) error {
 	var body []byte
 	if args != nil {
--- a/measure/startover.go
+++ b/measure/startover.go
@@ -16,42 +16,42 @@
 
 // Loss is one lost attempt of the start-over client.
 type Loss struct {
-	At     time.Duration // when the client noticed
+	At     time.Duration // time at which the client noticed
 	Engine string
 }
 
-// startOver is the baseline without this system: a caller asks the engines in
-// turn, gives up on one that is silent for the timeout or breaks, throws its
-// text away and begins anew at the next.
+// startOver is a client without routers, as the baseline. It sends requests to the engines in
+// turn. When an engine is silent for the timeout or its connection breaks, it discards the
+// text and starts the request over at the next engine.
 type startOver struct {
-	r       *Running
-	engines []string
-	timeout time.Duration // of silence
-	first   time.Duration // for the first token, prefill included
-	turn    atomic.Uint64
-	http    *http.Client
+	r                 *Running
+	engines           []string
+	timeout           time.Duration // maximum silence after a token
+	firstTokenTimeout time.Duration // maximum wait for the first token, including prefill
+	nextEngine        atomic.Uint64
+	http              *http.Client
 }
 
 func newStartOver(r *Running, engines []string, timeout, first time.Duration) *startOver {
 	t := http.DefaultTransport.(*http.Transport).Clone()
 	t.MaxIdleConnsPerHost = 64
-	return &startOver{r: r, engines: engines, timeout: timeout, first: first, http: &http.Client{Transport: t}}
+	return &startOver{r: r, engines: engines, timeout: timeout, firstTokenTimeout: first, http: &http.Client{Transport: t}}
 }
 
 const maxStartOvers = 20
 
-// send tries engines in turn. A token counts as delivered when its index is
-// first reached, so the wait after a loss includes generating anew what the
-// caller had read before.
+// send sends a request to engines in turn until one completes it. A token counts as delivered
+// when its index is first reached, so the wait after a loss includes the time to generate
+// again the tokens that the caller had before.
 func (s *startOver) send(ctx context.Context, start time.Time, a *Arrival) Answer {
 	got := newAnswer(start, a)
 	got.Outcome = fleet.Failed
 	ctx, cancel := context.WithTimeout(ctx, a.Class.Timeout)
 	defer cancel()
 	for attempt := range maxStartOvers {
-		engine := s.engines[int(s.turn.Add(1))%len(s.engines)]
-		text, whole := s.try(ctx, start, a, &got, engine, attempt+1)
-		if whole {
+		engine := s.engines[int(s.nextEngine.Add(1))%len(s.engines)]
+		text, complete := s.try(ctx, start, a, &got, engine, attempt+1)
+		if complete {
 			got.Text, got.Outcome = text, fleet.Complete
 			break
 		}
@@ -86,7 +86,7 @@
 	} `json:"choices"`
 }
 
-// request asks one engine for the whole answer, as one of the caller's attempts.
+// request returns the HTTP request of one attempt at an engine for the complete answer.
 func (s *startOver) request(ctx context.Context, a *Arrival, engine string, attempt int) (*http.Request, error) {
 	body, err := json.Marshal(engineRequest{
 		Model: Model, Prompt: a.Prompt, MaxTokens: a.Class.MaxTokens, Stream: true, Priority: int(a.Class.Priority),
@@ -99,11 +99,11 @@
 	return http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 }
 
-// try returns the text that came, and whether it came whole.
+// try runs one attempt and returns its text, and whether the text is complete.
 func (s *startOver) try(ctx context.Context, start time.Time, a *Arrival, got *Answer, engine string, attempt int) (string, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(s.first, cancel)
+	idle := time.AfterFunc(s.firstTokenTimeout, cancel)
 	defer idle.Stop()
 	req, err := s.request(ctx, a, engine, attempt)
 	if err != nil {
--- a/measure/table.go
+++ b/measure/table.go
@@ -16,9 +16,9 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Table is one result.
+// Table is a table of results.
 type Table struct {
-	Name    string // also the CSV file's name
+	Name    string // also part of the name of the CSV file
 	Columns []string
 	Rows    [][]string
 }
@@ -93,10 +93,10 @@
 func newHist() *hdrhistogram.Histogram { return hdrhistogram.New(1, histMax, histDigits) }
 
 func observe(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), 1), histMax)) // within the range
+	_ = h.RecordValue(min(max(d.Microseconds(), 1), histMax)) // cannot fail: the value is within the range
 }
 
-// quantileMS reads a quantile in milliseconds, or "-" without values.
+// quantileMS returns a quantile in milliseconds, or "-" if there are no values.
 func quantileMS(h *hdrhistogram.Histogram, q float64) string {
 	if h.TotalCount() == 0 {
 		return "-"
--- a/measure/tally.go
+++ b/measure/tally.go
@@ -11,27 +11,27 @@
 	"wigeondale/load"
 )
 
-// tally is what one fleet did in one run.
+// tally sums up the answers and the extra work of one fleet in one run.
 type tally struct {
 	answers, complete int
 	delivered         int // tokens
-	waits             map[kind]*hdrhistogram.Histogram
-	resumes           map[kind]int
-	prefilled         map[kind]int // tokens prefilled again
-	wasted            map[kind]int // tokens generated for nobody
+	waits             map[faultKind]*hdrhistogram.Histogram
+	resumes           map[faultKind]int
+	prefilled         map[faultKind]int // tokens prefilled again
+	wasted            map[faultKind]int // tokens generated that no caller received
 	firstToken        map[string]*hdrhistogram.Histogram
 }
 
-// longGap is from where on a wait between two tokens is laid to a fault.
-const longGap = 5 * step
+// minFaultGap is the minimum wait between two tokens that is attributed to a fault.
+const minFaultGap = 5 * step
 
 func newTally(answers []Answer, rec *load.Record, faults []fault) tally {
 	t := tally{
-		waits: map[kind]*hdrhistogram.Histogram{}, resumes: map[kind]int{},
-		prefilled: map[kind]int{}, wasted: map[kind]int{},
+		waits: map[faultKind]*hdrhistogram.Histogram{}, resumes: map[faultKind]int{},
+		prefilled: map[faultKind]int{}, wasted: map[faultKind]int{},
 		firstToken: map[string]*hdrhistogram.Histogram{},
 	}
-	for _, k := range append(slices.Clone(kinds), noFault) {
+	for _, k := range append(slices.Clone(faultKinds), noFault) {
 		t.waits[k] = newHist()
 	}
 	attempts := attemptsOf(rec)
@@ -41,27 +41,27 @@
 	return t
 }
 
-// tried is one attempt with the engine that ran it.
-type tried struct {
+// engineAttempt is one attempt and the engine that ran it.
+type engineAttempt struct {
 	engine string
 	load.AttemptRecord
 }
 
-// attemptsOf lists each request's attempts in their order.
-func attemptsOf(rec *load.Record) map[string][]tried {
-	out := map[string][]tried{}
+// attemptsOf returns the attempts of each request, in order.
+func attemptsOf(rec *load.Record) map[string][]engineAttempt {
+	out := map[string][]engineAttempt{}
 	for _, e := range rec.Engines {
 		for _, s := range e.Streams {
-			out[s.Request] = append(out[s.Request], tried{e.Engine, s})
+			out[s.Request] = append(out[s.Request], engineAttempt{e.Engine, s})
 		}
 	}
 	for _, list := range out {
-		slices.SortFunc(list, func(a, b tried) int { return cmp.Compare(a.Attempt, b.Attempt) })
+		slices.SortFunc(list, func(a, b engineAttempt) int { return cmp.Compare(a.Attempt, b.Attempt) })
 	}
 	return out
 }
 
-func (t *tally) add(a *Answer, attempts []tried, faults []fault) {
+func (t *tally) add(a *Answer, attempts []engineAttempt, faults []fault) {
 	t.answers++
 	if a.Outcome == fleet.Complete {
 		t.complete++
@@ -77,23 +77,23 @@
 	t.addExtra(a, attempts, faults)
 }
 
-// addWaits lays each long wait between two tokens to the fault of the engine
-// that was serving before it.
-func (t *tally) addWaits(a *Answer, attempts []tried, faults []fault) {
+// addWaits attributes each long wait between two tokens to the fault of the engine that
+// delivered the token before it.
+func (t *tally) addWaits(a *Answer, attempts []engineAttempt, faults []fault) {
 	for i := 1; i < len(a.Tokens); i++ {
 		from, to := a.Tokens[i-1], a.Tokens[i]
-		if to-from < longGap {
+		if to-from < minFaultGap {
 			continue
 		}
-		k := cause(faults, servedBy(a, attempts, i-1), from, to)
+		k := faultDuring(faults, servedBy(a, attempts, i-1), from, to)
 		observe(t.waits[k], to-from)
 	}
 }
 
 // servedBy returns the engine that delivered token i.
-func servedBy(a *Answer, attempts []tried, i int) string {
+func servedBy(a *Answer, attempts []engineAttempt, i int) string {
 	at := a.Tokens[i]
-	for _, l := range a.Lost { // start-over: the loss that came next
+	for _, l := range a.Lost { // start-over client: the next loss names the engine
 		if l.At > at {
 			return l.Engine
 		}
@@ -107,13 +107,13 @@
 	return engine
 }
 
-// addExtra reckons for each lost attempt what the next one prefilled again
-// and what was generated for nobody.
-func (t *tally) addExtra(a *Answer, attempts []tried, faults []fault) {
+// addExtra adds, for each lost attempt, the tokens that the next attempt prefilled again and
+// the generated tokens that no caller received.
+func (t *tally) addExtra(a *Answer, attempts []engineAttempt, faults []fault) {
 	for i := 1; i < len(attempts); i++ {
 		lost, next := attempts[i-1], attempts[i]
-		from, to := lossOf(a, next, i)
-		k := cause(faults, lost.engine, from, to)
+		from, to := lossSpan(a, next, i)
+		k := faultDuring(faults, lost.engine, from, to)
 		used := max(next.ResumedAt-lost.ResumedAt, 0)
 		t.resumes[k]++
 		t.prefilled[k] += next.Prefilled
@@ -121,9 +121,9 @@
 	}
 }
 
-// lossOf is the time in which an attempt was lost: from the last token before
-// it to the first one after it.
-func lossOf(a *Answer, next tried, i int) (from, to time.Duration) {
+// lossSpan returns the time span in which an attempt was lost: from the last token before the
+// loss to the first token after it.
+func lossSpan(a *Answer, next engineAttempt, i int) (from, to time.Duration) {
 	if i-1 < len(a.Lost) {
 		return a.Lost[i-1].At - firstTokenLimit, a.Lost[i-1].At
 	}
@@ -137,8 +137,9 @@
 	return from, to
 }
 
-// cause finds the fault of the engine that overlaps the time.
-func cause(faults []fault, engine string, from, to time.Duration) kind {
+// faultDuring returns the kind of the engine's last listed fault that overlaps the time span, or
+// noFault.
+func faultDuring(faults []fault, engine string, from, to time.Duration) faultKind {
 	k := noFault
 	for _, f := range faults {
 		if f.engine == engine && f.at <= to && from <= f.end()+afterFault {
@@ -148,7 +149,8 @@
 	return k
 }
 
-// extra is all extra tokens: prefilled again and generated for nobody.
+// extra returns the number of extra tokens: prefilled again, or generated and not received by
+// any caller.
 func (t *tally) extra() int {
 	sum := 0
 	for k := range t.waits {
@@ -157,18 +159,19 @@
 	return sum
 }
 
-// falseResumes are those after faults that end by themselves, or none.
+// falseResumes returns the number of resumes after faults that end by themselves, or without a
+// fault.
 func (t *tally) falseResumes() int {
 	sum := 0
 	for k, n := range t.resumes {
-		if !k.real() {
+		if !k.losesEngine() {
 			sum += n
 		}
 	}
 	return sum
 }
 
-// losses merges the waits around engines that were lost.
+// losses merges the waits that killed and frozen engines caused.
 func (t *tally) losses() *hdrhistogram.Histogram {
 	h := newHist()
 	h.Merge(t.waits[killed])
@@ -176,7 +179,7 @@
 	return h
 }
 
-// waited is the callers' time in long waits after all faults, in seconds.
+// waited returns the total time of callers in long waits caused by faults, in seconds.
 func (t *tally) waited() float64 {
 	var sum float64
 	for k, h := range t.waits {
