--- a/replay/engine.go
+++ b/replay/engine.go
@@ -55,7 +55,7 @@
 	return &Run{Prompt: prompt, Kept: cached, Answer: answer, Signals: make(chan Signal, 3), prefilled: cached}
 }
 
-func (r *Run) cacheTokens() int { return r.prefilled + r.generated }
+func (r *Run) usedTokens() int { return r.prefilled + r.generated }
 
 // Engine is the model of one engine.
 type Engine struct {
@@ -135,7 +135,7 @@
 	e.reportedAt = now
 	e.report = fleet.EngineState{Used: e.usedTokens(), Copies: e.copies}
 	for _, r := range e.running {
-		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.cacheTokens(), Made: r.generated})
+		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.usedTokens(), Made: r.generated})
 	}
 	if len(e.waiting) > 0 {
 		e.report.Reading, e.report.Queued = 1, len(e.waiting)-1
@@ -201,10 +201,10 @@
 func (e *Engine) usedTokens() int {
 	sum := e.copies
 	for _, r := range e.running {
-		sum += r.cacheTokens()
+		sum += r.usedTokens()
 	}
 	for _, r := range e.waiting {
-		sum += r.cacheTokens()
+		sum += r.usedTokens()
 	}
 	return sum
 }
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -28,7 +28,7 @@
 		"unfenced": wrap(0, unfenced),        // before up: engines do not check fencing numbers
 		"weights":  wrap(3, weightStore),     // before up: weights STORE-BYTES/S BUDGET-BYTES/S VERSION=BYTES...
 		"begin":    wrap(1, startNoWait),     // begin ROUTER: starts it again after it has exited, without waiting until it is ready
-		"ready":    wrap(2, waitReady),       // ready ROUTER yes|no [TEXT]: waits until /readyz says so, with TEXT in its body
+		"ready":    wrap(2, waitReady),       // ready ROUTER yes|no [TEXT]: waits until /readyz reports that it is ready or, with no, that it is not, and has TEXT in its body
 		"logged":   wrap(2, logged),          // logged ROUTER TEXT: waits until its log contains TEXT
 		"watches":  wrap(2, watches),         // watches PREFIX N: waits until N watches of the prefix are open
 		"race":     wrap(3, race),            // race one|both PLAN PLAN: confirms the plans at the same time, at r1 and r2
