--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -52,8 +52,8 @@
 	os.Exit(code)
 }
 
-// path is a running daemon and the load process with its stand-ins and callers.
-type path struct {
+// deployment is a running daemon and the load process with its stand-ins and callers.
+type deployment struct {
 	cmd    *exec.Cmd
 	send   *json.Encoder
 	recv   *json.Decoder
@@ -64,14 +64,14 @@
 }
 
 // shared is used by all benchmarks, since a daemon in this process cannot be shut down.
-var shared path
+var shared deployment
 
 var (
 	startOnce sync.Once
 	openErr   error
 )
 
-func sharedPath(b *testing.B) *path {
+func sharedDeployment(b *testing.B) *deployment {
 	startOnce.Do(func() {
 		openErr = shared.open()
 	})
@@ -81,26 +81,26 @@
 	return &shared
 }
 
-func (p *path) close() {
-	if p.cmd == nil {
+func (d *deployment) close() {
+	if d.cmd == nil {
 		return
 	}
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
-	os.RemoveAll(p.dir)
+	d.cmd.Process.Kill()
+	d.cmd.Wait()
+	os.RemoveAll(d.dir)
 }
 
-func (p *path) open() error {
-	if err := p.startLoad(); err != nil {
+func (d *deployment) open() error {
+	if err := d.startLoad(); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "wigeon-bench")
 	if err != nil {
 		return err
 	}
-	p.dir = dir
+	d.dir = dir
 	caller, admin := freeAddr(), freeAddr()
-	file, err := p.writeSettings(caller, admin)
+	file, err := d.writeSettings(caller, admin)
 	if err != nil {
 		return err
 	}
@@ -114,32 +114,32 @@
 		code := daemon.Main([]string{"--config", file}, &out, &out)
 		exited <- fmt.Errorf("the daemon exited with code %d: %s", code, out.String())
 	}()
-	p.caller, p.admin = "http://"+caller, admin
+	d.caller, d.admin = "http://"+caller, admin
 	return configure(admin, exited)
 }
 
-func (p *path) startLoad() error {
-	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), loadEnv+"=1")
-	p.cmd.Stderr = os.Stderr
-	in, err := p.cmd.StdinPipe()
+func (d *deployment) startLoad() error {
+	d.cmd = exec.Command(os.Args[0])
+	d.cmd.Env = append(os.Environ(), loadEnv+"=1")
+	d.cmd.Stderr = os.Stderr
+	in, err := d.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	out, err := d.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.send, p.recv = json.NewEncoder(in), json.NewDecoder(out)
-	if err := p.cmd.Start(); err != nil {
+	d.send, d.recv = json.NewEncoder(in), json.NewDecoder(out)
+	if err := d.cmd.Start(); err != nil {
 		return err
 	}
-	return p.recv.Decode(&p.ports)
+	return d.recv.Decode(&d.ports)
 }
 
-func (p *path) writeSettings(caller, admin string) (string, error) {
+func (d *deployment) writeSettings(caller, admin string) (string, error) {
 	for _, key := range []string{"peer.key", "cursor.key"} {
-		err := os.WriteFile(filepath.Join(p.dir, key), []byte(strings.Repeat(key+"-of-a-test-", 4)), 0o600)
+		err := os.WriteFile(filepath.Join(d.dir, key), []byte(strings.Repeat(key+"-of-a-test-", 4)), 0o600)
 		if err != nil {
 			return "", err
 		}
@@ -153,8 +153,8 @@
 		"node":   settings.Node{ID: "r1", VM: "vm-r1", FailureDomain: "d1", Region: "r", Incarnation: "auto"},
 		"listen": map[string]any{"caller": address(caller), "admin": address(admin), "peer": address(freeAddr())},
 		"platform": settings.Platform{
-			KVURL: "http://" + p.ports["kv"], VMsURL: "http://" + p.ports["vms"],
-			WeightsURL: "http://" + p.ports["weights"], CallTimeoutMS: 5000,
+			KVURL: "http://" + d.ports["kv"], VMsURL: "http://" + d.ports["vms"],
+			WeightsURL: "http://" + d.ports["weights"], CallTimeoutMS: 5000,
 		},
 		"peers":     peers,
 		"cursor":    map[string]string{"key_file": "cursor.key"},
@@ -165,7 +165,7 @@
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(p.dir, "settings.json")
+	file := filepath.Join(d.dir, "settings.json")
 	return file, os.WriteFile(file, data, 0o600)
 }
 
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -20,16 +20,16 @@
 
 // do sends a job to the load process and returns its result. It calls open once all streams
 // of the job have a token.
-func (p *path) do(b *testing.B, j job, open func()) report {
+func (d *deployment) do(b *testing.B, j job, open func()) report {
 	if j.URL == "" {
-		j.URL = p.caller
+		j.URL = d.caller
 	}
-	if err := p.send.Encode(j); err != nil {
+	if err := d.send.Encode(j); err != nil {
 		b.Fatal(err)
 	}
 	for {
 		var r report
-		if err := p.recv.Decode(&r); err != nil {
+		if err := d.recv.Decode(&r); err != nil {
 			b.Fatal(err)
 		}
 		if r.Err != "" {
@@ -47,11 +47,11 @@
 // The limit: at most 1 ms added at the 99th percentile.
 func BenchmarkFirstToken(b *testing.B) {
 	const requests = 1000
-	p := sharedPath(b)
-	p.do(b, job{Model: fastModel, First: 50}, nil) // connections and caches
+	d := sharedDeployment(b)
+	d.do(b, job{Model: fastModel, First: 50}, nil) // connections and caches
 	var r report
 	for b.Loop() {
-		r = p.do(b, job{Model: fastModel, First: requests}, nil)
+		r = d.do(b, job{Model: fastModel, First: requests}, nil)
 	}
 	for _, q := range []struct {
 		name string
@@ -86,7 +86,7 @@
 // handler copies what it reads and flushes, which shows the cost of net/http and the kernel
 // alone.
 func BenchmarkForwardPacedBare(b *testing.B) {
-	p := sharedPath(b)
+	d := sharedDeployment(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request struct {
@@ -97,7 +97,7 @@
 		}
 		n := bareRequests.Add(1)
 		body := directBody(pacedModel, fmt.Sprint("bare-", n), request.MaxTokens)
-		engine := p.ports[fmt.Sprint(pacedModel, n%enginesEach)]
+		engine := d.ports[fmt.Sprint(pacedModel, n%enginesEach)]
 		resp, err := client.Post("http://"+engine+"/v1/completions", "application/json", strings.NewReader(body))
 		if err != nil {
 			return // the same
@@ -130,17 +130,17 @@
 // answer of one token, and the cost of each further token.
 func forward(b *testing.B, j job) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	p := sharedPath(b)
+	d := sharedDeployment(b)
 	short := job{URL: j.URL, Model: j.Model, Streams: j.Streams, Tokens: 1}
-	p.do(b, short, func() {}) // warm up: opens the connections
+	d.do(b, short, func() {}) // warm up: opens the connections
 	start := currentUsage()
-	p.do(b, short, func() {})
+	d.do(b, short, func() {})
 	request := currentUsage().since(start, j.Streams)
 	var seconds float64
 	tokens := 0
 	start = currentUsage()
 	for b.Loop() {
-		r := p.do(b, j, func() {})
+		r := d.do(b, j, func() {})
 		tokens += r.Tokens
 		seconds += r.Seconds
 	}
@@ -177,11 +177,11 @@
 // would be reused, and their memory would not be counted.
 func BenchmarkOpenStream(b *testing.B) {
 	const streams = 600
-	p := sharedPath(b)
+	d := sharedDeployment(b)
 	var before, after memory
 	for b.Loop() {
 		before = readMemory()
-		p.do(b, job{Model: pacedModel, Streams: streams, Tokens: 60}, func() { after = readMemory() })
+		d.do(b, job{Model: pacedModel, Streams: streams, Tokens: 60}, func() { after = readMemory() })
 	}
 	b.ReportMetric(float64(after.heap-before.heap)/streams, "heap-B/stream")
 	b.ReportMetric(float64(after.stack-before.stack)/streams, "stack-B/stream")
@@ -192,20 +192,20 @@
 // ten seconds: processor time, calls to the key-value service, and memory.
 func BenchmarkIdle(b *testing.B) {
 	const span = 10 * time.Second
-	p := sharedPath(b)
+	d := sharedDeployment(b)
 	for b.Loop() {
-		calls, start := p.kvCalls(b), currentUsage()
+		calls, start := d.kvCalls(b), currentUsage()
 		time.Sleep(span)
 		b.ReportMetric(100*currentUsage().since(start, 1).ns/float64(span), "%core")
-		b.ReportMetric(float64(p.kvCalls(b)-calls)/span.Seconds(), "kv-calls/s")
+		b.ReportMetric(float64(d.kvCalls(b)-calls)/span.Seconds(), "kv-calls/s")
 		m := readMemory()
 		b.ReportMetric(float64(m.heap), "heap-B")
 		b.ReportMetric(float64(m.stack), "stack-B")
 	}
 }
 
-func (p *path) kvCalls(b *testing.B) int {
-	resp, err := http.Get("http://" + p.admin + "/metrics")
+func (d *deployment) kvCalls(b *testing.B) int {
+	resp, err := http.Get("http://" + d.admin + "/metrics")
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -234,8 +234,8 @@
 }
 
 func poll(b *testing.B, events bool) {
-	p := sharedPath(b)
-	engine := fleet.Backend{ID: "e", Addr: p.ports[pacedModel+"0"], Kind: fleet.Engine}
+	d := sharedDeployment(b)
+	engine := fleet.Backend{ID: "e", Addr: d.ports[pacedModel+"0"], Kind: fleet.Engine}
 	c := backend.NewClient()
 	n := 0
 	start := currentUsage()
