--- a/measure/parts.go
+++ b/measure/parts.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// clientSender returns a Sender that uses the client library with the API key of one client account.
+// clientSender returns a Sender that uses the client library with the API key of one client
+// account.
 func clientSender(r *Running, account, key string) Sender {
 	c := client.New(r.Endpoints, key, client.Options{Spread: true})
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
@@ -77,9 +78,9 @@
 	}
 }
 
-// singleTrySender returns a Sender that sends each request a single time, with net/http and not streamed,
-// so that a refusal is recorded as the router sent it, without the retries of the client
-// library.
+// singleTrySender returns a Sender that sends each request a single time, with net/http and
+// not streamed, so that a refusal is recorded as the router sent it, without the retries of
+// the client library.
 func singleTrySender(r *Running, account, key string) Sender {
 	var next atomic.Uint64
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
