--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -40,7 +40,7 @@
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Revision      uint64 `json:"revision"` // in force there, as last heard
-	Heard         bool   `json:"heard"`    // false when it has not been heard from lately
+	Reachable     bool   `json:"heard"`    // false when it has not been heard from lately
 }
 
 // Members lists the routers.
@@ -62,9 +62,9 @@
 	Node    string
 	Keeper  Keeper
 	Members Members
-	// View shows the fleet; the weights' sizes of refs are among what it shows.
-	View     func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
-	Backends func() []BackendStatus
+	// FleetView shows the fleet; the weights' sizes of refs are among what it shows.
+	FleetView func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
+	Backends  func() []BackendStatus
 	// Quarantine holds the requests that are not sent on.
 	Quarantine Quarantine
 	Operators  []Operator
@@ -117,23 +117,23 @@
 
 // Status tells where a revision is in force.
 type Status struct {
-	Node     string   `json:"node"`
-	Revision uint64   `json:"revision"` // in force on the answering node
-	Ready    bool     `json:"ready"`
-	Reason   string   `json:"reason,omitempty"`
-	InForce  int      `json:"in_force"`  // nodes heard from at this revision or later
-	NotHeard []string `json:"not_heard"` // nodes known of but not heard from
-	Nodes    []Node   `json:"nodes"`
+	Node        string   `json:"node"`
+	Revision    uint64   `json:"revision"` // in force on the answering node
+	Ready       bool     `json:"ready"`
+	Reason      string   `json:"reason,omitempty"`
+	InForce     int      `json:"in_force"`  // nodes heard from at this revision or later
+	Unreachable []string `json:"not_heard"` // nodes known of but not heard from
+	Nodes       []Node   `json:"nodes"`
 }
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request, _ Operator) {
-	s := Status{Node: a.cfg.Node, Revision: a.cfg.Keeper.State().Revision, NotHeard: []string{}}
+	s := Status{Node: a.cfg.Node, Revision: a.cfg.Keeper.State().Revision, Unreachable: []string{}}
 	s.Ready, s.Reason = a.cfg.Keeper.Ready()
 	s.Nodes = a.cfg.Members.Nodes()
 	for _, n := range s.Nodes {
 		switch {
-		case !n.Heard:
-			s.NotHeard = append(s.NotHeard, n.ID)
+		case !n.Reachable:
+			s.Unreachable = append(s.Unreachable, n.ID)
 		case n.Revision >= s.Revision:
 			s.InForce++
 		}
--- a/adminapi/operator.go
+++ b/adminapi/operator.go
@@ -58,9 +58,9 @@
 	})
 }
 
-// Guard lets operators of at least the given role through to another handler of
+// RequireRole lets operators of at least the given role through to another handler of
 // the same listener, such as the state dump.
-func (a *API) Guard(least Role, next http.Handler) http.Handler {
+func (a *API) RequireRole(least Role, next http.Handler) http.Handler {
 	return a.allow(least, func(w http.ResponseWriter, r *http.Request, _ Operator) { next.ServeHTTP(w, r) })
 }
 
--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -20,8 +20,8 @@
 	Signature string      `json:"signature"` // HMAC-SHA-256, hex
 }
 
-// Accepted answers a confirmation.
-type Accepted struct {
+// ConfirmResult answers a confirmation.
+type ConfirmResult struct {
 	PlanID   string `json:"plan_id"`
 	Revision uint64 `json:"revision"`
 }
@@ -80,7 +80,7 @@
 	if ok, reason := a.cfg.Keeper.Ready(); !ok {
 		return SignedPlan{}, Error.New("%w: %s", intent.ErrNotReady, reason)
 	}
-	view, err := a.cfg.View(r.Context(), intent.Refs(in.Changes))
+	view, err := a.cfg.FleetView(r.Context(), intent.Refs(in.Changes))
 	if err != nil {
 		return SignedPlan{}, Error.Wrap(err)
 	}
@@ -113,14 +113,14 @@
 		writeFailure(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, Accepted{PlanID: rev.PlanID, Revision: rev.N})
+	writeJSON(w, http.StatusOK, ConfirmResult{PlanID: rev.PlanID, Revision: rev.N})
 }
 
 // writeConflict refuses a plan and offers a new one for what was asked; the
 // placements that planning had derived from the old base are derived anew.
 func (a *API) writeConflict(w http.ResponseWriter, r *http.Request, op Operator, old intent.Plan, c *intent.ConflictError) {
 	p := Problem{Code: CodeConflict, Message: c.Error(), Conflicts: c.Conflicts}
-	offer, err := a.plan(r, op, intent.Intents{Changes: old.Asked(), Force: old.Force})
+	offer, err := a.plan(r, op, intent.Intents{Changes: old.Requested(), Force: old.Force})
 	if err == nil {
 		p.NewPlan = &offer
 	}
--- a/adminapi/quarantine.go
+++ b/adminapi/quarantine.go
@@ -6,8 +6,8 @@
 	"wigeondale/quarantine"
 )
 
-// Lifted names a request that is sent on again.
-type Lifted struct {
+// LiftResult names a request that is sent on again.
+type LiftResult struct {
 	Digest string `json:"digest"`
 }
 
@@ -32,5 +32,5 @@
 		writeError(w, http.StatusNotFound, Problem{Code: CodeNotFound, Message: "no such request is held back"})
 		return
 	}
-	writeJSON(w, http.StatusOK, Lifted{d.String()})
+	writeJSON(w, http.StatusOK, LiftResult{d.String()})
 }
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -71,12 +71,12 @@
 
 // Config sizes a Controller. Zero values take the defaults.
 type Config struct {
-	MaxQueue       int           // tickets waiting per class (default 1024)
-	MaxRetryAfter  time.Duration // longest Retry-After given (default 30 s)
-	MinService     time.Duration // least time that any request needs (default 20 ms)
-	DefaultRetry   time.Duration // Retry-After when nothing is known (default 1 s)
-	DemandHalfLife time.Duration // of the observed demand (default 2 s)
-	Patience       time.Duration // for a pool without any capacity (default 3 s)
+	MaxQueue        int           // tickets waiting per class (default 1024)
+	MaxRetryAfter   time.Duration // longest Retry-After given (default 30 s)
+	MinService      time.Duration // least time that any request needs (default 20 ms)
+	DefaultRetry    time.Duration // Retry-After when nothing is known (default 1 s)
+	DemandHalfLife  time.Duration // of the observed demand (default 2 s)
+	MaxCapacityWait time.Duration // for a pool without any capacity (default 3 s)
 	// Capacity is how many requests the backend servers of a pool can take from
 	// this router now; nil means no bound. It is called under a lock: be quick.
 	Capacity func(pool string) int
@@ -84,11 +84,11 @@
 	// rest to lookups and resumes; nil means Capacity. Drafts run for minutes: if
 	// they may fill every place, a lookup waits until one of them has ended.
 	BatchCapacity func(pool string) int
-	// UrgentFloor is how many lookups may run from this router, and how many
+	// MinUrgentSlots is how many lookups may run from this router, and how many
 	// resumes beyond Capacity, whatever else runs; nil means none. Engines serve
 	// them first, so that behind drafts already sent they wait for one place to
 	// come free, not for all those drafts.
-	UrgentFloor func(pool string) int
+	MinUrgentSlots func(pool string) int
 }
 
 func (c Config) withDefaults() Config {
@@ -97,7 +97,7 @@
 	c.MinService = cmp.Or(c.MinService, 20*time.Millisecond)
 	c.DefaultRetry = cmp.Or(c.DefaultRetry, time.Second)
 	c.DemandHalfLife = cmp.Or(c.DemandHalfLife, 2*time.Second)
-	c.Patience = cmp.Or(c.Patience, 3*time.Second)
+	c.MaxCapacityWait = cmp.Or(c.MaxCapacityWait, 3*time.Second)
 	return c
 }
 
@@ -115,11 +115,11 @@
 	return c.BatchCapacity(pool)
 }
 
-func (c *Config) urgentFloor(pool string) int {
-	if c.UrgentFloor == nil {
+func (c *Config) minUrgentSlots(pool string) int {
+	if c.MinUrgentSlots == nil {
 		return 0
 	}
-	return c.UrgentFloor(pool)
+	return c.MinUrgentSlots(pool)
 }
 
 // refuse bounds the time to come back.
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -20,8 +20,8 @@
 			}
 			var peers []PeerDemand
 			for i := range size.linked + size.unlinked {
-				p := PeerDemand{Node: fmt.Sprint("n", i), Lost: i >= size.linked}
-				if !p.Lost {
+				p := PeerDemand{Node: fmt.Sprint("n", i), Unreachable: i >= size.linked}
+				if !p.Unreachable {
 					p.Demand = demand
 				}
 				peers = append(peers, p)
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -302,7 +302,7 @@
 					lost = append(lost, demand[j])
 				}
 			}
-			sum += Share(limit, demand[i], heard, lost)
+			sum += LimitShare(limit, demand[i], heard, lost)
 		}
 		if sum > limit*MaxOvershoot*1.000001 {
 			t.Fatalf("%d parts use %g of %g", parts, sum, limit)
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -7,9 +7,9 @@
 type PeerDemand struct {
 	Node   string
 	Demand map[string]float64
-	// Lost is true while the peer is not heard but has not left the VM list: it
+	// Unreachable is true while the peer is not heard but has not left the VM list: it
 	// may be dead or cut off. Leave out a peer that is known to be gone.
-	Lost bool
+	Unreachable bool
 }
 
 // SetLimits replaces the limits of all client accounts. An account that is
@@ -60,7 +60,7 @@
 		switch {
 		case len(p.Demand) > 0:
 			t.peers = append(t.peers, p)
-		case p.Lost:
+		case p.Unreachable:
 			t.lost++
 		default:
 			t.heard++
@@ -73,7 +73,7 @@
 func (a *account) setPeers(t peerDemands) {
 	a.heard, a.lost = others{nodes: t.heard}, others{nodes: t.lost}
 	for _, p := range t.peers {
-		if p.Lost {
+		if p.Unreachable {
 			a.lost.add(p.Demand[a.id])
 			continue
 		}
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -19,7 +19,7 @@
 		var peers []PeerDemand
 		var heard, lost []float64
 		for i := range rapid.IntRange(0, 30).Draw(t, "peers") {
-			p := PeerDemand{Node: fmt.Sprint("n", i), Lost: rapid.Bool().Draw(t, "lost")}
+			p := PeerDemand{Node: fmt.Sprint("n", i), Unreachable: rapid.Bool().Draw(t, "lost")}
 			switch rapid.IntRange(0, 2).Draw(t, "tells") {
 			case 1:
 				p.Demand = map[string]float64{"other": 5}
@@ -27,7 +27,7 @@
 				p.Demand = map[string]float64{"a": rapid.Float64Range(0, limit).Draw(t, "demand")}
 			}
 			peers = append(peers, p)
-			if p.Lost {
+			if p.Unreachable {
 				lost = append(lost, p.Demand["a"])
 				continue
 			}
@@ -36,7 +36,7 @@
 		c := NewController(Config{}, nil, nil)
 		c.SetLimits(map[string]Limit{"a": {TokensPerSecond: limit}})
 		c.SetPeerDemand(peers)
-		want := Share(limit, 0, heard, lost) / limit
+		want := LimitShare(limit, 0, heard, lost) / limit
 		if got := c.accounts["a"].fraction; math.Abs(got-want) > 1e-9 {
 			t.Fatalf("fraction %g, want %g", got, want)
 		}
--- a/admission/line.go
+++ b/admission/line.go
@@ -16,7 +16,7 @@
 //
 // It makes decisions only: callers pass the time in, ask for their turn now and then,
 // and are dropped from the line when they stop asking.
-type Line struct {
+type WaitQueue struct {
 	mu      sync.Mutex
 	waiters map[string]*lineEntry
 	pace    time.Duration // between two places that were had while somebody waited; 0 while unknown
@@ -44,8 +44,8 @@
 	asks  int
 }
 
-// Turn is where a request stands in the line.
-type Turn struct {
+// Position is where a request stands in the line.
+type Position struct {
 	Ahead  int           // how many go before it
 	Waited time.Duration // since it came
 	Late   bool          // it can't be in time any more
@@ -61,13 +61,13 @@
 	paceLife = 5 * time.Second
 )
 
-// NewLine returns an empty line.
-func NewLine() *Line { return &Line{waiters: map[string]*lineEntry{}} }
+// NewWaitQueue returns an empty line.
+func NewWaitQueue() *WaitQueue { return &WaitQueue{waiters: map[string]*lineEntry{}} }
 
-// Wait has a request stand in the line, or tells that it still does. age is how long ago
+// Poll has a request stand in the line, or tells that it still does. age is how long ago
 // its client tried first: one that was told to come back goes before those that came
 // meanwhile.
-func (l *Line) Wait(id string, rank Rank, age time.Duration, now time.Time) Turn {
+func (l *WaitQueue) Poll(id string, rank Rank, age time.Duration, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiters[id]
@@ -80,30 +80,30 @@
 	}
 	w.rank, w.asked = rank, now
 	w.asks++
-	return Turn{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: w.late}
+	return Position{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: w.late}
 }
 
-// Late puts a request that waits behind all that can still be in time, for good, and
+// MarkLate puts a request that waits behind all that can still be in time, for good, and
 // tells where it stands then.
-func (l *Line) Late(id string, now time.Time) Turn {
+func (l *WaitQueue) MarkLate(id string, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.waiters[id]
 	if w == nil {
-		return Turn{}
+		return Position{}
 	}
 	w.late = true
 	w.rank = max(w.rank, RankLate)
-	return Turn{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: true}
+	return Position{Ahead: l.before(id, w, now), Waited: now.Sub(w.since), Late: true}
 }
 
-// Had tells that a request has got its place. The pace is learnt from those that did
+// RecordGrant tells that a request has got its place. The pace is learnt from those that did
 // not get it when they came, while somebody waited all the time since the one before.
 //
 // What goes wrong if other times count: at a router with little traffic the pace is that
 // at which requests come, not at which engines become free. The only one that waits is
 // refused although its turn is next.
-func (l *Line) Had(id string, now time.Time) {
+func (l *WaitQueue) RecordGrant(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	gap, busy := now.Sub(l.lastHad), !l.waitedSince(now).After(l.lastHad)
@@ -124,17 +124,17 @@
 	l.lastHad = now
 }
 
-// Leave takes a request out that is refused or gone.
-func (l *Line) Leave(id string) {
+// Remove takes a request out that is refused or gone.
+func (l *WaitQueue) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.waiters, id)
 }
 
-// Expect is how long a request with so many before it is going to wait; false while
+// ExpectedWait is how long a request with so many before it is going to wait; false while
 // that isn't known. While nobody gets a place the expectation grows with the time that
 // has passed.
-func (l *Line) Expect(ahead int, now time.Time) (time.Duration, bool) {
+func (l *WaitQueue) ExpectedWait(ahead int, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pace == 0 || now.Sub(l.lastHad) > paceLife {
@@ -145,7 +145,7 @@
 }
 
 // waitedSince is since when the one that waits longest has waited; now if nobody waits.
-func (l *Line) waitedSince(now time.Time) time.Time {
+func (l *WaitQueue) waitedSince(now time.Time) time.Time {
 	first := now
 	for _, w := range l.waiters {
 		if w.since.Before(first) {
@@ -164,7 +164,7 @@
 }
 
 // before counts those that go before w, and drops those that ask no more.
-func (l *Line) before(own string, w *lineEntry, now time.Time) int {
+func (l *WaitQueue) before(own string, w *lineEntry, now time.Time) int {
 	n := 0
 	for id, o := range l.waiters {
 		if now.Sub(o.asked) > forgotten {
--- a/admission/losses.go
+++ b/admission/losses.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Losses remembers when a run was lost with its engine, and says from it how much of an
+// LossHistory remembers when a run was lost with its engine, and says from it how much of an
 // engine's memory is well spent on copies.
 //
 // The load that it answers: memory is short. A copy spares the reading of a prompt if
 // its run is lost, and takes the place of a run if not. Where failure domains crash each
 // few seconds, copies are worth most of the memory in a burst; in a burst without any
 // crash a run is turned away for each copy.
-type Losses struct {
+type LossHistory struct {
 	mu   sync.Mutex
 	last time.Time
 }
@@ -28,19 +28,19 @@
 	lossOld   = 40 * time.Second
 )
 
-// NewLosses returns a Losses that expects engines to fail until it saw for a while that
+// NewLossHistory returns a Losses that expects engines to fail until it saw for a while that
 // they don't: the first crash comes without a warning.
-func NewLosses(now time.Time) *Losses { return &Losses{last: now} }
+func NewLossHistory(now time.Time) *LossHistory { return &LossHistory{last: now} }
 
-// Lost takes in that a run was lost.
-func (l *Losses) Lost(now time.Time) {
+// RecordLoss takes in that a run was lost.
+func (l *LossHistory) RecordLoss(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last = now
 }
 
 // CopyShare is the part of an engine's memory up to which copies are kept there.
-func (l *Losses) CopyShare(now time.Time) float64 {
+func (l *LossHistory) CopyShare(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := now.Sub(l.last)
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -223,7 +223,7 @@
 		ticket := Ticket{Account: "a", Cost: 1, Deadline: time.Now().Add(10 * time.Minute)}
 		got := make(chan string, 3)
 		queueUp(c, ticket, "first", got)
-		time.Sleep(c.cfg.Patience + recheckInterval)
+		time.Sleep(c.cfg.MaxCapacityWait + recheckInterval)
 		synctest.Wait()
 		queueUp(c, ticket, "late", got)
 		if len(got) != 2 {
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -149,7 +149,7 @@
 // its requests queue until the callers' deadlines, minutes later, although
 // nothing is there that could run them.
 func (p *pool) dead(cfg *Config, now time.Time) bool {
-	return !p.closed.IsZero() && now.Sub(p.closed) >= cfg.Patience
+	return !p.closed.IsZero() && now.Sub(p.closed) >= cfg.MaxCapacityWait
 }
 
 // takes tells whether there is a place for work of a class.
@@ -157,11 +157,11 @@
 	room := cfg.capacity(p.name)
 	switch c {
 	case interactiveNew:
-		return p.running < room || p.load[fleet.Interactive].running < cfg.urgentFloor(p.name)
+		return p.running < room || p.load[fleet.Interactive].running < cfg.minUrgentSlots(p.name)
 	case batchNew:
 		return p.running < room && p.takesBatch(cfg)
 	}
-	return p.running < room+cfg.urgentFloor(p.name)
+	return p.running < room+cfg.minUrgentSlots(p.name)
 }
 
 // takesBatch tells whether new batch work leaves enough to other work. It has
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Refusal is a way to decide who of those that wait for an engine is refused.
+// RefusalPolicy is a way to decide who of those that wait for an engine is refused.
 //
 // The load that it answers: for some seconds more prompts come than engines read. Which way
 // is better depends on what a late answer is worth to its caller, which only the operator
 // knows: serving late answers costs some of those that come in time.
-type Refusal string
+type RefusalPolicy string
 
 const (
 	// RefuseLate refuses who would be late. Those that come in time keep their time, and
 	// the others are told when to come back.
-	RefuseLate Refusal = "late"
+	RefuseLate RefusalPolicy = "late"
 	// RefuseUnservable refuses only who could not be answered any more. Who would be late
 	// goes behind all that can be in time, and only to an engine that reads nothing.
 	//
 	// What goes wrong with RefuseLate: who is refused comes back into the same crowd, is late
 	// by then, and is refused again. It shows as callers without any answer in a burst, after
 	// which the engines idle.
-	RefuseUnservable Refusal = "unservable"
+	RefuseUnservable RefusalPolicy = "unservable"
 )
 
-// Refusals lists the ways by their names.
-func Refusals() []string {
+// RefusalPolicies lists the ways by their names.
+func RefusalPolicies() []string {
 	return []string{string(RefuseLate), string(RefuseUnservable)}
 }
 
@@ -39,40 +39,40 @@
 	answerShare = 0.4
 )
 
-// Wait is what is known of a request that waits.
-type Wait struct {
-	Turn
-	Expect time.Duration // until its turn; 0 while no pace is known
-	Target time.Duration // when its first piece is late, from its begin; 0 for never
-	Left   time.Duration // of its caller's time; 0 when that isn't known
+// WaitState is what is known of a request that waits.
+type WaitState struct {
+	Position
+	Expected       time.Duration // until its turn; 0 while no pace is known
+	Target         time.Duration // when its first piece is late, from its begin; 0 for never
+	CallerTimeLeft time.Duration // of its caller's time; 0 when that isn't known
 }
 
 // latest is how long a request may wait here and be in time.
-func (w Wait) latest() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
+func (w WaitState) latest() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
 // InTime tells whether its first piece is still expected in time.
-func (w Wait) InTime() bool { return w.Target <= 0 || w.Waited+w.Expect <= w.latest() }
+func (w WaitState) InTime() bool { return w.Target <= 0 || w.Waited+w.Expected <= w.latest() }
 
 // servable tells whether it can still be answered.
-func (w Wait) servable() bool {
-	if w.Waited+w.Expect > uselessAfter*w.Target {
+func (w WaitState) servable() bool {
+	if w.Waited+w.Expected > uselessAfter*w.Target {
 		return false
 	}
-	return w.Left <= 0 || w.Expect <= time.Duration((1-answerShare)*float64(w.Left))
+	return w.CallerTimeLeft <= 0 || w.Expected <= time.Duration((1-answerShare)*float64(w.CallerTimeLeft))
 }
 
 // Refuses tells whether a request is refused now, and when it is to come back: not before
 // its turn would have come. Who has waited in vain would not have its turn sooner than
 // that either.
-func (r Refusal) Refuses(w Wait) (back time.Duration, refused bool) {
+func (r RefusalPolicy) Refuses(w WaitState) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
 	}
-	return max(w.Expect, w.Waited), true
+	return max(w.Expected, w.Waited), true
 }
 
-// Patience is how long a request may wait, whatever is expected.
-func (r Refusal) Patience(target time.Duration) time.Duration {
+// MaxWait is how long a request may wait, whatever is expected.
+func (r RefusalPolicy) MaxWait(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
 		return uselessAfter * target
 	}
--- a/admission/share.go
+++ b/admission/share.go
@@ -36,10 +36,10 @@
 // with adds the demand that is imagined for each.
 func (o others) with(idle float64) float64 { return o.demand + float64(o.nodes)*idle }
 
-// Share is this node's part of a fleet-wide limit, from its own demand, that
+// LimitShare is this node's part of a fleet-wide limit, from its own demand, that
 // of the peers it hears and the last known of those it lost, all in the unit
 // of the limit.
-func Share(limit, own float64, peers, lost []float64) float64 {
+func LimitShare(limit, own float64, peers, lost []float64) float64 {
 	var heard, gone others
 	for _, d := range peers {
 		heard.add(d)
--- a/backend/backend.go
+++ b/backend/backend.go
@@ -24,8 +24,8 @@
 var Error = errs.Class("backend")
 
 var (
-	// ErrDial means that no byte of the request has left this process.
-	ErrDial = errors.New("no byte was sent")
+	// ErrNotSent means that no byte of the request has left this process.
+	ErrNotSent = errors.New("no byte was sent")
 	// ErrBroken means that the exchange ended early and that bytes may have left.
 	ErrBroken = errors.New("connection broken")
 	// ErrMismatch means that an answer names another request, attempt, model,
@@ -64,10 +64,10 @@
 
 	// Opaque, when set, is the whole request: of the fields above only
 	// ResumeTokens counts, as the number of the first piece that is wanted.
-	Opaque *Opaque
-	Copies Copies
-	First  bool // no attempt of the request was sent before
-	Last   bool // no other attempt may follow
+	Opaque       *Opaque
+	Copies       Copies
+	FirstAttempt bool // no attempt of the request was sent before
+	LastAttempt  bool // no other attempt may follow
 }
 
 // Token is one token of an answer. Text is valid until the next call of Next.
--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -25,8 +25,8 @@
 	incarnationLag = 10 * time.Second
 )
 
-// Abandoned is an attempt that nobody reads any more.
-type Abandoned struct {
+// AbandonedAttempt is an attempt that nobody reads any more.
+type AbandonedAttempt struct {
 	Backend     fleet.Backend
 	Incarnation string // of the engine when the attempt was opened; may be empty
 	Request     string
@@ -71,7 +71,7 @@
 }
 
 type queued struct {
-	Abandoned
+	AbandonedAttempt
 	since time.Time
 	known string // incarnation last heard of at that moment
 }
@@ -112,7 +112,7 @@
 
 // Add queues an attempt. It never blocks; a full queue drops it, counts it and
 // leaves the engine's own linger time to end the attempt.
-func (c *Canceller) Add(a Abandoned) {
+func (c *Canceller) Add(a AbandonedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.held >= c.opts.Max {
@@ -123,7 +123,7 @@
 	c.held++
 	id := a.Backend.ID
 	queue, working := c.queues[id]
-	c.queues[id] = append(queue, queued{Abandoned: a, since: time.Now(), known: c.opts.Incarnation(a.Backend.ID)})
+	c.queues[id] = append(queue, queued{AbandonedAttempt: a, since: time.Now(), known: c.opts.Incarnation(a.Backend.ID)})
 	if !working && c.ctx != nil {
 		c.start(id)
 	}
--- a/backend/client.go
+++ b/backend/client.go
@@ -60,7 +60,7 @@
 		},
 	})
 	if err != nil {
-		return nil, Error.New("%w: %w", ErrDial, err)
+		return nil, Error.New("%w: %w", ErrNotSent, err)
 	}
 	resp, err := c.send(ctx, http.MethodPost, b, "/v1/completions", body)
 	if err != nil {
@@ -183,7 +183,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+b.Addr+path, r)
 	if err != nil {
-		return nil, Error.New("%w: %w", ErrDial, err)
+		return nil, Error.New("%w: %w", ErrNotSent, err)
 	}
 	if body != nil {
 		req.ContentLength = int64(len(body))
--- a/backend/look.go
+++ b/backend/look.go
@@ -10,13 +10,13 @@
 	"wigeondale/quarantine"
 )
 
-// Looker finds out by a connection whether backend servers have ended. It implements
+// Prober finds out by a connection whether backend servers have ended. It implements
 // quarantine.Prober.
-type Looker struct{}
+type Prober struct{}
 
-// Look implements quarantine.Prober. Where nothing listens the machine refuses the
+// Probe implements quarantine.Prober. Where nothing listens the machine refuses the
 // connection at once; one without power, or behind a cut, doesn't answer.
-func (Looker) Look(ctx context.Context, b fleet.Backend) quarantine.State {
+func (Prober) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", b.Addr)
 	switch {
 	case err == nil:
@@ -24,7 +24,7 @@
 		_ = conn.Close()
 		return quarantine.Working
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return quarantine.Ended
+		return quarantine.Exited
 	}
 	return quarantine.Unreachable
 }
--- a/backend/opaque.go
+++ b/backend/opaque.go
@@ -30,9 +30,9 @@
 	// Standby is the backend server that is to hold a copy of the attempt's
 	// state as it grows; without an address no copy is made.
 	Standby fleet.Backend
-	// Held tells that the attempt goes on from the copy at its own backend
+	// FromCopy tells that the attempt goes on from the copy at its own backend
 	// server. Without that copy the attempt is refused.
-	Held bool
+	FromCopy bool
 	// Name and Source are those of a copy made on demand: its name, and the
 	// backend server that the run was copied from. Name is empty for a copy that
 	// was kept up to date all along.
--- a/backend/send.go
+++ b/backend/send.go
@@ -21,25 +21,25 @@
 	readBufferBytes = 8 << 10
 )
 
-// Dial says how connections are opened.
-type Dial struct {
+// DialConfig says how connections are opened.
+type DialConfig struct {
 	Timeout time.Duration // of opening one
-	// Unanswered ends a connection on which sent bytes, or probes while it is
+	// UnackedTimeout ends a connection on which sent bytes, or probes while it is
 	// idle, are not acknowledged for so long. Without it a connection that fell
 	// silent for good, or whose machine lost power, is found out minutes later.
 	// 0 leaves it to the system.
-	Unanswered time.Duration
-	ReadBuffer int // bytes
+	UnackedTimeout time.Duration
+	BufferBytes    int // bytes
 }
 
 // newTransport returns the transport for the product's own protocol.
 func newTransport() *http.Transport {
-	return NewTransport(Dial{Timeout: dialTimeout, ReadBuffer: readBufferBytes})
+	return NewTransport(DialConfig{Timeout: dialTimeout, BufferBytes: readBufferBytes})
 }
 
 // NewTransport returns a transport that speaks HTTP/1.1 only: HTTP/2 repeats
 // requests after GOAWAY.
-func NewTransport(d Dial) *http.Transport {
+func NewTransport(d DialConfig) *http.Transport {
 	dialer := d.dialer()
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -55,23 +55,23 @@
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: idleConnsPerSrv,
 		IdleConnTimeout:     idleTimeout,
-		ReadBufferSize:      d.ReadBuffer,
-		WriteBufferSize:     d.ReadBuffer,
+		ReadBufferSize:      d.BufferBytes,
+		WriteBufferSize:     d.BufferBytes,
 	}
 }
 
-func (d Dial) dialer() *net.Dialer {
+func (d DialConfig) dialer() *net.Dialer {
 	dialer := &net.Dialer{Timeout: d.Timeout}
-	if d.Unanswered <= 0 {
+	if d.UnackedTimeout <= 0 {
 		return dialer
 	}
 	dialer.KeepAliveConfig = net.KeepAliveConfig{
-		Enable: true, Idle: d.Unanswered / 2, Interval: d.Unanswered / 4, Count: 2,
+		Enable: true, Idle: d.UnackedTimeout / 2, Interval: d.UnackedTimeout / 4, Count: 2,
 	}
 	dialer.Control = func(_, _ string, c syscall.RawConn) error {
 		var err error
 		set := func(fd uintptr) {
-			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Unanswered.Milliseconds()))
+			err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.UnackedTimeout.Milliseconds()))
 		}
 		return errors.Join(c.Control(set), err)
 	}
@@ -162,7 +162,7 @@
 	if w.mayHaveSent() {
 		return nil, Error.New("%w: %w", ErrBroken, err)
 	}
-	return nil, Error.New("%w: %w", ErrDial, err)
+	return nil, Error.New("%w: %w", ErrNotSent, err)
 }
 
 // OnceBody hides the type of a body from net/http, which then can't rewind it
--- a/backend/send_test.go
+++ b/backend/send_test.go
@@ -103,7 +103,7 @@
 		t.Fatalf("wrote %d after the seal", n)
 	}
 	_, err := NewClient().Load(t.Context(), fleet.Backend{Addr: refusingAddr(t)})
-	if !errors.Is(err, ErrDial) {
+	if !errors.Is(err, ErrNotSent) {
 		t.Fatal(err)
 	}
 }
@@ -200,7 +200,7 @@
 			api := &cancelScript{fails: tc.fails}
 			heard := tc.first
 			c := NewCanceller(api, CancellerOptions{Incarnation: func(string) string { return heard }, Max: 1})
-			a := Abandoned{Backend: fleet.Backend{ID: "e"}, Incarnation: "i1", Attempt: 1, Accepted: 5}
+			a := AbandonedAttempt{Backend: fleet.Backend{ID: "e"}, Incarnation: "i1", Attempt: 1, Accepted: 5}
 			c.Add(a)
 			c.Add(a) // above Max: dropped, never blocks
 			heard = tc.later
--- a/backend/service.go
+++ b/backend/service.go
@@ -43,7 +43,7 @@
 func (c *ServiceClient) Do(ctx context.Context, b fleet.Backend, call Call) (*http.Response, error) {
 	req, err := newCall(ctx, b, call)
 	if err != nil {
-		return nil, Error.New("%w: %w", ErrDial, err)
+		return nil, Error.New("%w: %w", ErrNotSent, err)
 	}
 	resp, err := RoundTrip(c.rt, req)
 	if err != nil {
--- a/callerapi/answer.go
+++ b/callerapi/answer.go
@@ -120,7 +120,7 @@
 	}
 	sink := s.stream(w, c)
 	sink.full = true // it is kept already
-	if err := sink.Begin(generation.Place{}, nil); err != nil {
+	if err := sink.Begin(generation.Position{}, nil); err != nil {
 		return refuse(http.StatusInternalServerError, codeInternal, "the answer cannot be sent again")
 	}
 	if sink.Token(f.tokens-1, rest, f.finish) == nil {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -346,7 +346,7 @@
 		}
 		tokens(sink, 0, "one ")
 		return generation.Result{Outcome: fleet.Failed, Code: generation.CodeEngineLost}
-	}, func(c *callerapi.Config) { c.Pointers = pointers{} })
+	}, func(c *callerapi.Config) { c.KeyRegistry = pointers{} })
 	got := readStream(t, post(s, "/v1/completions", body, "Idempotency-Key: k"))
 	if f := failureIn(t, post(s, "/v1/completions", body, "Idempotency-Key: k")); f.Code != "in_progress" || f.Outcome != "unknown" {
 		t.Errorf("same body: %+v", f)
@@ -379,7 +379,7 @@
 			if sink.Flush() == nil {
 				t.Error("a later write is given its time again")
 			}
-			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerGone}
+			return generation.Result{Outcome: fleet.Failed, Code: generation.CodeCallerDisconnected}
 		}))
 		go func() {
 			r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
--- a/callerapi/fake_test.go
+++ b/callerapi/fake_test.go
@@ -64,7 +64,7 @@
 // pointers plays another node on which every announced key is live.
 type pointers map[string][16]byte
 
-func (p pointers) Live(_ context.Context, account, key string) (string, [16]byte, bool) {
+func (p pointers) Locate(_ context.Context, account, key string) (string, [16]byte, bool) {
 	hash, ok := p[account+"/"+key]
 	return "node-2", hash, ok
 }
@@ -76,7 +76,7 @@
 
 // tokens delivers texts from an offset on, as one attempt on engine e1.
 func tokens(sink generation.Sink, from int, texts ...string) error {
-	if err := sink.Begin(generation.Place{Backend: "e1", Incarnation: "i1", Attempt: 1}, nil); err != nil {
+	if err := sink.Begin(generation.Position{Backend: "e1", Incarnation: "i1", Attempt: 1}, nil); err != nil {
 		return err
 	}
 	for i, text := range texts {
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -100,9 +100,9 @@
 	}
 	var kept *finished
 	defer func() { s.keys.end(e, kept) }()
-	if s.Pointers != nil {
-		s.Pointers.Announce(c.id.Account, c.id.Key, c.params.Hash)
-		defer s.Pointers.Drop(c.id.Account, c.id.Key)
+	if s.KeyRegistry != nil {
+		s.KeyRegistry.Announce(c.id.Account, c.id.Key, c.params.Hash)
+		defer s.KeyRegistry.Drop(c.id.Account, c.id.Key)
 	}
 	kept, f = s.run(ctx, w, c)
 	return f
@@ -115,12 +115,12 @@
 // elsewhere turns away a request whose key runs on another node. A reconnect
 // passes: it takes its own stream over from a node that has lost the caller.
 func (s *Server) elsewhere(ctx context.Context, c *call) *Failure {
-	if s.Pointers == nil || c.id.Made || c.from != nil {
+	if s.KeyRegistry == nil || c.id.Made || c.from != nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	_, hash, ok := s.Pointers.Live(ctx, c.id.Account, c.id.Key)
+	_, hash, ok := s.KeyRegistry.Locate(ctx, c.id.Account, c.id.Key)
 	if !ok {
 		return nil
 	}
@@ -186,7 +186,7 @@
 	}
 	sink := newStreamSink(w, s.Sealer, place, c.form)
 	sink.http2 = c.http2
-	sink.limit = s.KeepBytes / 4
+	sink.limit = s.KeptAnswerBytes / 4
 	// The text before the cursor is known only if the caller sent it back.
 	if c.from != nil && c.params.ResumeText != nil {
 		sink.text = []byte(*c.params.ResumeText)
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -54,11 +54,11 @@
 	Ready() error
 }
 
-// Pointers tells other nodes which keys run here. It spares work and holds no
+// KeyRegistry tells other nodes which keys run here. It spares work and holds no
 // promise: whoever needs a promise marks the request as non-idempotent. Live
 // reports only another node that is believed alive, and none when in doubt.
-type Pointers interface {
-	Live(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
+type KeyRegistry interface {
+	Locate(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
 	Drop(account, key string)
 }
@@ -72,21 +72,21 @@
 	DefaultTokens   int           // when a caller names none; 1024
 	GenerateTimeout time.Duration // default deadline of a generation; 1 h
 	ServiceTimeout  time.Duration // default deadline of a plain call; 10 s
-	KeepBytes       int           // finished answers kept; 16 MiB
-	KeepTime        time.Duration // 2 min
+	KeptAnswerBytes int           // finished answers kept; 16 MiB
+	KeptAnswerTime  time.Duration // 2 min
 }
 
 // Config is what a Server uses. Pointers, Services, Log and Metrics may be nil.
 type Config struct {
 	Options
-	Gate     Gate
-	Accounts Accounts
-	Runner   Runner
-	Services Services
-	Pointers Pointers
-	Sealer   *cursor.Sealer
-	Log      *event.Log
-	Metrics  *metrics.Set
+	Gate        Gate
+	Accounts    Accounts
+	Runner      Runner
+	Services    Services
+	KeyRegistry KeyRegistry
+	Sealer      *cursor.Sealer
+	Log         *event.Log
+	Metrics     *metrics.Set
 }
 
 // Server handles callers' requests.
@@ -106,7 +106,7 @@
 	s := &Server{
 		Config: cfg,
 		mux:    http.NewServeMux(),
-		keys:   newKeyTable(cfg.KeepBytes, cfg.KeepTime),
+		keys:   newKeyTable(cfg.KeptAnswerBytes, cfg.KeptAnswerTime),
 	}
 	s.Metrics.NewGauge("wigeon_caller_open_requests", func() float64 { return float64(s.open.Load()) })
 	s.handle("/v1/completions", s.generate(completions))
@@ -127,8 +127,8 @@
 	o.DefaultTokens = cmp.Or(o.DefaultTokens, 1024)
 	o.GenerateTimeout = cmp.Or(o.GenerateTimeout, time.Hour)
 	o.ServiceTimeout = cmp.Or(o.ServiceTimeout, 10*time.Second)
-	o.KeepBytes = cmp.Or(o.KeepBytes, 16<<20)
-	o.KeepTime = cmp.Or(o.KeepTime, 2*time.Minute)
+	o.KeptAnswerBytes = cmp.Or(o.KeptAnswerBytes, 16<<20)
+	o.KeptAnswerTime = cmp.Or(o.KeptAnswerTime, 2*time.Minute)
 }
 
 // ServeHTTP implements http.Handler.
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -53,7 +53,7 @@
 }
 
 // Begin implements generation.Sink.
-func (*wholeSink) Begin(generation.Place, *backend.Head) error { return nil }
+func (*wholeSink) Begin(generation.Position, *backend.Head) error { return nil }
 
 // Token implements generation.Sink.
 func (s *wholeSink) Token(index int, text []byte, finish string) error {
@@ -136,7 +136,7 @@
 
 // Begin implements generation.Sink: the cursors of the events that follow name
 // this attempt.
-func (s *streamSink) Begin(p generation.Place, _ *backend.Head) error {
+func (s *streamSink) Begin(p generation.Position, _ *backend.Head) error {
 	s.place.Backend = p.Backend
 	s.place.Incarnation = p.Incarnation
 	s.place.Attempt = p.Attempt
@@ -166,7 +166,7 @@
 
 func (s *streamSink) event(text []byte, finish string) error {
 	b := append(s.buf[:0], "id: "...)
-	b = s.writer.Append(b, s.place.Place)
+	b = s.writer.Append(b, s.place.Position)
 	b = append(b, '\n')
 	if s.opening {
 		b = append(b, s.first...)
--- a/check/check.go
+++ b/check/check.go
@@ -35,8 +35,8 @@
 	return c
 }
 
-// Next is the index of the token that Append will write.
-func (c *Chain) Next() int { return c.next }
+// NextIndex is the index of the token that Append will write.
+func (c *Chain) NextIndex() int { return c.next }
 
 // Append writes the next token to dst, with rnd as its random part.
 func (c *Chain) Append(dst []byte, rnd uint16) []byte {
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -36,7 +36,7 @@
 
 		resumed := NewChain(prompt, prefix, at)
 		text := []byte(prefix)
-		for resumed.Next() < n {
+		for resumed.NextIndex() < n {
 			text = resumed.Append(text, 7)
 		}
 		want := func(text string, r Report) {
--- a/client/call.go
+++ b/client/call.go
@@ -32,7 +32,7 @@
 	Body     []byte
 	Outcome  fleet.Outcome
 	Endpoint string
-	Took     time.Duration
+	Duration time.Duration
 }
 
 // maxAnswer bounds a plain service's answer, in bytes.
@@ -58,7 +58,7 @@
 	began := time.Now()
 	res, err := c.callLoop(ctx, req)
 	res.Key = req.Key
-	res.Took = time.Since(began)
+	res.Duration = time.Since(began)
 	return res, Error.Wrap(err)
 }
 
--- a/client/client.go
+++ b/client/client.go
@@ -49,11 +49,11 @@
 	// IdleTimeout ends a connection that brought no byte for so long. Zero
 	// waits for ever: a frozen router is then noticed by the deadline only.
 	IdleTimeout time.Duration
-	// Spread starts each request at the next endpoint in turn; otherwise each
+	// RoundRobin starts each request at the next endpoint in turn; otherwise each
 	// request starts at the first.
-	Spread bool
-	// Connected is told of each endpoint that begins to answer a request.
-	Connected func(endpoint string)
+	RoundRobin bool
+	// OnConnect is told of each endpoint that begins to answer a request.
+	OnConnect func(endpoint string)
 	// Rand returns values in [0,1) for jitter.
 	Rand func() float64
 }
@@ -100,22 +100,22 @@
 
 // Gap is a wait between two tokens during which the client reconnected.
 type Gap struct {
-	At       int // stream events that had been delivered before the wait
-	Duration time.Duration
+	EventsBefore int // stream events that had been delivered before the wait
+	Duration     time.Duration
 }
 
 // Result is what the caller holds at the end, also beside an error.
 type Result struct {
-	Key        string
-	Text       string
-	Outcome    fleet.Outcome
-	Reconnects int
-	Gaps       []Gap
-	FirstToken time.Duration // zero when no token came
-	Finish     string        // finish reason of the last token
-	Endpoint   string        // the endpoint that served last
-	Events     int           // stream events that brought text
-	RetryAfter time.Duration // of the refusal that ended the request
+	Key              string
+	Text             string
+	Outcome          fleet.Outcome
+	Reconnects       int
+	Gaps             []Gap
+	TimeToFirstToken time.Duration // zero when no token came
+	Finish           string        // finish reason of the last token
+	Endpoint         string        // the endpoint that served last
+	Events           int           // stream events that brought text
+	RetryAfter       time.Duration // of the refusal that ended the request
 }
 
 func newHTTPClient(roots *x509.CertPool) *http.Client {
@@ -131,7 +131,7 @@
 }
 
 func (c *Client) firstEndpoint() int {
-	if !c.opts.Spread {
+	if !c.opts.RoundRobin {
 		return 0
 	}
 	return int(c.turn.Add(1)-1) % len(c.endpoints)
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -74,7 +74,7 @@
 	if diff := cmp.Diff([]string{" a", " b", " c", " D", " E"}, got); diff != "" {
 		t.Error(diff)
 	}
-	if res.Text != " a b c D E" || res.Reconnects != 1 || len(res.Gaps) != 1 || res.Gaps[0].At != 3 {
+	if res.Text != " a b c D E" || res.Reconnects != 1 || len(res.Gaps) != 1 || res.Gaps[0].EventsBefore != 3 {
 		t.Errorf("result %+v", res)
 	}
 }
--- a/client/generate.go
+++ b/client/generate.go
@@ -56,8 +56,8 @@
 	return c.start(ctx, req, onToken, true)
 }
 
-// Whole asks for the answer in one piece.
-func (c *Client) Whole(ctx context.Context, req Request) (Result, error) {
+// GenerateNonStreaming asks for the answer in one piece.
+func (c *Client) GenerateNonStreaming(ctx context.Context, req Request) (Result, error) {
 	return c.start(ctx, req, nil, false)
 }
 
@@ -165,8 +165,8 @@
 		return readRefusal(resp)
 	}
 	r.mayHave = true
-	if r.c.opts.Connected != nil {
-		r.c.opts.Connected(endpoint)
+	if r.c.opts.OnConnect != nil {
+		r.c.opts.OnConnect(endpoint)
 	}
 	if r.stream {
 		return r.readStream(idle.wrap(resp.Body))
@@ -270,10 +270,10 @@
 func (r *run) token(text string) {
 	now := time.Now()
 	if r.res.Events == 0 {
-		r.res.FirstToken = now.Sub(r.began)
+		r.res.TimeToFirstToken = now.Sub(r.began)
 	}
 	if r.pending {
-		r.res.Gaps = append(r.res.Gaps, Gap{At: r.res.Events, Duration: now.Sub(r.lastToken)})
+		r.res.Gaps = append(r.res.Gaps, Gap{EventsBefore: r.res.Events, Duration: now.Sub(r.lastToken)})
 		r.pending = false
 	}
 	r.fruitless = 0
@@ -293,7 +293,7 @@
 		return errBroken
 	}
 	choice := chunk.Choices[0]
-	r.res.FirstToken = time.Since(r.began)
+	r.res.TimeToFirstToken = time.Since(r.began)
 	r.text.WriteString(choice.Text)
 	if choice.FinishReason != nil {
 		r.res.Finish = *choice.FinishReason
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot is the time since the machine was started, suspensions included.
-func Boot() time.Duration {
+// SinceBoot is the time since the machine was started, suspensions included.
+func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Every kernel that Go supports has this clock. Without it the steady
@@ -32,14 +32,14 @@
 	at time.Duration
 }
 
-// In returns the moment d from now.
-func In(d time.Duration) Deadline { return Deadline{at: Boot() + d} }
+// DeadlineIn returns the moment d from now.
+func DeadlineIn(d time.Duration) Deadline { return Deadline{at: SinceBoot() + d} }
 
 // IsZero tells that there is no deadline.
 func (d Deadline) IsZero() bool { return d.at == 0 }
 
-// Left is the time until the deadline, 0 or less once it has passed.
-func (d Deadline) Left() time.Duration { return d.at - Boot() }
+// Remaining is the time until the deadline, 0 or less once it has passed.
+func (d Deadline) Remaining() time.Duration { return d.at - SinceBoot() }
 
 // Passed tells whether the deadline has come.
-func (d Deadline) Passed() bool { return !d.IsZero() && d.Left() <= 0 }
+func (d Deadline) Passed() bool { return !d.IsZero() && d.Remaining() <= 0 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -10,10 +10,10 @@
 	if !none.IsZero() || none.Passed() {
 		t.Error("no deadline has passed")
 	}
-	if d := In(time.Hour); d.Passed() || d.Left() > time.Hour || d.Left() < time.Hour-time.Minute {
-		t.Errorf("an hour from now: %v left", d.Left())
+	if d := DeadlineIn(time.Hour); d.Passed() || d.Remaining() > time.Hour || d.Remaining() < time.Hour-time.Minute {
+		t.Errorf("an hour from now: %v left", d.Remaining())
 	}
-	if d := In(-time.Second); !d.Passed() || d.Left() > -time.Second {
-		t.Errorf("a second ago: %v left", d.Left())
+	if d := DeadlineIn(-time.Second); !d.Passed() || d.Remaining() > -time.Second {
+		t.Errorf("a second ago: %v left", d.Remaining())
 	}
 }
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -112,8 +112,8 @@
 // confirm sends a plan to one node after another until one knows what became of
 // it. A node that dies after it has sent the plan on leaves the outcome open;
 // asking the next one, which reads the log, settles it.
-func (c *caller) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.Accepted, error) {
-	var acc adminapi.Accepted
+func (c *caller) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.ConfirmResult, error) {
+	var acc adminapi.ConfirmResult
 	var last error
 	doubt := false
 	for range confirmRounds {
--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -156,7 +156,7 @@
 	var behind, silent []string
 	for _, n := range s.Nodes {
 		switch {
-		case !n.Heard:
+		case !n.Reachable:
 			silent = append(silent, n.ID)
 		case n.Revision >= revision:
 			in++
@@ -196,7 +196,7 @@
 
 func (t *tool) quarantine(ctx context.Context) error {
 	if digest := t.args.Quarantine.Lift; digest != "" {
-		var lifted adminapi.Lifted
+		var lifted adminapi.LiftResult
 		return t.api.call(ctx, http.MethodPost, "/admin/v1/quarantine/"+url.PathEscape(digest)+"/lift", nil, &lifted)
 	}
 	var list []quarantine.Report
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -94,7 +94,7 @@
 func newBench(t *testing.T) *bench {
 	b := &bench{t: t, log: &memLog{}}
 	for i := range 2 {
-		k := intent.NewKeeper(intent.Config{Log: b.log, Spread: noPeers{}})
+		k := intent.NewKeeper(intent.Config{Log: b.log, PeerClient: noPeers{}})
 		k.Sync(t.Context())
 		var ops []adminapi.Operator
 		for name, role := range map[string]adminapi.Role{"eve": adminapi.Editor, "carl": adminapi.Confirmer} {
@@ -105,7 +105,7 @@
 			Node:       fmt.Sprint("n", i),
 			Keeper:     k,
 			Members:    &b.nodes,
-			View:       func(context.Context, []fleet.ModelRef) (intent.FleetView, error) { return intent.FleetView{}, nil },
+			FleetView:  func(context.Context, []fleet.ModelRef) (intent.FleetView, error) { return intent.FleetView{}, nil },
 			Operators:  ops,
 			PlanKey:    []byte("plan key"),
 			Quarantine: &b.held,
@@ -166,14 +166,14 @@
 // second node doesn't look for the plan in the log.
 func TestConfirmAtAnotherNode(t *testing.T) {
 	b := newBench(t)
-	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}, {ID: "n1", Revision: 1, Heard: true}}
+	b.nodes = members{{ID: "n0", Revision: 1, Reachable: true}, {ID: "n1", Revision: 1, Reachable: true}}
 	b.lose = true
 	b.expect(ExitOK, "revision 1 in force on 2 of 2 nodes", "carl", "apply", "-f", "../examples/demo/intents.json", "-yes")
 	if len(b.log.entries) != 1 {
 		t.Fatalf("the log has %d entries, want 1", len(b.log.entries))
 	}
 	b.expect(ExitOK, "access/acme-notas/redactor-llm", "carl", "state")
-	b.nodes[1].Heard = false
+	b.nodes[1].Reachable = false
 	b.expect(ExitUnreachable, "not heard from: n1", "carl", "apply", "-yes", "-wait-timeout", "1ms", "leave", "vm-1")
 }
 
@@ -187,7 +187,7 @@
 	b.expect(ExitOK, "traffic/m", "eve", "plan", "-o", plan, "traffic", "m", "v1=100")
 	b.expect(ExitRefused, "forbidden", "eve", "confirm", plan)
 	b.tampered(plan)
-	b.nodes = members{{ID: "n0", Revision: 1, Heard: true}}
+	b.nodes = members{{ID: "n0", Revision: 1, Reachable: true}}
 	b.expect(ExitOK, "in force on 1 of 1", "carl", "apply", "-yes", "traffic", "m", "v2=100")
 	b.expect(ExitRefused, "a new plan for the same intents", "carl", "confirm", plan)
 	b.log.down = true
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -17,7 +17,7 @@
 		defer f.Close()
 		in = f
 	}
-	report, err := explain.Read(in, explain.Limits{First: cmd.First, Pause: cmd.Pause})
+	report, err := explain.Read(in, explain.Limits{FirstChunk: cmd.First, ChunkPause: cmd.Pause})
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/ctl/print.go
+++ b/ctl/print.go
@@ -93,7 +93,7 @@
 	}
 	rows := [][]string{{"NODE", "FAILURE DOMAIN", "REVISION", "HEARD"}}
 	for _, n := range s.Nodes {
-		rows = append(rows, []string{n.ID, n.FailureDomain, fmt.Sprint(n.Revision), yesNo(n.Heard)})
+		rows = append(rows, []string{n.ID, n.FailureDomain, fmt.Sprint(n.Revision), yesNo(n.Reachable)})
 	}
 	t.table(rows)
 }
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -56,11 +56,11 @@
 	BodyHash    [16]byte
 	IssuedUnixS int64 // when the attempt began
 	Attempt     int
-	Place
+	Position
 }
 
-// Place is the part of a cursor that moves with each token.
-type Place struct {
+// Position is the part of a cursor that moves with each token.
+type Position struct {
 	Offset    int    // tokens delivered
 	TextBytes int    // bytes of text delivered
 	Digest    uint64 // Extend over all text delivered
--- a/cursor/cursor_test.go
+++ b/cursor/cursor_test.go
@@ -36,7 +36,7 @@
 		BodyHash:    [16]byte{1, 2, 3},
 		IssuedUnixS: now.Unix(),
 		Attempt:     2,
-		Place:       cursor.Place{Offset: 37, TextBytes: 400, Digest: 1 << 63, Finished: true},
+		Position:    cursor.Position{Offset: 37, TextBytes: 400, Digest: 1 << 63, Finished: true},
 	}
 }
 
@@ -52,7 +52,7 @@
 			Ref:         fleet.ModelRef{Model: field.Draw(t, "model"), Adapter: field.Draw(t, "adapter")},
 			IssuedUnixS: now.Unix(),
 			Attempt:     rapid.IntRange(0, 1<<30).Draw(t, "attempt"),
-			Place: cursor.Place{
+			Position: cursor.Position{
 				Offset:    rapid.IntRange(0, 1<<30).Draw(t, "offset"),
 				TextBytes: rapid.IntRange(0, 1<<30).Draw(t, "bytes"),
 				Digest:    rapid.Uint64().Draw(t, "digest"),
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	buf := make([]byte, 0, 512)
-	if n := testing.AllocsPerRun(100, func() { buf = w.Append(buf[:0], cursor.Place{Offset: 9}) }); n != 0 {
+	if n := testing.AllocsPerRun(100, func() { buf = w.Append(buf[:0], cursor.Position{Offset: 9}) }); n != 0 {
 		t.Fatalf("%v allocations", n)
 	}
 }
@@ -174,6 +174,6 @@
 	buf := make([]byte, 0, 512)
 	b.ReportAllocs()
 	for b.Loop() {
-		buf = w.Append(buf[:0], cursor.Place{Offset: 9})
+		buf = w.Append(buf[:0], cursor.Position{Offset: 9})
 	}
 }
--- a/cursor/export_test.go
+++ b/cursor/export_test.go
@@ -6,5 +6,5 @@
 	if err != nil {
 		return "", err
 	}
-	return string(w.Append(nil, c.Place)), nil
+	return string(w.Append(nil, c.Position)), nil
 }
--- a/cursor/seal.go
+++ b/cursor/seal.go
@@ -78,7 +78,7 @@
 
 // Append adds the text of the cursor at this place to dst. It allocates only
 // when dst has no room.
-func (w *Writer) Append(dst []byte, at Place) []byte {
+func (w *Writer) Append(dst []byte, at Position) []byte {
 	binary.BigEndian.PutUint32(w.raw[0:], uint32(at.Offset))
 	binary.BigEndian.PutUint32(w.raw[4:], uint32(at.TextBytes))
 	binary.BigEndian.PutUint64(w.raw[8:], at.Digest)
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -22,7 +22,7 @@
 		Node:       n.id,
 		Keeper:     n.keeper,
 		Members:    n,
-		View:       n.fleetView,
+		FleetView:  n.fleetView,
 		Backends:   n.backendStatus,
 		Quarantine: n.guard,
 		Operators:  operators(set.Operators),
@@ -33,7 +33,7 @@
 	})
 	mux := http.NewServeMux()
 	mux.Handle("/admin/v1/", api)
-	mux.Handle("GET /debug/dump", api.Guard(adminapi.Viewer, n.dumps))
+	mux.Handle("GET /debug/dump", api.RequireRole(adminapi.Viewer, n.dumps))
 	mux.HandleFunc("GET /metrics", n.metrics)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	mux.HandleFunc("GET /readyz", n.readyz)
@@ -90,7 +90,7 @@
 		if m.Self {
 			revision = n.keeper.State().Revision
 		}
-		nodes = append(nodes, adminapi.Node{ID: m.ID, FailureDomain: m.FailureDomain, Revision: revision, Heard: m.Alive})
+		nodes = append(nodes, adminapi.Node{ID: m.ID, FailureDomain: m.FailureDomain, Revision: revision, Reachable: m.Alive})
 	}
 	return nodes
 }
--- a/daemon/backends.go
+++ b/daemon/backends.go
@@ -74,7 +74,7 @@
 func (p probe) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
 	rep, err := p.client.Load(ctx, b)
 	if err == nil {
-		p.mon.Incarnation(b.ID, rep.Incarnation)
+		p.mon.SetIncarnation(b.ID, rep.Incarnation)
 	}
 	return rep, err
 }
--- a/daemon/bench_test.go
+++ b/daemon/bench_test.go
@@ -50,7 +50,7 @@
 		}
 		d.Records = append(d.Records, inventory.Record{Item: item})
 	}
-	inv.Take(d)
+	inv.HandleFlood(d)
 	v := &vms{inv: inv, mesh: mesh, mon: health.NewMonitor(health.DefaultPolicy(), nil, nil), drain: &drain{vm: "v9"}}
 	dir := directory.New(nil)
 	b.ReportAllocs()
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -57,15 +57,15 @@
 		return err
 	}
 	n.callers = callerapi.New(callerapi.Config{
-		Options:  callerapi.Options{BodyBytes: set.Limits.BodyBytes, MaxOpen: int64(set.Limits.MaxOpenRequests)},
-		Gate:     n,
-		Accounts: accs,
-		Runner:   n.runner,
-		Services: n.newServices(set, pick, budget),
-		Pointers: newPointers(n.mesh, n.id),
-		Sealer:   sealer,
-		Log:      n.log,
-		Metrics:  n.set,
+		Options:     callerapi.Options{BodyBytes: set.Limits.BodyBytes, MaxOpen: int64(set.Limits.MaxOpenRequests)},
+		Gate:        n,
+		Accounts:    accs,
+		Runner:      n.runner,
+		Services:    n.newServices(set, pick, budget),
+		KeyRegistry: newPointers(n.mesh, n.id),
+		Sealer:      sealer,
+		Log:         n.log,
+		Metrics:     n.set,
 	})
 	return nil
 }
@@ -77,10 +77,10 @@
 		perEngine: set.Limits.RequestsPerEngine, reserve: set.Limits.ReservePercent,
 	}
 	n.admit = admission.NewController(admission.Config{
-		MaxQueue:      set.Limits.Queue,
-		Capacity:      room.all,
-		BatchCapacity: room.batch,
-		UrgentFloor:   room.urgent,
+		MaxQueue:       set.Limits.Queue,
+		Capacity:       room.all,
+		BatchCapacity:  room.batch,
+		MinUrgentSlots: room.urgent,
 	}, n.log, n.set)
 	n.share = &summaries{mesh: n.mesh, keeper: n.keeper, admit: n.admit, sent: map[string]float64{}, heard: demands{}}
 	n.keeper.Subscribe(func(s *intent.State) {
@@ -109,11 +109,11 @@
 		Budget:   sharedBudget{budget},
 		Guard:    n.guard,
 	}, generation.Options{
-		Node:            attemptNode(set),
-		StartedPatience: max(millis(set.Policy.PatienceMS), time.Second),
-		Rand:            rand.Float64,
-		Log:             n.log,
-		Metrics:         n.set,
+		Node:           attemptNode(set),
+		StartedMaxWait: max(millis(set.Policy.MaxWaitMS), time.Second),
+		Rand:           rand.Float64,
+		Log:            n.log,
+		Metrics:        n.set,
 	})
 	return err
 }
@@ -133,7 +133,7 @@
 }
 
 func (n *node) watcher() placement.Watcher {
-	return placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: codeLeaving}
+	return placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: codeLeaving}
 }
 
 // attemptNode names this life of the router in the names of its attempts: after
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -31,7 +31,7 @@
 		Metrics:     n.set,
 	}, owner)
 	peer.HandleCall(n.mesh, callClaims, func(ctx context.Context, _ string, b once.Batch) (once.BatchResult, error) {
-		return n.claims.Handle(ctx, b)
+		return n.claims.HandleBatch(ctx, b)
 	})
 	return nil
 }
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -37,8 +37,8 @@
 
 // Pick chooses an engine and checks once more, at the moment of dispatch, that
 // it is neither leaving nor taken by another probe.
-func (p *picker) Pick(_ context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
-	ask := routing.Ask{
+func (p *picker) Pick(_ context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
+	ask := routing.PickRequest{
 		Ref:           a.Ref,
 		Priority:      a.Priority,
 		Blocks:        fleet.PrefixBlocks(a.Prompt, prefixBlocks),
@@ -46,7 +46,7 @@
 		FailureDomain: p.domain,
 		PromptBytes:   len(a.Prompt),
 		Resume:        a.Resume,
-		Request:       xxhash.Sum64String(a.Request),
+		Request:       xxhash.Sum64String(a.RequestID),
 		FleetKnown:    p.dir.FleetKnown(),
 		Usable:        p.mon.Usable,
 	}
@@ -54,8 +54,8 @@
 }
 
 // service chooses a backend server of a plain service.
-func (p *picker) service(name string, exclude map[string]bool) (fleet.Backend, generation.Share, error) {
-	ask := routing.Ask{
+func (p *picker) service(name string, exclude map[string]bool) (fleet.Backend, generation.LoadShare, error) {
+	ask := routing.PickRequest{
 		Priority:      fleet.Interactive,
 		Exclude:       exclude,
 		FailureDomain: p.domain,
@@ -65,18 +65,18 @@
 	return p.pick(p.dir.Service(name), ask)
 }
 
-func (p *picker) pick(candidates []routing.Candidate, ask routing.Ask) (fleet.Backend, generation.Share, error) {
-	c := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: replicaWait}
+func (p *picker) pick(candidates []routing.Candidate, ask routing.PickRequest) (fleet.Backend, generation.LoadShare, error) {
+	c := placement.Chooser{Dir: p.dir, Mon: p.mon, RetryAfter: replicaWait}
 	return c.Pick(p.router, candidates, ask, directory.Load{Requests: 1})
 }
 
 // Standby implements generation.Picker: engines of this protocol keep no copies.
-func (p *picker) Standby(generation.Ask, fleet.Backend) (fleet.Backend, generation.Share, bool) {
+func (p *picker) Standby(generation.PickRequest, fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	return fleet.Backend{}, nil, false
 }
 
-// Keeps implements generation.Picker.
-func (p *picker) Keeps(string) bool { return false }
+// KeepsCopy implements generation.Picker.
+func (p *picker) KeepsCopy(string) bool { return false }
 
 // sharedBudget is one retry budget for all models.
 type sharedBudget struct{ *admission.RetryBudget }
@@ -129,7 +129,7 @@
 	admission.ReasonConcurrency:    callerapi.CodeAccountLimit,
 	admission.ReasonQueueFull:      callerapi.CodeOverloaded,
 	admission.ReasonDeadline:       generation.CodeDeadline,
-	admission.ReasonCancelled:      generation.CodeCallerGone,
+	admission.ReasonCancelled:      generation.CodeCallerDisconnected,
 	admission.ReasonNoReplica:      generation.CodeNoReplica,
 }
 
--- a/daemon/dispatch_test.go
+++ b/daemon/dispatch_test.go
@@ -30,7 +30,7 @@
 		admission.ReasonQueueFull:      callerapi.CodeOverloaded,
 		admission.ReasonNoReplica:      generation.CodeNoReplica,
 		admission.ReasonDeadline:       generation.CodeDeadline,
-		admission.ReasonCancelled:      generation.CodeCallerGone,
+		admission.ReasonCancelled:      generation.CodeCallerDisconnected,
 	}
 	for reason, code := range want {
 		err := refusedBy(&admission.Refused{Reason: reason, RetryAfter: 3 * time.Second})
@@ -67,8 +67,8 @@
 	p := &picker{dir: dir, mon: health.NewMonitor(health.DefaultPolicy(), nil, metrics.NewSet()), router: router}
 	picked := map[string]bool{}
 	for i := range 64 {
-		b, share, err := p.Pick(t.Context(), generation.Ask{
-			Request: strconv.Itoa(i), Ref: ref, Prompt: "one prompt", Resume: true,
+		b, share, err := p.Pick(t.Context(), generation.PickRequest{
+			RequestID: strconv.Itoa(i), Ref: ref, Prompt: "one prompt", Resume: true,
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/daemon/inventory.go
+++ b/daemon/inventory.go
@@ -42,7 +42,7 @@
 		Events:        n.log,
 		Metrics:       n.set,
 	})
-	peer.Handle(n.mesh, floodInventory, func(_ string, d inventory.Delta) { n.inv.Take(d) })
+	peer.HandleFlood(n.mesh, floodInventory, func(_ string, d inventory.Delta) { n.inv.HandleFlood(d) })
 	peer.HandleCall(n.mesh, callInventoryCompare, func(_ context.Context, _ string, d inventory.Digest) (inventory.Digest, error) {
 		return n.inv.Answer(d), nil
 	})
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -22,7 +22,7 @@
 	record := func(at, left int64) inventory.Record {
 		return inventory.Record{
 			Item: inventory.Item{ID: "e1", VM: "v1", Addr: "10.0.0.1:80", Role: string(fleet.Engine)},
-			At:   at, Reader: "r2", Born: 1, Left: left,
+			At:   at, Reader: "r2", FirstSeen: 1, LeavingAt: left,
 		}
 	}
 	for name, tc := range map[string]struct {
@@ -48,7 +48,7 @@
 			dir.Update(list, time.Now())
 			return list[0]
 		}
-		inv.Take(inventory.Delta{Records: []inventory.Record{record(now, tc.left)}})
+		inv.HandleFlood(inventory.Delta{Records: []inventory.Record{record(now, tc.left)}})
 		if look(); dir.Leaving("e1") != tc.want {
 			t.Errorf("%s: leaving is %v", name, !tc.want)
 		}
@@ -63,13 +63,13 @@
 // by those that only heard.
 func TestWhoSpreadsLeaving(t *testing.T) {
 	for source, want := range map[directory.Source][2]bool{ // of one that rests, of one that reads
-		directory.FromVMList:  {false, true},
-		directory.FromReport:  {true, true},
-		directory.FromRefusal: {true, true},
-		directory.FromIntent:  {false, false},
-		directory.FromRumour:  {false, false},
+		directory.FromVMList:     {false, true},
+		directory.FromReport:     {true, true},
+		directory.FromRefusal:    {true, true},
+		directory.FromIntent:     {false, false},
+		directory.FromPeerReport: {false, false},
 	} {
-		if got := [2]bool{spreads(source, inventory.Rests), spreads(source, inventory.Reads)}; got != want {
+		if got := [2]bool{spreads(source, inventory.NotReader), spreads(source, inventory.Reader)}; got != want {
 			t.Errorf("%s: %v, want %v", source, got, want)
 		}
 	}
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -35,13 +35,13 @@
 	var own []float64
 	var lost []float64
 	for _, p := range heard.take([]peer.Member{member("b", false), member("c", false)}) {
-		if !p.Lost {
+		if !p.Unreachable {
 			t.Errorf("%s counts as heard", p.Node)
 		}
 		lost = append(lost, p.Demand["acme"])
 	}
 	for range 3 {
-		sum += admission.Share(100, 100, own, lost)
+		sum += admission.LimitShare(100, 100, own, lost)
 	}
 	if sum > 100*admission.MaxOvershoot {
 		t.Errorf("three routers admit %.0f of a limit of 100", sum)
@@ -75,7 +75,7 @@
 		t.Errorf("room for %d beside a router that has all places, want half of them", got)
 	}
 	for range 100 {
-		mon.Result("e2", backend.ErrDial)
+		mon.Result("e2", backend.ErrNotSent)
 	}
 	if got := fresh().all("m"); got != places/2 {
 		t.Errorf("room for %d with one engine down, want half of the other's", got)
--- a/daemon/node.go
+++ b/daemon/node.go
@@ -105,9 +105,9 @@
 		TLS:           tlsConfig,
 		Heartbeat:     millis(set.Peers.HeartbeatMS),
 		Topology: peer.Topology{
-			FullMeshLimit: set.Peers.FullMeshLimit,
-			NearLinks:     set.Peers.LinksInside,
-			FarLinks:      set.Peers.LinksAcross,
+			FullMeshLimit:    set.Peers.FullMeshLimit,
+			SameDomainLinks:  set.Peers.SameDomainLinks,
+			OtherDomainLinks: set.Peers.OtherDomainLinks,
 		},
 	}, set.PeerKey(), n.log, n.set)
 	return err
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -22,7 +22,7 @@
 		Lease:       order.NewLease(n.kv, orderPrefix, n.id),
 		Backends:    order.NewBackends(n.engines),
 		State:       n.keeper.State,
-		Fresh:       n.keeper.Fresh,
+		UpToDate:    n.keeper.UpToDate,
 		List:        n.engineList,
 		Sizes:       n.placedSizes,
 		Candidate:   n.givesOrders,
@@ -37,7 +37,7 @@
 
 // givesOrders tells whether this router tries for the order lease.
 func (n *node) givesOrders() bool {
-	return peer.SelfAmong(peer.Rendezvous("orders", living(n.mesh.Members()), orderCandidates))
+	return peer.ContainsSelf(peer.Rendezvous("orders", living(n.mesh.Members()), orderCandidates))
 }
 
 func (n *node) engineList() []fleet.Backend {
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -60,10 +60,10 @@
 			continue
 		}
 		b := backendOf(r.Item)
-		if life, ok := v.told[b.ID]; ok && life == r.Born {
-			told[b.ID] = r.Born
+		if life, ok := v.told[b.ID]; ok && life == r.FirstSeen {
+			told[b.ID] = r.FirstSeen
 		} else if leftLately(r, now) {
-			b.Leaving, told[b.ID] = true, r.Born
+			b.Leaving, told[b.ID] = true, r.FirstSeen
 		}
 		backends = append(backends, b)
 	}
@@ -72,7 +72,7 @@
 	if len(backends)+len(entries) == 0 {
 		return nil, nil // nothing is known yet
 	}
-	v.mesh.AddSeeds(seeds)
+	v.mesh.SetDiscoveredSeeds(seeds)
 	v.drain.setListed(entries)
 	v.forget(backends)
 	return backends, nil
@@ -86,7 +86,7 @@
 // new incarnation. Where "live" has lasted, it is believed: an engine may have
 // been started anew on that VM.
 func leftLately(r inventory.Record, now time.Time) bool {
-	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.Left < doubtfulLive.Milliseconds()
+	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.LeavingAt < doubtfulLive.Milliseconds()
 }
 
 func backendOf(i inventory.Item) fleet.Backend {
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -114,14 +114,14 @@
 	return h.pointer
 }
 
-// Live asks the routers that would remember the key, all at once. Only a node
+// Locate asks the routers that would remember the key, all at once. Only a node
 // that is still believed alive counts: the caller of a dead router must not be
 // turned away.
 //
 // What goes wrong otherwise: while links are cut and not yet given up, each new
 // request waits for the whole bound, once for each holder. So holders that are
 // suspect are not asked, nor for a while those that did not answer lately.
-func (p *pointers) Live(ctx context.Context, account, key string) (string, [16]byte, bool) {
+func (p *pointers) Locate(ctx context.Context, account, key string) (string, [16]byte, bool) {
 	id := once.NewKeyID(account, key)
 	members := living(p.mesh.Members())
 	holders := p.answering(peer.Rendezvous(string(id[:]), members, pointerCopies), time.Now())
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -82,7 +82,7 @@
 		})
 	})
 	p.wait = 5 * time.Second
-	if node, _, ok := p.Live(t.Context(), "acme", keyAt(all[0])); !ok || node != "n2" {
+	if node, _, ok := p.Locate(t.Context(), "acme", keyAt(all[0])); !ok || node != "n2" {
 		t.Fatalf("found %q, %v", node, ok)
 	}
 }
@@ -111,7 +111,7 @@
 	p.wait = 200 * time.Millisecond // the call has to reach n1 in it
 	key := keyAt(all[0])
 	for range pointerMisses + 2 {
-		if _, _, ok := p.Live(t.Context(), "acme", key); ok {
+		if _, _, ok := p.Locate(t.Context(), "acme", key); ok {
 			t.Fatal("found a key that runs nowhere")
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Errorf("a holder that does not answer was asked %d times", asked.Load())
 	}
 	other.Announce("acme", key, [16]byte{7})
-	if node, body, ok := p.Live(t.Context(), "acme", key); !ok || node != "n2" || body != [16]byte{7} {
+	if node, body, ok := p.Locate(t.Context(), "acme", key); !ok || node != "n2" || body != [16]byte{7} {
 		t.Errorf("a key that runs at n2 is not found there: %q, %v", node, ok)
 	}
 	now := time.Now()
@@ -152,7 +152,7 @@
 			})
 			key := keyAt(all[0])
 			for b.Loop() {
-				p.Live(b.Context(), "acme", key)
+				p.Locate(b.Context(), "acme", key)
 			}
 		})
 	}
--- a/daemon/room.go
+++ b/daemon/room.go
@@ -81,7 +81,7 @@
 		known := r.dir.Snapshot(ref)
 		engines += len(known)
 		up := r.usable(known)
-		places += directory.Places(up, per)
+		places += directory.Slots(up, per)
 		if per > 0 {
 			f.all += directory.Capacity(up, per, now)
 			f.batch += directory.Capacity(up, per*share, now)
--- a/daemon/rumours.go
+++ b/daemon/rumours.go
@@ -14,16 +14,16 @@
 
 // rumour says something of one incarnation of a backend server.
 type rumour struct {
-	Backend     string            `cbor:"1,keyasint"`
-	Incarnation string            `cbor:"2,keyasint"`
-	Kind        health.RumourKind `cbor:"3,keyasint"`
+	Backend     string                `cbor:"1,keyasint"`
+	Incarnation string                `cbor:"2,keyasint"`
+	Kind        health.PeerReportKind `cbor:"3,keyasint"`
 }
 
 // rumours spreads what this router learns of backend servers.
 type rumours struct{ mesh *peer.Mesh }
 
 func (r rumours) connect(mon *health.Monitor, dir *directory.Directory, inv *inventory.Inventory) {
-	mon.OnChange = func(id, incarnation string, kind health.RumourKind) {
+	mon.OnChange = func(id, incarnation string, kind health.PeerReportKind) {
 		// Not delivered means only that others find out for themselves.
 		_ = r.mesh.Flood(floodHealth, rumour{id, incarnation, kind})
 	}
@@ -32,9 +32,9 @@
 			_ = r.mesh.Flood(floodLeaving, rumour{Backend: id, Incarnation: incarnation})
 		}
 	}
-	peer.Handle(r.mesh, floodHealth, func(_ string, v rumour) { mon.Rumour(v.Backend, v.Incarnation, v.Kind) })
-	peer.Handle(r.mesh, floodLeaving, func(_ string, v rumour) {
-		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromRumour)
+	peer.HandleFlood(r.mesh, floodHealth, func(_ string, v rumour) { mon.HandlePeerReport(v.Backend, v.Incarnation, v.Kind) })
+	peer.HandleFlood(r.mesh, floodLeaving, func(_ string, v rumour) {
+		dir.MarkLeaving(v.Backend, v.Incarnation, directory.FromPeerReport)
 	})
 }
 
@@ -44,10 +44,10 @@
 // that don't read it: each of hundreds of routers would flood it once more.
 func spreads(source directory.Source, duty inventory.Duty) bool {
 	switch source {
-	case directory.FromRumour, directory.FromIntent:
+	case directory.FromPeerReport, directory.FromIntent:
 		return false
 	case directory.FromVMList:
-		return duty != inventory.Rests
+		return duty != inventory.NotReader
 	}
 	return true
 }
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -81,7 +81,7 @@
 			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownWait}
 	}
 	// The process may have been frozen while the claim was under way.
-	if once.InTime(ctx) != nil || expired(call.Deadline) {
+	if once.CheckDeadline(ctx) != nil || expired(call.Deadline) {
 		s.void(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
 			Message: "the deadline passed before the call was sent", Outcome: fleet.NotRun, RetryAfter: replicaWait}
@@ -95,7 +95,7 @@
 
 func (s *services) void(call callerapi.ServiceCall, attempt string) {
 	// A claim that can't be voided leaves the key used: safe, if unkind.
-	_ = s.claims.VoidLater(call.Account, call.Key, attempt)
+	_ = s.claims.VoidAsync(call.Account, call.Key, attempt)
 }
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
@@ -108,7 +108,7 @@
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
-	followed := s.guard.Follow(quarantine.Subject{
+	followed := s.guard.Track(quarantine.Subject{
 		Account: call.Account, Method: call.Method, Host: call.Service, Target: call.Path + "?" + call.Query, Body: call.Body,
 	})
 	for n := 1; ; n++ {
@@ -128,11 +128,11 @@
 
 // try sends the call, with a second try beside the first if that is late and
 // the call may be repeated.
-func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case) (*http.Response, error) {
+func (s *services) try(ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Submission) (*http.Response, error) {
 	resp, release, err := hedge.Do(ctx, s.hedge, hedge.Call[*http.Response]{
 		Pool:       call.Service,
 		Idempotent: call.Idempotent,
-		Other: func() bool {
+		HasOther: func() bool {
 			return !followed.Suspected() && len(s.pick.dir.Service(call.Service)) > tried.len()
 		},
 		Try: func(one context.Context, second bool) (*http.Response, error) {
@@ -140,7 +140,7 @@
 			tried.note(err)
 			return resp, err
 		},
-		Drop: func(resp *http.Response) { resp.Body.Close() },
+		Discard: func(resp *http.Response) { resp.Body.Close() },
 	})
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 }
 
 func (s *services) tryOne(
-	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Case, second bool,
+	ctx context.Context, call callerapi.ServiceCall, tried *triedSet, followed *quarantine.Submission, second bool,
 ) (*http.Response, error) {
 	b, share, err := s.pick.service(call.Service, tried.all())
 	if err != nil {
@@ -163,8 +163,8 @@
 	s.judge(ctx, b.ID, err, second)
 	if err == nil {
 		followed.Answered()
-	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrDial) {
-		followed.Await(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
+	} else if ctx.Err() == nil && !errors.Is(err, backend.ErrNotSent) {
+		followed.AwaitExamination(ctx, followed.Lost(quarantine.Loss{Backend: b, Ran: time.Since(began), Cause: err.Error()}))
 	}
 	return resp, err
 }
@@ -182,7 +182,7 @@
 func (s *services) judge(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
-	case err != nil && errors.Is(cause, hedge.ErrLost):
+	case err != nil && errors.Is(cause, hedge.ErrOtherAnswered):
 		if !second {
 			s.mon.Late(id)
 		}
@@ -220,7 +220,7 @@
 	f := &callerapi.Failure{Status: http.StatusBadGateway, Code: codeLost,
 		Message: "the connection to the backend server broke", Outcome: fleet.Unknown, RetryAfter: unknownWait}
 	switch {
-	case errors.Is(err, backend.ErrDial):
+	case errors.Is(err, backend.ErrNotSent):
 		f.Status, f.Code = http.StatusServiceUnavailable, codeNoReplica
 		f.Message, f.Outcome, f.RetryAfter = "no backend server could be reached", fleet.NotRun, replicaWait
 	case expired(call.Deadline):
--- a/daemon/services_test.go
+++ b/daemon/services_test.go
@@ -43,7 +43,7 @@
 		client: backend.NewServiceClient(),
 		retry:  admission.NewRetryBudget(1, 10),
 		hedge:  n.hedger(settings.Hedge{Enabled: true, BudgetPercent: 100}),
-		mon:    placement.Watcher{Monitor: mon, Dir: dir, Leaves: codeLeaving},
+		mon:    placement.Watcher{Monitor: mon, Dir: dir, LeavingCode: codeLeaving},
 	}
 }
 
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -23,13 +23,13 @@
 	carrier := spread{mesh: n.mesh, self: n.id}
 	log := kvlog.New(n.kv, configPrefix, kvlog.Options{Events: n.log, Metrics: n.set})
 	n.keeper = intent.NewKeeper(intent.Config{
-		Node:    n.id,
-		Log:     intent.NewLog(log),
-		Spread:  carrier,
-		Watcher: func() bool { return carrier.watches(set.Node.FailureDomain) },
-		Random:  rand.Float64,
-		Events:  n.log,
-		Metrics: n.set,
+		Node:       n.id,
+		Log:        intent.NewLog(log),
+		PeerClient: carrier,
+		IsWatcher:  func() bool { return carrier.watches(set.Node.FailureDomain) },
+		Random:     rand.Float64,
+		Events:     n.log,
+		Metrics:    n.set,
 	})
 	carrier.follow(n.keeper)
 	return nil
@@ -70,9 +70,9 @@
 
 // follow hands what the other routers send to the keeper.
 func (s spread) follow(k *intent.Keeper) {
-	peer.Handle(s.mesh, floodRevision, k.Offer)
+	peer.HandleFlood(s.mesh, floodRevision, k.HandleRevision)
 	peer.HandleCall(s.mesh, callRevisions, func(_ context.Context, _ string, req fetchRevisions) (intent.Batch, error) {
-		return k.Serve(req.From)
+		return k.BatchFrom(req.From)
 	})
 }
 
@@ -86,5 +86,5 @@
 		}
 	}
 	chosen := peer.Rendezvous("watch/"+domain, near, watchersPerDomain)
-	return len(chosen) == 0 || peer.SelfAmong(chosen)
+	return len(chosen) == 0 || peer.ContainsSelf(chosen)
 }
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -51,8 +51,8 @@
 	members := s.mesh.Members()
 	for _, m := range members {
 		if !m.Self && m.Alive && !m.Suspect {
-			s.keeper.Heard()
-			s.keeper.Behind(m.ID, m.Summary.Revision)
+			s.keeper.RecordContact()
+			s.keeper.HandlePeerRevision(m.ID, m.Summary.Revision)
 		}
 	}
 	s.admit.SetPeerDemand(s.heard.take(members))
@@ -77,7 +77,7 @@
 		if m.Linked {
 			d[m.ID] = m.Summary.Demand
 		}
-		out = append(out, admission.PeerDemand{Node: m.ID, Demand: d[m.ID], Lost: !m.Linked})
+		out = append(out, admission.PeerDemand{Node: m.ID, Demand: d[m.ID], Unreachable: !m.Linked})
 	}
 	for id := range d {
 		if !listed[id] {
--- a/daemon/suspects.go
+++ b/daemon/suspects.go
@@ -24,23 +24,23 @@
 
 func (n *node) buildGuard(set *settings.Settings) {
 	n.guard = quarantine.NewGuard(quarantine.Config{
-		Prober:     backend.Looker{},
-		Lifetime:   func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
-		Leaving:    n.dir.Leaving,
-		Neighbours: placement.Neighbours(n.dir, n.mon),
-		CutOff: func() bool {
+		Prober:      backend.Prober{},
+		Incarnation: func(b fleet.Backend) string { return b.ID + "@" + n.dir.Incarnation(b.ID) },
+		Leaving:     n.dir.Leaving,
+		Neighbours:  placement.Neighbours(n.dir, n.mon),
+		Isolated: func() bool {
 			_, linked := n.mesh.RandomNeighbour()
 			return !linked && len(n.mesh.Members()) > 1
 		},
 		// A node that misses news hears of the next crash, or asks for what is held.
-		Tell: func(m quarantine.News) { _ = n.mesh.Flood(quarantine.FloodNews, m) },
-		Log:  n.log,
-		Set:  n.set,
+		Broadcast: func(m quarantine.Update) { _ = n.mesh.Flood(quarantine.FloodUpdate, m) },
+		Log:       n.log,
+		Set:       n.set,
 	})
 	n.guard.SetKey(set.PeerKey())
-	peer.Handle(n.mesh, quarantine.FloodNews, n.guard.Hear)
-	peer.HandleCall(n.mesh, callHeld, func(context.Context, string, struct{}) (quarantine.News, error) {
-		return quarantine.News{Held: n.guard.Held()}, nil
+	peer.HandleFlood(n.mesh, quarantine.FloodUpdate, n.guard.HandleUpdate)
+	peer.HandleCall(n.mesh, callHeld, func(context.Context, string, struct{}) (quarantine.Update, error) {
+		return quarantine.Update{Holds: n.guard.Holds()}, nil
 	})
 }
 
@@ -63,10 +63,10 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, heldSoon)
 	defer stop()
-	news, err := peer.Call[struct{}, quarantine.News](ctx, n.mesh, other, callHeld, struct{}{})
+	news, err := peer.Call[struct{}, quarantine.Update](ctx, n.mesh, other, callHeld, struct{}{})
 	if err != nil {
 		return false // another is asked soon
 	}
-	n.guard.Hear(other, news)
+	n.guard.HandleUpdate(other, news)
 	return true
 }
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -24,7 +24,7 @@
 }
 
 func (t *triedSet) note(err error) {
-	if err == nil || errors.Is(err, backend.ErrDial) {
+	if err == nil || errors.Is(err, backend.ErrNotSent) {
 		return
 	}
 	if _, none := errors.AsType[*generation.Unavailable](err); none {
@@ -52,7 +52,7 @@
 func (t *triedSet) add(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ids = placement.With(t.ids, id) // a copy: the old map may be in use
+	t.ids = placement.WithID(t.ids, id) // a copy: the old map may be in use
 }
 
 func (t *triedSet) all() map[string]bool {
--- a/directory/batch.go
+++ b/directory/batch.go
@@ -114,9 +114,9 @@
 	return max(int(sum), 1)
 }
 
-// Places sums what the candidates take, whoever has it now: perBackend each,
+// Slots sums what the candidates take, whoever has it now: perBackend each,
 // or what their reports showed when that is 0.
-func Places(candidates []routing.Candidate, perBackend float64) int {
+func Slots(candidates []routing.Candidate, perBackend float64) int {
 	var sum float64
 	for _, c := range candidates {
 		r, ok := c.Live.(*record)
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -47,7 +47,7 @@
 	for b.Loop() {
 		members := d.Members("r1", subset)
 		d.Select(members)
-		d.Unheard("r1", members, explore)
+		d.LeastRecentlyReported("r1", members, explore)
 		d.Select(d.Members("r1", subset))
 	}
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -29,8 +29,8 @@
 	PollJitter   = 0.25
 )
 
-// RumourDelay bounds how long a rumour takes to reach every router.
-const RumourDelay = time.Second
+// PeerReportDelay bounds how long a rumour takes to reach every router.
+const PeerReportDelay = time.Second
 
 // LeavingBound is the time after which a leaving backend server gets no new
 // work, counted from when the VM list, a report or an engine's refusal would
@@ -39,7 +39,7 @@
 // of the list poll apart, so the first of them mostly has it sooner. What lag the
 // platform's VM list has comes on top; and where a flood is lost, digests bring
 // the news later, within some rounds.
-const LeavingBound = PollInterval + PollInterval/4 + RumourDelay
+const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
 // missingGrace is how long a backend server may be missing from the VM list
 // before it is dropped. The list lags and may be answered by an old replica.
@@ -50,11 +50,11 @@
 
 // Sources of MarkLeaving.
 const (
-	FromIntent  Source = "intent"
-	FromVMList  Source = "vm-list"
-	FromReport  Source = "report"
-	FromRefusal Source = "refusal"
-	FromRumour  Source = "rumour"
+	FromIntent     Source = "intent"
+	FromVMList     Source = "vm-list"
+	FromReport     Source = "report"
+	FromRefusal    Source = "refusal"
+	FromPeerReport Source = "rumour"
 )
 
 // table is an immutable view of the fleet, replaced as a whole.
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -147,13 +147,13 @@
 				marked[current] = marked[current] || rep.Leaving
 				d.Report("e0", rep, now)
 			case 2:
-				d.MarkLeaving("e0", current, FromRumour)
+				d.MarkLeaving("e0", current, FromPeerReport)
 				marked[current] = true
 			case 3:
 				current = fmt.Sprint("i", now.Unix())
 				d.Report("e0", report(current, now, 0), now)
 			default:
-				d.MarkLeaving("e0", "long-gone", FromRumour)
+				d.MarkLeaving("e0", "long-gone", FromPeerReport)
 			}
 			want := marked[current] || listLeaving
 			if d.Leaving("e0") != want || d.Snapshot(ref)[0].Live.Leaving() != want {
@@ -308,9 +308,9 @@
 		p.fleet[5].Leaving = true
 		id := p.fleet[5].ID
 		p.mu.Unlock()
-		time.Sleep(LeavingBound - RumourDelay)
+		time.Sleep(LeavingBound - PeerReportDelay)
 		if !d.Leaving(id) {
-			t.Errorf("not known to be leaving within %v", LeavingBound-RumourDelay)
+			t.Errorf("not known to be leaving within %v", LeavingBound-PeerReportDelay)
 		}
 		cancel()
 		<-done
@@ -366,7 +366,7 @@
 		if got := r.Load(time.Now()); got > 4 {
 			t.Errorf("load %v by a report from before the clock was set", got)
 		}
-		if first := d.Unheard("r1", map[string]bool{}, 1); len(first) != 1 || first[0] != "e1" {
+		if first := d.LeastRecentlyReported("r1", map[string]bool{}, 1); len(first) != 1 || first[0] != "e1" {
 			t.Errorf("%v is polled first, want e1, which was heard from longest ago", first)
 		}
 		leaving := report("i1", back(), 3)
--- a/directory/dump.go
+++ b/directory/dump.go
@@ -9,14 +9,14 @@
 
 // BackendDump is one backend server in a dump.
 type BackendDump struct {
-	Backend     fleet.Backend    `json:"backend"`
-	Report      fleet.LoadReport `json:"report"`
-	Load        float64          `json:"estimated_load"`
-	Takes       float64          `json:"requests_taken"` // at once, as its reports showed
-	Leaving     bool             `json:"leaving"`
-	Marks       []string         `json:"leaving_incarnations"`
-	Member      bool             `json:"in_subset"`
-	CacheBlocks int              `json:"cache_blocks_known"`
+	Backend      fleet.Backend    `json:"backend"`
+	Report       fleet.LoadReport `json:"report"`
+	Load         float64          `json:"estimated_load"`
+	RequestLimit float64          `json:"requests_taken"` // at once, as its reports showed
+	Leaving      bool             `json:"leaving"`
+	Marks        []string         `json:"leaving_incarnations"`
+	Member       bool             `json:"in_subset"`
+	CacheBlocks  int              `json:"cache_blocks_known"`
 }
 
 // Dump returns what is known of each backend server, by id.
@@ -39,13 +39,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return BackendDump{
-		Backend:     r.backend,
-		Report:      r.last,
-		Load:        r.Load(now),
-		Takes:       r.batch.take(1),
-		Leaving:     r.Leaving(),
-		Marks:       append([]string(nil), r.marks...),
-		CacheBlocks: blocks,
+		Backend:      r.backend,
+		Report:       r.last,
+		Load:         r.Load(now),
+		RequestLimit: r.batch.take(1),
+		Leaving:      r.Leaving(),
+		Marks:        append([]string(nil), r.marks...),
+		CacheBlocks:  blocks,
 	}
 }
 
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -19,9 +19,9 @@
 // router has just sent a prompt seems idle.
 const reportLag = 300 * time.Millisecond
 
-// Usual is the size in tokens of a service's ordinary request: reports name the runs, not
+// RequestSize is the size in tokens of a service's ordinary request: reports name the runs, not
 // how large they will be.
-type Usual struct{ Prompt, Answer float64 }
+type RequestSize struct{ Prompt, Answer float64 }
 
 // observation is what an engine said.
 type observation struct {
@@ -38,7 +38,7 @@
 }
 
 // Observe takes in what an engine says of itself.
-func (d *Directory) Observe(id string, s fleet.EngineState, usual Usual, now time.Time) {
+func (d *Directory) Observe(id string, s fleet.EngineState, usual RequestSize, now time.Time) {
 	if r := d.table.Load().byID[id]; r != nil {
 		r.observe(loadIn(s, usual), now)
 	}
@@ -47,24 +47,24 @@
 // loadIn is what the requests in a report are going to take: what waits, and the rest of
 // the prompts that are being read and of the answers that are being made, come on top of
 // what is in memory. How far a prompt has been read isn't said: it counts whole.
-func loadIn(s fleet.EngineState, usual Usual) Load {
+func loadIn(s fleet.EngineState, usual RequestSize) Load {
 	holds := usual.Prompt + usual.Answer
 	queued := float64(s.Queued) * usual.Prompt
-	if s.Next > 0 {
-		queued += float64(s.Next) - usual.Prompt
+	if s.NextPromptTokens > 0 {
+		queued += float64(s.NextPromptTokens) - usual.Prompt
 	}
 	out := Load{
 		Requests: float64(s.Queued + s.Reading + len(s.Runs)),
 		Reading:  queued + float64(s.Reading)*usual.Prompt,
 		Running:  float64(len(s.Runs)),
-		Held:     float64(s.Used) + queued + float64(s.Queued)*usual.Answer,
+		Memory:   float64(s.MemoryUsed) + queued + float64(s.Queued)*usual.Answer,
 	}
-	beingRead := float64(s.Used - s.Copies) // what the prompts that are being read have in memory
+	beingRead := float64(s.MemoryUsed - s.CopyTokens) // what the prompts that are being read have in memory
 	for _, run := range s.Runs {
-		out.Held += max(holds-float64(run.Held), 0)
-		beingRead -= float64(run.Held)
+		out.Memory += max(holds-float64(run.Memory), 0)
+		beingRead -= float64(run.Memory)
 	}
-	out.Held += max(float64(s.Reading)*holds-max(beingRead, 0), 0)
+	out.Memory += max(float64(s.Reading)*holds-max(beingRead, 0), 0)
 	return out
 }
 
@@ -90,8 +90,8 @@
 	r.begun = append(kept, begun{now, l})
 }
 
-// Seen is when the engine last said what it has under way; zero if it never did.
-func (r *record) Seen() time.Time {
+// ReportedAt is when the engine last said what it has under way; zero if it never did.
+func (r *record) ReportedAt() time.Time {
 	if o := r.observed.Load(); o != nil {
 		return o.at
 	}
@@ -117,7 +117,7 @@
 		Requests: max(sum.Requests, 0),
 		Reading:  max(sum.Reading, 0),
 		Running:  max(sum.Running, 0),
-		Held:     max(sum.Held, 0),
+		Memory:   max(sum.Memory, 0),
 	}
 }
 
@@ -128,10 +128,10 @@
 	if r == nil {
 		return Load{}, 0, false
 	}
-	seen := r.Seen()
+	seen := r.ReportedAt()
 	return r.estimated(), now.Sub(seen), !seen.IsZero()
 }
 
-// OthersTell tells whether other routers tell what they have under way. If not, engines
+// PeersSendLoads tells whether other routers tell what they have under way. If not, engines
 // are to be asked.
-func (d *Directory) OthersTell() bool { return d.loads.tells.Load() }
+func (d *Directory) PeersSendLoads() bool { return d.loads.tells.Load() }
--- a/directory/observed_test.go
+++ b/directory/observed_test.go
@@ -8,7 +8,7 @@
 	"wigeondale/fleet"
 )
 
-var usual = Usual{Prompt: 5000, Answer: 1000}
+var usual = RequestSize{Prompt: 5000, Answer: 1000}
 
 // Symptom: a prompt is sent to an engine that reads one, while others idle. Sequence: an
 // engine reports one request in its batch and no run. Cause: only runs were counted, and a
@@ -19,11 +19,11 @@
 		want  Load
 	}{
 		"idle":              {fleet.EngineState{}, Load{}},
-		"a prompt is read":  {fleet.EngineState{Reading: 1, Used: 2000}, Load{Requests: 1, Reading: 5000, Held: 6000}},
-		"a run grows":       {fleet.EngineState{Used: 5400, Runs: []fleet.RunState{{Held: 5400, Made: 50}}}, Load{Requests: 1, Running: 1, Held: 6000}},
-		"a long run stays":  {fleet.EngineState{Used: 9000, Runs: []fleet.RunState{{Held: 9000, Made: 50}}}, Load{Requests: 1, Running: 1, Held: 9000}},
-		"two wait":          {fleet.EngineState{Queued: 2, Next: 8000}, Load{Requests: 2, Reading: 13000, Held: 15000}},
-		"copies are no run": {fleet.EngineState{Used: 20000, Copies: 20000, Reading: 1}, Load{Requests: 1, Reading: 5000, Held: 26000}},
+		"a prompt is read":  {fleet.EngineState{Reading: 1, MemoryUsed: 2000}, Load{Requests: 1, Reading: 5000, Memory: 6000}},
+		"a run grows":       {fleet.EngineState{MemoryUsed: 5400, Runs: []fleet.RunState{{Memory: 5400, Chunks: 50}}}, Load{Requests: 1, Running: 1, Memory: 6000}},
+		"a long run stays":  {fleet.EngineState{MemoryUsed: 9000, Runs: []fleet.RunState{{Memory: 9000, Chunks: 50}}}, Load{Requests: 1, Running: 1, Memory: 9000}},
+		"two wait":          {fleet.EngineState{Queued: 2, NextPromptTokens: 8000}, Load{Requests: 2, Reading: 13000, Memory: 15000}},
+		"copies are no run": {fleet.EngineState{MemoryUsed: 20000, CopyTokens: 20000, Reading: 1}, Load{Requests: 1, Reading: 5000, Memory: 26000}},
 	} {
 		if got := loadIn(c.state, usual); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -39,25 +39,25 @@
 		d := New(nil)
 		d.Update([]fleet.Backend{{ID: "e", Kind: fleet.Service, Service: "llm"}}, time.Now())
 		r := d.table.Load().byID["e"]
-		share := d.Begin("e", Load{Requests: 1, Reading: 5000, Held: 6000})
+		share := d.Begin("e", Load{Requests: 1, Reading: 5000, Memory: 6000})
 		d.Observe("e", fleet.EngineState{}, usual, time.Now())
-		if r.Reading() != 5000 || r.Held() != 6000 {
-			t.Errorf("a report without it: %v, %v", r.Reading(), r.Held())
+		if r.Reading() != 5000 || r.Memory() != 6000 {
+			t.Errorf("a report without it: %v, %v", r.Reading(), r.Memory())
 		}
 		time.Sleep(reportLag + time.Millisecond)
-		d.Observe("e", fleet.EngineState{Reading: 1, Used: 3000}, usual, time.Now())
-		if r.Reading() != 5000 || r.Held() != 6000 {
-			t.Errorf("a report with it: %v, %v", r.Reading(), r.Held())
+		d.Observe("e", fleet.EngineState{Reading: 1, MemoryUsed: 3000}, usual, time.Now())
+		if r.Reading() != 5000 || r.Memory() != 6000 {
+			t.Errorf("a report with it: %v, %v", r.Reading(), r.Memory())
 		}
-		d.Begin("e", Load{Requests: 1, Reading: 4000, Held: 4500})
-		if r.Reading() != 9000 || r.Held() != 10500 {
-			t.Errorf("with one more since: %v, %v", r.Reading(), r.Held())
+		d.Begin("e", Load{Requests: 1, Reading: 4000, Memory: 4500})
+		if r.Reading() != 9000 || r.Memory() != 10500 {
+			t.Errorf("with one more since: %v, %v", r.Reading(), r.Memory())
 		}
 		share.End()
-		if r.Reading() != 4000 || r.Held() != 4500 {
-			t.Errorf("after its end: %v, %v", r.Reading(), r.Held())
+		if r.Reading() != 4000 || r.Memory() != 4500 {
+			t.Errorf("after its end: %v, %v", r.Reading(), r.Memory())
 		}
-		if d.OthersTell() || time.Since(r.Seen()) != 0 {
+		if d.PeersSendLoads() || time.Since(r.ReportedAt()) != 0 {
 			t.Error("others tell, or the report isn't new")
 		}
 	})
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -18,21 +18,21 @@
 
 // loadCounter is a Load that changes with every request, in thousandths.
 type loadCounter struct {
-	requests, reading, running, held atomic.Int64
+	requests, reading, running, memory atomic.Int64
 }
 
 func (c *loadCounter) add(l Load) {
 	c.requests.Add(int64(l.Requests * milli))
 	c.reading.Add(int64(l.Reading * milli))
 	c.running.Add(int64(l.Running * milli))
-	c.held.Add(int64(l.Held * milli))
+	c.memory.Add(int64(l.Memory * milli))
 }
 
 func (c *loadCounter) store(l Load) {
 	c.requests.Store(int64(l.Requests * milli))
 	c.reading.Store(int64(l.Reading * milli))
 	c.running.Store(int64(l.Running * milli))
-	c.held.Store(int64(l.Held * milli))
+	c.memory.Store(int64(l.Memory * milli))
 }
 
 func (c *loadCounter) load() Load {
@@ -40,7 +40,7 @@
 		Requests: float64(c.requests.Load()) / milli,
 		Reading:  float64(c.reading.Load()) / milli,
 		Running:  float64(c.running.Load()) / milli,
-		Held:     float64(c.held.Load()) / milli,
+		Memory:   float64(c.memory.Load()) / milli,
 	}
 }
 
@@ -61,8 +61,8 @@
 	p.busy[r] = struct{}{}
 }
 
-// OwnLoads returns what this router has under way.
-func (d *Directory) OwnLoads() PeerLoads {
+// LocalLoads returns what this router has under way.
+func (d *Directory) LocalLoads() PeerLoads {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
 	out := PeerLoads{}
--- a/directory/peers_test.go
+++ b/directory/peers_test.go
@@ -59,7 +59,7 @@
 						own[id] = Load{Requests: float64(n)}
 					}
 				}
-				if got := d.OwnLoads(); !maps.Equal(got, own) {
+				if got := d.LocalLoads(); !maps.Equal(got, own) {
 					t.Fatalf("tells %v, has %v", got, own)
 				}
 				for id, r := range d.table.Load().byID {
@@ -83,7 +83,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.OwnLoads()
+		d.LocalLoads()
 		d.SetPeerLoads(sum)
 	}
 }
--- a/directory/poll.go
+++ b/directory/poll.go
@@ -71,10 +71,10 @@
 // list has its own loop: engines that time out must not delay the news that
 // others are leaving.
 func (p *Poller) Run(ctx context.Context) error {
-	p.List(ctx)
+	p.ReadList(ctx)
 	var group errgroup.Group
-	group.Go(func() error { loop(ctx, p.cfg.ListInterval, p.cfg.ListChanged, p.List); return nil })
-	group.Go(func() error { loop(ctx, p.cfg.Interval, nil, p.Engines); return nil })
+	group.Go(func() error { loop(ctx, p.cfg.ListInterval, p.cfg.ListChanged, p.ReadList); return nil })
+	group.Go(func() error { loop(ctx, p.cfg.Interval, nil, p.PollEngines); return nil })
 	return group.Wait()
 }
 
@@ -103,8 +103,8 @@
 	return time.Duration(float64(d) * (1 + PollJitter*(2*u-1)))
 }
 
-// Engines asks the engines of the subset, and a few others, once.
-func (p *Poller) Engines(ctx context.Context) {
+// PollEngines asks the engines of the subset, and a few others, once.
+func (p *Poller) PollEngines(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(p.cfg.Concurrency)
 	members := p.dir.Members(p.cfg.Router, p.cfg.SubsetSize)
@@ -114,7 +114,7 @@
 		explore = 2 * p.cfg.SubsetSize // a router that knows nothing yet
 	}
 	ids := slices.Collect(maps.Keys(members))
-	ids = append(ids, p.dir.Unheard(p.cfg.Router, members, explore)...)
+	ids = append(ids, p.dir.LeastRecentlyReported(p.cfg.Router, members, explore)...)
 	for _, id := range ids {
 		group.Go(func() error { p.engine(ctx, id, members[id]); return nil })
 	}
@@ -122,8 +122,8 @@
 	p.dir.Select(p.dir.Members(p.cfg.Router, p.cfg.SubsetSize))
 }
 
-// List reads the VM list once.
-func (p *Poller) List(ctx context.Context) {
+// ReadList reads the VM list once.
+func (p *Poller) ReadList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
 	list, err := p.vms.Backends(ctx)
--- a/directory/record.go
+++ b/directory/record.go
@@ -156,9 +156,9 @@
 	return float64(r.last.Running + r.last.Waiting)
 }
 
-// Places is how many requests it runs at once, as far as its reports showed
+// Slots is how many requests it runs at once, as far as its reports showed
 // that; 0 when they did not.
-func (r *record) Places() float64 { return math.Float64frombits(r.places.Load()) }
+func (r *record) Slots() float64 { return math.Float64frombits(r.places.Load()) }
 
 // Leaving tells that no new work may go there.
 func (r *record) Leaving() bool { return r.leaving.Load() }
@@ -172,7 +172,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.own.add(change)
-	if change.Held > 0 {
+	if change.Memory > 0 {
 		r.remember(change, now)
 	}
 	if units := int64(change.Requests * milli); units != 0 {
@@ -186,8 +186,8 @@
 // Running is how many runs make tokens.
 func (r *record) Running() float64 { return r.estimated().Running }
 
-// Held is how many tokens runs and copies take in memory, at the end of the runs.
-func (r *record) Held() float64 { return r.estimated().Held }
+// Memory is how many tokens runs and copies take in memory, at the end of the runs.
+func (r *record) Memory() float64 { return r.estimated().Memory }
 
 func (r *record) serves(ref fleet.ModelRef) bool {
 	r.mu.Lock()
--- a/directory/share.go
+++ b/directory/share.go
@@ -7,17 +7,17 @@
 	Requests float64 `cbor:"1,keyasint,omitempty"` // in units of an ordinary one
 	Reading  float64 `cbor:"2,keyasint,omitempty"` // tokens of prompts that are yet to be read
 	Running  float64 `cbor:"3,keyasint,omitempty"` // runs that make tokens
-	Held     float64 `cbor:"4,keyasint,omitempty"` // tokens of runs and copies in memory
+	Memory   float64 `cbor:"4,keyasint,omitempty"` // tokens of runs and copies in memory
 }
 
 // Plus is the sum of two loads.
 func (l Load) Plus(o Load) Load {
-	return Load{l.Requests + o.Requests, l.Reading + o.Reading, l.Running + o.Running, l.Held + o.Held}
+	return Load{l.Requests + o.Requests, l.Reading + o.Reading, l.Running + o.Running, l.Memory + o.Memory}
 }
 
 // Minus is their difference.
 func (l Load) Minus(o Load) Load {
-	return Load{l.Requests - o.Requests, l.Reading - o.Reading, l.Running - o.Running, l.Held - o.Held}
+	return Load{l.Requests - o.Requests, l.Reading - o.Reading, l.Running - o.Running, l.Memory - o.Memory}
 }
 
 // Share is a request's part in the load of its backend server. Its methods may be
@@ -55,8 +55,8 @@
 	return 0
 }
 
-// Begun tells that the request's prompt has been read: it makes tokens from now on.
-func (s *Share) Begun() {
+// PrefillDone tells that the request's prompt has been read: it makes tokens from now on.
+func (s *Share) PrefillDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.record == nil || s.ended || s.load.Reading == 0 {
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -65,10 +65,10 @@
 	return members
 }
 
-// Unheard returns up to n engines outside members to be asked what they serve:
+// LeastRecentlyReported returns up to n engines outside members to be asked what they serve:
 // those that never reported first, in this router's own order, then the rest
 // by the age of their reports, so that changes of placement are noticed.
-func (d *Directory) Unheard(router string, members map[string]bool, n int) []string {
+func (d *Directory) LeastRecentlyReported(router string, members map[string]bool, n int) []string {
 	key := xxhash.Sum64String(router)
 	var all []ranked
 	for id, r := range d.table.Load().byID {
--- a/dump/dump.go
+++ b/dump/dump.go
@@ -20,13 +20,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("dump")
 
-// DefaultBound is how long a dump waits for its sections.
-const DefaultBound = 2 * time.Second
+// DefaultTimeout is how long a dump waits for its sections.
+const DefaultTimeout = 2 * time.Second
 
 // Registry holds the parts of one process. The zero value is ready for use.
 type Registry struct {
-	// Bound is how long a dump waits for its sections; 0 is DefaultBound.
-	Bound time.Duration
+	// Timeout is how long a dump waits for its sections; 0 is DefaultBound.
+	Timeout time.Duration
 
 	mu    sync.Mutex
 	parts map[string]func() any
@@ -52,9 +52,9 @@
 
 // snapshot takes one part, or all for an empty name.
 func (r *Registry) snapshot(only string) map[string]json.RawMessage {
-	bound := r.Bound
+	bound := r.Timeout
 	if bound <= 0 {
-		bound = DefaultBound
+		bound = DefaultTimeout
 	}
 	r.mu.Lock()
 	answers := make(map[string]<-chan singleflight.Result, len(r.parts))
--- a/dump/dump_test.go
+++ b/dump/dump_test.go
@@ -28,14 +28,14 @@
 	}
 	stuck := make(chan struct{})
 	defer close(stuck)
-	r.Bound = time.Millisecond
+	r.Timeout = time.Millisecond
 	r.Add("stuck", func() any { <-stuck; return 1 })
 	for range 2 { // the second dump comes while the first call still waits
 		if got := r.Snapshot(); string(got["stuck"]) != `{"error":"dump: no answer in time"}` || len(got) != 4 {
 			t.Errorf("got %s", got)
 		}
 	}
-	r.Bound = 0
+	r.Timeout = 0
 	one := httptest.NewRecorder()
 	r.ServeHTTP(one, httptest.NewRequest("GET", "/?section=good", nil))
 	if one.Body.String() != "7\n" {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -25,8 +25,8 @@
 
 // Limits say when an answer is late.
 type Limits struct {
-	First time.Duration // first piece of a stream, or a whole answer
-	Pause time.Duration // between two pieces
+	FirstChunk time.Duration // first piece of a stream, or a whole answer
+	ChunkPause time.Duration // between two pieces
 }
 
 // Cause is one row: requests that ended in the same way for the same reason.
@@ -39,9 +39,9 @@
 
 // Report is what the logs tell.
 type Report struct {
-	Requests int
-	Unread   int // lines that are no events
-	Causes   []Cause
+	Requests     int
+	SkippedLines int // lines that are no events
+	Causes       []Cause
 }
 
 // request is what was logged of one request until its end.
@@ -126,9 +126,9 @@
 		return "failed", code + " after an attempt was lost: " + r.lost
 	case f["outcome"] != "complete":
 		return "failed", code + ", " + r.before(f)
-	case millis(f["first_ms"]) > s.limits.First:
+	case millis(f["first_ms"]) > s.limits.FirstChunk:
 		return "late", "first piece, " + r.before(f)
-	case millis(f["pause_ms"]) > s.limits.Pause:
+	case millis(f["pause_ms"]) > s.limits.ChunkPause:
 		return "late", "pause, " + r.before(f)
 	}
 	return "in time", ""
@@ -159,7 +159,7 @@
 }
 
 func (s *sorter) report() Report {
-	out := Report{Requests: s.requests, Unread: s.unread}
+	out := Report{Requests: s.requests, SkippedLines: s.unread}
 	for _, row := range s.rows {
 		out.Causes = append(out.Causes, *row)
 	}
@@ -193,6 +193,6 @@
 	for _, c := range r.Causes {
 		fmt.Fprintf(t, "%d\t%s\t%s\t%s\n", c.Count, c.Outcome, c.Reason, c.Example)
 	}
-	fmt.Fprintf(t, "%d\tall\t%d lines were no events\t\n", r.Requests, r.Unread)
+	fmt.Fprintf(t, "%d\tall\t%d lines were no events\t\n", r.Requests, r.SkippedLines)
 	return Error.Wrap(t.Flush())
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -23,7 +23,7 @@
 
 // Symptom: whoever is on call reads thousands of lines to see why drafts are late.
 func TestRequestsAreSortedByCause(t *testing.T) {
-	r, err := Read(strings.NewReader(log), Limits{First: 4500 * time.Millisecond, Pause: 700 * time.Millisecond})
+	r, err := Read(strings.NewReader(log), Limits{FirstChunk: 4500 * time.Millisecond, ChunkPause: 700 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 			t.Errorf("%s: %d times %q, want %q", c.Example, c.Count, got, want[c.Example])
 		}
 	}
-	if len(r.Causes) != len(want) || r.Requests != len(want) || r.Unread != 2 {
+	if len(r.Causes) != len(want) || r.Requests != len(want) || r.SkippedLines != 2 {
 		t.Errorf("got %+v", r)
 	}
 	var out strings.Builder
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -110,7 +110,7 @@
 // crash ends the engine for a while.
 func (e *Engine) crash() {
 	e.Kill()
-	time.AfterFunc(fault.CrashTime, func() {
+	time.AfterFunc(fault.RestartDelay, func() {
 		if err := e.Start(); err != nil {
 			panic(err) // the stand-in's own address is taken
 		}
--- a/fakes/engine/stream.go
+++ b/fakes/engine/stream.go
@@ -94,7 +94,7 @@
 	}
 	s.text = s.chain.Append(s.text, rnd)
 	s.ends = append(s.ends, len(s.text))
-	if s.chain.Next() >= s.max {
+	if s.chain.NextIndex() >= s.max {
 		s.ended = true
 		s.finish = "length"
 		s.endedAt = now
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -162,8 +162,8 @@
 	return l.addr
 }
 
-// Wait blocks while the listener is cut or killed.
-func (l *Listener) Wait(ctx context.Context) error {
+// WaitInbound blocks while the listener is cut or killed.
+func (l *Listener) WaitInbound(ctx context.Context) error {
 	select {
 	case <-l.inward():
 		return nil
--- a/fakes/hosted/operator.go
+++ b/fakes/hosted/operator.go
@@ -27,12 +27,12 @@
 
 // Config is the operator's configuration, with one account that has all keys.
 type Config struct {
-	Version int
-	Account string
-	Keys    []string
-	Engines string // service whose replicas keep copies of each other's runs
-	Plain   string // service of the other replicas
-	Routes  []Route
+	Version       int
+	Account       string
+	Keys          []string
+	EngineService string // service whose replicas keep copies of each other's runs
+	OtherService  string // service of the other replicas
+	Routes        []Route
 }
 
 // PutConfig writes a configuration.
@@ -48,8 +48,8 @@
 		"version": c.Version,
 		"routes":  routes,
 		"services": []any{
-			map[string]any{"name": c.Engines, "health_path": CheckPath, "engine": map[string]any{"kv_capacity": Memory, "backups": true, "moves": true}},
-			map[string]any{"name": c.Plain},
+			map[string]any{"name": c.EngineService, "health_path": HealthPath, "engine": map[string]any{"kv_capacity": KVCapacity, "backups": true, "moves": true}},
+			map[string]any{"name": c.OtherService},
 		},
 		"tenants": []any{map[string]any{"name": c.Account, "api_keys": c.Keys}},
 	})
@@ -87,23 +87,23 @@
 	s.PutJSON("servers/"+r.ID, r.Entry(state))
 }
 
-// Lapse removes the entry of a replica.
-func (s *Store) Lapse(r *Replica) { s.Delete("servers/" + r.ID) }
-
-// Ask is one request as a client of the platform sends it.
-type Ask struct {
-	Addr   string // of the node's front
-	Path   string
-	ID     string
-	Key    string
-	Budget time.Duration
-	After  int // number of the last piece that the client has; 0 for none
-	Prompt string
-	Body   string // empty for the usual one
+// Unregister removes the entry of a replica.
+func (s *Store) Unregister(r *Replica) { s.Delete("servers/" + r.ID) }
+
+// ClientRequest is one request as a client of the platform sends it.
+type ClientRequest struct {
+	Addr      string // of the node's front
+	Path      string
+	ID        string
+	Key       string
+	Budget    time.Duration
+	LastChunk int // number of the last piece that the client has; 0 for none
+	Prompt    string
+	Body      string // empty for the usual one
 }
 
-// Request makes the HTTP request, in a form that net/http never sends twice.
-func (a Ask) Request() (*http.Request, error) {
+// HTTPRequest makes the HTTP request, in a form that net/http never sends twice.
+func (a ClientRequest) HTTPRequest() (*http.Request, error) {
 	body := cmp.Or(a.Body, "q")
 	req, err := http.NewRequest(http.MethodPost, "http://"+a.Addr+a.Path, io.NopCloser(strings.NewReader(body)))
 	if err != nil {
@@ -116,8 +116,8 @@
 		"X-Attempt-Id": {a.ID}, "X-Api-Key": {a.Key}, "X-Deadline-Ms": {strconv.FormatInt(a.Budget.Milliseconds(), 10)},
 		"X-Token-Usage": {"100,280"}, "X-Prompt-Prefix": {a.Prompt},
 	}
-	if a.After > 0 {
-		req.Header.Set("Last-Event-Id", strconv.Itoa(a.After))
+	if a.LastChunk > 0 {
+		req.Header.Set("Last-Event-Id", strconv.Itoa(a.LastChunk))
 	}
 	return req, nil
 }
@@ -128,8 +128,8 @@
 	return a.Header.Get("X-Tenant-Id"), a.Header.Get("X-Api-Key") != ""
 }
 
-// Ran counts the requests that ran at some replicas.
-func Ran(replicas []*Replica) (n int) {
+// CountRuns counts the requests that ran at some replicas.
+func CountRuns(replicas []*Replica) (n int) {
 	for _, r := range replicas {
 		for _, a := range r.Arrivals() {
 			if a.Ran {
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -19,8 +19,8 @@
 // CheckPath is where replicas say that they are healthy, and Memory is how many tokens
 // an engine holds.
 const (
-	CheckPath = "/healthz"
-	Memory    = 55000
+	HealthPath = "/healthz"
+	KVCapacity = 55000
 )
 
 // CrashMark in a body makes each replica crash that begins to run the request.
@@ -35,23 +35,23 @@
 	Header http.Header
 	Body   string
 	Ran    bool
-	// Ended is set when the run ended by itself; a run that was cut stays false.
-	Ended bool
+	// Completed is set when the run ended by itself; a run that was cut stays false.
+	Completed bool
 }
 
 // Replica is a stand-in for one replica, as a model engine or a plain service.
 // Its answers are a function of the request's id, so that two runs of a request
 // give the same bytes.
 type Replica struct {
-	ID      string
-	Born    int64 // Unix milliseconds of its start; 0 for a replica that doesn't say
-	Service string
-	Domain  string
-	Version string // of its software; empty for v1
-	Engine  bool
-	Listen  string        // address; empty for any
-	Pieces  int           // of a stream
-	Gap     time.Duration // between them
+	ID        string
+	StartedAt int64 // Unix milliseconds of its start; 0 for a replica that doesn't say
+	Service   string
+	Domain    string
+	Version   string // of its software; empty for v1
+	Engine    bool
+	Listen    string        // address; empty for any
+	Chunks    int           // of a stream
+	ChunkGap  time.Duration // between them
 	// OnCrash, if set, is told that a request made the replica crash.
 	OnCrash func(r *Replica)
 
@@ -71,17 +71,17 @@
 
 // Faults are the switches of a replica. Each holds until it is set anew.
 type Faults struct {
-	Refuse     bool          // 503, not executed
-	FailStatus int           // its own failure, after the run
-	FailShare  float64       // of the requests; 0 for all
-	FailFrom   time.Duration // since the fault was set; 0 for at once
-	WrongID    bool          // echoes another request's id
-	NoSeal     bool
-	Encoded    bool
-	Torn       bool // ends within the answer
-	Unframed   bool // no length: the answer ends with its connection
-	Silent     bool // takes requests and says nothing
-	Repeat     bool // sends each piece of a stream twice
+	Refuse       bool          // 503, not executed
+	FailStatus   int           // its own failure, after the run
+	FailShare    float64       // of the requests; 0 for all
+	FailAfter    time.Duration // since the fault was set; 0 for at once
+	WrongID      bool          // echoes another request's id
+	NoSeal       bool
+	Encoded      bool
+	Truncated    bool // ends within the answer
+	NoLength     bool // no length: the answer ends with its connection
+	NoResponse   bool // takes requests and says nothing
+	RepeatChunks bool // sends each piece of a stream twice
 }
 
 // Start begins to listen. peers finds the replica at an address, for copies.
@@ -99,7 +99,7 @@
 	mux.HandleFunc("GET /kv-list", r.serveList)
 	mux.HandleFunc("POST /kv-move", r.serveMove)
 	mux.HandleFunc("GET /report", r.serveReport)
-	mux.HandleFunc("GET "+CheckPath, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Replica-Id", r.ID) })
+	mux.HandleFunc("GET "+HealthPath, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("X-Replica-Id", r.ID) })
 	mux.HandleFunc("DELETE /kv-handle/{name}", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("/", r.serve)
 	r.server = &http.Server{Handler: mux}
@@ -110,8 +110,8 @@
 // Addr is where the replica listens.
 func (r *Replica) Addr() string { return r.ln.Addr().String() }
 
-// Link is where the replica's connections can be cut, delayed and reset.
-func (r *Replica) Link() *fault.Listener { return r.link }
+// Listener is where the replica's connections can be cut, delayed and reset.
+func (r *Replica) Listener() *fault.Listener { return r.link }
 
 // Crash cuts every connection and ends the replica.
 func (r *Replica) Crash() { r.server.Close() }
@@ -133,8 +133,8 @@
 	}
 }
 
-// Set sets the faults.
-func (r *Replica) Set(f Faults) {
+// SetFaults sets the faults.
+func (r *Replica) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults, r.set = f, time.Now()
@@ -145,7 +145,7 @@
 	r.mu.Lock()
 	since := time.Since(r.set)
 	r.mu.Unlock()
-	if f.FailStatus == 0 || since < f.FailFrom {
+	if f.FailStatus == 0 || since < f.FailAfter {
 		return false
 	}
 	return f.FailShare == 0 || float64(xxhash.Sum64String(id)%1000) < 1000*f.FailShare
@@ -162,18 +162,18 @@
 
 // withBorn adds the time of birth to what the replica says of itself.
 func (r *Replica) withBorn(said map[string]any) map[string]any {
-	if r.Born != 0 {
-		said["born"] = r.Born
+	if r.StartedAt != 0 {
+		said["born"] = r.StartedAt
 	}
 	return said
 }
 
-// Reborn starts a later lifetime of a replica that crashed, under its id and at its
+// Restart starts a later lifetime of a replica that crashed, under its id and at its
 // address, with nothing of before.
-func (r *Replica) Reborn(born int64) (*Replica, error) {
+func (r *Replica) Restart(born int64) (*Replica, error) {
 	again := &Replica{
-		ID: r.ID, Born: born, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
-		Listen: r.Addr(), Pieces: r.Pieces, Gap: r.Gap, OnCrash: r.OnCrash,
+		ID: r.ID, StartedAt: born, Service: r.Service, Domain: r.Domain, Version: r.Version, Engine: r.Engine,
+		Listen: r.Addr(), Chunks: r.Chunks, ChunkGap: r.ChunkGap, OnCrash: r.OnCrash,
 	}
 	return again, again.Start(r.peers)
 }
@@ -189,8 +189,8 @@
 	return out
 }
 
-// Open is the number of requests under way.
-func (r *Replica) Open() int {
+// OpenRequests is the number of requests under way.
+func (r *Replica) OpenRequests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.open
@@ -202,13 +202,13 @@
 	r.open += n
 }
 
-// Piece is event n of the answer to the request with id.
-func Piece(id string, n int) string {
+// Chunk is event n of the answer to the request with id.
+func Chunk(id string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n)
 }
 
-// Whole is the whole answer of a plain service to the request with id.
-func Whole(id string) string { return "answer to " + id }
+// CompleteResponse is the whole answer of a plain service to the request with id.
+func CompleteResponse(id string) string { return "answer to " + id }
 
 func (r *Replica) serve(w http.ResponseWriter, req *http.Request) {
 	r.count(1)
@@ -230,7 +230,7 @@
 		w.WriteHeader(refuse)
 		return
 	}
-	if f.Silent {
+	if f.NoResponse {
 		<-req.Context().Done()
 		return
 	}
@@ -305,9 +305,9 @@
 }
 
 func (r *Replica) whole(w http.ResponseWriter, a *Arrival, f Faults) {
-	text := Whole(a.ID)
+	text := CompleteResponse(a.ID)
 	switch {
-	case f.Unframed:
+	case f.NoLength:
 		conn, buf, err := w.(http.Hijacker).Hijack()
 		if err != nil {
 			return
@@ -315,7 +315,7 @@
 		fmt.Fprintf(buf, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Seal: s\r\nConnection: close\r\n\r\n%s", a.ID, text)
 		buf.Flush()
 		conn.Close()
-	case f.Torn:
+	case f.Truncated:
 		w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
@@ -328,19 +328,19 @@
 func (r *Replica) stream(w http.ResponseWriter, req *http.Request, a *Arrival, f Faults) {
 	from, _ := strconv.Atoi(req.Header.Get("Last-Event-Id"))
 	w.Header().Set("Content-Type", "text/event-stream")
-	for n := from + 1; n <= r.Pieces; n++ {
+	for n := from + 1; n <= r.Chunks; n++ {
 		if !r.wait(req) {
 			return
 		}
-		piece := Piece(a.ID, n)
-		if f.Torn && n == r.Pieces/2 {
+		piece := Chunk(a.ID, n)
+		if f.Truncated && n == r.Chunks/2 {
 			io.WriteString(w, piece[:len(piece)/2])
 			panic(http.ErrAbortHandler)
 		}
 		if _, err := io.WriteString(w, piece); err != nil {
 			return
 		}
-		if f.Repeat {
+		if f.RepeatChunks {
 			io.WriteString(w, piece)
 		}
 		w.(http.Flusher).Flush()
@@ -350,7 +350,7 @@
 
 // wait passes the time to the next piece, or longer while the replica is frozen.
 func (r *Replica) wait(req *http.Request) bool {
-	t := time.NewTimer(r.Gap)
+	t := time.NewTimer(r.ChunkGap)
 	defer t.Stop()
 	select {
 	case <-req.Context().Done():
@@ -374,5 +374,5 @@
 func (r *Replica) ended(a *Arrival) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a.Ended = true
+	a.Completed = true
 }
--- a/fakes/hosted/state.go
+++ b/fakes/hosted/state.go
@@ -44,11 +44,11 @@
 func (r *Replica) serveReport(w http.ResponseWriter, _ *http.Request) {
 	runs := [][]any{}
 	for _, a := range r.Arrivals() {
-		if a.Ran && !a.Ended {
+		if a.Ran && !a.Completed {
 			runs = append(runs, []any{a.ID, 1, 1, 5})
 		}
 	}
-	answer(w, r.withBorn(map[string]any{"stage": "unified", "queued": 0, "active": len(runs), "runs": runs, "kv_total": Memory}))
+	answer(w, r.withBorn(map[string]any{"stage": "unified", "queued": 0, "active": len(runs), "runs": runs, "kv_total": KVCapacity}))
 }
 
 // copyTo puts a copy of a run at the replica with an address.
--- a/fakes/hosted/store.go
+++ b/fakes/hosted/store.go
@@ -62,15 +62,15 @@
 // Addr is the address without a scheme.
 func (s *Store) Addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Door is one more address of the store, which can be shut without the others.
-type Door struct {
+// Endpoint is one more address of the store, which can be shut without the others.
+type Endpoint struct {
 	*httptest.Server
 	shut atomic.Bool
 }
 
-// NewDoor opens one more address of the same store.
-func (s *Store) NewDoor() *Door {
-	d := &Door{}
+// NewEndpoint opens one more address of the same store.
+func (s *Store) NewEndpoint() *Endpoint {
+	d := &Endpoint{}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.shut.Load() {
 			http.Error(w, `{"error":"not you"}`, http.StatusServiceUnavailable)
@@ -82,24 +82,24 @@
 }
 
 // Addr is the address without a scheme.
-func (d *Door) Addr() string { return strings.TrimPrefix(d.URL, "http://") }
+func (d *Endpoint) Addr() string { return strings.TrimPrefix(d.URL, "http://") }
 
-// Shut turns whoever comes through this address away, and cuts those that wait.
-func (d *Door) Shut() {
+// Disable turns whoever comes through this address away, and cuts those that wait.
+func (d *Endpoint) Disable() {
 	d.shut.Store(true)
 	d.CloseClientConnections()
 }
 
-// Down makes every call fail with 503, or ends that.
-func (s *Store) Down(down bool) {
+// SetFailing makes every call fail with 503, or ends that.
+func (s *Store) SetFailing(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 	s.wake()
 }
 
-// Silent leaves every call without an answer, or ends that.
-func (s *Store) Silent(silent bool) {
+// SetUnresponsive leaves every call without an answer, or ends that.
+func (s *Store) SetUnresponsive(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
--- a/fakes/kv/server.go
+++ b/fakes/kv/server.go
@@ -80,9 +80,9 @@
 	return maps.Clone(s.calls)
 }
 
-// Watching returns how many watches are open that begin at a key with this
+// OpenWatches returns how many watches are open that begin at a key with this
 // prefix.
-func (s *Server) Watching(prefix string) int {
+func (s *Server) OpenWatches(prefix string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
--- a/fakes/service/service.go
+++ b/fakes/service/service.go
@@ -174,7 +174,7 @@
 // crash ends the replica for a while.
 func (s *Service) crash() {
 	s.server.Kill()
-	time.AfterFunc(fault.CrashTime, func() {
+	time.AfterFunc(fault.RestartDelay, func() {
 		if err := s.server.Start(); err != nil {
 			panic(err) // the stand-in's own address is taken
 		}
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -84,7 +84,7 @@
 	s.begun(1)
 	defer s.begun(-1)
 	size := s.sizes[path.Join(ref.Model, ref.Version, ref.Adapter)]
-	return s.draw(ctx, size, func(int) error { return s.server.Listener.Wait(ctx) })
+	return s.draw(ctx, size, func(int) error { return s.server.Listener.WaitInbound(ctx) })
 }
 
 func (s *Store) begun(n int) {
@@ -94,8 +94,8 @@
 	s.most = max(s.most, s.loading)
 }
 
-// MostLoads is how many loads were under way at once, at the most.
-func (s *Store) MostLoads() int {
+// MaxConcurrentLoads is how many loads were under way at once, at the most.
+func (s *Store) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.most
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -82,14 +82,14 @@
 // Backend is a backend server as the VM list announces it.
 type Backend struct {
 	ID string `json:"id"`
-	// Lifetime is set where backend servers start again under the same name; ID is
+	// Incarnation is set where backend servers start again under the same name; ID is
 	// its ID then.
-	Lifetime      Lifetime `json:"-"`
-	Addr          string   `json:"addr"` // host:port
-	VM            string   `json:"vm"`
-	FailureDomain string   `json:"failure_domain"`
-	Kind          Kind     `json:"kind"`
-	Service       string   `json:"service,omitempty"` // name under /services/, for Kind Service
+	Incarnation   Incarnation `json:"-"`
+	Addr          string      `json:"addr"` // host:port
+	VM            string      `json:"vm"`
+	FailureDomain string      `json:"failure_domain"`
+	Kind          Kind        `json:"kind"`
+	Service       string      `json:"service,omitempty"` // name under /services/, for Kind Service
 	// Version is that of its software, where a roll-out may replace it; empty elsewhere.
 	Version string `json:"-"`
 	// ChecksFence is true when the backend server refuses an order whose fencing
@@ -104,8 +104,8 @@
 
 // Name is how the backend server is addressed.
 func (b *Backend) Name() string {
-	if b.Lifetime.Name != "" {
-		return b.Lifetime.Name
+	if b.Incarnation.Name != "" {
+		return b.Incarnation.Name
 	}
 	return b.ID
 }
@@ -129,16 +129,16 @@
 // EngineState is what an engine says of its work and memory when it is asked. It
 // describes a moment some tenths of a second ago.
 type EngineState struct {
-	Queued  int        // requests that wait for a place in the batch
-	Next    int        // tokens of the prompt of the first of them, 0 if none waits
-	Reading int        // requests in the batch whose prompts are being read
-	Used    int        // tokens in memory that can't be dropped
-	Copies  int        // of those, tokens of copies of runs elsewhere
-	Runs    []RunState // in the batch, with their prompts read
+	Queued           int        // requests that wait for a place in the batch
+	NextPromptTokens int        // tokens of the prompt of the first of them, 0 if none waits
+	Reading          int        // requests in the batch whose prompts are being read
+	MemoryUsed       int        // tokens in memory that can't be dropped
+	CopyTokens       int        // of those, tokens of copies of runs elsewhere
+	Runs             []RunState // in the batch, with their prompts read
 }
 
 // RunState is one run in an EngineState.
 type RunState struct {
-	Held int // tokens in memory
-	Made int // pieces of its answer
+	Memory int // tokens in memory
+	Chunks int // pieces of its answer
 }
--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -19,12 +19,12 @@
 // attempt is one run of the request on one engine.
 type attempt struct {
 	backend fleet.Backend
-	place   Place
+	place   Position
 	stream  Stream // nil while it isn't read
 	ctx     context.Context
 	cancel  context.CancelCauseFunc
 	watch   Watch
-	share   Share
+	share   LoadShare
 	copy    standbyCopy
 	copied  chan standbyCopy // a copy that was made beside the stream; room for one
 	copying bool             // one is being made
@@ -72,13 +72,13 @@
 	}
 	a.firstAt = now
 	if a.share != nil {
-		a.share.Begun()
+		a.share.PrefillDone()
 	}
 }
 
 // loss is what the guard goes by when a was lost.
 func (a *attempt) loss(cause string) quarantine.Loss {
-	l := quarantine.Loss{Backend: a.backend, Pieces: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
+	l := quarantine.Loss{Backend: a.backend, Chunks: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
 	if !a.firstAt.IsZero() {
 		l.SinceFirst = time.Since(a.firstAt)
 	}
@@ -122,7 +122,7 @@
 // promptBytes is the size of the text that an attempt has to read first.
 func (x *run) promptBytes() int {
 	if o := x.req.Opaque; o != nil {
-		return o.Size * bytesPerToken
+		return o.PromptTokens * bytesPerToken
 	}
 	return len(x.req.Prompt) + len(x.text)
 }
@@ -148,7 +148,7 @@
 	if a.backend.Addr == "" {
 		return // handed over from a backend server that isn't known any more
 	}
-	x.Abandon.Add(backend.Abandoned{
+	x.Abandon.Add(backend.AbandonedAttempt{
 		Backend: a.backend, Incarnation: a.place.Incarnation,
 		Request: x.req.ID, Attempt: a.place.Attempt, Accepted: a.accepted,
 	})
--- a/generation/awake_test.go
+++ b/generation/awake_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	res := r.Run(ctx, Request{ID: "r", Ref: ref, Prompt: "prompt", MaxTokens: 100}, &fakeSink{})
-	if res.Outcome != fleet.Failed || res.Code != CodeCallerGone || !errors.Is(res.Err, ErrCallerGone) {
+	if res.Outcome != fleet.Failed || res.Code != CodeCallerDisconnected || !errors.Is(res.Err, ErrCallerDisconnected) {
 		t.Errorf("got %+v", res)
 	}
 	if len(h.abandoned) != 0 || len(second.got()) != 0 {
--- a/generation/bench_test.go
+++ b/generation/bench_test.go
@@ -25,9 +25,9 @@
 
 type nullSink struct{}
 
-func (nullSink) Begin(Place, *backend.Head) error { return nil }
-func (nullSink) Token(int, []byte, string) error  { return nil }
-func (nullSink) Flush() error                     { return nil }
+func (nullSink) Begin(Position, *backend.Head) error { return nil }
+func (nullSink) Token(int, []byte, string) error     { return nil }
+func (nullSink) Flush() error                        { return nil }
 
 // BenchmarkRunner reports the cost of one whole answer of 1000 tokens.
 func BenchmarkRunner(b *testing.B) {
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -32,7 +32,7 @@
 	at    fleet.Backend // without an address there is none
 	name  string        // of a copy made on demand; empty while the backend server keeps it up to date
 	made  time.Time
-	share Share // of the copy in the load at at
+	share LoadShare // of the copy in the load at at
 }
 
 func (c *standbyCopy) release() {
@@ -58,7 +58,7 @@
 		return
 	}
 	to := a.copy
-	if to.at.Addr == "" || to.name == "" || !x.Picker.Keeps(to.at.ID) {
+	if to.at.Addr == "" || to.name == "" || !x.Picker.KeepsCopy(to.at.ID) {
 		at, share, ok := x.Picker.Standby(x.ask(), a.backend)
 		if !ok {
 			return
@@ -88,7 +88,7 @@
 
 // copyHolds tells whether the copy will do for now.
 func (x *run) copyHolds(a *attempt, now time.Time) bool {
-	if a.copy.at.Addr == "" || !x.Picker.Keeps(a.copy.at.ID) {
+	if a.copy.at.Addr == "" || !x.Picker.KeepsCopy(a.copy.at.ID) {
 		return false
 	}
 	return a.copy.name == "" || now.Sub(a.copy.made) < copyRefresh
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -18,7 +18,7 @@
 	}
 	a := &attempt{backend: x.backend, share: x.share, copied: make(chan standbyCopy, 1)}
 	x.share = nil
-	a.place = Place{Backend: a.backend.ID, Attempt: x.nextNumber()}
+	a.place = Position{Backend: a.backend.ID, Attempt: x.nextNumber()}
 	x.watchAttempt(a)
 	x.m.attempts.Inc()
 	x.sent++
@@ -27,14 +27,14 @@
 	held := x.heldBy(a.backend)
 	held.Standby = x.keepCopy(a)
 	x.opts.Log.Emit(event.AttemptBegun, "request", x.req.ID, "attempt", a.place.Attempt,
-		"backend", a.backend.ID, "standby", a.copy.at.ID, "from_copy", held.Held, "from", x.acc.next)
-	if x.reached && !held.Held {
+		"backend", a.backend.ID, "standby", a.copy.at.ID, "from_copy", held.FromCopy, "from", x.acc.next)
+	if x.reached && !held.FromCopy {
 		x.m.prefill.Add(x.promptBytes())
 	}
 	stopInquiry := x.inquire(a)
 	a.sentAt = time.Now()
 	s, err := x.Engines.Open(a.ctx, a.backend, backend.StartRequest{
-		Opaque: x.opaque(), Copies: held, First: first, Last: x.lastChance(),
+		Opaque: x.opaque(), Copies: held, FirstAttempt: first, LastAttempt: x.lastChance(),
 		ID: x.req.ID, Attempt: a.place.Attempt, Ref: x.req.Ref,
 		Prompt: x.req.Prompt, MaxTokens: x.req.MaxTokens, Priority: x.req.Priority, Resume: x.started(),
 		ResumeText: string(x.text), ResumeTokens: x.acc.next, Linger: x.linger(),
@@ -62,7 +62,7 @@
 // pause of a second or more in every answer that ran there, and as prefill
 // that is paid for twice.
 func (x *run) keepCopy(a *attempt) fleet.Backend {
-	if x.req.Opaque == nil || !x.req.Opaque.Copies.Kept || x.followed.Suspected() {
+	if x.req.Opaque == nil || !x.req.Opaque.Copies.KeptUpToDate || x.followed.Suspected() {
 		return fleet.Backend{}
 	}
 	standby, share, ok := x.Picker.Standby(x.ask(), a.backend)
@@ -81,7 +81,7 @@
 	if lost.at == "" || lost.at != b.ID {
 		return backend.Copies{}
 	}
-	return backend.Copies{Held: true, Name: lost.name, Source: lost.source}
+	return backend.Copies{FromCopy: true, Name: lost.name, Source: lost.source}
 }
 
 // begin makes a the attempt that tokens are accepted from.
@@ -106,7 +106,7 @@
 	if failed, ok := errors.AsType[*backend.FailedAnswer](err); ok {
 		return x.answeredFailure(a, failed)
 	}
-	if !isRefusal && !errors.Is(err, backend.ErrDial) {
+	if !isRefusal && !errors.Is(err, backend.ErrNotSent) {
 		x.reached = true
 		x.last = a
 		return x.lost(a, err)
@@ -193,7 +193,7 @@
 
 // attemptLost logs why an attempt ended, and how long it was silent before.
 func (x *run) attemptLost(a *attempt, cause string, err error) {
-	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.followed.Name(), "attempt", a.place.Attempt,
+	x.opts.Log.Emit(event.AttemptLost, "request", x.req.ID, "digest", x.followed.DigestString(), "attempt", a.place.Attempt,
 		"backend", a.backend.ID, "cause", cause, "accepted", a.accepted, "next", x.acc.next,
 		"silent_ms", time.Since(x.lastToken).Milliseconds(), "err", err)
 }
@@ -217,7 +217,7 @@
 // Otherwise (not idempotent, or a text that this router never saw) only the
 // very same run can give the rest.
 func (x *run) suspect() string {
-	x.followed.Await(x.ctx, x.examined)
+	x.followed.AwaitExamination(x.ctx, x.examined)
 	if x.over() {
 		return x.giveUp(CodeDeadline, x.cause())
 	}
@@ -233,7 +233,7 @@
 	}
 	x.callerSlow = false
 	// The engine may be back in a moment; a caller waits a few seconds at most.
-	if x.tries > 1 && time.Since(x.lostAt) > x.opts.StartedPatience {
+	if x.tries > 1 && time.Since(x.lostAt) > x.opts.StartedMaxWait {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
 	if x.last.place.Backend == "" || (x.last.seen && errors.Is(x.waitErr, backend.ErrUnknownStream)) {
@@ -267,7 +267,7 @@
 	if x.req.NonIdempotent {
 		return maxOnceTries
 	}
-	return x.opts.MaxFruitless
+	return x.opts.MaxTokenlessAttempts
 }
 
 // resume attaches to the run that the engine still holds.
@@ -299,7 +299,7 @@
 func (x *run) handedOver() *attempt {
 	p := x.req.Resume
 	return &attempt{
-		place: Place{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
+		place: Position{Backend: p.Backend, Incarnation: p.Incarnation, Attempt: p.Attempt},
 		seen:  true,
 	}
 }
--- a/generation/end.go
+++ b/generation/end.go
@@ -22,7 +22,7 @@
 // giveUp ends the run by the event that is true: the one place that decides
 // whether "not-run" may be said.
 func (x *run) giveUp(code string, err error) string {
-	if errors.Is(err, ErrCallerGone) {
+	if errors.Is(err, ErrCallerDisconnected) {
 		return x.callerGone(err)
 	}
 	if x.failed != nil && !x.started() {
@@ -51,7 +51,7 @@
 // passFailure delivers a backend server's own failure as the whole answer.
 func (x *run) passFailure() string {
 	x.leave()
-	if err := x.sink.Begin(Place{Attempt: x.number}, &x.failed.Head); err != nil {
+	if err := x.sink.Begin(Position{Attempt: x.number}, &x.failed.Head); err != nil {
 		return x.callerGone(err)
 	}
 	if err := x.sink.Token(x.acc.next, x.failed.Body, finishWhole); err != nil {
@@ -90,12 +90,12 @@
 
 func (x *run) callerGone(err error) string {
 	x.leave()
-	return x.end("cancel", CodeCallerGone, err)
+	return x.end("cancel", CodeCallerDisconnected, err)
 }
 
 func (x *run) result(state string) Result {
 	res := x.res
-	res.Digest = x.followed.Name()
+	res.Digest = x.followed.DigestString()
 	res.Outcome = finalOutcome[state]
 	if state == "cancelled" {
 		res.Outcome = finalOutcome[x.lostState()]
--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -162,7 +162,7 @@
 	noBudget    bool
 
 	watched   int
-	abandoned []backend.Abandoned
+	abandoned []backend.AbandonedAttempt
 	voided    []string
 	released  int
 	inFlight  int
@@ -182,8 +182,8 @@
 	return nil
 }
 
-func (h *harness) Pick(_ context.Context, a Ask) (fleet.Backend, Share, error) {
-	if a.Request == "" {
+func (h *harness) Pick(_ context.Context, a PickRequest) (fleet.Backend, LoadShare, error) {
+	if a.RequestID == "" {
 		return fleet.Backend{}, nil, errors.New("asked without the request's id")
 	}
 	for i := range h.engines {
@@ -210,15 +210,15 @@
 
 func (h *harness) Take(string) bool { return !h.noBudget }
 
-func (h *harness) Keeps(string) bool { return false }
+func (h *harness) KeepsCopy(string) bool { return false }
 
 func (h *harness) Continue(string) bool { return true }
 
-func (h *harness) Standby(Ask, fleet.Backend) (fleet.Backend, Share, bool) {
+func (h *harness) Standby(PickRequest, fleet.Backend) (fleet.Backend, LoadShare, bool) {
 	return fleet.Backend{}, nil, false
 }
 
-func (h *harness) Add(a backend.Abandoned) { h.abandoned = append(h.abandoned, a) }
+func (h *harness) Add(a backend.AbandonedAttempt) { h.abandoned = append(h.abandoned, a) }
 
 func (h *harness) Result(string, error) {}
 
@@ -256,12 +256,15 @@
 
 type fakeSink struct {
 	text   strings.Builder
-	places []Place
+	places []Position
 	failAt int // index whose Token fails; 0 for never
 	flush  func()
 }
 
-func (s *fakeSink) Begin(p Place, _ *backend.Head) error { s.places = append(s.places, p); return nil }
+func (s *fakeSink) Begin(p Position, _ *backend.Head) error {
+	s.places = append(s.places, p)
+	return nil
+}
 
 func (s *fakeSink) Token(i int, text []byte, _ string) error {
 	if s.failAt > 0 && i == s.failAt {
@@ -320,7 +323,7 @@
 // fakeShare is a share in no load.
 type fakeShare struct{ end func() }
 
-func (*fakeShare) Begun() {}
+func (*fakeShare) PrefillDone() {}
 
 func (s *fakeShare) End() {
 	if s.end != nil {
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -38,8 +38,8 @@
 	ErrEngineLost = errors.New("engine lost")
 	// ErrDeadline says that the caller's deadline passed.
 	ErrDeadline = errors.New("deadline passed")
-	// ErrCallerGone says that the caller took no more of the answer.
-	ErrCallerGone = errors.New("caller is gone")
+	// ErrCallerDisconnected says that the caller took no more of the answer.
+	ErrCallerDisconnected = errors.New("caller is gone")
 	// ErrDuplicate says that the key of the request is claimed already.
 	ErrDuplicate = errors.New("key is claimed already")
 	// ErrMoved says that an attempt was ended since its answer is to go on elsewhere. It is no
@@ -51,20 +51,20 @@
 
 // Codes of Result, besides those of an engine's own refusal.
 const (
-	CodeDeadline      = "deadline"
-	CodeCallerGone    = "caller_gone"
-	CodeDuplicate     = "duplicate_key"
-	CodeKeyReused     = "key_reused" // the key is claimed by a request with another body
-	CodeNoClaim       = "claims_unavailable"
-	CodeNoReplica     = "no_replica"
-	CodeNotAdmitted   = "not_admitted"
-	CodeRetryBudget   = "retry_budget"
-	CodeEngineLost    = "engine_lost"
-	CodeNoResume      = "resume_impossible"
-	CodeBadRequest    = "bad_request"
-	CodeQuarantined   = "request_quarantined" // backend servers crashed under it and its repeats
-	codeAttemptExists = "attempt_exists"
-	codeInternalFlow  = "internal"
+	CodeDeadline           = "deadline"
+	CodeCallerDisconnected = "caller_gone"
+	CodeDuplicate          = "duplicate_key"
+	CodeKeyReused          = "key_reused" // the key is claimed by a request with another body
+	CodeNoClaim            = "claims_unavailable"
+	CodeNoReplica          = "no_replica"
+	CodeNotAdmitted        = "not_admitted"
+	CodeRetryBudget        = "retry_budget"
+	CodeEngineLost         = "engine_lost"
+	CodeNoResume           = "resume_impossible"
+	CodeBadRequest         = "bad_request"
+	CodeQuarantined        = "request_quarantined" // backend servers crashed under it and its repeats
+	codeAttemptExists      = "attempt_exists"
+	codeInternalFlow       = "internal"
 )
 
 // Unavailable is the error by which an Admitter, Claims or Picker says why and
@@ -113,23 +113,23 @@
 // Opaque is what the run of an opaque request goes by.
 type Opaque struct {
 	*backend.Opaque
-	Service     string
-	First       int           // number of the first piece that the caller wants
-	Size        int           // estimated tokens of the prompt
-	Answer      int           // most tokens of the answer
-	Parts       []string      // ids of the prompt's parts, in order
-	Returned    bool          // the client has a part of the answer from another router
-	MaxAttempts int           // backend servers that it may run on
-	Patience    time.Duration // longest wait for a backend server
-	Target      time.Duration // from the begin, when the first piece is late
-	Age         time.Duration // since the client's first try, as far as known
-	Copies      Copying       // standby copies of the run
+	Service          string
+	FirstChunk       int           // number of the first piece that the caller wants
+	PromptTokens     int           // estimated tokens of the prompt
+	MaxAnswerTokens  int           // most tokens of the answer
+	PromptParts      []string      // ids of the prompt's parts, in order
+	HasPartialAnswer bool          // the client has a part of the answer from another router
+	MaxAttempts      int           // backend servers that it may run on
+	MaxWait          time.Duration // longest wait for a backend server
+	FirstChunkTarget time.Duration // from the begin, when the first piece is late
+	SinceFirstTry    time.Duration // since the client's first try, as far as known
+	Copies           Copying       // standby copies of the run
 }
 
 // Copying says how the backend servers of a service copy a run's state to another one.
 type Copying struct {
-	Kept     bool // they keep a copy up to date from the begin of a run
-	OnDemand bool // they make one when asked
+	KeptUpToDate bool // they keep a copy up to date from the begin of a run
+	OnDemand     bool // they make one when asked
 }
 
 // ResumePoint is where an answer begun through another router goes on. Its
@@ -144,8 +144,8 @@
 	Finished    bool // the caller has the last token already
 }
 
-// Place names the attempt that tokens come from.
-type Place struct {
+// Position names the attempt that tokens come from.
+type Position struct {
 	Backend     string
 	Incarnation string
 	Attempt     int
@@ -155,7 +155,7 @@
 type Sink interface {
 	// Begin is called once for each attempt that delivers, before its tokens.
 	// head is that of the attempt's answer if the request is opaque, else nil.
-	Begin(p Place, head *backend.Head) error
+	Begin(p Position, head *backend.Head) error
 	// Token takes the token at index; text is valid during the call only.
 	Token(index int, text []byte, finish string) error
 	// Flush is called when no further token is at hand.
@@ -171,10 +171,10 @@
 	Tokens     int // delivered by this run
 	Resumes    int
 	Digest     string // that the request shares with its repeats, empty if it isn't followed
-	// FirstAfter is when the first token was delivered, and LongestPause the
+	// TimeToFirstToken is when the first token was delivered, and LongestPause the
 	// longest time between two that followed.
-	FirstAfter   time.Duration
-	LongestPause time.Duration
+	TimeToFirstToken time.Duration
+	LongestPause     time.Duration
 }
 
 // Ticket is what admission decides on.
@@ -201,34 +201,34 @@
 	Void(ctx context.Context, account, key, attempt string) error
 }
 
-// Ask is what a Picker chooses by.
-type Ask struct {
-	Request  string // id; spreads the resumes of one prompt over engines
-	Ref      fleet.ModelRef
-	Priority fleet.Priority
-	Prompt   string
-	Exclude  map[string]bool
-	Resume   bool // a started answer goes ahead of new work
-	Again    bool // an attempt of the request was sent before
-	Reached  bool // one may have run
-
-	Service string // of an opaque request, instead of Ref
-	Size    int    // estimated tokens of its prompt, 0 when not stated
-	Answer  int    // most tokens of its answer
-	// Target is when the first piece is late, from the request's begin; 0 for never.
-	Target time.Duration
-	// Age is how long ago the client of an opaque request tried first, as far as known.
-	Age time.Duration
-	// Left is what is left of the time of the client of an opaque request; 0 when not known.
-	Left time.Duration
+// PickRequest is what a Picker chooses by.
+type PickRequest struct {
+	RequestID  string // id; spreads the resumes of one prompt over engines
+	Ref        fleet.ModelRef
+	Priority   fleet.Priority
+	Prompt     string
+	Exclude    map[string]bool
+	Resume     bool // a started answer goes ahead of new work
+	IsRetry    bool // an attempt of the request was sent before
+	MayHaveRun bool // one may have run
+
+	Service         string // of an opaque request, instead of Ref
+	PromptTokens    int    // estimated tokens of its prompt, 0 when not stated
+	MaxAnswerTokens int    // most tokens of its answer
+	// FirstChunkTarget is when the first piece is late, from the request's begin; 0 for never.
+	FirstChunkTarget time.Duration
+	// SinceFirstTry is how long ago the client of an opaque request tried first, as far as known.
+	SinceFirstTry time.Duration
+	// TimeLeft is what is left of the time of the client of an opaque request; 0 when not known.
+	TimeLeft time.Duration
 	// Late tells that its first piece can't be in time any more.
 	Late bool
-	// Own is the id of the part of the prompt that no other request has, "" if not known.
-	Own string
-	// Parts are those of the prompt of a client that came back with a part of its
+	// UniquePart is the id of the part of the prompt that no other request has, "" if not known.
+	UniquePart string
+	// PromptParts are those of the prompt of a client that came back with a part of its
 	// answer: some backend server may still hold them.
-	Parts  []string
-	Prefer string // backend server that holds a copy; it is taken if it can be
+	PromptParts []string
+	Prefer      string // backend server that holds a copy; it is taken if it can be
 	// LostDomain is the failure domain of the attempt that was lost last. Others
 	// go first: what took that backend server may have taken its neighbours.
 	LostDomain string
@@ -237,19 +237,19 @@
 // Picker chooses engines. Pick must check at that moment that the engine is
 // not leaving; the share ends its part in the engine's load.
 type Picker interface {
-	Pick(ctx context.Context, a Ask) (b fleet.Backend, s Share, err error)
+	Pick(ctx context.Context, a PickRequest) (b fleet.Backend, s LoadShare, err error)
 	// Lookup finds a known engine, leaving or not.
 	Lookup(backendID string) (fleet.Backend, bool)
-	// Keeps tells whether a copy at a backend server is still to be counted on.
-	Keeps(backendID string) bool
+	// KeepsCopy tells whether a copy at a backend server is still to be counted on.
+	KeepsCopy(backendID string) bool
 	// Standby chooses where the run at b keeps a copy; false means nowhere.
-	Standby(a Ask, b fleet.Backend) (standby fleet.Backend, s Share, ok bool)
+	Standby(a PickRequest, b fleet.Backend) (standby fleet.Backend, s LoadShare, ok bool)
 }
 
-// Share is the part of an attempt, or of a copy, in the load of its backend server.
-type Share interface {
-	// Begun tells that the prompt has been read; further calls do nothing.
-	Begun()
+// LoadShare is the part of an attempt, or of a copy, in the load of its backend server.
+type LoadShare interface {
+	// PrefillDone tells that the prompt has been read; further calls do nothing.
+	PrefillDone()
 	// End takes the part off; further calls do nothing.
 	End()
 }
@@ -315,7 +315,7 @@
 
 // Abandoner cancels attempts that nobody reads; *backend.Canceller does.
 type Abandoner interface {
-	Add(a backend.Abandoned)
+	Add(a backend.AbandonedAttempt)
 }
 
 // RetryBudget limits retries to a share of first tries.
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -143,7 +143,7 @@
 				tc.req.Deadline = time.Now().Add(h.pause)
 			}
 			h.engines = []*fakeEngine{first, second}
-			res := h.run(t, tc.req, &fakeSink{}, Options{Patience: 100 * time.Millisecond, StartedPatience: 100 * time.Millisecond})
+			res := h.run(t, tc.req, &fakeSink{}, Options{MaxWait: 100 * time.Millisecond, StartedMaxWait: 100 * time.Millisecond})
 			posts := len(first.got()) + len(second.got())
 			if res.Outcome != tc.want || (tc.code != "" && res.Code != tc.code) {
 				t.Errorf("got %+v", res)
@@ -206,7 +206,7 @@
 			first, second := newFakeEngine(t, tc.first), newFakeEngine(t, act{})
 			h := &harness{engines: []*fakeEngine{first, second}}
 			sink := &fakeSink{}
-			res := h.run(t, Request{Resume: tc.point, NonIdempotent: tc.once}, sink, Options{Patience: time.Second})
+			res := h.run(t, Request{Resume: tc.point, NonIdempotent: tc.once}, sink, Options{MaxWait: time.Second})
 			if res.Outcome != tc.want || len(sink.places) != tc.places || len(second.got()) != tc.posts {
 				t.Fatalf("got %+v, places %v, second engine got %d", res, sink.places, len(second.got()))
 			}
@@ -228,7 +228,7 @@
 func TestWhoCancels(t *testing.T) {
 	h := &harness{engines: []*fakeEngine{newFakeEngine(t, act{5, "hang"})}}
 	res := h.run(t, Request{}, &fakeSink{failAt: 2}, Options{})
-	if res.Outcome != fleet.Failed || res.Code != CodeCallerGone || len(h.abandoned) != 0 {
+	if res.Outcome != fleet.Failed || res.Code != CodeCallerDisconnected || len(h.abandoned) != 0 {
 		t.Fatalf("got %+v, abandoned %v", res, h.abandoned)
 	}
 	res = h.run(t, Request{Deadline: time.Now().Add(100 * time.Millisecond)}, &fakeSink{}, Options{})
--- a/generation/inquire.go
+++ b/generation/inquire.go
@@ -18,8 +18,8 @@
 	inquireTimeout = 300 * time.Millisecond
 )
 
-// Inquirer asks a backend server about its runs.
-type Inquirer interface {
+// RunQuerier asks a backend server about its runs.
+type RunQuerier interface {
 	Runs(ctx context.Context, b fleet.Backend) (RunReport, error)
 }
 
@@ -27,27 +27,27 @@
 type RunReport struct {
 	Queued int // requests that wait for a place
 	Active int // runs, and requests whose prompts are read
-	// Made is how many pieces each run has made, by request. It names only those
+	// ChunksMade is how many pieces each run has made, by request. It names only those
 	// that have made one.
-	Made map[string]int
-	// Reborn tells that the backend server has started again and holds no run of before.
-	Reborn bool
+	ChunksMade map[string]int
+	// Restarted tells that the backend server has started again and holds no run of before.
+	Restarted bool
 }
 
 // mayHave tells whether the backend server may have a run of the request. One that
 // isn't named may wait or have its prompt read, as long as there are such requests.
 func (r RunReport) mayHave(request string) bool {
-	if r.Reborn {
+	if r.Restarted {
 		return false
 	}
-	_, named := r.Made[request]
-	return named || r.Queued > 0 || r.Active > len(r.Made)
+	_, named := r.ChunksMade[request]
+	return named || r.Queued > 0 || r.Active > len(r.ChunksMade)
 }
 
-// Holds implements health.Word. A run whose latest pieces were not received is there,
+// HasRun implements health.Word. A run whose latest pieces were not received is there,
 // but its connection has fallen silent.
-func (r RunReport) Holds(request string, received int) bool {
-	if made, named := r.Made[request]; named {
+func (r RunReport) HasRun(request string, received int) bool {
+	if made, named := r.ChunksMade[request]; named {
 		return made <= received
 	}
 	return r.mayHave(request)
@@ -70,7 +70,7 @@
 // that from a queue, so that the bound on the first piece is long, and the answer
 // late by many times what the run would take.
 func (x *run) inquire(a *attempt) (stop func()) {
-	if x.Inquirer == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.lastChance() {
+	if x.RunQuerier == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.lastChance() {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(a.ctx)
@@ -95,6 +95,6 @@
 func (x *run) askOnce(ctx context.Context, b fleet.Backend) (bool, error) {
 	ctx, stop := context.WithTimeout(ctx, inquireTimeout)
 	defer stop()
-	report, err := x.Inquirer.Runs(ctx, b)
+	report, err := x.RunQuerier.Runs(ctx, b)
 	return report.mayHave(x.req.ID), err
 }
--- a/generation/inquire_test.go
+++ b/generation/inquire_test.go
@@ -10,11 +10,11 @@
 		report  RunReport
 		mayHave bool
 	}{
-		"named":                       {RunReport{Active: 2, Made: map[string]int{"q0": 1, "q1": 1}}, true},
+		"named":                       {RunReport{Active: 2, ChunksMade: map[string]int{"q0": 1, "q1": 1}}, true},
 		"nothing there":               {RunReport{}, false},
-		"others run":                  {RunReport{Active: 1, Made: map[string]int{"q0": 1}}, false},
-		"a prompt is read":            {RunReport{Active: 2, Made: map[string]int{"q0": 1}}, true},
-		"somebody waits in the queue": {RunReport{Queued: 1, Active: 1, Made: map[string]int{"q0": 1}}, true},
+		"others run":                  {RunReport{Active: 1, ChunksMade: map[string]int{"q0": 1}}, false},
+		"a prompt is read":            {RunReport{Active: 2, ChunksMade: map[string]int{"q0": 1}}, true},
+		"somebody waits in the queue": {RunReport{Queued: 1, Active: 1, ChunksMade: map[string]int{"q0": 1}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.report.mayHave("q1"); got != c.mayHave {
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -41,7 +41,7 @@
 	lost      map[string]bool // backend servers that keep no copies any more
 	copies    int
 	excluded  []map[string]bool
-	asks      []Ask
+	asks      []PickRequest
 	results   []error     // that the failure detector was told
 	running   func() bool // answer to a question about a run
 	full      bool        // nobody takes the request; it is to ask again soon
@@ -56,8 +56,8 @@
 
 func (w *world) Admit(context.Context, Ticket) (func(), error) { return nil, nil }
 func (w *world) Lookup(string) (fleet.Backend, bool)           { return fleet.Backend{}, false }
-func (w *world) Keeps(id string) bool                          { return !w.lost[id] }
-func (w *world) Add(backend.Abandoned)                         {}
+func (w *world) KeepsCopy(id string) bool                      { return !w.lost[id] }
+func (w *world) Add(backend.AbandonedAttempt)                  {}
 
 func (w *world) Take(string) bool {
 	w.budget--
@@ -69,7 +69,7 @@
 	return w.overdraft >= 0 || w.Take("")
 }
 
-func (w *world) Pick(_ context.Context, a Ask) (fleet.Backend, Share, error) {
+func (w *world) Pick(_ context.Context, a PickRequest) (fleet.Backend, LoadShare, error) {
 	w.excluded = append(w.excluded, a.Exclude)
 	w.asks = append(w.asks, a)
 	if w.full {
@@ -82,7 +82,7 @@
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "d" + id}, &fakeShare{}, nil
 }
 
-func (w *world) Standby(_ Ask, b fleet.Backend) (fleet.Backend, Share, bool) {
+func (w *world) Standby(_ PickRequest, b fleet.Backend) (fleet.Backend, LoadShare, bool) {
 	id := fmt.Sprintf("s%d-%d", len(w.opened), w.copies)
 	return fleet.Backend{ID: id, Addr: id, FailureDomain: "other"}, &fakeShare{}, true
 }
@@ -149,7 +149,7 @@
 	slow   time.Duration // taken by each piece
 }
 
-func (a *answer) Begin(_ Place, h *backend.Head) error {
+func (a *answer) Begin(_ Position, h *backend.Head) error {
 	if a.text == "" {
 		a.status = h.Status
 	}
@@ -170,14 +170,14 @@
 }
 
 func (w *world) runTo(t testing.TB, out *answer, change func(*Request)) Result {
-	d := Deps{Admitter: w, Picker: w, Watcher: worldWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, Inquirer: w}
-	r, err := New(d, Options{StartedPatience: time.Second})
+	d := Deps{Admitter: w, Picker: w, Watcher: worldWatcher{w}, Engines: w, Abandon: w, Budget: w, Copier: w, RunQuerier: w}
+	r, err := New(d, Options{StartedMaxWait: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := Request{ID: "q", Opaque: &Opaque{
-		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", First: 1, MaxAttempts: 5,
-		Patience: time.Second, Copies: Copying{Kept: true, OnDemand: true},
+		Opaque: &backend.Opaque{Streaming: true}, Service: "svc", FirstChunk: 1, MaxAttempts: 5,
+		MaxWait: time.Second, Copies: Copying{KeptUpToDate: true, OnDemand: true},
 	}}
 	if change != nil {
 		change(&req)
@@ -250,7 +250,7 @@
 	if out.text != text(9) || len(w.opened) != 2 {
 		t.Fatalf("got %q in %d attempts", out.text, len(w.opened))
 	}
-	if w.at[1] != "s0-0" || !w.opened[1].Copies.Held || w.opened[1].ResumeTokens != 5 {
+	if w.at[1] != "s0-0" || !w.opened[1].Copies.FromCopy || w.opened[1].ResumeTokens != 5 {
 		t.Errorf("went on at %s with %+v from %d", w.at[1], w.opened[1].Copies, w.opened[1].ResumeTokens)
 	}
 	if w.opened[1].Copies.Standby.Addr == "" {
@@ -264,7 +264,7 @@
 	refused := &backend.Refused{Status: 503, Code: "overloaded"}
 	w := &world{pieces: 9, budget: 9, scripts: []script{{ends: 4, err: broken}, {openErr: refused}}}
 	res, out := w.run(t, nil)
-	if res.Outcome != fleet.Complete || out.text != text(9) || w.opened[2].Copies.Held {
+	if res.Outcome != fleet.Complete || out.text != text(9) || w.opened[2].Copies.FromCopy {
 		t.Errorf("got %s, %q", res.Outcome, out.text)
 	}
 }
@@ -282,10 +282,10 @@
 			t.Errorf("the failure detector was told of %v", err)
 		}
 	}
-	if a := w.asks[1]; a.LostDomain != "" || !a.Again || w.asks[0].Again {
-		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.Again)
+	if a := w.asks[1]; a.LostDomain != "" || !a.IsRetry || w.asks[0].IsRetry {
+		t.Errorf("the second attempt avoids domain %q, again %v", a.LostDomain, a.IsRetry)
 	}
-	if !w.opened[0].First || w.opened[1].First {
+	if !w.opened[0].FirstAttempt || w.opened[1].FirstAttempt {
 		t.Error("the first attempt alone is the first")
 	}
 }
@@ -301,7 +301,7 @@
 		if out.text != text(20) {
 			t.Fatalf("got %q", out.text)
 		}
-		if c := w.opened[1].Copies; !c.Held || c.Name != "copy1" || c.Source.ID != "b1" {
+		if c := w.opened[1].Copies; !c.FromCopy || c.Name != "copy1" || c.Source.ID != "b1" {
 			t.Errorf("went on with %+v", c)
 		}
 	})
@@ -317,7 +317,7 @@
 		made    int
 	}{
 		"on demand only":   {Copying{OnDemand: true}, "copy1", 1},
-		"kept up to date":  {Copying{Kept: true}, "", 0},
+		"kept up to date":  {Copying{KeptUpToDate: true}, "", 0},
 		"neither of these": {Copying{}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -326,10 +326,10 @@
 				out := &answer{slow: 100 * time.Millisecond}
 				w.runTo(t, out, func(r *Request) { r.Opaque.Copies = c.copying })
 				first, second := w.opened[0].Copies, w.opened[1].Copies
-				if out.text != text(20) || (first.Standby.Addr != "") != c.copying.Kept {
+				if out.text != text(20) || (first.Standby.Addr != "") != c.copying.KeptUpToDate {
 					t.Fatalf("got %q; the first attempt has the standby %q", out.text, first.Standby.Addr)
 				}
-				if second.Held != (c.copying != Copying{}) || second.Name != c.held || (w.copies > 0) != (c.made > 0) {
+				if second.FromCopy != (c.copying != Copying{}) || second.Name != c.held || (w.copies > 0) != (c.made > 0) {
 					t.Errorf("went on with %+v, %d copies were made", second, w.copies)
 				}
 			})
@@ -347,7 +347,7 @@
 			t.Errorf("%v: %d attempts, %s", first, len(w.opened), res.Outcome)
 		}
 	}
-	w := &world{pieces: 1, budget: 9, scripts: []script{{openErr: &backend.Refused{Status: 503}}, {openErr: backend.ErrDial}}}
+	w := &world{pieces: 1, budget: 9, scripts: []script{{openErr: &backend.Refused{Status: 503}}, {openErr: backend.ErrNotSent}}}
 	res, _ := w.run(t, func(r *Request) { r.NonIdempotent = true; r.Opaque.MaxAttempts = 3 })
 	if len(w.opened) != 3 || res.Outcome != fleet.Complete {
 		t.Errorf("after refusals: %d attempts, %s", len(w.opened), res.Outcome)
@@ -441,14 +441,14 @@
 func TestOpaqueDeadlineIsOnTheBootClock(t *testing.T) {
 	early := func(r *Request) {
 		r.Deadline = time.Now().Add(time.Hour)
-		r.Opaque.Deadline = clock.In(-time.Second)
+		r.Opaque.Deadline = clock.DeadlineIn(-time.Second)
 	}
 	w := &world{pieces: 1, budget: 9}
 	if res, _ := w.run(t, early); res.Outcome != fleet.NotRun || len(w.opened) != 0 {
 		t.Errorf("after its time on the boot clock: got %s in %d attempts", res.Outcome, len(w.opened))
 	}
 	w = &world{pieces: 1, budget: 9}
-	if res, _ := w.run(t, func(r *Request) { r.Opaque.Deadline = clock.In(time.Hour) }); res.Outcome != fleet.Complete {
+	if res, _ := w.run(t, func(r *Request) { r.Opaque.Deadline = clock.DeadlineIn(time.Hour) }); res.Outcome != fleet.Complete {
 		t.Errorf("before it: got %s", res.Outcome)
 	}
 }
--- a/generation/patience_test.go
+++ b/generation/patience_test.go
@@ -12,7 +12,7 @@
 // may wait for 4 s. Cause: the silence counted as waiting.
 func TestSilenceIsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Runner{opts: Options{StartedPatience: 4 * time.Second}}
+		r := &Runner{opts: Options{StartedMaxWait: 4 * time.Second}}
 		x := newRun(r, t.Context(), Request{ID: "q"}, &fakeSink{})
 		x.acc.next = 30
 		time.Sleep(4300 * time.Millisecond)
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -37,32 +37,32 @@
 
 // Options of a Runner. Zero durations and counts mean the defaults.
 type Options struct {
-	Node            string        // part of the claims' attempt names
-	Linger          time.Duration // how long engines keep an attempt without a reader; default 10 s
-	Patience        time.Duration // longest wait for an engine before the first token; default 3 s
-	StartedPatience time.Duration // the same once an answer has begun; default 20 s
-	AttachTimeout   time.Duration // of one try to re-attach; default 2 s
-	RetryAfter      time.Duration // told to the caller when nothing better is known; default 1 s
-	MaxFruitless    int           // attempts in a row without a token; default 8
-	PauseGap        time.Duration // silence that may have been this process's own pause; default 250 ms
-	CallerGrace     time.Duration // how long a loss after such a silence waits for news of the caller; default 200 ms
-	Rand            func() float64
-	Log             *event.Log
-	Metrics         *metrics.Set
+	Node                 string        // part of the claims' attempt names
+	Linger               time.Duration // how long engines keep an attempt without a reader; default 10 s
+	MaxWait              time.Duration // longest wait for an engine before the first token; default 3 s
+	StartedMaxWait       time.Duration // the same once an answer has begun; default 20 s
+	AttachTimeout        time.Duration // of one try to re-attach; default 2 s
+	RetryAfter           time.Duration // told to the caller when nothing better is known; default 1 s
+	MaxTokenlessAttempts int           // attempts in a row without a token; default 8
+	PauseGap             time.Duration // silence that may have been this process's own pause; default 250 ms
+	CallerGrace          time.Duration // how long a loss after such a silence waits for news of the caller; default 200 ms
+	Rand                 func() float64
+	Log                  *event.Log
+	Metrics              *metrics.Set
 }
 
 // Deps are what a Runner works with.
 type Deps struct {
-	Admitter Admitter
-	Claims   Claims
-	Picker   Picker
-	Watcher  Watcher
-	Engines  Engines
-	Abandon  Abandoner
-	Budget   RetryBudget
-	Inquirer Inquirer          // nil where backend servers aren't asked about runs
-	Copier   Copier            // nil where backend servers make no copies on demand
-	Guard    *quarantine.Guard // nil where requests aren't followed
+	Admitter   Admitter
+	Claims     Claims
+	Picker     Picker
+	Watcher    Watcher
+	Engines    Engines
+	Abandon    Abandoner
+	Budget     RetryBudget
+	RunQuerier RunQuerier        // nil where backend servers aren't asked about runs
+	Copier     Copier            // nil where backend servers make no copies on demand
+	Guard      *quarantine.Guard // nil where requests aren't followed
 }
 
 // Runner runs generations. It may be shared by goroutines.
@@ -108,11 +108,11 @@
 
 func (o Options) withDefaults() Options {
 	setDefault(&o.Linger, defaultLinger)
-	setDefault(&o.Patience, defaultPatience)
-	setDefault(&o.StartedPatience, defaultStartedPatience)
+	setDefault(&o.MaxWait, defaultPatience)
+	setDefault(&o.StartedMaxWait, defaultStartedPatience)
 	setDefault(&o.AttachTimeout, defaultAttachTimeout)
 	setDefault(&o.RetryAfter, defaultRetryAfter)
-	setDefault(&o.MaxFruitless, defaultMaxFruitless)
+	setDefault(&o.MaxTokenlessAttempts, defaultMaxFruitless)
 	setDefault(&o.PauseGap, defaultPauseGap)
 	setDefault(&o.CallerGrace, defaultCallerGrace)
 	if o.Rand == nil {
@@ -164,7 +164,7 @@
 	req  Request
 	sink Sink
 	// followed is what is known of the request and its repeats.
-	followed *quarantine.Case
+	followed *quarantine.Submission
 	// examined is closed when it is known what the latest loss was.
 	examined <-chan struct{}
 
@@ -184,7 +184,7 @@
 	sentBefore bool                  // an attempt was sent, whether it may have run or not
 	failed     *backend.FailedAnswer // the latest, delivered if nothing better comes
 	backend    fleet.Backend         // picked or held
-	share      Share                 // in the load of backend
+	share      LoadShare             // in the load of backend
 	last       *attempt              // attempt to read, re-attach to or cancel
 	number     int                   // of the latest attempt
 	exclude    map[string]bool
@@ -202,10 +202,10 @@
 
 func newRun(r *Runner, ctx context.Context, req Request, sink Sink) *run {
 	x := &run{Runner: r, ctx: ctx, req: req, sink: sink, exclude: map[string]bool{}, lastToken: time.Now()}
-	x.followed = r.Guard.Follow(req.subject())
+	x.followed = r.Guard.Track(req.subject())
 	x.holdsText = !req.NonIdempotent
 	if req.Opaque != nil {
-		x.acc.next = req.Opaque.First
+		x.acc.next = req.Opaque.FirstChunk
 		x.holdsText = false
 	}
 	if p := req.Resume; p != nil {
@@ -225,7 +225,7 @@
 
 func (x *run) started() bool {
 	if o := x.req.Opaque; o != nil {
-		return x.acc.next > o.First
+		return x.acc.next > o.FirstChunk
 	}
 	return x.acc.next > 0
 }
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -50,7 +50,7 @@
 // cost is the work of the request in tokens.
 func (x *run) cost() float64 {
 	if o := x.req.Opaque; o != nil {
-		return float64(o.Size + o.Answer)
+		return float64(o.PromptTokens + o.MaxAnswerTokens)
 	}
 	return float64(len(x.req.Prompt)/bytesPerToken + x.req.MaxTokens - x.acc.next)
 }
@@ -134,22 +134,22 @@
 	return "none"
 }
 
-func (x *run) ask() Ask {
-	a := Ask{
-		Request: x.req.ID, Ref: x.req.Ref, Priority: x.req.Priority, Prompt: x.req.Prompt,
-		Exclude: x.exclude, Resume: x.started(), Again: x.sentBefore, Reached: x.reached, Prefer: x.lostCopy.at,
+func (x *run) ask() PickRequest {
+	a := PickRequest{
+		RequestID: x.req.ID, Ref: x.req.Ref, Priority: x.req.Priority, Prompt: x.req.Prompt,
+		Exclude: x.exclude, Resume: x.started(), IsRetry: x.sentBefore, MayHaveRun: x.reached, Prefer: x.lostCopy.at,
 	}
 	if o := x.req.Opaque; o != nil {
-		a.Service, a.Size, a.Answer = o.Service, o.Size, o.Answer
-		a.Target, a.Age = o.Target, o.Age
+		a.Service, a.PromptTokens, a.MaxAnswerTokens = o.Service, o.PromptTokens, o.MaxAnswerTokens
+		a.FirstChunkTarget, a.SinceFirstTry = o.FirstChunkTarget, o.SinceFirstTry
 		if !o.Deadline.IsZero() {
-			a.Left = max(o.Deadline.Left(), 1)
+			a.TimeLeft = max(o.Deadline.Remaining(), 1)
 		}
-		if len(o.Parts) > 0 {
-			a.Own = o.Parts[len(o.Parts)-1]
+		if len(o.PromptParts) > 0 {
+			a.UniquePart = o.PromptParts[len(o.PromptParts)-1]
 		}
-		if o.Returned && x.sent == 0 {
-			a.Parts = o.Parts
+		if o.HasPartialAnswer && x.sent == 0 {
+			a.PromptParts = o.PromptParts
 		}
 		a.LostDomain = x.lostDomain
 	}
@@ -185,12 +185,12 @@
 // silence borne for longer, which uses the patience up. The answer is cut at the moment at
 // which its silence is noticed, though an engine could go on with it.
 func (x *run) patienceLeft() time.Duration {
-	patience, since := x.opts.Patience, x.lastToken
+	patience, since := x.opts.MaxWait, x.lastToken
 	if o := x.req.Opaque; o != nil {
-		patience = o.Patience
+		patience = o.MaxWait
 	}
 	if x.started() {
-		patience = x.opts.StartedPatience
+		patience = x.opts.StartedMaxWait
 		if x.req.Opaque == nil && x.lossCause != "" && x.lostAt.After(since) {
 			since = x.lostAt
 		}
@@ -236,7 +236,7 @@
 	case errors.Is(cause, context.DeadlineExceeded):
 		return ErrDeadline
 	}
-	return errors.Join(ErrCallerGone, cause)
+	return errors.Join(ErrCallerDisconnected, cause)
 }
 
 func (x *run) finish() string {
--- a/generation/stream.go
+++ b/generation/stream.go
@@ -88,7 +88,7 @@
 func (x *run) measure(now time.Time) {
 	wait := now.Sub(x.lastToken)
 	if x.res.Tokens == 0 {
-		x.res.FirstAfter = wait
+		x.res.TimeToFirstToken = wait
 		return
 	}
 	x.res.LongestPause = max(x.res.LongestPause, wait)
--- a/health/confirm.go
+++ b/health/confirm.go
@@ -126,7 +126,7 @@
 			ctx, stop := context.WithTimeout(context.Background(), inquiryTimeout)
 			defer stop()
 			m.inquiries.Inc()
-			_, err := m.Inquirer.Ask(ctx, e.id)
+			_, err := m.RunQuerier.QueryRuns(ctx, e.id)
 			m.log.Emit(event.EngineAsked, "backend", e.id, "lost", 0, "err", err)
 			answers <- answer{e, err}
 		}()
--- a/health/domain.go
+++ b/health/domain.go
@@ -62,9 +62,9 @@
 	askedAt    int64 // when its members were asked last about their common silence, 0 if never
 }
 
-// Place tells in which failure domain a backend server is. Those of the same
+// SetFailureDomain tells in which failure domain a backend server is. Those of the same
 // service and domain are judged together.
-func (m *Monitor) Place(backend, service, failureDomain string) {
+func (m *Monitor) SetFailureDomain(backend, service, failureDomain string) {
 	e := m.engine(backend)
 	name := service + "/" + failureDomain
 	m.mu.Lock()
@@ -173,7 +173,7 @@
 	if d == nil || !d.fail(e, t) {
 		return
 	}
-	if m.Inquirer != nil {
+	if m.RunQuerier != nil {
 		go m.confirmCrash(d, t)
 		return
 	}
@@ -181,10 +181,10 @@
 	m.crashed(d, t, "members failed together")
 }
 
-// DomainRumour takes in another router's word that a domain crashed. It counts
+// HandleDomainReport takes in another router's word that a domain crashed. It counts
 // unless some member has given this router a sign of life just now: the other
 // router may be the one that is cut off.
-func (m *Monitor) DomainRumour(name string) {
+func (m *Monitor) HandleDomainReport(name string) {
 	m.mu.RLock()
 	d := m.domains[name]
 	m.mu.RUnlock()
@@ -277,7 +277,7 @@
 	if decoding < domainDecoding || chance > domainChance {
 		return
 	}
-	if m.Inquirer == nil {
+	if m.RunQuerier == nil {
 		m.crashed(d, t, reasonSilence)
 		return
 	}
@@ -309,6 +309,6 @@
 
 // survival is the share of an engine's gaps that are longer than d.
 func (m *Monitor) survival(e *engine, d time.Duration) float64 {
-	s := e.gaps.Shares().With(m.priorShares())
+	s := e.gaps.Shares().WithPrior(m.priorShares())
 	return s.survival(m.policy.TailExponent)[bucketOf(d)]
 }
--- a/health/domain_test.go
+++ b/health/domain_test.go
@@ -22,7 +22,7 @@
 func place(m *Monitor, n int, domains ...string) {
 	for _, d := range domains {
 		for i := range n {
-			m.Place(fmt.Sprintf("%s%d", d, i), "llm", d)
+			m.SetFailureDomain(fmt.Sprintf("%s%d", d, i), "llm", d)
 		}
 	}
 }
@@ -103,13 +103,13 @@
 		place(m, 6, "a")
 		s := start(m, "a0", 100)
 		decode(10, s)
-		m.DomainRumour("llm/a")
+		m.HandleDomainReport("llm/a")
 		if m.State("a5") != Healthy {
 			t.Fatal("believed against a member's own token")
 		}
 		time.Sleep(2 * aliveWithin)
-		m.DomainRumour("llm/a")
-		m.DomainRumour("llm/nowhere")
+		m.HandleDomainReport("llm/a")
+		m.HandleDomainReport("llm/nowhere")
 		if m.State("a5") == Healthy {
 			t.Error("not believed although no member has spoken")
 		}
--- a/health/doubt.go
+++ b/health/doubt.go
@@ -31,17 +31,17 @@
 	vouchedBounds = 2
 )
 
-// Inquirer asks backend servers about their runs.
-type Inquirer interface {
-	// Ask returns the word of one; an error means that it gave none.
-	Ask(ctx context.Context, backend string) (Word, error)
+// RunQuerier asks backend servers about their runs.
+type RunQuerier interface {
+	// QueryRuns returns the word of one; an error means that it gave none.
+	QueryRuns(ctx context.Context, backend string) (RunReport, error)
 }
 
-// Word is what a backend server says of its runs.
-type Word interface {
-	// Holds tells whether it has a run of the request and has made no more of it
+// RunReport is what a backend server says of its runs.
+type RunReport interface {
+	// HasRun tells whether it has a run of the request and has made no more of it
 	// than received tokens: what it made and nobody received was lost on the way.
-	Holds(request string, received int) bool
+	HasRun(request string, received int) bool
 }
 
 // inquiry is the last question that an engine was asked. Under engine.mu.
@@ -84,7 +84,7 @@
 // doubt tells whether a silence of e is to be acted on at t. The first time it has
 // the engine asked. Under e.mu.
 func (m *Monitor) doubt(e *engine, silence time.Duration, t int64) bool {
-	if m.Inquirer == nil || silence >= longestSilence {
+	if m.RunQuerier == nil || silence >= longestSilence {
 		return true
 	}
 	switch e.opinion(t) {
@@ -102,7 +102,7 @@
 func (m *Monitor) inquire(e *engine, asked int64) {
 	ctx, stop := context.WithTimeout(context.Background(), inquiryTimeout)
 	defer stop()
-	w, err := m.Inquirer.Ask(ctx, e.id)
+	w, err := m.RunQuerier.QueryRuns(ctx, e.id)
 	lost := e.heard(w, err, asked)
 	m.log.Emit(event.EngineAsked, "backend", e.id, "lost", len(lost.streams), "err", err)
 	m.cancel(lost)
@@ -110,7 +110,7 @@
 
 // heard takes in the word of an engine, or that none came. It returns the verdict
 // on the streams that the engine doesn't hold, or whose tokens were lost.
-func (e *engine) heard(w Word, err error, asked int64) verdict {
+func (e *engine) heard(w RunReport, err error, asked int64) verdict {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	v := verdict{engine: e}
@@ -124,7 +124,7 @@
 	}
 	for _, s := range e.streams {
 		began := s.last.Load() != 0 && s.last.Load() < asked
-		if !began || s.cancelled || s.blocked.Load() || w.Holds(s.work.Request, s.received()) {
+		if !began || s.cancelled || s.blocked.Load() || w.HasRun(s.work.Request, s.received()) {
 			continue
 		}
 		v.streams = append(v.streams, s)
--- a/health/doubt_test.go
+++ b/health/doubt_test.go
@@ -12,7 +12,7 @@
 // word is what a stand-in engine says: how much of each run it has made.
 type word map[string]int
 
-func (w word) Holds(request string, received int) bool {
+func (w word) HasRun(request string, received int) bool {
 	made, ok := w[request]
 	return ok && made <= received
 }
@@ -25,7 +25,7 @@
 	times int
 }
 
-func (a *asked) Ask(ctx context.Context, _ string) (Word, error) {
+func (a *asked) QueryRuns(ctx context.Context, _ string) (RunReport, error) {
 	a.times++
 	select {
 	case <-ctx.Done():
@@ -37,7 +37,7 @@
 
 // silence has two runs at one engine give some tokens and then none for d.
 func silence(m *Monitor, a *asked, d time.Duration) [2]*attempt {
-	m.Inquirer = a
+	m.RunQuerier = a
 	var streams [2]*attempt
 	for i, request := range []string{"q1", "q2"} {
 		ctx, cancel := context.WithCancelCause(context.Background())
@@ -131,7 +131,7 @@
 // living answers for the engines that are alive.
 type living map[string]bool
 
-func (l living) Ask(_ context.Context, backend string) (Word, error) {
+func (l living) QueryRuns(_ context.Context, backend string) (RunReport, error) {
 	if !l[backend] {
 		return nil, errors.New("refused")
 	}
@@ -156,7 +156,7 @@
 		t.Run(name, func(t *testing.T) {
 			runPatient(t, func(m *Monitor) {
 				place(m, 6, "a")
-				m.Inquirer = c.alive
+				m.RunQuerier = c.alive
 				for i := range 4 {
 					m.Result(fmt.Sprint("a", i), errors.New("reset"))
 					time.Sleep(time.Millisecond)
@@ -184,7 +184,7 @@
 				for i := range c.sound {
 					alive[fmt.Sprint("a", 2+i)] = true
 				}
-				m.Inquirer = alive
+				m.RunQuerier = alive
 				for _, id := range []string{"a0", "a1"} {
 					m.Result(id, errors.New("unexpected EOF"))
 					time.Sleep(time.Millisecond)
@@ -204,11 +204,11 @@
 	after time.Duration
 }
 
-func (s slowly) Ask(ctx context.Context, backend string) (Word, error) {
+func (s slowly) QueryRuns(ctx context.Context, backend string) (RunReport, error) {
 	if s.living[backend] {
 		time.Sleep(s.after)
 	}
-	return s.living.Ask(ctx, backend)
+	return s.living.QueryRuns(ctx, backend)
 }
 
 // Guards against: the loss of a domain is noticed late, since one member that is left takes
@@ -216,7 +216,7 @@
 func TestLostDomainIsNoticedAtOnce(t *testing.T) {
 	runPatient(t, func(m *Monitor) {
 		place(m, 8, "a")
-		m.Inquirer = slowly{living{"a7": true}, 90 * time.Millisecond}
+		m.RunQuerier = slowly{living{"a7": true}, 90 * time.Millisecond}
 		for _, id := range []string{"a0", "a1"} {
 			m.Result(id, errors.New("unexpected EOF"))
 		}
@@ -231,7 +231,7 @@
 		told := 0
 		m.OnDomain = func(string) { told++ }
 		alive := living{"a2": true, "a3": true, "a4": true, "a5": true, "a6": true, "a7": true}
-		m.Inquirer = alive
+		m.RunQuerier = alive
 		for _, id := range []string{"a0", "a1", "a2", "a3"} {
 			delete(alive, id)
 			m.Result(id, errors.New("unexpected EOF"))
@@ -261,7 +261,7 @@
 		t.Run(name, func(t *testing.T) {
 			runPatient(t, func(m *Monitor) {
 				place(m, 6, "a", "b")
-				m.Inquirer = c.alive
+				m.RunQuerier = c.alive
 				var pausing, other []*attempt
 				for i := range 4 {
 					pausing = append(pausing, start(m, fmt.Sprintf("a%d", i), 100))
--- a/health/dump.go
+++ b/health/dump.go
@@ -4,13 +4,13 @@
 
 // BackendDump is one backend server in a dump.
 type BackendDump struct {
-	State       string        `json:"state"`
-	Streams     int           `json:"streams"`
-	Refused     int           `json:"refused_in_a_row"`
-	Backoff     time.Duration `json:"backoff_ns"`
-	Threshold   time.Duration `json:"threshold_ns"`
-	Incarnation string        `json:"incarnation"`
-	Rumoured    bool          `json:"rumoured"`
+	State        string        `json:"state"`
+	Streams      int           `json:"streams"`
+	Refused      int           `json:"refused_in_a_row"`
+	Backoff      time.Duration `json:"backoff_ns"`
+	Threshold    time.Duration `json:"threshold_ns"`
+	Incarnation  string        `json:"incarnation"`
+	PeerReported bool          `json:"rumoured"`
 }
 
 // Dump returns what is known of each backend server, by id.
@@ -27,15 +27,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	h := e.history(t)
-	h.Gaps = e.gaps.Shares().With(m.priorShares())
-	h.Rumoured = t < e.rumourUntil
+	h.Gaps = e.gaps.Shares().WithPrior(m.priorShares())
+	h.PeerReported = t < e.rumourUntil
 	return BackendDump{
-		State:       e.current(t).String(),
-		Streams:     len(e.streams),
-		Refused:     e.refused,
-		Backoff:     e.backoff,
-		Threshold:   Judge(h, &m.policy).Threshold,
-		Incarnation: e.incarnation,
-		Rumoured:    h.Rumoured,
+		State:        e.current(t).String(),
+		Streams:      len(e.streams),
+		Refused:      e.refused,
+		Backoff:      e.backoff,
+		Threshold:    Evaluate(h, &m.policy).Threshold,
+		Incarnation:  e.incarnation,
+		PeerReported: h.PeerReported,
 	}
 }
--- a/health/gaps.go
+++ b/health/gaps.go
@@ -91,9 +91,9 @@
 	return s
 }
 
-// With adds a prior, scaled to a fixed number of samples so that it governs
+// WithPrior adds a prior, scaled to a fixed number of samples so that it governs
 // while an engine is young and fades as its own samples come in.
-func (s Shares) With(prior Shares) Shares {
+func (s Shares) WithPrior(prior Shares) Shares {
 	if prior.Samples == 0 {
 		return s
 	}
--- a/health/health.go
+++ b/health/health.go
@@ -38,8 +38,8 @@
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
 	// ErrStalled means that one stream fell silent beside live ones.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
-	// ErrEnded means that the engine has started again and holds nothing of before.
-	ErrEnded error = &Cause{"engine has started again"}
+	// ErrRestarted means that the engine has started again and holds nothing of before.
+	ErrRestarted error = &Cause{"engine has started again"}
 	// ErrNoFirstToken means that the prefill took longer than its bound.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
 )
@@ -71,14 +71,14 @@
 	return "healthy"
 }
 
-// RumourKind says what another router reports of a backend server.
-type RumourKind uint8
+// PeerReportKind says what another router reports of a backend server.
+type PeerReportKind uint8
 
 const (
-	// RumourSuspect means that another router sees it silent.
-	RumourSuspect RumourKind = iota
-	// RumourDown means that it refuses another router's connections.
-	RumourDown
-	// RumourAlive takes earlier rumours back.
-	RumourAlive
+	// PeerReportSuspect means that another router sees it silent.
+	PeerReportSuspect PeerReportKind = iota
+	// PeerReportDown means that it refuses another router's connections.
+	PeerReportDown
+	// PeerReportAlive takes earlier rumours back.
+	PeerReportAlive
 )
--- a/health/judge.go
+++ b/health/judge.go
@@ -7,11 +7,11 @@
 
 // History is what is known of one engine at the moment of judgement.
 type History struct {
-	Gaps     Shares        // observed gaps, prior included
-	Silence  time.Duration // since its last token on any stream, pauses taken off
-	Streams  int           // streams past their first token
-	Bytes    float64       // prompt and accepted text over those streams
-	Rumoured bool          // a fresh rumour says that it fails
+	Gaps         Shares        // observed gaps, prior included
+	Silence      time.Duration // since its last token on any stream, pauses taken off
+	Streams      int           // streams past their first token
+	Bytes        float64       // prompt and accepted text over those streams
+	PeerReported bool          // a fresh rumour says that it fails
 }
 
 // Decision is the outcome of Judge.
@@ -20,9 +20,9 @@
 	Threshold time.Duration // silence from which it is suspected
 }
 
-// Judge decides whether an engine's silence is long enough to resume its
+// Evaluate decides whether an engine's silence is long enough to resume its
 // streams elsewhere.
-func Judge(h History, p *Policy) Decision {
+func Evaluate(h History, p *Policy) Decision {
 	if h.Streams == 0 {
 		return Decision{Threshold: p.MaxSilence}
 	}
@@ -49,8 +49,8 @@
 // for a paused engine just as for a dead one.
 func Threshold(h History, p *Policy) time.Duration {
 	f := p.FailuresPerHour / time.Hour.Seconds() * h.Gaps.mean()
-	if h.Rumoured {
-		f *= p.RumourFactor
+	if h.PeerReported {
+		f *= p.PeerReportFactor
 	}
 	f = min(f, maxFailureShare)
 	n := float64(max(h.Streams, 1))
--- a/health/judge_test.go
+++ b/health/judge_test.go
@@ -32,7 +32,7 @@
 		{"extra work weighs more", func(_ *History, p *Policy) { p.ExtraWorkWeight = 20 }, true},
 		{"more text to prefill", func(h *History, _ *Policy) { h.Bytes *= 20 }, true},
 		{"failures are frequent", func(_ *History, p *Policy) { p.FailuresPerHour = 20 }, false},
-		{"a rumour is about", func(h *History, _ *Policy) { h.Rumoured = true }, false},
+		{"a rumour is about", func(h *History, _ *Policy) { h.PeerReported = true }, false},
 		{"an engine with pauses", func(h *History, _ *Policy) { *h = history30(700*time.Millisecond, 40) }, true},
 	}
 	for _, row := range rows {
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -15,11 +15,11 @@
 type Monitor struct {
 	// OnChange, set before use, is told when a backend server is ejected or
 	// recovers, so that a rumour can be spread. It must not block.
-	OnChange func(backend, incarnation string, kind RumourKind)
+	OnChange func(backend, incarnation string, kind PeerReportKind)
 
 	// Inquirer, set before use, is asked before an engine is suspected for its
 	// silence. Nil where engines can't be asked.
-	Inquirer Inquirer
+	RunQuerier RunQuerier
 
 	// OnDomain, set before use, is told once when a failure domain is taken to
 	// have crashed. It must not block.
@@ -117,16 +117,16 @@
 	}
 }
 
-// Ended cancels what waits on a backend server that has started again: its runs are
+// Restarted cancels what waits on a backend server that has started again: its runs are
 // lost, however short their silence.
-func (m *Monitor) Ended(backend string) {
+func (m *Monitor) Restarted(backend string) {
 	m.mu.RLock()
 	e := m.engines[backend]
 	m.mu.RUnlock()
 	if e == nil {
 		return
 	}
-	m.cancel(e.verdictOn(ErrEnded, func(*Stream) bool { return true }))
+	m.cancel(e.verdictOn(ErrRestarted, func(*Stream) bool { return true }))
 }
 
 // Work is what an attempt is to do.
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -61,8 +61,8 @@
 // single probe at a time may go to it, and a token brings it back.
 func TestFrozenEngineIsSuspectedAndProbed(t *testing.T) {
 	run(t, func(m *Monitor) {
-		var told []RumourKind
-		m.OnChange = func(_, _ string, k RumourKind) { told = append(told, k) }
+		var told []PeerReportKind
+		m.OnChange = func(_, _ string, k PeerReportKind) { told = append(told, k) }
 		dead, dead2 := start(m, "e0", 100), start(m, "e0", 100)
 		live := []*attempt{start(m, "e1", 100), start(m, "e2", 100), start(m, "e3", 100)}
 		decode(40, append(live, dead, dead2)...)
@@ -86,7 +86,7 @@
 		if m.State("e0") != Healthy || !m.Allow("e0") {
 			t.Errorf("after a token e0 is %v", m.State("e0"))
 		}
-		if !slices.Equal(told, []RumourKind{RumourSuspect, RumourAlive}) {
+		if !slices.Equal(told, []PeerReportKind{PeerReportSuspect, PeerReportAlive}) {
 			t.Errorf("rumours %v, want one of suspicion and one of recovery", told)
 		}
 	})
@@ -203,7 +203,7 @@
 	run(t, func(m *Monitor) {
 		s := start(m, "e0", 100)
 		for range 60 {
-			m.Rumour("e0", "i1", RumourDown)
+			m.HandlePeerReport("e0", "i1", PeerReportDown)
 			decode(1, s)
 		}
 		if s.cause() != nil || m.State("e0") != Healthy {
@@ -280,7 +280,7 @@
 	for _, restarted := range []bool{false, true} {
 		run(t, func(m *Monitor) {
 			a := start(m, "e1", 8000)
-			m.Incarnation("e1", "first")
+			m.SetIncarnation("e1", "first")
 			decode(50, a)
 			before := m.engine("e1").gaps.Shares().Samples
 			time.Sleep(2 * time.Second)
@@ -290,7 +290,7 @@
 			}
 			a.Close()
 			if restarted {
-				m.Incarnation("e1", "second")
+				m.SetIncarnation("e1", "second")
 			}
 			m.Result("e1", nil)
 			got := m.engine("e1").gaps.Shares().Samples - before
--- a/health/policy.go
+++ b/health/policy.go
@@ -42,9 +42,9 @@
 	MaxPrefill    time.Duration `json:"max_prefill"`
 	PrefillFactor float64       `json:"prefill_factor"`
 	QueueFactor   float64       `json:"queue_factor"`
-	// RumourFactor multiplies the prior of failure while a rumour lives.
-	RumourFactor float64       `json:"rumour_factor"`
-	RumourLife   time.Duration `json:"rumour_life"`
+	// PeerReportFactor multiplies the prior of failure while a rumour lives.
+	PeerReportFactor float64       `json:"rumour_factor"`
+	PeerReportTTL    time.Duration `json:"rumour_life"`
 	// DownAfter is the number of refused connections in a row before Down.
 	DownAfter int `json:"down_after"`
 	// LateAfter is the number of late answers in a row, over LateSpan at least,
@@ -88,8 +88,8 @@
 		MaxPrefill:            30 * time.Second,
 		PrefillFactor:         4,
 		QueueFactor:           4,
-		RumourFactor:          50,
-		RumourLife:            3 * time.Second,
+		PeerReportFactor:      50,
+		PeerReportTTL:         3 * time.Second,
 		DownAfter:             2,
 		LateAfter:             4,
 		LateSpan:              500 * time.Millisecond,
--- a/health/state.go
+++ b/health/state.go
@@ -61,7 +61,7 @@
 	m.learnPause(e, spokeAt)
 	m.ejected.Add(-1)
 	m.log.Emit(event.BackendRecovered, "backend", e.id)
-	m.tell(e.id, incarnation, RumourAlive)
+	m.tell(e.id, incarnation, PeerReportAlive)
 }
 
 // learnPause records the gap that a suspicion cut short, once the same
@@ -96,14 +96,14 @@
 	m.ejected.Add(1)
 	m.watch(e)
 	m.log.Emit(event.BackendEjected, "backend", e.id, "state", state.String())
-	kind := RumourSuspect
+	kind := PeerReportSuspect
 	if state == Down {
-		kind = RumourDown
+		kind = PeerReportDown
 	}
 	m.tell(e.id, incarnation, kind)
 }
 
-func (m *Monitor) tell(backend, incarnation string, kind RumourKind) {
+func (m *Monitor) tell(backend, incarnation string, kind PeerReportKind) {
 	if m.OnChange != nil {
 		m.OnChange(backend, incarnation, kind)
 	}
@@ -142,10 +142,10 @@
 	return t < e.reinstatedUntil
 }
 
-// Rumour takes in what another router says of one incarnation. It raises the
+// HandlePeerReport takes in what another router says of one incarnation. It raises the
 // prior of failure for a while, and so shortens the silence that is borne; it
 // never ejects by itself, since the other router may be the one cut off.
-func (m *Monitor) Rumour(backend, incarnation string, kind RumourKind) {
+func (m *Monitor) HandlePeerReport(backend, incarnation string, kind PeerReportKind) {
 	e := m.engine(backend)
 	t := m.at(time.Now())
 	e.mu.Lock()
@@ -153,16 +153,16 @@
 	if e.incarnation != "" && e.incarnation != incarnation {
 		return
 	}
-	if kind == RumourAlive {
+	if kind == PeerReportAlive {
 		e.rumourUntil = 0
 		return
 	}
-	e.rumourUntil = t + int64(m.policy.RumourLife)
+	e.rumourUntil = t + int64(m.policy.PeerReportTTL)
 }
 
-// Incarnation tells which incarnation of a backend server answered last. A new
+// SetIncarnation tells which incarnation of a backend server answered last. A new
 // one starts without rumours, and may be probed at once.
-func (m *Monitor) Incarnation(backend, incarnation string) {
+func (m *Monitor) SetIncarnation(backend, incarnation string) {
 	e := m.engine(backend)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/tick.go
+++ b/health/tick.go
@@ -109,7 +109,7 @@
 	}
 	h := e.history(t)
 	v = verdict{engine: e, silence: h.Silence}
-	h.Rumoured = t < e.rumourUntil
+	h.PeerReported = t < e.rumourUntil
 	d := Decision{Threshold: m.policy.MaxSilence}
 	if m.policy.FixedTimeout > 0 {
 		m.judgeFixed(&v, t)
@@ -141,11 +141,11 @@
 // threshold judges anew when the engine's circumstances changed.
 func (m *Monitor) threshold(e *engine, h *History, t int64) time.Duration {
 	k := &e.known
-	if k.streams == h.Streams && k.rumoured == h.Rumoured && t-k.at < thresholdLife {
+	if k.streams == h.Streams && k.rumoured == h.PeerReported && t-k.at < thresholdLife {
 		return k.value
 	}
-	h.Gaps = e.gaps.Shares().With(m.priorShares())
-	*k = knownThreshold{t, h.Streams, h.Rumoured, Judge(*h, &m.policy).Threshold}
+	h.Gaps = e.gaps.Shares().WithPrior(m.priorShares())
+	*k = knownThreshold{t, h.Streams, h.PeerReported, Evaluate(*h, &m.policy).Threshold}
 	return k.value
 }
 
@@ -300,7 +300,7 @@
 		m.suspects.Inc()
 	case ErrStalled:
 		m.stalls.Inc()
-	case ErrEnded:
+	case ErrRestarted:
 		m.ended.Inc()
 	default:
 		m.lates.Inc()
@@ -311,7 +311,7 @@
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
-		return s.With(synthetic(m.policy.TypicalGap))
+		return s.WithPrior(synthetic(m.policy.TypicalGap))
 	}
 	return s
 }
--- a/health/watched_test.go
+++ b/health/watched_test.go
@@ -13,7 +13,7 @@
 	var open []*Stream
 	for i := range n {
 		id := fmt.Sprint("e", i)
-		m.Place(id, "llm", fmt.Sprint("d", i%3))
+		m.SetFailureDomain(id, "llm", fmt.Sprint("d", i%3))
 		if i < used {
 			open = append(open, m.Watch(id, Work{PromptBytes: 1000}, func(error) {}))
 		}
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -49,8 +49,8 @@
 func (a *answers) call(idempotent bool) Call[string] {
 	return Call[string]{
 		Pool: pool, Idempotent: idempotent,
-		Other: func() bool { return true },
-		Drop:  func(string) { a.dropped++ },
+		HasOther: func() bool { return true },
+		Discard:  func(string) { a.dropped++ },
 		Try: func(ctx context.Context, second bool) (string, error) {
 			n := index(second)
 			a.sent[n]++
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ErrLost is the cause with which a try's context ends when the other try
+// ErrOtherAnswered is the cause with which a try's context ends when the other try
 // answered first.
-var ErrLost = errors.New("the other try answered first")
+var ErrOtherAnswered = errors.New("the other try answered first")
 
 // Call is one call that may be hedged.
 type Call[T any] struct {
@@ -20,10 +20,10 @@
 	// server than the first. It is called at most twice, possibly at once. Its
 	// answer may still be read until release was called or ctx ends.
 	Try func(ctx context.Context, second bool) (T, error)
-	// Other tells whether there is another backend server for a second try.
-	Other func() bool
-	// Drop disposes of an answer that nobody waits for.
-	Drop func(T)
+	// HasOther tells whether there is another backend server for a second try.
+	HasOther func() bool
+	// Discard disposes of an answer that nobody waits for.
+	Discard func(T)
 }
 
 // outcome is what one try came to.
@@ -77,7 +77,7 @@
 	r.start(false)
 	got := r.first(delay)
 	winner := index(got.second)
-	r.stop(1-winner, ErrLost)
+	r.stop(1-winner, ErrOtherAnswered)
 	if got.err != nil {
 		r.stop(winner, nil)
 		return got.value, func() {}, got.err
@@ -154,7 +154,7 @@
 }
 
 func (r *race[T]) hedge() {
-	if !r.call.Other() {
+	if !r.call.HasOther() {
 		return
 	}
 	if !r.h.budget.Take() {
@@ -169,7 +169,7 @@
 func (r *race[T]) drain() {
 	for ; r.open > 0; r.open-- {
 		if got := <-r.results; got.err == nil {
-			r.call.Drop(got.value)
+			r.call.Discard(got.value)
 		}
 	}
 }
--- a/holders/holders.go
+++ b/holders/holders.go
@@ -26,15 +26,15 @@
 
 // Lister asks a backend server which parts of prompts it holds, in tokens.
 type Lister interface {
-	Held(ctx context.Context, b fleet.Backend) (map[string]int, error)
+	CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error)
 }
 
 // Config of a Finder. Zero durations mean the defaults.
 type Config struct {
-	Fresh   time.Duration // how long an answer is used again
-	Timeout time.Duration // of one question
-	Most    int           // candidates asked at once, drawn at random
-	Set     *metrics.Set
+	MaxAge        time.Duration // how long an answer is used again
+	Timeout       time.Duration // of one question
+	MaxCandidates int           // candidates asked at once, drawn at random
+	Set           *metrics.Set
 }
 
 const (
@@ -65,14 +65,14 @@
 
 // New returns a Finder that asks by lister.
 func New(lister Lister, cfg Config) *Finder {
-	if cfg.Fresh <= 0 {
-		cfg.Fresh = defaultFresh
+	if cfg.MaxAge <= 0 {
+		cfg.MaxAge = defaultFresh
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
 	}
-	if cfg.Most <= 0 {
-		cfg.Most = defaultMost
+	if cfg.MaxCandidates <= 0 {
+		cfg.MaxCandidates = defaultMost
 	}
 	if cfg.Set == nil {
 		cfg.Set = metrics.NewSet()
@@ -106,12 +106,12 @@
 
 // some returns at most Config.Most of the candidates.
 func (f *Finder) some(candidates []fleet.Backend) []fleet.Backend {
-	if len(candidates) <= f.cfg.Most {
+	if len(candidates) <= f.cfg.MaxCandidates {
 		return candidates
 	}
 	drawn := slices.Clone(candidates)
 	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	return drawn[:f.cfg.Most]
+	return drawn[:f.cfg.MaxCandidates]
 }
 
 // leading counts the tokens of the parts up to the first that is missing: a
@@ -144,7 +144,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h, ok := f.known[id]
-	return ok && time.Since(h.at) < f.cfg.Fresh
+	return ok && time.Since(h.at) < f.cfg.MaxAge
 }
 
 // askOne joins a question that is under way.
@@ -153,7 +153,7 @@
 		f.asked.Inc()
 		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), f.cfg.Timeout)
 		defer stop()
-		tokens, err := f.lister.Held(ctx, b)
+		tokens, err := f.lister.CachedParts(ctx, b)
 		if err != nil {
 			tokens = nil // nothing is known to be held: the prompt is read anew
 		}
@@ -167,7 +167,7 @@
 
 func (f *Finder) forgetOld() {
 	for id, h := range f.known {
-		if time.Since(h.at) >= f.cfg.Fresh {
+		if time.Since(h.at) >= f.cfg.MaxAge {
 			delete(f.known, id)
 		}
 	}
--- a/holders/holders_test.go
+++ b/holders/holders_test.go
@@ -20,7 +20,7 @@
 	slow  time.Duration
 }
 
-func (l *lists) Held(ctx context.Context, b fleet.Backend) (map[string]int, error) {
+func (l *lists) CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error) {
 	l.mu.Lock()
 	l.asked[b.ID]++
 	h, ok := l.held[b.ID]
@@ -100,7 +100,7 @@
 	for i := range 1000 {
 		all = append(all, fleet.Backend{ID: strconv.Itoa(i)})
 	}
-	New(l, Config{Most: 20}).Find(t.Context(), all, []string{"p"})
+	New(l, Config{MaxCandidates: 20}).Find(t.Context(), all, []string{"p"})
 	if len(l.asked) != 20 {
 		t.Errorf("%d were asked", len(l.asked))
 	}
--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -42,12 +42,12 @@
 	Born int64  `cbor:"3,keyasint,omitempty"`
 }
 
-func (a *adoptedReplica) lifetime() fleet.Lifetime {
-	return fleet.Lifetime{Name: a.Name, Born: a.Born}
+func (a *adoptedReplica) lifetime() fleet.Incarnation {
+	return fleet.Incarnation{Name: a.Name, StartedAt: a.Born}
 }
 
 func adoptedOf(b *fleet.Backend) adoptedReplica {
-	return adoptedReplica{Name: b.Name(), Addr: b.Addr, Born: b.Lifetime.Born}
+	return adoptedReplica{Name: b.Name(), Addr: b.Addr, Born: b.Incarnation.StartedAt}
 }
 
 // adopter looks for successors while the store is away. Each node that reads the store
@@ -56,7 +56,7 @@
 type adopter struct {
 	view   *view
 	news   *news
-	seeker *succession.Seeker
+	seeker *succession.Finder
 	tell   func(m adoptedMessage)
 
 	told  time.Time
@@ -86,8 +86,8 @@
 	if !ok || !a.news.reader() {
 		return
 	}
-	found := a.seeker.Seek(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Found) bool {
-		return f.Memory == service.Memory
+	found := a.seeker.Find(ctx, a.view.lost(service.Name), service.HealthPath, func(_ fleet.Backend, f succession.Replica) bool {
+		return f.MemoryTokens == service.Memory
 	})
 	var toTell []adoptedReplica
 	for i := range found {
@@ -160,7 +160,7 @@
 func (v *view) adoptOne(f *adoptedReplica) {
 	old, ok := v.replicas[v.at[f.Addr]]
 	life := f.lifetime()
-	if !ok || old.Lifetime == life {
+	if !ok || old.Incarnation == life {
 		return
 	}
 	if _, known := v.replicas[life.ID()]; known {
@@ -174,13 +174,13 @@
 		v.endLife(before)
 	}
 	b := old
-	b.ID, b.Lifetime, b.VM, b.Leaving = life.ID(), life, life.Name, false
+	b.ID, b.Incarnation, b.VM, b.Leaving = life.ID(), life, life.Name, false
 	// It started after all that the store told; the store's own number comes later.
 	b.Started = v.youngest() + 1
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
 	v.adopted[b.ID] = true
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.succeed(b, 0)
 	v.changed = true
 }
@@ -210,7 +210,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for id := range v.adopted {
-		name := v.replicas[id].Lifetime.Name
+		name := v.replicas[id].Incarnation.Name
 		v.drop(id, "the store does not list it")
 		v.lives.forget(name)
 	}
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -17,11 +17,11 @@
 // which replicas there are.
 func TestSuccessorIsAdoptedWhileTheStoreIsAway(t *testing.T) {
 	f := newFleet(t)
-	old := f.replica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: freeAddr(t)})
+	old := f.replica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Chunks: 2, Listen: freeAddr(t)})
 	n := f.serving()
-	f.store.Silent(true)
+	f.store.SetUnresponsive(true)
 	old.Crash()
-	young := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Pieces: 2, Listen: old.Addr()}
+	young := &fakes.Replica{ID: "e1", Service: "llm", Domain: "d0", Engine: true, Chunks: 2, Listen: old.Addr()}
 	if err := young.Start(f.at); err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		return err == nil && resp.StatusCode == http.StatusOK && len(text) > 0
 	})
 	f.store.Register(young, false)
-	f.store.Silent(false)
+	f.store.SetUnresponsive(false)
 	await(t, "the store's word", func() bool { return n.news.age(time.Now()) < staleAfter })
 	time.Sleep(listedWithin + 2*adoptEvery) // nothing is to happen to it
 	if n.dir.Leaving("e1") {
@@ -55,7 +55,7 @@
 	}
 	v.table.Install(route.NewTable(cfg))
 	v.Put(replicaEntry("i-a", "10.0.0.1:80", 5))
-	v.Settled()
+	v.BatchDone()
 	return v
 }
 
@@ -74,7 +74,7 @@
 	}
 	v.adopt([]adoptedReplica{{Name: "i-c", Addr: "10.0.0.1:80"}})
 	v.Put(replicaEntry("i-c", "10.0.0.1:80", 7))
-	v.Settled()
+	v.BatchDone()
 	v.dropAdopted()
 	if v.dir.Leaving("i-c") {
 		t.Error("a replica that the store lists is dropped")
--- a/hosted/bench_test.go
+++ b/hosted/bench_test.go
@@ -12,7 +12,7 @@
 	for _, n := range []int{120, 3000} {
 		b.Run(fmt.Sprintf("%d replicas", n), func(b *testing.B) {
 			pick := pickerOf(b, engineList(n, 3), 55000)
-			ask := generation.Ask{Request: "q", Service: "llm", Size: 5000}
+			ask := generation.PickRequest{RequestID: "q", Service: "llm", PromptTokens: 5000}
 			b.ReportAllocs()
 			for b.Loop() {
 				r, share, err := pick.Pick(b.Context(), ask)
--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -50,7 +50,7 @@
 	for _, c := range crowdedFleets {
 		var got [2]figures
 		all := 0
-		for i, way := range []admission.Refusal{admission.RefuseLate, admission.RefuseUnservable} {
+		for i, way := range []admission.RefusalPolicy{admission.RefuseLate, admission.RefuseUnservable} {
 			size := c.size
 			size.change = refusing(way)
 			got[i], all = c.load.play(t, size, func(*replayed) {})
@@ -67,6 +67,6 @@
 }
 
 // refusing sets a way of refusal.
-func refusing(way admission.Refusal) func(*picker) {
+func refusing(way admission.RefusalPolicy) func(*picker) {
 	return func(p *picker) { p.refusal = way }
 }
