--- a/hosted/fleet_test.go
+++ b/hosted/fleet_test.go
@@ -34,7 +34,7 @@
 func newFleet(t *testing.T) *testFleet {
 	f := &testFleet{t: t, store: fakes.NewStore(), replicas: map[string]*fakes.Replica{}}
 	t.Cleanup(func() {
-		f.store.Silent(false)
+		f.store.SetUnresponsive(false)
 		f.store.CloseClientConnections()
 		f.store.Close()
 	})
@@ -65,7 +65,7 @@
 	var out []*fakes.Replica
 	for i := range n {
 		out = append(out, f.replica(&fakes.Replica{
-			ID: fmt.Sprintf("e%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Pieces: pieces, Gap: gap,
+			ID: fmt.Sprintf("e%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Chunks: pieces, ChunkGap: gap,
 		}))
 	}
 	return out
@@ -93,7 +93,7 @@
 		return fakes.Route{Name: name, Kind: kind, Service: service, Attempts: attempts, Timeout: timeout}
 	}
 	f.store.PutConfig(fakes.Config{
-		Version: f.version, Account: "acc", Keys: keys, Engines: "llm", Plain: "app",
+		Version: f.version, Account: "acc", Keys: keys, EngineService: "llm", OtherService: "app",
 		Routes: []fakes.Route{
 			route("draft", "streaming", "llm", 20*time.Second, 5),
 			route("book", "non_idempotent", "app", 3*time.Second, 1),
@@ -206,9 +206,9 @@
 
 // send makes a request with its own id through the node.
 func (n *testNode) send(ctx context.Context, path, id, apiKey string) (*http.Response, error) {
-	req, err := fakes.Ask{
+	req, err := fakes.ClientRequest{
 		Addr: n.front.Addr().String(), Path: path, ID: id, Key: apiKey, Budget: 15 * time.Second, Prompt: "aa:40," + id + ":60",
-	}.Request()
+	}.HTTPRequest()
 	if err != nil {
 		return nil, err
 	}
@@ -233,7 +233,7 @@
 func draft(id string, pieces int) string {
 	s := ""
 	for n := 1; n <= pieces; n++ {
-		s += fakes.Piece(id, n)
+		s += fakes.Chunk(id, n)
 	}
 	return s
 }
@@ -242,7 +242,7 @@
 func running(engines []*fakes.Replica, id string) *fakes.Replica {
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
-			if a.ID == id && a.Ran && !a.Ended {
+			if a.ID == id && a.Ran && !a.Completed {
 				return e
 			}
 		}
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -67,7 +67,7 @@
 }
 
 // held takes in that a request is held back, which the store may not know yet.
-func (h *holds) held(n quarantine.HeldNews, found bool) {
+func (h *holds) held(n quarantine.HoldUpdate, found bool) {
 	due := time.Now()
 	if !found {
 		due = due.Add(othersWait + rand.N(othersSpread))
@@ -123,7 +123,7 @@
 	h.stored[d] = until
 	h.add(d, &holdTask{due: time.Now().Add(max(left, 0) + rand.N(expirySpread)), remove: true})
 	h.mu.Unlock()
-	h.guard.Hold(quarantine.HeldNews{Digest: d, Account: r.Account, LeftMS: left.Milliseconds()}, "store")
+	h.guard.Hold(quarantine.HoldUpdate{Digest: d, Account: r.Account, RemainingMS: left.Milliseconds()}, "store")
 	return true
 }
 
@@ -144,7 +144,7 @@
 	delete(h.tasks, d)
 	h.mu.Unlock()
 	if !known || time.Now().Before(until) {
-		h.guard.RecordGone(d)
+		h.guard.RecordRemoved(d)
 	} else if again, held := h.guard.HoldOf(d); held {
 		h.held(again, false)
 	}
@@ -205,7 +205,7 @@
 	t.due = time.Now().Add(holdRetry)
 	h.log.Emit(event.HoldNotStored, "digest", d.String(), "remove", t.remove, "err", err)
 	if t.found {
-		h.guard.Repeat(d)
+		h.guard.RebroadcastHold(d)
 	}
 }
 
@@ -220,7 +220,7 @@
 	if !held {
 		return nil // it was lifted meanwhile
 	}
-	left := time.Duration(n.LeftMS) * time.Millisecond
+	left := time.Duration(n.RemainingMS) * time.Millisecond
 	data, err := json.Marshal(holdRecord{Account: n.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
 	if err != nil {
 		return Error.Wrap(err)
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -96,7 +96,7 @@
 	n.holds = newHolds(store, n.log)
 	n.view = newView(n.table, n.dir, n.mon, n.peers, n.rollouts, log)
 	n.view.holds = n.holds
-	n.mirror = mirror.New(store, n.view, mirror.Config{Reads: n.news.reads, OnNews: n.news.say, Log: log, Set: n.meter})
+	n.mirror = mirror.New(store, n.view, mirror.Config{IsReader: n.news.reads, OnUpdate: n.news.say, Log: log, Set: n.meter})
 	n.news.mirror = n.mirror
 	relay, err := n.newRelay()
 	if err != nil {
@@ -111,7 +111,7 @@
 	n.adopter = &adopter{view: n.view, news: n.news, seeker: succession.New(replicas), tell: n.peers.tellAdopted}
 	n.peers.adopter = n.adopter
 	ask := inquirer{n.dir, replicas}
-	n.mon.Inquirer = ask
+	n.mon.RunQuerier = ask
 	n.guard = n.newGuard(ask)
 	n.holds.guard, n.peers.guard = n.guard, n.guard
 	find := holders.New(replicas, holders.Config{Set: n.meter})
@@ -125,31 +125,31 @@
 	}
 	pick.tellSoon = n.peers.tellSoon
 	pick.rollouts = n.rollouts
-	pick.refusal = admission.Refusal(n.set.Hosted.Decisions.Refusing)
+	pick.refusal = admission.RefusalPolicy(n.set.Hosted.Decisions.RefusalPolicy)
 	budgets := newBudgets(n.set.Hosted, n.peers.nodes)
 	runner, err := generation.New(generation.Deps{
-		Admitter: openDoor{},
-		Picker:   pick,
-		Watcher:  placement.Watcher{Monitor: n.mon, Dir: n.dir, Leaves: platform.CodeElsewhere},
-		Engines:  observed{replicas, n.rollouts},
-		Budget:   budgets,
-		Copier:   replicas,
-		Inquirer: replicas,
-		Guard:    n.guard,
+		Admitter:   openDoor{},
+		Picker:     pick,
+		Watcher:    placement.Watcher{Monitor: n.mon, Dir: n.dir, LeavingCode: platform.CodeMisdirected},
+		Engines:    observed{replicas, n.rollouts},
+		Budget:     budgets,
+		Copier:     replicas,
+		RunQuerier: replicas,
+		Guard:      n.guard,
 	}, generation.Options{
-		Node:            n.set.Node.ID,
-		StartedPatience: startedPatience,
-		RetryAfter:      refusedRetry,
-		MaxFruitless:    maxFruitless,
-		Rand:            rand.Float64,
-		Log:             n.log,
-		Metrics:         n.meter,
+		Node:                 n.set.Node.ID,
+		StartedMaxWait:       startedPatience,
+		RetryAfter:           refusedRetry,
+		MaxTokenlessAttempts: maxFruitless,
+		Rand:                 rand.Float64,
+		Log:                  n.log,
+		Metrics:              n.meter,
 	})
 	if err != nil {
 		return nil, err
 	}
 	return relay.New(relay.Config{
-		Table: n.table, Runner: runner, Budgets: budgets, Patience: pick.refusal.Patience, Log: n.log, Set: n.meter,
+		Table: n.table, Runner: runner, Budgets: budgets, StreamMaxWait: pick.refusal.MaxWait, Log: n.log, Set: n.meter,
 	}), nil
 }
 
@@ -161,10 +161,10 @@
 		}, h)
 	}
 	var err error
-	if n.front, err = open(n.set.Hosted.FrontAddress, &platform.Front{Relay: r, Table: n.table}); err != nil {
+	if n.front, err = open(n.set.Hosted.FrontAddress, &platform.ClientHandler{Relay: r, Table: n.table}); err != nil {
 		return err
 	}
-	if n.ready, err = open(n.set.Hosted.ReadinessAddress, platform.Readiness{Ready: n.readiness}); err != nil {
+	if n.ready, err = open(n.set.Hosted.ReadinessAddress, platform.ReadinessHandler{Ready: n.readiness}); err != nil {
 		return err
 	}
 	n.stats, err = open(n.set.Hosted.MetricsAddress, n.inspection())
--- a/hosted/hosted_test.go
+++ b/hosted/hosted_test.go
@@ -108,7 +108,7 @@
 	defer resp.Body.Close()
 	e := running(engines, "q1")
 	leave()
-	await(t, "the end of the run", func() bool { return e.Open() == 0 })
+	await(t, "the end of the run", func() bool { return e.OpenRequests() == 0 })
 }
 
 // Symptom: a request is sent to a replica that leaves, seconds after the node
@@ -152,12 +152,12 @@
 	f := newFleet(t)
 	f.app("a0", "d0")
 	f.configure(key, "other")
-	door := f.store.NewDoor()
+	door := f.store.NewEndpoint()
 	t.Cleanup(door.Close)
 	n1, n2 := f.node("n1"), f.nodeAt("n2", door.Addr())
 	await(t, "readiness", func() bool { return n1.ready() && n2.ready() })
 	await(t, "the link", func() bool { return n2.peers.linked() })
-	door.Shut()
+	door.Disable()
 	f.configure("other")
 	await(t, "the revocation at the other node", func() bool {
 		status, _ := n2.get("/look/x", "q", key)
@@ -197,7 +197,7 @@
 func TestAnswerAtTheRoutesTimeout(t *testing.T) {
 	f := newFleet(t)
 	a := f.app("a0", "d0")
-	a.Set(fakes.Faults{Silent: true})
+	a.SetFaults(fakes.Faults{NoResponse: true})
 	n := f.serving()
 	if status, _ := n.get("/short/x", "q", key); status != http.StatusGatewayTimeout {
 		t.Errorf("got %d", status)
@@ -222,9 +222,9 @@
 			held = e.ID
 		}
 	}
-	req, err := fakes.Ask{
-		Addr: n.front.Addr().String(), Path: "/draft/x", ID: "q2", Key: key, Budget: 15 * time.Second, After: 3, Prompt: "aa:40,q1:60",
-	}.Request()
+	req, err := fakes.ClientRequest{
+		Addr: n.front.Addr().String(), Path: "/draft/x", ID: "q2", Key: key, Budget: 15 * time.Second, LastChunk: 3, Prompt: "aa:40,q1:60",
+	}.HTTPRequest()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -234,7 +234,7 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	if err != nil || string(body) != fakes.Piece("q2", 4)+fakes.Piece("q2", 5) {
+	if err != nil || string(body) != fakes.Chunk("q2", 4)+fakes.Chunk("q2", 5) {
 		t.Errorf("%v: got %q", err, body)
 	}
 	for _, e := range engines {
--- a/hosted/lifetime_test.go
+++ b/hosted/lifetime_test.go
@@ -31,10 +31,12 @@
 // learn takes in one item by itself.
 func (v *view) learn(item infra.Value) {
 	v.Put(item)
-	v.Settled()
+	v.BatchDone()
 }
 
-func lifeID(name string, born int64) string { return fleet.Lifetime{Name: name, Born: born}.ID() }
+func lifeID(name string, born int64) string {
+	return fleet.Incarnation{Name: name, StartedAt: born}.ID()
+}
 
 // Symptom: a sound replica gets no work, or a run is waited for that is gone. Sequence:
 // a replica starts again under its name. Cause: what was known of the earlier start
@@ -56,7 +58,7 @@
 	if !v.dir.Leaving(lifeID("i", 1000)) {
 		t.Error("the earlier lifetime still gets work")
 	}
-	if context.Cause(ctx) != health.ErrEnded {
+	if context.Cause(ctx) != health.ErrRestarted {
 		t.Errorf("the run of the earlier lifetime is waited for: %v", context.Cause(ctx))
 	}
 }
@@ -69,12 +71,12 @@
 	v := newTestView()
 	v.Put(bornEntry("i", 2000, 5, "ready"))
 	v.Put(bornEntry("i", 1000, 6, "ready")) // the clock was set back
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(lifeID("i", 1000)) || !v.dir.Leaving(lifeID("i", 2000)) {
 		t.Error("a later start with an earlier time of birth is not believed")
 	}
 	v.Put(bornEntry("i", 2000, 7, "ready")) // a heartbeat that was on its way
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(lifeID("i", 1000)) || !v.dir.Leaving(lifeID("i", 2000)) {
 		t.Error("a lifetime that another one followed is back")
 	}
@@ -93,7 +95,7 @@
 	}
 	v.Put(bornEntry("i", 1000, 6, "ready"))
 	v.adopt([]adoptedReplica{{Name: "i", Addr: "10.0.0.1:80", Born: 1000}})
-	v.Settled()
+	v.BatchDone()
 	if v.dir.Leaving(lifeID("i", 2000)) || !v.dir.Leaving(lifeID("i", 1000)) {
 		t.Error("an older word undid the adoption")
 	}
@@ -113,8 +115,8 @@
 	var engines []*fakes.Replica
 	for i := range 4 {
 		engines = append(engines, f.replica(&fakes.Replica{
-			ID: fmt.Sprintf("e%d", i), Born: 1000, Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true,
-			Pieces: 40, Gap: 10 * time.Millisecond, Listen: freeAddr(t),
+			ID: fmt.Sprintf("e%d", i), StartedAt: 1000, Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true,
+			Chunks: 40, ChunkGap: 10 * time.Millisecond, Listen: freeAddr(t),
 		}))
 	}
 	n := f.serving()
@@ -172,7 +174,7 @@
 			if got := v.dir.IDs(); len(got) != 1 {
 				t.Errorf("known are %v", got)
 			}
-			v.Gone("servers/x")
+			v.Removed("servers/x")
 		})
 	}
 }
@@ -207,7 +209,7 @@
 	v.learn(infra.Value{Key: "servers/x", CreateRev: 9, ModRev: 9, Data: []byte(foreign()["unnamed service"])})
 	v.table.Install(route.NewTable(&route.Config{Version: 2, Services: []route.Service{{Name: "llm"}, {Name: "other"}}}))
 	v.putUnnamed()
-	v.Settled()
+	v.BatchDone()
 	if len(v.dir.IDs()) != 1 {
 		t.Error("the replica is not known")
 	}
@@ -231,7 +233,7 @@
 			}
 			v.Put(item)
 		}
-		v.Settled()
+		v.BatchDone()
 		for _, id := range v.dir.IDs() {
 			if !want[id] {
 				rt.Errorf("%s is known", id)
--- a/hosted/lifetimes.go
+++ b/hosted/lifetimes.go
@@ -14,8 +14,8 @@
 // last counts, the store's in the order of its revisions, but a lifetime that another
 // one has followed never comes back.
 type lifetimes struct {
-	current map[string]fleet.Lifetime   // by name
-	ended   map[string][]fleet.Lifetime // by name, the latest last
+	current map[string]fleet.Incarnation   // by name
+	ended   map[string][]fleet.Incarnation // by name, the latest last
 }
 
 // keptEnded is how many ended lifetimes are remembered for a name. A word that is
@@ -23,7 +23,7 @@
 const keptEnded = 16
 
 func newLifetimes() lifetimes {
-	return lifetimes{current: map[string]fleet.Lifetime{}, ended: map[string][]fleet.Lifetime{}}
+	return lifetimes{current: map[string]fleet.Incarnation{}, ended: map[string][]fleet.Incarnation{}}
 }
 
 // newness is what a word about a name is, against what is known.
@@ -37,7 +37,7 @@
 )
 
 // follow takes in the lifetime that a word names. before is the one known until then.
-func (l *lifetimes) follow(word fleet.Lifetime) (before fleet.Lifetime, n newness) {
+func (l *lifetimes) follow(word fleet.Incarnation) (before fleet.Incarnation, n newness) {
 	known, ok := l.current[word.Name]
 	switch {
 	case !ok:
@@ -53,7 +53,7 @@
 	return known, reborn
 }
 
-func (l *lifetimes) end(life fleet.Lifetime) {
+func (l *lifetimes) end(life fleet.Incarnation) {
 	kept := append(l.ended[life.Name], life)
 	if len(kept) > keptEnded {
 		kept = kept[len(kept)-keptEnded:]
@@ -62,7 +62,7 @@
 }
 
 // of returns the lifetime that a name stands for now.
-func (l *lifetimes) of(name string) (fleet.Lifetime, bool) {
+func (l *lifetimes) of(name string) (fleet.Incarnation, bool) {
 	life, ok := l.current[name]
 	return life, ok
 }
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -76,7 +76,7 @@
 // tellNow tells all that is under way, or what has changed since it was told last, and
 // returns what was told and when it was all.
 func (p *peers) tellNow(now time.Time, last directory.PeerLoads, all time.Time, send func(loadsMessage)) (directory.PeerLoads, time.Time) {
-	own := p.dir.OwnLoads()
+	own := p.dir.LocalLoads()
 	if now.Sub(all) >= tellAll {
 		send(loadsMessage{Loads: own, All: true})
 		return own, now
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -35,7 +35,7 @@
 					}
 				}, to.sum)
 				time.Sleep(tellEvery + time.Millisecond) // the first repetition
-				share := own.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Held: 6000})
+				share := own.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Memory: 6000})
 				time.Sleep(tellAll - tellEvery) // just before the next one
 				if other.dir.Reading("e0") != 5000 {
 					t.Fatal("the request was not heard of")
@@ -71,12 +71,12 @@
 		go p.tellAlways(ctx, func(loadsMessage) {}, func(time.Time) {})
 		p.takeLoads("other", loadsMessage{All: true, Loads: directory.PeerLoads{"e0": {Requests: 1, Reading: 5000}}})
 		time.Sleep(2 * tellEvery)
-		if !pick.dir.OthersTell() || pick.dir.Reading("e0") != 5000 {
+		if !pick.dir.PeersSendLoads() || pick.dir.Reading("e0") != 5000 {
 			t.Fatal("the word of one that is all others doesn't count")
 		}
 		many.Store(true)
 		time.Sleep(2 * tellEvery)
-		if pick.dir.OthersTell() || pick.dir.Reading("e0") != 0 {
+		if pick.dir.PeersSendLoads() || pick.dir.Reading("e0") != 0 {
 			t.Error("the word of a few counts")
 		}
 		stop()
--- a/hosted/news.go
+++ b/hosted/news.go
@@ -71,8 +71,8 @@
 }
 
 func (n *news) join(mesh *peer.Mesh) {
-	peer.Handle(mesh, tellNews, n.hear)
-	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.Question) (mirror.Delta, error) {
+	peer.HandleFlood(mesh, tellNews, n.hear)
+	peer.HandleCall(mesh, callDelta, func(_ context.Context, _ string, q mirror.DeltaRequest) (mirror.Delta, error) {
 		return n.mirror.Delta(q), nil
 	})
 	n.mu.Lock()
@@ -146,7 +146,7 @@
 	n.mu.Unlock()
 	if mesh != nil {
 		// Said again soon; a neighbour that misses it reads the store itself.
-		_ = mesh.Tell(tellNews, m)
+		_ = mesh.SendToLinked(tellNews, m)
 	}
 }
 
@@ -166,10 +166,10 @@
 
 // pull takes in what a neighbour knows more.
 func (n *news) pull(mesh *peer.Mesh, from string) {
-	err := n.mirror.Pull(from, func(q mirror.Question) (mirror.Delta, error) {
+	err := n.mirror.Pull(from, func(q mirror.DeltaRequest) (mirror.Delta, error) {
 		ctx, stop := context.WithTimeout(context.Background(), pullTimeout)
 		defer stop()
-		return peer.Call[mirror.Question, mirror.Delta](ctx, mesh, from, callDelta, q)
+		return peer.Call[mirror.DeltaRequest, mirror.Delta](ctx, mesh, from, callDelta, q)
 	})
 	if err != nil {
 		n.log.Emit(event.PeerAskFailed, "peer", from, "err", err)
--- a/hosted/news_size_test.go
+++ b/hosted/news_size_test.go
@@ -118,8 +118,8 @@
 	h.got = max(h.got, v.ModRev)
 }
 
-func (*hearing) Gone(string) {}
-func (*hearing) Settled()    {}
+func (*hearing) Removed(string) {}
+func (*hearing) BatchDone()     {}
 
 // newsNode is one node with its links and what it knows of the store.
 type newsNode struct {
@@ -130,20 +130,20 @@
 
 func newsNodeID(i int) string { return fmt.Sprintf("n%03d", i) }
 
-func startNewsNode(t *testing.T, ctx context.Context, f *peertest.Fabric, log *changeLog, seeds []string, i, domains int) *newsNode {
+func startNewsNode(t *testing.T, ctx context.Context, f *peertest.Network, log *changeLog, seeds []string, i, domains int) *newsNode {
 	id, domain := newsNodeID(i), fmt.Sprint("d", i%domains)
 	n := &newsNode{heard: &hearing{log: log}, away: &atomic.Bool{}}
 	mesh, err := peer.New(peer.Config{
 		ID: id, Addr: id, FailureDomain: domain, Dial: f.Dial(id),
 		Heartbeat: peerHeartbeat, DialTimeout: peerDialTimeout, MaxBackoff: peerMaxBackoff,
-		Topology: peer.Topology{FullMeshLimit: 24, NearLinks: 3, FarLinks: 3},
+		Topology: peer.Topology{FullMeshLimit: 24, SameDomainLinks: 3, OtherDomainLinks: 3},
 	}, make([]byte, peerKeyBytes), nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	mesh.AddSeeds(seeds) // as from the store
+	mesh.SetDiscoveredSeeds(seeds) // as from the store
 	news := newNews(id, domain, nil)
-	news.mirror = mirror.New(turnable{log, n.away}, n.heard, mirror.Config{Reads: news.reads, OnNews: news.say, Set: metrics.NewSet()})
+	news.mirror = mirror.New(turnable{log, n.away}, n.heard, mirror.Config{IsReader: news.reads, OnUpdate: news.say, Set: metrics.NewSet()})
 	n.news = news
 	news.join(mesh)
 	srv := &http.Server{Handler: mesh, ReadHeaderTimeout: time.Second}
@@ -183,7 +183,7 @@
 
 func newsOfTurnedAway(t *testing.T, size, domains int) {
 	ctx, stop := context.WithCancel(t.Context())
-	f, log := peertest.NewFabric(), newChangeLog()
+	f, log := peertest.NewNetwork(), newChangeLog()
 	var nodes []*newsNode
 	var seeds []string
 	for i := range size {
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if !r.Opaque.Streaming {
-		run.timed(o.rollouts, rollout.Whole)
+		run.timed(o.rollouts, rollout.TotalTime)
 		run.end(o.rollouts)
 		return s, nil
 	}
@@ -81,13 +81,13 @@
 // newObservedRun judges first attempts only: what follows one goes to the old version, and
 // often after a crash.
 func newObservedRun(b fleet.Backend, r *backend.StartRequest, one *serviceRollout) *observedRun {
-	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.Last}
-	if one == nil || !r.First || r.Copies.Held || !one.Stage().Open() {
+	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.LastAttempt}
+	if one == nil || !r.FirstAttempt || r.Copies.FromCopy || !one.Stage().Open() {
 		return run
 	}
-	run.one, run.began = one, clock.Boot()
+	run.one, run.began = one, clock.SinceBoot()
 	if r.Opaque.Streaming {
-		run.aspect = rollout.First
+		run.aspect = rollout.TimeToFirst
 	}
 	return run
 }
@@ -99,14 +99,14 @@
 	}
 	rule := r.one.Rule()
 	s.judged.Inc()
-	r.one.Observe(rollout.Cell{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
-		r.b.Version == rule.Target, clock.Boot())
+	r.one.Observe(rollout.CountKey{Route: r.route, Aspect: aspect, Domain: r.b.FailureDomain, Grade: grade},
+		r.b.Version == rule.Target, clock.SinceBoot())
 }
 
 // timed counts how long the answer, or its first piece, took.
 func (r *observedRun) timed(s *rollouts, aspect rollout.Aspect) {
 	if r.one != nil && !r.noted.Swap(true) {
-		r.observe(s, aspect, rollout.GradeOf(clock.Boot()-r.began))
+		r.observe(s, aspect, rollout.GradeOf(clock.SinceBoot()-r.began))
 	}
 }
 
@@ -134,7 +134,7 @@
 	case answered || errors.Is(err, backend.ErrMismatch):
 		r.noted.Store(true)
 		r.observe(s, r.aspect, rollout.Failed)
-	case refused || errors.Is(err, backend.ErrDial) || r.ctx.Err() != nil:
+	case refused || errors.Is(err, backend.ErrNotSent) || r.ctx.Err() != nil:
 		// It did not run, or was ended from here.
 	default:
 		time.AfterFunc(cutCheck, func() { r.cut(s) })
@@ -153,9 +153,9 @@
 // ended tells whether a replica has crashed, which the failure detector learns only by the
 // next attempts there.
 func (s *rollouts) ended(b fleet.Backend) bool {
-	ctx, stop := context.WithTimeout(context.Background(), quarantine.LookTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
-	return s.looker.Look(ctx, b) == quarantine.Ended
+	return s.looker.Probe(ctx, b) == quarantine.Exited
 }
 
 func (r *observedRun) end(s *rollouts) {
@@ -193,8 +193,8 @@
 	r.pieces++
 	switch r.pieces {
 	case 1:
-		r.timed(s, rollout.First)
-		r.first = clock.Boot()
+		r.timed(s, rollout.TimeToFirst)
+		r.first = clock.SinceBoot()
 	case pacePieces:
 		r.paced(s, pacePieces)
 	}
@@ -205,7 +205,7 @@
 	if r.one == nil || r.pieces < least || r.first == 0 {
 		return
 	}
-	r.observe(s, rollout.Pace, rollout.GradeOf((clock.Boot()-r.first)/time.Duration(r.pieces-1)))
+	r.observe(s, rollout.ChunkInterval, rollout.GradeOf((clock.SinceBoot()-r.first)/time.Duration(r.pieces-1)))
 	r.first = 0
 }
 
@@ -258,7 +258,7 @@
 		return 0
 	}
 	for _, r := range k.of(service) {
-		if r.resumable && rule.Moves(&r.b) && r.ctx.Err() == nil {
+		if r.resumable && rule.MovesRuns(&r.b) && r.ctx.Err() == nil {
 			r.cancel(generation.ErrMoved)
 			n++
 		}
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -111,7 +111,7 @@
 func (p *peers) crashed(domain string) {
 	if mesh := p.joined(); mesh != nil {
 		// Not delivered means only that others find out for themselves.
-		_ = mesh.Tell(floodCrash, crashMessage{domain})
+		_ = mesh.SendToLinked(floodCrash, crashMessage{domain})
 	}
 }
 
@@ -197,7 +197,7 @@
 			addrs = append(addrs, addr)
 		}
 	}
-	p.mesh.AddSeeds(addrs)
+	p.mesh.SetDiscoveredSeeds(addrs)
 }
 
 // nodes is the number of nodes that are registered, this one included.
@@ -245,9 +245,9 @@
 		}
 	}()
 	defer l.Close()
-	p.full = mesh.Full
+	p.full = mesh.IsFullMesh
 	go p.tellAlways(ctx, func(m loadsMessage) {
-		_ = mesh.Tell(tellLoads, m) // one that is lost is repeated with all the others
+		_ = mesh.SendToLinked(tellLoads, m) // one that is lost is repeated with all the others
 	}, func(now time.Time) {
 		p.news.tick(now)
 		p.rollouts.tick(now)
@@ -263,17 +263,17 @@
 		Heartbeat:     peerHeartbeat,
 		DialTimeout:   peerDialTimeout,
 		MaxBackoff:    peerMaxBackoff,
-		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, NearLinks: p.set.Peers.LinksInside, FarLinks: p.set.Peers.LinksAcross},
+		Topology:      peer.Topology{FullMeshLimit: p.set.Peers.FullMeshLimit, SameDomainLinks: p.set.Peers.SameDomainLinks, OtherDomainLinks: p.set.Peers.OtherDomainLinks},
 	}, p.key, p.log, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	peer.Handle(mesh, tellLoads, p.takeLoads)
-	peer.Handle(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.DomainRumour(m.Domain) })
-	peer.Handle(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromRumour) })
-	peer.Handle(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.hear(m) })
-	peer.Handle(mesh, floodRollout, p.rollouts.hear)
-	peer.Handle(mesh, quarantine.FloodNews, p.guard.Hear)
+	peer.HandleFlood(mesh, tellLoads, p.takeLoads)
+	peer.HandleFlood(mesh, floodCrash, func(_ string, m crashMessage) { p.mon.HandleDomainReport(m.Domain) })
+	peer.HandleFlood(mesh, floodGone, func(_ string, m goneMessage) { p.dir.MarkLeaving(m.Replica, "", directory.FromPeerReport) })
+	peer.HandleFlood(mesh, floodAdopted, func(_ string, m adoptedMessage) { p.adopter.hear(m) })
+	peer.HandleFlood(mesh, floodRollout, p.rollouts.hear)
+	peer.HandleFlood(mesh, quarantine.FloodUpdate, p.guard.HandleUpdate)
 	p.news.join(mesh)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -47,7 +47,7 @@
 	survey  *survey
 	// rollouts say which versions attempts may use; nil for any.
 	rollouts *rollouts
-	refusal  admission.Refusal
+	refusal  admission.RefusalPolicy
 	// tellSoon has other routers told at once of a change.
 	tellSoon func()
 }
@@ -87,7 +87,7 @@
 	standbySteps = guarded(
 		routing.StepConfig{Name: routing.FilterHealthy},
 		routing.StepConfig{Name: routing.FilterFresh},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.ScoreMemory},
 	)
 )
@@ -98,7 +98,7 @@
 	return guarded(
 		routing.StepConfig{Name: routing.FilterUsable},
 		routing.StepConfig{Name: byAge},
-		routing.StepConfig{Name: routing.FilterRoom},
+		routing.StepConfig{Name: routing.FilterMemory},
 		routing.StepConfig{Name: routing.FilterBacklog},
 		routing.StepConfig{Name: routing.ScoreDelay},
 		routing.StepConfig{Name: routing.ScoreMemory, Weight: memoryWeight},
@@ -122,20 +122,20 @@
 
 // Pick implements generation.Picker. Whether a replica is leaving is looked up
 // once more at the moment of sending.
-func (p *picker) Pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) Pick(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	b, share, err := p.pick(ctx, a)
 	one := p.rollouts.of(a.Service)
 	switch {
 	case one == nil:
 	case err == nil:
-		one.Sent(a.Request)
-	case one.Unassign(a.Request): // the version on trial can't take it
+		one.MarkSent(a.RequestID)
+	case one.Unassign(a.RequestID): // the version on trial can't take it
 		return p.Pick(ctx, a)
 	}
 	return b, share, err
 }
 
-func (p *picker) pick(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) pick(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	if b, share, ok := p.preferred(a); ok {
 		return b, share, nil
 	}
@@ -149,10 +149,10 @@
 }
 
 // choose looks in other failure domains first than that of the attempt that was lost.
-func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.Ask, load directory.Load) (fleet.Backend, generation.Share, error) {
+func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.PickRequest, load directory.Load) (fleet.Backend, generation.LoadShare, error) {
 	ask := p.ask(a)
 	ask.OtherDomain = a.LostDomain
-	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, Wait: waitForReplica}
+	chooser := placement.Chooser{Dir: p.dir, Mon: p.mon, RetryAfter: waitForReplica}
 	b, share, err := chooser.Pick(router, among, ask, load)
 	if err == nil || ask.OtherDomain == "" {
 		return b, share, err
@@ -162,7 +162,7 @@
 }
 
 // preferred is the replica that holds a copy of the run, if it takes work.
-func (p *picker) preferred(a generation.Ask) (fleet.Backend, generation.Share, bool) {
+func (p *picker) preferred(a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
 	if a.Prefer == "" || a.Exclude[a.Prefer] || p.dir.Leaving(a.Prefer) || !p.allowed(a.Prefer) {
 		return fleet.Backend{}, nil, false
 	}
@@ -171,13 +171,13 @@
 		return fleet.Backend{}, nil, false
 	}
 	prompt, _ := tokensOf(a)
-	p.queues.of(a.Service).losses.Lost(time.Now())
+	p.queues.of(a.Service).losses.RecordLoss(time.Now())
 	return b, p.dir.Begin(b.ID, loadOf(a, int((1-unreadByCopy)*float64(prompt)))), true
 }
 
 // holder is the replica that still holds the prompt of a client that came back.
-func (p *picker) holder(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, bool) {
-	if len(a.Parts) == 0 {
+func (p *picker) holder(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
+	if len(a.PromptParts) == 0 {
 		return fleet.Backend{}, nil, false
 	}
 	var up []fleet.Backend
@@ -186,8 +186,8 @@
 			up = append(up, c.Backend)
 		}
 	}
-	id, tokens := p.holders.Find(ctx, up, a.Parts)
-	p.log.Emit(event.HolderSought, "request", a.Request, "asked", len(up), "backend", id, "tokens", tokens)
+	id, tokens := p.holders.Find(ctx, up, a.PromptParts)
+	p.log.Emit(event.HolderSought, "request", a.RequestID, "asked", len(up), "backend", id, "tokens", tokens)
 	if tokens == 0 || p.dir.Leaving(id) {
 		return fleet.Backend{}, nil, false
 	}
@@ -204,36 +204,36 @@
 // What goes wrong if all are asked: when all routers end, all clients come back in one
 // second, and each router asks each engine. It shows as engines whose work is delayed by
 // thousands of questions.
-func (p *picker) mayHold(a generation.Ask) []routing.Candidate {
+func (p *picker) mayHold(a generation.PickRequest) []routing.Candidate {
 	all := p.allowedReplicas(a.Service)
-	if !p.survey.needed() || a.Own == "" {
+	if !p.survey.needed() || a.UniquePart == "" {
 		return all
 	}
-	return routing.Homes(all, homeKey(a), 2*homes)
+	return routing.PreferredEngines(all, homeKey(a), 2*homes)
 }
 
-// Keeps implements generation.Picker.
-func (p *picker) Keeps(id string) bool {
+// KeepsCopy implements generation.Picker.
+func (p *picker) KeepsCopy(id string) bool {
 	return p.healthy(id) && !p.dir.Leaving(id) && p.allowed(id)
 }
 
 // Standby implements generation.Picker: a replica of another failure domain
 // than b, so that the loss of one domain doesn't take the run and its copy.
-func (p *picker) Standby(a generation.Ask, b fleet.Backend) (fleet.Backend, generation.Share, bool) {
+func (p *picker) Standby(a generation.PickRequest, b fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	ask := p.ask(a)
 	ask.Now = time.Now()
-	ask.Exclude = placement.With(a.Exclude, b.ID)
+	ask.Exclude = placement.WithID(a.Exclude, b.ID)
 	ask.OtherDomain = b.FailureDomain
 	ask.Capacity = int(p.queues.of(a.Service).losses.CopyShare(ask.Now) * float64(ask.Capacity))
 	c, _, err := p.standby.Pick(p.allowedReplicas(a.Service), ask)
 	if err != nil {
 		return fleet.Backend{}, nil, false
 	}
-	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Held: float64(ask.Holds)}), true
+	return c.Backend, p.dir.Begin(c.Backend.ID, directory.Load{Memory: float64(ask.MemoryTokens)}), true
 }
 
-func (p *picker) ask(a generation.Ask) routing.Ask {
-	ask := routing.Ask{
+func (p *picker) ask(a generation.PickRequest) routing.PickRequest {
+	ask := routing.PickRequest{
 		Priority:   a.Priority,
 		Exclude:    a.Exclude,
 		Resume:     a.Resume,
@@ -247,7 +247,7 @@
 		ask.Backlog = idleOnly
 	}
 	prompt, answer := tokensOf(a)
-	ask.Tokens, ask.Holds = prompt, prompt+answer
+	ask.PromptTokens, ask.MemoryTokens = prompt, prompt+answer
 	return ask
 }
 
@@ -262,19 +262,19 @@
 func (p *picker) healthy(id string) bool { return p.mon.State(id) == health.Healthy }
 
 // tokensOf returns the tokens of a request's prompt and answer.
-func tokensOf(a generation.Ask) (prompt, answer int) {
-	if a.Size <= 0 {
+func tokensOf(a generation.PickRequest) (prompt, answer int) {
+	if a.PromptTokens <= 0 {
 		return typicalPrompt, typicalAnswer
 	}
-	return a.Size, a.Answer
+	return a.PromptTokens, a.MaxAnswerTokens
 }
 
 // loadOf is what a run takes of an engine that holds some tokens of its prompt.
-func loadOf(a generation.Ask, held int) directory.Load {
+func loadOf(a generation.PickRequest, held int) directory.Load {
 	prompt, answer := tokensOf(a)
 	return directory.Load{
 		Requests: 1,
 		Reading:  float64(max(prompt-held, 1)),
-		Held:     float64(prompt + answer),
+		Memory:   float64(prompt + answer),
 	}
 }
--- a/hosted/picker_test.go
+++ b/hosted/picker_test.go
@@ -33,7 +33,7 @@
 	h.SetDefaults()
 	dir, mon := directory.New(nil), health.NewMonitor(policyOf(h), nil, nil)
 	for _, b := range list {
-		mon.Place(b.ID, b.Service, b.FailureDomain)
+		mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	}
 	dir.Update(list, time.Now())
 	table := &route.Current{}
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -57,16 +57,16 @@
 // inquirer has replicas asked about their runs. It implements health.Inquirer.
 type inquirer struct {
 	dir      *directory.Directory
-	replicas generation.Inquirer
+	replicas generation.RunQuerier
 }
 
-func (q inquirer) Ask(ctx context.Context, id string) (health.Word, error) {
+func (q inquirer) QueryRuns(ctx context.Context, id string) (health.RunReport, error) {
 	b, ok := q.dir.Backend(id)
 	if !ok {
 		return nil, Error.New("replica %s is not known", id)
 	}
 	report, err := q.replicas.Runs(ctx, b)
-	if err == nil && report.Reborn {
+	if err == nil && report.Restarted {
 		err = Error.New("replica %s has started again", b.ID)
 	}
 	return report, err
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -38,9 +38,9 @@
 
 // queue is what waits for the engines of one service, and what was learnt of them.
 type queue struct {
-	line    *admission.Line
-	reading admission.Reading
-	losses  *admission.Losses
+	line    *admission.WaitQueue
+	reading admission.PrefillRate
+	losses  *admission.LossHistory
 	gate    surveyGate
 	usual   usualSize
 }
@@ -56,7 +56,7 @@
 	defer q.mu.Unlock()
 	one := q.byService[service]
 	if one == nil {
-		one = &queue{line: admission.NewLine(), losses: admission.NewLosses(time.Now())}
+		one = &queue{line: admission.NewWaitQueue(), losses: admission.NewLossHistory(time.Now())}
 		if q.byService == nil {
 			q.byService = map[string]*queue{}
 		}
@@ -66,19 +66,19 @@
 }
 
 // backlog bounds the tokens that an engine is to have yet to read.
-func (q *queue) backlog(a generation.Ask) float64 {
-	return q.reading.Within(time.Duration(readingShare * float64(a.Target)))
+func (q *queue) backlog(a generation.PickRequest) float64 {
+	return q.reading.TokensWithin(time.Duration(readingShare * float64(a.FirstChunkTarget)))
 }
 
 // engine chooses an engine for a run whose turn it is, or says when to ask again.
-func (p *picker) engine(ctx context.Context, a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) engine(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	q := p.queues.of(a.Service)
 	rank := admission.RankNew
 	if sentBefore(a) {
 		rank = admission.RankStarted
 	}
 	now := time.Now()
-	turn := q.line.Wait(a.Request, rank, a.Age, now)
+	turn := q.line.Poll(a.RequestID, rank, a.SinceFirstTry, now)
 	a.Late = turn.Late
 	if turn.Ahead >= lookers {
 		return fleet.Backend{}, nil, p.waitOrRefuse(q, a, turn, now)
@@ -87,36 +87,36 @@
 	b, share, err := p.place(a)
 	if err == nil {
 		q.usual.add(tokensOf(a))
-		q.line.Had(a.Request, now)
+		q.line.RecordGrant(a.RequestID, now)
 		if a.Resume {
-			q.losses.Lost(now)
+			q.losses.RecordLoss(now)
 		}
 		p.logChoice(a, b.ID, turn, now)
 		return b, p.timed(q, b.ID, share), nil
 	}
 	if u, ok := errors.AsType[*generation.Unavailable](err); !ok || !u.Retryable {
-		q.line.Leave(a.Request)
+		q.line.Remove(a.RequestID)
 		return fleet.Backend{}, nil, err
 	}
 	return fleet.Backend{}, nil, p.waitOrRefuse(q, a, turn, now)
 }
 
 // logChoice tells what an engine was chosen by.
-func (p *picker) logChoice(a generation.Ask, id string, turn admission.Turn, now time.Time) {
+func (p *picker) logChoice(a generation.PickRequest, id string, turn admission.Position, now time.Time) {
 	load, age, said := p.dir.Estimate(id, now)
 	ageMS := int64(-1)
 	if said {
 		ageMS = max(age.Milliseconds(), 0)
 	}
-	p.log.Emit(event.EngineChosen, "request", a.Request, "backend", id, "waited_ms", turn.Waited.Milliseconds(),
-		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Held), "age_ms", ageMS)
+	p.log.Emit(event.EngineChosen, "request", a.RequestID, "backend", id, "waited_ms", turn.Waited.Milliseconds(),
+		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Memory), "age_ms", ageMS)
 }
 
 // place chooses an engine for a run: one of its homes if any of them can take it.
-func (p *picker) place(a generation.Ask) (fleet.Backend, generation.Share, error) {
+func (p *picker) place(a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	all, load := p.candidates(a), loadOf(a, 0)
 	if p.survey.needed() {
-		b, share, err := p.choose(p.home, routing.Homes(all, homeKey(a), homes), a, load)
+		b, share, err := p.choose(p.home, routing.PreferredEngines(all, homeKey(a), homes), a, load)
 		if err == nil {
 			return b, share, nil
 		}
@@ -126,43 +126,43 @@
 
 // waitOrRefuse says when a request is to ask again, or refuses it, by the way of refusal
 // that is set. One that an engine had is never refused here.
-func (p *picker) waitOrRefuse(q *queue, a generation.Ask, turn admission.Turn, now time.Time) error {
+func (p *picker) waitOrRefuse(q *queue, a generation.PickRequest, turn admission.Position, now time.Time) error {
 	wait := p.waitOf(q, a, turn, now)
 	if !sentBefore(a) {
 		if back, refused := p.refusal.Refuses(wait); refused {
-			q.line.Leave(a.Request)
+			q.line.Remove(a.RequestID)
 			return p.refuse(a, wait, back)
 		}
 		if !wait.InTime() && !turn.Late {
-			turn = q.line.Late(a.Request, now)
+			turn = q.line.MarkLate(a.RequestID, now)
 		}
 	}
 	if turn.Waited == 0 {
-		p.log.Emit(event.RequestWaits, "request", a.Request, "service", a.Service, "ahead", turn.Ahead, "late", turn.Late,
-			"expect_ms", wait.Expect.Milliseconds(), "backlog_tokens", int(q.backlog(a)))
+		p.log.Emit(event.RequestWaits, "request", a.RequestID, "service", a.Service, "ahead", turn.Ahead, "late", turn.Late,
+			"expect_ms", wait.Expected.Milliseconds(), "backlog_tokens", int(q.backlog(a)))
 	}
 	next := turnEvery * time.Duration(1+min(turn.Ahead, turnPlaces))
 	return &generation.Unavailable{Retryable: true, RetryAfter: next, Err: errOverloaded}
 }
 
 // waitOf is what is known of a request that waits.
-func (p *picker) waitOf(q *queue, a generation.Ask, turn admission.Turn, now time.Time) admission.Wait {
-	expect, _ := q.line.Expect(turn.Ahead+1, now) // none while no pace is known
-	return admission.Wait{Turn: turn, Expect: expect, Target: a.Target, Left: a.Left}
+func (p *picker) waitOf(q *queue, a generation.PickRequest, turn admission.Position, now time.Time) admission.WaitState {
+	expect, _ := q.line.ExpectedWait(turn.Ahead+1, now) // none while no pace is known
+	return admission.WaitState{Position: turn, Expected: expect, Target: a.FirstChunkTarget, CallerTimeLeft: a.TimeLeft}
 }
 
 // refuse tells a client when to come back.
-func (p *picker) refuse(a generation.Ask, w admission.Wait, back time.Duration) error {
+func (p *picker) refuse(a generation.PickRequest, w admission.WaitState, back time.Duration) error {
 	advice := back + time.Duration(adviceSpread*rand.Float64()*float64(back))
-	p.log.Emit(event.RequestOverload, "request", a.Request, "service", a.Service, "ahead", w.Ahead,
-		"waited_ms", w.Waited.Milliseconds(), "expect_ms", w.Expect.Milliseconds(), "advice_ms", advice.Milliseconds())
+	p.log.Emit(event.RequestOverload, "request", a.RequestID, "service", a.Service, "ahead", w.Ahead,
+		"waited_ms", w.Waited.Milliseconds(), "expect_ms", w.Expected.Milliseconds(), "advice_ms", advice.Milliseconds())
 	return &generation.Unavailable{Code: codeOverloaded, RetryAfter: advice, Err: errOverloaded}
 }
 
 // sentBefore tells whether an engine had the request and was lost, or left for another
 // version: nobody can say any more that it has not run, so that a refusal would be a
 // failure without advice.
-func sentBefore(a generation.Ask) bool { return a.Reached || a.Resume || a.LostDomain != "" }
+func sentBefore(a generation.PickRequest) bool { return a.MayHaveRun || a.Resume || a.LostDomain != "" }
 
 var errOverloaded = Error.New("all engines have as much work as they can take")
 
@@ -176,7 +176,7 @@
 	tell   func()
 }
 
-func (p *picker) timed(q *queue, id string, s generation.Share) generation.Share {
+func (p *picker) timed(q *queue, id string, s generation.LoadShare) generation.LoadShare {
 	share, ok := s.(*directory.Share)
 	if !ok {
 		return s
@@ -185,10 +185,10 @@
 	return &timedShare{Share: share, queue: q, tokens: p.dir.Reading(id), began: time.Now(), tell: p.tellSoon}
 }
 
-// Begun implements generation.Share.
-func (t *timedShare) Begun() {
+// PrefillDone implements generation.Share.
+func (t *timedShare) PrefillDone() {
 	t.first.Do(func() {
-		t.Share.Begun()
+		t.Share.PrefillDone()
 		t.queue.reading.Observe(t.tokens, time.Since(t.began))
 		t.tell()
 	})
--- a/hosted/queue_test.go
+++ b/hosted/queue_test.go
@@ -16,13 +16,13 @@
 	list := engineList(2, 2)
 	p := pickerOf(t, list, memory)
 	for _, b := range list {
-		p.dir.Begin(b.ID, directory.Load{Held: float64(memory - free)})
+		p.dir.Begin(b.ID, directory.Load{Memory: float64(memory - free)})
 	}
 	return p
 }
 
-func draftAsk(id string, tokens int) generation.Ask {
-	return generation.Ask{Request: id, Service: "llm", Size: tokens, Answer: 500, Target: 4 * time.Second}
+func draftAsk(id string, tokens int) generation.PickRequest {
+	return generation.PickRequest{RequestID: id, Service: "llm", PromptTokens: tokens, MaxAnswerTokens: 500, FirstChunkTarget: 4 * time.Second}
 }
 
 // Symptom: requests are refused although engines have memory for them. Sequence: a request
@@ -46,13 +46,13 @@
 	line := p.queues.of("llm").line
 	now := time.Now()
 	for i := range 10 {
-		line.Wait(fmt.Sprint("q", i), 1, 0, now)
+		line.Poll(fmt.Sprint("q", i), 1, 0, now)
 	}
 	for i := range 3 {
 		id := fmt.Sprint("had", i)
-		line.Wait(id, 0, 0, now.Add(-4*time.Second))
-		line.Wait(id, 0, 0, now.Add(-4*time.Second))
-		line.Had(id, now.Add(time.Duration(i-3)*time.Second))
+		line.Poll(id, 0, 0, now.Add(-4*time.Second))
+		line.Poll(id, 0, 0, now.Add(-4*time.Second))
+		line.RecordGrant(id, now.Add(time.Duration(i-3)*time.Second))
 	}
 	_, _, err := p.Pick(t.Context(), draftAsk("late", 5000))
 	u, ok := errors.AsType[*generation.Unavailable](err)
@@ -63,11 +63,11 @@
 		t.Errorf("told to come back after %v", u.RetryAfter)
 	}
 	started, lost, moved := draftAsk("started", 5000), draftAsk("lost", 5000), draftAsk("moved", 5000)
-	started.Resume, lost.LostDomain, moved.Reached = true, "d0", true
-	for _, a := range []generation.Ask{started, lost, moved} {
+	started.Resume, lost.LostDomain, moved.MayHaveRun = true, "d0", true
+	for _, a := range []generation.PickRequest{started, lost, moved} {
 		_, _, err = p.Pick(t.Context(), a)
 		if u, ok := errors.AsType[*generation.Unavailable](err); !ok || !u.Retryable {
-			t.Errorf("%s: %v", a.Request, err)
+			t.Errorf("%s: %v", a.RequestID, err)
 		}
 	}
 }
@@ -77,7 +77,7 @@
 // what other routers keep there is known in part.
 func TestIdleEngineWithoutCopiesGoesFirst(t *testing.T) {
 	p := fullPicker(t, 50000)
-	p.dir.Begin("e0", directory.Load{Held: 6000})
+	p.dir.Begin("e0", directory.Load{Memory: 6000})
 	for i := range 20 {
 		b, share, err := p.Pick(t.Context(), draftAsk(fmt.Sprint("q", i), 5000))
 		if err != nil || b.ID != "e1" {
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -141,14 +141,14 @@
 func (f *replayed) request(ctx context.Context, r *replayRouter, id string, since time.Time) {
 	began := time.Now()
 	work := f.size.workOf()
-	ask := generation.Ask{Request: id, Service: "llm", Size: work.prompt, Answer: work.answer, Target: replayTarget}
+	ask := generation.PickRequest{RequestID: id, Service: "llm", PromptTokens: work.prompt, MaxAnswerTokens: work.answer, FirstChunkTarget: replayTarget}
 	first := time.Duration(0)
 	for ctx.Err() == nil {
-		ask.Left = max(replayTime-time.Since(began), 1)
+		ask.TimeLeft = max(replayTime-time.Since(began), 1)
 		b, share, err := r.pick.Pick(ctx, ask)
 		if err != nil {
 			u, ok := errors.AsType[*generation.Unavailable](err)
-			if !ok || !u.Retryable || (!ask.Resume && time.Since(began)+u.RetryAfter > r.pick.refusal.Patience(replayTarget)) {
+			if !ok || !u.Retryable || (!ask.Resume && time.Since(began)+u.RetryAfter > r.pick.refusal.MaxWait(replayTarget)) {
 				f.note(&f.refused, time.Since(began))
 				return
 			}
@@ -168,7 +168,7 @@
 		lost := false
 		for s := range run.Signals {
 			if s == replay.First {
-				share.Begun()
+				share.PrefillDone()
 				if first == 0 {
 					first = time.Since(began)
 				}
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -90,7 +90,7 @@
 		limits:    rollout.Limits{Share: h.RolloutShare, Burst: h.RolloutBurst},
 		life:      rand.Uint64(),
 		runs:      newRunBook(),
-		looker:    backend.Looker{},
+		looker:    backend.Prober{},
 		routers:   func() int { return 1 },
 		age:       func(time.Time) time.Duration { return 0 },
 		rank:      func(string) int { return 0 },
@@ -124,7 +124,7 @@
 	one := s.byService[service]
 	if one == nil {
 		one = &serviceRollout{service: service, Rollout: rollout.New(rollout.Config{
-			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Life: s.life,
+			Limits: s.limits, Chart: s.chart, Routers: s.routers, Random: rand.Float64, Incarnation: s.life,
 		})}
 		s.byService[service] = one
 	}
@@ -149,7 +149,7 @@
 		s.log.Emit(event.ItemUnreadable, "key", item.Key, "revision", item.ModRev, "err", err)
 		return true
 	}
-	s.forService(service).Recorded(rec, item.ModRev, clock.Boot())
+	s.forService(service).SetRecord(rec, item.ModRev, clock.SinceBoot())
 	return true
 }
 
@@ -161,7 +161,7 @@
 	}
 	s.log.Emit(event.RolloutOrdered, "service", service, "target", order.Target,
 		"within_ms", order.Duration.Milliseconds(), "revision", order.Revision)
-	s.forService(service).Ordered(order, clock.Boot())
+	s.forService(service).SetOrder(order, clock.SinceBoot())
 }
 
 // gone takes note of an item that was removed.
@@ -175,14 +175,14 @@
 	}
 	if one := s.of(service); one != nil {
 		s.log.Emit(event.RolloutOrdered, "service", service, "target", "")
-		one.Withdrawn()
+		one.WithdrawOrder()
 	}
 }
 
 // hear takes in what another node tells.
 func (s *rollouts) hear(from string, rep rollout.Report) {
 	if one := s.of(rep.Service); one != nil {
-		one.Hear(from, rep, clock.Boot())
+		one.HandleReport(from, rep, clock.SinceBoot())
 	}
 }
 
@@ -205,7 +205,7 @@
 		Record  rollout.Record
 		Stage   rollout.Stage
 		Verdict rollout.Verdict
-		Ready   rollout.Ready
+		Ready   rollout.ReplicaCounts
 	}
 	out := map[string]shown{}
 	for _, one := range s.all() {
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -21,7 +21,7 @@
 	if none {
 		return
 	}
-	at := clock.Boot()
+	at := clock.SinceBoot()
 	if at-s.ticked < rolloutTick {
 		return
 	}
@@ -57,10 +57,10 @@
 }
 
 // ready counts the replicas of a service that take work.
-func (s *rollouts) ready(one *serviceRollout) rollout.Ready {
+func (s *rollouts) ready(one *serviceRollout) rollout.ReplicaCounts {
 	rule := one.Rule()
 	domains := map[string]bool{}
-	var out rollout.Ready
+	var out rollout.ReplicaCounts
 	for _, c := range s.dir.Service(one.service) {
 		b := &c.Backend
 		if s.dir.Leaving(b.ID) || s.mon.State(b.ID) != health.Healthy {
@@ -78,7 +78,7 @@
 }
 
 // logChanges logs what has changed.
-func (s *rollouts) logChanges(one *serviceRollout, now time.Duration, ready rollout.Ready) {
+func (s *rollouts) logChanges(one *serviceRollout, now time.Duration, ready rollout.ReplicaCounts) {
 	stage := one.Stage()
 	if stage != one.logged {
 		one.logged, one.stageSince = stage, now
@@ -89,10 +89,10 @@
 	verdict, bad := one.Verdict()
 	if bad && !one.loggedBad {
 		s.log.Emit(event.RolloutJudged, "service", one.service, "route", verdict.Route, "evidence", verdict.Evidence,
-			"answers", verdict.Answers, "bad", verdict.BadOnes)
+			"answers", verdict.Answers, "bad", verdict.BadAnswers)
 	}
 	one.loggedBad = bad
-	if why := one.Missing(now, ready); why != one.loggedMissing {
+	if why := one.TrialBlocker(now, ready); why != one.loggedMissing {
 		one.loggedMissing = why
 		if why != "" {
 			s.log.Emit(event.RolloutHeld, "service", one.service, "reason", why)
@@ -114,8 +114,8 @@
 }
 
 // act has this node write what is due, if it is its turn.
-func (s *rollouts) act(one *serviceRollout, now time.Duration, ready rollout.Ready) {
-	next, revision, due := one.Next(now, ready)
+func (s *rollouts) act(one *serviceRollout, now time.Duration, ready rollout.ReplicaCounts) {
+	next, revision, due := one.NextRecord(now, ready)
 	if !due {
 		one.dueSince = 0
 		return
@@ -147,7 +147,7 @@
 		return
 	}
 	// It counts here too once the store tells of it: by the revision that it has there.
-	one.retryAt.Store(int64(clock.Boot() + rolloutHeard))
+	one.retryAt.Store(int64(clock.SinceBoot() + rolloutHeard))
 }
 
 // rankIn is how many nodes come before this one in the order in which they write.
--- a/hosted/rollouts_test.go
+++ b/hosted/rollouts_test.go
@@ -18,7 +18,7 @@
 	for i := range n {
 		out = append(out, f.replica(&fakes.Replica{
 			ID: fmt.Sprintf("%s-%s-%d", service, version, i), Service: service, Domain: fmt.Sprintf("d%d", i%2),
-			Version: version, Engine: service == "llm", Pieces: 400, Gap: 10 * time.Millisecond,
+			Version: version, Engine: service == "llm", Chunks: 400, ChunkGap: 10 * time.Millisecond,
 		}))
 	}
 	return out
@@ -72,15 +72,15 @@
 	stop := steady(nodes, "/look/x")
 	awaitState(t, f, "app", "in_progress")
 	time.Sleep(time.Second)
-	if n := fakes.Ran(fresh); n > 30 {
+	if n := fakes.CountRuns(fresh); n > 30 {
 		t.Errorf("%d requests reached the new version in the first second", n)
 	}
 	awaitState(t, f, "app", "completed")
 	if _, target := f.store.RolloutState("app"); target != "v2" {
 		t.Errorf("the target is %q", target)
 	}
-	if sent, failed := stop(); failed > 0 || fakes.Ran(fresh) == 0 {
-		t.Errorf("%d of %d requests failed, %d ran at the new version", failed, sent, fakes.Ran(fresh))
+	if sent, failed := stop(); failed > 0 || fakes.CountRuns(fresh) == 0 {
+		t.Errorf("%d of %d requests failed, %d ran at the new version", failed, sent, fakes.CountRuns(fresh))
 	}
 }
 
@@ -97,14 +97,14 @@
 	f.store.OrderRollout("app", "v2", 20*time.Second)
 	fresh := f.ofVersion("app", "v2", 2)
 	for _, r := range fresh {
-		r.Set(fakes.Faults{FailStatus: 500})
+		r.SetFaults(fakes.Faults{FailStatus: 500})
 	}
 	stop := steady(nodes, "/look/x")
 	awaitState(t, f, "app", "rolled_back")
 	time.Sleep(time.Second) // the last node has heard
-	before := fakes.Ran(fresh)
+	before := fakes.CountRuns(fresh)
 	time.Sleep(500 * time.Millisecond)
-	if after := fakes.Ran(fresh); after != before {
+	if after := fakes.CountRuns(fresh); after != before {
 		t.Errorf("%d requests reached the new version after it was taken back", after-before)
 	}
 	sent, failed := stop()
@@ -145,11 +145,11 @@
 	}
 	awaitState(t, f, "llm", "completed")
 	for _, r := range old {
-		if open := r.Open(); open > 0 {
+		if open := r.OpenRequests(); open > 0 {
 			t.Errorf("%d requests ran at %s when it stopped", open, r.ID)
 		}
 		r.Crash()
-		f.store.Lapse(r)
+		f.store.Unregister(r)
 	}
 	group.Wait()
 }
@@ -165,13 +165,13 @@
 	awaitState(t, f, "app", "in_progress")
 	f.store.WithdrawRollout("app")
 	awaitState(t, f, "app", "rolled_back")
-	before := fakes.Ran(fresh)
+	before := fakes.CountRuns(fresh)
 	for i := range 50 {
 		if status, _ := n.get("/look/x", fmt.Sprint("w", i), key); status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
-	if after := fakes.Ran(fresh); after != before {
+	if after := fakes.CountRuns(fresh); after != before {
 		t.Errorf("%d requests reached a version whose order was withdrawn", after-before)
 	}
 }
--- a/hosted/survey.go
+++ b/hosted/survey.go
@@ -72,14 +72,14 @@
 }
 
 // needed tells whether engines are to be asked, since other routers don't tell.
-func (s *survey) needed() bool { return s.states != nil && !s.dir.OthersTell() }
+func (s *survey) needed() bool { return s.states != nil && !s.dir.PeersSendLoads() }
 
 // drawn are the engines to ask for a request with a key: of its homes, or of more if those
 // are too few, or were asked a few times already.
-func (s *survey) drawn(candidates []routing.Candidate, ask routing.Ask, key uint64, before int) []routing.Candidate {
+func (s *survey) drawn(candidates []routing.Candidate, ask routing.PickRequest, key uint64, before int) []routing.Candidate {
 	ask.Now = time.Now()
 	for n := homes * (1 + before); ; n *= 2 {
-		drawn := s.draw.Draw(routing.Homes(candidates, key, n), ask, surveyed)
+		drawn := s.draw.Draw(routing.PreferredEngines(candidates, key, n), ask, surveyed)
 		if len(drawn) == surveyed || n >= len(candidates) {
 			return drawn
 		}
@@ -88,7 +88,7 @@
 
 // ask asks engines and waits for their answers, for a while. It returns how many have
 // answered.
-func (s *survey) ask(ctx context.Context, drawn []routing.Candidate, usual directory.Usual) (answered int) {
+func (s *survey) ask(ctx context.Context, drawn []routing.Candidate, usual directory.RequestSize) (answered int) {
 	answers := make(chan bool, len(drawn))
 	for _, c := range drawn {
 		go func() { answers <- s.askOne(context.WithoutCancel(ctx), c.Backend, usual) }()
@@ -112,7 +112,7 @@
 
 // askOne takes in what one engine says. One that gives no answer is not chosen now; whether
 // it works is judged by its runs.
-func (s *survey) askOne(ctx context.Context, b fleet.Backend, usual directory.Usual) bool {
+func (s *survey) askOne(ctx context.Context, b fleet.Backend, usual directory.RequestSize) bool {
 	s.asked.Inc()
 	ctx, stop := context.WithTimeout(ctx, surveyTimeout)
 	defer stop()
@@ -143,7 +143,7 @@
 }
 
 // look has engines asked for a request whose turn it is, which has waited for some time.
-func (p *picker) look(ctx context.Context, a generation.Ask, q *queue, waited time.Duration) {
+func (p *picker) look(ctx context.Context, a generation.PickRequest, q *queue, waited time.Duration) {
 	if !p.survey.needed() || !q.gate.due(waited == 0, time.Now()) {
 		return
 	}
@@ -152,14 +152,14 @@
 	ask.OtherDomain = a.LostDomain
 	drawn := p.survey.drawn(p.candidates(a), ask, homeKey(a), int(waited/surveyEvery))
 	answered := p.survey.ask(ctx, drawn, q.usual.get())
-	p.log.Emit(event.EnginesSurveyed, "request", a.Request, "service", a.Service,
+	p.log.Emit(event.EnginesSurveyed, "request", a.RequestID, "service", a.Service,
 		"asked", len(drawn), "answered", answered, "took_ms", time.Since(began).Milliseconds())
 }
 
 // homeKey is the key of a request's homes.
-func homeKey(a generation.Ask) uint64 {
-	if a.Own == "" {
-		return xxhash.Sum64String(a.Request)
+func homeKey(a generation.PickRequest) uint64 {
+	if a.UniquePart == "" {
+		return xxhash.Sum64String(a.RequestID)
 	}
-	return xxhash.Sum64String(a.Own)
+	return xxhash.Sum64String(a.UniquePart)
 }
--- a/hosted/survey_test.go
+++ b/hosted/survey_test.go
@@ -25,7 +25,7 @@
 	asked int
 }
 
-func (h *heldParts) Held(_ context.Context, b fleet.Backend) (map[string]int, error) {
+func (h *heldParts) CachedParts(_ context.Context, b fleet.Backend) (map[string]int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.asked++
@@ -49,7 +49,7 @@
 	held := &heldParts{at: map[string]string{}}
 	for i := range 50 {
 		own := fmt.Sprint("part", i)
-		a := generation.Ask{Request: fmt.Sprint("q", i), Service: "llm", Size: replayPrompt, Answer: replayAnswer, Target: replayTarget, Own: own}
+		a := generation.PickRequest{RequestID: fmt.Sprint("q", i), Service: "llm", PromptTokens: replayPrompt, MaxAnswerTokens: replayAnswer, FirstChunkTarget: replayTarget, UniquePart: own}
 		b, _, err := before.Pick(t.Context(), a)
 		if err != nil {
 			t.Fatal(err)
@@ -59,7 +59,7 @@
 	for own, id := range held.at {
 		after.holders = holders.New(held, holders.Config{})
 		held.asked = 0
-		a := generation.Ask{Request: "back", Service: "llm", Size: replayPrompt, Answer: replayAnswer, Target: replayTarget, Own: own, Parts: []string{own}}
+		a := generation.PickRequest{RequestID: "back", Service: "llm", PromptTokens: replayPrompt, MaxAnswerTokens: replayAnswer, FirstChunkTarget: replayTarget, UniquePart: own, PromptParts: []string{own}}
 		b, share, err := after.Pick(t.Context(), a)
 		if err != nil || b.ID != id {
 			t.Errorf("%s is at %s, found %s, %v", own, id, b.ID, err)
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -12,18 +12,18 @@
 // looker finds out whether replicas have ended, also where another lifetime listens at
 // the address. It implements quarantine.Prober.
 type looker struct {
-	backend.Looker
+	backend.Prober
 	ask inquirer
 }
 
-// Look implements quarantine.Prober.
-func (l looker) Look(ctx context.Context, b fleet.Backend) quarantine.State {
-	state := l.Looker.Look(ctx, b)
-	if state != quarantine.Working || b.Lifetime.Born == 0 {
+// Probe implements quarantine.Prober.
+func (l looker) Probe(ctx context.Context, b fleet.Backend) quarantine.State {
+	state := l.Prober.Probe(ctx, b)
+	if state != quarantine.Working || b.Incarnation.StartedAt == 0 {
 		return state
 	}
-	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Reborn {
-		return quarantine.Ended
+	if report, err := l.ask.replicas.Runs(ctx, b); err == nil && report.Restarted {
+		return quarantine.Exited
 	}
 	return state
 }
@@ -33,8 +33,8 @@
 		Prober:     looker{ask: ask},
 		Leaving:    n.dir.Leaving,
 		Neighbours: placement.Neighbours(n.dir, n.mon),
-		CutOff:     n.peers.cutOff,
-		Tell:       n.peers.tellSuspects,
+		Isolated:   n.peers.cutOff,
+		Broadcast:  n.peers.tellSuspects,
 		OnHold:     n.holds.held,
 		OnLift:     n.holds.lifted,
 		Log:        n.log,
@@ -56,9 +56,9 @@
 }
 
 // tellSuspects sends news of suspected requests to all nodes.
-func (p *peers) tellSuspects(m quarantine.News) {
+func (p *peers) tellSuspects(m quarantine.Update) {
 	if mesh := p.joined(); mesh != nil {
 		// A node that misses it hears of the next crash, or reads of the hold in the store.
-		_ = mesh.Flood(quarantine.FloodNews, m)
+		_ = mesh.Flood(quarantine.FloodUpdate, m)
 	}
 }
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -45,10 +45,10 @@
 	c.mu.Unlock()
 	c.pending.Go(func() {
 		time.Sleep(c.back)
-		c.store.Lapse(r)
+		c.store.Unregister(r)
 		c.add(&fakes.Replica{
 			ID: fmt.Sprintf("%s-%d", r.ID, n), Service: r.Service, Domain: r.Domain, Engine: r.Engine,
-			Listen: r.Addr(), Pieces: r.Pieces, Gap: r.Gap,
+			Listen: r.Addr(), Chunks: r.Chunks, ChunkGap: r.ChunkGap,
 		})
 	})
 }
@@ -70,9 +70,9 @@
 // sendBody makes one try with a body, and returns its final answer.
 func (n *testNode) sendBody(path, id, body string) (status int, retryAfter string) {
 	n.t.Helper()
-	req, err := fakes.Ask{
+	req, err := fakes.ClientRequest{
 		Addr: n.front.Addr().String(), Path: path, ID: id, Key: key, Budget: 15 * time.Second, Prompt: "aa:40," + id + ":60", Body: body,
-	}.Request()
+	}.HTTPRequest()
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 			for i := range 8 {
 				f.add(&fakes.Replica{
 					ID: fmt.Sprintf("r%d", i), Service: map[bool]string{true: "llm", false: "app"}[c.engine],
-					Domain: fmt.Sprintf("d%d", i%2), Engine: c.engine, Pieces: 3,
+					Domain: fmt.Sprintf("d%d", i%2), Engine: c.engine, Chunks: 3,
 				})
 			}
 			f.configure(key)
@@ -141,14 +141,14 @@
 }
 
 // held are the requests that a node holds back.
-func (n *testNode) held() int { return len(n.guard.Held()) }
+func (n *testNode) held() int { return len(n.guard.Holds()) }
 
 // Guards against: all nodes end, and a request that they held back crashes its way through the
 // replicas again. An operator lifts a hold by removing its record.
 func TestHoldsOutliveAllNodes(t *testing.T) {
 	f := newCrashing(t)
 	for i := range 6 {
-		f.add(&fakes.Replica{ID: fmt.Sprintf("r%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Pieces: 3})
+		f.add(&fakes.Replica{ID: fmt.Sprintf("r%d", i), Service: "llm", Domain: fmt.Sprintf("d%d", i%2), Engine: true, Chunks: 3})
 	}
 	f.configure(key)
 	n := f.node("n1")
@@ -184,16 +184,16 @@
 	f.configure(key)
 	n := f.node("n1")
 	await(t, "readiness of the table", func() bool { return n.table.Get() != nil })
-	f.store.Down(true)
+	f.store.SetFailing(true)
 	d, err := quarantine.ParseDigest(strings.Repeat("ab", 16))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.held(h, true)
 	time.Sleep(200 * time.Millisecond)
-	f.store.Down(false)
+	f.store.SetFailing(false)
 	await(t, "its record", func() bool { _, ok := f.store.Get(holdPrefix + d.String()); return ok })
 	f.store.PutJSON(holdPrefix+strings.Repeat("cd", 16), holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(time.Minute).UnixMilli()})
 	await(t, "another node's hold", func() bool { return n.held() == 2 })
@@ -213,7 +213,7 @@
 	record := holdPrefix + d.String()
 	f.store.PutJSON(record, holdRecord{Account: "acc", UntilUnixMS: time.Now().Add(-time.Second).UnixMilli()})
 	await(t, "the ended record", func() bool { return n.holds.knows(d) })
-	h := quarantine.HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}
+	h := quarantine.HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}
 	n.guard.Hold(h, "test")
 	n.holds.held(h, false)
 	f.store.Delete(record)
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -64,7 +64,7 @@
 		if b.Version != rule.Target {
 			o.others.Store(true)
 		}
-		if rule.Tries(b) {
+		if rule.AllowsTrial(b) {
 			ofTarget = append(ofTarget, *b)
 		}
 		if rule.Allows(b) {
@@ -74,7 +74,7 @@
 	if len(s.allowed) == 0 && !o.others.Load() {
 		s.allowed = all // the service never had another version
 	}
-	set := rollout.TrialSet(ofTarget, limits)
+	set := rollout.TrialReplicas(ofTarget, limits)
 	for i := range all {
 		if set[all[i].Backend.ID] {
 			s.tried = append(s.tried, all[i])
@@ -84,15 +84,15 @@
 }
 
 // candidates are the replicas that the next attempt of a request may use.
-func (p *picker) candidates(a generation.Ask) []routing.Candidate {
+func (p *picker) candidates(a generation.PickRequest) []routing.Candidate {
 	all := p.dir.Service(a.Service)
 	one := p.rollouts.of(a.Service)
 	if one == nil {
 		return all
 	}
 	// What follows a lost attempt, and a client that came back, goes where it surely is served.
-	first := !a.Again && !a.Resume && len(a.Parts) == 0
-	return one.among(all, first && one.Assign(a.Request, clock.Boot()), p.rollouts.limits)
+	first := !a.IsRetry && !a.Resume && len(a.PromptParts) == 0
+	return one.among(all, first && one.Assign(a.RequestID, clock.SinceBoot()), p.rollouts.limits)
 }
 
 // allowedReplicas are those that any attempt may use that is not on trial.
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -59,7 +59,7 @@
 func (v *view) Put(item infra.Value) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if platform.IsConfig(item.Key) {
+	if platform.IsConfigKey(item.Key) {
 		v.putConfig(item)
 		return
 	}
@@ -106,7 +106,7 @@
 		return
 	}
 	delete(v.unnamed, name)
-	before, n := v.lives.follow(b.Lifetime)
+	before, n := v.lives.follow(b.Incarnation)
 	if n == outdated {
 		v.log.Emit(event.ReplicaWordOutdated, "backend", b.ID, "known", before.ID(), "revision", item.ModRev)
 		return
@@ -130,7 +130,7 @@
 	}
 	delete(v.adopted, b.ID)
 	v.replicas[b.ID] = b
-	v.mon.Place(b.ID, b.Service, b.FailureDomain)
+	v.mon.SetFailureDomain(b.ID, b.Service, b.FailureDomain)
 	v.changed = true
 	switch {
 	case b.Leaving && !old.Leaving:
@@ -148,7 +148,7 @@
 
 // checkRewrite tells whether an entry can be the replica's own, by what it said before.
 func (v *view) checkRewrite(b fleet.Backend) error {
-	if known, ok := v.lives.of(b.Lifetime.Name); ok && known.Born != 0 && b.Lifetime.Born == 0 {
+	if known, ok := v.lives.of(b.Incarnation.Name); ok && known.StartedAt != 0 && b.Incarnation.StartedAt == 0 {
 		return errUnborn
 	}
 	return nil
@@ -183,8 +183,8 @@
 
 // endLife drops a lifetime that another one has followed: its runs are lost, and what
 // was known of it says nothing of its successor.
-func (v *view) endLife(life fleet.Lifetime) {
-	v.mon.Ended(life.ID())
+func (v *view) endLife(life fleet.Incarnation) {
+	v.mon.Restarted(life.ID())
 	v.drop(life.ID(), "it has started again")
 }
 
@@ -201,8 +201,8 @@
 	v.at[b.Addr] = b.ID
 }
 
-// Gone implements mirror.Receiver.
-func (v *view) Gone(key string) {
+// Removed implements mirror.Receiver.
+func (v *view) Removed(key string) {
 	name, ok := platform.ReplicaID(key)
 	if !ok {
 		v.rollouts.gone(key)
@@ -248,8 +248,8 @@
 	v.dir.MarkLeaving(id, "", directory.FromVMList)
 }
 
-// Settled implements mirror.Receiver.
-func (v *view) Settled() {
+// BatchDone implements mirror.Receiver.
+func (v *view) BatchDone() {
 	v.peers.settled()
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/hosted/view_test.go
+++ b/hosted/view_test.go
@@ -42,13 +42,13 @@
 			for _, item := range order {
 				v.Put(item)
 			}
-			v.Settled()
+			v.BatchDone()
 			if !v.dir.Leaving("i-a") || v.dir.Leaving("i-b") {
 				t.Errorf("leaving: old %v, young %v", v.dir.Leaving("i-a"), v.dir.Leaving("i-b"))
 			}
-			v.Gone("servers/i-a")
+			v.Removed("servers/i-a")
 			v.Put(replicaEntry("i-c", "10.0.0.1:80", 12))
-			v.Settled()
+			v.BatchDone()
 			if !v.dir.Leaving("i-b") || v.dir.Leaving("i-c") {
 				t.Errorf("leaving: old %v, young %v", v.dir.Leaving("i-b"), v.dir.Leaving("i-c"))
 			}
@@ -68,6 +68,6 @@
 		for _, item := range items {
 			v.Put(item)
 		}
-		v.Settled()
+		v.BatchDone()
 	}
 }
--- a/intent/change.go
+++ b/intent/change.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Before returns the object that a change would replace, or nil.
-func (s *State) Before(c Change) any {
+// Current returns the object that a change would replace, or nil.
+func (s *State) Current(c Change) any {
 	switch c.Kind {
 	case KindAccount:
 		return found(s.Accounts, c.Account.ID)
--- a/intent/check.go
+++ b/intent/check.go
@@ -60,7 +60,7 @@
 		return "op must be set or remove"
 	}
 	if c.Op == Remove {
-		if s.Before(c) == nil {
+		if s.Current(c) == nil {
 			return "there is none to remove"
 		}
 		return ""
--- a/intent/confirm.go
+++ b/intent/confirm.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return Revision{}, true, err
 	}
-	call, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	call, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	won, existing, err := k.cfg.Log.AppendAt(call, n, p.ID, data)
 	if errors.Is(err, ErrTruncated) {
@@ -96,7 +96,7 @@
 		return Revision{}, false, nil
 	}
 	k.install(r)
-	k.cfg.Spread.Flood(r)
+	k.cfg.PeerClient.Flood(r)
 	k.cfg.Events.Emit(event.PlanAccepted, "plan", p.ID, "revision", n, "operator", p.Operator)
 	return r, true, nil
 }
--- a/intent/confirm_test.go
+++ b/intent/confirm_test.go
@@ -79,7 +79,7 @@
 		r.log.next = func() fate { return fate(rapid.IntRange(0, int(fates)-1).Draw(t, "fate")) }
 		r.log.before = r.between
 		for i := range 3 {
-			k := NewKeeper(Config{Node: fmt.Sprint("n", i), Log: r.log, Spread: fakeSpread{}})
+			k := NewKeeper(Config{Node: fmt.Sprint("n", i), Log: r.log, PeerClient: fakeSpread{}})
 			k.loaded.Store(true)
 			last := uint64(0)
 			k.Subscribe(func(s *State) {
@@ -150,7 +150,7 @@
 // nothing, hides the first, which may have.
 func TestConfirmTellsDoubt(t *testing.T) {
 	log := newFakeLog()
-	k := NewKeeper(Config{Log: log, Spread: fakeSpread{}})
+	k := NewKeeper(Config{Log: log, PeerClient: fakeSpread{}})
 	p := MakePlan(NewState(), FleetView{}, "op", "1", Intents{Changes: []Change{account("a")}})
 	ctx, cancel := context.WithCancel(context.Background())
 	log.next = func() fate {
--- a/intent/fake_test.go
+++ b/intent/fake_test.go
@@ -117,7 +117,7 @@
 	if !ok {
 		return Batch{}, errors.New("unreachable")
 	}
-	return k.Serve(from)
+	return k.BatchFrom(from)
 }
 
 func account(id string) Change {
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -42,7 +42,7 @@
 	cfg = cfg.withDefaults()
 	k := &Keeper{
 		cfg:     cfg,
-		clock:   newPauseClock(cfg.PauseBound, cfg.Contact),
+		clock:   newPauseClock(cfg.PauseBound, cfg.ContactTimeout),
 		wake:    make(chan string, 16),
 		snaps:   make(chan *State, 1),
 		applied: cfg.Metrics.GetOrCreateCounter("wigeon_revisions_applied_total"),
@@ -64,10 +64,10 @@
 	k.subs = append(k.subs, f)
 }
 
-// Fresh reports whether this node may act on its state. It is false from a
+// UpToDate reports whether this node may act on its state. It is false from a
 // pause until the revision has been confirmed with a peer or the service. It
 // is looked up by each request, which after a pause may run before any timer.
-func (k *Keeper) Fresh() bool {
+func (k *Keeper) UpToDate() bool {
 	ok, _ := k.Ready()
 	return ok
 }
@@ -80,30 +80,30 @@
 	return k.clock.ready(time.Now())
 }
 
-// Offer hands in a revision that node from has flooded. It isn't flooded again:
+// HandleRevision hands in a revision that node from has flooded. It isn't flooded again:
 // a flood reaches every router, and one more from each would grow with their
 // square.
-func (k *Keeper) Offer(from string, r Revision) {
-	k.Heard()
+func (k *Keeper) HandleRevision(from string, r Revision) {
+	k.RecordContact()
 	s := k.State()
 	if r.N <= s.Revision {
 		return
 	}
 	if r.N > s.Revision+1 || !k.loaded.Load() {
-		k.Behind(from, r.N)
+		k.HandlePeerRevision(from, r.N)
 		return
 	}
 	k.install(r)
 }
 
-// Heard notes a sign of life from a router, so that a node that is cut off
+// RecordContact notes a sign of life from a router, so that a node that is cut off
 // from the service but not from its peers stays ready.
-func (k *Keeper) Heard() { k.clock.contact(time.Now()) }
+func (k *Keeper) RecordContact() { k.clock.contact(time.Now()) }
 
-// Behind notes that a router's summary names a revision; when it is newer, the
+// HandlePeerRevision notes that a router's summary names a revision; when it is newer, the
 // missing ones are fetched from that router. It doesn't wait.
-func (k *Keeper) Behind(node string, revision uint64) {
-	k.Heard()
+func (k *Keeper) HandlePeerRevision(node string, revision uint64) {
+	k.RecordContact()
 	if revision <= k.State().Revision {
 		return
 	}
@@ -113,13 +113,13 @@
 	}
 }
 
-// Serve answers a router that holds all revisions below from.
-func (k *Keeper) Serve(from uint64) (Batch, error) {
+// BatchFrom answers a router that holds all revisions below from.
+func (k *Keeper) BatchFrom(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
 	recent := slices.Clone(k.recent)
 	k.mu.Unlock()
-	b := Batch{Fresh: k.Fresh()}
+	b := Batch{UpToDate: k.UpToDate()}
 	if from > s.Revision {
 		return b, nil
 	}
@@ -170,7 +170,7 @@
 	for _, f := range k.subs {
 		f(s)
 	}
-	if s.Revision%k.cfg.Snapshots == 0 {
+	if s.Revision%k.cfg.SnapshotInterval == 0 {
 		select {
 		case k.snaps <- s:
 		default: // one is being written; the next multiple will do
@@ -227,7 +227,7 @@
 // Revisions returns at most max revisions from number from on: from the log, or
 // when that can't be reached the recent ones that this node holds.
 func (k *Keeper) Revisions(ctx context.Context, from uint64, max int) ([]Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	entries, err := k.cfg.Log.Read(ctx, from, max)
 	if err != nil {
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -16,7 +16,7 @@
 func TestStateOnlyForwards(t *testing.T) {
 	full := filledLog(t, 8)
 	rapid.Check(t, func(t *rapid.T) {
-		k := NewKeeper(Config{Log: newFakeLog(), Spread: fakeSpread{}})
+		k := NewKeeper(Config{Log: newFakeLog(), PeerClient: fakeSpread{}})
 		k.loaded.Store(true)
 		last := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "arrivals") {
@@ -27,7 +27,7 @@
 			data, err := EncodeState(s)
 			switch rapid.IntRange(0, 2).Draw(t, "way") {
 			case 0:
-				k.Offer("peer", r)
+				k.HandleRevision("peer", r)
 			case 1:
 				err = k.take(Batch{Revisions: []Revision{r}})
 			case 2:
@@ -53,9 +53,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		log := filledLog(t, 1)
-		a := NewKeeper(Config{Node: "a", Log: log, Spread: fakeSpread{}})
-		b := NewKeeper(Config{Node: "b", Log: log, Spread: fakeSpread{"a": a}})
-		a.cfg.Spread = fakeSpread{"b": b}
+		a := NewKeeper(Config{Node: "a", Log: log, PeerClient: fakeSpread{}})
+		b := NewKeeper(Config{Node: "b", Log: log, PeerClient: fakeSpread{"a": a}})
+		a.cfg.PeerClient = fakeSpread{"b": b}
 		expect := func(what string, k *Keeper, want bool) {
 			t.Helper()
 			if got, why := k.Ready(); got != want {
@@ -96,10 +96,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := filledLog(t, 3)
-		old := NewKeeper(Config{Node: "old", Log: log, Spread: fakeSpread{}})
+		old := NewKeeper(Config{Node: "old", Log: log, PeerClient: fakeSpread{}})
 		link := &cutLink{fakeSpread: fakeSpread{"old": old}}
-		young := NewKeeper(Config{Node: "young", Log: log, Spread: link})
-		old.cfg.Spread = fakeSpread{"young": young}
+		young := NewKeeper(Config{Node: "young", Log: log, PeerClient: link})
+		old.cfg.PeerClient = fakeSpread{"young": young}
 		old.Sync(ctx)
 		log.down = true
 		go old.Run(ctx)
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -103,11 +103,11 @@
 	after := s.clone()
 	after.Revision++
 	for _, c := range p.Changes {
-		p.Diffs = append(p.Diffs, Diff{Object: c.Object(), Before: asJSON(shown(s.Before(c)))})
+		p.Diffs = append(p.Diffs, Diff{Object: c.Object(), Before: asJSON(shown(s.Current(c)))})
 		after.change(c)
 	}
 	for i, c := range p.Changes {
-		p.Diffs[i].After = asJSON(shown(after.Before(c)))
+		p.Diffs[i].After = asJSON(shown(after.Current(c)))
 	}
 	p.addLoads(after, view)
 	p.addCapacity(s, after, view)
@@ -121,8 +121,8 @@
 // Refused reports whether the plan can't be confirmed as it stands.
 func (p Plan) Refused() bool { return len(p.Conflicts) > 0 }
 
-// Asked returns the changes that the operator asked for.
-func (p Plan) Asked() []Change { return p.Changes[:max(0, len(p.Changes)-p.Derived)] }
+// Requested returns the changes that the operator asked for.
+func (p Plan) Requested() []Change { return p.Changes[:max(0, len(p.Changes)-p.Derived)] }
 
 // Revision returns the log entry that accepts the plan as revision n.
 func (p Plan) Revision(n uint64) Revision {
--- a/intent/ports.go
+++ b/intent/ports.go
@@ -41,12 +41,12 @@
 	// held one by one.
 	Snapshot  []byte     `cbor:"1,keyasint,omitempty"`
 	Revisions []Revision `cbor:"2,keyasint,omitempty"`
-	// Fresh is true when the sender may itself act on its state.
-	Fresh bool `cbor:"3,keyasint"`
+	// UpToDate is true when the sender may itself act on its state.
+	UpToDate bool `cbor:"3,keyasint"`
 }
 
-// Spread reaches the other routers.
-type Spread interface {
+// PeerClient reaches the other routers.
+type PeerClient interface {
 	// Peers names routers that seem alive and reachable, in any order.
 	Peers() []string
 	// Flood sends a revision to every router that can be reached; it doesn't wait.
@@ -57,41 +57,41 @@
 
 // Defaults of Config.
 const (
-	DefaultTick       = 250 * time.Millisecond
-	DefaultPauseBound = 2 * time.Second
-	DefaultContact    = 5 * time.Second
-	DefaultPoll       = 30 * time.Second
-	DefaultCall       = 2 * time.Second
-	DefaultSnapshots  = 256 // revisions between snapshots
+	DefaultTick             = 250 * time.Millisecond
+	DefaultPauseBound       = 2 * time.Second
+	DefaultContactTimeout   = 5 * time.Second
+	DefaultPoll             = 30 * time.Second
+	DefaultCallTimeout      = 2 * time.Second
+	DefaultSnapshotInterval = 256 // revisions between snapshots
 )
 
 // Config is what a Keeper uses. Zero durations take the defaults.
 type Config struct {
-	Node    string
-	Log     Log
-	Spread  Spread
-	Watcher func() bool    // whether this node follows the log itself; nil means yes
-	Random  func() float64 // 0 to 1; nil means no jitter
-	Events  *event.Log
-	Metrics *metrics.Set
+	Node       string
+	Log        Log
+	PeerClient PeerClient
+	IsWatcher  func() bool    // whether this node follows the log itself; nil means yes
+	Random     func() float64 // 0 to 1; nil means no jitter
+	Events     *event.Log
+	Metrics    *metrics.Set
 
-	Tick       time.Duration // between looks at the clock
-	PauseBound time.Duration // a longer gap between ticks counts as a pause
-	Contact    time.Duration // a node that has reached nobody for longer isn't fresh
-	Poll       time.Duration // mean time between polls of the log
-	Call       time.Duration // bound of one call to the log or a peer
-	Snapshots  uint64        // revisions between snapshots
+	Tick             time.Duration // between looks at the clock
+	PauseBound       time.Duration // a longer gap between ticks counts as a pause
+	ContactTimeout   time.Duration // a node that has reached nobody for longer isn't fresh
+	Poll             time.Duration // mean time between polls of the log
+	CallTimeout      time.Duration // bound of one call to the log or a peer
+	SnapshotInterval uint64        // revisions between snapshots
 }
 
 func (c Config) withDefaults() Config {
 	c.Tick = orDefault(c.Tick, DefaultTick)
 	c.PauseBound = orDefault(c.PauseBound, DefaultPauseBound)
-	c.Contact = orDefault(c.Contact, DefaultContact)
+	c.ContactTimeout = orDefault(c.ContactTimeout, DefaultContactTimeout)
 	c.Poll = orDefault(c.Poll, DefaultPoll)
-	c.Call = orDefault(c.Call, DefaultCall)
-	c.Snapshots = orDefault(c.Snapshots, DefaultSnapshots)
-	if c.Watcher == nil {
-		c.Watcher = func() bool { return true }
+	c.CallTimeout = orDefault(c.CallTimeout, DefaultCallTimeout)
+	c.SnapshotInterval = orDefault(c.SnapshotInterval, DefaultSnapshotInterval)
+	if c.IsWatcher == nil {
+		c.IsWatcher = func() bool { return true }
 	}
 	if c.Random == nil {
 		c.Random = func() float64 { return 0.5 }
--- a/intent/run.go
+++ b/intent/run.go
@@ -74,7 +74,7 @@
 	if k.syncLog(ctx) {
 		return true
 	}
-	peers := k.cfg.Spread.Peers()
+	peers := k.cfg.PeerClient.Peers()
 	first := int(k.cfg.Random() * float64(len(peers)))
 	for i := range min(len(peers), peersPerSync) {
 		if k.fetch(ctx, peers[(first+i)%len(peers)]) {
@@ -86,7 +86,7 @@
 
 func (k *Keeper) syncLog(ctx context.Context) bool {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	if !k.loaded.Load() && !k.loadSnapshot(ctx) {
 		return false
@@ -120,7 +120,7 @@
 // spreadSince floods what a watcher learnt from the log itself. The others stay
 // silent: many may learn the same at once, as when the service comes back.
 func (k *Keeper) spreadSince(before uint64) {
-	if !k.cfg.Watcher() {
+	if !k.cfg.IsWatcher() {
 		return
 	}
 	k.mu.Lock()
@@ -135,7 +135,7 @@
 		return // a start; the others hold these already or will ask
 	}
 	for _, r := range fresh {
-		k.cfg.Spread.Flood(r)
+		k.cfg.PeerClient.Flood(r)
 	}
 }
 
@@ -144,17 +144,17 @@
 // must not vouch for each other.
 func (k *Keeper) fetch(ctx context.Context, node string) bool {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
-	b, err := k.cfg.Spread.FetchFrom(ctx, node, k.State().Revision+1)
+	b, err := k.cfg.PeerClient.FetchFrom(ctx, node, k.State().Revision+1)
 	if err != nil {
 		return false
 	}
 	if err := k.take(b); err != nil {
 		return false
 	}
-	k.Heard()
-	if !b.Fresh {
+	k.RecordContact()
+	if !b.UpToDate {
 		return false
 	}
 	k.loaded.Store(true)
@@ -177,7 +177,7 @@
 // followLoop watches the log while this node is one of the watchers.
 func (k *Keeper) followLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if k.loaded.Load() && k.cfg.Watcher() {
+		if k.loaded.Load() && k.cfg.IsWatcher() {
 			k.follow(ctx)
 		}
 		clock.Sleep(ctx, k.jittered(k.cfg.Tick))
@@ -191,7 +191,7 @@
 	go func() {
 		for ctx.Err() == nil {
 			clock.Sleep(ctx, k.cfg.Tick)
-			if !k.cfg.Watcher() {
+			if !k.cfg.IsWatcher() {
 				cancel()
 			}
 		}
@@ -207,12 +207,12 @@
 }
 
 func (k *Keeper) followed(e LogEntry) {
-	k.Heard()
+	k.RecordContact()
 	if !k.installEntry(e) {
 		return
 	}
 	r, _ := entryRevision(e)
-	k.cfg.Spread.Flood(r)
+	k.cfg.PeerClient.Flood(r)
 }
 
 // snapshotLoop keeps snapshots, so that a start need not read all revisions.
@@ -223,21 +223,21 @@
 		case <-ctx.Done():
 			return nil
 		case s := <-k.snaps:
-			clock.Sleep(ctx, k.jittered(k.cfg.Call))
+			clock.Sleep(ctx, k.jittered(k.cfg.CallTimeout))
 			k.keepSnapshot(ctx, s)
 		}
 	}
 }
 
 func (k *Keeper) keepSnapshot(ctx context.Context, s *State) {
-	if !k.cfg.Watcher() {
+	if !k.cfg.IsWatcher() {
 		return
 	}
 	data, err := EncodeState(s)
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, k.cfg.Call)
+	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
 	err = k.cfg.Log.Snapshot(ctx, s.Revision, data)
 	if err != nil && !errors.Is(err, ErrStaleSnapshot) {
--- a/intent/service_test.go
+++ b/intent/service_test.go
@@ -28,7 +28,7 @@
 	set := metrics.NewSet()
 	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + srv.Addr()}, set)
 	log := intent.NewLog(kvlog.New(store, "config/", kvlog.Options{Window: 4, Metrics: set}))
-	return intent.NewKeeper(intent.Config{Log: log, Spread: nobody{}}), log
+	return intent.NewKeeper(intent.Config{Log: log, PeerClient: nobody{}}), log
 }
 
 func planFor(t *testing.T, k *intent.Keeper, vm string) intent.Plan {
--- a/inventory/bench_test.go
+++ b/inventory/bench_test.go
@@ -56,11 +56,11 @@
 func BenchmarkDelta(b *testing.B) {
 	list := targetList()
 	s, _, now := targetState(list)
-	d := Delta{Heard: Heard{Reading: now.UnixMilli(), Chosen: now.UnixMilli()}, Records: []Record{{Item: list[7], Reader: "router-0001", At: now.UnixMilli(), Born: now.UnixMilli(), Left: now.UnixMilli()}}}
+	d := Delta{Newest: NewestReadings{Reading: now.UnixMilli(), Chosen: now.UnixMilli()}, Records: []Record{{Item: list[7], Reader: "router-0001", At: now.UnixMilli(), FirstSeen: now.UnixMilli(), LeavingAt: now.UnixMilli()}}}
 	for b.Loop() {
 		d.Records[0].At++
-		d.Heard.Reading++
-		s.Hear(d.Heard, now)
+		d.Newest.Reading++
+		s.RecordReadings(d.Newest, now)
 		s.Merge(d.Records, now)
 	}
 	b.ReportMetric(encoded(b, d), "B/delta")
@@ -108,7 +108,7 @@
 		bytes = 0
 		for len(asked) > 0 {
 			batch := fresh.Batch(asked)
-			batch.Asked = asked[:batch.Done]
+			batch.Buckets = asked[:batch.Done]
 			reply, _ := s.Exchange(batch, now)
 			data, err := cbor.Marshal(reply)
 			if err != nil {
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -79,7 +79,7 @@
 	asked := w.nodes[a].Differing(w.nodes[b].Answer(w.nodes[a].Digest()))
 	for len(asked) > 0 {
 		batch := w.nodes[a].Batch(asked)
-		batch.Asked = asked[:batch.Done]
+		batch.Buckets = asked[:batch.Done]
 		answer, _ := w.nodes[b].Exchange(batch, w.now)
 		w.nodes[a].Merge(answer.Records, w.now)
 		asked = asked[answer.Done:]
--- a/inventory/dump.go
+++ b/inventory/dump.go
@@ -19,7 +19,7 @@
 	}
 	set.GetOrCreateGauge("wigeon_inventory_records", func() float64 { return float64(v.size()) })
 	set.GetOrCreateGauge("wigeon_inventory_reader", func() float64 {
-		if v.Duty() == Rests {
+		if v.Duty() == NotReader {
 			return 0
 		}
 		return 1
@@ -40,13 +40,13 @@
 
 // Dump is the state of an Inventory for operators.
 type Dump struct {
-	Duty         string                `json:"duty"`
-	Readings     int                   `json:"readings"` // by this node, since its start
-	HeldBack     bool                  `json:"held_back"`
-	HeardSeconds float64               `json:"last_reading_heard_s"` // ago
-	Live         int                   `json:"live"`
-	Removed      int                   `json:"removed"`
-	Records      map[string]RecordDump `json:"records"`
+	Duty               string                `json:"duty"`
+	Readings           int                   `json:"readings"` // by this node, since its start
+	Withholding        bool                  `json:"held_back"`
+	LastReadingSeconds float64               `json:"last_reading_heard_s"` // ago
+	Live               int                   `json:"live"`
+	Removed            int                   `json:"removed"`
+	Records            map[string]RecordDump `json:"records"`
 }
 
 // RecordDump is one record in a dump.
@@ -64,15 +64,15 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	d := Dump{
-		Duty:         v.duty.String(),
-		Readings:     v.readings,
-		HeldBack:     v.held,
-		HeardSeconds: time.Since(v.heard).Seconds(),
-		Records:      make(map[string]RecordDump, len(v.state.records)),
+		Duty:               v.duty.String(),
+		Readings:           v.readings,
+		Withholding:        v.held,
+		LastReadingSeconds: time.Since(v.heard).Seconds(),
+		Records:            make(map[string]RecordDump, len(v.state.records)),
 	}
 	for key, r := range v.state.records {
-		d.Records[key] = RecordDump{r.Item.Addr, r.Item.Leaving, r.Gone, r.At, r.Reader}
-		if r.Gone {
+		d.Records[key] = RecordDump{r.Item.Addr, r.Item.Leaving, r.Removed, r.At, r.Reader}
+		if r.Removed {
 			d.Removed++
 			continue
 		}
--- a/inventory/exchange.go
+++ b/inventory/exchange.go
@@ -22,7 +22,7 @@
 // Delta is what a reader floods after a reading.
 type Delta struct {
 	_       struct{} `cbor:",toarray"`
-	Heard   Heard
+	Newest  NewestReadings
 	Records []Record
 }
 
@@ -30,14 +30,14 @@
 type Digest struct {
 	_       struct{} `cbor:",toarray"`
 	Root    uint64
-	Heard   Heard
+	Newest  NewestReadings
 	Buckets []uint64
 }
 
 // Batch holds all records of some buckets, of as many as fit.
 type Batch struct {
 	_       struct{} `cbor:",toarray"`
-	Asked   []uint16 // in a question: buckets that differ
+	Buckets []uint16 // in a question: buckets that differ
 	Done    int      // how many of them, from the first, Records covers
 	Records []Record
 }
@@ -56,7 +56,7 @@
 }
 
 // Digest describes the whole state in a few bytes.
-func (s *State) Digest() Digest { return Digest{Root: s.root(), Heard: s.heard} }
+func (s *State) Digest() Digest { return Digest{Root: s.root(), Newest: s.heard} }
 
 // Answer describes it to one whose digest is given, bucket by bucket where the
 // two differ.
@@ -95,7 +95,7 @@
 			byBucket[uint16(b)] = append(byBucket[uint16(b)], r)
 		}
 	}
-	out := Batch{Asked: buckets}
+	out := Batch{Buckets: buckets}
 	size := 0
 	for n, b := range buckets {
 		for _, r := range byBucket[b] {
@@ -114,9 +114,9 @@
 // the buckets that it covered.
 func (s *State) Exchange(b Batch, now time.Time) (answer Batch, changed []Record) {
 	changed = s.Merge(b.Records, now)
-	covered := b.Asked[:min(max(b.Done, 0), len(b.Asked), bucketCount)]
+	covered := b.Buckets[:min(max(b.Done, 0), len(b.Buckets), bucketCount)]
 	answer = s.Batch(covered)
-	answer.Asked = nil
+	answer.Buckets = nil
 	return answer, changed
 }
 
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -93,7 +93,7 @@
 		state:    NewState(),
 		observer: NewObserver(cfg.Node),
 		heard:    time.Now(),
-		duty:     Reads,
+		duty:     Reader,
 	}
 	v.membersMoved.Store(true)
 	v.met = newMeters(cfg.Metrics, v)
@@ -182,18 +182,18 @@
 	}
 	before := v.duty
 	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.heard), v.standing})
-	if v.duty == Alone && before != Alone {
+	if v.duty == FallbackReader && before != FallbackReader {
 		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.heard).String())
 		// Spread: a silence begins for all nodes at once.
 		v.alone = now.Add(time.Duration(rand.Float64() * float64(aloneInterval)))
 	}
-	if v.duty == Rests && before != Rests {
+	if v.duty == NotReader && before != NotReader {
 		v.observer.Reset()
 	}
-	if v.duty == Alone {
+	if v.duty == FallbackReader {
 		return v.aloneDue(now)
 	}
-	return v.duty == Reads
+	return v.duty == Reader
 }
 
 func (v *Inventory) aloneDue(now time.Time) bool {
@@ -216,7 +216,7 @@
 	out := deltas(v.state.heard, changes)
 	if first && len(out) == 0 {
 		// Others that would read alone hear at once that they need not.
-		out = append(out, Delta{Heard: v.state.heard})
+		out = append(out, Delta{Newest: v.state.heard})
 	}
 	return out
 }
@@ -224,20 +224,20 @@
 // noteReading makes this reading the newest one; true if it is the first one of
 // a node that reads alone.
 func (v *Inventory) noteReading(started time.Time) (first bool) {
-	h := Heard{Reading: v.state.stamp(started)}
-	if v.duty == Reads {
+	h := NewestReadings{Reading: v.state.stamp(started)}
+	if v.duty == Reader {
 		h.Chosen = h.Reading
 	}
 	v.hear(h)
-	first = v.duty == Alone && !v.standing
-	v.standing = v.duty == Alone
+	first = v.duty == FallbackReader && !v.standing
+	v.standing = v.duty == FallbackReader
 	return first
 }
 
 // logVerdict logs when readings begin to be held back, and how that ends.
-func (v *Inventory) logVerdict(verdict Verdict, shown int) {
+func (v *Inventory) logVerdict(verdict Decision, shown int) {
 	switch verdict {
-	case Held:
+	case Withheld:
 		v.met.readHeld.Inc()
 		if !v.held {
 			v.cfg.Events.Emit(event.InventoryHeld, "shown", shown, "known", len(v.state.Live()))
@@ -248,7 +248,7 @@
 	default:
 		v.met.readOK.Inc()
 	}
-	v.held = verdict == Held
+	v.held = verdict == Withheld
 }
 
 // merge takes records in and counts those that were news. Callers hold v.mu.
@@ -267,9 +267,9 @@
 
 // deltas cuts changes into floods. Records that nobody saw to change are left
 // to digests: every node that starts makes the same ones.
-func deltas(h Heard, changes []Record) []Delta {
+func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
-	d := Delta{Heard: h}
+	d := Delta{Newest: h}
 	for _, r := range changes {
 		if r.At == 0 {
 			continue
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -73,7 +73,7 @@
 	for _, v := range w.nodes {
 		d := v.Duty()
 		count[d]++
-		if d == Rests {
+		if d == NotReader {
 			rests = v
 		}
 	}
@@ -116,7 +116,7 @@
 	p.w.sent(d)
 	for id, v := range p.w.nodes {
 		if id != p.self && !p.w.lossy {
-			v.Take(d)
+			v.HandleFlood(d)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		defer w.run(t)()
 		time.Sleep(30 * time.Second)
 		count, rests := w.duties()
-		if count[Reads] != readersPerDomain || count[Rests] != 8 {
+		if count[Reader] != readersPerDomain || count[NotReader] != 8 {
 			t.Fatalf("duties %v", count)
 		}
 		w.set(func() { w.list[3].Leaving = true })
@@ -173,7 +173,7 @@
 		defer w.run(t)()
 		time.Sleep(30 * time.Second)
 		for id, v := range w.nodes {
-			if v.Duty() == Reads {
+			if v.Duty() == Reader {
 				w.set(func() { w.broken[id] = true })
 			}
 		}
@@ -210,7 +210,7 @@
 func sum(reads map[string]int, nodes map[string]*Inventory) int {
 	n := 0
 	for id, v := range nodes {
-		if v.Duty() != Reads {
+		if v.Duty() != Reader {
 			n += reads[id]
 		}
 	}
@@ -265,12 +265,12 @@
 	good := Record{Item: Item{ID: "x", Role: "engine"}, At: now.UnixMilli(), Reader: "r"}
 	for name, spoil := range map[string]func(*Record){
 		"time far ahead": func(r *Record) { r.At = 1 << 62 },
-		"life far ahead": func(r *Record) { r.Born = 1 << 62 },
-		"mark far ahead": func(r *Record) { r.Left = 1 << 62 },
+		"life far ahead": func(r *Record) { r.FirstSeen = 1 << 62 },
+		"mark far ahead": func(r *Record) { r.LeavingAt = 1 << 62 },
 		"negative time":  func(r *Record) { r.At = -1 },
 		"no id":          func(r *Record) { r.Item.ID = "" },
 		"long address":   func(r *Record) { r.Item.Addr = string(make([]byte, maxNameBytes+1)) },
-		"old tombstone":  func(r *Record) { r.Gone, r.At = true, now.Add(-2*tombstoneKeep).UnixMilli() },
+		"old tombstone":  func(r *Record) { r.Removed, r.At = true, now.Add(-2*tombstoneKeep).UnixMilli() },
 	} {
 		s, r := NewState(), good
 		spoil(&r)
@@ -285,6 +285,6 @@
 }
 
 func heard(s *State, reading int64, now time.Time) bool {
-	news, chosen := s.Hear(Heard{Reading: reading, Chosen: reading}, now)
+	news, chosen := s.RecordReadings(NewestReadings{Reading: reading, Chosen: reading}, now)
 	return news || chosen
 }
--- a/inventory/merge_test.go
+++ b/inventory/merge_test.go
@@ -17,11 +17,11 @@
 			ID: "x", Role: "engine", VM: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "vm"),
 			Leaving: rapid.Bool().Draw(t, "leaving"),
 		},
-		Gone:   rapid.Bool().Draw(t, "gone"),
-		At:     rapid.Int64Range(0, 2).Draw(t, "at"),
-		Reader: rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "reader"),
-		Born:   rapid.Int64Range(0, 2).Draw(t, "born"),
-		Left:   rapid.Int64Range(0, 3).Draw(t, "left"),
+		Removed:   rapid.Bool().Draw(t, "gone"),
+		At:        rapid.Int64Range(0, 2).Draw(t, "at"),
+		Reader:    rapid.SampledFrom([]string{"r1", "r2"}).Draw(t, "reader"),
+		FirstSeen: rapid.Int64Range(0, 2).Draw(t, "born"),
+		LeavingAt: rapid.Int64Range(0, 3).Draw(t, "left"),
 	}
 })
 
@@ -49,15 +49,15 @@
 func TestLeavingIsNotUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaving := drawn.Draw(t, "leaving")
-		leaving.Item.Leaving, leaving.Gone = true, false
+		leaving.Item.Leaving, leaving.Removed = true, false
 		leaving.At = max(leaving.At, 1)
-		leaving.Born = min(leaving.Born, leaving.At)
-		leaving.Left = leaving.At
+		leaving.FirstSeen = min(leaving.FirstSeen, leaving.At)
+		leaving.LeavingAt = leaving.At
 		other := drawn.Draw(t, "other")
 		if got := Merge(other, leaving); other.At < leaving.At && !got.Item.Leaving {
 			t.Fatalf("an older reading undid it: %+v", got)
 		}
-		other.Gone, other.Left, other.Born = false, 0, leaving.Born
+		other.Removed, other.LeavingAt, other.FirstSeen = false, 0, leaving.FirstSeen
 		if got := Merge(other, leaving); !got.MarkedLeaving() {
 			t.Fatalf("no trace of it: %+v", got)
 		}
@@ -83,12 +83,12 @@
 	for i := range 40 {
 		count[Choose(View{members(i, 40, keep), "a", 0, false})]++
 	}
-	if count[Reads] != readersPerDomain || count[Rests] != 38 {
+	if count[Reader] != readersPerDomain || count[NotReader] != 38 {
 		t.Errorf("duties of one failure domain: %v", count)
 	}
 	var resting int
 	for i := range 40 {
-		if Choose(View{members(i, 40, keep), "a", 0, false}) == Rests {
+		if Choose(View{members(i, 40, keep), "a", 0, false}) == NotReader {
 			resting = i
 		}
 	}
@@ -98,13 +98,13 @@
 		standing bool
 		want     Duty
 	}{
-		"others are dead":                  {func(m *peer.Member) { m.Alive = false }, 0, false, Reads},
-		"others are leaving":               {func(m *peer.Member) { m.Leaving = true }, 0, false, Reads},
-		"others are elsewhere":             {func(m *peer.Member) { m.FailureDomain = "b" }, 0, false, Reads},
-		"readers live but can't read":      {keep, silence, false, Alone},
-		"readers' news came a moment ago":  {keep, silence - 1, false, Rests},
-		"others are suspect, still living": {func(m *peer.Member) { m.Suspect = true }, 0, false, Rests},
-		"stands in, heard by itself alone": {keep, 0, true, Alone},
+		"others are dead":                  {func(m *peer.Member) { m.Alive = false }, 0, false, Reader},
+		"others are leaving":               {func(m *peer.Member) { m.Leaving = true }, 0, false, Reader},
+		"others are elsewhere":             {func(m *peer.Member) { m.FailureDomain = "b" }, 0, false, Reader},
+		"readers live but can't read":      {keep, silence, false, FallbackReader},
+		"readers' news came a moment ago":  {keep, silence - 1, false, NotReader},
+		"others are suspect, still living": {func(m *peer.Member) { m.Suspect = true }, 0, false, NotReader},
+		"stands in, heard by itself alone": {keep, 0, true, FallbackReader},
 	} {
 		if got := Choose(View{members(resting, 40, tc.change), "a", tc.silent, tc.standing}); got != tc.want {
 			t.Errorf("%s: %v, want %v", name, got, tc.want)
@@ -112,10 +112,10 @@
 	}
 	own := members(resting, 40, keep)
 	own[resting].Leaving = true
-	if got := Choose(View{own, "a", 0, false}); got != Rests {
+	if got := Choose(View{own, "a", 0, false}); got != NotReader {
 		t.Errorf("a node that rests and is leaving: %v", got)
 	}
-	if got := Choose(View{own[resting : resting+1], "a", 0, false}); got != Reads {
+	if got := Choose(View{own[resting : resting+1], "a", 0, false}); got != Reader {
 		t.Errorf("a lone node that is leaving: %v", got)
 	}
 }
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -38,14 +38,14 @@
 	since  time.Time
 }
 
-// Verdict says what became of a reading.
-type Verdict int
+// Decision says what became of a reading.
+type Decision int
 
 // The verdicts of Observe.
 const (
-	Taken     Verdict = iota
-	Held              // much smaller than the inventory: nothing follows from it
-	Confirmed         // much smaller, but so were the readings before it
+	Accepted  Decision = iota
+	Withheld           // much smaller than the inventory: nothing follows from it
+	Confirmed          // much smaller, but so were the readings before it
 )
 
 // NewObserver returns the Observer of the reader self.
@@ -57,7 +57,7 @@
 
 // Observe returns the records to be merged into s after a reading that began
 // at started.
-func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Verdict) {
+func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Decision) {
 	reading := make(map[string]Item, len(list))
 	for _, i := range list {
 		if i.ID != "" {
@@ -65,7 +65,7 @@
 		}
 	}
 	verdict := o.judge(s, reading, started)
-	if verdict == Held {
+	if verdict == Withheld {
 		return nil, verdict
 	}
 	news := &findings{Observer: o, state: s, started: started, disputes: map[string]dispute{}}
@@ -76,7 +76,7 @@
 		next[key] = i
 	}
 	for key, r := range s.records {
-		if _, listed := reading[key]; listed || r.Gone {
+		if _, listed := reading[key]; listed || r.Removed {
 			continue
 		}
 		_, seen := o.last[key]
@@ -90,10 +90,10 @@
 // judge holds back a reading that lacks more than half of the inventory, or is
 // empty: an outage of the list must not take the fleet out of service. An empty
 // one is never believed, since the reader itself stands on the list.
-func (o *Observer) judge(s *State, reading map[string]Item, now time.Time) Verdict {
+func (o *Observer) judge(s *State, reading map[string]Item, now time.Time) Decision {
 	live, gone := 0, 0
 	for key, r := range s.records {
-		if r.Gone {
+		if r.Removed {
 			continue
 		}
 		live++
@@ -103,11 +103,11 @@
 	}
 	if len(reading) > 0 && shownShare*gone <= live {
 		o.small = time.Time{}
-		return Taken
+		return Accepted
 	}
 	if len(reading) == 0 {
 		o.small = time.Time{}
-		return Held
+		return Withheld
 	}
 	// A list that fills up again after a restart of its service starts anew.
 	if o.small.IsZero() || gone < o.lacked {
@@ -115,7 +115,7 @@
 	}
 	o.lacked = gone
 	if now.Sub(o.small) < confirmAfter {
-		return Held
+		return Withheld
 	}
 	o.small = time.Time{}
 	return Confirmed
@@ -136,7 +136,7 @@
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
-	case known && r.Gone && !listed, known && listed && r.shows(i):
+	case known && r.Removed && !listed, known && listed && r.shows(i):
 		return
 	case !known && f.last == nil:
 		f.changes = append(f.changes, first(i))
@@ -174,15 +174,15 @@
 
 func (f *findings) change(old Record, known bool, i Item, listed bool) Record {
 	at := f.state.stamp(f.started)
-	next := Record{Item: i, Gone: !listed, At: at, Reader: f.self, Born: at, Left: old.Left}
-	if known && !old.Gone && old.Item.sameLife(i) {
-		next.Born = old.Born
+	next := Record{Item: i, Removed: !listed, At: at, Reader: f.self, FirstSeen: at, LeavingAt: old.LeavingAt}
+	if known && !old.Removed && old.Item.sameLife(i) {
+		next.FirstSeen = old.FirstSeen
 	}
-	if known && !old.Gone && old.Item.Leaving {
-		next.Left = max(next.Left, at-1)
+	if known && !old.Removed && old.Item.Leaving {
+		next.LeavingAt = max(next.LeavingAt, at-1)
 	}
 	if listed && i.Leaving {
-		next.Left = at
+		next.LeavingAt = at
 	}
 	return next
 }
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -20,9 +20,9 @@
 
 // The duties of a node.
 const (
-	Rests Duty = iota // others read
-	Reads             // it is one of the readers of its failure domain
-	Alone             // it should not have to, but hears of no reader
+	NotReader      Duty = iota // others read
+	Reader                     // it is one of the readers of its failure domain
+	FallbackReader             // it should not have to, but hears of no reader
 )
 
 // String names the duty in dumps.
@@ -32,12 +32,12 @@
 type View struct {
 	Members       []peer.Member // all that are visible, this node among them
 	FailureDomain string
-	// Unheard is how long ago the last news of a reading came, by this node's
+	// Silence is how long ago the last news of a reading came, by this node's
 	// own clock; readers' clocks need not agree with it.
-	Unheard time.Duration
-	// Standing tells that this node has read alone, and that no chosen reader
+	Silence time.Duration
+	// FallbackActive tells that this node has read alone, and that no chosen reader
 	// was heard since.
-	Standing bool
+	FallbackActive bool
 }
 
 // Choose gives a node its duty. A reader that is leaving reads to its end, when
@@ -54,11 +54,11 @@
 			near = append(near, m)
 		}
 	}
-	if peer.SelfAmong(peer.Rendezvous("inventory/"+v.FailureDomain, near, readersPerDomain)) {
-		return Reads
+	if peer.ContainsSelf(peer.Rendezvous("inventory/"+v.FailureDomain, near, readersPerDomain)) {
+		return Reader
 	}
-	if v.Standing || v.Unheard >= silence {
-		return Alone
+	if v.FallbackActive || v.Silence >= silence {
+		return FallbackReader
 	}
-	return Rests
+	return NotReader
 }
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -59,17 +59,17 @@
 // Record is what is known of one entry of the VM list. (At, Reader) orders the
 // readings that it came from; Left grows by itself, see Merge.
 type Record struct {
-	_    struct{} `cbor:",toarray"`
-	Item Item
-	Gone bool // removed from the list: a tombstone
+	_       struct{} `cbor:",toarray"`
+	Item    Item
+	Removed bool // removed from the list: a tombstone
 	// At is when the reader began the reading that first showed it this way, in
 	// Unix milliseconds by a hybrid clock. 0 means that nobody saw it change: it
 	// stood on the first list that a node read.
 	At     int64
 	Reader string
-	// Born is the At with which this life of the VM began, Left the last At at
+	// FirstSeen is the At with which this life of the VM began, Left the last At at
 	// which any reader saw it leaving; 0 is never.
-	Born, Left int64
+	FirstSeen, LeavingAt int64
 }
 
 // compare is a total order of everything but Left, newest reading last.
@@ -77,9 +77,9 @@
 	return cmp.Or(
 		cmp.Compare(r.At, o.At),
 		cmp.Compare(r.Reader, o.Reader),
-		compareBool(r.Gone, o.Gone),
+		compareBool(r.Removed, o.Removed),
 		r.Item.compare(o.Item),
-		cmp.Compare(r.Born, o.Born),
+		cmp.Compare(r.FirstSeen, o.FirstSeen),
 	)
 }
 
@@ -92,22 +92,22 @@
 // missed "leaving", and then hears only the falsely later "live", sends new work
 // to a VM about to go.
 func Merge(a, b Record) Record {
-	left := max(a.Left, b.Left)
+	left := max(a.LeavingAt, b.LeavingAt)
 	if a.compare(b) < 0 {
 		a = b
 	}
-	a.Left = left
+	a.LeavingAt = left
 	return a
 }
 
 // MarkedLeaving tells that a reader has seen this life of the VM leaving, also
 // when the newest reading shows it live again: that may be the older news.
 func (r Record) MarkedLeaving() bool {
-	return !r.Gone && (r.Item.Leaving || r.Left > 0 && r.Left >= r.Born)
+	return !r.Removed && (r.Item.Leaving || r.LeavingAt > 0 && r.LeavingAt >= r.FirstSeen)
 }
 
 // shows tells whether the record says the same as a reading.
-func (r Record) shows(i Item) bool { return !r.Gone && r.Item == i }
+func (r Record) shows(i Item) bool { return !r.Removed && r.Item == i }
 
 // hash covers all fields, so that two nodes that differ in any notice it.
 func (r Record) hash() uint64 {
@@ -121,9 +121,9 @@
 	}
 	var b [25]byte
 	binary.LittleEndian.PutUint64(b[0:], uint64(r.At))
-	binary.LittleEndian.PutUint64(b[8:], uint64(r.Born))
-	binary.LittleEndian.PutUint64(b[16:], uint64(r.Left))
-	for bit, set := range []bool{r.Gone, r.Item.ChecksFence, r.Item.Leaving} {
+	binary.LittleEndian.PutUint64(b[8:], uint64(r.FirstSeen))
+	binary.LittleEndian.PutUint64(b[16:], uint64(r.LeavingAt))
+	for bit, set := range []bool{r.Removed, r.Item.ChecksFence, r.Item.Leaving} {
 		if set {
 			b[24] |= 1 << bit
 		}
@@ -135,7 +135,7 @@
 // valid bounds what a peer may send. A time far ahead would win over every
 // later reading, and near the greatest number leave none to come after it.
 func (r Record) valid(now time.Time) bool {
-	if ahead := max(r.At, r.Born, r.Left) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
+	if ahead := max(r.At, r.FirstSeen, r.LeavingAt) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
 		return false
 	}
 	for _, s := range []string{
@@ -145,7 +145,7 @@
 			return false
 		}
 	}
-	return r.Item.ID != "" && len(r.Item.ID) <= maxNameBytes && min(r.At, r.Born, r.Left) >= 0
+	return r.Item.ID != "" && len(r.Item.ID) <= maxNameBytes && min(r.At, r.FirstSeen, r.LeavingAt) >= 0
 }
 
 func compareBool(a, b bool) int {
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -22,11 +22,11 @@
 	records map[string]Record
 	buckets [bucketCount]uint64 // xor of the records' hashes
 	clock   int64               // highest At or reading seen
-	heard   Heard
+	heard   NewestReadings
 }
 
-// Heard names the newest readings that a node knows of, by their times.
-type Heard struct {
+// NewestReadings names the newest readings that a node knows of, by their times.
+type NewestReadings struct {
 	_       struct{} `cbor:",toarray"`
 	Reading int64    // by any node
 	Chosen  int64    // by one of the chosen readers
@@ -89,12 +89,12 @@
 }
 
 func expired(r Record, now time.Time) bool {
-	return r.Gone && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
+	return r.Removed && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
 }
 
-// Hear takes in which readings another node knows of, and tells which of the
+// RecordReadings takes in which readings another node knows of, and tells which of the
 // two are news.
-func (s *State) Hear(h Heard, now time.Time) (reading, chosen bool) {
+func (s *State) RecordReadings(h NewestReadings, now time.Time) (reading, chosen bool) {
 	if max(h.Reading, h.Chosen)-now.UnixMilli() > maxAhead.Milliseconds() {
 		return false, false
 	}
@@ -116,7 +116,7 @@
 func (s *State) Live() []Record {
 	out := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
-		if !r.Gone {
+		if !r.Removed {
 			out = append(out, r)
 		}
 	}
--- a/inventory/sync.go
+++ b/inventory/sync.go
@@ -7,17 +7,17 @@
 	"wigeondale/event"
 )
 
-// Take takes in a flood.
-func (v *Inventory) Take(d Delta) {
+// HandleFlood takes in a flood.
+func (v *Inventory) HandleFlood(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(d.Heard)
+	v.hear(d.Newest)
 	v.merge(d.Records, v.met.byFlood)
 }
 
 // hear notes news of readings. Callers hold v.mu.
-func (v *Inventory) hear(h Heard) {
-	reading, chosen := v.state.Hear(h, time.Now())
+func (v *Inventory) hear(h NewestReadings) {
+	reading, chosen := v.state.RecordReadings(h, time.Now())
 	if reading {
 		v.heard = time.Now()
 	}
@@ -30,7 +30,7 @@
 func (v *Inventory) Answer(d Digest) Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(d.Heard)
+	v.hear(d.Newest)
 	return v.state.Answer(d)
 }
 
@@ -39,7 +39,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.merge(b.Records, v.met.byDigest)
-	answer, _ := v.state.Exchange(Batch{Asked: b.Asked, Done: b.Done}, time.Now())
+	answer, _ := v.state.Exchange(Batch{Buckets: b.Buckets, Done: b.Done}, time.Now())
 	return answer
 }
 
@@ -96,7 +96,7 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.hear(answer.Heard)
+	v.hear(answer.Newest)
 	return v.state.Differing(answer), nil
 }
 
@@ -107,7 +107,7 @@
 	v.mu.Lock()
 	batch := v.state.Batch(asked)
 	v.mu.Unlock()
-	batch.Asked = asked[:batch.Done]
+	batch.Buckets = asked[:batch.Done]
 	answer, err := v.cfg.Peers.Exchange(ctx, node, batch)
 	if err != nil {
 		return 0, Error.Wrap(err)
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -52,7 +52,7 @@
 		if got.Load() != 6 {
 			t.Errorf("by poll beside a silent watch: %d", got.Load())
 		}
-		store.CutWatches()
+		store.CloseWatches()
 		appendSome(7, 7)
 		time.Sleep(3 * time.Second)
 		if got.Load() != 7 {
@@ -105,7 +105,7 @@
 // Cause: the id, once seen in the log, is forgotten with its window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bench := kvtest.NewBench()
+		bench := kvtest.NewController()
 		opts := kvlog.Options{Window: 2, SettleTries: 1}
 		log := kvlog.New(bench.Client(), "l/", opts)
 		others := kvlog.New(bench.Store, "l/", opts)
@@ -115,7 +115,7 @@
 				defer close(done)
 				n, err = log.Append(t.Context(), id, nil)
 			}()
-			for synctest.Wait(); bench.Held() > 0; synctest.Wait() {
+			for synctest.Wait(); bench.Blocked() > 0; synctest.Wait() {
 				f := kvtest.OK
 				if len(faults) > 0 {
 					f, faults = faults[0], faults[1:]
--- a/kvlog/kvtest/held.go
+++ b/kvlog/kvtest/held.go
@@ -20,8 +20,8 @@
 	FaultCount
 )
 
-// Bench holds the calls of its clients until they are released.
-type Bench struct {
+// Controller holds the calls of its clients until they are released.
+type Controller struct {
 	Store *Store
 
 	mu      sync.Mutex
@@ -36,25 +36,25 @@
 	answer  chan error
 }
 
-// NewBench returns a bench over an empty store.
-func NewBench() *Bench { return &Bench{Store: New()} }
+// NewController returns a bench over an empty store.
+func NewController() *Controller { return &Controller{Store: New()} }
 
-// Held returns how many calls wait.
-func (b *Bench) Held() int {
+// Blocked returns how many calls wait.
+func (b *Controller) Blocked() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.held)
 }
 
-// Late returns how many delayed writes may still land.
-func (b *Bench) Late() int {
+// DelayedWrites returns how many delayed writes may still land.
+func (b *Controller) DelayedWrites() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.delayed)
 }
 
-// Land applies the i-th delayed write, counted around; none is no effect.
-func (b *Bench) Land(i int) {
+// ApplyDelayed applies the i-th delayed write, counted around; none is no effect.
+func (b *Controller) ApplyDelayed(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.delayed) == 0 {
@@ -66,7 +66,7 @@
 }
 
 // Release lets the i-th held call go, counted around; none is no effect.
-func (b *Bench) Release(i int, f Fault) {
+func (b *Controller) Release(i int, f Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.held) == 0 {
@@ -83,7 +83,7 @@
 	c.answer <- b.play(c, f)
 }
 
-func (b *Bench) play(c *heldCall, f Fault) error {
+func (b *Controller) play(c *heldCall, f Fault) error {
 	if f == Refused && c.applied {
 		f = AnswerLost
 	}
@@ -104,17 +104,17 @@
 // Client is one process's access to the benchmark's store.
 type Client struct {
 	*Store
-	bench *Bench
+	controller *Controller
 }
 
 // Client returns a client whose calls are held, watches apart.
-func (b *Bench) Client() *Client { return &Client{Store: b.Store, bench: b} }
+func (b *Controller) Client() *Client { return &Client{Store: b.Store, controller: b} }
 
 // hold waits for a release. A call whose ctx ends is abandoned: if it was a
 // write, it may still land.
 func (c *Client) hold(ctx context.Context, write bool, apply func()) error {
 	call := &heldCall{write: write, apply: apply, answer: make(chan error, 1)}
-	b := c.bench
+	b := c.controller
 	b.mu.Lock()
 	b.held = append(b.held, call)
 	b.mu.Unlock()
--- a/kvlog/kvtest/store.go
+++ b/kvlog/kvtest/store.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// CutWatches ends every watch.
-func (s *Store) CutWatches() {
+// CloseWatches ends every watch.
+func (s *Store) CloseWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.watchers {
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -19,7 +19,7 @@
 // world runs appenders against a bench under a schedule of drawn numbers and
 // keeps the history that the store itself saw.
 type world struct {
-	bench    *kvtest.Bench
+	bench    *kvtest.Controller
 	window   uint64
 	logs     []*kvlog.Log
 	busy     []bool
@@ -36,7 +36,7 @@
 
 func newWorld(window uint64) *world {
 	w := &world{
-		bench: kvtest.NewBench(), window: window, busy: make([]bool, appenders), born: make([]int, appenders),
+		bench: kvtest.NewController(), window: window, busy: make([]bool, appenders), born: make([]int, appenders),
 		history: map[uint64]string{}, last: map[string]map[int]string{},
 	}
 	w.bench.Store.OnCreate = w.created
@@ -177,7 +177,7 @@
 	case 2:
 		w.snapshot(actor)
 	case 3:
-		w.bench.Land(m.A)
+		w.bench.ApplyDelayed(m.A)
 	case 4:
 		w.read(1 + uint64(m.A)%(head+1))
 	case 5:
@@ -198,16 +198,16 @@
 
 // finish lets everything end, then compares the log with the answers.
 func (w *world) finish(landRest bool) {
-	for landRest && w.bench.Late() > 0 {
-		w.bench.Land(0)
+	for landRest && w.bench.DelayedWrites() > 0 {
+		w.bench.ApplyDelayed(0)
 	}
-	for w.bench.Held() > 0 {
+	for w.bench.Blocked() > 0 {
 		w.bench.Release(0, kvtest.OK)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
 	}
-	for w.bench.Late() > 0 {
-		w.bench.Land(0)
+	for w.bench.DelayedWrites() > 0 {
+		w.bench.ApplyDelayed(0)
 	}
 	in := map[string]bool{}
 	for _, id := range w.history {
--- a/load/one.go
+++ b/load/one.go
@@ -118,18 +118,18 @@
 func (a *args) generateOne(ctx context.Context, req client.Request, w io.Writer) (*OneResult, error) {
 	p := &progress{w: w, every: a.One.Progress}
 	c := client.New(a.Endpoint, a.APIKey, client.Options{
-		MaxTries: a.Tries, IdleTimeout: ms(a.IdleMS), Connected: p.connected,
+		MaxTries: a.Tries, IdleTimeout: ms(a.IdleMS), OnConnect: p.connected,
 	})
 	got, genErr := c.Generate(ctx, req, p.token)
 	res := &OneResult{
 		Request: RequestID(a.Account, got.Key), Key: got.Key, Outcome: got.Outcome, Finish: got.Finish,
-		Reconnects: got.Reconnects, FirstToken: toMS(got.FirstToken),
+		Reconnects: got.Reconnects, FirstToken: toMS(got.TimeToFirstToken),
 		RetryAfter: toMS(got.RetryAfter), Text: got.Text,
 		Check: Check(req.Prompt, req.MaxTokens, got),
 	}
 	res.Code, res.Error = errorCode(genErr)
 	for _, g := range got.Gaps {
-		res.Losses = append(res.Losses, Loss{"router", g.At, toMS(g.Duration)})
+		res.Losses = append(res.Losses, Loss{"router", g.EventsBefore, toMS(g.Duration)})
 	}
 	if a.Record == "" {
 		return res, nil
--- a/load/run.go
+++ b/load/run.go
@@ -34,7 +34,7 @@
 		return nil, err
 	}
 	c := client.New(cfg.Endpoints, cfg.APIKey, client.Options{
-		Spread: true, MaxTries: cfg.MaxTries, IdleTimeout: cfg.IdleTimeout,
+		RoundRobin: true, MaxTries: cfg.MaxTries, IdleTimeout: cfg.IdleTimeout,
 	})
 	var (
 		wg      sync.WaitGroup
@@ -76,7 +76,7 @@
 		Service: cl.Service, Path: cl.Path, Key: a.key,
 		Timeout: cl.Timeout, Priority: cl.Priority, NonIdempotent: cl.NonIdempotent,
 	})
-	got := answer{class: a.class, outcome: res.Outcome, duration: res.Took, firstToken: res.Took}
+	got := answer{class: a.class, outcome: res.Outcome, duration: res.Duration, firstToken: res.Duration}
 	got.setError(err)
 	return got
 }
@@ -99,7 +99,7 @@
 	got.duration = time.Since(start)
 	got.id = RequestID(cfg.Account, a.key)
 	got.outcome = res.Outcome
-	got.firstToken = res.FirstToken
+	got.firstToken = res.TimeToFirstToken
 	got.reconnects = res.Reconnects
 	got.setError(err)
 	got.report = Check(a.prompt, cl.MaxTokens, res)
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -102,7 +102,7 @@
 			f.Set = func(s *settings.Settings) {
 				c.policy(&s.Policy)
 				s.Policy.PrefillBytesPerSecond = prefillRate
-				s.Policy.PatienceMS = 20000
+				s.Policy.MaxWaitMS = 20000
 			}
 		}
 		out = append(out, f)
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -118,7 +118,7 @@
 // callAll makes the calls and returns the durations of the complete ones and the number of
 // all. It returns an error if an answer is wrong.
 func callAll(ctx context.Context, r *Running, start time.Time, length time.Duration, rng *rand.Rand) (durations, int, error) {
-	c := client.New(r.Endpoints, APIKey, client.Options{Spread: true, MaxTries: 1})
+	c := client.New(r.Endpoints, APIKey, client.Options{RoundRobin: true, MaxTries: 1})
 	var (
 		wg    sync.WaitGroup
 		mu    sync.Mutex
@@ -162,7 +162,7 @@
 	if got.Key != key || got.Value != service.Digest([]byte(key)) {
 		return 0, Error.New("the answer to %q is that of %q", key, got.Key)
 	}
-	return res.Took, nil
+	return res.Duration, nil
 }
 
 func executedLookups(ctx context.Context, r *Running) (int, error) {
--- a/measure/parts.go
+++ b/measure/parts.go
@@ -56,7 +56,7 @@
 // clientSender returns a Sender that uses the client library with the API key of one client
 // account.
 func clientSender(r *Running, account, key string) Sender {
-	c := client.New(r.Endpoints, key, client.Options{Spread: true})
+	c := client.New(r.Endpoints, key, client.Options{RoundRobin: true})
 	return func(ctx context.Context, start time.Time, a *Arrival) Answer {
 		got := newAnswer(start, a)
 		got.Request = load.RequestID(account, a.Key)
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -27,10 +27,10 @@
 type Receiver interface {
 	// Put tells of a new or changed item.
 	Put(v infra.Value)
-	// Gone tells that the item has been removed.
-	Gone(key string)
-	// Settled follows each batch of Put and Gone calls.
-	Settled()
+	// Removed tells that the item has been removed.
+	Removed(key string)
+	// BatchDone follows each batch of Put and Gone calls.
+	BatchDone()
 }
 
 // Config of a Mirror. Zero durations mean the defaults.
@@ -45,18 +45,18 @@
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
-	// Keep is how long the pages of a read that failed are of use. It must be less
+	// PageMaxAge is how long the pages of a read that failed are of use. It must be less
 	// than the time for which the store remembers changes.
-	Keep time.Duration
-	// Doubt is how long after an outage a missing item may still come back.
-	Doubt time.Duration
-	// Reads tells whether this node reads the store; nil means always. Until it
+	PageMaxAge time.Duration
+	// ConfirmAfter is how long after an outage a missing item may still come back.
+	ConfirmAfter time.Duration
+	// IsReader tells whether this node reads the store; nil means always. Until it
 	// has read everything once, it does in any case.
-	Reads func() bool
+	IsReader func() bool
 	// OnNews, if set, is called after changes; it must not block.
-	OnNews func()
-	Log    *event.Log
-	Set    *metrics.Set
+	OnUpdate func()
+	Log      *event.Log
+	Set      *metrics.Set
 }
 
 // Defaults of Config.
@@ -83,13 +83,13 @@
 	set(&c.Slack, defaultSlack)
 	set(&c.Pause, defaultPause)
 	set(&c.Timeout, defaultTimeout)
-	set(&c.Keep, defaultKeep)
-	set(&c.Doubt, defaultDoubt)
-	if c.Reads == nil {
-		c.Reads = func() bool { return true }
+	set(&c.PageMaxAge, defaultKeep)
+	set(&c.ConfirmAfter, defaultDoubt)
+	if c.IsReader == nil {
+		c.IsReader = func() bool { return true }
 	}
-	if c.OnNews == nil {
-		c.OnNews = func() {}
+	if c.OnUpdate == nil {
+		c.OnUpdate = func() {}
 	}
 	if c.Set == nil {
 		c.Set = metrics.NewSet()
--- a/mirror/contained.go
+++ b/mirror/contained.go
@@ -21,16 +21,16 @@
 	c.out.Put(v)
 }
 
-// Gone implements Receiver.
-func (c contained) Gone(key string) {
+// Removed implements Receiver.
+func (c contained) Removed(key string) {
 	defer c.outlive(key)
-	c.out.Gone(key)
+	c.out.Removed(key)
 }
 
-// Settled implements Receiver.
-func (c contained) Settled() {
+// BatchDone implements Receiver.
+func (c contained) BatchDone() {
 	defer c.outlive("")
-	c.out.Settled()
+	c.out.BatchDone()
 }
 
 func (c contained) outlive(key string) {
--- a/mirror/fake_test.go
+++ b/mirror/fake_test.go
@@ -142,14 +142,14 @@
 	r.log = append(r.log, "put "+v.Key)
 }
 
-func (r *seen) Gone(key string) {
+func (r *seen) Removed(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.now, key)
 	r.log = append(r.log, "gone "+key)
 }
 
-func (r *seen) Settled() {}
+func (r *seen) BatchDone() {}
 
 func (r *seen) has(key string) bool {
 	r.mu.Lock()
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -67,7 +67,7 @@
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := idle
-		if m.due.Swap(false) || !m.Synced() || m.cfg.Reads() {
+		if m.due.Swap(false) || !m.Synced() || m.cfg.IsReader() {
 			pause = m.read(ctx)
 		}
 		m.settleDoubt(time.Now())
@@ -124,8 +124,8 @@
 	m.state.reach(upTo)
 }
 
-// Catch has Run make one call soon, also at a node that doesn't read.
-func (m *Mirror) Catch() { m.due.Store(true) }
+// CatchUp has Run make one call soon, also at a node that doesn't read.
+func (m *Mirror) CatchUp() { m.due.Store(true) }
 
 // change applies f, and tells of what it changed.
 func (m *Mirror) change(f func()) {
@@ -136,7 +136,7 @@
 	news := m.state.newest != before
 	m.mu.Unlock()
 	if news {
-		m.cfg.OnNews()
+		m.cfg.OnUpdate()
 	}
 }
 
@@ -169,7 +169,7 @@
 
 // Delta answers a neighbour's question. It is empty when this node has nothing
 // newer, or isn't complete itself.
-func (m *Mirror) Delta(q Question) Delta {
+func (m *Mirror) Delta(q DeltaRequest) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.synced || m.state.newest <= q.After {
@@ -183,7 +183,7 @@
 // nothing.
 func (m *Mirror) Merge(d Delta) {
 	m.change(func() {
-		m.state.merge(d, time.Now().Add(m.cfg.Doubt))
+		m.state.merge(d, time.Now().Add(m.cfg.ConfirmAfter))
 		m.synced = m.synced || d.Full
 	})
 }
@@ -219,7 +219,7 @@
 		return
 	}
 	m.mu.Lock()
-	m.doubts.end = time.Now().Add(m.cfg.Doubt)
+	m.doubts.end = time.Now().Add(m.cfg.ConfirmAfter)
 	m.state.setDoubtEnd(m.doubts.end)
 	m.mu.Unlock()
 	m.cfg.Log.Emit(event.StoreRegained, "newest", m.Newest())
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -101,7 +101,7 @@
 		s := newFakeStore()
 		s.put("a")
 		var reads atomic.Bool
-		out, m := followAs(t, s, Config{Reads: reads.Load})
+		out, m := followAs(t, s, Config{IsReader: reads.Load})
 		if !out.has("a") {
 			t.Fatal("the first read was not made")
 		}
@@ -129,7 +129,7 @@
 			s.put(key)
 		}
 		_, reader := followAs(t, s, Config{})
-		out, other := followAs(t, s, Config{Reads: func() bool { return false }})
+		out, other := followAs(t, s, Config{IsReader: func() bool { return false }})
 		s.fail(errors.New("down"))
 		time.Sleep(time.Second)
 		s.mu.Lock()
@@ -140,7 +140,7 @@
 		s.fail(nil)
 		time.Sleep(1500 * time.Millisecond)
 		pull := func() {
-			if err := other.Pull("reader", func(q Question) (Delta, error) { return reader.Delta(q), nil }); err != nil {
+			if err := other.Pull("reader", func(q DeltaRequest) (Delta, error) { return reader.Delta(q), nil }); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -166,11 +166,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.put("a")
-		out, m := followAs(t, s, Config{Reads: func() bool { return false }})
+		out, m := followAs(t, s, Config{IsReader: func() bool { return false }})
 		s.put("b")
 		_, later := followAs(t, s, Config{})
-		var asked []Question
-		ask := func(q Question) (Delta, error) {
+		var asked []DeltaRequest
+		ask := func(q DeltaRequest) (Delta, error) {
 			asked = append(asked, q)
 			return later.Delta(q), nil
 		}
@@ -183,11 +183,11 @@
 		}
 		s.put("c")
 		s.fail(errors.New("turned away"))
-		m.Catch()
+		m.CatchUp()
 		time.Sleep(time.Second)
 		third := New(nil, &seen{now: map[string]int64{}}, Config{})
 		third.Merge(Delta{Newest: 90, Full: true, Items: []infra.Value{{Key: "c", ModRev: 80}}})
-		if err := m.Pull("third", func(q Question) (Delta, error) { return third.Delta(q), nil }); err != nil {
+		if err := m.Pull("third", func(q DeltaRequest) (Delta, error) { return third.Delta(q), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !out.has("c") || out.has("a") {
--- a/mirror/pull.go
+++ b/mirror/pull.go
@@ -2,8 +2,8 @@
 
 import "wigeondale/event"
 
-// Ask puts a question to one neighbour.
-type Ask func(Question) (Delta, error)
+// DeltaFunc puts a question to one neighbour.
+type DeltaFunc func(DeltaRequest) (Delta, error)
 
 // Pull asks a neighbour until it has nothing newer, and takes in what it says.
 //
@@ -11,15 +11,15 @@
 // while the store is away: the store's own pages cost no node its line. A router
 // that has just started knows no removals from before, so that after a start of many
 // at once each would ask its neighbours for everything.
-func (m *Mirror) Pull(from string, ask Ask) error {
+func (m *Mirror) Pull(from string, ask DeltaFunc) error {
 	for {
 		before := m.Newest()
-		d, err := collect(ask, Question{After: before, All: m.lost.Load()})
+		d, err := collect(ask, DeltaRequest{After: before, All: m.lost.Load()})
 		if err != nil {
 			return err
 		}
-		if d.Uncovered {
-			m.Catch()
+		if d.RemovalsUnknown {
+			m.CatchUp()
 			return nil
 		}
 		m.Merge(d)
@@ -34,7 +34,7 @@
 
 // collect joins the pages of an answer that has several. What changes meanwhile is
 // newer than the first page, so that the next question brings it.
-func collect(ask Ask, q Question) (Delta, error) {
+func collect(ask DeltaFunc, q DeltaRequest) (Delta, error) {
 	all, err := ask(q)
 	for d := all; err == nil && d.More && len(d.Items) > 0; {
 		q.Last = d.Items[len(d.Items)-1].Key
--- a/mirror/read.go
+++ b/mirror/read.go
@@ -27,7 +27,7 @@
 // first read takes pages that may be old, of which the store grants any number, and
 // then the changes since, before anything of it counts.
 func (m *Mirror) readAll(ctx context.Context) error {
-	if m.pages == nil || time.Since(m.pages.began) > m.cfg.Keep {
+	if m.pages == nil || time.Since(m.pages.began) > m.cfg.PageMaxAge {
 		m.pages = &reading{began: time.Now(), stale: !m.Synced()}
 	}
 	for !m.pages.all {
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -17,22 +17,22 @@
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Doubtful says that it went missing by an outage and may come back.
-	Doubtful bool `cbor:"3,keyasint,omitempty"`
-	// DoubtMS is how much longer that is held possible; 0 while it isn't known.
-	DoubtMS int64 `cbor:"4,keyasint,omitempty"`
+	// Unconfirmed says that it went missing by an outage and may come back.
+	Unconfirmed bool `cbor:"3,keyasint,omitempty"`
+	// UnconfirmedMS is how much longer that is held possible; 0 while it isn't known.
+	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // doubtEnd is until when the removal is doubtful; unknown is for when it can't say.
 func (r Removal) doubtEnd(unknown time.Time) time.Time {
-	if r.DoubtMS == 0 {
+	if r.UnconfirmedMS == 0 {
 		return unknown
 	}
-	return time.Now().Add(time.Duration(r.DoubtMS) * time.Millisecond)
+	return time.Now().Add(time.Duration(r.UnconfirmedMS) * time.Millisecond)
 }
 
-// Question asks for what changed after a revision.
-type Question struct {
+// DeltaRequest asks for what changed after a revision.
+type DeltaRequest struct {
 	After int64 `cbor:"1,keyasint"`
 	// All asks for everything where the changes since aren't known, page by page:
 	// the items whose keys follow Last.
@@ -47,10 +47,10 @@
 	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all that there is
 	Items   []infra.Value `cbor:"3,keyasint,omitempty"`
 	Removed []Removal     `cbor:"4,keyasint,omitempty"`
-	// Uncovered says that removals since the asked revision aren't known, so that
+	// RemovalsUnknown says that removals since the asked revision aren't known, so that
 	// only everything would do.
-	Uncovered bool `cbor:"5,keyasint,omitempty"`
-	More      bool `cbor:"6,keyasint,omitempty"` // more pages follow
+	RemovalsUnknown bool `cbor:"5,keyasint,omitempty"`
+	More            bool `cbor:"6,keyasint,omitempty"` // more pages follow
 }
 
 // pageBytes is the size from which a Delta is cut. A page holds up a slow line for a
@@ -133,7 +133,7 @@
 	delete(s.doubted, key)
 	s.bury(key, rev)
 	s.dirty = true
-	s.out.Gone(key)
+	s.out.Removed(key)
 }
 
 // bury remembers that an item was gone at rev.
@@ -192,12 +192,12 @@
 }
 
 // delta answers a neighbour that knows all changes up to q.After.
-func (s *state) delta(q Question) Delta {
+func (s *state) delta(q DeltaRequest) Delta {
 	if q.After >= s.floor {
 		return s.changesAfter(q.After)
 	}
 	if !q.All {
-		return Delta{Newest: s.newest, Uncovered: true}
+		return Delta{Newest: s.newest, RemovalsUnknown: true}
 	}
 	return s.page(q.Last)
 }
@@ -231,7 +231,7 @@
 	var out []Removal
 	for key, d := range s.doubted {
 		if d.rev > after && d.rev <= upTo {
-			out = append(out, Removal{Key: key, Rev: d.rev, Doubtful: true, DoubtMS: d.leftMS()})
+			out = append(out, Removal{Key: key, Rev: d.rev, Unconfirmed: true, UnconfirmedMS: d.leftMS()})
 		}
 	}
 	return out
@@ -290,7 +290,7 @@
 // a while, a replica leaves, and the one reader that still doubts it a little tells
 // the others first. They go on sending it work for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
-	if d.Newest <= s.newest || d.Uncovered {
+	if d.Newest <= s.newest || d.RemovalsUnknown {
 		return
 	}
 	if d.Full {
@@ -300,7 +300,7 @@
 		s.put(v)
 	}
 	for _, r := range d.Removed {
-		s.remove(r.Key, r.Rev, doubts{on: r.Doubtful, end: r.doubtEnd(end)})
+		s.remove(r.Key, r.Rev, doubts{on: r.Unconfirmed, end: r.doubtEnd(end)})
 	}
 	s.reach(d.Newest)
 }
@@ -310,5 +310,5 @@
 		return
 	}
 	s.dirty = false
-	s.out.Settled()
+	s.out.BatchDone()
 }
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -77,7 +77,7 @@
 			}
 			first.state.reach(rev)
 		}
-		ask := func(q Question) (Delta, error) {
+		ask := func(q DeltaRequest) (Delta, error) {
 			d := first.Delta(q)
 			if rapid.IntRange(0, 3).Draw(t, "meanwhile") == 0 {
 				change()
@@ -94,7 +94,7 @@
 		rev++
 		first.state.put(infra.Value{Key: "last", ModRev: rev})
 		first.state.reach(rev)
-		if err := second.Pull("first", func(q Question) (Delta, error) { return first.Delta(q), nil }); err != nil {
+		if err := second.Pull("first", func(q DeltaRequest) (Delta, error) { return first.Delta(q), nil }); err != nil {
 			t.Fatal(err)
 		}
 		if !maps.EqualFunc(first.state.items, second.state.items, func(a, b infra.Value) bool { return a.ModRev == b.ModRev }) {
@@ -131,7 +131,7 @@
 		}
 		reader.remove("a", 2, doubts{on: true, end: time.Now().Add(left)})
 		reader.reach(2)
-		neighbour.merge(reader.delta(Question{After: 1}), time.Now().Add(whole))
+		neighbour.merge(reader.delta(DeltaRequest{After: 1}), time.Now().Add(whole))
 		time.Sleep(left - 10*time.Millisecond)
 		neighbour.dropDoubted(time.Now())
 		if len(out.now) != 1 {
@@ -155,11 +155,11 @@
 	f.seen.Put(v)
 }
 
-func (f *fragile) Gone(key string) {
+func (f *fragile) Removed(key string) {
 	if key == "bad" {
 		panic("as asked")
 	}
-	f.seen.Gone(key)
+	f.seen.Removed(key)
 }
 
 // Guards against: one item that makes its reader panic ends every node, again at each start.
--- a/once/agree.go
+++ b/once/agree.go
@@ -21,8 +21,8 @@
 // shardsPart ends the name of the key that holds the number of shards.
 const shardsPart = "shards"
 
-// ErrShards means that the key-value service holds no usable number of shards.
-var ErrShards = errors.New("number of shards unreadable")
+// ErrInvalidShardCount means that the key-value service holds no usable number of shards.
+var ErrInvalidShardCount = errors.New("number of shards unreadable")
 
 // agreement is the number of shards that all nodes use.
 //
@@ -101,7 +101,7 @@
 func parseShards(v infra.Value) (int, error) {
 	n, err := strconv.Atoi(string(v.Data))
 	if err != nil || n < 1 || n > maxShards {
-		return 0, fmt.Errorf("%w: %q", ErrShards, v.Data)
+		return 0, fmt.Errorf("%w: %q", ErrInvalidShardCount, v.Data)
 	}
 	return n, nil
 }
--- a/once/claims.go
+++ b/once/claims.go
@@ -108,10 +108,10 @@
 // idempotent. Only when Granted, and after InTime, may the attempt be
 // dispatched. On any error it must never be, whatever comes later. Errors:
 // ErrUnavailable, ErrUnknown, ErrKeyReused, ErrInvalid.
-func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (Verdict, error) {
+func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (ClaimResult, error) {
 	op, err := c.op(OpClaim, account, key, attempt)
 	if err != nil {
-		return Verdict{}, err
+		return ClaimResult{}, err
 	}
 	op.Body = body
 	c.flushVoid(ctx, op.Key)
@@ -121,18 +121,18 @@
 	case CodeDone:
 		return verdict(op, r)
 	case CodeUnavailable:
-		return Verdict{}, c.unavailable()
+		return ClaimResult{}, c.unavailable()
 	}
 	c.queueVoid(op)
-	return Verdict{}, Error.Wrap(ErrUnknown)
+	return ClaimResult{}, Error.Wrap(ErrUnknown)
 }
 
-func verdict(op Op, r Result) (Verdict, error) {
+func verdict(op Op, r Result) (ClaimResult, error) {
 	granted := r.Attempt == op.Attempt && r.State == Claimed
 	if !granted && r.State == Claimed && r.Body != op.Body {
-		return Verdict{}, Error.Wrap(ErrKeyReused)
+		return ClaimResult{}, Error.Wrap(ErrKeyReused)
 	}
-	return Verdict{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
+	return ClaimResult{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
 }
 
 // Void says that an attempt of this node was never dispatched and will not be,
@@ -154,8 +154,8 @@
 	return Error.Wrap(ErrUnknown)
 }
 
-// VoidLater is Void without waiting.
-func (c *Claims) VoidLater(account, key, attempt string) error {
+// VoidAsync is Void without waiting.
+func (c *Claims) VoidAsync(account, key, attempt string) error {
 	op, err := c.op(OpVoid, account, key, attempt)
 	if err != nil {
 		return err
@@ -164,9 +164,9 @@
 	return nil
 }
 
-// Handle serves a batch that another router forwarded. It serves as owner
+// HandleBatch serves a batch that another router forwarded. It serves as owner
 // whether or not this node thinks that it is: the log decides.
-func (c *Claims) Handle(ctx context.Context, b Batch) (BatchResult, error) {
+func (c *Claims) HandleBatch(ctx context.Context, b Batch) (BatchResult, error) {
 	shards, err := c.open(ctx)
 	if err != nil {
 		return BatchResult{Results: sameResults(len(b.Ops), CodeUnavailable)}, nil
--- a/once/once.go
+++ b/once/once.go
@@ -40,8 +40,8 @@
 	ErrUnknown = errors.New("claim may have been made")
 	// ErrKeyReused means that the key was used before with another body.
 	ErrKeyReused = errors.New("key reused with another body")
-	// ErrLate means that the deadline passed while the claim was under way.
-	ErrLate = errors.New("deadline passed before dispatch")
+	// ErrDeadlinePassed means that the deadline passed while the claim was under way.
+	ErrDeadlinePassed = errors.New("deadline passed before dispatch")
 	// ErrInvalid means that an argument is empty or too long.
 	ErrInvalid = errors.New("invalid claim")
 )
@@ -69,9 +69,9 @@
 	Voided
 )
 
-// Verdict answers a claim. If Granted is false, another attempt holds the
+// ClaimResult answers a claim. If Granted is false, another attempt holds the
 // key, or State is Voided and the asking attempt itself was voided.
-type Verdict struct {
+type ClaimResult struct {
 	Granted bool
 	Holder  string // node that made the attempt
 	Attempt string // attempt that holds the key
@@ -156,13 +156,13 @@
 	Forward(ctx context.Context, node string, b Batch) (BatchResult, error)
 }
 
-// InTime returns ErrLate if ctx ended or its deadline has passed. It is to be
+// CheckDeadline returns ErrLate if ctx ended or its deadline has passed. It is to be
 // called after a claim is granted, right before dispatch: a process that was
 // frozen while it waited sees a deadline pass without its timer having fired,
 // and a monotonic clock may have stood still, so both clocks are compared.
-func InTime(ctx context.Context) error {
+func CheckDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
-		return Error.Wrap(fmt.Errorf("%w: %w", ErrLate, err))
+		return Error.Wrap(fmt.Errorf("%w: %w", ErrDeadlinePassed, err))
 	}
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -170,7 +170,7 @@
 	}
 	now := time.Now()
 	if now.After(deadline) || now.Round(0).After(deadline.Round(0)) {
-		return Error.Wrap(ErrLate)
+		return Error.Wrap(ErrDeadlinePassed)
 	}
 	return nil
 }
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		kv := &downStore{Store: kvtest.New()}
 		c := newAlone(kv)
-		ask := func(attempt string) (Verdict, error) {
+		ask := func(attempt string) (ClaimResult, error) {
 			return c.Claim(t.Context(), "acme", "k", [16]byte{1}, attempt)
 		}
 		outage := func() {
@@ -199,10 +199,10 @@
 // Cause: only the context's Done channel is looked at.
 func TestInTimeAfterFreeze(t *testing.T) {
 	now := time.Now()
-	if err := InTime(frozen{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrLate) {
+	if err := CheckDeadline(frozen{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrDeadlinePassed) {
 		t.Error(err)
 	}
-	if err := InTime(frozen{t.Context(), now.Add(time.Hour)}); err != nil {
+	if err := CheckDeadline(frozen{t.Context(), now.Add(time.Hour)}); err != nil {
 		t.Error(err)
 	}
 }
@@ -246,7 +246,7 @@
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
 	other := newAlone(store)
-	ask := func(c *Claims, key, attempt string) (Verdict, error) {
+	ask := func(c *Claims, key, attempt string) (ClaimResult, error) {
 		return c.Claim(t.Context(), "acme", key, [16]byte{}, attempt)
 	}
 	claimSome := func(from, to int) {
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -29,7 +29,7 @@
 // and with routers that may disagree on who the owner is.
 type fleetOf struct {
 	mu       sync.Mutex // of all below but bench and attempts
-	bench    *kvtest.Bench
+	bench    *kvtest.Controller
 	routers  []*Claims
 	cancels  []context.CancelFunc
 	owner    []int // per router, whom it takes for the owner
@@ -61,7 +61,7 @@
 	if receiver == nil {
 		return BatchResult{}, errLinkCut
 	}
-	out, err := receiver.Handle(ctx, b)
+	out, err := receiver.HandleBatch(ctx, b)
 	if lost {
 		return BatchResult{}, errLinkCut
 	}
@@ -79,7 +79,7 @@
 
 func newFleet() *fleetOf {
 	f := &fleetOf{
-		bench: kvtest.NewBench(), granted: map[string][]string{}, gaveUp: map[string]bool{}, madeBy: map[string]*Claims{},
+		bench: kvtest.NewController(), granted: map[string][]string{}, gaveUp: map[string]bool{}, madeBy: map[string]*Claims{},
 		owner: make([]int, routerCount), cut: make([]bool, routerCount), lose: make([]bool, routerCount),
 	}
 	f.routers = make([]*Claims, routerCount)
@@ -119,9 +119,9 @@
 			if v.Attempt == attempt {
 				f.problems = append(f.problems, attempt+" refused for itself")
 			}
-		case InTime(ctx) != nil || abandon:
+		case CheckDeadline(ctx) != nil || abandon:
 			f.gaveUp[attempt] = true
-			_ = c.VoidLater("acme", key, attempt)
+			_ = c.VoidAsync("acme", key, attempt)
 		default:
 			f.dispatch(key, attempt)
 		}
@@ -158,12 +158,12 @@
 	case 5:
 		f.set(func() { f.lose[r] = !f.lose[r] })
 	case 6:
-		f.bench.Land(m.A)
+		f.bench.ApplyDelayed(m.A)
 	case 7:
 		time.Sleep(time.Duration(m.B*m.B) * 100 * time.Millisecond)
 	case 8:
 		f.cancels[r]() // the router dies; its successor knows nothing of it
-		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.bench.Held(), time.Now().UnixNano()))
+		f.startRouter(r, fmt.Sprint("b", f.attempts, m.B, f.bench.Blocked(), time.Now().UnixNano()))
 	case 9, 10:
 		f.bench.Release(m.A, kvtest.Fault(m.B%int(kvtest.FaultCount)))
 	default:
@@ -176,11 +176,11 @@
 // finish ends all calls, then proves that each key that did not run is free
 // once the voids of living routers are done, and reads the same everywhere.
 func (f *fleetOf) finish() {
-	for f.bench.Late() > 0 {
-		f.bench.Land(0)
+	for f.bench.DelayedWrites() > 0 {
+		f.bench.ApplyDelayed(0)
 	}
 	for range 4000 {
-		if f.bench.Held() > 0 {
+		if f.bench.Blocked() > 0 {
 			f.bench.Release(0, kvtest.OK)
 		} else {
 			time.Sleep(20 * time.Millisecond)
@@ -217,7 +217,7 @@
 			_, err = v.log.Head(context.Background())
 		}
 	}()
-	for synctest.Wait(); f.bench.Held() > 0; synctest.Wait() {
+	for synctest.Wait(); f.bench.Blocked() > 0; synctest.Wait() {
 		f.bench.Release(0, kvtest.OK)
 	}
 	<-done
--- a/order/executor.go
+++ b/order/executor.go
@@ -28,7 +28,7 @@
 	Lease    Lease
 	Backends Backends
 	State    func() *intent.State
-	Fresh    func() bool            // whether State may be acted on
+	UpToDate func() bool            // whether State may be acted on
 	List     func() []fleet.Backend // the backend servers
 	// Sizes returns the weights' bytes by ModelRef.String(), of all placements.
 	Sizes func(context.Context) map[string]int64
@@ -50,7 +50,7 @@
 
 	// Used by the goroutine that keeps the lease.
 	machine *chart.Machine
-	held    Held
+	held    HeldLease
 	nextTry time.Time // for the lease
 
 	// Used by the goroutine that gives orders.
@@ -160,7 +160,7 @@
 
 // mayTry spaces the tries for the lease, so that waiting routers cost little.
 func (e *Executor) mayTry(now time.Time) bool {
-	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.Fresh() {
+	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.UpToDate() {
 		return false
 	}
 	third := float64(e.cfg.Policy.TTL) / 3
@@ -178,7 +178,7 @@
 	}
 	e.mu.Lock()
 	e.held = h
-	e.tenure = Begin(e.cfg.Policy, h.Fence, asked, time.Now())
+	e.tenure = NewTenure(e.cfg.Policy, h.Fence, asked, time.Now())
 	e.mu.Unlock()
 	e.fire("acquired")
 	e.cfg.Events.Emit(event.OrderLeaseHeld, "fence", h.Fence)
@@ -190,17 +190,17 @@
 	e.mu.Lock()
 	t := *e.tenure
 	e.mu.Unlock()
-	if t.Lapsed(asked) {
+	if t.Expired(asked) {
 		e.lost("it lapsed by this node's clock")
 		return
 	}
-	if e.machine.State() == "quiet" && !t.Quiet(asked) {
+	if e.machine.State() == "quiet" && !t.InQuietPeriod(asked) {
 		e.fire("quiet-over")
 	}
 	if !t.RenewDue(asked) {
 		return
 	}
-	ctx, cancel := context.WithDeadline(ctx, t.Until())
+	ctx, cancel := context.WithDeadline(ctx, t.ValidUntil())
 	defer cancel()
 	err := e.cfg.Lease.Renew(ctx, e.held)
 	if errors.Is(err, ErrLeaseLost) {
@@ -209,7 +209,7 @@
 	}
 	if err == nil {
 		e.mu.Lock()
-		e.tenure.Renewed(asked)
+		e.tenure.RecordRenewal(asked)
 		e.mu.Unlock()
 	}
 }
@@ -281,7 +281,7 @@
 	}
 	e.mu.Lock()
 	if e.tenure != nil && e.tenure.Fence == fence {
-		e.tenure.Answered(s.Backend)
+		e.tenure.RecordAnswer(s.Backend)
 	}
 	e.mu.Unlock()
 	e.sent.Inc()
@@ -295,6 +295,6 @@
 	if e.tenure == nil {
 		return time.Time{}, 0, false
 	}
-	deadline, ok := e.tenure.Send(time.Now(), b)
+	deadline, ok := e.tenure.PermitSend(time.Now(), b)
 	return deadline, e.tenure.Fence, ok
 }
--- a/order/lease.go
+++ b/order/lease.go
@@ -25,27 +25,27 @@
 
 // Acquire implements Lease. A create whose answer is lost isn't settled: the
 // key then goes with its lease, which nobody renews, and someone acquires anew.
-func (l *kvLease) Acquire(ctx context.Context, ttl time.Duration) (Held, bool, error) {
+func (l *kvLease) Acquire(ctx context.Context, ttl time.Duration) (HeldLease, bool, error) {
 	_, taken, err := l.kv.Get(ctx, l.key)
 	if err != nil || taken {
-		return Held{}, false, Error.Wrap(err)
+		return HeldLease{}, false, Error.Wrap(err)
 	}
 	id, err := l.kv.Grant(ctx, ttl)
 	if err != nil {
-		return Held{}, false, Error.Wrap(err)
+		return HeldLease{}, false, Error.Wrap(err)
 	}
 	created, v, err := l.kv.CreateWithLease(ctx, l.key, []byte(l.node), id)
 	if err != nil || !created {
 		// Best effort: the lease lapses by itself.
 		_ = l.kv.Revoke(ctx, id)
-		return Held{}, false, Error.Wrap(err)
+		return HeldLease{}, false, Error.Wrap(err)
 	}
-	return Held{Fence: uint64(v.CreateRev), ID: int64(id), TTL: ttl}, true, nil
+	return HeldLease{Fence: uint64(v.CreateRev), ID: int64(id), TTL: ttl}, true, nil
 }
 
 // Renew implements Lease. The key is looked at too: without it the lease
 // protects nothing, and another node may have created it anew.
-func (l *kvLease) Renew(ctx context.Context, h Held) error {
+func (l *kvLease) Renew(ctx context.Context, h HeldLease) error {
 	left, err := l.kv.KeepAlive(ctx, infra.LeaseID(h.ID))
 	if errors.Is(err, infra.ErrLeaseNotFound) || (err == nil && left <= 0) {
 		return Error.Wrap(ErrLeaseLost)
@@ -64,6 +64,6 @@
 }
 
 // Release implements Lease.
-func (l *kvLease) Release(ctx context.Context, h Held) error {
+func (l *kvLease) Release(ctx context.Context, h HeldLease) error {
 	return Error.Wrap(l.kv.Revoke(ctx, infra.LeaseID(h.ID)))
 }
--- a/order/next_test.go
+++ b/order/next_test.go
@@ -88,11 +88,11 @@
 
 type freeLease struct{}
 
-func (freeLease) Acquire(context.Context, time.Duration) (Held, bool, error) {
-	return Held{Fence: 1}, true, nil
+func (freeLease) Acquire(context.Context, time.Duration) (HeldLease, bool, error) {
+	return HeldLease{Fence: 1}, true, nil
 }
-func (freeLease) Renew(context.Context, Held) error   { return nil }
-func (freeLease) Release(context.Context, Held) error { return nil }
+func (freeLease) Renew(context.Context, HeldLease) error   { return nil }
+func (freeLease) Release(context.Context, HeldLease) error { return nil }
 
 // Symptom: a model has no replica while its new version loads, or the weight
 // store is asked for more than its rate. Sequence: a plan replaces v1 by v2 on
@@ -108,7 +108,7 @@
 			Lease:    freeLease{},
 			Backends: f,
 			State:    func() *intent.State { return state },
-			Fresh:    func() bool { return true },
+			UpToDate: func() bool { return true },
 			List:     func() []fleet.Backend { return f.list },
 			Sizes:    func(context.Context) map[string]int64 { return map[string]int64{v2.String(): 100} },
 			Policy:   Policy{WeightRate: 2},
--- a/order/order.go
+++ b/order/order.go
@@ -59,8 +59,8 @@
 	Status(ctx context.Context, b fleet.Backend) (Status, error)
 }
 
-// Held is a lease that was acquired.
-type Held struct {
+// HeldLease is a lease that was acquired.
+type HeldLease struct {
 	Fence uint64
 	ID    int64
 	TTL   time.Duration // as granted
@@ -69,11 +69,11 @@
 // Lease is the lease for orders in the key-value service.
 type Lease interface {
 	// Acquire takes the lease if it is free; ok is false when another holds it.
-	Acquire(ctx context.Context, ttl time.Duration) (h Held, ok bool, err error)
+	Acquire(ctx context.Context, ttl time.Duration) (h HeldLease, ok bool, err error)
 	// Renew prolongs it. ErrLeaseLost means that it has lapsed.
-	Renew(ctx context.Context, h Held) error
+	Renew(ctx context.Context, h HeldLease) error
 	// Release gives it up.
-	Release(ctx context.Context, h Held) error
+	Release(ctx context.Context, h HeldLease) error
 }
 
 // Defaults of Policy.
--- a/order/round.go
+++ b/order/round.go
@@ -14,7 +14,7 @@
 // round gives what orders are due.
 func (e *Executor) round(ctx context.Context) {
 	fence, ok := e.fence()
-	if !ok || !e.cfg.Fresh() {
+	if !ok || !e.cfg.UpToDate() {
 		return
 	}
 	e.roundAt(ctx, fence, time.Now())
@@ -60,10 +60,10 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				e.schedule.Failed(b.ID)
+				e.schedule.RecordFailure(b.ID)
 				return nil // the schedule has it asked again
 			}
-			e.schedule.Answered(b.ID, st)
+			e.schedule.RecordAnswer(b.ID, st)
 			return nil
 		})
 	}
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// Sweep is the longest time between two questions to an engine that answers.
+	// SweepInterval is the longest time between two questions to an engine that answers.
 	// One that drifted without a sign of it is put right within that and a round.
-	Sweep = time.Minute
+	SweepInterval = time.Minute
 	// promptRetries is how many failures in a row are followed by a question in
 	// the very next round; after that the wait doubles, up to Sweep.
 	promptRetries = 3
@@ -70,16 +70,16 @@
 	return due
 }
 
-// Answered notes the answer of an engine that was due.
-func (c *Schedule) Answered(id string, st Status) {
+// RecordAnswer notes the answer of an engine that was due.
+func (c *Schedule) RecordAnswer(id string, st Status) {
 	if k, ok := c.known[id]; ok {
 		k.failures = 0
 		c.status[id] = st
 	}
 }
 
-// Failed notes that an engine that was due didn't answer.
-func (c *Schedule) Failed(id string) {
+// RecordFailure notes that an engine that was due didn't answer.
+func (c *Schedule) RecordFailure(id string) {
 	if k, ok := c.known[id]; ok {
 		k.failures++
 		delete(c.status, id)
@@ -139,8 +139,8 @@
 // asked at last. The moments are spread by a hash of the name and never move,
 // so no change of the list can put an engine off.
 func (c *Schedule) swept(id string, last, now time.Time) bool {
-	phase := time.Duration(xxhash.Sum64String(id) % uint64(Sweep))
-	turn := func(t time.Time) int64 { return int64((t.Sub(c.start) + Sweep - phase) / Sweep) }
+	phase := time.Duration(xxhash.Sum64String(id) % uint64(SweepInterval))
+	turn := func(t time.Time) int64 { return int64((t.Sub(c.start) + SweepInterval - phase) / SweepInterval) }
 	return turn(now) > turn(last)
 }
 
@@ -216,8 +216,8 @@
 		return 0
 	}
 	d := firstBackoff
-	for i := promptRetries + 1; i < failures && d < Sweep; i++ {
-		d = min(2*d, Sweep)
+	for i := promptRetries + 1; i < failures && d < SweepInterval; i++ {
+		d = min(2*d, SweepInterval)
 	}
 	return d
 }
--- a/order/schedule_test.go
+++ b/order/schedule_test.go
@@ -62,10 +62,10 @@
 		for _, b := range due {
 			out[b.ID], r.asked[b.ID] = true, r.now
 			if r.mute[b.ID] {
-				r.Failed(b.ID)
+				r.RecordFailure(b.ID)
 				continue
 			}
-			r.Answered(b.ID, r.f.status[b.ID])
+			r.RecordAnswer(b.ID, r.f.status[b.ID])
 		}
 	}
 }
@@ -105,8 +105,8 @@
 				t.Fatalf("%s changed and wasn't asked in the next round", id)
 			}
 			for _, b := range r.f.list {
-				if late := r.now.Sub(r.asked[b.ID]); late > Sweep {
-					t.Fatalf("%s was last asked %v ago, at most %v is allowed", b.ID, late, Sweep)
+				if late := r.now.Sub(r.asked[b.ID]); late > SweepInterval {
+					t.Fatalf("%s was last asked %v ago, at most %v is allowed", b.ID, late, SweepInterval)
 				}
 			}
 			for _, step := range Next(r.s, View{Backends: r.f.list, Status: r.status}, Policy{}.WithDefaults(), prog, r.now) {
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -17,11 +17,11 @@
 	busy   map[string]time.Time
 }
 
-// Begin starts a tenure. asked is when the call that acquired the lease was
+// NewTenure starts a tenure. asked is when the call that acquired the lease was
 // begun: the service counts the ttl from some moment after that.
-func Begin(p Policy, fence uint64, asked, now time.Time) *Tenure {
+func NewTenure(p Policy, fence uint64, asked, now time.Time) *Tenure {
 	t := &Tenure{Fence: fence, policy: p, busy: map[string]time.Time{}}
-	t.Renewed(asked)
+	t.RecordRenewal(asked)
 	// The former holder may believe in its lease for one ttl after its last
 	// renewal, also when the service has lost the lease earlier, and an order of
 	// its last moment takes up to the order's deadline.
@@ -29,8 +29,8 @@
 	return t
 }
 
-// Renewed notes a renewal whose call was begun at asked.
-func (t *Tenure) Renewed(asked time.Time) {
+// RecordRenewal notes a renewal whose call was begun at asked.
+func (t *Tenure) RecordRenewal(asked time.Time) {
 	t.until = asked.Add(t.policy.TTL - t.policy.margin())
 	t.renew = asked.Add(t.policy.TTL / 3)
 }
@@ -38,25 +38,25 @@
 // RenewDue reports whether the lease should be renewed now.
 func (t *Tenure) RenewDue(now time.Time) bool { return !now.Before(t.renew) }
 
-// Lapsed reports whether the tenure is over by the holder's own clock.
-func (t *Tenure) Lapsed(now time.Time) bool { return !now.Before(t.until) }
+// Expired reports whether the tenure is over by the holder's own clock.
+func (t *Tenure) Expired(now time.Time) bool { return !now.Before(t.until) }
 
-// Until is when the tenure ends unless it is renewed.
-func (t *Tenure) Until() time.Time { return t.until }
+// ValidUntil is when the tenure ends unless it is renewed.
+func (t *Tenure) ValidUntil() time.Time { return t.until }
 
-// Quiet reports whether backend servers that don't check must still be left alone.
-func (t *Tenure) Quiet(now time.Time) bool { return now.Before(t.quiet) }
+// InQuietPeriod reports whether backend servers that don't check must still be left alone.
+func (t *Tenure) InQuietPeriod(now time.Time) bool { return now.Before(t.quiet) }
 
-// Send says whether an order to b may be sent at this very moment, and by when
+// PermitSend says whether an order to b may be sent at this very moment, and by when
 // it must have ended. It marks b as busy until Answered is called or the
 // deadline has passed: an unanswered order may still arrive until then and would
 // undo a newer one.
-func (t *Tenure) Send(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
+func (t *Tenure) PermitSend(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
 	deadline = now.Add(t.policy.OrderDeadline)
 	if deadline.After(t.until) {
 		return time.Time{}, false
 	}
-	if !b.ChecksFence && t.Quiet(now) {
+	if !b.ChecksFence && t.InQuietPeriod(now) {
 		return time.Time{}, false
 	}
 	if now.Before(t.busy[b.ID]) {
@@ -67,5 +67,5 @@
 	return deadline, true
 }
 
-// Answered notes that b has answered its last order, so that it may get another.
-func (t *Tenure) Answered(b fleet.Backend) { delete(t.busy, b.ID) }
+// RecordAnswer notes that b has answered its last order, so that it may get another.
+func (t *Tenure) RecordAnswer(b fleet.Backend) { delete(t.busy, b.ID) }
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -64,20 +64,20 @@
 // keep is what the executor does before each round.
 func (w *world) keep(i int) {
 	h := w.holders[i]
-	if h.tenure != nil && h.tenure.Lapsed(w.now) {
+	if h.tenure != nil && h.tenure.Expired(w.now) {
 		h.tenure = nil
 	}
 	switch {
 	case h.tenure == nil && w.owner < 0:
 		w.fence++
 		w.owner, w.expires = i, w.now.Add(policy.TTL)
-		h.tenure = Begin(policy, w.fence, w.now, w.now)
+		h.tenure = NewTenure(policy, w.fence, w.now, w.now)
 	case h.tenure != nil && h.tenure.RenewDue(w.now) && w.owner == i && h.tenure.Fence == w.fence:
 		w.expires = w.now.Add(policy.TTL)
 		if !w.calmed && rapid.IntRange(0, 3).Draw(w.t, "answer of the renewal is lost if 3") == 3 {
 			return
 		}
-		h.tenure.Renewed(w.now)
+		h.tenure.RecordRenewal(w.now)
 	case h.tenure != nil && h.tenure.RenewDue(w.now):
 		h.tenure = nil
 	}
@@ -90,14 +90,14 @@
 	if h.tenure == nil {
 		return
 	}
-	deadline, ok := h.tenure.Send(w.now, e.Backend)
+	deadline, ok := h.tenure.PermitSend(w.now, e.Backend)
 	if !ok {
 		return
 	}
 	w.wires = append(w.wires, &wire{to: e, fence: h.tenure.Fence, serial: len(w.wires) + 1, plan: h.plan, deadline: deadline})
 	if w.calmed || rapid.Bool().Draw(w.t, "arrives at once") {
 		w.arrive(w.wires[len(w.wires)-1])
-		h.tenure.Answered(e.Backend)
+		h.tenure.RecordAnswer(e.Backend)
 	}
 }
 
--- a/peer/config.go
+++ b/peer/config.go
@@ -9,9 +9,9 @@
 
 // Topology bounds the number of links that a node keeps.
 type Topology struct {
-	FullMeshLimit int // up to this many members, each is linked to all others
-	NearLinks     int // above it: links within the own failure domain
-	FarLinks      int // above it: links to other failure domains
+	FullMeshLimit    int // up to this many members, each is linked to all others
+	SameDomainLinks  int // above it: links within the own failure domain
+	OtherDomainLinks int // above it: links to other failure domains
 }
 
 // Config describes one node. Zero durations and counts take the defaults.
@@ -30,7 +30,7 @@
 	DialTimeout    time.Duration // dial and handshake; default 2 s
 	WriteTimeout   time.Duration // one message; default 4 heartbeats
 	MaxBackoff     time.Duration // between dials of one address; default 15 s
-	IdleLink       time.Duration // unused link made for a call; default 60 s
+	IdleTimeout    time.Duration // unused link made for a call; default 60 s
 	MaxMessage     int           // bytes; default 1 MiB + 64 KiB
 	MaxQueueBytes  int           // waiting on one link; default 4 MiB
 	MaxLinks       int           // accepted and dialled; default 64
@@ -68,15 +68,15 @@
 	def(&c.DialTimeout, 2*time.Second)
 	def(&c.WriteTimeout, 4*c.Heartbeat)
 	def(&c.MaxBackoff, 15*time.Second)
-	def(&c.IdleLink, time.Minute)
+	def(&c.IdleTimeout, time.Minute)
 	def(&c.MaxMessage, 1<<20+64<<10)
 	def(&c.MaxQueueBytes, 4<<20)
 	def(&c.MaxLinks, 64)
 	def(&c.MaxCallLinks, 8)
 	def(&c.MaxCallsServed, 128)
 	def(&c.Topology.FullMeshLimit, 16)
-	def(&c.Topology.NearLinks, 4)
-	def(&c.Topology.FarLinks, 2)
+	def(&c.Topology.SameDomainLinks, 4)
+	def(&c.Topology.OtherDomainLinks, 2)
 	if c.Dial == nil {
 		c.Dial = (&net.Dialer{}).DialContext
 	}
--- a/peer/fabric_test.go
+++ b/peer/fabric_test.go
@@ -37,14 +37,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node{Mesh: m, set: set, cancel: cancel, done: make(chan struct{}), floods: make(chan string, 64), links: make(chan string, 64)}
 	n.srv = &http.Server{Handler: m, ReadHeaderTimeout: time.Second}
-	Handle(m, "text", func(from, text string) { n.floods <- from + ":" + text })
+	HandleFlood(m, "text", func(from, text string) { n.floods <- from + ":" + text })
 	m.OnLink(func(id string) {
 		select {
 		case n.links <- id:
 		default:
 		}
 	})
-	Handle(m, "panic", func(string, string) { panic("as asked") })
+	HandleFlood(m, "panic", func(string, string) { panic("as asked") })
 	HandleCall(m, "echo", func(_ context.Context, from, text string) (string, error) {
 		if text == "panic" {
 			panic("as asked")
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -46,9 +46,9 @@
 // floodHandler takes the body of one kind of flood.
 type floodHandler func(from string, body cbor.RawMessage) error
 
-// Handle registers fn for floods of a kind. Handlers run one after another and
+// HandleFlood registers fn for floods of a kind. Handlers run one after another and
 // in the order of arrival; they must not block. Register before Run.
-func Handle[T any](m *Mesh, kind string, fn func(from string, v T)) {
+func HandleFlood[T any](m *Mesh, kind string, fn func(from string, v T)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.floods[kind] = func(from string, body cbor.RawMessage) error {
@@ -66,10 +66,10 @@
 // misses it, and the owner of the kind repairs that by anti-entropy.
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
-// Tell sends v to the linked members only, which don't pass it on. It is for
+// SendToLinked sends v to the linked members only, which don't pass it on. It is for
 // news that is soon replaced by newer: passed on, each would cost a message a
 // link instead of one a neighbour.
-func (m *Mesh) Tell(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
+func (m *Mesh) SendToLinked(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
 
 func (m *Mesh) flood(kind string, v any, hops uint64) error {
 	f := frame{Type: typeFlood, Kind: kind, ID: rand.Uint64(), From: m.cfg.ID, Arg: hops}
--- a/peer/judge.go
+++ b/peer/judge.go
@@ -11,20 +11,20 @@
 
 // Evidence is what one node knows about another at a moment.
 type Evidence struct {
-	Status      Status
-	StatusSince time.Time
-	Neighbour   bool      // this node is to hold a link to the other
-	WantedSince time.Time // since when it is a neighbour
-	LastHeard   time.Time // zero: never in this node's life
-	PauseEnd    time.Time // end of this node's own last pause, or its start
+	Status         Status
+	StatusSince    time.Time
+	Neighbour      bool      // this node is to hold a link to the other
+	NeighbourSince time.Time // since when it is a neighbour
+	LastReceived   time.Time // zero: never in this node's life
+	PauseEnd       time.Time // end of this node's own last pause, or its start
 }
 
-// Verdict is the outcome of a judgement.
-type Verdict uint8
+// Decision is the outcome of a judgement.
+type Decision uint8
 
 const (
 	// Keep leaves the record as it is.
-	Keep Verdict = iota
+	Keep Decision = iota
 	// MakeSuspect spreads the rumour that the node is not heard.
 	MakeSuspect
 	// MakeDead records that the suspicion was not refuted in time.
@@ -33,14 +33,14 @@
 	Forget
 )
 
-// Judge decides what becomes of a member. It is pure.
+// Evaluate decides what becomes of a member. It is pure.
 //
 // A node that was frozen itself has heard nobody for the length of its pause:
 // without PauseEnd it would call the whole fleet dead the moment it returns. And a
 // node that is still heard on a direct link is never moved to dead by a rumour,
 // which a partition between two others may have started.
-func Judge(now time.Time, e Evidence, p Policy) Verdict {
-	since := latest(e.LastHeard, e.WantedSince, e.PauseEnd)
+func Evaluate(now time.Time, e Evidence, p Policy) Decision {
+	since := latest(e.LastReceived, e.NeighbourSince, e.PauseEnd)
 	silent := now.Sub(since) > p.LinkTimeout
 	switch e.Status {
 	case Alive:
@@ -48,7 +48,7 @@
 			return MakeSuspect
 		}
 	case Suspect:
-		heard := now.Sub(e.LastHeard) <= p.LinkTimeout
+		heard := now.Sub(e.LastReceived) <= p.LinkTimeout
 		waited := now.Sub(latest(e.StatusSince, e.PauseEnd))
 		if !heard && waited > p.SuspectTimeout {
 			return MakeDead
--- a/peer/members.go
+++ b/peer/members.go
@@ -52,8 +52,8 @@
 	return float64(len(ids))
 }
 
-// Full tells whether the members are few enough for each to be linked to all others.
-func (m *Mesh) Full() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
+// IsFullMesh tells whether the members are few enough for each to be linked to all others.
+func (m *Mesh) IsFullMesh() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
 
 func (m *Mesh) member(e *entry) Member {
 	r := e.rec
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -66,23 +66,23 @@
 		name string
 		now  time.Time
 		e    Evidence
-		want Verdict
+		want Decision
 	}{
-		{"heard lately", at(4), Evidence{Neighbour: true, LastHeard: at(0)}, Keep},
-		{"silent neighbour", at(5), Evidence{Neighbour: true, LastHeard: at(0)}, MakeSuspect},
-		{"silent but no neighbour", at(5), Evidence{LastHeard: at(0)}, Keep},
-		{"neighbour only lately", at(5), Evidence{Neighbour: true, LastHeard: at(0), WantedSince: at(3)}, Keep},
-		{"this node was frozen", at(100), Evidence{Neighbour: true, LastHeard: at(0), PauseEnd: at(99)}, Keep},
-		{"never heard since wanted", at(5), Evidence{Neighbour: true, WantedSince: at(0)}, MakeSuspect},
+		{"heard lately", at(4), Evidence{Neighbour: true, LastReceived: at(0)}, Keep},
+		{"silent neighbour", at(5), Evidence{Neighbour: true, LastReceived: at(0)}, MakeSuspect},
+		{"silent but no neighbour", at(5), Evidence{LastReceived: at(0)}, Keep},
+		{"neighbour only lately", at(5), Evidence{Neighbour: true, LastReceived: at(0), NeighbourSince: at(3)}, Keep},
+		{"this node was frozen", at(100), Evidence{Neighbour: true, LastReceived: at(0), PauseEnd: at(99)}, Keep},
+		{"never heard since wanted", at(5), Evidence{Neighbour: true, NeighbourSince: at(0)}, MakeSuspect},
 		{"suspect may still refute", at(5), Evidence{Status: Suspect, StatusSince: at(0)}, Keep},
 		{"suspicion not refuted", at(6), Evidence{Status: Suspect, StatusSince: at(0)}, MakeDead},
-		{"suspect heard on a link", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastHeard: at(3)}, Keep},
+		{"suspect heard on a link", at(6), Evidence{Status: Suspect, StatusSince: at(0), LastReceived: at(3)}, Keep},
 		{"suspicion from before the pause", at(100), Evidence{Status: Suspect, StatusSince: at(0), PauseEnd: at(98)}, Keep},
 		{"dead is remembered", at(3600), Evidence{Status: Dead, StatusSince: at(0)}, Keep},
 		{"dead is forgotten", at(3601), Evidence{Status: Dead, StatusSince: at(0)}, Forget},
 	}
 	for _, c := range cases {
-		if got := Judge(c.now, c.e, p); got != c.want {
+		if got := Evaluate(c.now, c.e, p); got != c.want {
 			t.Errorf("%s: verdict %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// AddSeeds replaces the addresses learnt from the VM list. The seeds of the
+// SetDiscoveredSeeds replaces the addresses learnt from the VM list. The seeds of the
 // configuration stay.
-func (m *Mesh) AddSeeds(addrs []string) {
+func (m *Mesh) SetDiscoveredSeeds(addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = append(append([]string(nil), m.cfg.Seeds...), addrs...)
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -21,7 +21,7 @@
 
 // startFabric runs n nodes n00, n01, ... on a network in memory. Their addresses
 // are their ids; the first is everyone's seed.
-func startFabric(t *testing.T, f *peertest.Fabric, n int, tune func(*Config)) []*node {
+func startFabric(t *testing.T, f *peertest.Network, n int, tune func(*Config)) []*node {
 	nodes := make([]*node, n)
 	for i := range nodes {
 		nodes[i] = startOn(t, f, i, 1, testKey, tune)
@@ -29,7 +29,7 @@
 	return nodes
 }
 
-func startOn(t *testing.T, f *peertest.Fabric, i int, incarnation uint64, key []byte, tune func(*Config)) *node {
+func startOn(t *testing.T, f *peertest.Network, i int, incarnation uint64, key []byte, tune func(*Config)) *node {
 	id := fmt.Sprintf("n%02d", i)
 	cfg := Config{
 		ID:            id,
@@ -129,7 +129,7 @@
 // refuted, or nobody dialling again because each side holds the other for dead.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 4, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -165,7 +165,7 @@
 // the third, which also relays calls between them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -193,7 +193,7 @@
 // off after it began. Cause: the two must be told apart by the error.
 func TestCallErrorsTellWhetherItRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -221,7 +221,7 @@
 // it on before it handles it.
 func TestPanicOfAHandlerEndsNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 3, nil)
 		defer stopAll(nodes)
 		settle(10 * time.Second)
@@ -249,7 +249,7 @@
 // was known about the old incarnation outlives it.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 3, nil)
 		settle(10 * time.Second)
 		nodes[1].SetSummary(Summary{Revision: 9})
@@ -275,7 +275,7 @@
 // another key. Cause: a proof that is not checked on one of the sides.
 func TestWrongKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 2, nil)
 		nodes = append(nodes, startOn(t, f, 2, 1, []byte("another key, same length"), nil))
 		defer stopAll(nodes)
@@ -297,7 +297,7 @@
 // that are the same in both directions.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		srv := &http.Server{Handler: http.HandlerFunc(reflect)}
 		go srv.Serve(f.Listen("n09"))
 		defer srv.Close()
@@ -335,7 +335,7 @@
 // acceptor takes each new link of a dialler for the end of the old one.
 func TestSeedAliasKeepsTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 2, func(c *Config) { c.Seeds = []string{"n00:80"} })
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
@@ -355,7 +355,7 @@
 	}
 	for reason, payload := range cases {
 		synctest.Test(t, func(t *testing.T) {
-			f := peertest.NewFabric()
+			f := peertest.NewNetwork()
 			n := startOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxMessage = 64 << 10 })
 			defer n.stop()
 			settle(time.Second)
@@ -375,7 +375,7 @@
 }
 
 // rawLink completes a handshake as node "raw" and returns the bare connection.
-func rawLink(t *testing.T, f *peertest.Fabric, n *node) *websocket.Conn {
+func rawLink(t *testing.T, f *peertest.Network, n *node) *websocket.Conn {
 	m, err := New(Config{ID: "raw", Addr: "raw", Dial: f.Dial("raw")}, testKey, nil, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -398,7 +398,7 @@
 // queue; the link must be dropped instead, at the bound.
 func TestSlowLinkIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		n := startOn(t, f, 0, 1, testKey, func(c *Config) { c.MaxQueueBytes = 1 << 20 })
 		defer n.stop()
 		settle(time.Second)
@@ -423,7 +423,7 @@
 // or rumours that do not travel.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		nodes := startFabric(t, f, 40, nil)
 		defer stopAll(nodes)
 		settle(2 * time.Minute)
@@ -471,7 +471,7 @@
 // Cause: pages of entries that are much alike pass as they are.
 func TestLongMessagesAreCompressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := peertest.NewFabric()
+		f := peertest.NewNetwork()
 		var passed atomic.Int64
 		nodes := startFabric(t, f, 2, func(c *Config) {
 			dial := c.Dial
--- a/peer/peertest/fabric.go
+++ b/peer/peertest/fabric.go
@@ -10,22 +10,22 @@
 	"sync"
 )
 
-// Fabric is a network in memory, for bubbles of synctest. A connection that was
+// Network is a network in memory, for bubbles of synctest. A connection that was
 // open while its direction was cut stays silent for ever, without being closed.
-type Fabric struct {
+type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 	cuts      map[[2]string]bool
 	conns     []*pipeConn
 }
 
-// NewFabric returns a network without any address.
-func NewFabric() *Fabric {
-	return &Fabric{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
+// NewNetwork returns a network without any address.
+func NewNetwork() *Network {
+	return &Network{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
 }
 
 // Cut stops the bytes that go from one address to another.
-func (f *Fabric) Cut(from, to string, on bool) {
+func (f *Network) Cut(from, to string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cuts[[2]string{from, to}] = on
@@ -37,7 +37,7 @@
 }
 
 // Isolate cuts an address from and to all others, or heals that.
-func (f *Fabric) Isolate(addr string, on bool) {
+func (f *Network) Isolate(addr string, on bool) {
 	f.mu.Lock()
 	others := make([]string, 0, len(f.listeners))
 	for a := range f.listeners {
@@ -51,7 +51,7 @@
 }
 
 // Dial returns how an address opens connections.
-func (f *Fabric) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
+func (f *Network) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, hostPort string) (net.Conn, error) {
 		to, _, _ := strings.Cut(hostPort, ":")
 		f.mu.Lock()
@@ -104,7 +104,7 @@
 }
 
 type pipeListener struct {
-	f       *Fabric
+	f       *Network
 	addr    string
 	accepts chan net.Conn
 	once    sync.Once
@@ -112,7 +112,7 @@
 }
 
 // Listen has connections to an address accepted.
-func (f *Fabric) Listen(addr string) net.Listener {
+func (f *Network) Listen(addr string) net.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := &pipeListener{f: f, addr: addr, accepts: make(chan net.Conn), closed: make(chan struct{})}
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -105,21 +105,21 @@
 			continue
 		}
 		ev := Evidence{
-			Status:      e.rec.Status,
-			StatusSince: e.statusSince,
-			Neighbour:   e.neighbour,
-			WantedSince: e.wantedSince,
-			LastHeard:   e.lastHeard,
-			PauseEnd:    m.pauseEnd,
+			Status:         e.rec.Status,
+			StatusSince:    e.statusSince,
+			Neighbour:      e.neighbour,
+			NeighbourSince: e.wantedSince,
+			LastReceived:   e.lastHeard,
+			PauseEnd:       m.pauseEnd,
 		}
 		if l, ok := m.links[id]; ok {
-			ev.LastHeard = l.heard()
+			ev.LastReceived = l.heard()
 		}
-		m.apply(now, e, Judge(now, ev, m.cfg.Policy))
+		m.apply(now, e, Evaluate(now, ev, m.cfg.Policy))
 	}
 }
 
-func (m *Mesh) apply(now time.Time, e *entry, v Verdict) {
+func (m *Mesh) apply(now time.Time, e *entry, v Decision) {
 	switch v {
 	case MakeSuspect:
 		m.suspect(now, e)
@@ -256,7 +256,7 @@
 // closeIdle ends links that this node dialled for a call and no longer uses.
 func (m *Mesh) closeIdle(now time.Time) {
 	for _, l := range m.callLinks() {
-		if now.Sub(time.Unix(0, l.lastUsed.Load())) > m.cfg.IdleLink {
+		if now.Sub(time.Unix(0, l.lastUsed.Load())) > m.cfg.IdleTimeout {
 			l.close(lostIdle)
 		}
 	}
--- a/peer/topology.go
+++ b/peer/topology.go
@@ -77,17 +77,17 @@
 		}
 		far = append(far, w)
 	}
-	nearN := min(t.NearLinks, len(near))
-	farN := min(t.FarLinks, len(far))
-	nearN = min(len(near), nearN+t.FarLinks-farN)
-	farN = min(len(far), t.NearLinks+t.FarLinks-nearN)
+	nearN := min(t.SameDomainLinks, len(near))
+	farN := min(t.OtherDomainLinks, len(far))
+	nearN = min(len(near), nearN+t.OtherDomainLinks-farN)
+	farN = min(len(far), t.SameDomainLinks+t.OtherDomainLinks-nearN)
 	for _, w := range slices.Concat(heaviest(near, nearN), heaviest(far, farN)) {
 		out[w.id] = true
 	}
 	return out
 }
 
-// SelfAmong tells whether this node is one of the members.
-func SelfAmong(members []Member) bool {
+// ContainsSelf tells whether this node is one of the members.
+func ContainsSelf(members []Member) bool {
 	return slices.ContainsFunc(members, func(m Member) bool { return m.Self })
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -27,13 +27,13 @@
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
-	// Wait is told when a backend server is expected back soon.
-	Wait time.Duration
+	// RetryAfter is told when a backend server is expected back soon.
+	RetryAfter time.Duration
 }
 
 // Pick chooses by router and counts the attempt, with its load, until its share
 // ends. Without a choice the error is a *generation.Unavailable.
-func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, ask routing.Ask, load directory.Load) (b fleet.Backend, s generation.Share, err error) {
+func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, ask routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range tries {
 		ask.Now = time.Now()
 		chosen, _, err := router.Pick(candidates, ask)
@@ -44,9 +44,9 @@
 		if !c.Dir.Leaving(id) && c.Mon.Allow(id) {
 			return chosen.Backend, c.Dir.Begin(id, load), nil
 		}
-		ask.Exclude = With(ask.Exclude, id)
+		ask.Exclude = WithID(ask.Exclude, id)
 	}
-	return fleet.Backend{}, nil, &generation.Unavailable{Retryable: true, RetryAfter: c.Wait}
+	return fleet.Backend{}, nil, &generation.Unavailable{Retryable: true, RetryAfter: c.RetryAfter}
 }
 
 func (c Chooser) none(err error) error {
@@ -54,11 +54,11 @@
 	if !ok {
 		return &generation.Unavailable{Err: err}
 	}
-	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.Wait, Err: err}
+	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.RetryAfter, Err: err}
 }
 
-// With returns the set with one more id; set is not changed.
-func With(set map[string]bool, id string) map[string]bool {
+// WithID returns the set with one more id; set is not changed.
+func WithID(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k, v := range set {
 		out[k] = v
@@ -71,9 +71,9 @@
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
-	// Leaves is the code of the refusal by which a backend server says that it
+	// LeavingCode is the code of the refusal by which a backend server says that it
 	// takes no more work.
-	Leaves string
+	LeavingCode string
 }
 
 // Watch begins to watch one attempt.
@@ -90,7 +90,7 @@
 		w.Monitor.Result(id, err)
 		return
 	}
-	if refused.Code == w.Leaves {
+	if refused.Code == w.LeavingCode {
 		w.Dir.MarkLeaving(id, "", directory.FromRefusal)
 	}
 	w.Monitor.Result(id, nil)
--- a/quarantine/book.go
+++ b/quarantine/book.go
@@ -45,7 +45,7 @@
 	maxEnded = 1024
 )
 
-// Book decides which requests are held back. It is a function of what it is told, on a clock
+// Tracker decides which requests are held back. It is a function of what it is told, on a clock
 // that is passed in, and isn't safe for concurrent use.
 //
 // A plain count of crashes would hold back sound requests: a crash takes all that runs at the
@@ -54,7 +54,7 @@
 // server ended early in the run, if no others without this request ended in the same moment,
 // if no answer of the same request came since or just before, and if no request that is held
 // back was there too.
-type Book struct {
+type Tracker struct {
 	suspects  map[Digest]*suspect
 	ofAccount map[string]int
 	at        map[string][]Digest // by lifetime, which requests its crash is held against
@@ -62,30 +62,30 @@
 	answers   *recent
 }
 
-// NewBook returns an empty Book.
-func NewBook() *Book {
-	return &Book{suspects: map[Digest]*suspect{}, ofAccount: map[string]int{}, at: map[string][]Digest{}, answers: newRecent(maxAnswers),
+// NewTracker returns an empty Book.
+func NewTracker() *Tracker {
+	return &Tracker{suspects: map[Digest]*suspect{}, ofAccount: map[string]int{}, at: map[string][]Digest{}, answers: newRecent(maxAnswers),
 		ends: ends{at: map[string]time.Duration{}}}
 }
 
 // Empty tells whether nothing is suspected.
-func (b *Book) Empty() bool { return len(b.suspects) == 0 }
+func (b *Tracker) Empty() bool { return len(b.suspects) == 0 }
 
-// Ended takes in that a backend server ended alone, whatever ran there.
-func (b *Book) Ended(lifetime string, at time.Duration) (fresh bool) {
+// Exited takes in that a backend server ended alone, whatever ran there.
+func (b *Tracker) Exited(lifetime string, at time.Duration) (fresh bool) {
 	return b.ends.add(lifetime, at)
 }
 
 // Crashed takes in that a backend server crashed early in the run of a request. fresh is
 // false if that was known or doesn't count. With pending it is time to call Confirm after
 // settle.
-func (b *Book) Crashed(d Digest, account string, c Crash, now time.Duration) (fresh, pending bool) {
-	b.Ended(c.Lifetime, c.At)
-	if _, covers := b.Covered(d, c.At); covers || now-c.At >= evidenceLife {
+func (b *Tracker) Crashed(d Digest, account string, c Crash, now time.Duration) (fresh, pending bool) {
+	b.Exited(c.Incarnation, c.At)
+	if _, covers := b.ClearedByAnswer(d, c.At); covers || now-c.At >= evidenceLife {
 		return false, false
 	}
 	s := b.suspect(d, account, now)
-	if s.has(c.Lifetime) {
+	if s.has(c.Incarnation) {
 		return false, false
 	}
 	b.addCrash(s, c)
@@ -100,7 +100,7 @@
 // Confirm holds a request back if what came in since leaves the crashes its own. A router that
 // is cut off from the others knows little of what else ended, and needs more of them. cleared
 // are requests that were held back, and of which this one shows that they only ran beside it.
-func (b *Book) Confirm(d Digest, now time.Duration, cutOff bool) (held bool, cleared []Digest) {
+func (b *Tracker) Confirm(d Digest, now time.Duration, cutOff bool) (held bool, cleared []Digest) {
 	s := b.suspects[d]
 	if s == nil || !s.pending {
 		return false, nil
@@ -114,26 +114,26 @@
 }
 
 // Pending tells whether it is about to be decided whether the request is held back.
-func (b *Book) Pending(d Digest) bool {
+func (b *Tracker) Pending(d Digest) bool {
 	s := b.suspects[d]
 	return s != nil && s.pending
 }
 
 // addCrash adds a crash to those that are held against s.
-func (b *Book) addCrash(s *suspect, c Crash) {
+func (b *Tracker) addCrash(s *suspect, c Crash) {
 	if len(s.crashes) >= maxCrashes {
-		b.unindex(s, s.crashes[0].Lifetime)
+		b.unindex(s, s.crashes[0].Incarnation)
 		s.crashes = slices.Delete(s.crashes, 0, 1)
 	}
 	s.crashes = append(s.crashes, c)
 	slices.SortStableFunc(s.crashes, func(a, b Crash) int { return cmp.Compare(a.At, b.At) })
-	b.at[c.Lifetime] = append(b.at[c.Lifetime], s.digest)
+	b.at[c.Incarnation] = append(b.at[c.Incarnation], s.digest)
 }
 
 // Answered takes in that the request was answered. Crashes from before, and from just after,
 // are dropped; later ones stand. suspected tells whether anything was dropped, and lifted
 // whether the request was held back until now.
-func (b *Book) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
+func (b *Tracker) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
 	b.answers.add(d, at)
 	s := b.suspects[d]
 	if s == nil {
@@ -141,8 +141,8 @@
 	}
 	for _, c := range slices.Clone(s.crashes) {
 		if c.At < at+covered {
-			b.unindex(s, c.Lifetime)
-			s.crashes = slices.DeleteFunc(s.crashes, func(one Crash) bool { return one.Lifetime == c.Lifetime })
+			b.unindex(s, c.Incarnation)
+			s.crashes = slices.DeleteFunc(s.crashes, func(one Crash) bool { return one.Incarnation == c.Incarnation })
 			suspected = true
 		}
 	}
@@ -154,15 +154,15 @@
 	return true, lifted
 }
 
-// Covered tells whether an answer of the request excuses a crash at a moment, and when it was
+// ClearedByAnswer tells whether an answer of the request excuses a crash at a moment, and when it was
 // given.
-func (b *Book) Covered(d Digest, crash time.Duration) (answered time.Duration, covers bool) {
+func (b *Tracker) ClearedByAnswer(d Digest, crash time.Duration) (answered time.Duration, covers bool) {
 	answered, ok := b.answers.at(d)
 	return answered, ok && crash < answered+covered
 }
 
 // Hold holds a request back that another router found, until a moment.
-func (b *Book) Hold(d Digest, account string, to, now time.Duration) (fresh bool) {
+func (b *Tracker) Hold(d Digest, account string, to, now time.Duration) (fresh bool) {
 	if to <= now {
 		return false
 	}
@@ -177,7 +177,7 @@
 
 // Lift ends the hold of a request. The crashes under it stay known, so that it takes fewer
 // to hold it back again.
-func (b *Book) Lift(d Digest, now time.Duration) (was bool) {
+func (b *Tracker) Lift(d Digest, now time.Duration) (was bool) {
 	s := b.suspects[d]
 	if s == nil {
 		return false
@@ -190,7 +190,7 @@
 }
 
 // ForgetCrashes drops all requests that were found by their crashes.
-func (b *Book) ForgetCrashes() {
+func (b *Tracker) ForgetCrashes() {
 	for _, s := range b.suspects {
 		if len(s.crashes) > 0 {
 			b.drop(s)
@@ -198,43 +198,43 @@
 	}
 }
 
-// Held tells whether a request is held back.
-func (b *Book) Held(d Digest, now time.Duration) bool {
+// IsQuarantined tells whether a request is held back.
+func (b *Tracker) IsQuarantined(d Digest, now time.Duration) bool {
 	s := b.suspects[d]
 	return s != nil && s.heldTo > now
 }
 
 // Suspected tells whether one more crash may have the request held back.
-func (b *Book) Suspected(d Digest, now time.Duration) bool {
+func (b *Tracker) Suspected(d Digest, now time.Duration) bool {
 	s := b.suspects[d]
 	return s != nil && len(b.counted(s, now)) >= heldFrom-1
 }
 
-// Crashes is how many crashes under a request are known.
-func (b *Book) Crashes(d Digest) int {
+// CrashCount is how many crashes under a request are known.
+func (b *Tracker) CrashCount(d Digest) int {
 	if s := b.suspects[d]; s != nil {
 		return len(s.crashes)
 	}
 	return 0
 }
 
-// EndedBefore tells whether a lifetime is known to have ended alone before a moment.
-func (b *Book) EndedBefore(lifetime string, moment time.Duration) bool {
+// ExitedBefore tells whether a lifetime is known to have ended alone before a moment.
+func (b *Tracker) ExitedBefore(lifetime string, moment time.Duration) bool {
 	at, known := b.ends.at[lifetime]
 	return known && at < moment
 }
 
 // HoldOf is the hold of a request, false if it isn't held back.
-func (b *Book) HoldOf(d Digest, now time.Duration) (hold HeldNews, held bool) {
+func (b *Tracker) HoldOf(d Digest, now time.Duration) (hold HoldUpdate, held bool) {
 	s := b.suspects[d]
 	if s == nil || s.heldTo <= now {
-		return HeldNews{}, false
+		return HoldUpdate{}, false
 	}
-	return HeldNews{d, s.account, (s.heldTo - now).Milliseconds()}, true
+	return HoldUpdate{d, s.account, (s.heldTo - now).Milliseconds()}, true
 }
 
 // Holds lists the holds of all requests that are held back.
-func (b *Book) Holds(now time.Duration) (out []HeldNews) {
+func (b *Tracker) Holds(now time.Duration) (out []HoldUpdate) {
 	for d := range b.suspects {
 		if hold, held := b.HoldOf(d, now); held {
 			out = append(out, hold)
@@ -244,7 +244,7 @@
 }
 
 // Report is what is known of one request, for people.
-func (b *Book) Report(d Digest, now time.Duration) Report {
+func (b *Tracker) Report(d Digest, now time.Duration) Report {
 	if s := b.suspects[d]; s != nil {
 		return s.report(now)
 	}
@@ -252,7 +252,7 @@
 }
 
 // List returns all that is known, for people.
-func (b *Book) List(now time.Duration) []Report {
+func (b *Tracker) List(now time.Duration) []Report {
 	out := make([]Report, 0, len(b.suspects))
 	for _, s := range b.suspects {
 		out = append(out, s.report(now))
@@ -264,7 +264,7 @@
 }
 
 // Expire drops what counts no more.
-func (b *Book) Expire(now time.Duration) {
+func (b *Tracker) Expire(now time.Duration) {
 	for _, s := range b.suspects {
 		if s.heldTo <= now && now-s.touched >= evidenceLife {
 			b.drop(s)
@@ -273,7 +273,7 @@
 }
 
 // suspect returns the row of a request, a new one if there is none.
-func (b *Book) suspect(d Digest, account string, now time.Duration) *suspect {
+func (b *Tracker) suspect(d Digest, account string, now time.Duration) *suspect {
 	if s := b.suspects[d]; s != nil {
 		return s
 	}
@@ -288,9 +288,9 @@
 	return s
 }
 
-func (b *Book) drop(s *suspect) {
+func (b *Tracker) drop(s *suspect) {
 	for _, c := range s.crashes {
-		b.unindex(s, c.Lifetime)
+		b.unindex(s, c.Incarnation)
 	}
 	delete(b.suspects, s.digest)
 	if b.ofAccount[s.account]--; b.ofAccount[s.account] == 0 {
@@ -299,7 +299,7 @@
 }
 
 // unindex takes s off those that a crash is held against.
-func (b *Book) unindex(s *suspect, lifetime string) {
+func (b *Tracker) unindex(s *suspect, lifetime string) {
 	left := slices.DeleteFunc(b.at[lifetime], func(d Digest) bool { return d == s.digest })
 	if len(left) == 0 {
 		delete(b.at, lifetime)
--- a/quarantine/book_test.go
+++ b/quarantine/book_test.go
@@ -12,29 +12,29 @@
 }
 
 // crash adds the crash of a backend server under a request, and tells whether that is held.
-func crash(b *Book, request, lifetime string, at time.Duration) bool {
-	if _, pending := b.Crashed(digestOf(request), "acc", Crash{Lifetime: lifetime, At: at, Began: at, Try: 1}, at); pending {
+func crash(b *Tracker, request, lifetime string, at time.Duration) bool {
+	if _, pending := b.Crashed(digestOf(request), "acc", Crash{Incarnation: lifetime, At: at, SentAt: at, Submission: 1}, at); pending {
 		b.Confirm(digestOf(request), at+settle, false)
 	}
-	return b.Held(digestOf(request), at+settle)
+	return b.IsQuarantined(digestOf(request), at+settle)
 }
 
 // Guards against: the third crash under a request doesn't have it held back.
 func TestThirdCrashHoldsARequestBack(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i, want := range []bool{false, false, true} {
 		if got := crash(b, "bad", fmt.Sprint("e", i), time.Duration(i)*time.Second); got != want {
 			t.Fatalf("after %d crashes: held is %v", i+1, got)
 		}
 	}
-	if b.Held(digestOf("bad"), 2*time.Second+settle+HoldTime) {
+	if b.IsQuarantined(digestOf("bad"), 2*time.Second+settle+HoldTime) {
 		t.Error("held back for ever")
 	}
 }
 
 // Guards against: news that come twice, from several routers or out of order count twice.
 func TestOneCrashCountsOnce(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for _, at := range []time.Duration{3, 1, 2, 1, 9} {
 		if crash(b, "good", "e0", at*time.Second) {
 			t.Fatal("held back for one crash")
@@ -45,7 +45,7 @@
 // Guards against: a request that many clients send is held back while backend servers crash
 // for other reasons.
 func TestAnswersClearARequest(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	d := digestOf("hot")
 	b.Answered(d, 0, 0)
 	for i := range 5 {
@@ -63,7 +63,7 @@
 	if !crash(b, "hot", "e5", 2*time.Minute) {
 		t.Fatal("three crashes without an answer don't count")
 	}
-	if _, lifted := b.Answered(d, 2*time.Minute+time.Second, 2*time.Minute+time.Second); !lifted || b.Held(d, 3*time.Minute) {
+	if _, lifted := b.Answered(d, 2*time.Minute+time.Second, 2*time.Minute+time.Second); !lifted || b.IsQuarantined(d, 3*time.Minute) {
 		t.Error("an answer that came after all doesn't lift the hold")
 	}
 }
@@ -71,29 +71,29 @@
 // Guards against: a request that was answered long ago, or of which such an answer is heard of
 // late, can never be held back.
 func TestOldAnswersClearNothing(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	d := digestOf("bad")
 	b.Answered(d, 0, 0)
 	for i := range 3 {
 		crash(b, "bad", fmt.Sprint("e", i), covered+time.Duration(i)*time.Second)
 	}
 	now := covered + 3*time.Second
-	if b.Answered(d, time.Second, now); !b.Held(d, now) {
+	if b.Answered(d, time.Second, now); !b.IsQuarantined(d, now) {
 		t.Error("an answer from before the crashes lifts the hold")
 	}
 	other := digestOf("told")
 	b.Hold(other, "acc", now+time.Minute, now)
-	if b.Answered(other, now-time.Second, now); !b.Held(other, now) {
+	if b.Answered(other, now-time.Second, now); !b.IsQuarantined(other, now) {
 		t.Error("an answer from before the hold lifts it")
 	}
-	if b.Answered(other, now+time.Second, now+time.Second); b.Held(other, now+time.Second) {
+	if b.Answered(other, now+time.Second, now+time.Second); b.IsQuarantined(other, now+time.Second) {
 		t.Error("a later answer doesn't lift it")
 	}
 }
 
 // Guards against: a request that ran beside the one that crashes is held back for its crashes.
 func TestCrashIsHeldAgainstOneRequest(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	for i := range 3 {
 		crash(b, "bad", fmt.Sprint("e", i), time.Second)
 	}
@@ -105,7 +105,7 @@
 	for i := range 3 {
 		crash(b, "beside", fmt.Sprint("other", i), 2*time.Second)
 	}
-	if !b.Held(digestOf("beside"), 2*time.Second) {
+	if !b.IsQuarantined(digestOf("beside"), 2*time.Second) {
 		t.Error("one that was beside a held request can never be held back itself")
 	}
 }
@@ -114,19 +114,19 @@
 // back, whichever is heard of first.
 func TestTwinsAreToldApartByTheNextCrashes(t *testing.T) {
 	for _, order := range [][]string{{"bad", "beside"}, {"beside", "bad"}} {
-		b := NewBook()
+		b := NewTracker()
 		for i := range 3 {
 			for _, name := range order {
 				crash(b, name, fmt.Sprint("e", i), time.Second)
 			}
 		}
 		n := 3
-		for ; n < 6 && !b.Held(digestOf("bad"), time.Second); n++ {
+		for ; n < 6 && !b.IsQuarantined(digestOf("bad"), time.Second); n++ {
 			crash(b, "bad", fmt.Sprint("e", n), time.Second)
 		}
-		if !b.Held(digestOf("bad"), time.Second) || b.Held(digestOf("beside"), time.Second) {
+		if !b.IsQuarantined(digestOf("bad"), time.Second) || b.IsQuarantined(digestOf("beside"), time.Second) {
 			t.Errorf("%v: after %d crashes held are bad %v, beside %v", order, n,
-				b.Held(digestOf("bad"), time.Second), b.Held(digestOf("beside"), time.Second))
+				b.IsQuarantined(digestOf("bad"), time.Second), b.IsQuarantined(digestOf("beside"), time.Second))
 		}
 	}
 }
@@ -134,13 +134,13 @@
 // Guards against: one client account fills the table, so that the crashes under others'
 // requests are forgotten.
 func TestOneAccountCannotFillTheTable(t *testing.T) {
-	b := NewBook()
+	b := NewTracker()
 	crash(b, "bad", "e0", 0)
 	crash(b, "bad", "e1", 0)
 	other := digestOf("of another account")
-	b.Crashed(other, "another", Crash{Lifetime: "x"}, 0)
+	b.Crashed(other, "another", Crash{Incarnation: "x"}, 0)
 	for i := range 10 * maxOfAccount {
-		b.Crashed(digestOf(fmt.Sprint("flood", i)), "acc", Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+		b.Crashed(digestOf(fmt.Sprint("flood", i)), "acc", Crash{Incarnation: fmt.Sprint("f", i), At: time.Second}, time.Second)
 	}
 	if b.ofAccount["acc"] > maxOfAccount || b.suspects[other] == nil {
 		t.Errorf("%d entries of one account, the other's is kept: %v", b.ofAccount["acc"], b.suspects[other] != nil)
@@ -149,10 +149,10 @@
 		t.Error("a request with two crashes gave way to requests with one")
 	}
 	for i := range 2 * maxSuspects {
-		b.Crashed(digestOf(fmt.Sprint("flood", i)), fmt.Sprint("a", i), Crash{Lifetime: fmt.Sprint("f", i), At: time.Second}, time.Second)
+		b.Crashed(digestOf(fmt.Sprint("flood", i)), fmt.Sprint("a", i), Crash{Incarnation: fmt.Sprint("f", i), At: time.Second}, time.Second)
 	}
-	if len(b.suspects) > maxSuspects || !b.Held(digestOf("bad"), 3*cautionSpan) {
-		t.Errorf("%d entries, the held one is kept: %v", len(b.suspects), b.Held(digestOf("bad"), 3*cautionSpan))
+	if len(b.suspects) > maxSuspects || !b.IsQuarantined(digestOf("bad"), 3*cautionSpan) {
+		t.Errorf("%d entries, the held one is kept: %v", len(b.suspects), b.IsQuarantined(digestOf("bad"), 3*cautionSpan))
 	}
 	b.Expire(2 * HoldTime)
 	if !b.Empty() || len(b.at) > 0 || len(b.ofAccount) > 0 {
@@ -181,7 +181,7 @@
 func BenchmarkRefusalWithNothingSuspected(b *testing.B) {
 	g := NewGuard(Config{})
 	g.SetKey([]byte("key"))
-	c := g.Follow(Subject{Account: "acc", Body: make([]byte, 4096)})
+	c := g.Track(Subject{Account: "acc", Body: make([]byte, 4096)})
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.Refusal(b.Context()) != nil {
@@ -196,6 +196,6 @@
 	body := make([]byte, 4096)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Follow(Subject{Account: "acc", Target: "/draft/x", Body: body})
+		g.Track(Subject{Account: "acc", Target: "/draft/x", Body: body})
 	}
 }
--- a/quarantine/case.go
+++ b/quarantine/case.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Case is one try of a request. A nil Case is of a request that nobody follows.
-type Case struct {
+// Submission is one try of a request. A nil Case is of a request that nobody follows.
+type Submission struct {
 	guard   *Guard
 	digest  Digest
 	account string
 	try     uint64 // names it among the tries of the request
 }
 
-// Name is the digest of the request, empty if nobody follows it.
-func (c *Case) Name() string {
+// DigestString is the digest of the request, empty if nobody follows it.
+func (c *Submission) DigestString() string {
 	if c == nil {
 		return ""
 	}
@@ -23,7 +23,7 @@
 
 // Refusal is why the request must not be sent now, nil if it may. It waits while that is
 // about to be decided.
-func (c *Case) Refusal(ctx context.Context) error {
+func (c *Submission) Refusal(ctx context.Context) error {
 	if c == nil || !c.guard.some.Load() {
 		return nil
 	}
@@ -32,7 +32,7 @@
 		switch {
 		case held:
 			c.guard.m.refused.Inc()
-			return ErrHeld
+			return ErrQuarantined
 		case ruled == nil:
 			return nil
 		}
@@ -45,7 +45,7 @@
 }
 
 // Suspected tells whether one more crash may have the request held back.
-func (c *Case) Suspected() bool {
+func (c *Submission) Suspected() bool {
 	if c == nil || !c.guard.some.Load() {
 		return false
 	}
@@ -56,13 +56,13 @@
 
 // Lost takes in that an attempt was lost. It finds out beside the request whether the
 // backend server has crashed. The channel is closed when that is known.
-func (c *Case) Lost(l Loss) (known <-chan struct{}) {
+func (c *Submission) Lost(l Loss) (known <-chan struct{}) {
 	done := make(chan struct{})
 	if c == nil || c.guard.cfg.Leaving(l.Backend.ID) {
 		close(done)
 		return done
 	}
-	l.lifetime, l.at = c.guard.cfg.Lifetime(l.Backend), c.guard.cfg.Now()
+	l.lifetime, l.at = c.guard.cfg.Incarnation(l.Backend), c.guard.cfg.Now()
 	go func() {
 		defer close(done)
 		c.guard.examine(c, l)
@@ -74,9 +74,9 @@
 // connections at once.
 const awaitLoss = 250 * time.Millisecond
 
-// Await waits, before a request that may be what ended its backend servers is sent on, until
+// AwaitExamination waits, before a request that may be what ended its backend servers is sent on, until
 // it is known whether the last one ended too. Others don't wait.
-func (c *Case) Await(ctx context.Context, known <-chan struct{}) {
+func (c *Submission) AwaitExamination(ctx context.Context, known <-chan struct{}) {
 	if known == nil || !c.Suspected() {
 		return
 	}
@@ -89,13 +89,13 @@
 	}
 }
 
-// Outlived tells whether a run has lived long enough past its first piece to show that the
+// PastEarlyWindow tells whether a run has lived long enough past its first piece to show that the
 // request doesn't crash its backend server.
-func Outlived(sinceFirst time.Duration) bool { return sinceFirst >= opening }
+func PastEarlyWindow(sinceFirst time.Duration) bool { return sinceFirst >= opening }
 
 // Answered takes in that the request was answered whole, or that a run has outlived its
 // opening.
-func (c *Case) Answered() {
+func (c *Submission) Answered() {
 	if c != nil {
 		c.guard.answered(c.digest, c.guard.cfg.Now())
 	}
