--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// LookTimeout bounds one look at a backend server.
-	LookTimeout = 300 * time.Millisecond
+	// ProbeTimeout bounds one look at a backend server.
+	ProbeTimeout = 300 * time.Millisecond
 	// lookAgain is the pause before a backend server that seems to work is looked at once
 	// more: a process that crashes may close its connections before it stops listening.
 	lookAgain = 100 * time.Millisecond
@@ -28,8 +28,8 @@
 // Loss is an attempt that ended before its answer did.
 type Loss struct {
 	Backend fleet.Backend
-	// Pieces of the answer that the attempt had given, and how long ago the first of them came.
-	Pieces     int
+	// Chunks of the answer that the attempt had given, and how long ago the first of them came.
+	Chunks     int
 	Ran        time.Duration // since the attempt was sent
 	SinceFirst time.Duration
 	// Cause is how the loss was noticed.
@@ -40,12 +40,12 @@
 }
 
 // examine finds out what a loss was, and counts a crash against the request.
-func (g *Guard) examine(c *Case, l Loss) {
+func (g *Guard) examine(c *Submission, l Loss) {
 	state := g.look(l.Backend)
-	alone := state == Ended && !g.domainLost(l)
+	alone := state == Exited && !g.domainLost(l)
 	g.m.loss(state, alone).Inc()
 	g.cfg.Log.Emit(event.LossExamined, "digest", c.digest.String(), "backend", l.Backend.ID, "domain", l.Backend.FailureDomain,
-		"found", state.String(), "alone", alone, "pieces", l.Pieces, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
+		"found", state.String(), "alone", alone, "pieces", l.Chunks, "since_first_ms", l.SinceFirst.Milliseconds(), "cause", l.Cause)
 	if !alone {
 		return
 	}
@@ -53,17 +53,17 @@
 		g.noteEnd(l)
 		return
 	}
-	if g.crashed(c.digest, c.account, Crash{Lifetime: l.lifetime, At: l.at, Began: l.at - l.Ran, Try: c.try}) {
-		g.tell(News{Crashes: []CrashNews{{c.digest, c.account, l.lifetime, (g.cfg.Now() - l.at).Milliseconds(), c.try, l.Ran.Milliseconds()}}})
+	if g.crashed(c.digest, c.account, Crash{Incarnation: l.lifetime, At: l.at, SentAt: l.at - l.Ran, Submission: c.try}) {
+		g.tell(Update{Crashes: []CrashUpdate{{c.digest, c.account, l.lifetime, (g.cfg.Now() - l.at).Milliseconds(), c.try, l.Ran.Milliseconds()}}})
 	}
 }
 
 // noteEnd takes in the end of a backend server that is held against no request.
 func (g *Guard) noteEnd(l Loss) {
 	var fresh bool
-	g.change(func(b *Book, _ time.Duration) { fresh = b.Ended(l.lifetime, l.at) })
+	g.change(func(b *Tracker, _ time.Duration) { fresh = b.Exited(l.lifetime, l.at) })
 	if fresh {
-		g.tell(News{Ended: []EndNews{{l.lifetime, (g.cfg.Now() - l.at).Milliseconds()}}})
+		g.tell(Update{Exits: []ExitUpdate{{l.lifetime, (g.cfg.Now() - l.at).Milliseconds()}}})
 	}
 }
 
@@ -74,7 +74,7 @@
 		if n > 0 {
 			time.Sleep(lookAgain)
 		}
-		if state = g.lookOnce(b); state == Ended {
+		if state = g.lookOnce(b); state == Exited {
 			break
 		}
 	}
@@ -82,9 +82,9 @@
 }
 
 func (g *Guard) lookOnce(b fleet.Backend) State {
-	ctx, stop := context.WithTimeout(context.Background(), LookTimeout)
+	ctx, stop := context.WithTimeout(context.Background(), ProbeTimeout)
 	defer stop()
-	return g.cfg.Prober.Look(ctx, b)
+	return g.cfg.Prober.Probe(ctx, b)
 }
 
 // domainLost tells whether all others of the failure domain ended with it. Then what ran there
@@ -93,7 +93,7 @@
 func (g *Guard) domainLost(l Loss) bool {
 	moment := l.at - min(l.Ran, sameMoment)
 	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, neighbours), func(b fleet.Backend) bool {
-		return g.endedBefore(g.cfg.Lifetime(b), moment)
+		return g.endedBefore(g.cfg.Incarnation(b), moment)
 	})
 	if len(others) < fewestNeighbours {
 		return false // too few to tell
@@ -103,7 +103,7 @@
 		go func() { found <- g.lookOnce(other) }()
 	}
 	for range others {
-		if <-found != Ended {
+		if <-found != Exited {
 			return false
 		}
 	}
@@ -114,7 +114,7 @@
 func (g *Guard) endedBefore(lifetime string, moment time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.EndedBefore(lifetime, moment)
+	return g.book.ExitedBefore(lifetime, moment)
 }
 
 // meters count what a Guard does.
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -19,7 +19,7 @@
 	rng     *rand.Rand
 	now     time.Duration
 	queue   events
-	routers []*Book
+	routers []*Tracker
 	cutOff  int           // router that hears nothing for a while
 	cutTo   time.Duration // and until when
 	servers []*server
@@ -95,7 +95,7 @@
 		crashes: map[string]int{}, third: map[string]time.Duration{}, late: map[string]int{}, wrong: map[string]bool{},
 	}
 	for range routers {
-		m.routers = append(m.routers, NewBook())
+		m.routers = append(m.routers, NewTracker())
 	}
 	for i := range 36 {
 		m.servers = append(m.servers, &server{number: i, domain: i % modelDomains, up: true})
@@ -146,7 +146,7 @@
 
 func (m *fleetModel) send(r *modelRun) {
 	switch b := m.routers[r.router]; {
-	case b.Held(r.digest, m.now):
+	case b.IsQuarantined(r.digest, m.now):
 		if !r.bad() {
 			m.wrong[r.name] = true
 		}
@@ -215,7 +215,7 @@
 	}
 	if suspected, _ := m.routers[r.router].Answered(r.digest, m.now, m.now); suspected {
 		at := m.now
-		m.tell(r.router, func(b *Book) { b.Answered(r.digest, at, m.now) })
+		m.tell(r.router, func(b *Tracker) { b.Answered(r.digest, at, m.now) })
 	}
 }
 
@@ -259,7 +259,7 @@
 	m.plain[r.digest][lifetime] = true
 	early := r.begun == 0 || m.now-r.begun < opening
 	if !withDomain {
-		c := Crash{Lifetime: lifetime, At: m.now, Began: r.sent, Try: r.try}
+		c := Crash{Incarnation: lifetime, At: m.now, SentAt: r.sent, Submission: r.try}
 		m.after(3*time.Millisecond, func() { m.examined(r.router, r.digest, c, early) })
 	}
 	m.after(5*time.Millisecond, func() { m.send(r) })
@@ -268,22 +268,22 @@
 // examined has a router take in, and tell, what a loss was.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
-		if m.routers[router].Ended(c.Lifetime, c.At) {
-			m.tell(router, func(b *Book) { b.Ended(c.Lifetime, c.At) })
+		if m.routers[router].Exited(c.Incarnation, c.At) {
+			m.tell(router, func(b *Tracker) { b.Exited(c.Incarnation, c.At) })
 		}
 		return
 	}
 	if !m.crashed(m.routers[router], d, c) {
 		return
 	}
-	m.tell(router, func(b *Book) {
-		if at, covers := b.Covered(d, c.At); !m.crashed(b, d, c) && covers {
-			m.tell(-1, func(b *Book) { b.Answered(d, at, m.now) })
+	m.tell(router, func(b *Tracker) {
+		if at, covers := b.ClearedByAnswer(d, c.At); !m.crashed(b, d, c) && covers {
+			m.tell(-1, func(b *Tracker) { b.Answered(d, at, m.now) })
 		}
 	})
 }
 
-func (m *fleetModel) crashed(b *Book, d Digest, c Crash) bool {
+func (m *fleetModel) crashed(b *Tracker, d Digest, c Crash) bool {
 	fresh, pending := b.Crashed(d, "acc", c, m.now)
 	if pending {
 		m.after(settle, func() { m.confirm(b, d) })
@@ -292,21 +292,21 @@
 }
 
 // confirm has a router decide, and tell the others by a message and through the store.
-func (m *fleetModel) confirm(b *Book, d Digest) {
+func (m *fleetModel) confirm(b *Tracker, d Digest) {
 	router := slices.Index(m.routers, b)
 	held, cleared := b.Confirm(d, m.now, m.cut(router))
 	if held {
 		to := m.now + HoldTime
-		m.tell(router, func(b *Book) { b.Hold(d, "acc", to, m.now) })
-		m.store(func(b *Book) { b.Hold(d, "acc", to, m.now) })
+		m.tell(router, func(b *Tracker) { b.Hold(d, "acc", to, m.now) })
+		m.store(func(b *Tracker) { b.Hold(d, "acc", to, m.now) })
 	}
 	for _, d := range cleared {
-		m.store(func(b *Book) { b.Lift(d, m.now) })
+		m.store(func(b *Tracker) { b.Lift(d, m.now) })
 	}
 }
 
 // store has all routers take in what the store says, once they reach it.
-func (m *fleetModel) store(take func(b *Book)) {
+func (m *fleetModel) store(take func(b *Tracker)) {
 	for i, b := range m.routers {
 		wait := 100*time.Millisecond + time.Duration(m.rng.Int64N(int64(time.Second)))
 		if m.cut(i) {
@@ -327,7 +327,7 @@
 }
 
 // tell has the other routers take in news: late, sometimes twice, sometimes never.
-func (m *fleetModel) tell(from int, take func(b *Book)) {
+func (m *fleetModel) tell(from int, take func(b *Tracker)) {
 	for i, b := range m.routers {
 		if i == from || m.cut(i) || m.cut(from) || m.rng.IntN(50) == 0 {
 			continue
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -25,7 +25,7 @@
 	s.at[id] = state
 }
 
-func (s *states) Look(_ context.Context, b fleet.Backend) State {
+func (s *states) Probe(_ context.Context, b fleet.Backend) State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if state, ok := s.at[b.ID]; ok {
@@ -57,18 +57,18 @@
 				}
 				return out
 			},
-			Tell: func(m News) {
+			Broadcast: func(m Update) {
 				time.AfterFunc(delay, func() {
 					for k, other := range w.all {
 						if k != i {
-							other.Hear(fmt.Sprint("r", i), m)
+							other.HandleUpdate(fmt.Sprint("r", i), m)
 						}
 					}
 				})
 			},
 		}
 		if i == 0 {
-			cfg.OnHold = func(HeldNews, bool) { w.holds.Add(1) }
+			cfg.OnHold = func(HoldUpdate, bool) { w.holds.Add(1) }
 		}
 		g := NewGuard(cfg)
 		g.SetKey([]byte("key"))
@@ -82,8 +82,8 @@
 func subject(name string) Subject { return Subject{Account: "acc", Body: []byte(name)} }
 
 // lose ends a backend server under a try of a request.
-func (w *guards) lose(c *Case, id string) {
-	w.set(id, Ended)
+func (w *guards) lose(c *Submission, id string) {
+	w.set(id, Exited)
 	<-c.Lost(Loss{Backend: fleet.Backend{ID: id, FailureDomain: "d"}, Ran: time.Second})
 	time.Sleep(time.Second)
 }
@@ -93,21 +93,21 @@
 func TestAllRoutersHoldARequestBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newGuards(3, 20*time.Millisecond)
-		first := w.all[0].Follow(subject("bad"))
+		first := w.all[0].Track(subject("bad"))
 		w.lose(first, "e0")
 		w.lose(first, "e1")
-		w.set("e2", Ended)
+		w.set("e2", Exited)
 		<-first.Lost(Loss{Backend: fleet.Backend{ID: "e2"}, Ran: time.Second})
 		time.Sleep(40 * time.Millisecond)
 		began := time.Now()
 		for i, g := range w.all {
-			if err := g.Follow(subject("bad")).Refusal(t.Context()); !errors.Is(err, ErrHeld) {
+			if err := g.Track(subject("bad")).Refusal(t.Context()); !errors.Is(err, ErrQuarantined) {
 				t.Errorf("router %d: %v", i, err)
 			}
-			if err := g.Follow(subject("other")).Refusal(t.Context()); err != nil {
+			if err := g.Track(subject("other")).Refusal(t.Context()); err != nil {
 				t.Errorf("router %d refuses another request: %v", i, err)
 			}
-			if err := g.Follow(Subject{Account: "another", Body: []byte("bad")}).Refusal(t.Context()); err != nil {
+			if err := g.Track(Subject{Account: "another", Body: []byte("bad")}).Refusal(t.Context()); err != nil {
 				t.Errorf("router %d refuses the request of another account: %v", i, err)
 			}
 		}
@@ -129,18 +129,18 @@
 			return Loss{}
 		},
 		"its server was to leave": func(w *guards, id string) Loss {
-			w.set(id, Ended)
+			w.set(id, Exited)
 			w.leaving[id] = true
 			return Loss{}
 		},
 		"it ran for long": func(w *guards, id string) Loss {
-			w.set(id, Ended)
-			return Loss{Pieces: 40, SinceFirst: opening}
+			w.set(id, Exited)
+			return Loss{Chunks: 40, SinceFirst: opening}
 		},
 		"the whole domain is lost": func(w *guards, id string) Loss {
-			w.set(id, Ended)
+			w.set(id, Exited)
 			for k := range neighbours {
-				w.set(fmt.Sprint("d-neighbour", k), Ended)
+				w.set(fmt.Sprint("d-neighbour", k), Exited)
 			}
 			return Loss{}
 		},
@@ -148,7 +148,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newGuards(1, 0)
-				c := w.all[0].Follow(subject("good"))
+				c := w.all[0].Track(subject("good"))
 				for i := range 6 {
 					id := fmt.Sprint("e", i)
 					l := loss(w, id)
@@ -170,11 +170,11 @@
 func TestLiftReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newGuards(2, 20*time.Millisecond)
-		c := w.all[0].Follow(subject("bad"))
+		c := w.all[0].Track(subject("bad"))
 		for i := range 3 {
 			w.lose(c, fmt.Sprint("e", i))
 		}
-		d, err := ParseDigest(c.Name())
+		d, err := ParseDigest(c.DigestString())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -183,12 +183,12 @@
 		}
 		time.Sleep(time.Second)
 		for i, g := range w.all {
-			if err := g.Follow(subject("bad")).Refusal(t.Context()); err != nil {
+			if err := g.Track(subject("bad")).Refusal(t.Context()); err != nil {
 				t.Errorf("router %d: %v", i, err)
 			}
 		}
-		w.lose(w.all[0].Follow(subject("bad")), "e9")
-		if err := c.Refusal(t.Context()); !errors.Is(err, ErrHeld) {
+		w.lose(w.all[0].Track(subject("bad")), "e9")
+		if err := c.Refusal(t.Context()); !errors.Is(err, ErrQuarantined) {
 			t.Error("one crash more does not hold it back again")
 		}
 	})
@@ -203,14 +203,14 @@
 			Now:    func() time.Duration { return time.Since(began) },
 			Prober: &states{at: map[string]State{}}, Leaving: func(string) bool { return false },
 			Neighbours: func(fleet.Backend, int) []fleet.Backend { return nil },
-			Tell:       func(n News) { messages.Add(1); items.Add(int64(n.size())) },
+			Broadcast:  func(n Update) { messages.Add(1); items.Add(int64(n.size())) },
 		})
 		for i := range 10 * maxPending {
-			g.tell(News{Ended: []EndNews{{Lifetime: fmt.Sprint(i)}}})
+			g.tell(Update{Exits: []ExitUpdate{{Incarnation: fmt.Sprint(i)}}})
 		}
 		time.Sleep(time.Second)
 		for range 100 {
-			g.tell(News{Ended: []EndNews{{Lifetime: "x"}}})
+			g.tell(Update{Exits: []ExitUpdate{{Incarnation: "x"}}})
 			time.Sleep(10 * time.Millisecond)
 		}
 		if messages.Load() > tellBurst+12 || items.Load() > maxPending+100 {
@@ -224,7 +224,7 @@
 func TestSmallDomainIsNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newGuards(1, 0)
-		c := w.all[0].Follow(subject("bad"))
+		c := w.all[0].Track(subject("bad"))
 		for k := range 3 {
 			w.lose(c, fmt.Sprint("d-neighbour", k))
 		}
@@ -243,9 +243,9 @@
 func TestHoldsOutliveTheFirstKey(t *testing.T) {
 	g := NewGuard(Config{Leaving: func(string) bool { return false }})
 	d := digestOf("bad")
-	g.Hold(HeldNews{Digest: d, Account: "acc", LeftMS: 60_000}, "store")
+	g.Hold(HoldUpdate{Digest: d, Account: "acc", RemainingMS: 60_000}, "store")
 	g.SetKey([]byte("key"))
-	if err := g.Follow(subject("bad")).Refusal(t.Context()); !errors.Is(err, ErrHeld) {
+	if err := g.Track(subject("bad")).Refusal(t.Context()); !errors.Is(err, ErrQuarantined) {
 		t.Errorf("the request is sent: %v", err)
 	}
 }
--- a/quarantine/news.go
+++ b/quarantine/news.go
@@ -2,58 +2,58 @@
 
 import "time"
 
-// FloodNews is the kind of the messages in which routers tell News.
-const FloodNews = "quarantine.news"
+// FloodUpdate is the kind of the messages in which routers tell News.
+const FloodUpdate = "quarantine.news"
 
-// News is what routers tell each other of suspected requests. Each part can be taken in
+// Update is what routers tell each other of suspected requests. Each part can be taken in
 // more than once, and in any order.
-type News struct {
-	Crashes  []CrashNews  `cbor:"1,keyasint,omitempty"`
-	Held     []HeldNews   `cbor:"2,keyasint,omitempty"`
-	Answered []AnswerNews `cbor:"3,keyasint,omitempty"`
-	Lifted   []Digest     `cbor:"4,keyasint,omitempty"`
-	Ended    []EndNews    `cbor:"5,keyasint,omitempty"`
+type Update struct {
+	Crashes []CrashUpdate  `cbor:"1,keyasint,omitempty"`
+	Holds   []HoldUpdate   `cbor:"2,keyasint,omitempty"`
+	Answers []AnswerUpdate `cbor:"3,keyasint,omitempty"`
+	Lifted  []Digest       `cbor:"4,keyasint,omitempty"`
+	Exits   []ExitUpdate   `cbor:"5,keyasint,omitempty"`
 }
 
-// CrashNews tells that a backend server ended alone under a request.
-type CrashNews struct {
-	Digest   Digest `cbor:"1,keyasint"`
-	Account  string `cbor:"2,keyasint"`
-	Lifetime string `cbor:"3,keyasint"`
-	AgeMS    int64  `cbor:"4,keyasint"`
-	Try      uint64 `cbor:"5,keyasint"`
-	RanMS    int64  `cbor:"6,keyasint"` // since the request was sent there
+// CrashUpdate tells that a backend server ended alone under a request.
+type CrashUpdate struct {
+	Digest      Digest `cbor:"1,keyasint"`
+	Account     string `cbor:"2,keyasint"`
+	Incarnation string `cbor:"3,keyasint"`
+	AgeMS       int64  `cbor:"4,keyasint"`
+	Submission  uint64 `cbor:"5,keyasint"`
+	RanMS       int64  `cbor:"6,keyasint"` // since the request was sent there
 }
 
-// EndNews tells that a backend server ended alone.
-type EndNews struct {
-	Lifetime string `cbor:"1,keyasint"`
-	AgeMS    int64  `cbor:"2,keyasint"`
+// ExitUpdate tells that a backend server ended alone.
+type ExitUpdate struct {
+	Incarnation string `cbor:"1,keyasint"`
+	AgeMS       int64  `cbor:"2,keyasint"`
 }
 
-// HeldNews tells that a request is held back.
-type HeldNews struct {
-	Digest  Digest `cbor:"1,keyasint"`
-	Account string `cbor:"2,keyasint"`
-	LeftMS  int64  `cbor:"3,keyasint"`
+// HoldUpdate tells that a request is held back.
+type HoldUpdate struct {
+	Digest      Digest `cbor:"1,keyasint"`
+	Account     string `cbor:"2,keyasint"`
+	RemainingMS int64  `cbor:"3,keyasint"`
 }
 
-// AnswerNews tells that a suspected request was answered.
-type AnswerNews struct {
+// AnswerUpdate tells that a suspected request was answered.
+type AnswerUpdate struct {
 	Digest Digest `cbor:"1,keyasint"`
 	AgeMS  int64  `cbor:"2,keyasint"`
 }
 
-func (n *News) size() int {
-	return len(n.Crashes) + len(n.Held) + len(n.Answered) + len(n.Lifted) + len(n.Ended)
+func (n *Update) size() int {
+	return len(n.Crashes) + len(n.Holds) + len(n.Answers) + len(n.Lifted) + len(n.Exits)
 }
 
-func (n *News) add(m News) {
+func (n *Update) add(m Update) {
 	n.Crashes = append(n.Crashes, m.Crashes...)
-	n.Held = append(n.Held, m.Held...)
-	n.Answered = append(n.Answered, m.Answered...)
+	n.Holds = append(n.Holds, m.Holds...)
+	n.Answers = append(n.Answers, m.Answers...)
 	n.Lifted = append(n.Lifted, m.Lifted...)
-	n.Ended = append(n.Ended, m.Ended...)
+	n.Exits = append(n.Exits, m.Exits...)
 }
 
 const (
@@ -71,7 +71,7 @@
 // outbox gathers news, so that many that come at once cost few messages. The caller holds
 // a lock around put and take.
 type outbox struct {
-	pending News
+	pending Update
 	armed   bool
 	// free is when the next message may go out if the burst is used up: each message moves
 	// it on by tellPause.
@@ -79,7 +79,7 @@
 }
 
 // put adds news. It returns how long to wait before take, false if nothing is to be done.
-func (o *outbox) put(n News, now time.Duration) (wait time.Duration, arm, kept bool) {
+func (o *outbox) put(n Update, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
 	}
@@ -92,9 +92,9 @@
 	return max(tellDelay, o.free-now), true, true
 }
 
-func (o *outbox) take() News {
+func (o *outbox) take() Update {
 	n := o.pending
-	o.pending, o.armed = News{}, false
+	o.pending, o.armed = Update{}, false
 	o.free += tellPause
 	return n
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -24,7 +24,7 @@
 const (
 	Unreachable State = iota // no answer: it can't be told from a broken network
 	Working                  // the same lifetime still answers
-	Ended                    // nothing listens at its address, or another lifetime does
+	Exited                   // nothing listens at its address, or another lifetime does
 )
 
 // String names the state in logs.
@@ -32,7 +32,7 @@
 	switch s {
 	case Working:
 		return "working"
-	case Ended:
+	case Exited:
 		return "ended"
 	}
 	return "unreachable"
@@ -40,5 +40,5 @@
 
 // Prober looks at backend servers.
 type Prober interface {
-	Look(ctx context.Context, b fleet.Backend) State
+	Probe(ctx context.Context, b fleet.Backend) State
 }
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -11,11 +11,11 @@
 
 // Crash is a backend server that ended alone while it ran a request.
 type Crash struct {
-	Lifetime string        // of the backend server
-	At       time.Duration // on the clock of the Book
-	Began    time.Duration // when the request was sent there
-	Try      uint64        // one try of a client, which is at one backend server after the other
-	From     string        // router that told it, empty for this one
+	Incarnation string        // of the backend server
+	At          time.Duration // on the clock of the Book
+	SentAt      time.Duration // when the request was sent there
+	Submission  uint64        // one try of a client, which is at one backend server after the other
+	From        string        // router that told it, empty for this one
 }
 
 // suspect is one suspected request.
@@ -30,7 +30,7 @@
 }
 
 func (s *suspect) has(lifetime string) bool {
-	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Lifetime == lifetime })
+	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Incarnation == lifetime })
 }
 
 // Report is one suspected request as operators see it.
@@ -53,7 +53,7 @@
 func (s *suspect) report(now time.Duration) Report {
 	out := Report{Digest: s.digest.String(), Account: s.account, HeldForMS: max(s.heldTo-now, 0).Milliseconds()}
 	for _, c := range s.crashes {
-		out.Crashes = append(out.Crashes, ReportedCrash{c.Lifetime, (now - c.At).Milliseconds(), c.From})
+		out.Crashes = append(out.Crashes, ReportedCrash{c.Incarnation, (now - c.At).Milliseconds(), c.From})
 	}
 	return out
 }
@@ -68,7 +68,7 @@
 }
 
 // weakest is the suspect with the least held against it, of those the oldest.
-func (b *Book) weakest(now time.Duration, among func(*suspect) bool) *suspect {
+func (b *Tracker) weakest(now time.Duration, among func(*suspect) bool) *suspect {
 	var least *suspect
 	for _, s := range b.suspects {
 		if among(s) && (least == nil || weaker(s, least, now)) {
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -6,7 +6,7 @@
 )
 
 // convicts tells whether the crashes under s are its own.
-func (b *Book) convicts(s *suspect, now time.Duration) bool {
+func (b *Tracker) convicts(s *suspect, now time.Duration) bool {
 	counted := b.counted(s, now)
 	if s.cleared {
 		return len(counted) >= ownFrom // few bystanders are at a crash again
@@ -22,20 +22,20 @@
 func (s *suspect) followed(counted []string) bool {
 	seen := map[uint64]bool{}
 	for _, c := range s.crashes {
-		if !slices.Contains(counted, c.Lifetime) {
+		if !slices.Contains(counted, c.Incarnation) {
 			continue
 		}
-		if seen[c.Try] {
+		if seen[c.Submission] {
 			return true
 		}
-		seen[c.Try] = true
+		seen[c.Submission] = true
 	}
 	return false
 }
 
 // caution is how many crashes more it takes while backend servers end often for other
 // reasons: then some requests lose three by chance. None loses that many.
-func (b *Book) caution(s *suspect, now time.Duration) int {
+func (b *Tracker) caution(s *suspect, now time.Duration) int {
 	if len(s.crashes) >= manyCrashes {
 		return 0
 	}
@@ -51,23 +51,23 @@
 // counted are the lifetimes whose crashes count against s. Of those that were in the same
 // moment one counts, unless the request was sent there after the one before: a request that
 // runs in many places loses several by one cause.
-func (b *Book) counted(s *suspect, now time.Duration) []string {
+func (b *Tracker) counted(s *suspect, now time.Duration) []string {
 	var out []string
 	var last Crash
 	for i, c := range s.crashes { // in the order of time
-		if now-c.At >= evidenceLife || b.explained(s, c.Lifetime, now) || b.others(s, c, now) >= manyMore {
+		if now-c.At >= evidenceLife || b.explained(s, c.Incarnation, now) || b.others(s, c, now) >= manyMore {
 			continue
 		}
-		if i > 0 && len(out) > 0 && c.At-last.At <= sameMoment && c.Began < last.At {
+		if i > 0 && len(out) > 0 && c.At-last.At <= sameMoment && c.SentAt < last.At {
 			continue
 		}
-		out, last = append(out, c.Lifetime), c
+		out, last = append(out, c.Incarnation), c
 	}
 	return out
 }
 
 // explained tells whether another request, which is held back, was at the crash too.
-func (b *Book) explained(s *suspect, lifetime string, now time.Duration) bool {
+func (b *Tracker) explained(s *suspect, lifetime string, now time.Duration) bool {
 	return slices.ContainsFunc(b.at[lifetime], func(d Digest) bool {
 		return d != s.digest && b.suspects[d].heldTo > now
 	})
@@ -76,7 +76,7 @@
 // others counts those that ended in the same moment as c, where neither s nor a request that
 // is held back was seen. A request with many crashes is not excused by them: not all places
 // where it was seen may be known.
-func (b *Book) others(s *suspect, c Crash, now time.Duration) (n int) {
+func (b *Tracker) others(s *suspect, c Crash, now time.Duration) (n int) {
 	if len(s.crashes) >= manyCrashes {
 		return 0
 	}
@@ -90,7 +90,7 @@
 
 // shared tells whether another suspected request was at the crash, so that it can't be told
 // which of the two caused it.
-func (b *Book) shared(s *suspect, lifetime string, now time.Duration) bool {
+func (b *Tracker) shared(s *suspect, lifetime string, now time.Duration) bool {
 	return slices.ContainsFunc(b.at[lifetime], func(d Digest) bool {
 		return d != s.digest && len(b.counted(b.suspects[d], now)) >= heldFrom-1
 	})
@@ -98,7 +98,7 @@
 
 // own counts the crashes among those that count against s at which no other suspected
 // request was.
-func (b *Book) own(s *suspect, counted []string, now time.Duration) (n int) {
+func (b *Tracker) own(s *suspect, counted []string, now time.Duration) (n int) {
 	for _, lifetime := range counted {
 		if !b.shared(s, lifetime, now) {
 			n++
@@ -108,9 +108,9 @@
 }
 
 // clearBystanders ends the hold of requests at most of whose crashes s turns out to have been.
-func (b *Book) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
+func (b *Tracker) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
 	for _, c := range s.crashes {
-		for _, d := range slices.Clone(b.at[c.Lifetime]) {
+		for _, d := range slices.Clone(b.at[c.Incarnation]) {
 			other := b.suspects[d]
 			if other != s && other.heldTo > now && other.without(s) < ownFrom {
 				other.heldSince, other.heldTo, other.cleared = 0, 0, true
@@ -124,7 +124,7 @@
 // without counts the crashes under s at which other was not.
 func (s *suspect) without(other *suspect) (n int) {
 	for _, c := range s.crashes {
-		if !other.has(c.Lifetime) {
+		if !other.has(c.Incarnation) {
 			n++
 		}
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -31,26 +31,26 @@
 
 // Request is one request as a client sent it.
 type Request struct {
-	ID     string // as the client chose it
-	Method string
-	Target string // request target, unchanged
-	Path   string // of the target, unchanged
-	Host   string
-	Header http.Header // end-to-end headers
-	Body   []byte
-	Key    string        // API key, if any
-	Budget time.Duration // how long the client waits; 0 when it did not say
-	// First is the number of the first piece that the client wants of a stream.
-	First int
-	// Returned tells that the client has pieces before First from an earlier try.
-	Returned bool
-	Size     int      // tokens of the prompt, 0 when not stated
-	Answer   int      // most tokens of the answer, 0 when not stated
-	Parts    []string // ids of the prompt's parts, in order
+	ID            string // as the client chose it
+	Method        string
+	Target        string // request target, unchanged
+	Path          string // of the target, unchanged
+	Host          string
+	Header        http.Header // end-to-end headers
+	Body          []byte
+	Key           string        // API key, if any
+	ClientTimeout time.Duration // how long the client waits; 0 when it did not say
+	// FirstChunk is the number of the first piece that the client wants of a stream.
+	FirstChunk int
+	// HasPartialAnswer tells that the client has pieces before First from an earlier try.
+	HasPartialAnswer bool
+	PromptTokens     int      // tokens of the prompt, 0 when not stated
+	MaxAnswerTokens  int      // most tokens of the answer, 0 when not stated
+	PromptParts      []string // ids of the prompt's parts, in order
 }
 
-// Verdict is how a request ended.
-type Verdict struct {
+// Result is how a request ended.
+type Result struct {
 	// Status of the answer that the client still has to be given; 0 when the
 	// backend server's answer was delivered.
 	Status     int
@@ -75,11 +75,11 @@
 	Table   *route.Current
 	Runner  Runner
 	Budgets Budgets
-	// Patience says how long a stream waits for a backend server, by its target; nil for
+	// StreamMaxWait says how long a stream waits for a backend server, by its target; nil for
 	// half of it.
-	Patience func(target time.Duration) time.Duration
-	Log      *event.Log
-	Set      *metrics.Set
+	StreamMaxWait func(target time.Duration) time.Duration
+	Log           *event.Log
+	Set           *metrics.Set
 }
 
 // Relay serves requests. It may be shared by goroutines.
@@ -113,7 +113,7 @@
 
 // Serve carries req to its end. It delivers to sink from the calling goroutine;
 // ctx ends when the client is gone.
-func (r *Relay) Serve(ctx context.Context, req *Request, sink generation.Sink) Verdict {
+func (r *Relay) Serve(ctx context.Context, req *Request, sink generation.Sink) Result {
 	began := time.Now()
 	table := r.table(ctx)
 	if table == nil {
@@ -187,7 +187,7 @@
 		}
 	}
 	if j.timeout > 0 {
-		j.deadline = clock.In(j.timeout)
+		j.deadline = clock.DeadlineIn(j.timeout)
 	}
 	return j
 }
@@ -195,29 +195,29 @@
 // timeoutOf is the shorter of what the client waits and what the route allows.
 func timeoutOf(req *Request, rt *route.Route) time.Duration {
 	switch {
-	case req.Budget <= 0:
+	case req.ClientTimeout <= 0:
 		return rt.Timeout
 	case rt.Timeout <= 0:
-		return req.Budget
+		return req.ClientTimeout
 	}
-	return min(req.Budget, rt.Timeout)
+	return min(req.ClientTimeout, rt.Timeout)
 }
 
 // age is how long ago the client tried first, as far as what is left of its time tells:
 // clients wait for about as long as the route allows. It orders requests that wait, and
 // decides nothing else, since a client may wait for less from the begin.
 func (j *job) age() time.Duration {
-	if j.req.Budget <= 0 || j.route.Timeout <= 0 {
+	if j.req.ClientTimeout <= 0 || j.route.Timeout <= 0 {
 		return 0
 	}
-	return max(j.route.Timeout-j.req.Budget, 0)
+	return max(j.route.Timeout-j.req.ClientTimeout, 0)
 }
 
 // patience is how long a request waits for a backend server: half of the time until its
 // answer is late, since the rest is needed for its work, or as the relay is told.
 func (j *job) patience() time.Duration {
-	if j.route.Kind == route.Stream && j.cfg.Patience != nil {
-		return j.cfg.Patience(j.route.Target)
+	if j.route.Kind == route.Stream && j.cfg.StreamMaxWait != nil {
+		return j.cfg.StreamMaxWait(j.route.Target)
 	}
 	return j.route.Target / 2
 }
@@ -242,17 +242,17 @@
 				Deadline:  j.deadline,
 				Urgency:   j.priority,
 			},
-			Service:     j.service,
-			First:       j.req.First,
-			Size:        j.req.Size,
-			Answer:      j.req.Answer,
-			Parts:       j.req.Parts,
-			Returned:    j.req.Returned,
-			MaxAttempts: max(j.route.MaxAttempts, 1),
-			Patience:    j.patience(),
-			Target:      j.route.Target,
-			Age:         j.age(),
-			Copies:      j.copying(),
+			Service:          j.service,
+			FirstChunk:       j.req.FirstChunk,
+			PromptTokens:     j.req.PromptTokens,
+			MaxAnswerTokens:  j.req.MaxAnswerTokens,
+			PromptParts:      j.req.PromptParts,
+			HasPartialAnswer: j.req.HasPartialAnswer,
+			MaxAttempts:      max(j.route.MaxAttempts, 1),
+			MaxWait:          j.patience(),
+			FirstChunkTarget: j.route.Target,
+			SinceFirstTry:    j.age(),
+			Copies:           j.copying(),
 		},
 	}
 	if j.route.Kind != route.Stream {
@@ -269,31 +269,31 @@
 	if j.route.Kind != route.Stream || !j.route.Resumable {
 		return generation.Copying{}
 	}
-	return generation.Copying{Kept: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
+	return generation.Copying{KeptUpToDate: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
 }
 
 // verdict turns the outcome into what the client is still to be told.
-func (j *job) verdict(res generation.Result) Verdict {
+func (j *job) verdict(res generation.Result) Result {
 	switch {
 	case res.Outcome == fleet.Complete:
-		return Verdict{}
+		return Result{}
 	case res.Tokens > 0:
-		return Verdict{Broken: true}
+		return Result{Broken: true}
 	case res.Code == generation.CodeQuarantined:
-		return Verdict{Status: http.StatusInternalServerError}
+		return Result{Status: http.StatusInternalServerError}
 	case res.Outcome == fleet.NotRun:
-		return Verdict{Status: http.StatusServiceUnavailable, RetryAfter: j.retryAfter(res.RetryAfter)}
+		return Result{Status: http.StatusServiceUnavailable, RetryAfter: j.retryAfter(res.RetryAfter)}
 	case j.deadline.Passed():
-		return Verdict{Status: http.StatusGatewayTimeout}
+		return Result{Status: http.StatusGatewayTimeout}
 	}
-	return Verdict{Status: http.StatusBadGateway}
+	return Result{Status: http.StatusBadGateway}
 }
 
 // retryAfter keeps the advice within what is left to the client.
 func (j *job) retryAfter(advice time.Duration) time.Duration {
-	if j.req.Budget <= 0 {
+	if j.req.ClientTimeout <= 0 {
 		return advice
 	}
-	left := j.deadline.Left() + j.req.Budget - j.timeout
+	left := j.deadline.Remaining() + j.req.ClientTimeout - j.timeout
 	return max(min(advice, left/retryShare), 0)
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -27,7 +27,7 @@
 
 func (noBudgets) First(string) {}
 
-func serve(t *testing.T, res generation.Result, req *Request, change func(*route.Config)) (Verdict, generation.Request) {
+func serve(t *testing.T, res generation.Result, req *Request, change func(*route.Config)) (Result, generation.Request) {
 	t.Helper()
 	cfg := &route.Config{Version: 1, Accounts: []route.Account{{Name: "acc", Keys: []string{"k"}, Priority: 3, HasPriority: true}}, Routes: []route.Route{
 		{Host: "h", Prefix: "/p/", Service: "svc", Kind: route.Once, Timeout: 2 * time.Second, MaxAttempts: 1, Priority: 7},
@@ -49,16 +49,16 @@
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
-		want Verdict
+		want Result
 	}{
-		{generation.Result{Outcome: fleet.Complete}, Verdict{}},
-		{generation.Result{Outcome: fleet.NotRun, RetryAfter: time.Second}, Verdict{Status: 503, RetryAfter: time.Second}},
-		{generation.Result{Outcome: fleet.Failed}, Verdict{Status: 502}},
-		{generation.Result{Outcome: fleet.Unknown}, Verdict{Status: 502}},
-		{generation.Result{Outcome: fleet.Failed, Tokens: 1}, Verdict{Broken: true}},
-		{generation.Result{Outcome: fleet.Unknown, Tokens: 1}, Verdict{Broken: true}},
+		{generation.Result{Outcome: fleet.Complete}, Result{}},
+		{generation.Result{Outcome: fleet.NotRun, RetryAfter: time.Second}, Result{Status: 503, RetryAfter: time.Second}},
+		{generation.Result{Outcome: fleet.Failed}, Result{Status: 502}},
+		{generation.Result{Outcome: fleet.Unknown}, Result{Status: 502}},
+		{generation.Result{Outcome: fleet.Failed, Tokens: 1}, Result{Broken: true}},
+		{generation.Result{Outcome: fleet.Unknown, Tokens: 1}, Result{Broken: true}},
 	} {
-		v, _ := serve(t, c.res, &Request{Host: "h", Path: "/p/x", Key: "k", Budget: 9 * time.Second}, nil)
+		v, _ := serve(t, c.res, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: 9 * time.Second}, nil)
 		if v != c.want {
 			t.Errorf("%+v: got %+v, want %+v", c.res, v, c.want)
 		}
@@ -69,12 +69,12 @@
 // for longer than a third of what it has left.
 func TestAdviceFitsTheClientsTime(t *testing.T) {
 	res := generation.Result{Outcome: fleet.NotRun, RetryAfter: 5 * time.Second}
-	v, _ := serve(t, res, &Request{Host: "h", Path: "/p/x", Key: "k", Budget: 3 * time.Second}, nil)
+	v, _ := serve(t, res, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: 3 * time.Second}, nil)
 	if v.RetryAfter > time.Second || v.RetryAfter < 500*time.Millisecond {
 		t.Errorf("got %v", v.RetryAfter)
 	}
 	r := New(Config{Table: &route.Current{}})
-	v = r.Serve(t.Context(), &Request{Budget: 600 * time.Millisecond}, nil)
+	v = r.Serve(t.Context(), &Request{ClientTimeout: 600 * time.Millisecond}, nil)
 	if v.Status != http.StatusServiceUnavailable || v.RetryAfter > 200*time.Millisecond {
 		t.Errorf("without a configuration: got %+v", v)
 	}
@@ -106,8 +106,8 @@
 // Symptom: a request that may run once is tried elsewhere, a request outlives its
 // route's time, or an account's priority does not go before that of the route.
 func TestRouteDecidesWhatMayBeRepeated(t *testing.T) {
-	_, got := serve(t, generation.Result{Outcome: fleet.Complete}, &Request{Host: "h", Path: "/p/x", Key: "k", Budget: time.Hour}, nil)
-	left := got.Opaque.Deadline.Left()
+	_, got := serve(t, generation.Result{Outcome: fleet.Complete}, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: time.Hour}, nil)
+	left := got.Opaque.Deadline.Remaining()
 	if !got.NonIdempotent || got.Opaque.Urgency != 3 || got.Account != "acc" || left > 2*time.Second || left < time.Second {
 		t.Errorf("got %+v with %v left", got, left)
 	}
@@ -138,7 +138,7 @@
 				defer timer.Stop()
 				time.Sleep(c.sent)
 				asked := time.Now()
-				v := r.Serve(t.Context(), &Request{Host: "h", Path: "/", Budget: 9 * time.Second}, nil)
+				v := r.Serve(t.Context(), &Request{Host: "h", Path: "/", ClientTimeout: 9 * time.Second}, nil)
 				if v.Status != c.want {
 					t.Errorf("got %+v", v)
 				}
--- a/relay/report.go
+++ b/relay/report.go
@@ -24,7 +24,7 @@
 }
 
 // refuse answers a request that reaches no backend server.
-func (r *Relay) refuse(req *Request, table *route.Table, status int, reason string, retry time.Duration) Verdict {
+func (r *Relay) refuse(req *Request, table *route.Table, status int, reason string, retry time.Duration) Result {
 	version := int64(0)
 	if table != nil {
 		version = table.Version
@@ -32,19 +32,19 @@
 	r.m.set.GetOrCreateCounter(`wigeon_relay_refused_total{status="` + strconv.Itoa(status) + `"}`).Inc()
 	r.cfg.Log.Emit(event.RelayRefused, "request", req.ID, "status", status, "reason", reason,
 		"host", req.Host, "path", req.Path, "version", version)
-	if status == http.StatusServiceUnavailable && req.Budget > 0 {
-		retry = min(retry, req.Budget/retryShare)
+	if status == http.StatusServiceUnavailable && req.ClientTimeout > 0 {
+		retry = min(retry, req.ClientTimeout/retryShare)
 	}
-	return Verdict{Status: status, RetryAfter: retry}
+	return Result{Status: status, RetryAfter: retry}
 }
 
 // ended tells how a request went that was passed on.
-func (r *Relay) ended(j *job, res generation.Result, v Verdict, took time.Duration) {
+func (r *Relay) ended(j *job, res generation.Result, v Result, took time.Duration) {
 	r.m.ended(j.route.Kind.String(), string(res.Outcome), took)
 	kv := []any{
 		"request", j.req.ID, "digest", res.Digest, "route", j.route.Name, "service", j.service, "account", j.account,
 		"version", j.version, "outcome", string(res.Outcome), "pieces", res.Tokens, "resumes", res.Resumes,
-		"first_ms", res.FirstAfter.Milliseconds(), "pause_ms", res.LongestPause.Milliseconds(), "took_ms", took.Milliseconds(),
+		"first_ms", res.TimeToFirstToken.Milliseconds(), "pause_ms", res.LongestPause.Milliseconds(), "took_ms", took.Milliseconds(),
 	}
 	if res.Code != "" {
 		kv = append(kv, "code", res.Code, "status", v.Status, "retry_after_ms", v.RetryAfter.Milliseconds(), "err", res.Err)
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -133,15 +133,15 @@
 		return
 	}
 	e.reportedAt = now
-	e.report = fleet.EngineState{Used: e.usedTokens(), Copies: e.copies}
+	e.report = fleet.EngineState{MemoryUsed: e.usedTokens(), CopyTokens: e.copies}
 	for _, r := range e.running {
-		e.report.Runs = append(e.report.Runs, fleet.RunState{Held: r.usedTokens(), Made: r.generated})
+		e.report.Runs = append(e.report.Runs, fleet.RunState{Memory: r.usedTokens(), Chunks: r.generated})
 	}
 	if len(e.waiting) > 0 {
 		e.report.Reading, e.report.Queued = 1, len(e.waiting)-1
 	}
 	if len(e.waiting) > 1 {
-		e.report.Next = e.waiting[1].Prompt
+		e.report.NextPromptTokens = e.waiting[1].Prompt
 	}
 }
 
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -10,12 +10,12 @@
 
 // The aspects. Each has its own usual time.
 const (
-	// Whole is an answer that comes at once.
-	Whole Aspect = iota
-	// First is the first piece of a stream.
-	First
-	// Pace is the mean time between pieces of a stream.
-	Pace
+	// TotalTime is an answer that comes at once.
+	TotalTime Aspect = iota
+	// TimeToFirst is the first piece of a stream.
+	TimeToFirst
+	// ChunkInterval is the mean time between pieces of a stream.
+	ChunkInterval
 )
 
 // Grade is how an answer was: a step of a scale of times, or that it failed.
@@ -41,8 +41,8 @@
 	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeStep), lastGrade))
 }
 
-// Cell is one kind of answers that are counted together.
-type Cell struct {
+// CountKey is one kind of answers that are counted together.
+type CountKey struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
 	Domain string `cbor:"3,keyasint,omitempty"` // of the replica; empty for the old version
@@ -51,19 +51,19 @@
 
 // Count is a number of answers of one kind.
 type Count struct {
-	Cell
+	CountKey
 	N uint32 `cbor:"5,keyasint"`
 }
 
 // Report is what a router tells the others of the answers that it saw. A later one
 // replaces it, so that one that is lost does no harm.
 type Report struct {
-	Service   string  `cbor:"1,keyasint"`
-	Order     int64   `cbor:"2,keyasint"` // revision
-	Life      uint64  `cbor:"8,keyasint"` // of the router's process; its counts begin anew with it
-	Number    uint64  `cbor:"3,keyasint"` // grows with each report of a life
-	ElapsedMS int64   `cbor:"4,keyasint"` // since the order, as the router reckons
-	New       []Count `cbor:"5,keyasint,omitempty"`
+	Service     string  `cbor:"1,keyasint"`
+	Order       int64   `cbor:"2,keyasint"` // revision
+	Incarnation uint64  `cbor:"8,keyasint"` // of the router's process; its counts begin anew with it
+	Sequence    uint64  `cbor:"3,keyasint"` // grows with each report of a life
+	ElapsedMS   int64   `cbor:"4,keyasint"` // since the order, as the router reckons
+	New         []Count `cbor:"5,keyasint,omitempty"`
 	// Old are the answers of the old version of late: what the new is compared with.
 	Old []Count `cbor:"6,keyasint,omitempty"`
 	// Bad tells that the router takes the new version to be bad.
@@ -76,7 +76,7 @@
 
 // window counts answers of the last oldSpan.
 type window struct {
-	slots [windowSlots]map[Cell]uint32
+	slots [windowSlots]map[CountKey]uint32
 	first int64 // number of the oldest slot in use
 }
 
@@ -96,16 +96,16 @@
 	return current
 }
 
-func (w *window) add(c Cell, now time.Duration) {
+func (w *window) add(c CountKey, now time.Duration) {
 	at := w.turn(now) % windowSlots
 	if w.slots[at] == nil {
-		w.slots[at] = map[Cell]uint32{}
+		w.slots[at] = map[CountKey]uint32{}
 	}
 	w.slots[at][c]++
 }
 
 // sum adds what the window holds to a total.
-func (w *window) sum(now time.Duration, to map[Cell]uint32) {
+func (w *window) sum(now time.Duration, to map[CountKey]uint32) {
 	w.turn(now)
 	for _, slot := range w.slots {
 		for c, n := range slot {
@@ -114,7 +114,7 @@
 	}
 }
 
-func counts(of map[Cell]uint32) []Count {
+func counts(of map[CountKey]uint32) []Count {
 	out := make([]Count, 0, len(of))
 	for c, n := range of {
 		out = append(out, Count{c, n})
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -90,7 +90,7 @@
 
 // simRun is an attempt whose answer has not come.
 type simRun struct {
-	cell  Cell
+	cell  CountKey
 	isNew bool
 	began time.Duration
 	noted bool
@@ -132,13 +132,13 @@
 		list = append(list, r.b)
 	}
 	limits := Limits{Share: 0.1, Burst: 50}
-	s.tried = TrialSet(list, limits)
+	s.tried = TrialReplicas(list, limits)
 	for i := range p.routerCount {
-		ro := New(Config{Limits: limits, Chart: c, Routers: func() int { return p.routerCount }, Random: s.rng.Float64, Life: uint64(i + 1)})
+		ro := New(Config{Limits: limits, Chart: c, Routers: func() int { return p.routerCount }, Random: s.rng.Float64, Incarnation: uint64(i + 1)})
 		s.routers = append(s.routers, &simRouter{ro: ro})
 	}
 	start := s.now
-	s.everyone(func(r *simRouter) { r.ro.Ordered(p.order, s.now) })
+	s.everyone(func(r *simRouter) { r.ro.SetOrder(p.order, s.now) })
 	for _, r := range s.routers {
 		s.after(time.Duration(s.rng.Int64N(int64(simTick))), func() { s.tick(r, start) })
 	}
@@ -201,7 +201,7 @@
 		for i, other := range s.routers {
 			if other != r {
 				_ = i
-				s.after(time.Duration(5+s.rng.IntN(200))*time.Millisecond, func() { other.ro.Hear(fmt.Sprintf("%p", r), *rep, s.now) })
+				s.after(time.Duration(5+s.rng.IntN(200))*time.Millisecond, func() { other.ro.HandleReport(fmt.Sprintf("%p", r), *rep, s.now) })
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 
 // act writes what is due, the first router at once, the others when nobody did for a while.
 func (s *simulation) act(r *simRouter, start time.Duration) {
-	next, rev, due := r.ro.Next(s.now, Ready{New: s.replicas, Old: s.replicas, Domains: simDomain})
+	next, rev, due := r.ro.NextRecord(s.now, ReplicaCounts{New: s.replicas, Old: s.replicas, Domains: simDomain})
 	if !due {
 		r.isDue = false
 		return
@@ -233,8 +233,8 @@
 		s.out.ended = s.now - start
 	}
 	written, at := next, s.rev
-	s.everyone(func(o *simRouter) { o.ro.Recorded(written, at, s.now) })
-	r.ro.Recorded(written, at, s.now)
+	s.everyone(func(o *simRouter) { o.ro.SetRecord(written, at, s.now) })
+	r.ro.SetRecord(written, at, s.now)
 }
 
 func (s *simulation) arrive(start time.Duration) {
@@ -250,7 +250,7 @@
 	trial := r.ro.Assign(id, s.now)
 	rule := r.ro.Rule()
 	s.send(r, route, rule, trial, start)
-	r.ro.Sent(id)
+	r.ro.MarkSent(id)
 }
 
 // send runs a request at a replica that the rule allows.
@@ -262,7 +262,7 @@
 		if unknown || s.away(rep, start) {
 			continue
 		}
-		if (trial && rule.Tries(&rep.b) && s.tried[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
+		if (trial && rule.AllowsTrial(&rep.b) && s.tried[rep.b.ID]) || (!trial && rule.Allows(&rep.b)) {
 			able = append(able, rep)
 		}
 	}
@@ -279,7 +279,7 @@
 	}
 	rep.busy++
 	took, grade := s.answer(rep, route, isNew, start)
-	run := &simRun{cell: Cell{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, began: s.now}
+	run := &simRun{cell: CountKey{Route: route.name, Aspect: route.aspect(), Domain: rep.b.FailureDomain, Grade: grade}, isNew: isNew, began: s.now}
 	r.open = append(r.open, run)
 	s.after(took, func() { s.answered(r, rep, route, run, start) })
 }
@@ -335,9 +335,9 @@
 
 func (r simRoute) aspect() Aspect {
 	if r.pace > 0 {
-		return First
+		return TimeToFirst
 	}
-	return Whole
+	return TotalTime
 }
 
 func (s *simulation) answered(r *simRouter, rep *simReplica, route simRoute, run *simRun, start time.Duration) {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -45,13 +45,13 @@
 
 // Verdict is what the evidence says.
 type Verdict struct {
-	Bad      bool
-	Route    string // that it shows on; empty for all together
-	Aspect   Aspect
-	Evidence float64
-	Doubt    float64 // evidence without that of the domain which has most
-	Answers  int     // of the new version
-	BadOnes  int     // of those
+	Bad           bool
+	Route         string // that it shows on; empty for all together
+	Aspect        Aspect
+	Evidence      float64
+	OtherEvidence float64 // evidence without that of the domain which has most
+	Answers       int     // of the new version
+	BadAnswers    int     // of those
 }
 
 func (v Verdict) String() string {
@@ -59,7 +59,7 @@
 	if on == "" {
 		on = "all routes"
 	}
-	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadOnes, v.Answers)
+	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadAnswers, v.Answers)
 }
 
 // usual is how the old version answers.
@@ -73,7 +73,7 @@
 func (u usual) bad(g Grade) bool { return g == Failed || (u.known && g >= u.slow) }
 
 // usualOf is worked out from the answers of the old version.
-func usualOf(old map[Cell]uint32, route string, aspect Aspect) usual {
+func usualOf(old map[CountKey]uint32, route string, aspect Aspect) usual {
 	var steps [lastGrade + 1]uint32
 	var timed, broken uint32
 	for c, n := range old {
@@ -127,7 +127,7 @@
 }
 
 // take weighs answers of the new version that became known together.
-func (j *judge) take(answers map[Cell]uint32, old map[Cell]uint32) {
+func (j *judge) take(answers map[CountKey]uint32, old map[CountKey]uint32) {
 	byLine := map[line]usual{}
 	g := gains{}
 	for c, n := range answers {
@@ -141,7 +141,7 @@
 		gain := float64(n) * weight(u.badPer, bad)
 		g.add(l, c.Domain, gain)
 		g.add(line{all: true}, c.Domain, gain)
-		if c.Aspect != Pace {
+		if c.Aspect != ChunkInterval {
 			j.answers += int(n)
 		}
 		if bad {
@@ -169,7 +169,7 @@
 // version has replicas. Where there are several, one alone can't convict the version: a
 // domain that crashes, or one replica that fails, is no fault of it.
 func (j *judge) verdict(domains int) Verdict {
-	v := Verdict{Answers: j.answers, BadOnes: j.badOnes}
+	v := Verdict{Answers: j.answers, BadAnswers: j.badOnes}
 	most := verdictAt
 	if domains != 1 { // 0: not known yet
 		most = mostOfOne * verdictAt
@@ -181,9 +181,9 @@
 			largest = max(largest, min(s, most))
 		}
 		if domains > 1 {
-			v.Doubt = max(v.Doubt, sum-largest)
+			v.OtherEvidence = max(v.OtherEvidence, sum-largest)
 		} else {
-			v.Doubt = max(v.Doubt, sum)
+			v.OtherEvidence = max(v.OtherEvidence, sum)
 		}
 		if sum > v.Evidence {
 			v.Evidence, v.Route, v.Aspect = sum, l.route, l.aspect
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -22,17 +22,17 @@
 // that other routers told of.
 type evidence struct {
 	judge judge
-	own   map[Cell]uint32 // of the new version, seen here
-	old   window          // of the old version, seen here
+	own   map[CountKey]uint32 // of the new version, seen here
+	old   window              // of the old version, seen here
 	heard map[string]heardReport
 	// pooled are the answers of the old version of late that other routers told of.
-	pooled map[Cell]uint32
+	pooled map[CountKey]uint32
 	// frozen are those that count once all work has moved: nothing comes from the old
 	// version any more.
 	//
 	// What goes wrong without it: what is usual is forgotten within seconds, and a route on
 	// which either version fails now and then convicts a sound version while it moves.
-	frozen map[Cell]uint32
+	frozen map[CountKey]uint32
 	teller bool // this router tells of the old version, also without news of the new
 
 	untold    bool // own has more than was told
@@ -46,13 +46,13 @@
 	at     time.Duration
 	life   uint64
 	number uint64
-	new    map[Cell]uint32
+	new    map[CountKey]uint32
 	old    []Count
 }
 
 // Observe counts an answer that this router saw. Only first attempts count: one that
 // follows a failure is sent where the first did not go.
-func (r *Rollout) Observe(c Cell, ofNew bool, now time.Duration) {
+func (r *Rollout) Observe(c CountKey, ofNew bool, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || !r.record.Stage.Open() {
@@ -65,11 +65,11 @@
 		return
 	}
 	if e.own == nil {
-		e.own = map[Cell]uint32{}
+		e.own = map[CountKey]uint32{}
 	}
 	e.own[c]++
 	old := e.pooledOld(now)
-	e.judge.take(map[Cell]uint32{c: 1}, old)
+	e.judge.take(map[CountKey]uint32{c: 1}, old)
 	e.untold = true
 	e.untoldBad = e.untoldBad || usualOf(old, c.Route, c.Aspect).bad(c.Grade)
 	r.weigh()
@@ -83,8 +83,8 @@
 	return u.known && GradeOf(waited) >= u.slow
 }
 
-// Hear takes in what another router tells.
-func (r *Rollout) Hear(from string, rep Report, now time.Duration) {
+// HandleReport takes in what another router tells.
+func (r *Rollout) HandleReport(from string, rep Report, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || rep.Order != r.order.Revision {
@@ -101,20 +101,20 @@
 
 func (e *evidence) hear(from string, rep Report, now time.Duration) {
 	before := e.heard[from]
-	if before.life != rep.Life {
+	if before.life != rep.Incarnation {
 		before = heardReport{}
 	}
-	if rep.Number <= before.number {
+	if rep.Sequence <= before.number {
 		return
 	}
-	h := heardReport{at: now, life: rep.Life, number: rep.Number, new: map[Cell]uint32{}, old: rep.Old}
+	h := heardReport{at: now, life: rep.Incarnation, number: rep.Sequence, new: map[CountKey]uint32{}, old: rep.Old}
 	e.forget(e.heard[from].old)
 	e.pool(rep.Old)
-	more := map[Cell]uint32{}
+	more := map[CountKey]uint32{}
 	for _, c := range rep.New {
-		h.new[c.Cell] = c.N
-		if c.N > before.new[c.Cell] {
-			more[c.Cell] = c.N - before.new[c.Cell]
+		h.new[c.CountKey] = c.N
+		if c.N > before.new[c.CountKey] {
+			more[c.CountKey] = c.N - before.new[c.CountKey]
 		}
 	}
 	if e.heard == nil {
@@ -128,17 +128,17 @@
 
 func (e *evidence) pool(old []Count) {
 	if e.pooled == nil {
-		e.pooled = map[Cell]uint32{}
+		e.pooled = map[CountKey]uint32{}
 	}
 	for _, c := range old {
-		e.pooled[c.Cell] += c.N
+		e.pooled[c.CountKey] += c.N
 	}
 }
 
 func (e *evidence) forget(old []Count) {
 	for _, c := range old {
-		if e.pooled[c.Cell] -= c.N; e.pooled[c.Cell] == 0 {
-			delete(e.pooled, c.Cell)
+		if e.pooled[c.CountKey] -= c.N; e.pooled[c.CountKey] == 0 {
+			delete(e.pooled, c.CountKey)
 		}
 	}
 }
@@ -155,13 +155,13 @@
 }
 
 // pooledOld are the answers of the old version of late, over the routers that told.
-func (e *evidence) pooledOld(now time.Duration) map[Cell]uint32 {
+func (e *evidence) pooledOld(now time.Duration) map[CountKey]uint32 {
 	if e.frozen != nil {
 		return e.frozen
 	}
 	sum := maps.Clone(e.pooled)
 	if sum == nil {
-		sum = map[Cell]uint32{}
+		sum = map[CountKey]uint32{}
 	}
 	e.old.sum(now, sum)
 	return sum
@@ -181,10 +181,10 @@
 	}
 	e.last, e.untold, e.untoldBad = now, false, false
 	e.number++
-	old := map[Cell]uint32{}
+	old := map[CountKey]uint32{}
 	e.old.sum(now, old)
 	return &Report{
-		Service: r.order.Service, Order: r.order.Revision, Life: r.cfg.Life, Number: e.number, ElapsedMS: (now - r.began).Milliseconds(),
+		Service: r.order.Service, Order: r.order.Revision, Incarnation: r.cfg.Incarnation, Sequence: e.number, ElapsedMS: (now - r.began).Milliseconds(),
 		New: counts(e.own), Old: counts(old), Bad: r.bad,
 	}
 }
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Next says how the record is to change now, if it is to. The event that causes it, by the
+// NextRecord says how the record is to change now, if it is to. The event that causes it, by the
 // state chart, is decided by this router's knowledge; whether the change is made, by the
 // condition that the record is still the one that it knows.
-func (r *Rollout) Next(now time.Duration, ready Ready) (next Record, revision int64, due bool) {
+func (r *Rollout) NextRecord(now time.Duration, ready ReplicaCounts) (next Record, revision int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	event, reason := r.event(now, ready)
@@ -30,7 +30,7 @@
 	return next, r.revision, true
 }
 
-func (r *Rollout) event(now time.Duration, ready Ready) (event, reason string) {
+func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
 		// News of the order may be later than those of the record that it caused.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.staged >= settle) {
@@ -56,7 +56,7 @@
 }
 
 // endTrial decides how a trial ends whose time is over.
-func (r *Rollout) endTrial(now time.Duration, ready Ready) (event, reason string) {
+func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.began
 	if elapsed < r.order.moveAt() {
 		return "", ""
@@ -76,7 +76,7 @@
 const enoughReady = 0.7
 
 // missing tells what a trial lacks to be passed, "" for nothing.
-func (r *Rollout) missing(ready Ready, now time.Duration) string {
+func (r *Rollout) missing(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
 	case r.stale:
@@ -85,7 +85,7 @@
 		return "the trial has just begun"
 	case float64(ready.New) < enoughReady*float64(ready.Old) || ready.New == 0:
 		return fmt.Sprintf("%d new replicas are ready, %d old ones", ready.New, ready.Old)
-	case r.verdict.Doubt >= doubtAt:
+	case r.verdict.OtherEvidence >= doubtAt:
 		return "doubt: " + r.verdict.String()
 	case answers < minAnswers && !r.hardlyAsked():
 		return fmt.Sprintf("%d answers of the new version", answers)
@@ -100,8 +100,8 @@
 // others know that it fails. It shows as a bad version that gets all requests for a second.
 func (r *Rollout) hardlyAsked() bool { return r.asked*r.cfg.Routers() < fewRequests }
 
-// Missing tells why a trial that is over does not pass, "" if it does or is not over.
-func (r *Rollout) Missing(now time.Duration, ready Ready) string {
+// TrialBlocker tells why a trial that is over does not pass, "" if it does or is not over.
+func (r *Rollout) TrialBlocker(now time.Duration, ready ReplicaCounts) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order == nil || r.stage() != Trial || now-r.began < r.order.moveAt() {
--- a/rollout/ration.go
+++ b/rollout/ration.go
@@ -71,10 +71,10 @@
 // giveBack takes back a request that did not go to the new version after all.
 func (r *ration) giveBack() { r.sent-- }
 
-// TrialSet chooses the replicas of the new version that take part in a trial: one at least
+// TrialReplicas chooses the replicas of the new version that take part in a trial: one at least
 // in each failure domain, and so few that each has about as much to do as it will have
 // later, so that a version which is bad under load shows it. All routers choose the same.
-func TrialSet(replicas []fleet.Backend, l Limits) map[string]bool {
+func TrialReplicas(replicas []fleet.Backend, l Limits) map[string]bool {
 	byDomain := map[string][]string{}
 	for i := range replicas {
 		b := &replicas[i]
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -9,15 +9,15 @@
 
 // Config of a Rollout.
 type Config struct {
-	Limits  Limits
-	Chart   *chart.Chart
-	Routers func() int     // how many routers share the requests
-	Random  func() float64 // 0 to 1
-	Life    uint64         // of this process, drawn at its start
+	Limits      Limits
+	Chart       *chart.Chart
+	Routers     func() int     // how many routers share the requests
+	Random      func() float64 // 0 to 1
+	Incarnation uint64         // of this process, drawn at its start
 }
 
-// Ready counts replicas that take work.
-type Ready struct {
+// ReplicaCounts counts replicas that take work.
+type ReplicaCounts struct {
 	New, Old int
 	Domains  int // with replicas of the new version
 }
@@ -57,8 +57,8 @@
 	return &Rollout{cfg: cfg, assigned: map[string]assignment{}}
 }
 
-// Ordered takes in the order in force.
-func (r *Rollout) Ordered(o Order, now time.Duration) {
+// SetOrder takes in the order in force.
+func (r *Rollout) SetOrder(o Order, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order != nil && r.order.Revision == o.Revision {
@@ -73,8 +73,8 @@
 	r.epoch++
 }
 
-// Withdrawn takes note that there is no order any more.
-func (r *Rollout) Withdrawn() {
+// WithdrawOrder takes note that there is no order any more.
+func (r *Rollout) WithdrawOrder() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.order != nil {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Recorded takes in the record, and the revision that it has.
-func (r *Rollout) Recorded(rec Record, revision int64, now time.Duration) {
+// SetRecord takes in the record, and the revision that it has.
+func (r *Rollout) SetRecord(rec Record, revision int64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if revision <= r.revision {
@@ -136,7 +136,7 @@
 		rule.Target, rule.Barred = next.Target, next.Barred
 	}
 	if rule.Stage == Completed {
-		rule.Since = r.revision
+		rule.CompletedRevision = r.revision
 	}
 	return rule
 }
@@ -182,8 +182,8 @@
 	return trial
 }
 
-// Sent tells that a request was sent.
-func (r *Rollout) Sent(request string) {
+// MarkSent tells that a request was sent.
+func (r *Rollout) MarkSent(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.assigned, request)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 func newRollout(t testing.TB) *Rollout {
 	return New(Config{
 		Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 1 },
-		Random: func() float64 { return 0.5 }, Life: 1,
+		Random: func() float64 { return 0.5 }, Incarnation: 1,
 	})
 }
 
@@ -74,19 +74,19 @@
 	if rule := r.Rule(); !rule.Allows(&fresh) || !rule.Allows(&old) {
 		t.Error("without an order all versions are used")
 	}
-	r.Ordered(someOrder, 0)
-	if rule := r.Rule(); rule.Allows(&fresh) || rule.Tries(&fresh) || !rule.Allows(&old) {
+	r.SetOrder(someOrder, 0)
+	if rule := r.Rule(); rule.Allows(&fresh) || rule.AllowsTrial(&fresh) || !rule.Allows(&old) {
 		t.Errorf("ordered: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if rule := r.Rule(); rule.Allows(&fresh) || !rule.Tries(&fresh) || !rule.Allows(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	if rule := r.Rule(); rule.Allows(&fresh) || !rule.AllowsTrial(&fresh) || !rule.Allows(&old) {
 		t.Errorf("on trial: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 8*time.Second)
-	if rule := r.Rule(); !rule.Allows(&fresh) || rule.Allows(&old) || !rule.Moves(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 8*time.Second)
+	if rule := r.Rule(); !rule.Allows(&fresh) || rule.Allows(&old) || !rule.MovesRuns(&old) {
 		t.Errorf("moving: %+v", rule)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Completed}, 20, 10*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Completed}, 20, 10*time.Second)
 	later := fleet.Backend{Version: "v3", Started: 21}
 	if rule := r.Rule(); !rule.Allows(&fresh) || rule.Allows(&old) || !rule.Allows(&later) {
 		t.Errorf("completed: %+v", rule)
@@ -99,17 +99,17 @@
 func TestTakenBackStaysSo(t *testing.T) {
 	r := newRollout(t)
 	fresh := fleet.Backend{Version: "v2"}
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: RolledBack}, 9, 2*time.Second)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 3*time.Second)
-	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&fresh) || rule.Tries(&fresh) {
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: RolledBack}, 9, 2*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 3*time.Second)
+	if rule := r.Rule(); rule.Stage != RolledBack || rule.Allows(&fresh) || rule.AllowsTrial(&fresh) {
 		t.Errorf("got %+v", rule)
 	}
-	r.Ordered(Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}, 4*time.Second)
+	r.SetOrder(Order{Service: "s", Target: "v3", Duration: time.Minute, Revision: 12}, 4*time.Second)
 	if rule := r.Rule(); rule.Allows(&fresh) || rule.Target != "v3" {
 		t.Errorf("the next order: %+v", rule)
 	}
-	next, rev, due := r.Next(4*time.Second, Ready{New: 1, Old: 1, Domains: 1})
+	next, rev, due := r.NextRecord(4*time.Second, ReplicaCounts{New: 1, Old: 1, Domains: 1})
 	if !due || rev != 9 || next.Stage != Trial || next.Target != "v3" || len(next.Barred) != 1 {
 		t.Errorf("got %+v after %d, due %v", next, rev, due)
 	}
@@ -120,16 +120,16 @@
 func TestTrialEndsWhereTheStoreIsNotHeard(t *testing.T) {
 	r := newRollout(t)
 	fresh, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	r.Tick(2*time.Second, false, 1)
 	for i := range 100 {
 		if r.Assign(fmt.Sprint(i), 3*time.Second) {
 			t.Fatal("a request was tried")
 		}
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 4*time.Second)
-	if rule := r.Rule(); !rule.Allows(&fresh) || !rule.Allows(&old) || rule.Moves(&old) {
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 4*time.Second)
+	if rule := r.Rule(); !rule.Allows(&fresh) || !rule.Allows(&old) || rule.MovesRuns(&old) {
 		t.Errorf("moving, unheard: %+v", rule)
 	}
 }
@@ -138,8 +138,8 @@
 // drawn anew each time.
 func TestRequestIsDrawnOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	q := ""
 	for i := 0; q == ""; i++ {
 		if id := fmt.Sprint(i); r.Assign(id, 3*time.Second) {
@@ -159,10 +159,10 @@
 // Symptom: an order that is withdrawn goes on. Cause: only a bad version is taken back.
 func TestWithdrawnOrderIsTakenBack(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	r.Withdrawn()
-	next, _, due := r.Next(2*time.Second, Ready{New: 1, Old: 1, Domains: 1})
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.WithdrawOrder()
+	next, _, due := r.NextRecord(2*time.Second, ReplicaCounts{New: 1, Old: 1, Domains: 1})
 	if !due || next.Stage != RolledBack || next.Reason == "" {
 		t.Errorf("got %+v, due %v", next, due)
 	}
@@ -173,12 +173,12 @@
 // answers alone are judged.
 func TestTooFewReplicasDoNotComplete(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
-	if next, _, due := r.Next(someOrder.moveAt(), Ready{New: 1, Old: 3, Domains: 1}); due {
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	if next, _, due := r.NextRecord(someOrder.moveAt(), ReplicaCounts{New: 1, Old: 3, Domains: 1}); due {
 		t.Errorf("got %+v", next)
 	}
-	next, _, due := r.Next(someOrder.lateAt(), Ready{New: 1, Old: 3, Domains: 1})
+	next, _, due := r.NextRecord(someOrder.lateAt(), ReplicaCounts{New: 1, Old: 3, Domains: 1})
 	if !due || next.Stage != RolledBack {
 		t.Errorf("at the end of its time: %+v, due %v", next, due)
 	}
@@ -201,16 +201,16 @@
 // are added, not taken for the whole.
 func TestReportsCountOnce(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	report := func(number uint64, n uint32) Report {
-		return Report{Service: "s", Order: 7, Life: 3, Number: number, New: []Count{{Cell{Route: "r", Domain: "d0", Grade: Failed}, n}}}
+		return Report{Service: "s", Order: 7, Incarnation: 3, Sequence: number, New: []Count{{CountKey{Route: "r", Domain: "d0", Grade: Failed}, n}}}
 	}
 	for _, rep := range []Report{report(1, 2), report(3, 3), report(2, 2), report(3, 3)} {
-		r.Hear("other", rep, time.Second)
+		r.HandleReport("other", rep, time.Second)
 	}
 	r.Tick(time.Second, true, 1)
-	if v, _ := r.Verdict(); v.BadOnes != 3 {
+	if v, _ := r.Verdict(); v.BadAnswers != 3 {
 		t.Errorf("got %+v", v)
 	}
 }
@@ -221,15 +221,15 @@
 func TestOneDomainAloneDoesNotConvict(t *testing.T) {
 	for _, failing := range []int{1, 2} {
 		r := newRollout(t)
-		r.Ordered(someOrder, 0)
-		r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+		r.SetOrder(someOrder, 0)
+		r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 		for i := range 30 {
 			for d := range 3 {
-				c := Cell{Route: "r", Domain: fmt.Sprint("d", d), Grade: 10}
+				c := CountKey{Route: "r", Domain: fmt.Sprint("d", d), Grade: 10}
 				if d < failing {
 					c.Grade = Failed
 				}
-				r.Observe(Cell{Route: "r", Grade: 10}, false, time.Duration(i)*time.Millisecond)
+				r.Observe(CountKey{Route: "r", Grade: 10}, false, time.Duration(i)*time.Millisecond)
 				r.Observe(c, true, time.Duration(i)*time.Millisecond)
 			}
 		}
@@ -245,12 +245,12 @@
 // hardly any requests, though requests came to it.
 func TestTrialIsNotPassedUnheard(t *testing.T) {
 	r := New(Config{Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 4 }, Random: func() float64 { return 0.5 }})
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 12 {
 		r.Assign(fmt.Sprint(i), 2*time.Second)
 	}
-	if next, _, due := r.Next(someOrder.moveAt(), Ready{New: 3, Old: 3, Domains: 3}); due {
+	if next, _, due := r.NextRecord(someOrder.moveAt(), ReplicaCounts{New: 3, Old: 3, Domains: 3}); due {
 		t.Errorf("got %+v", next)
 	}
 }
@@ -260,12 +260,12 @@
 // over. Cause: the trial ends by the time of the order alone.
 func TestTrialThatBeginsLateLastsAWhile(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
+	r.SetOrder(someOrder, 0)
 	begin := someOrder.moveAt() - 100*time.Millisecond
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, begin)
-	ready := Ready{New: 3, Old: 3, Domains: 3}
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, begin)
+	ready := ReplicaCounts{New: 3, Old: 3, Domains: 3}
 	for at := begin; at < begin+someOrder.leastTrial() && at < someOrder.lateAt()-newsLag; at += simTick {
-		if next, _, due := r.Next(at, ready); due {
+		if next, _, due := r.NextRecord(at, ready); due {
 			t.Fatalf("after %v: %+v", at-begin, next)
 		}
 	}
@@ -282,7 +282,7 @@
 			all = append(all, fleet.Backend{ID: fmt.Sprint("e", i), FailureDomain: fmt.Sprint("d", i%3)})
 		}
 		byDomain := map[string]int{}
-		for id := range TrialSet(all, limits) {
+		for id := range TrialReplicas(all, limits) {
 			for i := range all {
 				if all[i].ID == id {
 					byDomain[all[i].FailureDomain]++
@@ -303,8 +303,8 @@
 // what is usual is forgotten after some seconds.
 func TestUsualIsKeptWhileWorkMoves(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, 0)
 	grade := func(i int) Grade {
 		if i%4 == 0 {
 			return Failed
@@ -312,14 +312,14 @@
 		return 10
 	}
 	for i := range 140 {
-		r.Observe(Cell{Route: "r", Grade: grade(i)}, false, time.Second)
+		r.Observe(CountKey{Route: "r", Grade: grade(i)}, false, time.Second)
 	}
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 2*time.Second)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Moving}, 9, 2*time.Second)
 	for i := range 140 {
-		r.Observe(Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*oldSpan)
+		r.Observe(CountKey{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: grade(i)}, true, 2*time.Second+2*oldSpan)
 	}
 	r.Tick(2*time.Second+2*oldSpan, true, 3)
-	if v, bad := r.Verdict(); bad || v.BadOnes != 35 {
+	if v, bad := r.Verdict(); bad || v.BadAnswers != 35 {
 		t.Errorf("bad %v: %+v", bad, v)
 	}
 }
@@ -328,18 +328,18 @@
 // the doubt of its domain counts.
 func TestOneDomainIsNoDoubt(t *testing.T) {
 	r := newRollout(t)
-	r.Ordered(someOrder, 0)
-	r.Recorded(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
+	r.SetOrder(someOrder, 0)
+	r.SetRecord(Record{Order: 7, Target: "v2", Stage: Trial}, 8, time.Second)
 	for i := range 60 {
-		c := Cell{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: 10}
+		c := CountKey{Route: "r", Domain: fmt.Sprint("d", i%3), Grade: 10}
 		if i%3 == 0 {
 			c.Grade = Failed
 		}
-		r.Observe(Cell{Route: "r", Grade: 10}, false, 2*time.Second)
+		r.Observe(CountKey{Route: "r", Grade: 10}, false, 2*time.Second)
 		r.Observe(c, true, 2*time.Second)
 	}
 	r.Tick(2*time.Second, true, 3)
-	next, _, due := r.Next(someOrder.moveAt(), Ready{New: 3, Old: 3, Domains: 3})
+	next, _, due := r.NextRecord(someOrder.moveAt(), ReplicaCounts{New: 3, Old: 3, Domains: 3})
 	if !due || next.Stage != Moving {
 		t.Errorf("due %v: %+v", due, next)
 	}
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -14,9 +14,9 @@
 	Target string
 	// Barred versions get nothing.
 	Barred []string
-	// Since is the number from which replicas of any version count again, once a
+	// CompletedRevision is the number from which replicas of any version count again, once a
 	// roll-out has completed: those that started before it have stopped.
-	Since int64
+	CompletedRevision int64
 	// Stale tells that this router does not hear the store: what it knows may be over.
 	Stale bool
 }
@@ -34,18 +34,18 @@
 		// It may have completed or been taken back meanwhile: both versions are tried.
 		return isNew || r.Stale
 	case Completed:
-		return isNew || b.Started > r.Since
+		return isNew || b.Started > r.CompletedRevision
 	}
 	return true
 }
 
-// Tries tells whether a trial may use a replica.
-func (r *Rule) Tries(b *fleet.Backend) bool {
+// AllowsTrial tells whether a trial may use a replica.
+func (r *Rule) AllowsTrial(b *fleet.Backend) bool {
 	return r.Stage == Trial && !r.Stale && b.Version == r.Target && !slices.Contains(r.Barred, b.Version)
 }
 
-// Moves tells whether runs at a replica are to go on elsewhere.
-func (r *Rule) Moves(b *fleet.Backend) bool {
+// MovesRuns tells whether runs at a replica are to go on elsewhere.
+func (r *Rule) MovesRuns(b *fleet.Backend) bool {
 	if r.Stale || (r.Stage != Moving && r.Stage != RolledBack) {
 		return false
 	}
--- a/route/route.go
+++ b/route/route.go
@@ -42,8 +42,8 @@
 	return "once"
 }
 
-// Share is one service of a split route.
-type Share struct {
+// WeightedService is one service of a split route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -54,7 +54,7 @@
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Service     string // when Split is empty
-	Split       []Share
+	Split       []WeightedService
 	Kind        Kind
 	Resumable   bool          // a stream may go on at another replica
 	Timeout     time.Duration // a request has its final answer by then; 0 is none
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestSplitFollowsWeights(t *testing.T) {
-	r := Route{Service: "a", Split: []Share{{"a", 90}, {"b", 10}}}
+	r := Route{Service: "a", Split: []WeightedService{{"a", 90}, {"b", 10}}}
 	n := map[string]int{}
 	for i := range uint64(1000) {
 		n[r.Pick(i)]++
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -4,8 +4,8 @@
 
 // Names of the steps that place prompts at engines.
 const (
-	// FilterRoom keeps to engines that have memory for the run to its end.
-	FilterRoom = "room"
+	// FilterMemory keeps to engines that have memory for the run to its end.
+	FilterMemory = "room"
 	// FilterBacklog keeps to engines that will soon have read what they were sent.
 	FilterBacklog = "backlog"
 	// ScoreDelay prefers the engine where the prompt causes the least delay.
@@ -20,19 +20,19 @@
 	Reading() float64
 	// Running is how many runs make tokens.
 	Running() float64
-	// Held is how many tokens of runs and copies are in memory.
-	Held() float64
-	// Seen is when the engine said what it has under way, zero if it did not.
-	Seen() time.Time
+	// Memory is how many tokens of runs and copies are in memory.
+	Memory() float64
+	// ReportedAt is when the engine said what it has under way, zero if it did not.
+	ReportedAt() time.Time
 }
 
 // idleEngine stands for candidates of which nothing is known.
 type idleEngine struct{}
 
-func (idleEngine) Reading() float64 { return 0 }
-func (idleEngine) Running() float64 { return 0 }
-func (idleEngine) Held() float64    { return 0 }
-func (idleEngine) Seen() time.Time  { return time.Time{} }
+func (idleEngine) Reading() float64      { return 0 }
+func (idleEngine) Running() float64      { return 0 }
+func (idleEngine) Memory() float64       { return 0 }
+func (idleEngine) ReportedAt() time.Time { return time.Time{} }
 
 func (c *Candidate) engine() EngineLoad {
 	if e, ok := c.Live.(EngineLoad); ok {
@@ -56,7 +56,7 @@
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
-	tokens := float64(max(v.ask.Tokens, 1))
+	tokens := float64(max(v.ask.PromptTokens, 1))
 	least := -1.0
 	for k := range out {
 		e := v.at(k).engine()
@@ -76,9 +76,9 @@
 // What goes wrong without it: an engine that has just come back has all its memory
 // free, and every prompt that waits is sent there, to be read one after the other while
 // other engines become free. It shows as answers that are late after a crash.
-func shortBacklog(c *Candidate, ask *Ask) bool {
+func shortBacklog(c *Candidate, ask *PickRequest) bool {
 	reading := c.engine().Reading()
-	return ask.Backlog <= 0 || reading == 0 || reading+float64(ask.Tokens) <= ask.Backlog
+	return ask.Backlog <= 0 || reading == 0 || reading+float64(ask.PromptTokens) <= ask.Backlog
 }
 
 // memoryScorer rates by free memory.
@@ -89,7 +89,7 @@
 		return
 	}
 	for k := range out {
-		out[k] = max(1-v.at(k).engine().Held()/float64(v.ask.Capacity), 0)
+		out[k] = max(1-v.at(k).engine().Memory()/float64(v.ask.Capacity), 0)
 	}
 }
 
@@ -98,6 +98,6 @@
 // What goes wrong without it: the memory of an engine runs out in the middle of its
 // runs, which are put off and read their prompts again, for which others are put off.
 // It shows as tokens read for nothing, and as answers that are late long after a burst.
-func hasRoom(c *Candidate, ask *Ask) bool {
-	return ask.Capacity <= 0 || c.engine().Held()+float64(ask.Holds) <= float64(ask.Capacity)
+func hasRoom(c *Candidate, ask *PickRequest) bool {
+	return ask.Capacity <= 0 || c.engine().Memory()+float64(ask.MemoryTokens) <= float64(ask.Capacity)
 }
--- a/routing/delay_test.go
+++ b/routing/delay_test.go
@@ -18,8 +18,8 @@
 func (b busy) Hits([]uint64, time.Time) int { return 0 }
 func (b busy) Reading() float64             { return b.reading }
 func (b busy) Running() float64             { return b.running }
-func (b busy) Held() float64                { return b.held }
-func (b busy) Seen() time.Time              { return time.Time{} }
+func (b busy) Memory() float64              { return b.held }
+func (b busy) ReportedAt() time.Time        { return time.Time{} }
 
 func engines(loads ...busy) []Candidate {
 	var out []Candidate
@@ -31,7 +31,7 @@
 
 func promptRouter(t testing.TB) *Router {
 	r, err := New([]StepConfig{
-		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterRoom}, {Name: FilterBacklog},
+		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterMemory}, {Name: FilterBacklog},
 		{Name: ScoreDelay}, {Name: PickBest},
 	}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
@@ -44,7 +44,7 @@
 // none. Sequence: prompts come to engines of which some read a prompt, some make tokens for
 // runs, some keep copies. Cause: a copy, a run and a prompt weighed the same.
 func TestPromptGoesWhereItDelaysLeast(t *testing.T) {
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	ask := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 5600, Capacity: 55000, Backlog: 10000}
 	for _, c := range []struct {
 		name  string
 		loads []busy
@@ -68,7 +68,7 @@
 // Symptom: a prompt that is longer than the bound is refused for ever, although engines
 // idle. Cause: the bound on the backlog counts the prompt itself.
 func TestIdleEngineTakesAnyPrompt(t *testing.T) {
-	ask := Ask{FleetKnown: true, Tokens: 30000, Holds: 31000, Capacity: 55000, Backlog: 10000}
+	ask := PickRequest{FleetKnown: true, PromptTokens: 30000, MemoryTokens: 31000, Capacity: 55000, Backlog: 10000}
 	if _, _, err := promptRouter(t).Pick(engines(busy{}), ask); err != nil {
 		t.Error(err)
 	}
@@ -85,7 +85,7 @@
 		loads = append(loads, busy{float64(i%3) * 2000, float64(i % 5), float64(i%7) * 5000})
 	}
 	all, r := engines(loads...), promptRouter(b)
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 5600, Capacity: 55000, Backlog: 10000}
+	ask := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 5600, Capacity: 55000, Backlog: 10000}
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, err := r.Pick(all, ask); err != nil {
@@ -100,7 +100,7 @@
 	age time.Duration
 }
 
-func (s seen) Seen() time.Time {
+func (s seen) ReportedAt() time.Time {
 	if s.age < 0 {
 		return time.Time{}
 	}
@@ -112,9 +112,9 @@
 // nothing is known looks idle.
 func TestKnownEnginesGoFirst(t *testing.T) {
 	never, old, late := seen{busy{}, -1}, seen{busy{}, time.Minute}, seen{busy{reading: 3000, held: 3000}, time.Millisecond}
-	ask := Ask{FleetKnown: true, Tokens: 5000, Holds: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
+	ask := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
 	r, err := New([]StepConfig{
-		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterFresh}, {Name: FilterRoom},
+		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterFresh}, {Name: FilterMemory},
 		{Name: ScoreDelay}, {Name: PickBest},
 	}, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
@@ -145,7 +145,7 @@
 	r := promptRouter(t)
 	for range 200 {
 		once := map[string]bool{}
-		for _, c := range r.Draw(all, Ask{FleetKnown: true, Exclude: map[string]bool{"e0": true}}, 4) {
+		for _, c := range r.Draw(all, PickRequest{FleetKnown: true, Exclude: map[string]bool{"e0": true}}, 4) {
 			once[c.Backend.ID] = true
 			drawn[c.Backend.ID]++
 		}
@@ -156,7 +156,7 @@
 	if len(drawn) != 9 || drawn["e0"] != 0 {
 		t.Errorf("drew %v", drawn)
 	}
-	if got := promptRouter(t).Draw(all, Ask{FleetKnown: true}, 20); len(got) != 10 {
+	if got := promptRouter(t).Draw(all, PickRequest{FleetKnown: true}, 20); len(got) != 10 {
 		t.Errorf("drew %d of 10", len(got))
 	}
 }
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -7,13 +7,13 @@
 
 // Reasons of NoCandidate.
 const (
-	NoneKnown   Reason = "no backend server is known"
-	NoneServes  Reason = "none serves the model, version and adapter"
-	AllLeaving  Reason = "all that serve it are leaving"
-	AllDown     Reason = "all that serve it are down"
-	AllExcluded Reason = "all that serve it were tried"
-	AllFull     Reason = "all that serve it have as much work as they can take"
-	NoneTakes   Reason = "none of those that serve it takes prompts"
+	NoneKnown          Reason = "no backend server is known"
+	NoneServes         Reason = "none serves the model, version and adapter"
+	AllLeaving         Reason = "all that serve it are leaving"
+	AllDown            Reason = "all that serve it are down"
+	AllExcluded        Reason = "all that serve it were tried"
+	AllFull            Reason = "all that serve it have as much work as they can take"
+	NoneAcceptsPrompts Reason = "none of those that serve it takes prompts"
 )
 
 // NoCandidate is returned when the filters leave nothing.
@@ -32,7 +32,7 @@
 }
 
 // noCandidate names the filter that took the last one away.
-func noCandidate(filter string, trace *Trace, ask *Ask) error {
+func noCandidate(filter string, trace *Trace, ask *PickRequest) error {
 	e := &NoCandidate{Reason: NoneKnown, Retryable: true, Trace: *trace}
 	if trace.Considered == 0 && !ask.FleetKnown {
 		return e
@@ -41,12 +41,12 @@
 	case FilterServes, "":
 		e.Reason, e.Retryable = NoneServes, false
 	case FilterRole:
-		e.Reason = NoneTakes
+		e.Reason = NoneAcceptsPrompts
 	case FilterLeaving:
 		e.Reason = AllLeaving
 	case FilterUsable:
 		e.Reason = AllDown
-	case FilterRoom, FilterBacklog:
+	case FilterMemory, FilterBacklog:
 		e.Reason = AllFull
 	case FilterExclude:
 		e.Reason = AllExcluded
--- a/routing/fresh.go
+++ b/routing/fresh.go
@@ -30,7 +30,7 @@
 
 func (fresh) Name() string { return FilterFresh }
 
-func (fresh) Keep(all []Candidate, left []int32, ask *Ask, _ *scratch) []int32 {
+func (fresh) Keep(all []Candidate, left []int32, ask *PickRequest, _ *scratch) []int32 {
 	next := 0
 	for k, i := range left {
 		if !isFresh(&all[i], ask) {
@@ -45,10 +45,10 @@
 	return left[:next]
 }
 
-func isFresh(c *Candidate, ask *Ask) bool {
-	return ask.Now.Sub(c.engine().Seen()) <= freshFor
+func isFresh(c *Candidate, ask *PickRequest) bool {
+	return ask.Now.Sub(c.engine().ReportedAt()) <= freshFor
 }
 
-func isStale(c *Candidate, ask *Ask) bool {
-	return ask.Now.Sub(c.engine().Seen()) > askAgainAfter
+func isStale(c *Candidate, ask *PickRequest) bool {
+	return ask.Now.Sub(c.engine().ReportedAt()) > askAgainAfter
 }
--- a/routing/homes.go
+++ b/routing/homes.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Homes returns the n candidates with the highest rendezvous weight for a key. All that see
+// PreferredEngines returns the n candidates with the highest rendezvous weight for a key. All that see
 // the same candidates find the same ones, and one that goes moves only its own keys.
-func Homes(all []Candidate, key uint64, n int) []Candidate {
+func PreferredEngines(all []Candidate, key uint64, n int) []Candidate {
 	if n >= len(all) {
 		return all
 	}
--- a/routing/homes_test.go
+++ b/routing/homes_test.go
@@ -27,17 +27,17 @@
 		all := engines(make([]busy, rapid.IntRange(1, 200).Draw(t, "engines"))...)
 		key := rapid.Uint64().Draw(t, "key")
 		n := rapid.IntRange(1, 20).Draw(t, "homes")
-		homes := idsOf(Homes(all, key, n))
+		homes := idsOf(PreferredEngines(all, key, n))
 		if len(homes) != min(n, len(all)) {
 			t.Fatalf("%d homes of %d", len(homes), n)
 		}
 		other := slices.Clone(all)
 		rand.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
-		if got := idsOf(Homes(other, key, n)); !slices.Equal(got, homes) {
+		if got := idsOf(PreferredEngines(other, key, n)); !slices.Equal(got, homes) {
 			t.Fatalf("%v, in another order %v", homes, got)
 		}
 		gone := rapid.IntRange(0, len(all)-1).Draw(t, "gone")
-		left := idsOf(Homes(slices.DeleteFunc(other, func(c Candidate) bool { return c.Backend.ID == all[gone].Backend.ID }), key, n))
+		left := idsOf(PreferredEngines(slices.DeleteFunc(other, func(c Candidate) bool { return c.Backend.ID == all[gone].Backend.ID }), key, n))
 		for _, id := range homes {
 			if id != all[gone].Backend.ID && !slices.Contains(left, id) {
 				t.Fatalf("%s went with %s", id, all[gone].Backend.ID)
@@ -53,7 +53,7 @@
 	rng := rand.New(rand.NewPCG(7, 7))
 	count := map[string]int{}
 	for range keys {
-		for _, c := range Homes(all, rng.Uint64(), n) {
+		for _, c := range PreferredEngines(all, rng.Uint64(), n) {
 			count[c.Backend.ID]++
 		}
 	}
@@ -71,6 +71,6 @@
 		all[i].Backend = fleet.Backend{ID: fmt.Sprintf("i-%010x", i)}
 	}
 	for key := range b.N {
-		Homes(all, uint64(key), 8)
+		PreferredEngines(all, uint64(key), 8)
 	}
 }
--- a/routing/hosted_test.go
+++ b/routing/hosted_test.go
@@ -21,7 +21,7 @@
 		{Backend: fleet.Backend{ID: "suspect", FailureDomain: "b"}},
 		{Backend: fleet.Backend{ID: "good", FailureDomain: "b"}, EstLoad: 9},
 	}
-	ask := Ask{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
+	ask := PickRequest{OtherDomain: "a", FleetKnown: true, Healthy: func(id string) bool { return id != "suspect" }}
 	for range 20 {
 		if c, _, err := r.Pick(all, ask); err != nil || c.Backend.ID != "good" {
 			t.Fatalf("got %s, %v", c.Backend.ID, err)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -69,8 +69,8 @@
 	return c.Live.Hits(blocks, now)
 }
 
-// Ask describes the attempt to place.
-type Ask struct {
+// PickRequest describes the attempt to place.
+type PickRequest struct {
 	Ref           fleet.ModelRef // zero for plain services
 	Priority      fleet.Priority
 	Blocks        []uint64 // leading blocks of the prompt, see fleet.PrefixBlocks
@@ -78,10 +78,10 @@
 	FailureDomain string // of this router
 	OtherDomain   string // FilterOtherDomain keeps to domains other than this one; empty for any
 	PromptBytes   int
-	// Tokens of the prompt that are to be read, and Holds how many the run takes in
+	// PromptTokens of the prompt that are to be read, and Holds how many the run takes in
 	// memory at its end. Capacity is how many an engine of the service holds; 0 when
 	// that isn't known.
-	Tokens, Holds, Capacity int
+	PromptTokens, MemoryTokens, Capacity int
 	// Backlog bounds the tokens that are yet to be read at an engine, this prompt's
 	// among them; 0 for no bound.
 	Backlog float64
@@ -144,7 +144,7 @@
 
 // Pick chooses among the snapshot. When nothing is left, the error is a
 // *NoCandidate. The snapshot is only read.
-func (r *Router) Pick(snapshot []Candidate, ask Ask) (Candidate, Trace, error) {
+func (r *Router) Pick(snapshot []Candidate, ask PickRequest) (Candidate, Trace, error) {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	trace := Trace{Considered: len(snapshot)}
@@ -162,7 +162,7 @@
 
 // filter leaves in sc those that all filters keep, and returns the name of the last filter
 // that was applied.
-func (r *Router) filter(snapshot []Candidate, ask *Ask, sc *scratch, trace *Trace) (last string) {
+func (r *Router) filter(snapshot []Candidate, ask *PickRequest, sc *scratch, trace *Trace) (last string) {
 	sc.left = sc.left[:0]
 	for i := range snapshot {
 		sc.left = append(sc.left, int32(i))
@@ -183,7 +183,7 @@
 
 // Draw returns up to n of those that the filters keep, at random and without rating them:
 // those of which more is to be learnt before one is chosen.
-func (r *Router) Draw(snapshot []Candidate, ask Ask, n int) []Candidate {
+func (r *Router) Draw(snapshot []Candidate, ask PickRequest, n int) []Candidate {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
 	var trace Trace
@@ -203,7 +203,7 @@
 // rate fills the weighted scores. Scores that express affinity to one
 // candidate are also summed apart: the picker must be able to find that
 // candidate, which two random draws out of many would miss.
-func (r *Router) rate(snapshot []Candidate, ask *Ask, sc *scratch) {
+func (r *Router) rate(snapshot []Candidate, ask *PickRequest, sc *scratch) {
 	n := len(sc.left)
 	sc.loads = resize(sc.loads, n)
 	sc.score = resize(sc.score, n)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -50,22 +50,22 @@
 	other := fleet.ModelRef{Model: "m", Version: "v2"}
 	rows := []struct {
 		name   string
-		spoil  func(c *Candidate, a *Ask)
+		spoil  func(c *Candidate, a *PickRequest)
 		reason Reason
 		retry  bool
 	}{
-		{"other version only", func(c *Candidate, _ *Ask) { c.Serves = []fleet.ModelRef{other} }, NoneServes, false},
-		{"marked leaving", func(c *Candidate, _ *Ask) { c.Leaving = true }, AllLeaving, true},
-		{"VM list says leaving", func(c *Candidate, _ *Ask) { c.Backend.Leaving = true }, AllLeaving, true},
-		{"down", func(c *Candidate, _ *Ask) { c.State = health.Down }, AllDown, true},
-		{"not usable", func(_ *Candidate, a *Ask) {
+		{"other version only", func(c *Candidate, _ *PickRequest) { c.Serves = []fleet.ModelRef{other} }, NoneServes, false},
+		{"marked leaving", func(c *Candidate, _ *PickRequest) { c.Leaving = true }, AllLeaving, true},
+		{"VM list says leaving", func(c *Candidate, _ *PickRequest) { c.Backend.Leaving = true }, AllLeaving, true},
+		{"down", func(c *Candidate, _ *PickRequest) { c.State = health.Down }, AllDown, true},
+		{"not usable", func(_ *Candidate, a *PickRequest) {
 			a.Usable = func(ids []string) []bool { return make([]bool, len(ids)) }
 		}, AllDown, true},
-		{"tried", func(c *Candidate, a *Ask) { a.Exclude[c.Backend.ID] = true }, AllExcluded, true},
-		{"decode role", func(c *Candidate, _ *Ask) { c.Role = roleDecode }, NoneTakes, true},
+		{"tried", func(c *Candidate, a *PickRequest) { a.Exclude[c.Backend.ID] = true }, AllExcluded, true},
+		{"decode role", func(c *Candidate, _ *PickRequest) { c.Role = roleDecode }, NoneAcceptsPrompts, true},
 	}
 	for _, row := range rows {
-		all, ask := candidates(5), Ask{Ref: ref, Exclude: map[string]bool{}}
+		all, ask := candidates(5), PickRequest{Ref: ref, Exclude: map[string]bool{}}
 		for i := range all {
 			row.spoil(&all[i], &ask)
 		}
@@ -80,7 +80,7 @@
 		}
 	}
 	for _, known := range []bool{false, true} {
-		_, _, err := router(t).Pick(nil, Ask{Ref: ref, FleetKnown: known})
+		_, _, err := router(t).Pick(nil, PickRequest{Ref: ref, FleetKnown: known})
 		var none *NoCandidate
 		if !errors.As(err, &none) || none.Retryable == known {
 			t.Errorf("empty snapshot, fleet known %v: %v", known, err)
@@ -93,7 +93,7 @@
 func TestPickNeverPassesAFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(1, 20).Draw(t, "n"))
-		ask := Ask{Ref: ref, Exclude: map[string]bool{}, Blocks: []uint64{1, 2}, Resume: rapid.Bool().Draw(t, "resume")}
+		ask := PickRequest{Ref: ref, Exclude: map[string]bool{}, Blocks: []uint64{1, 2}, Resume: rapid.Bool().Draw(t, "resume")}
 		good := map[string]bool{}
 		for i := range all {
 			c := &all[i]
@@ -134,7 +134,7 @@
 			all[i].EstLoad = 0
 			at[all[i].Backend.ID] = i
 		}
-		r, ask := router(t, steps...), Ask{Ref: ref, Blocks: []uint64{7, 8, 9}}
+		r, ask := router(t, steps...), PickRequest{Ref: ref, Blocks: []uint64{7, 8, 9}}
 		first := map[string]int{}
 		for n := range 320 {
 			got, _, err := r.Pick(all, ask)
@@ -171,7 +171,7 @@
 	for _, steps := range [][]StepConfig{DefaultSteps(), argmaxOnly} {
 		r, got := router(t, steps...), map[string]int{}
 		for n := range 300 {
-			c, _, err := r.Pick(all, Ask{Ref: ref, Blocks: []uint64{7}, Resume: true, Request: uint64(n)})
+			c, _, err := r.Pick(all, PickRequest{Ref: ref, Blocks: []uint64{7}, Resume: true, Request: uint64(n)})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -216,7 +216,7 @@
 	for _, n := range []int{50, 500} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			all, r := candidates(n), router(b)
-			ask := Ask{Ref: ref, Blocks: []uint64{1, 2, 3, 4}}
+			ask := PickRequest{Ref: ref, Blocks: []uint64{1, 2, 3, 4}}
 			b.ReportAllocs()
 			for b.Loop() {
 				_, _, _ = r.Pick(all, ask)
@@ -231,7 +231,7 @@
 func (s sized) Load(time.Time) float64       { return s.load }
 func (s sized) Leaving() bool                { return false }
 func (s sized) Hits([]uint64, time.Time) int { return 0 }
-func (s sized) Places() float64              { return s.places }
+func (s sized) Slots() float64               { return s.places }
 
 // Symptom: work waits at one engine for a long draft to end while others have
 // places free; near full load the fleet saturates with an eighth of them empty.
@@ -240,7 +240,7 @@
 // full, while a large one has more requests and places free.
 // Cause: affinity looked at the mean load alone, and loads at no places.
 func TestWorkGoesWhereAPlaceIsFree(t *testing.T) {
-	r, ask := router(t), Ask{Ref: ref, Blocks: []uint64{7, 8}}
+	r, ask := router(t), PickRequest{Ref: ref, Blocks: []uint64{7, 8}}
 	all := candidates(6)
 	for i := range all {
 		all[i].Live = sized{0, 16}
@@ -265,7 +265,7 @@
 	}
 	all[2].Live = sized{20, 64}
 	for range 100 {
-		if got, _, _ := r.Pick(all, Ask{Ref: ref}); got.Backend.ID != all[2].Backend.ID {
+		if got, _, _ := r.Pick(all, PickRequest{Ref: ref}); got.Backend.ID != all[2].Backend.ID {
 			t.Fatalf("%s has no free place and gets work", got.Backend.ID)
 		}
 	}
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -9,7 +9,7 @@
 	all   []Candidate
 	left  []int32
 	loads []float64
-	ask   *Ask
+	ask   *PickRequest
 }
 
 func (v *View) at(k int) *Candidate { return &v.all[v.left[k]] }
@@ -35,7 +35,7 @@
 	ScoreRendezvous = "prefix-rendezvous"
 	ScoreDomain     = "failure-domain"
 	ScoreSpread     = "resume-spread"
-	ScorePlaces     = "free-places"
+	ScoreSlots      = "free-places"
 )
 
 // loadSlack is how many requests a load is compared with: a continuous batch
@@ -83,18 +83,18 @@
 
 func overloaded(load, mean float64) bool { return load > boundedLoad*mean+1 }
 
-// Placer is a Live that knows how many requests its backend server runs at once.
-type Placer interface {
-	// Places is that number as far as reports showed it, 0 when unknown.
-	Places() float64
+// SlotCounter is a Live that knows how many requests its backend server runs at once.
+type SlotCounter interface {
+	// Slots is that number as far as reports showed it, 0 when unknown.
+	Slots() float64
 }
 
 func (v *View) places(k int) float64 {
-	p, ok := v.at(k).Live.(Placer)
+	p, ok := v.at(k).Live.(SlotCounter)
 	if !ok {
 		return 0
 	}
-	return p.Places()
+	return p.Slots()
 }
 
 // fullShare is the part of its places above which a backend server is taken to
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -27,7 +27,7 @@
 	FilterExclude: each{FilterExclude, notExcluded},
 	FilterRole:    each{FilterRole, takesPrompts},
 
-	FilterRoom:        each{FilterRoom, hasRoom},
+	FilterMemory:      each{FilterMemory, hasRoom},
 	FilterBacklog:     each{FilterBacklog, shortBacklog},
 	FilterFresh:       fresh{},
 	FilterFreshOnly:   each{FilterFreshOnly, isFresh},
@@ -45,7 +45,7 @@
 	ScoreDelay:      {scorer: delayScorer{}},
 	ScoreMemory:     {scorer: memoryScorer{}},
 	ScoreSpread:     {scorer: spreadScorer{}, affinity: true},
-	ScorePlaces:     {scorer: placesScorer{}, affinity: true},
+	ScoreSlots:      {scorer: placesScorer{}, affinity: true},
 }
 
 // DefaultSteps is the configuration used when the settings name none. ScorePrefix
@@ -62,7 +62,7 @@
 		{Name: ScoreRendezvous, Weight: 0.4},
 		{Name: ScoreDomain, Weight: 0.05},
 		{Name: ScoreSpread, Weight: 0.2},
-		{Name: ScorePlaces, Weight: 0.5},
+		{Name: ScoreSlots, Weight: 0.5},
 		{Name: PickTwoChoices},
 	}
 }
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -122,7 +122,7 @@
 	}
 	got := 0
 	err = waitUntil("open watches", func() bool {
-		got = f.set.KV.Watching(args[0])
+		got = f.set.KV.OpenWatches(args[0])
 		return got == want
 	})
 	if err != nil {
--- a/scenario/generate_test.go
+++ b/scenario/generate_test.go
@@ -64,7 +64,7 @@
 	}
 	c := client.New(f.endpoints(*firstRouter), apiKey, client.Options{
 		IdleTimeout: *idle, MaxTries: *tries, HTTP: &http.Client{Transport: &cursorRecorder{g: g, next: f.tls.transport(*http1)}},
-		Connected: func(e string) { g.change(func() { g.endpoint = e }) },
+		OnConnect: func(e string) { g.change(func() { g.endpoint = e }) },
 	})
 	f.mu.Lock()
 	f.gens[g.name] = g
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -101,7 +101,7 @@
 }
 
 func atMostLoads(f *testFleet, _ *testscript.TestScript, args []string) error {
-	if got := strconv.Itoa(f.set.Weights.MostLoads()); got > args[0] {
+	if got := strconv.Itoa(f.set.Weights.MaxConcurrentLoads()); got > args[0] {
 		return fmt.Errorf("%s loads ran at once, want at most %s", got, args[0])
 	}
 	return nil
--- a/settings/check.go
+++ b/settings/check.go
@@ -148,8 +148,8 @@
 	}
 	c.key("peers.key", p.KeyFile, p.KeyEnv, true)
 	within(c, "peers.full_mesh_limit", p.FullMeshLimit, 1, 1000)
-	within(c, "peers.links_inside", p.LinksInside, 1, 100)
-	within(c, "peers.links_across", p.LinksAcross, 1, 100)
+	within(c, "peers.links_inside", p.SameDomainLinks, 1, 100)
+	within(c, "peers.links_across", p.OtherDomainLinks, 1, 100)
 	within(c, "peers.heartbeat_ms", p.HeartbeatMS, 10, 60000)
 }
 
@@ -199,7 +199,7 @@
 	within(c, "policy.tail_exponent", p.TailExponent, 0.1, 20)
 	within(c, "policy.prefill_bytes_per_second", p.PrefillBytesPerSecond, 1, 1e12)
 	within(c, "policy.fixed_timeout_ms", p.FixedTimeoutMS, 0, 600000)
-	within(c, "policy.patience_ms", p.PatienceMS, 0, dayMS)
+	within(c, "policy.patience_ms", p.MaxWaitMS, 0, dayMS)
 	within(c, "policy.retry_budget_percent", p.RetryBudgetPercent, 0, maxPercent)
 	within(c, "policy.hedge.budget_percent", p.Hedge.BudgetPercent, 0, maxPercent)
 }
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -46,7 +46,7 @@
 
 // Decisions name one way for each decision that has several.
 type Decisions struct {
-	Refusing string `json:"refusing"` // as in package admission
+	RefusalPolicy string `json:"refusing"` // as in package admission
 }
 
 // SetDefaults sets what holds where a file with the section says nothing.
@@ -64,7 +64,7 @@
 		MinPrefillMS:           2500,
 		PrefillTokensPerSecond: 5000,
 		GCPercent:              30,
-		Decisions:              Decisions{Refusing: string(admission.RefuseLate)},
+		Decisions:              Decisions{RefusalPolicy: string(admission.RefuseLate)},
 	}
 }
 
@@ -86,7 +86,7 @@
 	within(c, "hosted.min_prefill_ms", h.MinPrefillMS, 10, 60000)
 	within(c, "hosted.prefill_tokens_per_second", h.PrefillTokensPerSecond, 1, 1e9)
 	within(c, "hosted.gc_percent", h.GCPercent, 5, 1000)
-	c.oneOf("hosted.decisions.refusing", h.Decisions.Refusing, admission.Refusals())
+	c.oneOf("hosted.decisions.refusing", h.Decisions.RefusalPolicy, admission.RefusalPolicies())
 }
 
 // oneOf reports a value that is not among the names.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -78,13 +78,13 @@
 
 // Peers governs the links between daemons.
 type Peers struct {
-	Seeds         []string `json:"seeds"` // host:port
-	KeyFile       string   `json:"key_file"`
-	KeyEnv        string   `json:"key_env"`
-	FullMeshLimit int      `json:"full_mesh_limit"` // nodes
-	LinksInside   int      `json:"links_inside"`
-	LinksAcross   int      `json:"links_across"`
-	HeartbeatMS   int      `json:"heartbeat_ms"`
+	Seeds            []string `json:"seeds"` // host:port
+	KeyFile          string   `json:"key_file"`
+	KeyEnv           string   `json:"key_env"`
+	FullMeshLimit    int      `json:"full_mesh_limit"` // nodes
+	SameDomainLinks  int      `json:"links_inside"`
+	OtherDomainLinks int      `json:"links_across"`
+	HeartbeatMS      int      `json:"heartbeat_ms"`
 }
 
 // Cursor governs the ids of streamed events. The previous key is still
@@ -127,7 +127,7 @@
 	// FixedTimeoutMS, above 0, puts a fixed timeout on each stream's silence in
 	// place of the judgement by weights: the baseline of measurements.
 	FixedTimeoutMS     int   `json:"fixed_timeout_ms"`
-	PatienceMS         int   `json:"patience_ms"` // wait for a backend server to resume on
+	MaxWaitMS          int   `json:"patience_ms"` // wait for a backend server to resume on
 	RetryBudgetPercent int   `json:"retry_budget_percent"`
 	Hedge              Hedge `json:"hedge"`
 }
@@ -196,11 +196,11 @@
 		Node:     Node{Incarnation: autoIncarnation},
 		Platform: Platform{CallTimeoutMS: 2000},
 		Peers: Peers{
-			Seeds:         []string{},
-			FullMeshLimit: 24,
-			LinksInside:   3,
-			LinksAcross:   3,
-			HeartbeatMS:   500,
+			Seeds:            []string{},
+			FullMeshLimit:    24,
+			SameDomainLinks:  3,
+			OtherDomainLinks: 3,
+			HeartbeatMS:      500,
 		},
 		Cursor:    Cursor{MaxAgeS: 21600},
 		Operators: []Operator{},
@@ -212,7 +212,7 @@
 			FailuresPerHour:       0.1,
 			TailExponent:          4,
 			PrefillBytesPerSecond: 40_000,
-			PatienceMS:            5000,
+			MaxWaitMS:             5000,
 			RetryBudgetPercent:    20,
 			Hedge:                 Hedge{BudgetPercent: 2},
 		},
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -83,11 +83,11 @@
 	if r.status != http.StatusOK {
 		return ""
 	}
-	want := fakes.Whole(r.id)
+	want := fakes.CompleteResponse(r.id)
 	if r.kind == "draft" {
 		var b strings.Builder
 		for n := 1; n <= pieces; n++ {
-			b.WriteString(fakes.Piece(r.id, n))
+			b.WriteString(fakes.Chunk(r.id, n))
 		}
 		want = b.String()
 	}
@@ -192,10 +192,10 @@
 func (r *platformRun) checkIdle(all []*fakes.Replica) {
 	end := time.Now().Add(workEnds)
 	for _, rep := range all {
-		for rep.Open() > 0 && time.Now().Before(end) {
+		for rep.OpenRequests() > 0 && time.Now().Before(end) {
 			time.Sleep(20 * time.Millisecond)
 		}
-		if n := rep.Open(); n > 0 {
+		if n := rep.OpenRequests(); n > 0 {
 			r.checks.broken("work ends when nobody waits for it", "", fmt.Sprintf("%d requests at %s", n, rep.ID))
 		}
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -19,7 +19,7 @@
 func whole(id string) string {
 	var b strings.Builder
 	for n := 1; n <= pieces; n++ {
-		b.WriteString(fakes.Piece(id, n))
+		b.WriteString(fakes.Chunk(id, n))
 	}
 	return b.String()
 }
@@ -28,7 +28,7 @@
 func TestAnswersAreJudged(t *testing.T) {
 	const id = "c1-1"
 	good := whole(id)
-	two := fakes.Piece(id, 1) + fakes.Piece(id, 2)
+	two := fakes.Chunk(id, 1) + fakes.Chunk(id, 2)
 	cut := errors.New("connection reset")
 	for name, c := range map[string]struct {
 		result result
@@ -39,11 +39,11 @@
 		"left by its client":       {result{kind: "draft", status: 200, body: two, left: true}, ""},
 		"refused":                  {result{kind: "draft", status: 503}, ""},
 		"cut, but looks whole":     {result{kind: "draft", status: 200, body: two}, "look whole"},
-		"a piece is missing":       {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece(id, 3), cut: cut}, "missing"},
-		"a piece is repeated":      {result{kind: "draft", status: 200, body: two + fakes.Piece(id, 2), cut: cut}, "repeated"},
-		"pieces of another answer": {result{kind: "draft", status: 200, body: fakes.Piece(id, 1) + fakes.Piece("c2-9", 2), cut: cut}, "another answer"},
+		"a piece is missing":       {result{kind: "draft", status: 200, body: fakes.Chunk(id, 1) + fakes.Chunk(id, 3), cut: cut}, "missing"},
+		"a piece is repeated":      {result{kind: "draft", status: 200, body: two + fakes.Chunk(id, 2), cut: cut}, "repeated"},
+		"pieces of another answer": {result{kind: "draft", status: 200, body: fakes.Chunk(id, 1) + fakes.Chunk("c2-9", 2), cut: cut}, "another answer"},
 		"a joined tail":            {result{kind: "draft", status: 200, body: good + two}, "repeated"},
-		"another's plain answer":   {result{kind: "look", status: 200, body: fakes.Whole("c2-9")}, "another answer"},
+		"another's plain answer":   {result{kind: "look", status: 200, body: fakes.CompleteResponse("c2-9")}, "another answer"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.result.id = id
@@ -71,7 +71,7 @@
 
 func TestOlderConfigurationIsFound(t *testing.T) {
 	answer := func(status int, life string, began time.Time) result {
-		return result{id: "c1-1", kind: "look", key: "k", status: status, lifetime: life, began: began, body: fakes.Whole("c1-1")}
+		return result{id: "c1-1", kind: "look", key: "k", status: status, lifetime: life, began: began, body: fakes.CompleteResponse("c1-1")}
 	}
 	c := newChecks(true)
 	early := time.Now()
@@ -101,7 +101,7 @@
 	}
 	draft, app := r.services["llm"][0], r.services["app"][0]
 	ask := func(rep *fakes.Replica, path, id string) *http.Request {
-		req, err := fakes.Ask{Addr: rep.Addr(), Path: path, ID: id, Key: "", Budget: time.Minute, Prompt: "aa:40"}.Request()
+		req, err := fakes.ClientRequest{Addr: rep.Addr(), Path: path, ID: id, Key: "", Budget: time.Minute, Prompt: "aa:40"}.HTTPRequest()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/soak/command.go
+++ b/soak/command.go
@@ -26,19 +26,19 @@
 )
 
 type arguments struct {
-	Wigeond   string        `arg:"--wigeond" default:"bin/wigeond" help:"the program to run"`
-	Side      string        `arg:"--interface" default:"both" help:"platform, product, or both by turns"`
-	Seed      uint64        `arg:"--seed" default:"1" help:"the first seed"`
-	Seeds     int           `arg:"--seeds" default:"1" help:"number of seeds, one after the other"`
-	Nodes     int           `arg:"--nodes" default:"4"`
-	Engines   int           `arg:"--engines" default:"6"`
-	Services  int           `arg:"--services" default:"4"`
-	Clients   int           `arg:"--clients" default:"12"`
-	Length    time.Duration `arg:"--length" default:"15s" help:"of the part with faults"`
-	Lifetimes bool          `arg:"--lifetimes" help:"replicas also start again under their names, and other programs write to the store"`
-	Rollouts  bool          `arg:"--rollouts" help:"new versions of the services are ordered, good and bad ones"`
-	Crashers  bool          `arg:"--crashers" help:"requests are sent that make each backend server crash that runs them"`
-	Keep      string        `arg:"--keep" help:"folder for settings and logs; kept only after a failure if not given"`
+	Wigeond          string        `arg:"--wigeond" default:"bin/wigeond" help:"the program to run"`
+	Interface        string        `arg:"--interface" default:"both" help:"platform, product, or both by turns"`
+	Seed             uint64        `arg:"--seed" default:"1" help:"the first seed"`
+	Seeds            int           `arg:"--seeds" default:"1" help:"number of seeds, one after the other"`
+	Nodes            int           `arg:"--nodes" default:"4"`
+	Engines          int           `arg:"--engines" default:"6"`
+	Services         int           `arg:"--services" default:"4"`
+	Clients          int           `arg:"--clients" default:"12"`
+	FaultTime        time.Duration `arg:"--length" default:"15s" help:"of the part with faults"`
+	Restarts         bool          `arg:"--lifetimes" help:"replicas also start again under their names, and other programs write to the store"`
+	Rollouts         bool          `arg:"--rollouts" help:"new versions of the services are ordered, good and bad ones"`
+	CrashingRequests bool          `arg:"--crashers" help:"requests are sent that make each backend server crash that runs them"`
+	Keep             string        `arg:"--keep" help:"folder for settings and logs; kept only after a failure if not given"`
 }
 
 // Description is shown by --help.
@@ -61,7 +61,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
-	if !slices.Contains(sides, args.Side) {
+	if !slices.Contains(sides, args.Interface) {
 		fmt.Fprintf(stderr, "wigeonsoak: --interface is one of %v\n", sides)
 		return exitUsage
 	}
@@ -101,7 +101,7 @@
 		name string
 		run  func(context.Context, Config) (*Report, error)
 	}{{platformSide, Run}, {productSide, RunProduct}} {
-		if args.Side != bothSides && args.Side != side.name {
+		if args.Interface != bothSides && args.Interface != side.name {
 			continue
 		}
 		fmt.Fprintf(out, "%s ", side.name)
@@ -125,7 +125,7 @@
 	}
 	report, err := run(ctx, Config{
 		Seed: seed, Wigeond: args.Wigeond, Nodes: args.Nodes, Engines: args.Engines,
-		Services: args.Services, Clients: args.Clients, Length: args.Length, Dir: dir, Out: out, Timed: true, Lifetimes: args.Lifetimes, Rollouts: args.Rollouts, Crashers: args.Crashers,
+		Services: args.Services, Clients: args.Clients, FaultTime: args.FaultTime, Dir: dir, Out: out, CheckTimes: true, Restarts: args.Restarts, Rollouts: args.Rollouts, CrashingRequests: args.CrashingRequests,
 	})
 	if err != nil {
 		return false, err
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -54,7 +54,7 @@
 }
 
 func (r *platformRun) client(i int) looper {
-	if r.cfg.Crashers && i == 0 {
+	if r.cfg.CrashingRequests && i == 0 {
 		return &crasher{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, crasherStream))}
 	}
 	return &caller{run: r, rng: rand.New(rand.NewPCG(r.cfg.Seed, uint64(100+i))), name: fmt.Sprintf("c%d", i)}
@@ -90,7 +90,7 @@
 			return err
 		}
 	}
-	if r.cfg.Crashers {
+	if r.cfg.CrashingRequests {
 		return r.awaitLinks(ctx)
 	}
 	return nil
@@ -118,12 +118,12 @@
 	r.started++
 	rep := &fakes.Replica{
 		ID: fmt.Sprintf("i-%d", r.started), Service: service, Domain: fmt.Sprintf("d%d", domain), Version: version,
-		Engine: engine, Pieces: pieces, Gap: pieceGap, OnCrash: r.crashedUnder,
+		Engine: engine, Chunks: pieces, ChunkGap: pieceGap, OnCrash: r.crashedUnder,
 	}
-	if r.cfg.Lifetimes {
-		rep.Born = time.Now().UnixMilli()
+	if r.cfg.Restarts {
+		rep.StartedAt = time.Now().UnixMilli()
 	}
-	rep.Set(r.badVersions[version])
+	rep.SetFaults(r.badVersions[version])
 	if err := rep.Start(r.replicaAt); err != nil {
 		return nil, Error.Wrap(err)
 	}
@@ -146,7 +146,7 @@
 		return fakes.Route{Name: name, Kind: kind, Service: service, Attempts: attempts, Timeout: routeTimeout}
 	}
 	r.store.PutConfig(fakes.Config{
-		Version: r.version, Account: account, Keys: r.keys, Engines: "llm", Plain: "app",
+		Version: r.version, Account: account, Keys: r.keys, EngineService: "llm", OtherService: "app",
 		Routes: []fakes.Route{
 			route("draft", "streaming", "llm", 5), route("book", "non_idempotent", "app", 2), route("look", "idempotent", "app", 2),
 		},
@@ -167,7 +167,7 @@
 		rep.Thaw()
 		rep.Crash()
 	}
-	r.store.Silent(false)
+	r.store.SetUnresponsive(false)
 	r.store.CloseClientConnections()
 	r.store.Close()
 }
--- a/soak/platform_client.go
+++ b/soak/platform_client.go
@@ -79,8 +79,8 @@
 }
 
 func (c *caller) send(ctx context.Context, t *http.Transport, n *node, res *result) (status int, body string, left bool, err error) {
-	ask := fakes.Ask{Addr: n.front, Path: "/" + res.kind + "/x", ID: res.id, Key: res.key, Budget: budget, Prompt: "aa:40," + res.id + ":60"}
-	req, err := ask.Request()
+	ask := fakes.ClientRequest{Addr: n.front, Path: "/" + res.kind + "/x", ID: res.id, Key: res.key, Budget: budget, Prompt: "aa:40," + res.id + ":60"}
+	req, err := ask.HTTPRequest()
 	if err != nil {
 		return 0, "", false, err
 	}
@@ -91,7 +91,7 @@
 	}
 	defer resp.Body.Close()
 	if res.kind == "draft" && resp.StatusCode == http.StatusOK && c.rng.IntN(leaveShare) == 0 {
-		part, err := io.ReadAll(io.LimitReader(resp.Body, int64(len(fakes.Piece(res.id, 1)))))
+		part, err := io.ReadAll(io.LimitReader(resp.Body, int64(len(fakes.Chunk(res.id, 1)))))
 		return resp.StatusCode, string(part), true, err
 	}
 	var got bytes.Buffer
--- a/soak/platform_crashers.go
+++ b/soak/platform_crashers.go
@@ -74,10 +74,10 @@
 	defer stop()
 	id := fmt.Sprintf("crash-%d", c.sent)
 	n := c.run.nodes[c.rng.IntN(len(c.run.nodes))]
-	req, err := fakes.Ask{
+	req, err := fakes.ClientRequest{
 		Addr: n.front, Path: "/" + kind + "/x", ID: id, Key: fmt.Sprintf("key-%d", firstKeys-1), Budget: budget,
 		Prompt: "aa:40," + id + ":60", Body: kind + " " + fakes.CrashMark,
-	}.Request()
+	}.HTTPRequest()
 	if err != nil {
 		c.run.checks.broken("the soak's own requests can be made", id, err.Error())
 		return
--- a/soak/platform_faults.go
+++ b/soak/platform_faults.go
@@ -10,8 +10,8 @@
 // faults lists all kinds of trouble of the users' platform.
 func (r *platformRun) faults() []fault {
 	all := append(processFaults(func() *process { return &r.anyNode().process }),
-		fault{"store down", func() func() { r.store.Down(true); return func() { r.store.Down(false) } }},
-		fault{"store silent", func() func() { r.store.Silent(true); return func() { r.store.Silent(false) } }},
+		fault{"store down", func() func() { r.store.SetFailing(true); return func() { r.store.SetFailing(false) } }},
+		fault{"store silent", func() func() { r.store.SetUnresponsive(true); return func() { r.store.SetUnresponsive(false) } }},
 		fault{"store forgets", func() func() { r.store.Compact(); return nil }},
 		fault{"node cut from the store", func() func() { return r.toggled(r.anyNode(), "cut", "heal") }},
 		fault{"connections to the store reset", func() func() { return r.toggled(r.anyNode(), "kill", "start") }},
@@ -23,11 +23,11 @@
 			r.toggle(n, "delay", slowLink)
 			return func() { r.toggle(n, "delay", fastLink) }
 		}},
-		fault{"links to a replica reset", func() func() { r.anyReplica().Link().Reset(); return nil }},
-		fault{"links to a replica pass nothing back", func() func() { l := r.anyReplica().Link(); l.CutOut(); return l.Heal }},
-		fault{"links to a replica pass nothing on", func() func() { l := r.anyReplica().Link(); l.CutIn(); return l.Heal }},
+		fault{"links to a replica reset", func() func() { r.anyReplica().Listener().Reset(); return nil }},
+		fault{"links to a replica pass nothing back", func() func() { l := r.anyReplica().Listener(); l.CutOut(); return l.Heal }},
+		fault{"links to a replica pass nothing on", func() func() { l := r.anyReplica().Listener(); l.CutIn(); return l.Heal }},
 		fault{"links to a replica are slow", func() func() {
-			l := r.anyReplica().Link()
+			l := r.anyReplica().Listener()
 			l.Delay(slowBy)
 			return func() { l.Delay(0) }
 		}},
@@ -36,7 +36,7 @@
 		fault{"replica freezes", func() func() { rep := r.anyReplica(); rep.Freeze(); return rep.Thaw }},
 		fault{"replica misbehaves", func() func() {
 			rep := r.anyReplica()
-			rep.Set(misbehaviours[r.rng.IntN(len(misbehaviours))])
+			rep.SetFaults(misbehaviours[r.rng.IntN(len(misbehaviours))])
 			return func() { r.behave(rep) }
 		}},
 		fault{"replica leaves", func() func() { return r.leave(r.anyReplica()) }},
@@ -48,14 +48,14 @@
 }
 
 var misbehaviours = []fakes.Faults{
-	{Refuse: true}, {FailStatus: 500}, {WrongID: true}, {NoSeal: true}, {Torn: true}, {Unframed: true}, {Silent: true}, {Repeat: true},
+	{Refuse: true}, {FailStatus: 500}, {WrongID: true}, {NoSeal: true}, {Truncated: true}, {NoLength: true}, {NoResponse: true}, {RepeatChunks: true},
 }
 
 // behave ends what a replica does wrong, except what its version does.
 func (r *platformRun) behave(rep *fakes.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	rep.Set(r.badVersions[rep.Version])
+	rep.SetFaults(r.badVersions[rep.Version])
 }
 
 // crashDomain crashes all engines of one failure domain at the same moment.
@@ -74,8 +74,8 @@
 // calm brings every node and link back, and waits until all are ready.
 func (r *platformRun) calm() {
 	r.history.note("calm")
-	r.store.Down(false)
-	r.store.Silent(false)
+	r.store.SetFailing(false)
+	r.store.SetUnresponsive(false)
 	for _, n := range r.nodes {
 		n.signal(syscall.SIGCONT)
 		r.toggle(n, "heal", "")
@@ -170,7 +170,7 @@
 }
 
 func (r *platformRun) replace(rep *fakes.Replica) {
-	r.store.Lapse(rep)
+	r.store.Unregister(rep)
 	domain := int(rep.Domain[1] - '0')
 	if _, err := r.startReplica(rep.Service, domain, rep.Engine, rep.Version); err != nil {
 		r.checks.broken("the soak's own replica starts", "", err.Error())
--- a/soak/platform_lifetimes.go
+++ b/soak/platform_lifetimes.go
@@ -11,7 +11,7 @@
 // programs that write to the store. They are drawn only if the run asks for them: a
 // longer list would give other faults to the seeds that are kept.
 func (r *platformRun) lifetimeFaults() []fault {
-	if !r.cfg.Lifetimes {
+	if !r.cfg.Restarts {
 		return nil
 	}
 	return []fault{
@@ -31,7 +31,7 @@
 	rep.Thaw()
 	rep.Crash()
 	return func() {
-		again, err := rep.Reborn(time.Now().Add(off).UnixMilli())
+		again, err := rep.Restart(time.Now().Add(off).UnixMilli())
 		if err != nil {
 			r.replace(rep) // its port was given to someone else meanwhile
 			return
--- a/soak/platform_rollouts.go
+++ b/soak/platform_rollouts.go
@@ -22,7 +22,7 @@
 
 // versionFaults are the ways of a bad version.
 var versionFaults = []fakes.Faults{
-	{FailStatus: 500, FailShare: 0.7}, {FailStatus: 500}, {FailStatus: 500, FailShare: 0.6, FailFrom: 1500 * time.Millisecond},
+	{FailStatus: 500, FailShare: 0.7}, {FailStatus: 500}, {FailStatus: 500, FailShare: 0.6, FailAfter: 1500 * time.Millisecond},
 }
 
 // rolledOut is one roll-out of a run.
@@ -61,7 +61,7 @@
 		r.badVersions[o.version] = versionFaults[r.versions%len(versionFaults)]
 		r.mu.Unlock()
 	}
-	o.before = fakes.Ran(r.everAt(service))
+	o.before = fakes.CountRuns(r.everAt(service))
 	r.store.OrderRollout(service, o.version, rolloutTime)
 	r.rolling[service] = o
 	for _, like := range old {
@@ -127,7 +127,7 @@
 		if r.takeAny(rep) {
 			rep.Thaw()
 			rep.Crash()
-			r.store.Lapse(rep)
+			r.store.Unregister(rep)
 		}
 	}
 	r.endRollout(o)
@@ -136,21 +136,21 @@
 // rolledBack drains the new replicas, which go on serving for a while.
 func (r *platformRun) rolledBack(o *rolledOut) {
 	time.Sleep(stopWithin)
-	before := fakes.Ran(r.everOf(o))
+	before := fakes.CountRuns(r.everOf(o))
 	_, fresh := r.ofVersion(o)
 	for _, rep := range fresh {
 		r.store.Register(rep, true)
 		r.takeAny(rep)
 	}
 	time.Sleep(stopWithin / 5)
-	if after := fakes.Ran(r.everOf(o)); after > before && !r.calmed.Load() {
+	if after := fakes.CountRuns(r.everOf(o)); after > before && !r.calmed.Load() {
 		r.history.note(fmt.Sprintf("%d requests reached %s after it was taken back, beside faults", after-before, o.version))
 	} else if after > before {
 		r.checks.broken("a version that was taken back gets nothing", "", fmt.Sprintf("%d requests at %s", after-before, o.version))
 	}
 	r.judgeExposure(o)
 	for _, rep := range fresh {
-		r.store.Lapse(rep)
+		r.store.Unregister(rep)
 	}
 	r.endRollout(o)
 }
@@ -160,7 +160,7 @@
 	if !o.bad {
 		return
 	}
-	reached, all := fakes.Ran(r.everOf(o)), fakes.Ran(r.everAt(o.service))-o.before
+	reached, all := fakes.CountRuns(r.everOf(o)), fakes.CountRuns(r.everAt(o.service))-o.before
 	if most := exposureShare*float64(all) + exposureBurst; float64(reached) > most {
 		r.checks.broken("few requests reach a bad version", "", fmt.Sprintf("%d of %d at %s", reached, all, o.version))
 	}
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -25,28 +25,28 @@
 
 // Config of one run.
 type Config struct {
-	Seed     uint64
-	Wigeond  string   // program to start
-	Env      []string // added to its environment
-	Nodes    int
-	Engines  int // in two failure domains
-	Services int
-	Clients  int
-	Length   time.Duration // of the part with faults
-	Dir      string        // for settings and logs
-	Out      io.Writer
-	// Timed also judges when answers come. It is off in CI, whose verdict must not
+	Seed      uint64
+	Wigeond   string   // program to start
+	Env       []string // added to its environment
+	Nodes     int
+	Engines   int // in two failure domains
+	Services  int
+	Clients   int
+	FaultTime time.Duration // of the part with faults
+	Dir       string        // for settings and logs
+	Out       io.Writer
+	// CheckTimes also judges when answers come. It is off in CI, whose verdict must not
 	// depend on how busy the machine is.
-	Timed bool
-	// Lifetimes adds replicas that start again under their names, and entries of other
+	CheckTimes bool
+	// Restarts adds replicas that start again under their names, and entries of other
 	// programs, on the users' platform.
-	Lifetimes bool
+	Restarts bool
 	// Rollouts has new versions of the services ordered, good and bad ones, on the users'
 	// platform.
 	Rollouts bool
-	// Crashers has requests sent, again and again, that make each backend server crash that
+	// CrashingRequests has requests sent, again and again, that make each backend server crash that
 	// runs them.
-	Crashers bool
+	CrashingRequests bool
 }
 
 // Violation is one promise that was broken.
@@ -105,7 +105,7 @@
 		cfg:     cfg,
 		rng:     rand.New(rand.NewPCG(cfg.Seed, stream)),
 		history: &history{began: time.Now()},
-		checks:  newChecks(cfg.Timed),
+		checks:  newChecks(cfg.CheckTimes),
 	}
 }
 
@@ -139,7 +139,7 @@
 		c := s.client(i)
 		clients.Go(func() { c.loop(clientCtx) })
 	}
-	injectFaults(ctx, r.rng, r.cfg.Length, s.faults(), r.history.note)
+	injectFaults(ctx, r.rng, r.cfg.FaultTime, s.faults(), r.history.note)
 	s.calm()
 	stopClients()
 	clients.Wait()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -31,7 +31,7 @@
 // to an older configuration, and work ends when nobody waits.
 func TestSeeds(t *testing.T) {
 	for _, seed := range seeds {
-		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second})
+		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
@@ -39,7 +39,7 @@
 // programs in the store.
 func TestLifetimeSeeds(t *testing.T) {
 	for _, seed := range []uint64{3} {
-		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, Length: 5 * time.Second, Lifetimes: true})
+		play(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second, Restarts: true})
 	}
 }
 
@@ -52,19 +52,19 @@
 // 8003: a trial began late and ended before the version turned bad.
 func TestRolloutSeeds(t *testing.T) {
 	for seed, length := range map[uint64]time.Duration{8002: 20 * time.Second, 8003: 15 * time.Second} {
-		play(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: length, Rollouts: true})
+		play(t, Run, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, FaultTime: length, Rollouts: true})
 	}
 }
 
 // The same with requests that make each replica crash that runs them.
 func TestCrasherSeeds(t *testing.T) {
-	play(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, Length: 8 * time.Second, Crashers: true})
+	play(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, FaultTime: 8 * time.Second, CrashingRequests: true})
 }
 
 // The same on the product's own interface.
 func TestProductSeeds(t *testing.T) {
 	for _, seed := range productSeeds {
-		play(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, Length: 5 * time.Second})
+		play(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
@@ -74,7 +74,7 @@
 // counted as a bad end.
 func TestSeedsThatFailedOnTheProductsInterface(t *testing.T) {
 	for _, seed := range []uint64{5002} {
-		play(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, Length: 8 * time.Second})
+		play(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, FaultTime: 8 * time.Second})
 	}
 }
 
--- a/succession/succession.go
+++ b/succession/succession.go
@@ -19,23 +19,23 @@
 	"wigeondale/fleet"
 )
 
-// ErrNone says that an address has no other replica than the one that was known, and
+// ErrUnchanged says that an address has no other replica than the one that was known, and
 // that this one has not started again.
-var ErrNone = errors.New("no other replica has the address")
+var ErrUnchanged = errors.New("no other replica has the address")
 
-// Found is a replica that answered at the address of another one.
-type Found struct {
-	fleet.Lifetime
-	Memory  int  // tokens that its engine holds
-	Leaving bool // it takes no more work
+// Replica is a replica that answered at the address of another one.
+type Replica struct {
+	fleet.Incarnation
+	MemoryTokens int  // tokens that its engine holds
+	Leaving      bool // it takes no more work
 }
 
-// Asker asks who has the address of a replica now.
-type Asker interface {
-	// Successor returns the replica that has the address of b, or ErrNone when that is
+// Prober asks who has the address of a replica now.
+type Prober interface {
+	// Identify returns the replica that has the address of b, or ErrNone when that is
 	// b itself. Any other error means that it could not be found out.
 	// checkPath is where the replicas of its service answer checks.
-	Successor(ctx context.Context, b fleet.Backend, checkPath string) (Found, error)
+	Identify(ctx context.Context, b fleet.Backend, checkPath string) (Replica, error)
 }
 
 const (
@@ -48,19 +48,19 @@
 	askTogether = 16
 )
 
-// Seeker asks the addresses of lost replicas. It belongs to one goroutine.
-type Seeker struct {
-	asker Asker
+// Finder asks the addresses of lost replicas. It belongs to one goroutine.
+type Finder struct {
+	asker Prober
 	asked map[string]time.Time // by address
 }
 
 // New returns a Seeker.
-func New(asker Asker) *Seeker { return &Seeker{asker: asker, asked: map[string]time.Time{}} }
+func New(asker Prober) *Finder { return &Finder{asker: asker, asked: map[string]time.Time{}} }
 
-// Seek returns the successors of lost replicas, each with the place of the one whose
+// Find returns the successors of lost replicas, each with the place of the one whose
 // address it has. fits decides by what a replica says of itself whether it serves what
 // the lost one did. Addresses that were asked a short while ago are left out.
-func (s *Seeker) Seek(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Found) bool) []fleet.Backend {
+func (s *Finder) Find(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Replica) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
 	var group sync.WaitGroup
@@ -71,12 +71,12 @@
 			defer func() { <-slots }()
 			ctx, stop := context.WithTimeout(ctx, askTimeout)
 			defer stop()
-			f, err := s.asker.Successor(ctx, b, checkPath)
+			f, err := s.asker.Identify(ctx, b, checkPath)
 			// Who can't be reached is asked again.
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
 			}
-			b.ID, b.Lifetime, b.Leaving = f.ID(), f.Lifetime, false
+			b.ID, b.Incarnation, b.Leaving = f.ID(), f.Incarnation, false
 			mu.Lock()
 			defer mu.Unlock()
 			found = append(found, b)
@@ -88,7 +88,7 @@
 
 // due returns the replicas whose addresses are to be asked now, and forgets those
 // that are not lost any more.
-func (s *Seeker) due(lost []fleet.Backend, now time.Time) []fleet.Backend {
+func (s *Finder) due(lost []fleet.Backend, now time.Time) []fleet.Backend {
 	asked := make(map[string]time.Time, len(lost))
 	var out []fleet.Backend
 	for _, b := range lost {
--- a/succession/succession_test.go
+++ b/succession/succession_test.go
@@ -14,11 +14,11 @@
 // addresses are what answers at each address.
 type addresses struct {
 	mu    sync.Mutex
-	there map[string]Found
+	there map[string]Replica
 	asked []string
 }
 
-func (a *addresses) Successor(ctx context.Context, b fleet.Backend, _ string) (Found, error) {
+func (a *addresses) Identify(ctx context.Context, b fleet.Backend, _ string) (Replica, error) {
 	a.mu.Lock()
 	a.asked = append(a.asked, b.Addr)
 	f, ok := a.there[b.Addr]
@@ -26,11 +26,11 @@
 	switch {
 	case !ok:
 		<-ctx.Done()
-		return Found{}, ctx.Err()
+		return Replica{}, ctx.Err()
 	case f.Name == b.ID:
-		return Found{}, ErrNone
+		return Replica{}, ErrUnchanged
 	case f.Name == "":
-		return Found{}, errors.New("refused")
+		return Replica{}, errors.New("refused")
 	}
 	return f, nil
 }
@@ -41,20 +41,20 @@
 // Cause: none of them is known before the registry is back.
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		there := &addresses{there: map[string]Found{
-			"h:1": {Lifetime: fleet.Lifetime{Name: "n1"}, Memory: 55000},
-			"h:2": {Lifetime: fleet.Lifetime{Name: "o2"}, Memory: 55000},
+		there := &addresses{there: map[string]Replica{
+			"h:1": {Incarnation: fleet.Incarnation{Name: "n1"}, MemoryTokens: 55000},
+			"h:2": {Incarnation: fleet.Incarnation{Name: "o2"}, MemoryTokens: 55000},
 			"h:3": {},
-			"h:5": {Lifetime: fleet.Lifetime{Name: "n5"}, Memory: 55000, Leaving: true},
-			"h:6": {Lifetime: fleet.Lifetime{Name: "n6"}},
+			"h:5": {Incarnation: fleet.Incarnation{Name: "n5"}, MemoryTokens: 55000, Leaving: true},
+			"h:6": {Incarnation: fleet.Incarnation{Name: "n6"}},
 		}}
 		var lost []fleet.Backend
 		for _, n := range []string{"1", "2", "3", "4", "5", "6"} {
 			lost = append(lost, fleet.Backend{ID: "o" + n, Addr: "h:" + n, Service: "llm", FailureDomain: "d1"})
 		}
-		fits := func(_ fleet.Backend, f Found) bool { return f.Memory == 55000 }
-		got := New(there).Seek(t.Context(), lost, "/check", fits)
-		want := fleet.Backend{ID: "n1", Lifetime: fleet.Lifetime{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
+		fits := func(_ fleet.Backend, f Replica) bool { return f.MemoryTokens == 55000 }
+		got := New(there).Find(t.Context(), lost, "/check", fits)
+		want := fleet.Backend{ID: "n1", Incarnation: fleet.Incarnation{Name: "n1"}, Addr: "h:1", Service: "llm", FailureDomain: "d1"}
 		if len(got) != 1 || got[0] != want {
 			t.Errorf("found %+v, want %+v alone", got, want)
 		}
@@ -65,11 +65,11 @@
 // address doesn't answer, and the search goes on. Cause: each look asks it again.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		there := &addresses{there: map[string]Found{"h:1": {}}}
+		there := &addresses{there: map[string]Replica{"h:1": {}}}
 		s := New(there)
 		lost := []fleet.Backend{{ID: "o1", Addr: "h:1"}}
 		for range 10 {
-			s.Seek(t.Context(), lost, "/check", func(fleet.Backend, Found) bool { return true })
+			s.Find(t.Context(), lost, "/check", func(fleet.Backend, Replica) bool { return true })
 		}
 		if want := []string{"h:1"}; !slices.Equal(there.asked, want) {
 			t.Errorf("asked %v at one moment, want %v", there.asked, want)
