--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -10,12 +10,12 @@
 
 // longWork has longer prompts, and faster engines with more memory, than typicalWork.
 var longWork = replayWork{prompt: 8200, answer: 980, engine: replay.Config{
-	ReadPerSecond: 8000, Chunk: 200, Step: 3470 * time.Microsecond, StepPerRun: 160 * time.Microsecond, Memory: 88000,
+	PrefillPerSecond: 8000, Chunk: 200, Step: 3470 * time.Microsecond, StepPerRun: 160 * time.Microsecond, Memory: 88000,
 }}
 
 // slowWork has the same prompts, and engines of half the speed with 0.6 of the memory.
 var slowWork = replayWork{prompt: 8200, answer: 980, engine: replay.Config{
-	ReadPerSecond: 4000, Chunk: 200, Step: 6940 * time.Microsecond, StepPerRun: 320 * time.Microsecond, Memory: 52800,
+	PrefillPerSecond: 4000, Chunk: 200, Step: 6940 * time.Microsecond, StepPerRun: 320 * time.Microsecond, Memory: 52800,
 }}
 
 // overload returns the load of a fleet whose normal rate is perSecond: times that rate for nine
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -28,7 +28,7 @@
 )
 
 var replayEngine = replay.Config{
-	ReadPerSecond: 5000, Chunk: 125, Step: 6 * time.Millisecond, StepPerRun: 45 * time.Microsecond, Memory: 55000,
+	PrefillPerSecond: 5000, Chunk: 125, Step: 6 * time.Millisecond, StepPerRun: 45 * time.Microsecond, Memory: 55000,
 }
 
 // replaySize is the size of a simulated fleet.
@@ -161,14 +161,14 @@
 			cached = work.prompt * 19 / 20
 		}
 		run := replay.NewRun(work.prompt, cached, work.answer)
-		f.engines[b.ID].Begin(run)
+		f.engines[b.ID].Start(run)
 		standby, copied, hasCopy := r.pick.Standby(ask, b)
 		if hasCopy {
-			f.engines[standby.ID].Keep(work.prompt + work.answer)
+			f.engines[standby.ID].AdjustCopies(work.prompt + work.answer)
 		}
 		lost := false
 		for s := range run.Signals {
-			if s == replay.First {
+			if s == replay.FirstToken {
 				share.PrefillDone()
 				if first == 0 {
 					first = time.Since(began)
@@ -181,7 +181,7 @@
 		share.End()
 		if hasCopy {
 			copied.End()
-			f.engines[standby.ID].Keep(-work.prompt - work.answer)
+			f.engines[standby.ID].AdjustCopies(-work.prompt - work.answer)
 		}
 		if !lost {
 			f.mu.Lock()
@@ -259,8 +259,8 @@
 		}
 	}
 	for _, e := range f.engines {
-		out.reread += e.Vain()
-		out.longestQueue = max(out.longestQueue, e.Longest())
+		out.reread += e.RecomputedTokens()
+		out.longestQueue = max(out.longestQueue, e.MaxWaiting())
 	}
 	return out
 }
--- a/load/command.go
+++ b/load/command.go
@@ -17,9 +17,9 @@
 
 // Exit codes of wigeonload.
 const (
-	ExitOK    = 0
-	ExitBad   = 1 // an answer failed its check, or the run could not be completed
-	ExitUsage = 2
+	ExitOK     = 0
+	ExitFailed = 1 // an answer failed its check, or the run could not be completed
+	ExitUsage  = 2
 )
 
 type common struct {
@@ -120,7 +120,7 @@
 	rec, err := FetchRecord(ctx, a.Record)
 	if err != nil {
 		fmt.Fprintln(stderr, "wigeonload:", err)
-		return ExitBad
+		return ExitFailed
 	}
 	request := ""
 	if a.Who.Key != "" {
@@ -129,7 +129,7 @@
 	engine := rec.Serving(request)
 	if engine == "" {
 		fmt.Fprintln(stderr, "wigeonload: no engine runs it")
-		return ExitBad
+		return ExitFailed
 	}
 	fmt.Fprintln(stdout, engine)
 	return ExitOK
@@ -148,7 +148,7 @@
 		fmt.Fprintln(stderr, "wigeonload:", err)
 	}
 	if res == nil {
-		return ExitBad
+		return ExitFailed
 	}
 	if a.JSON {
 		printJSON(stdout, res)
@@ -157,10 +157,10 @@
 	}
 	if err := saveCurves(res, a.Run.Curves); err != nil {
 		fmt.Fprintln(stderr, "wigeonload:", err)
-		return ExitBad
+		return ExitFailed
 	}
 	if err != nil || !res.OK {
-		return ExitBad
+		return ExitFailed
 	}
 	return ExitOK
 }
--- a/load/one.go
+++ b/load/one.go
@@ -62,7 +62,7 @@
 		res.print(stdout)
 	}
 	if err != nil || !res.ok() {
-		return ExitBad
+		return ExitFailed
 	}
 	return ExitOK
 }
--- a/load/result.go
+++ b/load/result.go
@@ -30,22 +30,22 @@
 
 // ClassResult holds the results of one class of requests.
 type ClassResult struct {
-	Name       string                `json:"name"`
-	Sent       int                   `json:"sent"`
-	Outcomes   map[fleet.Outcome]int `json:"outcomes"`
-	EndedBy    map[string]int        `json:"ended_by"`
-	Reconnects int                   `json:"reconnects"`
-	Resumes    int                   `json:"resumes"`     // by another engine, from the record
-	NoAdvice   int                   `json:"no_advice"`   // incomplete answers without Retry-After
-	Tokens     int                   `json:"tokens"`      // delivered
-	Missing    int                   `json:"missing"`     // tokens, over all answers
-	Repeated   int                   `json:"repeated"`    // tokens
-	Spliced    int                   `json:"spliced"`     // tokens
-	BadAnswers int                   `json:"bad_answers"` // answers whose check failed
-	FirstToken Quantiles             `json:"first_token"`
-	Gap        Quantiles             `json:"token_gap"`
-	Resume     Quantiles             `json:"resume_latency"`
-	Whole      Quantiles             `json:"whole_answer"`
+	Name           string                `json:"name"`
+	Sent           int                   `json:"sent"`
+	Outcomes       map[fleet.Outcome]int `json:"outcomes"`
+	EndedBy        map[string]int        `json:"ended_by"`
+	Reconnects     int                   `json:"reconnects"`
+	Resumes        int                   `json:"resumes"`     // by another engine, from the record
+	NoRetryAfter   int                   `json:"no_advice"`   // incomplete answers without Retry-After
+	Tokens         int                   `json:"tokens"`      // delivered
+	Missing        int                   `json:"missing"`     // tokens, over all answers
+	Repeated       int                   `json:"repeated"`    // tokens
+	Spliced        int                   `json:"spliced"`     // tokens
+	BadAnswers     int                   `json:"bad_answers"` // answers whose check failed
+	FirstToken     Quantiles             `json:"first_token"`
+	Gap            Quantiles             `json:"token_gap"`
+	Resume         Quantiles             `json:"resume_latency"`
+	CompleteAnswer Quantiles             `json:"whole_answer"`
 
 	firstToken, gap, resume, completeAnswer *hdrhistogram.Histogram
 }
@@ -89,7 +89,7 @@
 		c.EndedBy[a.endedBy]++
 	}
 	if a.outcome != fleet.Complete && !a.retryAfter {
-		c.NoAdvice++
+		c.NoRetryAfter++
 	}
 	if a.outcome == fleet.Complete {
 		record(c.completeAnswer, a.duration)
@@ -131,7 +131,7 @@
 		c.FirstToken = quantiles(c.firstToken)
 		c.Gap = quantiles(c.gap)
 		c.Resume = quantiles(c.resume)
-		c.Whole = quantiles(c.completeAnswer)
+		c.CompleteAnswer = quantiles(c.completeAnswer)
 		r.OK = r.OK && c.BadAnswers == 0
 	}
 }
@@ -162,7 +162,7 @@
 		c.printQuantiles(t, "first token", c.FirstToken)
 		c.printQuantiles(t, "token gap", c.Gap)
 		c.printQuantiles(t, "resume latency", c.Resume)
-		c.printQuantiles(t, "whole answer", c.Whole)
+		c.printQuantiles(t, "whole answer", c.CompleteAnswer)
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\nseed %d, %.1f s, check %s\n", r.Seed, r.Seconds, checkResult(r.OK))
--- a/measure/command.go
+++ b/measure/command.go
@@ -13,9 +13,9 @@
 
 // Exit codes of wigeonmeasure.
 const (
-	ExitOK    = 0
-	ExitBad   = 1 // an answer failed its check, or the run could not be completed
-	ExitUsage = 2
+	ExitOK     = 0
+	ExitFailed = 1 // an answer failed its check, or the run could not be completed
+	ExitUsage  = 2
 )
 
 type common struct {
@@ -61,7 +61,7 @@
 		return fail(stderr, ExitUsage, err)
 	}
 	if err := a.dispatch(stdout); err != nil {
-		return fail(stderr, ExitBad, err)
+		return fail(stderr, ExitFailed, err)
 	}
 	return ExitOK
 }
--- a/measure/drive.go
+++ b/measure/drive.go
@@ -42,18 +42,18 @@
 
 // Answer is the result of one request. Times are offsets from the start.
 type Answer struct {
-	Class     string
-	Request   string // request id in the record of the stand-ins
-	Prompt    string
-	Want      int // tokens requested
-	Began     time.Duration
-	Ended     time.Duration
-	Tokens    []time.Duration // arrival of each token
-	Text      string
-	Outcome   fleet.Outcome
-	Reason    string        // error or code of an incomplete answer
-	RetryWait time.Duration // Retry-After of an incomplete answer
-	Lost      []Loss        // set by the start-over client only
+	Class      string
+	Request    string // request id in the record of the stand-ins
+	Prompt     string
+	MaxTokens  int // tokens requested
+	StartedAt  time.Duration
+	EndedAt    time.Duration
+	Tokens     []time.Duration // arrival of each token
+	Text       string
+	Outcome    fleet.Outcome
+	Reason     string        // error or code of an incomplete answer
+	RetryAfter time.Duration // Retry-After of an incomplete answer
+	Losses     []Loss        // set by the start-over client only
 }
 
 // Sender sends one request and returns its answer when the request has ended.
@@ -72,8 +72,8 @@
 
 func newAnswer(start time.Time, a *Arrival) Answer {
 	return Answer{
-		Class: a.Class.Name, Request: load.RequestID(Account, a.Key), Prompt: a.Prompt, Want: a.Class.MaxTokens,
-		Began: time.Since(start), Tokens: make([]time.Duration, 0, a.Class.MaxTokens),
+		Class: a.Class.Name, Request: load.RequestID(Account, a.Key), Prompt: a.Prompt, MaxTokens: a.Class.MaxTokens,
+		StartedAt: time.Since(start), Tokens: make([]time.Duration, 0, a.Class.MaxTokens),
 	}
 }
 
@@ -109,10 +109,10 @@
 	for i := range answers {
 		a := &answers[i]
 		finish := ""
-		if len(a.Tokens) == a.Want {
+		if len(a.Tokens) == a.MaxTokens {
 			finish = "length"
 		}
-		rep := load.Check(a.Prompt, a.Want, client.Result{Text: a.Text, Outcome: a.Outcome, Finish: finish})
+		rep := load.Check(a.Prompt, a.MaxTokens, client.Result{Text: a.Text, Outcome: a.Outcome, Finish: finish})
 		if !rep.OK {
 			return Error.New("wrong answer to request %s (%s): %+v", a.Request, a.Outcome, rep)
 		}
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -126,7 +126,7 @@
 			if s.Finished || s.Cancelled != "" || !eligible {
 				continue
 			}
-			return Turn(ctx, r, f.engine, "late", lateArgs{s.Request, float64(preemptedFor.Milliseconds())})
+			return SetFault(ctx, r, f.engine, "late", lateArgs{s.Request, float64(preemptedFor.Milliseconds())})
 		}
 	}
 	return nil
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -109,7 +109,7 @@
 			return Error.Wrap(ctx.Err())
 		}
 		args := map[string]any{"ms": lateMS, "n": 1}
-		if err := Turn(ctx, r, fmt.Sprintf("s%d", rng.IntN(tagReplicas)+1), "late", args); err != nil {
+		if err := SetFault(ctx, r, fmt.Sprintf("s%d", rng.IntN(tagReplicas)+1), "late", args); err != nil {
 			return err
 		}
 	}
--- a/measure/limit.go
+++ b/measure/limit.go
@@ -122,17 +122,17 @@
 	seconds := make([]float64, int((s.to-s.from)/time.Second))
 	for i := range answers {
 		a := &answers[i]
-		if !strings.HasPrefix(a.Class, account) || a.Began < s.from || a.Began >= s.to {
+		if !strings.HasPrefix(a.Class, account) || a.StartedAt < s.from || a.StartedAt >= s.to {
 			continue
 		}
 		sent++
 		if a.Outcome != fleet.Complete {
-			refusal = append(refusal, a.Ended-a.Began)
+			refusal = append(refusal, a.EndedAt-a.StartedAt)
 			continue
 		}
-		cost := float64(len(a.Prompt)/bytesPerToken + a.Want)
+		cost := float64(len(a.Prompt)/bytesPerToken + a.MaxTokens)
 		admitted += cost
-		if k := int((a.Began - s.from) / time.Second); k < len(seconds) {
+		if k := int((a.StartedAt - s.from) / time.Second); k < len(seconds) {
 			seconds[k] += cost
 		}
 	}
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -70,7 +70,7 @@
 func TestWaitsAndExtraGoToTheirFault(t *testing.T) {
 	tokens := append(steps(time.Second, 10), steps(3270*time.Millisecond, 5)...)
 	tokens = append(tokens, steps(3790*time.Millisecond, 5)...)
-	a := Answer{Class: "draft", Request: "r", Tokens: tokens, Began: 900 * time.Millisecond, Ended: 4 * time.Second, Outcome: fleet.Complete}
+	a := Answer{Class: "draft", Request: "r", Tokens: tokens, StartedAt: 900 * time.Millisecond, EndedAt: 4 * time.Second, Outcome: fleet.Complete}
 	rec := &load.Record{Engines: []load.EngineRecord{
 		{Engine: "e2", Streams: []load.AttemptRecord{{Request: "r", Attempt: 2, Prefilled: 300, ResumedAt: 10, Generated: 10, Delivered: 10}}},
 		{Engine: "e1", Streams: []load.AttemptRecord{{Request: "r", Attempt: 1, Prefilled: 290, Generated: 17, Delivered: 10}}},
@@ -106,12 +106,12 @@
 	for name, bad := range map[string]string{
 		"missing": one[half:], "short": text(3), "spliced": one[:half] + other[half:], "repeated": one + one[half:],
 	} {
-		a := Answer{Prompt: "p", Want: 4, Text: bad, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
+		a := Answer{Prompt: "p", MaxTokens: 4, Text: bad, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
 		if checkAll([]Answer{a}) == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
-	good := Answer{Prompt: "p", Want: 4, Text: one, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
+	good := Answer{Prompt: "p", MaxTokens: 4, Text: one, Tokens: make([]time.Duration, 4), Outcome: fleet.Complete}
 	if err := checkAll([]Answer{good}); err != nil {
 		t.Error(err)
 	}
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -168,7 +168,7 @@
 	var s answerStats
 	for i := range answers {
 		a := &answers[i]
-		if a.Class != class || a.Began < p.from || a.Began >= p.to {
+		if a.Class != class || a.StartedAt < p.from || a.StartedAt >= p.to {
 			continue
 		}
 		s.add(a)
@@ -201,10 +201,10 @@
 			continue
 		}
 		refused++
-		refusal = append(refusal, a.Ended-a.Began)
-		if a.RetryWait > 0 {
+		refusal = append(refusal, a.EndedAt-a.StartedAt)
+		if a.RetryAfter > 0 {
 			withRetryAfter++
-			retryAfters = append(retryAfters, a.RetryWait)
+			retryAfters = append(retryAfters, a.RetryAfter)
 		}
 	}
 	end := phases[len(phases)-1].to
@@ -252,11 +252,11 @@
 	for i := range answers {
 		a := &answers[i]
 		bound, counted := limit[a.Class]
-		if !counted || a.Began < from || a.Began >= from+time.Second {
+		if !counted || a.StartedAt < from || a.StartedAt >= from+time.Second {
 			continue
 		}
 		sent++
-		if a.Outcome == fleet.Complete && a.Tokens[0]-a.Began <= bound {
+		if a.Outcome == fleet.Complete && a.Tokens[0]-a.StartedAt <= bound {
 			ok++
 		}
 	}
--- a/measure/parts.go
+++ b/measure/parts.go
@@ -46,8 +46,8 @@
 }
 
 func (a *Answer) shift(by time.Duration) {
-	a.Began += by
-	a.Ended += by
+	a.StartedAt += by
+	a.EndedAt += by
 	for i := range a.Tokens {
 		a.Tokens[i] += by
 	}
@@ -69,8 +69,8 @@
 				got.Tokens = append(got.Tokens, now)
 			}
 		})
-		got.Ended = time.Since(start)
-		got.Text, got.Outcome, got.RetryWait = res.Text, res.Outcome, res.RetryAfter
+		got.EndedAt = time.Since(start)
+		got.Text, got.Outcome, got.RetryAfter = res.Text, res.Outcome, res.RetryAfter
 		if err != nil {
 			got.Reason = err.Error()
 		}
@@ -88,7 +88,7 @@
 		got.Request = load.RequestID(account, a.Key)
 		endpoint := r.Endpoints[next.Add(1)%uint64(len(r.Endpoints))]
 		resp, err := post(ctx, endpoint, key, a)
-		got.Ended = time.Since(start)
+		got.EndedAt = time.Since(start)
 		got.Outcome = fleet.Unknown
 		if err != nil {
 			got.Reason = err.Error()
@@ -96,7 +96,7 @@
 		}
 		defer resp.Body.Close()
 		got.read(resp)
-		got.Ended = time.Since(start)
+		got.EndedAt = time.Since(start)
 		return got
 	}
 }
@@ -142,7 +142,7 @@
 	if resp.StatusCode != http.StatusOK {
 		a.Outcome, a.Reason = body.Error.Outcome, body.Error.Code
 		seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-		a.RetryWait = time.Duration(seconds * float64(time.Second))
+		a.RetryAfter = time.Duration(seconds * float64(time.Second))
 		return
 	}
 	for _, c := range body.Choices {
@@ -150,7 +150,7 @@
 	}
 	a.Outcome = fleet.Complete
 	for range strings.Count(a.Text, " ") {
-		a.Tokens = append(a.Tokens, a.Ended)
+		a.Tokens = append(a.Tokens, a.EndedAt)
 	}
 }
 
@@ -228,10 +228,10 @@
 	s.sent++
 	if a.Outcome == fleet.Complete {
 		s.complete++
-		s.total = append(s.total, a.Ended-a.Began)
+		s.total = append(s.total, a.EndedAt-a.StartedAt)
 	}
 	if len(a.Tokens) > 0 {
-		s.first = append(s.first, a.Tokens[0]-a.Began)
+		s.first = append(s.first, a.Tokens[0]-a.StartedAt)
 	}
 }
 
--- a/measure/script.go
+++ b/measure/script.go
@@ -27,15 +27,15 @@
 		if !load.SleepUntil(ctx, start.Add(step.At)) {
 			return Error.Wrap(ctx.Err())
 		}
-		if err := Turn(ctx, r, step.Component, step.Fault, step.Args); err != nil {
+		if err := SetFault(ctx, r, step.Component, step.Fault, step.Args); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Turn sets or clears one fault of a stand-in now.
-func Turn(ctx context.Context, r *Running, component, fault string, args any) error {
+// SetFault sets or clears one fault of a stand-in now.
+func SetFault(ctx context.Context, r *Running, component, fault string, args any) error {
 	var body []byte
 	if args != nil {
 		var err error
--- a/measure/startover.go
+++ b/measure/startover.go
@@ -59,9 +59,9 @@
 			got.Reason = "deadline"
 			break
 		}
-		got.Lost = append(got.Lost, Loss{time.Since(start), engine})
+		got.Losses = append(got.Losses, Loss{time.Since(start), engine})
 	}
-	got.Ended = time.Since(start)
+	got.EndedAt = time.Since(start)
 	return got
 }
 
--- a/measure/tally.go
+++ b/measure/tally.go
@@ -71,7 +71,7 @@
 		if t.firstToken[a.Class] == nil {
 			t.firstToken[a.Class] = newHist()
 		}
-		observe(t.firstToken[a.Class], a.Tokens[0]-a.Began)
+		observe(t.firstToken[a.Class], a.Tokens[0]-a.StartedAt)
 	}
 	t.addWaits(a, attempts, faults)
 	t.addExtra(a, attempts, faults)
@@ -93,14 +93,14 @@
 // servedBy returns the engine that delivered token i.
 func servedBy(a *Answer, attempts []engineAttempt, i int) string {
 	at := a.Tokens[i]
-	for _, l := range a.Lost { // start-over client: the next loss names the engine
+	for _, l := range a.Losses { // start-over client: the next loss names the engine
 		if l.At > at {
 			return l.Engine
 		}
 	}
 	engine := ""
 	for _, try := range attempts {
-		if len(a.Lost) > 0 || try.ResumedAt <= i && try.Delivered > 0 {
+		if len(a.Losses) > 0 || try.ResumedAt <= i && try.Delivered > 0 {
 			engine = try.engine
 		}
 	}
@@ -124,10 +124,10 @@
 // lossSpan returns the time span in which an attempt was lost: from the last token before the
 // loss to the first token after it.
 func lossSpan(a *Answer, next engineAttempt, i int) (from, to time.Duration) {
-	if i-1 < len(a.Lost) {
-		return a.Lost[i-1].At - firstTokenLimit, a.Lost[i-1].At
+	if i-1 < len(a.Losses) {
+		return a.Losses[i-1].At - firstTokenLimit, a.Losses[i-1].At
 	}
-	from, to = a.Began, a.Ended
+	from, to = a.StartedAt, a.EndedAt
 	if at := next.ResumedAt; at > 0 && at <= len(a.Tokens) {
 		from = a.Tokens[at-1]
 	}
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -19,19 +19,19 @@
 
 // Config is the capacity of one engine.
 type Config struct {
-	ReadPerSecond float64       // prompt tokens prefilled per second
-	Chunk         int           // prompt tokens prefilled between two decode steps
-	Step          time.Duration // fixed part of a decode step, which generates one token of each run
-	StepPerRun    time.Duration // added to Step for each run in the batch
-	Memory        int           // capacity in tokens, for runs and stored copies
+	PrefillPerSecond float64       // prompt tokens prefilled per second
+	Chunk            int           // prompt tokens prefilled between two decode steps
+	Step             time.Duration // fixed part of a decode step, which generates one token of each run
+	StepPerRun       time.Duration // added to Step for each run in the batch
+	Memory           int           // capacity in tokens, for runs and stored copies
 }
 
 // Signal is an event in the progress of a run.
 type Signal uint8
 
 const (
-	// First is sent when the prompt is prefilled and the first token generated.
-	First Signal = iota
+	// FirstToken is sent when the prompt is prefilled and the first token generated.
+	FirstToken Signal = iota
 	// Done is sent when the last token is generated.
 	Done
 	// Lost is sent when the engine crashes.
@@ -40,10 +40,10 @@
 
 // Run is one request at an engine.
 type Run struct {
-	Prompt  int // tokens of the prompt
-	Kept    int // tokens of the prompt that a stored copy saves from prefill
-	Answer  int // tokens to generate
-	Signals chan Signal
+	PromptTokens int // tokens of the prompt
+	CachedTokens int // tokens of the prompt that a stored copy saves from prefill
+	AnswerTokens int // tokens to generate
+	Signals      chan Signal
 
 	prefilled, generated int
 	cancelled            bool
@@ -52,7 +52,7 @@
 // NewRun returns a run. Signals has room for all signals of a run, so the engine never blocks
 // on a caller that does not read them.
 func NewRun(prompt, cached, answer int) *Run {
-	return &Run{Prompt: prompt, Kept: cached, Answer: answer, Signals: make(chan Signal, 3), prefilled: cached}
+	return &Run{PromptTokens: prompt, CachedTokens: cached, AnswerTokens: answer, Signals: make(chan Signal, 3), prefilled: cached}
 }
 
 func (r *Run) usedTokens() int { return r.prefilled + r.generated }
@@ -75,8 +75,8 @@
 // NewEngine returns an engine. It makes progress only while Serve runs.
 func NewEngine(cfg Config) *Engine { return &Engine{cfg: cfg, wake: make(chan struct{}, 1)} }
 
-// Begin queues a run.
-func (e *Engine) Begin(r *Run) {
+// Start queues a run.
+func (e *Engine) Start(r *Run) {
 	e.mu.Lock()
 	e.waiting = append(e.waiting, r)
 	e.maxWaiting = max(e.maxWaiting, len(e.waiting))
@@ -94,9 +94,9 @@
 	r.cancelled = true
 }
 
-// Keep changes the number of tokens that stored copies occupy. A negative number of tokens
+// AdjustCopies changes the number of tokens that stored copies occupy. A negative number of tokens
 // removes a copy.
-func (e *Engine) Keep(tokens int) {
+func (e *Engine) AdjustCopies(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.copies = max(e.copies+tokens, 0)
@@ -141,15 +141,15 @@
 		e.report.Reading, e.report.Queued = 1, len(e.waiting)-1
 	}
 	if len(e.waiting) > 1 {
-		e.report.NextPromptTokens = e.waiting[1].Prompt
+		e.report.NextPromptTokens = e.waiting[1].PromptTokens
 	}
 }
 
-// Vain returns the number of tokens that were prefilled again after preemptions.
-func (e *Engine) Vain() int { e.mu.Lock(); defer e.mu.Unlock(); return e.recomputed }
+// RecomputedTokens returns the number of tokens that were prefilled again after preemptions.
+func (e *Engine) RecomputedTokens() int { e.mu.Lock(); defer e.mu.Unlock(); return e.recomputed }
 
-// Longest returns the maximum number of runs that were queued at the same time.
-func (e *Engine) Longest() int { e.mu.Lock(); defer e.mu.Unlock(); return e.maxWaiting }
+// MaxWaiting returns the maximum number of runs that were queued at the same time.
+func (e *Engine) MaxWaiting() int { e.mu.Lock(); defer e.mu.Unlock(); return e.maxWaiting }
 
 // Serve executes steps until ctx ends.
 func (e *Engine) Serve(ctx context.Context) {
@@ -179,7 +179,7 @@
 	}
 	d = e.cfg.Step + time.Duration(len(e.running))*e.cfg.StepPerRun
 	if chunk := e.nextChunk(); chunk > 0 {
-		d += time.Duration(float64(chunk) / e.cfg.ReadPerSecond * float64(time.Second))
+		d += time.Duration(float64(chunk) / e.cfg.PrefillPerSecond * float64(time.Second))
 	}
 	return d, true
 }
@@ -191,7 +191,7 @@
 		return 0
 	}
 	r := e.waiting[0]
-	chunk := min(e.cfg.Chunk, r.Prompt-r.prefilled)
+	chunk := min(e.cfg.Chunk, r.PromptTokens-r.prefilled)
 	if e.usedTokens()+chunk > e.cfg.Memory && len(e.running) > 0 {
 		return 0 // wait until a run ends; without any run, copies and other prompts make room
 	}
@@ -218,14 +218,14 @@
 	}
 	r := e.waiting[0]
 	r.prefilled += e.nextChunk()
-	if r.prefilled < r.Prompt {
+	if r.prefilled < r.PromptTokens {
 		return
 	}
 	e.waiting = e.waiting[1:]
 	e.running = append(e.running, r)
 	if r.generated == 0 {
 		r.generated = 1
-		r.Signals <- First
+		r.Signals <- FirstToken
 	}
 }
 
@@ -241,7 +241,7 @@
 	}
 	e.running = slices.DeleteFunc(e.running, func(r *Run) bool {
 		r.generated++
-		if r.generated < r.Answer {
+		if r.generated < r.AnswerTokens {
 			return false
 		}
 		r.Signals <- Done
