--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -318,7 +318,7 @@
 	return fmt.Sprint("127.0.0.1:", sa.(*syscall.SockaddrInet4).Port)
 }
 
-// fakeShare is a Share that is part of no load record.
+// fakeShare is a LoadShare that is part of no load record.
 type fakeShare struct{ end func() }
 
 func (*fakeShare) PrefillDone() {}
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -54,7 +54,7 @@
 	return p
 }
 
-// runQuerier queries replicas for their runs. It implements health.Inquirer.
+// runQuerier queries replicas for their runs. It implements health.RunQuerier.
 type runQuerier struct {
 	dir      *directory.Directory
 	replicas generation.RunQuerier
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -191,7 +191,7 @@
 	return &timedShare{Share: share, queue: q, tokens: p.dir.Reading(id), startedAt: time.Now(), broadcastSoon: p.broadcastSoon}
 }
 
-// PrefillDone implements generation.Share.
+// PrefillDone implements generation.LoadShare.
 func (t *timedShare) PrefillDone() {
 	t.firstChunk.Do(func() {
 		t.Share.PrefillDone()
@@ -200,7 +200,7 @@
 	})
 }
 
-// End implements generation.Share.
+// End implements generation.LoadShare.
 func (t *timedShare) End() {
 	t.Share.End()
 	t.broadcastSoon()
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -35,7 +35,7 @@
 	withheld        map[string]bool        // names of known replicas whose entries are unusable at present
 	unknownServices map[string]infra.Value // entries, by name, whose service is not in the configuration
 	byAddr          map[string]string      // id of the replica started last, by address
-	added           []fleet.Backend        // replicas added since the last Settled
+	added           []fleet.Backend        // replicas added since the last BatchDone
 	changed         bool
 }
 
@@ -233,7 +233,7 @@
 	v.changed = true
 }
 
-// markLeaving marks a replica as leaving, in effect at once and not with the next Settled.
+// markLeaving marks a replica as leaving, in effect at once and not with the next BatchDone.
 func (v *view) markLeaving(id, reason string, revision int64) {
 	if v.dir.Leaving(id) {
 		if _, known := v.dir.Backend(id); known {
@@ -241,7 +241,7 @@
 		}
 	}
 	v.log.Emit(event.ReplicaLeaving, "backend", id, "reason", reason, "revision", revision)
-	// The directory may not know it yet; then the next Settled passes the mark on.
+	// The directory may not know it yet; then the next BatchDone passes the mark on.
 	if b, ok := v.replicas[id]; ok {
 		b.Leaving = true
 		v.replicas[id] = b
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -65,7 +65,7 @@
 	Sequence    uint64  `cbor:"3,keyasint"` // increases with each report of one run
 	ElapsedMS   int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
 	New         []Count `cbor:"5,keyasint,omitempty"`
-	// Old counts the answers of the old version within the last oldSpan, which are the baseline for
+	// Old counts the answers of the old version within the last baselineWindow, which are the baseline for
 	// the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
 	// Bad reports that the router considers the new version bad.
