--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -40,7 +40,7 @@
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
 	Revision      uint64 `json:"revision"` // in force there, as last reported
-	Reachable     bool   `json:"heard"`    // false if it was not heard from recently
+	Reachable     bool   `json:"heard"`    // false if the membership lists it as dead
 }
 
 // Members lists the routers.
@@ -122,7 +122,7 @@
 	Ready       bool     `json:"ready"`
 	Reason      string   `json:"reason,omitempty"`
 	InForce     int      `json:"in_force"`  // reachable nodes at this revision or later
-	Unreachable []string `json:"not_heard"` // known nodes that were not heard from recently
+	Unreachable []string `json:"not_heard"` // known nodes that are not reachable, see Node.Reachable
 	Nodes       []Node   `json:"nodes"`
 }
 
--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -125,7 +125,7 @@
 
 // wait prints on how many nodes a revision is in force until it is in force on all of
 // them. The limit applies to the waiting but does not cut off a status query: if it
-// did, the error would not say which nodes were not heard from.
+// did, the error would not say which nodes are unreachable.
 func (t *tool) wait(parent context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(parent, limit)
 	defer cancel()
--- a/directory/record.go
+++ b/directory/record.go
@@ -23,7 +23,7 @@
 	maxMarks = 4
 )
 
-// record is one backend server. It is the routing.Live of its candidates.
+// record is one backend server. It implements routing.Live for the candidates made from it.
 type record struct {
 	id               string
 	local            loadCounter   // load of this router's requests
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -74,7 +74,7 @@
 	compare(t, "dump section", program, all("(?m)^\\| `([a-z_]+)` \\|", page))
 }
 
-// A row of PROOFS.md that names a test which is gone proves nothing.
+// A row of PROOFS.md that names a test which no longer exists proves nothing.
 func TestProofsNameTestsThatExist(t *testing.T) {
 	var tests strings.Builder
 	files, err := filepath.Glob("../*/*_test.go")
@@ -106,7 +106,7 @@
 	}
 }
 
-// A link to a page that isn't there leaves its reader alone in a failure.
+// A link to a page that doesn't exist leaves an operator without instructions during a failure.
 func TestLinksLead(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
 	if err != nil {
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -278,8 +278,8 @@
 }
 
 // receive records a request and returns the faults in force and the status of a refusal, or 0.
-// If the request asks for a backup, it is copied to the other replica without a lock held here:
-// two replicas that keep each other's copies would deadlock.
+// If the request names a replica for its copy, it is copied there without a lock held here: two
+// replicas that keep each other's copies would deadlock.
 func (r *Replica) receive(a *Arrival) (f Faults, refuse int) {
 	f, refuse = r.recordArrival(a)
 	if standby := a.Header.Get("X-Kv-Backup"); refuse == 0 && standby != "" {
--- a/health/confirm.go
+++ b/health/confirm.go
@@ -42,9 +42,9 @@
 // some seconds and start its runs again elsewhere, so that a third of the engines would have no
 // work while all of them are healthy.
 //
-// Members that did not fail are queried too, and most members must be down: engines that each
-// crashed under a request of its own, or crashed in one rack, don't show that the domain is
-// down.
+// Members that did not fail are queried too, and most members must be down: engines that crashed
+// each while it ran a different request, or that crashed in one rack, don't show that the domain
+// is down.
 func (m *Monitor) confirmCrash(d *domain, t int64) {
 	defer d.endConfirmation()
 	witnesses := d.sampleOthers(t)
--- a/health/engine.go
+++ b/health/engine.go
@@ -31,7 +31,7 @@
 	probeUntil             int64
 	incarnation            string
 	peerReportUntil        int64
-	reinstatedUntil        int64 // set when Usable gives it back because of the ejection bound
+	reinstatedUntil        int64 // set when Usable reinstates it because of the ejection bound
 	cachedThreshold        thresholdCache
 	lastTokenBeforeSuspect int64 // time of its last token before a suspicion, else 0
 	query                  runQuery
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -57,7 +57,7 @@
 
 // Guards against: callers of a frozen engine wait for ever, since no reset comes. Four engines
 // decode and one stops on all of its streams. Its streams must be cancelled with a cause that
-// asks for a resume, the others not; later a single probe at a time may be sent to it, and a
+// requests a resume, the others not; later a single probe at a time may be sent to it, and a
 // token makes it healthy again.
 func TestFrozenEngineIsSuspectedAndProbed(t *testing.T) {
 	run(t, func(m *Monitor) {
--- a/health/query_test.go
+++ b/health/query_test.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// Guards against: two engines crash at the same moment, each under a request of its own, and all
-// routers avoid the ten healthy ones of their failure domain.
+// Guards against: two engines crash at the same moment, each while it runs a different request, and
+// all routers avoid the ten healthy ones of their failure domain.
 func TestTwoCrashesAreNotTheirDomains(t *testing.T) {
 	for name, c := range map[string]struct {
 		healthy int // healthy engines among those that did not fail
--- a/health/state.go
+++ b/health/state.go
@@ -120,11 +120,11 @@
 	return e.currentState(t)
 }
 
-// reinstatedFor is how long an engine that Usable gave back may get work.
+// reinstatedFor is how long an ejected engine that Usable reinstated may get work.
 const reinstatedFor = time.Second
 
 // Allow is called just before a request is sent, and reports whether it may be. For a healthy
-// backend server it is true, and so it is for one that Usable gave back because of the ejection
+// backend server it is true, and so it is for one that Usable reinstated because of the ejection
 // bound. For one whose backoff ended it is true for a single request at a time, whose Token or
 // Result decides. A request can serve as the probe since work is idempotent or not yet sent; many
 // probes at once would be a retry storm on a server that just started.
@@ -189,7 +189,7 @@
 
 // Usable returns for each member of a replica set whether it may get work; nil means that all
 // may. At most MaxEjectedShare of the set is ejected: beyond that, the members with the weakest
-// evidence are given back. When most of a fleet seems to be down, the error is usually on the
+// evidence are reinstated. When most of a fleet seems to be down, the error is usually on the
 // observer's side, and ejecting the rest would move the whole load onto the few left.
 func (m *Monitor) Usable(ids []string) []bool {
 	if m.ejected.Load() == 0 {
--- a/health/tick.go
+++ b/health/tick.go
@@ -216,7 +216,7 @@
 }
 
 // evaluateFixedTimeout applies the fixed timeout, the baseline that measurements compare with:
-// every stream has the same timeout of its own, and no engine is suspected.
+// each stream is cancelled by its own silence, after the same timeout, and no engine is suspected.
 func (m *Monitor) evaluateFixedTimeout(v *evaluation, t int64) {
 	for _, s := range v.engine.streams {
 		if s.cancelled || s.blocked.Load() {
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -107,8 +107,8 @@
 	MS      float64 `json:"ms"`
 }
 
-// preempt silences one draft that the engine decodes, if there is one: a stream with more
-// tokens than any lookup and less than half of those of a draft.
+// preempt silences one stream of the class Drafts that the engine decodes, if there is one: a
+// stream with more tokens than any of the class Lookups and less than half of those of a draft.
 func (f fault) preempt(ctx context.Context, start time.Time, r *Running) error {
 	if !load.SleepUntil(ctx, start.Add(f.at)) {
 		return Error.Wrap(ctx.Err())
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -16,8 +16,8 @@
 	"wigeondale/settings"
 )
 
-// hedged compares budgets for hedged lookups of a service that is not a model engine: lower
-// latency at the high percentiles against lookups executed in excess of the calls.
+// hedged compares budgets for hedged calls of a service that is not a model engine: lower
+// latency at the high percentiles against executions in excess of the calls.
 type hedged struct{}
 
 // Name implements Experiment.
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -22,8 +22,8 @@
 // this one.
 const smallAccount = "small"
 
-// Six engines with 16 slots each and drafts of 2 s give a capacity of 48 drafts per second,
-// less what the lookups use.
+// Six engines with 16 slots each and generations of 2 s (drafts) give a capacity of 48 drafts per
+// second, less what the short generations (lookups) use.
 const (
 	overloadEngines = 6
 	normalDrafts    = 20 // per second, of Account
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -7,8 +7,8 @@
 	"encoding/hex"
 )
 
-// Digest identifies a request together with its repeats. It is keyed, so that nobody outside
-// can construct a request that has the same digest as another one.
+// Digest identifies a request together with its repeats. It is keyed, so that no client can
+// construct a request that has the same digest as another one.
 type Digest [16]byte
 
 // String returns the digest in the form that logs and operators see.
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -53,7 +53,7 @@
 // A count of requests is not enough: it gives a stored copy, a run that generates
 // tokens and a prompt that is being read the same weight, although only a prompt takes
 // time from the others. Prompts are then sent to engines that are reading one while
-// other engines read none, and under usual load the first chunks arrive after twice the
+// other engines read none, and under normal load the first chunks arrive after twice the
 // time that a prompt takes.
 type delayScorer struct{}
 
@@ -99,8 +99,7 @@
 //
 // Without this filter, an engine runs out of memory in the middle of its runs. Runs are
 // then preempted and read their prompts again later, for which other runs are
-// preempted. Tokens are read in vain, and answers are late long after a burst has
-// ended.
+// preempted. Prefill work is wasted, and answers are late long after a burst has ended.
 func fitsMemory(c *Candidate, req *PickRequest) bool {
 	return req.Capacity <= 0 || c.engineLoad().Memory()+float64(req.MemoryTokens) <= float64(req.Capacity)
 }
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -5,7 +5,7 @@
 // Load reports lag, so all routers may see the same idle engine and send to it
 // together. The default picker therefore compares a few candidates drawn at random
 // instead of taking the best of all. The loss of a failure domain makes hundreds of
-// streams resume at the same moment; a scorer of their own spreads them, and a common
+// streams resume at the same moment; a separate scorer spreads them, and a common
 // prompt prefix doesn't draw them to one engine.
 package routing
 
