--- a/daemon/dispatch_test.go
+++ b/daemon/dispatch_test.go
@@ -19,7 +19,7 @@
 )
 
 // Each reason of admission must reach callers as a code of the caller API. When the
-// reason itself was passed on, callers over their limit were told of an overload, with
+// reason itself was passed on, callers over their limit got the status of an overload, with
 // a code in no list, and the metrics counted it as "other".
 func TestAdmissionReasonsReachCallersAsCodes(t *testing.T) {
 	want := map[admission.Reason]string{
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -82,7 +82,7 @@
 // of its incarnations.
 //
 // Readers may see it leaving and then live again, from a lagging replica of the VM
-// list. A node that received only the later record would send it work until it is gone;
+// list. A node that received only the later record would send it work until it is removed;
 // the mark set in the directory stays until a new incarnation. Once "live" has lasted
 // for unconfirmedLive, it is taken as correct: an engine may have been started again on
 // that VM.
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -66,7 +66,7 @@
 
 // Both routers that store a pointer must be queried at the same time. When they were
 // queried one after the other, a new request waited for two round trips. Here each
-// answers only after both have been asked.
+// answers only after both have been queried.
 func TestPointersAskHoldersAtOnce(t *testing.T) {
 	var both sync.WaitGroup
 	both.Add(2)
--- a/daemon/services_test.go
+++ b/daemon/services_test.go
@@ -123,7 +123,7 @@
 }
 
 // A replica that accepts calls but answers none must not stay healthy. When a try that lost
-// to its hedge told the failure detector nothing, the stalled replica stayed healthy,
+// to its hedge reported nothing to the failure detector, the stalled replica stayed healthy,
 // calls stayed slow and their second tries used up the hedge budget.
 func TestStalledReplicaIsLeft(t *testing.T) {
 	var calls atomic.Int32
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -31,7 +31,7 @@
 
 // Cause is one row: the requests with the same outcome for the same reason.
 type Cause struct {
-	Outcome string // in time, late, refused, failed, gone
+	Outcome string // in time, late, refused, failed, or gone (the client disconnected)
 	Reason  string
 	Count   int
 	Example string // id of the first of these requests
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -243,7 +243,7 @@
 }
 
 // Guards against: an answer pauses for a second after each crash, and its prefill is paid for
-// twice. The fault is to start it anew although another backend server has a copy of the run.
+// twice. The fault is to start the run over although another backend server has a copy of the run.
 func TestLostRunGoesOnAtItsCopy(t *testing.T) {
 	w := &fakeFleet{chunks: 9, budget: 9, scripts: []script{{lastChunk: 4, err: errBroken}}}
 	_, out := w.run(t, nil)
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -180,7 +180,7 @@
 // started answer is counted from when its loss is noticed; that of an opaque one from its last
 // chunk, since its client leaves after a pause, whatever caused it.
 //
-// If a started answer waited from its last token, a silence could use up its maximum wait: after
+// If the wait of a started answer were counted from its last token, a silence could use it up: after
 // earlier pauses the failure detector tolerates an engine's silence for longer. The answer would
 // be cut at the moment at which the silence is detected, though another engine could continue it.
 func (x *run) waitLeft() time.Duration {
--- a/health/health.go
+++ b/health/health.go
@@ -3,7 +3,7 @@
 //
 // An engine that dies with its VM, freezes, or is cut off by the network sends no
 // reset; its callers see an answer that simply stops. A fixed timeout is wrong in
-// two ways: too long for a caller who waits, too short for an engine that merely
+// two ways: too long for a caller that waits, too short for an engine that merely
 // prefills a long prompt. A continuous batch advances all of its streams together,
 // so any token on any stream serves as the engine's heartbeat. How much silence is
 // accepted before a resume follows from expected cost: what further waiting costs
--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -35,7 +35,8 @@
 	Replicas []adoptedReplica `cbor:"1,keyasint"`
 }
 
-// adoptedReplica is one of them. All other properties are those of the replica that it replaces.
+// adoptedReplica is one replica of an adoptedMessage. All other properties are those of the replica
+// that it replaces.
 type adoptedReplica struct {
 	Name      string `cbor:"1,keyasint"`
 	Addr      string `cbor:"2,keyasint"`
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -57,7 +57,7 @@
 type holdTask struct {
 	due    time.Time
 	remove bool
-	local  bool // this node found the request
+	local  bool // this node saw the last of the crashes that led to the hold
 }
 
 func newHolds(store holdStore, log *event.Log) *holds {
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -143,9 +143,9 @@
 // applyPeerLoads passes the sum of the other routers' loads to the directory, if this router is
 // linked to all of them.
 //
-// If the loads of some routers were used: after a start of all nodes a node knows few others for
-// about a second and would take them for all of them. Their loads would count for seconds, and
-// engines would not be queried.
+// The loads of only some routers must not be used: after a start of all nodes a node knows few
+// others for about a second and would take them for all of them. Their loads would count for
+// seconds, and engines would not be queried.
 func (p *peers) applyPeerLoads(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -73,8 +73,8 @@
 	// Set if the attempt counts for a roll-out.
 	rollout     *serviceRollout
 	startedAt   time.Duration
-	aspect      rollout.Aspect // aspect of the answer that comes next
-	timeCounted atomic.Bool    // the time to it was counted
+	aspect      rollout.Aspect // aspect of the answer that is rated next
+	timeCounted atomic.Bool    // the time to the answer, or to its first chunk, was counted
 	firstAt     time.Duration  // time of the first chunk, from which the pace is measured; 0 before it and once the pace is rated
 	chunks      int
 }
--- a/hosted/registration.go
+++ b/hosted/registration.go
@@ -98,7 +98,7 @@
 	}
 	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
-	return lease, r.store.KeepAlive(ctx, lease) == nil // the node registers anew otherwise
+	return lease, r.store.KeepAlive(ctx, lease) == nil // otherwise the node registers again
 }
 
 // renew renews the lease. It returns true when the lease may have expired, and false when ctx has
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -38,7 +38,7 @@
 	linked int
 	// seeds is the number of runs, one after the other.
 	seeds int
-	// work sets the size of requests and the speed of engines; the zero value stands for
+	// work sets the size of requests and the speed of engines; the zero value means
 	// typicalWork.
 	work replayWork
 	// modify modifies the picker for a comparison.
--- a/hosted/replay_size_test.go
+++ b/hosted/replay_size_test.go
@@ -14,7 +14,8 @@
 // Guards against a burst in which half of the generations are late, none is refused, and engines
 // read twice as much as necessary, for long after the burst: for nine seconds more generations are
 // requested than the engines read, and two failure domains crash. A router that knows only its own
-// requests and those of eight others, a tenth of all, takes every engine for free.
+// requests and those of eight others, a tenth of all, assumes that every engine has free
+// capacity.
 func TestBurstOverManyRouters(t *testing.T) {
 	const burstEnd = 14 * time.Second
 	burst := load{
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -178,7 +178,7 @@
 }
 
 // Guards against a node that starts later and does not know a quarantined request, because the
-// store was unavailable when the request was found.
+// store was unavailable when the request was quarantined.
 func TestHoldsAreStoredOnceTheStoreIsBack(t *testing.T) {
 	f := newCrashingFleet(t)
 	f.configure(key)
@@ -199,7 +199,7 @@
 	await(t, "another node's hold", func() bool { return n.quarantined() == 2 })
 }
 
-// Guards against a removal taken for an operator's lift: a request is found once more while the
+// Guards against a removal taken for an operator's lift: a request is quarantined again while the
 // expired record of its previous hold is still in the store, and then that record is removed.
 func TestRemovalOfAnEndedRecordLiftsNothing(t *testing.T) {
 	f := newCrashingFleet(t)
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -36,7 +36,7 @@
 	trial   []routing.Candidate // for attempts that are part of the trial
 }
 
-// candidates returns the replicas that an attempt may use. The partition is computed anew only when
+// candidates returns the replicas that an attempt may use. The partition is recomputed only when
 // the replicas or the rule have changed.
 func (o *serviceRollout) candidates(all []routing.Candidate, trial bool, limits rollout.Limits) []routing.Candidate {
 	rule := o.Rule()
--- a/listen/listen_test.go
+++ b/listen/listen_test.go
@@ -60,8 +60,8 @@
 		t.Fatal(err)
 	}
 	// A Shutdown that returns before the request has ended did not wait for it,
-	// whether or not the request's connection is closed by now. One that waits asks
-	// for ctx.Done in each round of its loop.
+	// whether or not the request's connection is closed by now. One that waits calls
+	// ctx.Done in each round of its loop.
 	ctx.armed.Store(true)
 	select {
 	case <-ctx.called:
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -128,7 +128,7 @@
 // CatchUp makes Run call the store once soon, even at a node that doesn't read it.
 func (m *Mirror) CatchUp() { m.callRequested.Store(true) }
 
-// update runs f with the state locked, then tells the receiver that the batch is complete
+// update runs f with the state locked, then notifies the receiver that the batch is complete
 // and, if the revision advanced, calls OnUpdate.
 func (m *Mirror) update(f func()) {
 	m.mu.Lock()
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -120,7 +120,7 @@
 // Guards against sending work for ever to a replica that crashed during an outage of
 // the store, at nodes that don't read the store. Its entry expires during the outage; a
 // reader holds the removal as unconfirmed, passes on later changes, and confirms the
-// removal after a while. A node that has a newer revision doesn't ask for earlier
+// removal after a while. A node that has a newer revision doesn't request earlier
 // changes again, so the unconfirmed removal must be sent along.
 func TestDoubtReachesNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/once/agree.go
+++ b/once/agree.go
@@ -29,7 +29,7 @@
 //
 // If two nodes were configured with different numbers of shards, they would
 // look up the same key in different logs, each would be granted the claim, and
-// the request would run twice before anyone notices. The number is therefore
+// the request would run twice before any node notices. The number is therefore
 // stored under a key that is created once and never overwritten. The first
 // node creates it, and every node uses the stored number. A node that has not
 // read the number yet refuses claims.
--- a/order/lease_test.go
+++ b/order/lease_test.go
@@ -13,7 +13,7 @@
 
 // Guards against two routers that send orders at the same time. The service loses the
 // lease of one, the other takes it over, and the first one renews. Renewing must check
-// who holds the key, and the fencing number must grow.
+// which router holds the key, and the fencing number must grow.
 func TestLeaseAgainstTheService(t *testing.T) {
 	srv := kv.New("127.0.0.1:0")
 	if err := srv.Start(); err != nil {
--- a/order/next.go
+++ b/order/next.go
@@ -53,7 +53,7 @@
 	return steps
 }
 
-// orderInEffect reports whether b already is in the state that the order would ask for.
+// orderInEffect reports whether b already is in the state that the order would request.
 func orderInEffect(s *intent.State, b fleet.Backend, o Order, st Status) bool {
 	if o.Leaving != st.Leaving || (st.Role != "" && o.Role != st.Role) {
 		return false
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -12,8 +12,8 @@
 
 const (
 	// SweepInterval is the longest time between two queries of an engine that answers. An
-	// engine that changes without a sign of it is corrected within that time and one
-	// round.
+	// engine whose state changes without any other indication is corrected within that
+	// time and one round.
 	SweepInterval = time.Minute
 	// promptRetries is the number of consecutive failures after each of which the engine
 	// is queried again in the next round; after that the delay doubles, up to one minute.
@@ -29,8 +29,7 @@
 // an old version would be unloaded just after the new one was lost on another engine.
 // Therefore all engines with something to do, and all hosts of a model with an old
 // version to unload, are queried in the same round that decides. Only engines that have
-// reached their goal are queried less often, at
-// least once a minute.
+// reached their goal are queried less often, at least once a minute.
 type Schedule struct {
 	start  time.Time
 	known  map[string]*queryRecord
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -9,7 +9,7 @@
 //     suspicion in time.
 //   - A node is paused and resumes: it receives the reports that mark it suspect
 //     or dead and refutes them with a higher version of its own record. Its own
-//     failure detection starts anew after the pause, because it received nothing
+//     failure detection starts over after the pause, because it received nothing
 //     from the other nodes during the pause.
 //   - A node restarts: its new incarnation replaces all that was known about the
 //     old one.
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -15,7 +15,8 @@
 	minUnsharedCrashes = 2
 	conclusiveCrashes  = 5
 	// earlyWindow is how long after its first token or chunk a run may still be what made its
-	// backend server crash. Runs that last longer are taken to be bystanders.
+	// backend server crash. Runs that last longer are assumed not to have caused the
+	// crash (bystanders).
 	earlyWindow = time.Second
 	// backgroundExits other backend servers that exited within backgroundWindow raise the
 	// required number of crashes by one.
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -4,7 +4,8 @@
 // A router that has no configuration yet, or an outdated one, must not report that a route or a
 // key doesn't exist: it refuses with the time to come back. A refusal means that nothing ran. It
 // is given at once, and only while that is true (package generation decides it). A request that
-// ran and whose answer is lost gets an answer that promises nothing. At the route's timeout the
+// ran and whose answer is lost gets a status that doesn't state whether it ran (502, or 504 after
+// the deadline), or a broken connection if its answer has started. At the route's timeout the
 // final answer is given, whatever is still running.
 package relay
 
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -44,8 +44,8 @@
 }
 
 // Guards against: a client is told that nothing ran, and sends the request again, though it had
-// run; or an answer that was cut looks complete. A refusal may be sent only with an outcome for
-// which its promise is true.
+// run; or an answer that was cut looks complete. A refusal states that nothing ran, so it may
+// be sent only with an outcome for which that is true.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Guards against a waiting request that is assigned anew, and counted, each time it looks for an
+// Guards against a waiting request that is assigned again, and counted, each time it looks for an
 // engine.
 func TestRequestIsDrawnOnce(t *testing.T) {
 	r := newRollout(t)
