--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -7,11 +7,11 @@
 	"encoding/hex"
 )
 
-// Digest identifies a request together with its repeats. It is keyed, so that no client can
-// construct a request that has the same digest as another one.
+// Digest identifies a request together with its repeats. It is a keyed hash, so that no client
+// can construct a request that has the same digest as another request.
 type Digest [16]byte
 
-// String returns the digest in the form that logs and operators see.
+// String returns the digest as hexadecimal text, the form used in logs and by operators.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
 // ParseDigest parses the output of Digest.String.
@@ -24,7 +24,8 @@
 	return d, Error.Wrap(err)
 }
 
-// Subject is what a request and its repeats have in common. The request id is not part of it.
+// Subject holds what a request and its repeats have in common. The request id is not one of
+// its fields.
 type Subject struct {
 	Account string
 	Method  string
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -34,9 +34,10 @@
 	return false
 }
 
-// extraCrashes returns how many more crashes are required while backend servers often exit for
-// other reasons: then some requests are present at three crashes by chance. None is present at
-// manyCrashes by chance.
+// extraCrashes returns how many more crashes than minCrashes are required before s is
+// quarantined. While backend servers often exit for other reasons, some requests are running
+// at three crashes by chance, so one more crash is required. No request is running at
+// manyCrashes crashes by chance, so from that number on the result is 0.
 func (t *Tracker) extraCrashes(s *suspect, now time.Duration) int {
 	if len(s.crashes) >= manyCrashes {
 		return 0
@@ -68,7 +69,9 @@
 	return out
 }
 
-// explained reports whether another request, which is quarantined, was running at the crash too.
+// explained reports whether a quarantined request other than s was running at the backend
+// server when it crashed. The crash is then attributed to the quarantined request and not to
+// s.
 func (t *Tracker) explained(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && t.suspects[d].holdUntil > now
@@ -91,8 +94,8 @@
 	return n
 }
 
-// shared reports whether another suspected request was running at the crash, so that it is
-// unknown which of the two caused it.
+// shared reports whether another suspected request was running at the backend server when it
+// crashed, so that it is unknown which of the two requests caused the crash.
 func (t *Tracker) shared(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && len(t.countedCrashes(t.suspects[d], now)) >= minCrashes-1
@@ -110,8 +113,9 @@
 	return n
 }
 
-// clearBystanders ends the hold of requests that turn out to have only run alongside s: s was
-// running at all their crashes but fewer than minUnsharedCrashes.
+// clearBystanders ends the hold of each quarantined request that turns out to have only run
+// alongside s: of the crashes under that request, fewer than minUnsharedCrashes happened where
+// s was not running. It returns the digests of the requests whose hold it ended.
 func (t *Tracker) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
 	for _, c := range s.crashes {
 		for _, d := range slices.Clone(t.suspectsByCrash[c.Incarnation]) {
--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -14,10 +14,11 @@
 const (
 	// ProbeTimeout bounds one probe of a backend server.
 	ProbeTimeout = 300 * time.Millisecond
-	// probeInterval is the pause before a backend server that seems to work is probed again: a
-	// process that crashes may close its connections before it stops listening.
+	// probeInterval is the pause before a backend server that was not found to have exited is
+	// probed again: a process that crashes may close its connections before it stops
+	// listening, and so seem to work at first.
 	probeInterval = 100 * time.Millisecond
-	// maxProbes bounds the number of probes.
+	// maxProbes bounds how often one backend server is probed after one loss.
 	maxProbes = 3
 	// maxNeighbours is how many other backend servers of the failure domain are probed, and
 	// minNeighbours how many are needed to decide whether the domain is down.
@@ -59,7 +60,8 @@
 	}
 }
 
-// recordExit records the exit of a backend server that counts against no request.
+// recordExit records the exit of a backend server, and broadcasts it if it was not known. The
+// exit counts against no request.
 func (g *Guard) recordExit(l Loss) {
 	var added bool
 	g.withTracker(func(t *Tracker, _ time.Duration) { added = t.Exited(l.incarnation, l.at) })
@@ -89,9 +91,10 @@
 }
 
 // domainExited reports whether all other backend servers of the failure domain exited together
-// with this one: then no request that was running there is the cause. Backend servers that had
-// exited on their own earlier, or before the request was sent there, are not evidence: crashes
-// under the same request may have left only few of the domain running.
+// with the backend server of l: then no request that was running there is the cause. Backend
+// servers that had exited on their own earlier, or before the request was sent to the backend
+// server of l, are not evidence: crashes under the same request may have left only few of the
+// domain running.
 func (g *Guard) domainExited(l Loss) bool {
 	moment := l.at - min(l.Ran, simultaneousWindow)
 	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, maxNeighbours), func(b fleet.Backend) bool {
@@ -119,7 +122,7 @@
 	return g.tracker.ExitedBefore(incarnation, moment)
 }
 
-// metricSet are the metrics of a Guard.
+// metricSet holds the metrics of a Guard.
 type metricSet struct {
 	crashes, domains, working, unreachable *metrics.Counter
 	refused, dropped                       *metrics.Counter
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -23,7 +23,8 @@
 	isolated     int           // router that receives no updates for modelIsolation
 	isolatedFrom time.Duration // when that starts
 	servers      []*server
-	// allCrashes holds all crashes under a request, whatever their cause, as a simple count would.
+	// allCrashes holds all crashes under each request, whatever their cause: the evidence that
+	// a plain count of crashes would use.
 	allCrashes map[Digest]map[string]bool
 
 	crashes    map[string]int           // crashes under each request that crashes its servers
@@ -127,7 +128,7 @@
 	m.repeat(8*time.Second, func() { m.crashDomain(m.rng.IntN(modelDomains)) })
 	m.repeat(m.other.partial, func() { m.crashSome(0.15) })
 	m.repeat(m.other.single, func() { m.crash(m.servers[m.rng.IntN(len(m.servers))], false) })
-	// The same request arrives at many routers at once.
+	// The same request is submitted to random routers several times at once.
 	m.after(20*time.Second, func() {
 		for range 10 {
 			m.request("bad-burst")
@@ -291,8 +292,8 @@
 	return added
 }
 
-// confirm has a router decide, and pass the decision to the others by a message and through
-// the store.
+// confirm has a router decide about a request, and pass the decision to the other routers by a
+// message and through the store.
 func (m *fleetModel) confirm(tr *Tracker, d Digest) {
 	router := slices.Index(m.routers, tr)
 	quarantined, cleared := tr.Confirm(d, m.now, m.isIsolated(router))
@@ -306,7 +307,8 @@
 	}
 }
 
-// writeStore has all routers apply a change of the store, once they can reach it.
+// writeStore has each router apply a change of the store as soon as the router can reach the
+// store.
 func (m *fleetModel) writeStore(apply func(tr *Tracker)) {
 	for i, tr := range m.routers {
 		wait := 100*time.Millisecond + time.Duration(m.rng.Int64N(int64(time.Second)))
@@ -323,7 +325,8 @@
 	return router == m.isolated && m.now > m.isolatedFrom && m.now < m.isolatedFrom+modelIsolation
 }
 
-// wasConnected reports whether a router was not isolated during the window before.
+// wasConnected reports whether a router is not isolated now and was not isolated during the
+// last modelWindow either.
 func (m *fleetModel) wasConnected(router int) bool {
 	return router != m.isolated || m.now < m.isolatedFrom || m.now > m.isolatedFrom+modelIsolation+modelWindow
 }
@@ -356,7 +359,7 @@
 	return sum
 }
 
-// simulate adds one fleet.
+// simulate simulates one fleet and adds its results to sum.
 func (sum *tally) simulate(seed uint64, routers int, other background) {
 	m := newFleetModel(seed, routers, other)
 	m.simulate()
@@ -381,8 +384,8 @@
 	}
 }
 
-// maxLateRuns is how often a request may still reach servers later than modelWindow after the
-// third crash under it, over all routers.
+// maxLateRuns is how often a request may still reach servers, over all routers, when more than
+// modelWindow has passed since the third crash under the request.
 const maxLateRuns = 3
 
 func fleetCount(routers int) int {
@@ -392,8 +395,9 @@
 	return *fleets
 }
 
-// Guards against: a request that crashes its backend servers keeps being sent, over all
-// routers, or another request is quarantined for crashes with other causes.
+// A request that crashes its backend servers must not be sent again and again through one
+// router after the other, and no other request must be quarantined for crashes with other
+// causes. The test counts both in simulated fleets of several sizes.
 func TestCrashersAreHeldAndOthersAreNot(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
 		sum := simulateFleets(fleetCount(routers), routers, normalCrashRates)
@@ -407,8 +411,9 @@
 	}
 }
 
-// Guards against: where servers crash all the time for other reasons, a request that crashes
-// them keeps being sent because the evidence never suffices.
+// Where servers crash all the time for other reasons, a request that crashes its servers must
+// still be quarantined. The fault is that the evidence against the request never suffices, so
+// that the request keeps being sent.
 func TestCrashersAreHeldInAStormOfCrashes(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
 		sum := simulateFleets(fleetCount(routers), routers, highCrashRates)
@@ -419,8 +424,9 @@
 	}
 }
 
-// Guards against: two requests that crash their servers share some of the crashes, and the one
-// that is taken for a bystander keeps being sent.
+// Two requests that crash their servers sometimes run at the same server when it crashes. Both
+// must be quarantined: the fault is that one of the two is taken for a bystander and keeps
+// being sent.
 func TestCrashersThatShareCrashesAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -435,7 +441,8 @@
 	}
 }
 
-// Guards against: a request that loses several servers in a row by chance is quarantined.
+// A request must not be quarantined because several of the servers that run it crash in a row
+// by chance.
 func TestUnluckyRequestsAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -449,8 +456,9 @@
 	}
 }
 
-// Guards against: a request for which the decision takes one more crash, since many servers
-// exit for other reasons, keeps being sent meanwhile through several routers at once.
+// While many servers exit for other reasons, one more crash is required before a request is
+// quarantined. A request that crashes its servers must not keep being sent through several
+// routers at once until that crash happens.
 func TestCrashersThatAreRuledLateAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -18,22 +18,22 @@
 // ErrQuarantined reports that a request is quarantined and was not sent.
 var ErrQuarantined = Error.New("backend servers crashed under this request")
 
-// keyBytes is the length of the random key that a router uses until the shared one is set.
+// keyBytes is the length of the random key that a router uses until the shared key is set.
 const keyBytes = 32
 
 // Config configures a Guard.
 type Config struct {
 	Prober Prober
-	// Incarnation returns the id of the current incarnation of a backend server; nil for the
-	// backend server's id.
+	// Incarnation returns the id of the current incarnation of a backend server. If it is nil,
+	// the backend server's id stands for its incarnation.
 	Incarnation func(b fleet.Backend) string
 	// Leaving reports whether a backend server is known to be leaving the fleet.
 	Leaving func(id string) bool
-	// Neighbours returns up to n other backend servers of the same service and failure
-	// domain, those that seem to work first.
+	// Neighbours returns up to n other backend servers of the same service and failure domain.
+	// The backend servers that seem to work come first in the result.
 	Neighbours func(b fleet.Backend, n int) []fleet.Backend
-	// Isolated reports whether other routers are known and none of them can be reached; nil for
-	// never.
+	// Isolated reports whether other routers are known and none of them can be reached. If it
+	// is nil, this router never counts as isolated.
 	Isolated func() bool
 	// Broadcast sends an update to all other routers; it must not block. With nil nothing is sent.
 	Broadcast func(Update)
@@ -42,8 +42,8 @@
 	// wrong or because an operator lifted it. They must not block.
 	OnHold func(h HoldUpdate, found bool)
 	OnLift func(d Digest)
-	// Now is a clock that includes suspensions of the machine; nil for the system's clock of
-	// that kind.
+	// Now reads a clock that also advances while the machine is suspended. If it is nil, the
+	// system's clock of that kind is used.
 	Now func() time.Duration
 	Log *event.Log
 	Set *metrics.Set
@@ -80,13 +80,15 @@
 	cfg     Config
 	metrics *metricSet
 	key     atomic.Pointer[[]byte]
-	// nonEmpty is set while the tracker isn't empty.
+	// nonEmpty is true while the tracker has an entry, so that requests need no lock while no
+	// request is suspected.
 	nonEmpty atomic.Bool
 
 	mu      sync.Mutex
 	tracker *Tracker
 	outbox  outbox
-	// decided is closed and replaced at each decision.
+	// decided is closed at each decision, which wakes the requests that wait for one, and
+	// replaced by a new channel.
 	decided chan struct{}
 }
 
@@ -130,7 +132,8 @@
 	g.nonEmpty.Store(!g.tracker.Empty())
 }
 
-// crashed records a crash under a request.
+// crashed records a crash under a request. If the crash makes a decision due, the decision
+// follows after decisionDelay. added is false if the crash was known or doesn't count.
 func (g *Guard) crashed(d Digest, account string, c Crash) (added bool) {
 	var pending bool
 	var crashes int
@@ -245,8 +248,8 @@
 	}
 }
 
-// broadcastAnswer reports to the other routers that a request which one of them suspects was
-// answered here.
+// broadcastAnswer reports to the other routers that this router has seen an answer to a
+// request under which one of the other routers reports a crash.
 func (g *Guard) broadcastAnswer(c CrashUpdate) {
 	var age time.Duration
 	var clears bool
@@ -319,7 +322,8 @@
 	return out
 }
 
-// broadcast sends an update to the other routers, together with others of the next milliseconds.
+// broadcast sends an update to the other routers, in one message with the other updates of the
+// next milliseconds.
 func (g *Guard) broadcast(n Update) {
 	g.mu.Lock()
 	wait, arm, kept := g.outbox.put(n, g.cfg.Now())
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -88,8 +88,10 @@
 	time.Sleep(time.Second)
 }
 
-// Guards against: a request that arrives before the third crash is confirmed is sent, and a
-// router that saw no crash itself quarantines nothing.
+// A request that arrives after the third crash, but before the decision about it, must not be
+// sent, and a router that saw no crash itself must refuse the request too. The fault is that
+// the router that saw the crashes sends the request before it has decided, or that only this
+// router refuses.
 func TestAllRoutersHoldARequestBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(3, 20*time.Millisecond)
@@ -120,7 +122,9 @@
 	})
 }
 
-// Guards against: connections that break for other reasons count against a request.
+// An attempt that was lost for a reason other than a crash under its request must not count
+// against the request: otherwise a harmless request is quarantined. Each case is one such
+// reason.
 func TestOtherLossesAreNoCrashes(t *testing.T) {
 	for name, loss := range map[string]func(w *fakeRouters, id string) Loss{
 		"its server goes on working": func(*fakeRouters, string) Loss { return Loss{} },
@@ -165,8 +169,9 @@
 	}
 }
 
-// Guards against: an operator's lift reaches only one router, or the request can never be
-// sent again after it.
+// When an operator lifts the hold of a request at one router, all routers must send the
+// request again. The fault is that the lift reaches only one router, or that the request can
+// never be sent again. One more crash under the request must quarantine it anew.
 func TestLiftReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(2, 20*time.Millisecond)
@@ -194,7 +199,8 @@
 	})
 }
 
-// Guards against: a burst of crashes saturates the connections between routers.
+// A burst of crashes must not saturate the connections between routers: updates are batched,
+// and the rate of messages and the number of waiting updates are bounded.
 func TestNewsAreFewAndBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var messages, items atomic.Int64
@@ -219,8 +225,9 @@
 	})
 }
 
-// Guards against: a request that crashes its servers keeps being sent because most of a small
-// failure domain is down, through crashes under the same request.
+// When a request has crashed most servers of a small failure domain, its next crash must still
+// count against it. The fault is to take the servers that are down for a crash of the whole
+// domain, so that the request keeps being sent.
 func TestSmallDomainIsNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(1, 0)
@@ -238,8 +245,9 @@
 	})
 }
 
-// Guards against: a router that starts reads a hold before it reads the shared key, and drops
-// it together with what it found with its first key.
+// A router that starts may read a hold from the store before it reads the shared key. The
+// router must keep the hold when it sets the shared key, and not drop it together with the
+// suspects that it found with its first, random key.
 func TestHoldsOutliveTheFirstKey(t *testing.T) {
 	g := NewGuard(Config{Leaving: func(string) bool { return false }})
 	d := digestOf("bad")
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// maxAnswers is the least number of requests whose latest answers are remembered.
+// maxAnswers is how many answered requests are remembered at least: the times of the latest
+// answers of so many requests are kept.
 const maxAnswers = 1024
 
 // answerTimes remembers when requests were answered last, in two generations of at most limit
@@ -42,7 +43,7 @@
 	next  int // index in order of the entry to be replaced next
 }
 
-// add records an exit and reports whether it was not known.
+// add records the exit of an incarnation and reports whether the exit was new.
 func (e *exitTimes) add(incarnation string, at time.Duration) bool {
 	if _, known := e.at[incarnation]; known {
 		return false
--- a/quarantine/submission.go
+++ b/quarantine/submission.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Submission is one submission of a request by a client; the client's repeats are further ones. The
-// router may send it to several backend servers, one after the other. A nil one belongs to a
-// request that isn't tracked.
+// Submission is one submission of a request by a client; each repeat by the client is a
+// further Submission. The router may send the request to several backend servers, one after
+// the other. A nil *Submission belongs to a request that isn't tracked.
 type Submission struct {
 	guard      *Guard
 	digest     Digest
@@ -23,8 +23,8 @@
 	return s.digest.String()
 }
 
-// Refusal returns why the request must not be sent now, nil if it may. While a decision about
-// the request is due it waits for that.
+// Refusal returns why the request must not be sent now, or nil if the request may be sent.
+// While a decision about the request is due, Refusal waits for the decision.
 func (s *Submission) Refusal(ctx context.Context) error {
 	if s == nil || !s.guard.nonEmpty.Load() {
 		return nil
@@ -57,7 +57,7 @@
 }
 
 // Lost records that an attempt was lost. It finds out in the background whether the backend
-// server has crashed, and closes the channel when that is known.
+// server has crashed, and closes the channel examined when that is known.
 func (s *Submission) Lost(l Loss) (examined <-chan struct{}) {
 	done := make(chan struct{})
 	if s == nil || s.guard.cfg.Leaving(l.Backend.ID) {
@@ -72,12 +72,13 @@
 	return done
 }
 
-// maxLossWait bounds the wait until the cause of a loss is known. The machine of a backend
-// server that crashed refuses connections at once.
+// maxLossWait bounds the wait until the cause of a loss is known. A short bound suffices: the
+// machine of a backend server that crashed refuses connections at once.
 const maxLossWait = 250 * time.Millisecond
 
-// AwaitExamination delays a request that may have crashed its backend servers until it is known whether
-// the latest one crashed too, before the request is sent on. Other requests don't wait.
+// AwaitExamination delays a request that may have crashed its backend servers, before it is
+// sent to the next one, until it is known whether the latest backend server crashed too, at
+// most for maxLossWait. Requests that aren't suspected don't wait.
 func (s *Submission) AwaitExamination(ctx context.Context, examined <-chan struct{}) {
 	if examined == nil || !s.Suspected() {
 		return
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -58,7 +58,7 @@
 	return out
 }
 
-// String formats the crashes for the log.
+// String formats the crashes of the report as text for the log.
 func (r *Report) String() string {
 	var out []string
 	for _, c := range r.Crashes {
@@ -67,8 +67,8 @@
 	return strings.Join(out, "; ")
 }
 
-// weakest returns the suspect with the least evidence against it, of equal ones the least
-// recently updated.
+// weakest returns the suspect with the least evidence against it. Of suspects with equal
+// evidence it returns the one that was updated least recently.
 func (t *Tracker) weakest(now time.Duration, among func(*suspect) bool) *suspect {
 	var least *suspect
 	for _, s := range t.suspects {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -10,22 +10,24 @@
 	// minCrashes is how many backend servers must have crashed under a request before it is
 	// quarantined.
 	minCrashes = 3
-	// minUnsharedCrashes is how many of these crashes must be ones at which no other suspected
-	// request was running. With conclusiveCrashes or more that isn't required.
+	// minUnsharedCrashes is the least number of these crashes at which no other suspected
+	// request was running. With conclusiveCrashes crashes or more this isn't required.
 	minUnsharedCrashes = 2
 	conclusiveCrashes  = 5
 	// earlyWindow is how long after its first token or chunk a run may still be what made its
 	// backend server crash. Runs that last longer are assumed not to have caused the
 	// crash (bystanders).
 	earlyWindow = time.Second
-	// backgroundExits other backend servers that exited within backgroundWindow raise the
-	// required number of crashes by one.
+	// If backgroundExits other backend servers exited within backgroundWindow, the required
+	// number of crashes is one higher, since some requests are then running at three crashes
+	// by chance.
 	backgroundExits  = 5
 	backgroundWindow = 10 * time.Second
 	// crashTTL is how long a crash counts.
 	crashTTL = 10 * time.Minute
-	// answerGrace is how long after an answer crashes don't count: a request that many clients
-	// send is answered again and again while backend servers crash for other reasons.
+	// answerGrace is how long crashes under a request don't count after an answer to it: a
+	// request that many clients send is answered again and again while backend servers crash
+	// for other reasons.
 	answerGrace = 10 * time.Second
 	// decisionDelay is how long after a crash reports that explain it may still arrive: exits of
 	// other backend servers at the same moment, or answers at other routers. A request that is
@@ -42,7 +44,7 @@
 	maxSuspects           = 2048
 	maxSuspectsPerAccount = 256
 	maxCrashesPerSuspect  = 32
-	// manyCrashes is more crashes than any request is present at by chance.
+	// manyCrashes is a number of crashes at which no request is running by chance.
 	manyCrashes = 16
 	// maxExits bounds the number of incarnations whose exits are remembered.
 	maxExits = 1024
@@ -74,8 +76,8 @@
 // Empty reports whether no request is suspected.
 func (t *Tracker) Empty() bool { return len(t.suspects) == 0 }
 
-// Exited records that a backend server exited on its own, not with its failure domain, whatever
-// was running there. added is false if that was known.
+// Exited records that a backend server exited on its own, not with its failure domain,
+// whatever was running there. added is false if the exit was known already.
 func (t *Tracker) Exited(incarnation string, at time.Duration) (added bool) {
 	return t.exits.add(incarnation, at)
 }
@@ -209,7 +211,7 @@
 	return s != nil && s.holdUntil > now
 }
 
-// Suspected reports whether one more crash may be enough to quarantine the request.
+// Suspected reports whether one more crash under the request may be enough to quarantine it.
 func (t *Tracker) Suspected(d Digest, now time.Duration) bool {
 	s := t.suspects[d]
 	return s != nil && len(t.countedCrashes(s, now)) >= minCrashes-1
@@ -278,7 +280,7 @@
 	}
 }
 
-// suspect returns the entry of a request, a new one if there is none.
+// suspect returns the entry of a request, and adds an entry if the request has none.
 func (t *Tracker) suspect(d Digest, account string, now time.Duration) *suspect {
 	if s := t.suspects[d]; s != nil {
 		return s
@@ -304,7 +306,8 @@
 	}
 }
 
-// unindex removes s from the requests that a crash counts against.
+// unindex removes s from the list of requests that are suspected of the crash of an
+// incarnation.
 func (t *Tracker) unindex(s *suspect, incarnation string) {
 	remaining := slices.DeleteFunc(t.suspectsByCrash[incarnation], func(d Digest) bool { return d == s.digest })
 	if len(remaining) == 0 {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -20,7 +20,8 @@
 	return tr.IsQuarantined(digestOf(request), at+decisionDelay)
 }
 
-// Guards against: a request is not quarantined after the third crash under it.
+// A request must be quarantined after the third crash under it, not earlier, and only for
+// HoldTime.
 func TestThirdCrashHoldsARequestBack(t *testing.T) {
 	tr := NewTracker()
 	for i, want := range []bool{false, false, true} {
@@ -33,8 +34,8 @@
 	}
 }
 
-// Guards against: reports of a crash that arrive twice, from several routers or out of order,
-// count twice.
+// Several reports of one crash must count once, although they arrive twice, from several
+// routers or out of order.
 func TestOneCrashCountsOnce(t *testing.T) {
 	tr := NewTracker()
 	for _, at := range []time.Duration{3, 1, 2, 1, 9} {
@@ -44,8 +45,9 @@
 	}
 }
 
-// Guards against: a request that many clients send is quarantined while backend servers crash
-// for other reasons.
+// A request that many clients send is running at many crashes while backend servers crash for
+// other reasons. Its answers must keep it from being quarantined, and a later answer must end
+// its hold.
 func TestAnswersClearARequest(t *testing.T) {
 	tr := NewTracker()
 	d := digestOf("hot")
@@ -70,8 +72,9 @@
 	}
 }
 
-// Guards against: a request that was answered long ago, or for which the report of such an
-// answer arrives late, can never be quarantined.
+// An answer from long before the crashes must not clear a request. Otherwise a request that
+// was answered once, or for which the report of an old answer arrives late, can never be
+// quarantined.
 func TestOldAnswersClearNothing(t *testing.T) {
 	tr := NewTracker()
 	d := digestOf("bad")
@@ -93,8 +96,8 @@
 	}
 }
 
-// Guards against: a request that ran alongside the one that causes the crashes is quarantined
-// for them.
+// A request that only runs alongside the request that causes the crashes must not be
+// quarantined for these crashes. It must still be quarantined for crashes of its own.
 func TestCrashIsHeldAgainstOneRequest(t *testing.T) {
 	tr := NewTracker()
 	for i := range 3 {
@@ -113,8 +116,9 @@
 	}
 }
 
-// Guards against: of two requests that were running at the same crashes the wrong one stays
-// quarantined, whichever was reported first.
+// Two requests were running at the same crashes, and only one of them causes crashes. The next
+// crashes must show which: whichever of the two was reported first, the other must not stay
+// quarantined in its place.
 func TestTwinsAreToldApartByTheNextCrashes(t *testing.T) {
 	for _, order := range [][]string{{"bad", "beside"}, {"beside", "bad"}} {
 		tr := NewTracker()
@@ -134,8 +138,8 @@
 	}
 }
 
-// Guards against: one client account fills the table, so that crashes under the requests of
-// other accounts are forgotten.
+// One client account must not fill the table of suspects, since the tracker would then forget
+// crashes under the requests of other accounts.
 func TestOneAccountCannotFillTheTable(t *testing.T) {
 	tr := NewTracker()
 	crash(tr, "bad", "e0", 0)
@@ -163,8 +167,8 @@
 	}
 }
 
-// Guards against: requests of different client accounts, hosts or paths get the same digest
-// because bytes move from one field to the next.
+// Requests of different client accounts, hosts or paths must not get the same digest because
+// bytes move from one field to the next.
 func TestDigestKeepsFieldsApart(t *testing.T) {
 	seen := map[Digest]bool{}
 	for _, s := range []Subject{
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -57,15 +57,17 @@
 }
 
 const (
-	// sendDelay lets updates that arise together go out in one message.
+	// sendDelay is how long an update waits, so that updates that arise together go out in one
+	// message.
 	sendDelay = 2 * time.Millisecond
-	// sendBurst messages of one router go out at once, and after that one each sendInterval: a
-	// replica set that crashes under many requests must not saturate the connections of all
-	// routers.
+	// A router sends sendBurst messages without delay, and after that one message per
+	// sendInterval: a replica set that crashes under many requests must not saturate the
+	// connections of all routers.
 	sendBurst    = 8
 	sendInterval = 100 * time.Millisecond
-	// maxPending bounds the updates that wait for their message. Updates beyond it are
-	// dropped: a router that misses one receives the report of the next crash.
+	// maxPending bounds the updates that wait for their message. Updates beyond this bound are
+	// dropped, which does little harm: a router that misses the report of one crash receives
+	// the report of the next.
 	maxPending = 256
 )
 
@@ -75,12 +77,12 @@
 	pending Update
 	armed   bool
 	// nextFree is when the next message may go out if the burst is used up: each message moves
-	// it later by sendInterval.
+	// this time later by sendInterval.
 	nextFree time.Duration
 }
 
-// put adds an update. If arm is true the caller must call take after wait. kept is false if the
-// update was dropped.
+// put adds an update. If arm is true, the caller must call take when the time wait has passed.
+// kept is false if the update was dropped.
 func (o *outbox) put(n Update, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
