--- a/health/confirm.go
+++ b/health/confirm.go
@@ -9,22 +9,25 @@
 )
 
 // Where engines can be queried, a failure domain is suspected only after its members were
-// queried: what looks like a crash of all may be pauses, or resets of some connections.
+// queried: what looks like a crash of all members may be pauses of slow engines, or resets of
+// some connections.
 
 const reasonCommonSilence = "common silence"
 
-// queryDue reports whether the members are to be queried about their common silence at t: their
-// last reports count for runReportTTL.
+// queryDue reports whether the members are to be queried about their common silence at t, and
+// if so records t as the time of the query. No query is due within runReportTTL of the last
+// one, since the reports of the members still count.
 func (d *domain) queryDue(t int64) bool { return d.due(&d.queriedAt, t, runReportTTL) }
 
-// confirmSilence queries the silent members before their domain is suspected: most of them
-// must give no answer.
+// confirmSilence queries the silent members before their domain is suspected. The domain is
+// suspected only if most of the silent members give no answer.
 //
-// Without it, domains of slow engines would be suspected although they work. The probability
-// that a common silence is chance is estimated from the gaps seen so far; engines that read
-// prompts slowly pause their runs for longer than any gap before, several at once when several
-// prompts arrive. Their runs would be started again elsewhere, and the engines would get no
-// work for some seconds. For a domain that is down it costs the duration of the query.
+// Without the query, domains of slow engines would be suspected although the engines work. The
+// probability that a common silence is chance is estimated from the gaps seen so far; engines
+// that read prompts slowly pause their runs for longer than any gap before, several at once
+// when several prompts arrive. Their runs would be started again elsewhere, and the engines
+// would get no work for some seconds. Where the domain is down, the query delays the detection
+// by its duration.
 func (m *Monitor) confirmSilence(d *domain, silent []*engine) {
 	answered := m.queryAlive(silent)
 	noAnswer := len(silent) - len(answered)
@@ -37,14 +40,14 @@
 
 // confirmCrash queries the members that failed before their domain is suspected.
 //
-// Without it, engines that reset some of their connections would be taken for a crash of their
-// domain as soon as two do so at the same moment. All routers would send the domain no work for
-// some seconds and start its runs again elsewhere, so that a third of the engines would have no
-// work while all of them are healthy.
+// Without this query, a domain would be taken for crashed as soon as two of its engines reset
+// some of their connections at the same moment. All routers would send the domain no work for
+// some seconds and start its runs again elsewhere, so that a third of the engines would have
+// no work while all of them are healthy.
 //
-// Members that did not fail are queried too, and most members must be down: engines that crashed
-// each while it ran a different request, or that crashed in one rack, don't show that the domain
-// is down.
+// Members that did not fail are queried too, and the domain is not suspected if most of the
+// members that failed or were queried work. A few engines that crashed, each while it ran a
+// different request, or all in one rack, don't show that the domain is down.
 func (m *Monitor) confirmCrash(d *domain, t int64) {
 	defer d.endConfirmation()
 	witnesses := d.sampleOthers(t)
@@ -70,9 +73,10 @@
 	}
 }
 
-// majorityWorks reports whether most of the members that failed or were queried work. down is the
-// number of those that failed, queried the number of results to come. It returns as soon as the
-// answer is certain.
+// majorityWorks reports whether most of the members that failed or were queried work. down is
+// the number of members that failed, queried the number of results that the channel will
+// deliver. The method doesn't wait for the remaining results once they can't change the
+// answer.
 func (m *Monitor) majorityWorks(results <-chan queryResult, down, queried int) bool {
 	all, working := down+queried, 0
 	for 2*down < all && 2*working <= all {
@@ -87,7 +91,8 @@
 	return 2*working > all
 }
 
-// recordConfirmed records that engines have just answered.
+// recordConfirmed records that engines have just answered a query, which exempts them from the
+// suspicion of their domain for activityWindow.
 func (m *Monitor) recordConfirmed(answered []*engine) {
 	t := m.sinceEpoch(time.Now())
 	for _, e := range answered {
@@ -114,13 +119,14 @@
 	return answered
 }
 
-// queryResult is the result of querying one engine; err is set if it gave no answer in time.
+// queryResult is the result of querying one engine; err is set if the engine gave no answer in
+// time.
 type queryResult struct {
 	from *engine
 	err  error
 }
 
-// queryAll queries engines concurrently. The channel delivers one result for each of them.
+// queryAll queries engines concurrently. The channel delivers one result for each engine.
 func (m *Monitor) queryAll(queried []*engine) <-chan queryResult {
 	results := make(chan queryResult, len(queried))
 	for _, e := range queried {
--- a/health/domain.go
+++ b/health/domain.go
@@ -12,35 +12,39 @@
 // The backend servers of one service in one failure domain crash together far more often than
 // by chance.
 //
-// If each were evaluated by itself, a silent crash would be found server by server, each after
-// its own threshold, so that callers would wait longer than necessary; and work, copies and
-// second attempts would still be sent to the members from which nothing was received since.
-// Requests would fail several times in a row, and copies would never be made. Evaluated
-// together, the silence of several servers can be told from chance much sooner, and a few
-// failures at the same moment are enough to avoid the whole domain for a while.
+// If each server were evaluated by itself, a silent crash would be found server by server,
+// each after its own threshold, so that callers would wait longer than necessary; and work,
+// copies and second attempts would still be sent to the members from which nothing was
+// received since the crash. Requests would fail several times in a row, and copies would never
+// be made. If the servers are evaluated together, the silence of several servers can be
+// distinguished from chance much sooner, and a few failures at the same moment are enough to
+// avoid the whole domain for a while.
 const (
 	// minDomainSize is the number of members from which a domain is evaluated as a whole.
 	minDomainSize = 4
-	// minDomainFailures is how many members must fail within domainFailureWindow, which two
-	// unrelated ones rarely do.
+	// minDomainFailures is how many members must fail within domainFailureWindow before a
+	// crash of the domain is considered. Two members rarely fail so close together for
+	// unrelated reasons.
 	minDomainFailures = 2
 	// minDomainDecoding is how many members must be decoding for their common silence to
-	// count: two often read prompts at the same time.
+	// count: two members are often silent together because both read prompts.
 	minDomainDecoding   = 3
 	domainFailureWindow = 300 * time.Millisecond
-	// domainSample is how many members that did not fail are queried to see whether they work.
+	// domainSample is how many of the members that did not fail are queried, to find out
+	// whether most of the domain works.
 	domainSample = 5
-	// minDomainSilence is the least silence of each member that counts. Pauses up to it are
-	// normal: a prompt is read between two decode steps.
+	// minDomainSilence is how long each decoding member must be silent at least before their
+	// common silence counts. Shorter pauses are normal: a prompt is read between two decode
+	// steps.
 	minDomainSilence = 220 * time.Millisecond
-	// maxChance bounds the probability that all decoding members are silent by chance: below it
+	// maxChance is the probability that all decoding members are silent by chance below which
 	// their common silence is taken for a crash.
 	maxChance = 1e-4
 	// crashedStreamSilence is the silence from which a stream of a crashed domain is resumed
 	// elsewhere. Other streams are evaluated as usual.
 	crashedStreamSilence = 150 * time.Millisecond
-	// domainCrashWindow is the time within which all failures belong to one crash: crashed
-	// replicas are seldom back sooner.
+	// domainCrashWindow is how long after a crash further failures of the domain belong to the
+	// same crash: crashed replicas seldom work again sooner, so a second crash is unlikely.
 	domainCrashWindow = 2 * time.Second
 	// activityWindow is how recent a member's activity must be to exempt it from the suspicion
 	// of its domain.
@@ -57,7 +61,8 @@
 	failed  map[*engine]int64 // when each member that failed did so last
 
 	crashedAt int64 // 0 if never
-	// confirming is set while members are queried to find out whether the domain crashed.
+	// confirming is true while members that failed are queried to find out whether the domain
+	// crashed, so that one confirmation runs at a time.
 	confirming bool
 	queriedAt  int64 // when its members were last queried about their common silence, 0 if never
 }
@@ -93,7 +98,7 @@
 	return len(d.members)
 }
 
-// list returns the members.
+// list returns the members of the domain.
 func (d *domain) list() []*engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,9 +109,10 @@
 	return out
 }
 
-// recordFailure records that e failed at t, and reports whether the caller must confirm that the
-// domain crashed. That is so for each failure of a series, except while a confirmation is under
-// way or when the crash is already known.
+// recordFailure records that e failed at t, and reports whether the caller must confirm that
+// the domain crashed. The result is true for each failure that makes at least
+// minDomainFailures members fail within domainFailureWindow, except while a confirmation is
+// under way or when the crash is already known.
 func (d *domain) recordFailure(e *engine, t int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -168,7 +174,9 @@
 	delete(d.failed, e)
 }
 
-// recordFailure records one failure, and handles the crash of a domain that follows from it.
+// recordFailure records one failure of e. If failures of several members at the same moment
+// suggest that the domain crashed, it has the crash confirmed by a query, or handles the crash
+// at once where engines can't be queried.
 func (m *Monitor) recordFailure(e *engine, t int64) {
 	d := e.domain.Load()
 	if d == nil || !d.recordFailure(e, t) {
@@ -202,8 +210,8 @@
 }
 
 // domainCrashed keeps new work away from all members without recent activity, and has their
-// streams resumed elsewhere. It does so once for each crash: what follows within
-// domainCrashWindow belongs to the same crash.
+// streams resumed elsewhere. It acts once for each crash: a further call within
+// domainCrashWindow belongs to the same crash and has no effect.
 func (m *Monitor) domainCrashed(d *domain, t int64, reason string) {
 	if !d.recordCrash(t) {
 		return
@@ -229,11 +237,11 @@
 	return t-max(e.lastToken.Load(), e.lastConfirmedAt.Load()) < int64(activityWindow)
 }
 
-// recordCrash records a crash at t, and reports whether it is a new one.
+// recordCrash reports whether a crash noticed at t is a new crash, and records t if so.
 func (d *domain) recordCrash(t int64) bool { return d.due(&d.crashedAt, t, domainCrashWindow) }
 
-// due reports whether *last is at least span before t, or was never set, and sets it to t if
-// so.
+// due reports whether *last is at least span before t, or 0 because it was never set. If so,
+// due sets *last to t.
 func (d *domain) due(last *int64, t int64, span time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -300,7 +308,8 @@
 }
 
 // silentStreams selects the streams of a member of a crashed domain that are to be cancelled:
-// those that wait for their first token, and those that are silent for crashedStreamSilence.
+// streams that wait for their first token, and streams that are silent for
+// crashedStreamSilence.
 func (e *engine) silentStreams(t int64) evaluation {
 	return e.selectStreams(ErrSuspect, func(s *Stream) bool {
 		return !s.blocked.Load() && (s.lastToken.Load() == 0 || s.silence(t) >= crashedStreamSilence)
--- a/health/domain_test.go
+++ b/health/domain_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// runWithLongBounds calls run with bounds for a single engine that are longer than those of a
-// domain.
+// runWithLongBounds calls run with bounds on the silence of a single engine that are longer
+// than the bounds on a domain, so that only the evaluation of the domain can suspect an engine
+// that soon.
 func runWithLongBounds(t *testing.T, f func(m *Monitor)) {
 	run(t, func(m *Monitor) {
 		m.policy.MinSilence = 600 * time.Millisecond
@@ -27,10 +28,10 @@
 	}
 }
 
-// Guards against: after a silent crash of a failure domain each member is evaluated by itself,
-// so that callers wait longer than necessary, and a prompt that was being read there is waited
-// for until TCP gives up. Three engines of the domain decode and a fourth reads a prompt when
-// all fall silent.
+// After a silent crash of a failure domain, its members must be evaluated together. If each is
+// evaluated by itself, callers wait longer than necessary, and for a prompt that was being
+// read there they wait until TCP gives up. In the test three engines of the domain decode and
+// a fourth reads a prompt when all fall silent.
 func TestSilentDomainIsOneEvent(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 6, "a", "b")
@@ -60,9 +61,10 @@
 	})
 }
 
-// Guards against: each wave of resumes is taken for a crash of the domain and its runs are moved
-// once more. Two engines that read prompts at the same moment both pause for longer than
-// minDomainSilence; two members are too few to show that the domain crashed.
+// Two engines that read prompts at the same moment both pause for longer than
+// minDomainSilence. Two members are too few to show that the domain crashed: otherwise each
+// wave of resumes, which makes engines read prompts, is taken for a crash and the runs are
+// moved once more.
 func TestTwoPausesAreNoCrash(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 6, "a")
@@ -76,8 +78,9 @@
 	})
 }
 
-// Guards against: copies and second attempts are still sent to a domain that crashed, after the
-// connections of two members broke at the same moment.
+// When the connections of two members break at the same moment, their domain must count as
+// crashed, so that no more copies and second attempts are sent to the other members, which
+// crashed too.
 func TestFailuresAtOneMomentAreACrash(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 6, "a")
@@ -96,8 +99,9 @@
 	})
 }
 
-// Guards against: a router that is isolated from a domain makes all routers avoid it, because
-// its report counts although other routers receive tokens from the domain's members.
+// A router that receives tokens from a member of a domain must ignore another router's report
+// that the domain crashed. Otherwise a router that is isolated from the domain makes all
+// routers avoid the domain.
 func TestRumourDoesNotOutweighASignOfLife(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 6, "a")
--- a/health/engine.go
+++ b/health/engine.go
@@ -13,7 +13,8 @@
 	lastToken atomic.Int64 // time of the last token on any stream
 	gaps      Gaps
 	domain    atomic.Pointer[domain] // nil until its failure domain is set
-	// lastConfirmedAt is when it last answered a query about its domain, 0 if never.
+	// lastConfirmedAt is when the backend server last answered a query about its failure
+	// domain, or 0 if it never did.
 	lastConfirmedAt atomic.Int64
 
 	mu                     sync.Mutex
@@ -37,7 +38,8 @@
 	query                  runQuery
 }
 
-// silence returns the time since the last token on any stream, without pauses of this process.
+// silence returns the time since the last token on any stream of the engine, less the time for
+// which this process was paused.
 func (e *engine) silence(now int64) time.Duration {
 	last := e.lastToken.Load()
 	d := time.Duration(now - last)
@@ -76,9 +78,9 @@
 	e.retryAt = now + int64(e.backoff)
 }
 
-// recordLate records a late answer and reports whether the engine is to be ejected. While it is
-// ejected only the result of its probe counts: otherwise each call that was sent before the
-// ejection would double the backoff.
+// recordLate records a late answer and reports whether the engine is to be ejected. While the
+// engine is ejected, a late answer counts only if a probe is under way: otherwise each call
+// that was sent before the ejection would double the backoff.
 func (e *engine) recordLate(t int64, p *Policy) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +94,7 @@
 	return e.lateInRow >= p.LateAfter && t-e.lateSince >= int64(p.LateSpan)
 }
 
-// recover returns the engine to Healthy.
+// recover sets the engine's state to Healthy and drops the evidence against the engine.
 func (e *engine) recover() {
 	e.state = Healthy
 	e.refusedInRow = 0
@@ -101,7 +103,8 @@
 	e.peerReportUntil = 0
 }
 
-// currentState returns the state at now: an ejected engine whose backoff has ended may be probed.
+// currentState returns the state of the engine at now. It is Probing for an ejected engine
+// whose backoff has ended.
 func (e *engine) currentState(now int64) State {
 	if e.state == Healthy {
 		return Healthy
@@ -112,7 +115,8 @@
 	return Probing
 }
 
-// probeFree reports whether no probe is under way.
+// probeFree reports whether a probe may be sent: no probe is under way, or the result of the
+// last probe has not come in time.
 func (e *engine) probeFree(now int64) bool {
 	return !e.probeInFlight || now >= e.probeUntil
 }
@@ -145,8 +149,8 @@
 	return false
 }
 
-// markCancelled keeps streams from being evaluated again before their owners close them; each
-// further suspicion would double the backoff.
+// markCancelled marks streams as cancelled, so that they aren't evaluated again before their
+// owners close them: each further suspicion would double the backoff.
 func (e *engine) markCancelled(streams []*Stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -162,7 +166,8 @@
 	return e.state == Suspect && t-e.stateSince < int64(d)
 }
 
-// needsCheck reports whether streams are open, or e was suspected less than d ago.
+// needsCheck reports whether ticks have to check e: e has open streams, or was suspected less
+// than d ago.
 func (e *engine) needsCheck(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/gaps.go
+++ b/health/gaps.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// buckets covers gaps from 1 ms to about 16 s, four to each doubling.
+	// buckets is the number of buckets. They cover gaps from 1 ms to about 16 s, with four
+	// buckets to each doubling of the gap.
 	buckets      = 60
 	perDoubling  = 4
 	smallestGap  = time.Millisecond
@@ -21,9 +22,9 @@
 	pauseShare   = 0.005 // share of the synthetic prior: gaps of ten steps, for pauses
 )
 
-// Gaps is a histogram of the gaps between an engine's tokens. Counts are
-// halved when it is full, so that it follows an engine whose load changes.
-// Add may be called from several goroutines.
+// Gaps is a histogram of the gaps between an engine's tokens. All counts are halved when the
+// histogram holds maxSamples samples, so that it follows an engine whose load changes. Add may
+// be called from several goroutines.
 type Gaps struct {
 	n     atomic.Uint32
 	count [buckets]atomic.Uint32
@@ -90,8 +91,9 @@
 	return s
 }
 
-// WithPrior adds a prior, scaled to a fixed number of samples so that it dominates while an engine
-// has few samples and fades as its own come in.
+// WithPrior returns the distribution with a prior added. The prior is scaled to a fixed number
+// of samples, so that it dominates while an engine has few samples, and weighs less and less
+// as the engine's own samples arrive.
 func (s Shares) WithPrior(prior Shares) Shares {
 	if prior.Samples == 0 {
 		return s
@@ -126,11 +128,12 @@
 	return sum / s.Samples
 }
 
-// survival returns, for each bucket bound, the probability that a healthy gap is longer. A small
-// share of gaps is assumed to lie beyond what was seen: without it, the first gap longer than all
-// earlier ones would count as proof of a failure. The share is the same for all engines, since
-// they share their samples through the prior; an engine with few samples is no likelier to pause
-// than one with many. It falls off by a Pareto law with the given exponent.
+// survival returns, for each bucket bound, the probability that a healthy gap is longer than
+// the bound. A small share of gaps is assumed to be longer than all gaps seen: without this
+// share, the first gap longer than all earlier gaps would count as proof of a failure. The
+// share is the same for all engines, since they share their samples through the prior; an
+// engine with few samples is no likelier to pause than an engine with many. Within this share,
+// longer gaps become rarer by a Pareto law with the given exponent.
 func (s *Shares) survival(exponent float64) [buckets]float64 {
 	scale := s.quantile(tailQuantile).Seconds()
 	var out [buckets]float64
--- a/health/health.go
+++ b/health/health.go
@@ -39,7 +39,8 @@
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
 	// ErrStalled means that one stream fell silent while others of its engine did not.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
-	// ErrRestarted means that the engine has restarted and has lost the runs from before.
+	// ErrRestarted means that the engine has restarted and has lost the runs that it had
+	// before.
 	ErrRestarted error = &Cause{"engine has started again"}
 	// ErrNoFirstToken means that the wait for the first token exceeded its bound.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
@@ -55,7 +56,8 @@
 	Suspect
 	// Down backend servers refused connections; they get no work until their backoff ends.
 	Down
-	// Probing backend servers may get a single request, whose answer decides.
+	// Probing backend servers were ejected, and their backoff has ended. They may get a single
+	// request, whose answer decides whether they become healthy or are ejected again.
 	Probing
 )
 
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -17,8 +17,9 @@
 	// recovers, so that other routers can be notified. It must not block.
 	OnChange func(backend, incarnation string, kind PeerReportKind)
 
-	// RunQuerier, set before use, queries an engine before it is suspected for its
-	// silence. Nil where engines can't be queried.
+	// RunQuerier, set before use, queries an engine before the engine is suspected for its
+	// silence. It is nil where engines can't be queried; then silence alone makes an engine
+	// suspect.
 	RunQuerier RunQuerier
 
 	// OnDomain, set before use, is called once when a failure domain is assumed to
@@ -39,9 +40,9 @@
 	mu      sync.RWMutex
 	engines map[string]*engine
 
-	// watched holds the engines that a tick has to check: those with open streams, and
-	// those suspected recently. With thousands of known engines and a few in use, checking
-	// each of them in each tick would cost more than everything else.
+	// watched holds the engines that a tick has to check: engines with open streams, and
+	// engines suspected recently. With thousands of known engines and a few in use, checking
+	// every known engine in each tick would cost more than everything else.
 	watchMu sync.Mutex
 	watched map[*engine]struct{}
 
@@ -50,8 +51,8 @@
 	suspects, stalls, noFirstTokens, restarts, pauses, massHolds, queries *metrics.Counter
 }
 
-// NewMonitor returns a Monitor. A nil log drops all events, and a nil set is replaced by one that
-// isn't exported.
+// NewMonitor returns a Monitor. With a nil log all events are dropped; with a nil set the
+// metrics are counted in a set that isn't exported.
 func NewMonitor(policy Policy, log *event.Log, set *metrics.Set) *Monitor {
 	if set == nil {
 		set = metrics.NewSet()
@@ -94,7 +95,8 @@
 	return e
 }
 
-// Forget drops a backend server that left the fleet, unless streams are open.
+// Forget drops the record of a backend server that left the fleet, unless the record has open
+// streams.
 func (m *Monitor) Forget(backend string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,9 +138,9 @@
 	Received    int // tokens of the answer that earlier attempts delivered
 }
 
-// Watch starts to monitor one attempt. Its cancel function is called with one of the causes of
-// this package, such as ErrSuspect or ErrStalled, when it should be resumed elsewhere. The caller
-// must call Close on the Stream in any case.
+// Watch starts to monitor one attempt. The function cancel is called with one of the causes of
+// this package, such as ErrSuspect or ErrStalled, when the attempt should be resumed
+// elsewhere. The caller must call Close on the Stream in any case.
 func (m *Monitor) Watch(backend string, work Work, cancel context.CancelCauseFunc) *Stream {
 	now := m.sinceEpoch(time.Now())
 	s := &Stream{monitor: m, engine: m.engine(backend), cancel: cancel, work: work, openedAt: now}
@@ -161,7 +163,8 @@
 	m.watched[e] = struct{}{}
 }
 
-// inUse returns the engines to check, and drops those that need no check any more.
+// inUse returns the engines that this tick has to check, and removes from watched the engines
+// that need no check any more.
 func (m *Monitor) inUse(t int64) []*engine {
 	m.watchMu.Lock()
 	defer m.watchMu.Unlock()
@@ -176,7 +179,8 @@
 	return out
 }
 
-// Run ticks while streams are open, until ctx ends.
+// Run evaluates the engines at each tick while streams are open, and waits while none is. It
+// returns when ctx ends.
 func (m *Monitor) Run(ctx context.Context) error {
 	for {
 		select {
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// step is the decode step of the engines in these tests.
+// step is the duration of a decode step of the engines in these tests.
 const step = 30 * time.Millisecond
 
 // attempt is a monitored stream of a test engine.
@@ -55,10 +55,10 @@
 	synctest.Wait()
 }
 
-// Guards against: callers of a frozen engine wait for ever, since no reset comes. Four engines
-// decode and one stops on all of its streams. Its streams must be cancelled with a cause that
-// requests a resume, the others not; later a single probe at a time may be sent to it, and a
-// token makes it healthy again.
+// A frozen engine sends no reset, so its callers would wait for ever. Four engines decode and
+// one of them stops on all of its streams. The streams of the stopped engine, and no others,
+// must be cancelled with a cause that requests a resume. Later a single probe at a time may be
+// sent to this engine, and a token makes it healthy again.
 func TestFrozenEngineIsSuspectedAndProbed(t *testing.T) {
 	run(t, func(m *Monitor) {
 		var reports []PeerReportKind
@@ -92,9 +92,10 @@
 	})
 }
 
-// Guards against: one preempted stream makes its whole engine look dead. Two streams decode, one
-// stops and the other goes on. Only the silent one may be cancelled, as stalled, and not before
-// the longer bound for single streams. A stream whose caller takes no tokens is never evaluated.
+// One preempted stream must not make its whole engine look dead. Two streams decode, one stops
+// and the other goes on. Only the silent stream may be cancelled, as stalled, and not before
+// the longer bound for single streams. A stream whose caller takes no tokens is never
+// evaluated.
 func TestStalledStreamIsJudgedApart(t *testing.T) {
 	run(t, func(m *Monitor) {
 		live, silent, blocked := start(m, "e0", 100), start(m, "e0", 100), start(m, "e0", 100)
@@ -114,9 +115,9 @@
 	})
 }
 
-// Guards against: after the VM of this process was frozen, all streams are resumed at once
-// although no engine failed. Tokens come, this process sleeps for ten seconds, then ticks before
-// any reader has run, so that silence is measured over a time in which nothing could be
+// After the VM of this process was frozen, the streams must not all be resumed at once
+// although no engine failed. Tokens arrive, this process sleeps for ten seconds, then ticks
+// before any reader has run, so that silence is measured over a time in which nothing could be
 // received. The pause must also not enter the histogram of gaps, or later failures would be
 // waited out.
 func TestOwnPauseIsForgiven(t *testing.T) {
@@ -150,9 +151,9 @@
 	})
 }
 
-// Guards against: a failure of this process's own network makes it resume all streams of all
-// engines. Eight engines fall silent, not in the same tick. No more than the bounded share may be
-// acted on before MassSilence, then all.
+// A failure of this process's own network must not make it resume all streams of all engines.
+// Eight engines fall silent, not in the same tick. Before MassSilence no more than
+// MaxEjectedShare of the engines may be suspected, and after it all of them.
 func TestMassSilenceIsHeldBack(t *testing.T) {
 	run(t, func(m *Monitor) {
 		var all []*attempt
@@ -179,9 +180,9 @@
 	})
 }
 
-// Guards against: a stream is sometimes cancelled at its very first token. The engine was idle
-// for a minute; a tick falls between the two writes that record a first token, and finds a
-// decoding stream on an engine whose last token is a minute old.
+// A stream must not be cancelled at its very first token. The fault happens when the engine
+// was idle for a minute and a tick falls between the two writes that record a first token: the
+// tick finds a decoding stream on an engine whose last token is a minute old.
 func TestFirstTokenAfterIdleIsNoSilence(t *testing.T) {
 	m := NewMonitor(DefaultPolicy(), nil, nil)
 	now := time.Now()
@@ -195,8 +196,8 @@
 	}
 }
 
-// Guards against: one isolated router makes the others eject healthy engines. Its reports keep
-// arriving while tokens arrive too.
+// One isolated router must not make the other routers eject healthy engines. In the test its
+// reports that an engine is down keep arriving while tokens of that engine arrive too.
 func TestRumourAloneNeverEjects(t *testing.T) {
 	run(t, func(m *Monitor) {
 		s := start(m, "e0", 100)
@@ -210,9 +211,9 @@
 	})
 }
 
-// Guards against: a wave of errors ejects a whole replica set, and the load overwhelms the
+// A wave of errors must not eject so much of a replica set that the load overwhelms the
 // remaining replicas. For any sequence of refusals and successes no more than the configured
-// share may be unusable.
+// share of the replicas may be unusable.
 func TestEjectionIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
@@ -269,10 +270,11 @@
 	}
 }
 
-// Guards against: an engine that pauses now and then is suspected at each pause, for ever. It
-// falls silent for longer than its threshold, its streams are cancelled, and it answers again as
-// the same incarnation; the gap must be recorded although no stream was left to receive its next
-// token. The silence before a new incarnation was a crash and must not count as a pause.
+// An engine that pauses now and then must not be suspected at each pause for ever. The engine
+// falls silent for longer than its threshold, its streams are cancelled, and it answers again
+// as the same incarnation; the gap must be recorded although no stream was left to receive the
+// engine's next token. The silence before a new incarnation was a crash and must not count as
+// a pause.
 func TestSuspectedPauseIsLearned(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		run(t, func(m *Monitor) {
@@ -299,8 +301,8 @@
 }
 
 // The fixed timeout, the baseline that measurements compare with, must apply to each stream by
-// itself: a silent stream is cancelled after it although another stream of its engine is alive,
-// and not before it.
+// itself: a silent stream is cancelled when the timeout has passed, and not before, although
+// another stream of its engine is alive.
 func TestFixedTimeoutJudgesEachStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := DefaultPolicy()
@@ -325,10 +327,10 @@
 	})
 }
 
-// Guards against: a stalled replica keeps its share of all calls, because a single late answer
-// has no effect; or a healthy replica is ejected, because it has too much. The cases are: late
-// answers only; late ones with answers in between; many late ones at the same moment, as when a
-// packet is lost; a probe that is answered late.
+// Late answers must count as weak evidence. If they have too little effect, a stalled replica
+// keeps its share of all calls; if a single late answer has too much effect, a healthy replica
+// is ejected. The cases are: late answers only; late answers with answers in between; many
+// late answers at the same moment, as when a packet is lost; a probe that is answered late.
 func TestLateAnswersAreWeakEvidence(t *testing.T) {
 	run(t, func(m *Monitor) {
 		p := &m.policy
--- a/health/policy.go
+++ b/health/policy.go
@@ -18,19 +18,19 @@
 	TokenBytes float64 `json:"token_bytes"`
 	// TypicalGap is the gap between tokens assumed before any was observed.
 	TypicalGap time.Duration `json:"typical_gap"`
-	// TailExponent is how fast healthy gaps longer than all seen are assumed to
-	// become rarer: twice as long is 2^TailExponent times as rare. A low value
-	// accepts long silences.
+	// TailExponent is how fast healthy gaps longer than all gaps seen are assumed to become
+	// rarer: a gap twice as long is 2^TailExponent times as rare. With a low value long
+	// silences are accepted.
 	TailExponent float64 `json:"tail_exponent"`
-	// FixedTimeout, above 0, replaces the evaluation of silence: each stream is
-	// cancelled after it, whatever the engine's other streams do.
+	// FixedTimeout, if above 0, replaces the evaluation of silence: a stream that is silent
+	// for this long is cancelled, whatever the engine's other streams do.
 	FixedTimeout time.Duration `json:"fixed_timeout"`
-	// MinSilence and MaxSilence bound the silence of an engine before it is
-	// suspected.
+	// MinSilence and MaxSilence are the least and the greatest threshold of silence from which
+	// an engine is suspected.
 	MinSilence time.Duration `json:"min_silence"`
 	MaxSilence time.Duration `json:"max_silence"`
-	// StallFactor times the engine's threshold, at least MinStall and at most
-	// MaxStall, is the bound on one silent stream while others of its engine are alive.
+	// StallFactor times the engine's threshold, at least MinStall and at most MaxStall, is how
+	// long one stream may be silent while other streams of its engine are alive.
 	StallFactor float64       `json:"stall_factor"`
 	MinStall    time.Duration `json:"min_stall"`
 	MaxStall    time.Duration `json:"max_stall"`
@@ -46,21 +46,23 @@
 	PeerReportFactor float64 `json:"rumour_factor"`
 	// PeerReportTTL is how long a peer report stays current.
 	PeerReportTTL time.Duration `json:"rumour_life"`
-	// DownAfter is the number of refused connections in a row before Down.
+	// DownAfter is the number of refused connections in a row after which a backend server is
+	// Down.
 	DownAfter int `json:"down_after"`
 	// LateAfter is the number of late answers in a row, over at least LateSpan,
 	// after which a backend server is suspected: see Monitor.Late.
 	LateAfter int           `json:"late_after"`
 	LateSpan  time.Duration `json:"late_span"`
-	// MinBackoff doubles with each failed probe up to MaxBackoff. ProbeTimeout
-	// frees the slot of a probe whose result never came.
+	// MinBackoff is how long an ejected backend server gets no work at first. This time
+	// doubles with each failed probe up to MaxBackoff. When a probe has had no result for
+	// ProbeTimeout, another probe may be sent.
 	MinBackoff   time.Duration `json:"min_backoff"`
 	MaxBackoff   time.Duration `json:"max_backoff"`
 	ProbeTimeout time.Duration `json:"probe_timeout"`
 	// MaxEjectedShare is the largest share of a replica set ejected at once.
 	MaxEjectedShare float64 `json:"max_ejected_share"`
-	// MassSilence is the silence required when more than MaxEjectedShare of the
-	// engines in use are silent together.
+	// MassSilence is the silence from which an engine is suspected while more than
+	// MaxEjectedShare of the engines in use are silent together.
 	MassSilence time.Duration `json:"mass_silence"`
 	// Tick is the interval of evaluation. A gap between ticks longer than
 	// PauseGap is a pause of this process. PauseGrace is added to the pause before it
--- a/health/query.go
+++ b/health/query.go
@@ -10,10 +10,11 @@
 // Before an engine is suspected for its silence, it is queried about its runs.
 //
 // Engines that have more work than they can do pause between the tokens of a stream: they read
-// prompts, or preempt a run for lack of memory. If they were taken for dead, their runs would be
-// started again elsewhere, where each reads its prompt once more, so that the fleet has even
-// more work: after a burst of requests most answers would be slow long after it has passed. A
-// dead engine doesn't answer, so that the query delays its detection only a little.
+// prompts, or preempt a run for lack of memory. If they were taken for dead, their runs would
+// be started again elsewhere, where the prompt of each run is read once more, so that the
+// fleet has even more work: after a burst of requests most answers would be slow long after
+// the burst has passed. A dead engine doesn't answer, so that the query delays its detection
+// only by queryTimeout.
 
 const (
 	// queryTimeout bounds the wait for an engine's report. It is shorter than the time after
@@ -22,17 +23,20 @@
 	// runReportTTL is how long an engine's report counts before it is queried again.
 	runReportTTL = 500 * time.Millisecond
 	// maxConfirmedSilence is the longest silence that is accepted of an engine that answers
-	// queries: a preempted run continues when its prompt has been read again.
+	// queries. It has to be this long since a preempted run continues only when its prompt has
+	// been read again.
 	maxConfirmedSilence = 4 * time.Second
-	// confirmedPrefillBounds is how many times the bound on a first token is waited out while
-	// an engine answers queries: it can't name the runs whose prompts are still to be read, only
-	// count them.
+	// confirmedPrefillBounds times the bound on a first token is how long a first token is
+	// waited for while the engine answers queries. An answer doesn't allow a longer wait,
+	// because an engine can't name the runs whose prompts are still to be read, but only count
+	// them.
 	confirmedPrefillBounds = 2
 )
 
 // RunQuerier queries backend servers about their runs.
 type RunQuerier interface {
-	// QueryRuns returns the report of one backend server; an error means that it gave none.
+	// QueryRuns returns the report of one backend server; an error means that the backend
+	// server gave no report.
 	QueryRuns(ctx context.Context, backend string) (RunReport, error)
 }
 
@@ -44,7 +48,8 @@
 	HasRun(request string, received int) bool
 }
 
-// runQuery is the last query that an engine was sent. Guarded by engine.mu.
+// runQuery is the last query that an engine was sent. It may be read and written only while
+// engine.mu is held.
 type runQuery struct {
 	sentAt int64 // 0 when it was never queried
 	open   bool  // no report has arrived yet
@@ -81,8 +86,9 @@
 	return notQueried
 }
 
-// silenceConfirmed reports whether a silence of e is to be acted on at t. If no current report is
-// known, it sends a query and returns false. The caller holds e.mu.
+// silenceConfirmed reports whether a silence of e is to be acted on at t. If e was not queried
+// within runReportTTL, it starts a query and returns false; a later tick decides by the
+// result. The caller holds e.mu.
 func (m *Monitor) silenceConfirmed(e *engine, silence time.Duration, t int64) bool {
 	if m.RunQuerier == nil || silence >= maxConfirmedSilence {
 		return true
@@ -109,8 +115,8 @@
 }
 
 // applyRunReport applies the report of an engine, or the error of the query. It returns the
-// streams that are to be cancelled: those that the engine doesn't have, or of which tokens were
-// lost.
+// streams that are to be cancelled: streams whose run the engine doesn't have, and streams of
+// which tokens were lost on the way.
 func (e *engine) applyRunReport(r RunReport, err error, sentAt int64) evaluation {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/query_test.go
+++ b/health/query_test.go
@@ -50,10 +50,10 @@
 	return streams
 }
 
-// Guards against: an engine that pauses is taken for dead by its silence alone. It reads several
-// prompts and pauses for longer than its threshold; if its runs are started again elsewhere,
-// their prompts are read once more, and after a burst of requests most answers are slow long
-// after the burst has passed.
+// An engine that pauses must not be taken for dead by its silence alone. The engine reads
+// several prompts and pauses for longer than its threshold; if its runs are started again
+// elsewhere, their prompts are read once more, and after a burst of requests most answers are
+// slow long after the burst has passed.
 func TestPausedEngineIsAskedFirst(t *testing.T) {
 	run(t, func(m *Monitor) {
 		a := &fakeQuerier{report: fakeReport{"q1": 13, "q2": 12}, delay: 5 * time.Millisecond}
@@ -76,9 +76,9 @@
 	})
 }
 
-// Guards against: a query that is waited for without a bound, so that answers pause for too long
-// when an engine dies silently. The engine does not answer the query, or only after
-// queryTimeout.
+// The wait for the answer to a query must be bounded: otherwise answers to callers pause for
+// too long when an engine dies silently. In the test the engine does not answer the query, or
+// only after queryTimeout.
 func TestEngineThatDoesNotAnswer(t *testing.T) {
 	for name, a := range map[string]*fakeQuerier{
 		"no answer":          {delay: time.Hour},
@@ -102,9 +102,9 @@
 	}
 }
 
-// Guards against: an answer stops for good while its engine works on, because any report of the
-// engine is taken to confirm each of its runs. A connection falls silent without a reset, or a
-// run ended and its answer was lost; the engine is queried and answers.
+// A report of an engine must not be taken to confirm each of the engine's runs: otherwise an
+// answer can stop for good while its engine works on. A connection falls silent without a
+// reset, or a run ended and its answer was lost; the engine is queried and answers.
 func TestRunThatAnEngineDoesNotHold(t *testing.T) {
 	for name, w := range map[string]fakeReport{
 		"it has made more than was received": {"q1": 13, "q2": 14},
@@ -137,10 +137,9 @@
 	return fakeReport{}, nil
 }
 
-// Guards against: all routers avoid a failure domain for seconds although its engines are
-// healthy, because two connection resets at the same moment are taken as proof of a crash. A
-// failure of an engine that is down must still count when it comes after failures of healthy
-// ones.
+// Two connection resets at the same moment must not be taken as proof of a crash: otherwise
+// all routers avoid a failure domain for seconds although its engines are healthy. A failure
+// of an engine that is down must still count when it comes after failures of healthy engines.
 func TestResetsOfSoundEnginesAreNoCrash(t *testing.T) {
 	for name, c := range map[string]struct {
 		alive   aliveSet
@@ -169,8 +168,8 @@
 	}
 }
 
-// Guards against: two engines crash at the same moment, each while it runs a different request, and
-// all routers avoid the ten healthy ones of their failure domain.
+// When two engines crash at the same moment, each while it runs a different request, the
+// routers must not avoid the ten healthy engines of the same failure domain.
 func TestTwoCrashesAreNotTheirDomains(t *testing.T) {
 	for name, c := range map[string]struct {
 		healthy int // healthy engines among those that did not fail
@@ -210,8 +209,9 @@
 	return s.aliveSet.QueryRuns(ctx, backend)
 }
 
-// Guards against: the loss of a domain is noticed late, because one member that is still running
-// takes long to answer, or because members were queried when only few had failed.
+// The crash of a domain must be noticed at once. The fault is that the Monitor waits for one
+// member that is still running and takes long to answer, or that it relies on a query from
+// when only few members had failed.
 func TestLostDomainIsNoticedAtOnce(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 8, "a")
@@ -242,11 +242,11 @@
 	})
 }
 
-// Guards against: healthy failure domains are suspected one after the other, and their engines
-// get no work for seconds, because common silence is taken as proof of a crash. Slow engines
-// read prompts at the same moment, so that all that decode in a domain pause for longer than any
-// gap before. Where most members don't answer a query it is still a crash, from which the
-// members that answer are exempt.
+// Common silence must not be taken as proof of a crash: otherwise healthy failure domains are
+// suspected one after the other, and their engines get no work for seconds. Slow engines read
+// prompts at the same moment, so that all decoding engines of a domain pause for longer than
+// any gap before. Where most members don't answer a query, the domain must still be suspected,
+// but not the members that answer.
 func TestCommonSilenceIsConfirmedByAsking(t *testing.T) {
 	for name, c := range map[string]struct {
 		alive   aliveSet
--- a/health/state.go
+++ b/health/state.go
@@ -8,9 +8,10 @@
 	"wigeondale/event"
 )
 
-// Result reports the end of a connection attempt, or of a call to a service that is not a model
-// engine: nil when the first byte of an answer came, otherwise the error. A connection that was
-// merely accepted is no success: the kernel of a frozen engine accepts too.
+// Result reports the end of a connection attempt, or of a call to a service that is not a
+// model engine: err is nil when the first byte of an answer came. A connection that was merely
+// accepted must not be reported as a success: the kernel of a frozen engine accepts
+// connections too.
 func (m *Monitor) Result(backend string, err error) {
 	e := m.engine(backend)
 	if err == nil {
@@ -76,13 +77,13 @@
 	e.gaps.Add(time.Duration(m.sinceEpoch(time.Now()) - lastToken))
 }
 
-// eject keeps new work from e, and records a failure in its domain.
+// eject keeps new work from e, and records the ejection as a failure in e's failure domain.
 func (m *Monitor) eject(e *engine, state State, t int64) {
 	m.ejectEngine(e, state, t)
 	m.recordFailure(e, t)
 }
 
-// ejectEngine keeps new work from e, and records no failure in its domain.
+// ejectEngine keeps new work from e, without recording a failure in e's failure domain.
 func (m *Monitor) ejectEngine(e *engine, state State, t int64) {
 	e.mu.Lock()
 	previous := e.state
@@ -123,11 +124,13 @@
 // reinstatedFor is how long an ejected engine that Usable reinstated may get work.
 const reinstatedFor = time.Second
 
-// Allow is called just before a request is sent, and reports whether it may be. For a healthy
-// backend server it is true, and so it is for one that Usable reinstated because of the ejection
-// bound. For one whose backoff ended it is true for a single request at a time, whose Token or
-// Result decides. A request can serve as the probe since work is idempotent or not yet sent; many
-// probes at once would be a retry storm on a server that just started.
+// Allow is called just before a request is sent to a backend server, and reports whether the
+// request may be sent. The result is true for a healthy backend server, and for a backend
+// server that Usable reinstated because of the ejection bound. For an ejected backend server
+// whose backoff has ended, the result is true for a single request at a time, which serves as
+// the probe: its Token or Result decides. A request can serve as the probe since work is
+// idempotent or not yet sent; many probes at once would be a retry storm on a backend server
+// that has just started.
 func (m *Monitor) Allow(backend string) bool {
 	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
@@ -144,9 +147,10 @@
 	return t < e.reinstatedUntil
 }
 
-// HandlePeerReport handles another router's report about one incarnation. It raises the prior
-// of failure for a while, and so shortens the accepted silence; it never ejects by itself, since
-// the other router may be the one that is isolated.
+// HandlePeerReport handles another router's report about one incarnation of a backend server.
+// The report raises the prior of failure for a while, and so shortens the accepted silence. A
+// report never ejects a backend server by itself, since the other router may be the one that
+// is isolated.
 func (m *Monitor) HandlePeerReport(backend, incarnation string, kind PeerReportKind) {
 	e := m.engine(backend)
 	t := m.sinceEpoch(time.Now())
@@ -162,8 +166,8 @@
 	e.peerReportUntil = t + int64(m.policy.PeerReportTTL)
 }
 
-// SetIncarnation sets which incarnation of a backend server answered last. A new one starts
-// without peer reports, and may be probed at once.
+// SetIncarnation sets which incarnation of a backend server answered last. Peer reports about
+// earlier incarnations no longer apply to a new incarnation, which may be probed at once.
 func (m *Monitor) SetIncarnation(backend, incarnation string) {
 	e := m.engine(backend)
 	e.mu.Lock()
@@ -187,10 +191,11 @@
 	since int64
 }
 
-// Usable returns for each member of a replica set whether it may get work; nil means that all
-// may. At most MaxEjectedShare of the set is ejected: beyond that, the members with the weakest
-// evidence are reinstated. When most of a fleet seems to be down, the error is usually on the
-// observer's side, and ejecting the rest would move the whole load onto the few left.
+// Usable returns for each member of a replica set whether the member may get work; nil means
+// that all members may. At most MaxEjectedShare of the set is ejected: beyond that, the
+// members with the weakest evidence against them are reinstated. When most of a fleet seems to
+// be down, the error is usually on the observer's side, and ejecting these members would move
+// the whole load onto the few left.
 func (m *Monitor) Usable(ids []string) []bool {
 	if m.ejected.Load() == 0 {
 		return nil
@@ -215,9 +220,10 @@
 	return usable
 }
 
-// selectReinstated returns the indices of ejected members to take back into use: silent ones
-// before those that refuse connections, and of each kind those ejected longest ago first, which
-// had most time to recover.
+// selectReinstated returns the indices of the ejected members to take back into use. Silent
+// members come before members that refuse connections, since silence is the weaker evidence;
+// of each kind the members ejected longest ago come first, since they had most time to
+// recover.
 func selectReinstated(out []ejectedMember, members int, share float64) []int {
 	excess := len(out) - int(share*float64(members))
 	if excess <= 0 {
--- a/health/stream.go
+++ b/health/stream.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// priorInterval is how many gaps of a stream there are for each one that also goes into the prior
-// shared by all engines. Recording all of them would make the prior's counters contended.
+// Of priorInterval gaps of a stream, one is also recorded in the prior that all engines share.
+// If all gaps were recorded there, many goroutines would contend for the prior's counters.
 const priorInterval = 16
 
 // Stream monitors one attempt on its engine. Token and SetBlocked may run concurrently with the
@@ -72,13 +72,15 @@
 	s.blocked.Store(blocked)
 }
 
-// received returns how many tokens of the answer came, from this attempt and earlier ones.
+// received returns how many tokens of the answer arrived, from this attempt and earlier
+// attempts.
 func (s *Stream) received() int { return s.work.Received + int(s.tokens.Load()) }
 
 // SetCopied sets whether a copy of the run's state is kept elsewhere.
 func (s *Stream) SetCopied(copied bool) { s.resumable.Store(copied) }
 
-// Close ends the monitoring. Call it as soon as the last token was read.
+// Close ends the monitoring of the attempt. The caller calls it as soon as the last token was
+// read.
 func (s *Stream) Close() {
 	if s.closed.Swap(true) {
 		return
@@ -95,8 +97,8 @@
 	s.pauseCredit += pause
 }
 
-// silence returns the time since the last token, or since the stream was opened, without
-// pauses of this process.
+// silence returns the time since the last token, or since the stream was opened if no token
+// has arrived, less the time for which this process was paused.
 func (s *Stream) silence(now int64) time.Duration {
 	last := s.lastToken.Load()
 	from := last
--- a/health/threshold.go
+++ b/health/threshold.go
@@ -71,15 +71,16 @@
 }
 
 const (
-	// maxFailureShare keeps a peer report from making every silence count as a failure.
+	// maxFailureShare is the largest prior that a gap is a failure. It keeps a peer report,
+	// which multiplies the prior, from making every silence count as a failure.
 	maxFailureShare = 0.5
 	// substeps divides a bucket, whose bounds are up to 25% apart, so that
 	// small differences of the weights have an effect.
 	substeps = 4
 )
 
-// bucket is a range of silences in seconds, with the survival at its ends.
-// Gaps are assumed to be evenly distributed within it.
+// bucket is a range of silences in seconds, with the survival, the probability that a healthy
+// gap is longer, at both ends. Gaps are assumed to be evenly distributed within a bucket.
 type bucket struct{ from, to, survivalFrom, survivalTo float64 }
 
 // costs is the state of the search for the silence of least cost, in seconds and units of cost.
--- a/health/threshold_test.go
+++ b/health/threshold_test.go
@@ -17,9 +17,9 @@
 	return History{Gaps: g.Shares(), Streams: 20, Bytes: 20 * 8000}
 }
 
-// Guards against: a wrong threshold, by which callers wait for seconds on dead engines or
-// prefill is repeated for engines that were merely slow. Each row changes one input
-// and states which way the threshold must move.
+// The threshold must follow the expected cost: with a wrong threshold callers wait for seconds
+// on dead engines, or prefill is repeated for engines that were merely slow. Each row changes
+// one input and states which way the threshold must move.
 func TestThresholdFollowsExpectedCost(t *testing.T) {
 	base := DefaultPolicy()
 	baseline := Threshold(history30(0, 0), &base)
@@ -51,9 +51,9 @@
 	}
 }
 
-// Guards against: streams are resumed at each preemption, because only the next moment is
-// considered. An engine steps every 30 ms and pauses for 700 ms once in fifty steps; silence of
-// 100 ms is rare for its steps, yet the next token is likely to come.
+// Streams must not be resumed at each preemption. The fault is to consider only the cost of
+// the next moment. An engine steps every 30 ms and pauses for 700 ms once in fifty steps;
+// silence of 100 ms is rare for its steps, yet the next token is likely to come.
 func TestKnownPausesAreWaitedOut(t *testing.T) {
 	p := DefaultPolicy()
 	got := Threshold(history30(700*time.Millisecond, 40), &p)
@@ -103,10 +103,11 @@
 	}
 }
 
-// Guards against: deployments with opposite weights resume at the same silence, and an operator
-// who changes a weight sees no effect. An engine steps every 30 ms; among thousands of gaps two
-// are of 600 ms. If the wait for an engine that merely pauses costs nothing in the sum, one
-// observed pause outweighs every weight and the threshold is the longest gap in the histogram.
+// The weights must have an effect: otherwise deployments with opposite weights resume at the
+// same silence, and an operator who changes a weight sees no difference. An engine steps every
+// 30 ms; among thousands of gaps two are of 600 ms. If the wait for an engine that merely
+// pauses costs nothing in the sum, one observed pause outweighs every weight and the threshold
+// is the longest gap in the histogram.
 func TestWeightsMoveTheThreshold(t *testing.T) {
 	at := func(latency, extra float64, pauses int) time.Duration {
 		p := DefaultPolicy()
--- a/health/tick.go
+++ b/health/tick.go
@@ -6,8 +6,8 @@
 	"wigeondale/event"
 )
 
-// minMassEngines is the number of engines in use from which silence of many at once is attributed
-// to this process or its network.
+// minMassEngines is how many engines must be in use before the silence of many engines at once
+// is attributed to this process or its network.
 const minMassEngines = 4
 
 // evaluation is the result of evaluating one engine.
@@ -35,7 +35,8 @@
 	return v
 }
 
-// Tick evaluates every engine with open streams. Run calls it, and so may tests.
+// Tick evaluates every engine with open streams. Run calls it regularly; tests may call it
+// directly.
 func (m *Monitor) Tick(now time.Time) {
 	t := m.sinceEpoch(now)
 	if m.pausedBefore(t) {
@@ -48,10 +49,11 @@
 	}
 }
 
-// pausedBefore detects that this process did not run for a while, because it was frozen by the
-// host or got no processor time. It receives no tokens then, and without this check every engine
-// would seem to fail at once. Time without tokens between two ticks that far apart is no evidence
-// against an engine, so it is excluded from every silence.
+// pausedBefore reports whether this process did not run for a while before t, because it was
+// frozen by the host or got no processor time. The process receives no tokens then, and
+// without this check every engine would seem to fail at once. The time between two ticks more
+// than PauseGap apart is no evidence against an engine, so that time is excluded from every
+// silence.
 func (m *Monitor) pausedBefore(t int64) bool {
 	gap := time.Duration(t - m.lastTick.Swap(t))
 	if gap <= m.policy.PauseGap {
@@ -101,7 +103,8 @@
 	return sum
 }
 
-// evaluateEngine evaluates an engine and its streams; ok is false if none of its streams is open.
+// evaluateEngine evaluates an engine and its streams; ok is false if the engine has no open
+// stream.
 func (m *Monitor) evaluateEngine(e *engine, t int64) (v evaluation, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -126,7 +129,8 @@
 	return v, true
 }
 
-// thresholdCache is the cached threshold of an engine, with the inputs it was computed from.
+// thresholdCache is the cached threshold of an engine, with the time of its computation and
+// the inputs for which it is valid.
 type thresholdCache struct {
 	at           int64
 	streams      int
@@ -139,7 +143,8 @@
 // arithmetic for hundreds of them in each tick would cost a good part of a core.
 const thresholdTTL = int64(200 * time.Millisecond)
 
-// threshold returns the cached threshold, or computes it when the engine's circumstances changed.
+// threshold returns the cached threshold of an engine. It computes the threshold anew when the
+// number of streams or the presence of a peer report has changed, or after thresholdTTL.
 func (m *Monitor) threshold(e *engine, h *History, t int64) time.Duration {
 	k := &e.cachedThreshold
 	if k.streams == h.Streams && k.peerReported == h.PeerReported && t-k.at < thresholdTTL {
@@ -150,12 +155,13 @@
 	return k.value
 }
 
-// history sums up the streams that wait for their next token.
+// history sums up the streams that wait for their next token: their number, the bytes to
+// prefill if they were resumed elsewhere, and the silence of the engine.
 //
-// A tick may fall between the two writes that record a token, when the stream's time is already
-// set and the engine's is still from before it was idle. The engine would seem to have been
-// silent all that time, and the stream would be cancelled at its first token. So the latest
-// of the streams' own times counts as well.
+// A tick may fall between the two writes that record a token, when the stream's time of its
+// last token is already set and the engine's is still from before the engine was idle. The
+// engine would seem to have been silent all that time, and the stream would be cancelled at
+// its first token. So the latest time of all streams counts as well.
 func (e *engine) history(t int64) History {
 	var h History
 	newest := int64(0)
@@ -179,8 +185,9 @@
 // as much as reading 1/copiedShare of its prompt, for what the copy lacked and for the wait.
 const copiedShare = 4
 
-// evaluateStreams evaluates each stream; decoding is true if some stream of the engine waits for
-// its next token, so that its tokens show whether the engine is alive.
+// evaluateStreams evaluates each stream of an engine; decoding is true if some stream of the
+// engine waits for its next token, so that the tokens of this stream show whether the engine
+// is alive.
 func (m *Monitor) evaluateStreams(v *evaluation, d Decision, decoding bool, t int64) {
 	alive := decoding && !d.Suspect
 	for _, s := range v.engine.streams {
@@ -233,12 +240,13 @@
 	}
 }
 
-// limitMassSuspicion drops suspicions while more than the bounded share of the engines in use is
-// silent together: then this process's own network is the likelier cause, and resuming everything
-// everywhere would only add load. A real loss of most engines is acted on after MassSilence.
+// limitMassSuspicion drops suspicions while more than MaxEjectedShare of the engines in use is
+// silent together: then this process's own network is the likelier cause, and resuming all
+// streams elsewhere would only add load. A real loss of most engines is acted on after
+// MassSilence.
 //
-// Engines suspected recently count too: their thresholds differ, so that a network failure shows
-// them one after the other.
+// Engines suspected recently count as silent too: the thresholds of engines differ, so that
+// after a network failure they exceed their thresholds one after the other.
 func (m *Monitor) limitMassSuspicion(sum tickResult) []evaluation {
 	suspects := 0
 	for _, v := range sum.evaluations {
@@ -277,7 +285,8 @@
 	return one != nil
 }
 
-// applyEvaluation cancels outside all locks, since a cancel function is code of the caller.
+// applyEvaluation ejects the engine if it is suspect, and cancels the selected streams. No
+// lock is held meanwhile, since a cancel function is code of the caller.
 func (m *Monitor) applyEvaluation(v evaluation, t int64) {
 	if v.suspect {
 		m.eject(v.engine, Suspect, t)
@@ -307,8 +316,8 @@
 	}
 }
 
-// priorShares returns the shared prior: the gaps of all engines, with a synthetic prior added while
-// they are few.
+// priorShares returns the prior that all engines share: the recorded gaps of all engines, with
+// a synthetic prior added while fewer than priorSamples gaps are recorded.
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
--- a/health/watched_test.go
+++ b/health/watched_test.go
@@ -21,9 +21,9 @@
 	return m, open
 }
 
-// Guards against: a router's processor time grows with the engines that it knows, because each
-// tick locks all of them and not just those in use. 3,000 engines are known, and a few have
-// streams; there are a hundred ticks a second.
+// The processor time of a router must not grow with the number of engines that it knows. It
+// does if each tick locks all engines and not just the engines in use. In the test 3,000
+// engines are known, and a few have streams; there are a hundred ticks a second.
 func TestTickLooksAtEnginesInUseOnly(t *testing.T) {
 	m, open := monitorWithEngines(3000, 4)
 	now := m.sinceEpoch(time.Now())
@@ -44,7 +44,8 @@
 	}
 }
 
-// A forgotten engine must not count as one of many that fell silent together.
+// A forgotten engine must not be checked by ticks any more: otherwise it counts as one of many
+// engines that fell silent together.
 func TestForgottenEngineIsNotLookedAt(t *testing.T) {
 	m, _ := monitorWithEngines(1, 0)
 	now := m.sinceEpoch(time.Now())
