--- a/rollout/bounds_test.go
+++ b/rollout/bounds_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// rollouts is the number of simulated roll-outs for each sort of version and service.
+// rollouts is the number of simulated roll-outs for each combination of a kind of version and
+// a kind of service.
 var rollouts = flag.Int("rollouts", 2, "simulated roll-outs of each sort and service")
 
 // The two kinds of services: model engines, whose answers take a second to start, and a service
@@ -48,9 +49,9 @@
 
 const simRouters = 24
 
-// Guards against rolling back a healthy version because of faults that are not the version's: two
-// failure domains crash during the trial, and some replicas of either version fail two answers in
-// five.
+// A healthy version must complete, and must not be rolled back because of faults that the
+// version does not cause: two failure domains crash during the trial, and some replicas of
+// either version fail two answers in five.
 func TestSoundVersionCompletes(t *testing.T) {
 	rolledBack, all := 0, 0
 	eachKind(t, func(string) version { return version{} }, func(name string, o outcome) {
@@ -63,13 +64,13 @@
 			t.Errorf("%s: completed after %v", name, o.ended)
 		}
 	})
-	// One in a hundred may be rolled back.
+	// One healthy version in a hundred may be rolled back.
 	if rolledBack > all/100 {
 		t.Errorf("%d of %d healthy versions were rolled back", rolledBack, all)
 	}
 }
 
-// The same without any faults.
+// Without any faults each healthy version must complete.
 func TestSoundVersionCompletesInCalm(t *testing.T) {
 	for name, p := range map[string]plan{"engines": engineService, "plain": nonEngineService} {
 		for seed := range *rollouts {
@@ -80,9 +81,10 @@
 	}
 }
 
-// Guards against a healthy version that does not complete: one of the three replicas of a service
-// that is not a model engine fails two answers in five, and two failure domains crash during the
-// trial. The evidence of that replica's failure domain alone kept the trial from passing.
+// A healthy version must complete although one of the three replicas of a service that is not
+// a model engine fails two answers in five, and two failure domains crash during the trial.
+// With these seeds the evidence of the failing replica's failure domain alone once kept the
+// trial from passing.
 func TestSoundVersionWithOneFailingReplicaCompletes(t *testing.T) {
 	for _, seed := range []uint64{112, 117} {
 		if o := simulate(t, nonEngineService.with(simRouters, 12*time.Second, version{}, someFaults), seed); o.stage != Completed {
@@ -91,9 +93,10 @@
 	}
 }
 
-// Guards against a bad version that keeps its share or gets all requests. The version is bad from
-// the start, turns bad during the trial, is slow, or fails on one route only; it is missed if it is
-// evaluated by too few answers, by the sum of all routes, or by answers from before it turned bad.
+// A bad version must be rolled back; it must neither keep its share nor get all requests. The
+// version is bad from the start, turns bad during the trial, is slow, or fails on one route
+// only. The fault is missed if the version is evaluated by too few answers, by the sum of all
+// routes, or by answers from before the version turned bad.
 func TestBadVersionIsTakenBack(t *testing.T) {
 	route := map[string]string{"engines": "draft", "plain": "book"}
 	for sort, v := range map[string]func(string) version{
@@ -124,8 +127,8 @@
 	}
 }
 
-// Guards against a roll-out that no router ends: the router that writes the record stops during the
-// trial, and no other router takes over.
+// When the router that writes the record stops during the trial, another router must take
+// over: otherwise no router ends the roll-out.
 func TestAnotherRouterTakesOver(t *testing.T) {
 	p := nonEngineService.with(6, 12*time.Second, version{}, noFaults)
 	p.killAt = 3 * time.Second
@@ -141,8 +144,8 @@
 	checkExposure(t, "after a takeover", o)
 }
 
-// Guards against a trial that waits forever for answers at a service that gets a request only now
-// and then.
+// A trial at a service that gets a request only now and then must pass, and must not wait
+// forever for answers.
 func TestFewRequestsComplete(t *testing.T) {
 	p := nonEngineService.with(6, 12*time.Second, version{}, noFaults)
 	p.rate = 0.5
@@ -151,7 +154,8 @@
 	}
 }
 
-// With many routers each of them sees only a few requests.
+// A bad version must be rolled back although many routers share the requests, so that each
+// router sees only a few.
 func TestManyRouters(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes seconds")
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -6,13 +6,14 @@
 )
 
 const (
-	// slowBuckets is how many latency buckets above the median of the old version an answer counts
-	// as slow.
+	// slowBuckets is how many latency buckets an answer must lie above the median of the old
+	// version to count as slow.
 	slowBuckets = 4
 	// minBaseline is the number of timed answers of the old version from which its median is used.
 	minBaseline = 8
-	// priorBad bad answers out of priorAnswers are added to the counts of the old version, as the
-	// assumed share before there are enough answers.
+	// The old version is assumed to have given priorAnswers more answers than were counted,
+	// priorBad of them bad. This prior stands for its share of bad answers until enough
+	// answers are counted.
 	priorBad     = 1.0
 	priorAnswers = 25.0
 	// A version is bad if its share of bad answers exceeds that of the old version by badShare.
@@ -21,23 +22,24 @@
 	toleranceFactor = 1.25
 	toleranceAdd    = 0.03
 	maxBadShare     = 0.97
-	// badEvidence is the evidence from which a version is bad: the log likelihood ratio of a bad
-	// version against a healthy one, as a cumulative sum that never falls below zero (CUSUM), so
-	// that a version that turns bad after a while is found just as fast.
+	// badEvidence is the evidence from which a version counts as bad. Evidence is the log
+	// likelihood ratio of a bad version against a healthy version, as a cumulative sum that
+	// never falls below zero (CUSUM), so that a version that turns bad after a while is found
+	// as fast as a version that is bad from the start.
 	badEvidence = 11.0
 	// maxDomainShare is the part of badEvidence that one failure domain can contribute.
 	maxDomainShare = 0.5
-	// maxOtherEvidence is the evidence, without that of the failure domain that contributes most,
-	// from which a trial does not pass.
+	// From maxOtherEvidence on a trial does not pass. The evidence of the failure domain that
+	// contributes most is left out, so that one failing domain can't block the trial.
 	maxOtherEvidence = 1.0
-	// minAnswers of the new version are needed to pass a trial, unless fewer than fewRequests
-	// arrived during the trial.
+	// minAnswers is how many answers of the new version are needed to pass a trial, unless
+	// fewer than fewRequests requests arrived during the trial.
 	minAnswers  = 10
 	fewRequests = 20
 )
 
-// evidenceKey identifies one cumulative sum of evidence: one route and aspect, or all of them
-// together.
+// evidenceKey identifies one cumulative sum of evidence: the sum for one route and aspect, or
+// the sum for all routes and aspects together.
 type evidenceKey struct {
 	route  string
 	aspect Aspect
@@ -70,7 +72,8 @@
 	badRate  float64
 }
 
-// bad reports whether an answer counts against its version.
+// bad reports whether an answer counts against its version: it failed, or it is slow compared
+// with the baseline.
 func (b baseline) bad(g Grade) bool { return g == Failed || (b.known && g >= b.slowFrom) }
 
 // baselineOf computes the baseline of one route and aspect from the answers of the old version.
@@ -118,7 +121,7 @@
 	badAnswers int
 }
 
-// evidenceGains holds the evidence of a batch of answers, by key and failure domain.
+// evidenceGains holds the evidence that a batch of answers adds, by key and failure domain.
 type evidenceGains map[evidenceKey]map[string]float64
 
 func (g evidenceGains) add(key evidenceKey, domain string, added float64) {
@@ -168,9 +171,10 @@
 	}
 }
 
-// verdict evaluates the accumulated evidence. domains is the number of failure domains in which the
-// new version has replicas. Where there are several, the evidence of one domain is not sufficient:
-// a domain that crashes, or one replica that fails, is not a fault of the version.
+// verdict evaluates the accumulated evidence. domains is the number of failure domains in
+// which the new version has replicas, or 0 if it is not known yet. Unless it is 1, the
+// evidence of one domain is not sufficient: a domain that crashes, or one replica that fails,
+// is not a fault of the version.
 func (e *evaluator) verdict(domains int) Verdict {
 	v := Verdict{Answers: e.answers, BadAnswers: e.badAnswers}
 	domainMax := badEvidence
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -8,7 +8,7 @@
 // Aspect is the property of an answer that the versions are compared by.
 type Aspect uint8
 
-// The aspects. Each has its own baseline.
+// The aspects. Each aspect has its own baseline on each route.
 const (
 	// TotalTime is the time to an answer that is not streamed.
 	TotalTime Aspect = iota
@@ -50,14 +50,15 @@
 	Grade  Grade  `cbor:"4,keyasint,omitempty"`
 }
 
-// Count is the number of answers of one kind.
+// Count is a kind of answers with the number of answers of this kind.
 type Count struct {
 	CountKey
 	N uint32 `cbor:"5,keyasint"`
 }
 
-// Report holds the answers that one router has seen. Routers broadcast it; each report contains the
-// totals so far and replaces the one before, so a lost report does no harm.
+// Report holds the answers that one router has seen. Routers broadcast their reports. Each
+// report contains the totals so far and replaces the router's previous report, so a lost
+// report does no harm.
 type Report struct {
 	Service     string  `cbor:"1,keyasint"`
 	Order       int64   `cbor:"2,keyasint"` // revision of the order
@@ -65,8 +66,8 @@
 	Sequence    uint64  `cbor:"3,keyasint"` // increases with each report of one run
 	ElapsedMS   int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
 	New         []Count `cbor:"5,keyasint,omitempty"`
-	// Old counts the answers of the old version within the last baselineWindow, which are the baseline for
-	// the new version.
+	// Old counts the answers of the old version within the last baselineWindow. They are the
+	// baseline for the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
 	// Bad reports that the router considers the new version bad.
 	Bad bool `cbor:"7,keyasint,omitempty"`
@@ -76,7 +77,7 @@
 // seconds, and both versions must be compared under the same conditions.
 const baselineWindow = 4 * time.Second
 
-// window counts answers within the last baselineWindow, in a ring of time slots.
+// window counts the answers of the last baselineWindow, in a ring of time slots.
 type window struct {
 	slots  [windowSlots]map[CountKey]uint32
 	latest int64 // number of the latest slot that was started
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -26,8 +26,8 @@
 type faults struct {
 	crash map[time.Duration]string // failure domains by crash time, each down for crashFor
 	// failing is the share of the service's replicas, of both versions together, that fail two
-	// answers in five. If drawn is set, each replica independently is one of them with that
-	// probability.
+	// answers in five. If drawn is set, each replica independently is a failing replica with
+	// this probability.
 	failing float64
 	drawn   bool
 }
@@ -164,7 +164,8 @@
 	}
 }
 
-// makeFailing makes a share of all replicas fail answers, whichever version they have.
+// makeFailing makes the share faults.failing of all replicas fail answers, whichever version
+// they have. If faults.drawn is set, it does nothing.
 func (s *simulation) makeFailing() {
 	if s.faults.drawn {
 		return
@@ -209,8 +210,8 @@
 	s.writeDue(r, start)
 }
 
-// writeDue writes the change of the record that is due: the first router at once, each further one
-// if the routers before it have not written for a while.
+// writeDue writes the change of the record that is due. The first router writes the change at
+// once; each further router writes it if the routers before it have not written for a while.
 func (s *simulation) writeDue(r *simRouter, start time.Duration) {
 	next, rev, due := r.ro.NextRecord(s.now, ReplicaCounts{New: s.replicas, Old: s.replicas, Domains: simDomains})
 	if !due {
@@ -259,8 +260,9 @@
 func (s *simulation) send(r *simRouter, route simRoute, rule Rule, trial bool, start time.Duration) {
 	var able []*simReplica
 	for _, rep := range append(s.old, s.newer...) {
-		// The new replicas register after the order, and a router sees changes of the store in
-		// their order.
+		// A router that does not know the order yet does not know the new replicas either:
+		// they register after the order, and a router sees the changes of the store in the
+		// order in which they were made.
 		unknown := rule.Stage == None && rep.b.Version == s.order.Target
 		if unknown || s.down(rep, start) {
 			continue
@@ -328,7 +330,7 @@
 	return took, GradeOf(took)
 }
 
-// countBad counts a bad answer as an operator would.
+// countBad counts a bad answer of the new version, and notes when the fiftieth was given.
 func (s *simulation) countBad() {
 	s.out.badAnswers++
 	if s.out.badAnswers == 50 {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,5 +1,5 @@
-// Package rollout moves a service to replicas of another version, and back if that version answers
-// worse than the one before.
+// Package rollout moves a service to replicas of another version, and back to the old version
+// if the new version answers worse.
 //
 // The design guards against these failures:
 //
@@ -94,7 +94,9 @@
 	Reason string   `json:"reason,omitempty"` // why it was rolled back
 }
 
-// forOrder returns the record with which a later order starts.
+// forOrder returns the record with which the order o, which follows the order of r, starts.
+// Unless the roll-out of r completed, the target of r stays barred along with the versions
+// barred before.
 func (r Record) forOrder(o Order) Record {
 	next := Record{Order: o.Revision, Target: o.Target, Stage: Waiting}
 	if r.Stage == Completed {
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// badReportDelay is how soon a bad answer is reported to the other routers, goodReportDelay how
-	// soon any other answer is.
+	// badReportDelay is how soon after the previous report a bad answer is reported to the
+	// other routers, goodReportDelay how soon any other answer is reported.
 	badReportDelay  = 200 * time.Millisecond
 	goodReportDelay = time.Second
 	// oldReportInterval is how often some routers report the answers of the old version, and
@@ -20,8 +20,8 @@
 	verdictInterval = 500 * time.Millisecond
 )
 
-// evidence holds the known answers of both versions: those seen by this router, and those reported
-// by other routers.
+// evidence holds the known answers of both versions: the answers that this router has seen,
+// and the answers that other routers reported.
 type evidence struct {
 	evaluator   evaluator
 	local       map[CountKey]uint32 // answers of the new version seen by this router
@@ -29,9 +29,10 @@
 	peerReports map[string]peerReport
 	// peerOld counts the recent answers of the old version that other routers reported.
 	peerOld map[CountKey]uint32
-	// frozenOld is the baseline while all work moves to the new version, when the old version gives
-	// no answers any more. Without it the baseline expires within seconds, and a route on which
-	// either version fails now and then makes a healthy version appear bad while work moves.
+	// frozenOld is the baseline while all work moves to the new version, and nil before. The
+	// old version gives no answers any more then. Without frozenOld the baseline would expire
+	// within seconds, and a route on which either version fails now and then would make a
+	// healthy version appear bad while work moves.
 	frozenOld map[CountKey]uint32
 	sendsOld  bool // this router reports answers of the old version even without new answers of the new one
 
@@ -50,8 +51,9 @@
 	old         []Count
 }
 
-// Observe counts an answer that this router saw. Only the first attempt of a request counts: an
-// attempt that follows a failure is sent where the first one was not.
+// Observe counts an answer that this router saw. The caller passes only answers of the first
+// attempt of a request: an attempt that follows a failure is sent to another replica than the
+// first attempt.
 func (r *Rollout) Observe(c CountKey, ofNew bool, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,8 +156,8 @@
 	}
 }
 
-// recentOld returns the recent answers of the old version, seen by this router or reported by
-// others.
+// recentOld returns the recent answers of the old version that this router has seen or other
+// routers have reported, or frozenOld if it is set.
 func (e *evidence) recentOld(now time.Duration) map[CountKey]uint32 {
 	if e.frozenOld != nil {
 		return e.frozenOld
@@ -168,7 +170,7 @@
 	return sum
 }
 
-// nextReport returns the report that is due now, or nil.
+// nextReport returns the report that is due now, or nil if none is due.
 func (e *evidence) nextReport(r *Rollout, now time.Duration) *Report {
 	since := now - e.lastSent
 	e.expire(now)
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// NextRecord returns the change of the record that is due now, if any. Which event of the state chart has
-// occurred is decided by this router's knowledge; whether the change is made depends on the
-// condition that the record is still at the given revision.
+// NextRecord returns the next state of the record if a change of the record is due now. Which
+// event of the state chart has occurred is decided by what this router knows. The caller must
+// write the change on condition that the record is still at the returned revision, since
+// another router may have changed the record first.
 func (r *Rollout) NextRecord(now time.Duration, ready ReplicaCounts) (next Record, revision int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +33,8 @@
 
 func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
-		// The order may become known later than the record that it caused.
+		// The order may become known later than the record that the order caused, so the
+		// record is failed only after a while.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
 			return eventFailed, "the order was withdrawn"
 		}
@@ -55,7 +57,8 @@
 	return r.endTrial(now, ready)
 }
 
-// endTrial decides the result of a trial whose time has passed.
+// endTrial decides the result of a trial whose time has passed. It returns no event while the
+// trial can still pass later.
 func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.orderedAt
 	if elapsed < r.order.trialEnd() {
@@ -74,7 +77,7 @@
 // enoughReady is the ratio of new to old replicas from which all work can move to the new ones.
 const enoughReady = 0.7
 
-// trialBlocker returns why a trial can't pass, "" if it can.
+// trialBlocker returns why a trial can't pass now, or "" if it can.
 func (r *Rollout) trialBlocker(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
@@ -94,12 +97,13 @@
 
 // lowTraffic reports whether the service has so few requests that a trial may get no answers.
 //
-// It counts requests at this router, not the answers reported by others: a router that has just
-// started, or whose links are slow, knows of few answers and would pass a trial that other routers
-// know to fail. The bad version would then get all requests for a second.
+// It counts the requests at this router, not the answers reported by other routers: a router
+// that has just started, or whose links are slow, knows of few answers and would pass a trial
+// that other routers know to fail. The bad version would then get all requests for a second.
 func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
-// TrialBlocker returns why a trial whose time has passed does not pass, "" if it passes or is not over.
+// TrialBlocker returns why a trial whose time has passed does not pass, or "" if the trial
+// passes or its time has not passed.
 func (r *Rollout) TrialBlocker(now time.Duration, ready ReplicaCounts) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/quota.go
+++ b/rollout/quota.go
@@ -22,13 +22,14 @@
 	// for requests sent between the first bad answers and the moment the last router stops.
 	usedShare = 0.6
 	usedBurst = 0.7
-	// firstShare is the part of the used share at the start of a trial, and firstFor how long it
-	// applies.
+	// firstShare is the part of the used share that the new version gets at the start of a
+	// trial, and firstFor how long this part applies.
 	firstShare = 0.25
 	firstFor   = 1500 * time.Millisecond
-	// trialReplicaFactor is the ratio between the share of the new replicas that take part in a
-	// trial and the share of the requests they get. The burst comes on top of the share, and
-	// replicas with more load than the old ones would appear slow.
+	// trialReplicaFactor is the ratio between the share of the new replicas that take part in
+	// a trial and the share of the requests that they get. It is above 1 since the requests of
+	// the burst come on top of the share, and new replicas with more load than the old
+	// replicas would appear slow.
 	trialReplicaFactor = 3
 )
 
@@ -59,9 +60,9 @@
 	return &quota{allowed: random, extra: usedBurst * l.Burst / float64(max(routers, 1))}
 }
 
-// admit counts one request and reports whether it goes to the new version. over is the elapsed part
-// of the trial, 0 to 1: the requests in addition to the share are spread over the trial, since a
-// version may turn bad after a while.
+// admit counts one request and reports whether the request goes to the new version. elapsed is
+// the part of the trial that has elapsed, 0 to 1: the requests in addition to the share are
+// spread over the trial, since a version may turn bad after a while.
 func (q *quota) admit(share, elapsed float64) bool {
 	q.allowed += share
 	if float64(q.sent+1) > q.allowed+q.extra*min(elapsed, 1) {
@@ -71,12 +72,14 @@
 	return true
 }
 
-// undo returns the quota of a request that was not sent to the new version after all.
+// undo gives back the quota that admit used for a request that was not sent to the new version
+// after all.
 func (q *quota) undo() { q.sent-- }
 
-// TrialReplicas chooses the replicas of the new version that take part in a trial: at least one in each
-// failure domain, and so few that each has about as much load as it will have after the roll-out,
-// so that a version that fails under load shows it. All routers choose the same replicas.
+// TrialReplicas chooses the replicas of the new version that take part in a trial: at least
+// one in each failure domain, and so few that each replica has about as much load as it will
+// have after the roll-out, so that a version that fails only under load fails during the
+// trial. All routers choose the same replicas.
 func TrialReplicas(replicas []fleet.Backend, l Limits) map[string]bool {
 	byDomain := map[string][]string{}
 	for i := range replicas {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -30,7 +30,7 @@
 	mu    sync.Mutex
 	epoch uint64
 	order *Order
-	// withdrawn is set when the order in force was removed and not replaced.
+	// withdrawn is true after the order in force was removed, until another order is set.
 	withdrawn bool
 	orderedAt time.Duration // estimated time at which the order was given
 	record    Record
@@ -83,8 +83,8 @@
 	}
 }
 
-// SetRecord applies a record read from the store, unless its revision is older than the one already
-// known.
+// SetRecord applies a record read from the store, unless this router already knows the record
+// at this revision or a later one.
 func (r *Rollout) SetRecord(rec Record, revision int64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,23 +99,25 @@
 	r.epoch++
 }
 
-// adjustStart moves the estimated time of the order back if the record reports more elapsed time.
+// adjustStart moves the estimated time of the order back if the record reports that more time
+// has elapsed since the order.
 func (r *Rollout) adjustStart(now time.Duration) {
 	if r.order != nil && r.record.Order == r.order.Revision {
 		r.orderedAt = min(r.orderedAt, now-time.Duration(r.record.ElapsedMS)*time.Millisecond)
 	}
 }
 
-// Stage returns the stage by which this router acts.
+// Stage returns the stage by which this router acts; it can differ from the recorded stage.
 func (r *Rollout) Stage() Stage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stage()
 }
 
-// stage returns the recorded stage, except that a roll-back takes effect at once: a router that
-// found the new version bad, or whose order was withdrawn, does not wait until that is written to
-// the store.
+// stage returns the recorded stage, except that a roll-back takes effect at once: a router
+// that found the new version bad, or whose order was withdrawn, does not wait until the
+// roll-back is written to the store. Until the record for a new order is written, the stage is
+// Waiting.
 func (r *Rollout) stage() Stage {
 	switch {
 	case r.order == nil && r.record.Stage.Open():
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -29,8 +29,8 @@
 
 var testOrder = Order{Service: "s", Target: "v2", Duration: 12 * time.Second, Revision: 7}
 
-// Guards against a bad version that gets a multiple of its share because each router rounds its
-// quota up. Requests arrive at few of the routers or alternately at others, while routers stop and
+// The new version must not get a multiple of its share because each router rounds its quota
+// up. Requests arrive at few of the routers or at changing routers, while routers stop and
 // start again.
 func TestSharesOfAllRoutersAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,7 +65,7 @@
 	})
 }
 
-// Guards against a new version that gets requests before any trial: its replicas register first,
+// A new version must not get requests before its trial, although its replicas register first
 // and the order and the record become known later, one by one.
 func TestNewVersionWaitsForItsTrial(t *testing.T) {
 	r := newRollout(t)
@@ -92,9 +92,9 @@
 	}
 }
 
-// Guards against a rolled-back version that gets requests again: the record of its trial arrives
-// after that of its end, or another version is ordered and the version of the earlier order counts
-// as an old one.
+// A rolled-back version must not get requests again. The faults are that the record of its
+// trial arrives after the record of its end and is applied, or that another version is ordered
+// and the version of the earlier order counts as an old version.
 func TestTakenBackStaysSo(t *testing.T) {
 	r := newRollout(t)
 	newer := fleet.Backend{Version: "v2"}
@@ -114,8 +114,8 @@
 	}
 }
 
-// Guards against a router whose copy of the store is out of date and that goes on with a trial
-// which other routers have ended.
+// A router whose copy of the store is out of date must not go on with a trial, since other
+// routers may have ended the trial meanwhile.
 func TestTrialEndsWhereTheStoreIsNotHeard(t *testing.T) {
 	r := newRollout(t)
 	newer, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
@@ -133,7 +133,7 @@
 	}
 }
 
-// Guards against a waiting request that is assigned again, and counted, each time it looks for an
+// A waiting request must be assigned and counted once, and not again each time it looks for an
 // engine.
 func TestRequestIsDrawnOnce(t *testing.T) {
 	r := newRollout(t)
@@ -155,7 +155,8 @@
 	}
 }
 
-// Guards against a withdrawn order that goes on because only bad versions are rolled back.
+// A roll-out whose order is withdrawn must be rolled back. The fault is that only bad versions
+// are rolled back, so that the roll-out goes on.
 func TestWithdrawnOrderIsTakenBack(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
@@ -167,9 +168,9 @@
 	}
 }
 
-// Guards against a roll-out that completes with a third of the replicas that the service needs: a
-// failure domain of the new version is down at the end of the trial, and only the answers are
-// evaluated.
+// A roll-out must not complete with a third of the replicas that the service needs. The fault
+// happens when failure domains of the new version are down at the end of the trial and only
+// the answers are evaluated.
 func TestTooFewReplicasDoNotComplete(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
@@ -183,7 +184,8 @@
 	}
 }
 
-// A trial takes all the time that the steps after it leave.
+// A trial must get at least minTrialShare of the order's duration, and must leave enough time
+// for the steps after the trial.
 func TestTimesOfAnOrder(t *testing.T) {
 	for _, d := range []time.Duration{2 * time.Second, 5 * time.Second, 12 * time.Second, time.Minute, time.Hour} {
 		o := Order{Duration: d}
@@ -196,8 +198,8 @@
 	}
 }
 
-// Guards against a version that appears bad because a report was lost, repeated or delayed: counts
-// in reports are totals, not increments.
+// A version must not appear bad because a report was lost, repeated or delayed: counts in
+// reports are totals, not increments.
 func TestReportsCountOnce(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
@@ -214,8 +216,9 @@
 	}
 }
 
-// Guards against rolling back a healthy version when one failure domain has a fault: all answers of
-// its replicas in one domain fail, those in the two other domains are good.
+// A healthy version must not be rolled back when one failure domain has a fault: all answers
+// of its replicas in this domain fail, and the answers in the two other domains are good. If
+// the answers in two of the three domains fail, the version must be rolled back.
 func TestOneDomainAloneDoesNotConvict(t *testing.T) {
 	for _, failing := range []int{1, 2} {
 		r := newRollout(t)
@@ -238,9 +241,10 @@
 	}
 }
 
-// Guards against a bad version that gets all requests for a second: at the end of a trial a router
-// with slow links has received no reports, and takes the service for one with hardly any requests
-// although requests arrived at this router itself.
+// A router must not pass a trial because it has received no reports: otherwise a bad version
+// gets all requests for a second. At the end of the trial a router with slow links has
+// received no reports, and must not assume that the service has hardly any requests, since
+// requests arrived at this router itself.
 func TestTrialIsNotPassedUnheard(t *testing.T) {
 	r := New(Config{Limits: Limits{Share: 0.1, Burst: 50}, Chart: mustChart(t), Routers: func() int { return 4 }, Random: func() float64 { return 0.5 }})
 	r.SetOrder(testOrder, 0)
@@ -253,9 +257,10 @@
 	}
 }
 
-// Guards against a version that turns bad a second after its start and gets all requests: the store
-// answers late, so the trial starts when most of its time is over, and would end by the time of the
-// order alone.
+// A trial that starts late must still last a while: otherwise a version that turns bad a
+// second after its start gets all requests. Here the store answers late, so the trial starts
+// when most of its time is over, and would end at once if only the time since the order
+// counted.
 func TestTrialThatBeginsLateLastsAWhile(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
@@ -269,9 +274,9 @@
 	}
 }
 
-// Guards against a healthy version of engines that appears slow and is rolled back: its trial uses
-// two engines out of sixty in a domain, where prompts wait for each other. More replicas have to
-// take part for the requests of the trial.
+// Enough replicas must take part in a trial for its requests. If a trial uses only two engines
+// out of sixty in a domain, prompts wait for each other there, so that a healthy version of
+// engines appears slow and is rolled back.
 func TestTrialHasReplicasEnough(t *testing.T) {
 	limits := Limits{Share: 0.1, Burst: 50}
 	for _, each := range []int{1, 3, 60, 1000} {
@@ -296,9 +301,9 @@
 	}
 }
 
-// Guards against rolling back a healthy version while all work moves to it: the old version gives
-// no answers any more, a route fails one answer in four as it did there, and the baseline expired
-// after some seconds.
+// A healthy version must not be rolled back while all work moves to it. The old version gives
+// no answers any more then, and a route fails one answer in four, as it did at the old
+// version. The fault is that the baseline expires after some seconds.
 func TestUsualIsKeptWhileWorkMoves(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
@@ -322,8 +327,8 @@
 	}
 }
 
-// Guards against a trial that does not pass because of one failing replica, whatever the other
-// replicas answer: the evidence of a single failure domain must not block it.
+// One failing replica must not keep a trial from passing, whatever the other replicas answer:
+// the evidence of a single failure domain must not block the trial.
 func TestOneDomainIsNoDoubt(t *testing.T) {
 	r := newRollout(t)
 	r.SetOrder(testOrder, 0)
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -14,8 +14,9 @@
 	Target string
 	// Barred versions get no requests.
 	Barred []string
-	// CompletedRevision is the store revision at which the roll-out was recorded as completed. Replicas created
-	// after it may be used whatever their version; those created before it have stopped.
+	// CompletedRevision is the store revision at which the roll-out was recorded as completed.
+	// Replicas created after this revision may be used whatever their version. Replicas of
+	// other versions created before it have stopped.
 	CompletedRevision int64
 	// Stale reports that this router's copy of the store is out of date: the roll-out may have
 	// advanced or ended meanwhile.
@@ -32,8 +33,8 @@
 	case Waiting, Trial, RolledBack:
 		return !isNew
 	case Moving:
-		// It may have completed or been rolled back meanwhile: replicas of both versions may be
-		// used.
+		// If this router's copy of the store is out of date, the roll-out may have completed
+		// or been rolled back meanwhile: replicas of both versions may be used.
 		return isNew || r.Stale
 	case Completed:
 		return isNew || b.Started > r.CompletedRevision
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -3,10 +3,11 @@
 import "time"
 
 const (
-	// storeLag is the assumed age of an order when this router learns of it.
+	// storeLag is the assumed age of an order when this router receives it.
 	storeLag = time.Second
-	// settleTime is the time from the decision that all work moves to the record that the old
-	// replicas may stop. Other routers learn of the decision within storeLag and move their runs
+	// settleTime is the time from the decision that all work moves until the roll-out is
+	// recorded as completed, so that the old replicas may stop. It is long enough for the
+	// other routers, which are notified of the decision within storeLag and move their runs
 	// MoveGrace later.
 	settleTime = 1700 * time.Millisecond
 	// MoveGrace is how long runs stay where they are after the decision that they move, so that a
@@ -23,8 +24,8 @@
 	// the time until the planned end may be too short to see an answer.
 	minTrialAfterStart      = 2 * time.Second
 	minTrialAfterStartShare = 0.25
-	// rollbackMargin is how long before the end of its time a roll-out whose trial has not passed
-	// is rolled back.
+	// rollbackMargin is how long before the end of an order's duration a roll-out whose trial
+	// has not passed is rolled back.
 	rollbackMargin = settleTime + 200*time.Millisecond
 )
 
