--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -33,8 +33,8 @@
 
 func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
-		// The order may become known later than the record that the order caused, so the
-		// record is failed only after a while.
+		// The order may become known later than the record that the order caused. So unless the
+		// order was withdrawn, the roll-out fails only after settleTime.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
 			return eventFailed, "the order was withdrawn"
 		}
