--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -11,32 +11,34 @@
 	"wigeondale/route"
 )
 
-// While the store is unavailable, replacements of crashed replicas are adopted: a few nodes search
-// for them (package replacement) and broadcast what they find. The store has precedence once it is
-// back: an adopted replica that it does not list is removed.
+// While the store is unavailable, replacements of crashed replicas are adopted: a few nodes
+// search for the replacements (package replacement) and broadcast what they find. The store
+// has precedence once it is available again: an adopted replica that the store does not list
+// is removed.
 //
 // Replicas are adopted only for a service that is the configuration's only service of model
-// engines: then an engine with the same amount of memory, at the address of an unreachable one, is
-// one of its replicas. Addresses are reused by other services, and a request must not run there.
+// engines: then an engine with the same amount of memory, at the address of an unreachable
+// engine, is a replica of this service. Addresses are reused by other services, and a request
+// must not run at a replica of another service.
 const (
 	// adoptInterval is the interval of the search.
 	adoptInterval = 500 * time.Millisecond
 	// adoptedInterval is how often the adopted replicas are broadcast again: messages get lost, and
 	// nodes start while the store is unavailable.
 	adoptedInterval = 4 * time.Second
-	// listedWithin is how long after the store's return an adopted replica may be missing there.
-	// Expired entries are back within about two seconds.
+	// listedWithin is how long after the store's return an adopted replica may be missing from
+	// the store. Expired entries are listed again within about two seconds.
 	listedWithin = 3 * time.Second
 	floodAdopted = "hosted.adopted"
 )
 
-// adoptedMessage names replicas that were found at the addresses of unreachable ones.
+// adoptedMessage names replicas that were found at the addresses of unreachable replicas.
 type adoptedMessage struct {
 	Replicas []adoptedReplica `cbor:"1,keyasint"`
 }
 
-// adoptedReplica is one replica of an adoptedMessage. All other properties are those of the replica
-// that it replaces.
+// adoptedReplica is one replica of an adoptedMessage. It has all other properties of the
+// replica that it replaces.
 type adoptedReplica struct {
 	Name      string `cbor:"1,keyasint"`
 	Addr      string `cbor:"2,keyasint"`
@@ -51,9 +53,9 @@
 	return adoptedReplica{Name: b.Name(), Addr: b.Addr, StartedAt: b.Incarnation.StartedAt}
 }
 
-// adopter searches for replacements while the store is unavailable. Only the nodes that are to read
-// the store search, so the cost grows with the number of unreachable replicas and of failure
-// domains, not with the number of nodes.
+// adopter searches for replacements while the store is unavailable. Only the nodes whose task
+// it is to read the store search, so the cost grows with the number of unreachable replicas
+// and of failure domains, not with the number of nodes.
 type adopter struct {
 	view      *view
 	storeSync *storeSync
@@ -104,16 +106,16 @@
 	}
 }
 
-// handleAdopted applies what another node found, unless this node's copy of the store is up to
-// date.
+// handleAdopted adopts the replicas that another node found, unless this node's copy of the
+// store is up to date.
 func (a *adopter) handleAdopted(m adoptedMessage) {
 	if a.storeSync.age(time.Now()) > staleAfter {
 		a.view.adopt(m.Replicas)
 	}
 }
 
-// confirm removes the adopted replicas that the store still does not list when it has been back for
-// listedWithin.
+// confirm is called while the copy of the store is up to date. From listedWithin after the
+// store's return on, it removes the adopted replicas that the store still does not list.
 func (a *adopter) confirm(now time.Time) {
 	if a.currentSince.IsZero() {
 		a.currentSince = now
@@ -123,7 +125,8 @@
 	}
 }
 
-// engineService returns the configuration's only service of model engines.
+// engineService returns the configuration's only service of model engines, and false if there
+// is none, if there are several, or if the memory of its engines is not stated.
 func (v *view) engineService() (route.Service, bool) {
 	t := v.table.Get()
 	if t == nil {
@@ -150,7 +153,7 @@
 	return out
 }
 
-// adopt adds replicas that were found at the addresses of unreachable ones.
+// adopt adds replicas that were found at the addresses of unreachable replicas.
 func (v *view) adopt(found []adoptedReplica) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -178,7 +181,8 @@
 	}
 	b := old
 	b.ID, b.Incarnation, b.VM, b.Leaving = inc.ID(), inc, inc.Name, false
-	// It started after all replicas in the store; its creation revision becomes known later.
+	// The adopted replica started after all replicas in the store; its creation revision
+	// becomes known when the store lists it.
 	b.Started = v.latestStart() + 1
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
@@ -188,7 +192,7 @@
 	v.changed = true
 }
 
-// latestStart returns the revision of the latest start.
+// latestStart returns the store revision of the latest start of a known replica.
 func (v *view) latestStart() int64 {
 	var last int64
 	for _, b := range v.replicas {
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -11,9 +11,9 @@
 	"wigeondale/route"
 )
 
-// Guards against work that stays on the remaining engines after a crash while the store is
-// unavailable: the store falls silent, an engine crashes and another one starts at its address. The
-// store must not be the only source of replicas.
+// After a crash while the store is unavailable, a replacement must get work, so that the work
+// does not stay on the remaining engines. The store stops responding, an engine crashes and
+// another engine starts at its address. The store must not be the only source of replicas.
 func TestSuccessorIsAdoptedWhileTheStoreIsAway(t *testing.T) {
 	f := newFleet(t)
 	old := f.startReplica(&fakes.Replica{ID: "e0", Service: "llm", Domain: "d0", Engine: true, Chunks: 2, Listen: freeAddr(t)})
@@ -58,8 +58,8 @@
 	return v
 }
 
-// Guards against work for a replica that does not exist: it was adopted and exited before the store
-// was back. The store has precedence, for removals and for additions.
+// A replica that was adopted and exited before the store was available again must get no work
+// any more. The store has precedence, for removals and for additions.
 func TestAdoptedReplicaNeedsTheStoresWord(t *testing.T) {
 	v := adoptingView("llm")
 	v.adopt([]adoptedReplica{{Name: "i-b", Addr: "10.0.0.1:80"}, {Name: "i-x", Addr: "10.0.0.9:80"}})
@@ -79,9 +79,9 @@
 	}
 }
 
-// Guards against a request that runs at a service which its route does not name: an address passes
-// to another service of engines, and engines of two services can't be told apart by what they
-// report.
+// A request must not run at a service that its route does not name. An address can pass to
+// another service of engines, and the engines of two services can't be distinguished by what
+// they report, so nothing may be adopted where there are two services of engines.
 func TestNothingIsAdoptedBesideAnotherEngineService(t *testing.T) {
 	if s, ok := adoptingView("llm").engineService(); !ok || s.Name != "llm" {
 		t.Errorf("the only service of engines is %q, %v", s.Name, ok)
--- a/hosted/bench_test.go
+++ b/hosted/bench_test.go
@@ -7,7 +7,8 @@
 	"wigeondale/generation"
 )
 
-// BenchmarkPick measures the choice of an engine and of one for the copy.
+// BenchmarkPick measures the choice of an engine for a run, and of an engine for the run's
+// copy.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{120, 3000} {
 		b.Run(fmt.Sprintf("%d replicas", n), func(b *testing.B) {
--- a/hosted/budgets.go
+++ b/hosted/budgets.go
@@ -14,8 +14,8 @@
 
 func (admitAll) Admit(context.Context, generation.Ticket) (func(), error) { return nil, nil }
 
-// budgets holds one retry budget for each service. The platform bounds the sum over all nodes: a
-// share of the requests, and a burst that the nodes divide.
+// budgets holds one retry budget for each service. The platform bounds the retries of all
+// nodes together: by a share of the requests, and by a burst that is divided among the nodes.
 type budgets struct {
 	share float64
 	burst func() float64 // burst of one node
@@ -24,15 +24,16 @@
 	byService map[string]*admission.RetryBudget
 }
 
-// budgetMargin is the part of the platform's bound that is used. The rest is for nodes that don't
-// know the number of nodes yet, and for uneven shares.
+// budgetMargin is the part of the platform's bound that is used. The rest is a reserve
+// for nodes that don't know the number of nodes yet, and for uneven shares of the nodes.
 const budgetMargin = 0.8
 
 const (
-	// minBurst lets a node retry a request even if there are many nodes.
+	// minBurst is the least burst of a node. It lets a node retry a request even if there are
+	// many nodes.
 	minBurst = 2
-	// continueDepth is how far started responses may overdraw the budget: the crash of a failure
-	// domain hits several at one node.
+	// continueDepth is how far started responses may overdraw the budget: the crash of a
+	// failure domain interrupts several responses at one node.
 	continueDepth = 6
 )
 
--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -13,13 +13,14 @@
 	PrefillPerSecond: 8000, Chunk: 200, Step: 3470 * time.Microsecond, StepPerRun: 160 * time.Microsecond, Memory: 88000,
 }}
 
-// slowWork has the same prompts, and engines of half the speed with 0.6 of the memory.
+// slowWork has the same prompts as longWork, and engines of half the speed with 0.6 of the
+// memory.
 var slowWork = replayWork{prompt: 8200, answer: 980, engine: replay.Config{
 	PrefillPerSecond: 4000, Chunk: 200, Step: 6940 * time.Microsecond, StepPerRun: 320 * time.Microsecond, Memory: 52800,
 }}
 
-// overload returns the load of a fleet whose normal rate is perSecond: times that rate for nine
-// seconds, during which two failure domains crash.
+// overload returns the load of a fleet whose normal rate is perSecond. The rate is times as
+// high for nine seconds, during which two failure domains crash.
 func overload(perSecond, times float64) load {
 	return load{
 		end:     24 * time.Second,
@@ -28,11 +29,12 @@
 	}
 }
 
-// slowSeeds is larger than the number of other seeds: routers choose at random, and the number of
-// requests served in time varies most with slow engines.
+// slowSeeds is larger than the other numbers of seeds: routers choose at random, and the
+// number of requests served in time varies most with slow engines.
 const slowSeeds = 18
 
-// overloadedFleets are fleets of three kinds under more load than they can read.
+// overloadedFleets are fleets of three kinds to which more prompts are sent than their engines
+// can read.
 var overloadedFleets = []struct {
 	name string
 	size replaySize
@@ -43,9 +45,9 @@
 	{"linked routers", replaySize{routers: 6, engines: 12, domains: 4, seeds: 3}, overload(3, 4)},
 }
 
-// Guards against a client that gets no answer where a late one would do: more prompts arrive than
-// engines read, for nine seconds, and requests that would be late are refused, after which the
-// engines idle. A request that can't be in time can still be served.
+// A client must not get a refusal where a late answer would do. For nine seconds more prompts
+// arrive than the engines read; if requests that would be late are refused, the engines idle
+// afterwards. A request that can't be in time can still be served.
 func TestLateAnswersAreBetterThanNone(t *testing.T) {
 	for _, c := range overloadedFleets {
 		var got [2]figures
@@ -66,7 +68,7 @@
 	}
 }
 
-// refusing sets a refusal policy.
+// refusing returns a function that sets the refusal policy of a picker.
 func refusing(policy admission.RefusalPolicy) func(*picker) {
 	return func(p *picker) { p.refusal = policy }
 }
--- a/hosted/fleet_test.go
+++ b/hosted/fleet_test.go
@@ -22,7 +22,7 @@
 	testTimeout = 10 * time.Second // bound of every wait; no result depends on it
 )
 
-// testFleet is a store, replicas and nodes on loopback.
+// testFleet is a store, replicas and nodes on the loopback interface.
 type testFleet struct {
 	t        *testing.T
 	store    *fakes.Store
@@ -77,7 +77,8 @@
 	return f.startReplica(&fakes.Replica{ID: id, Service: "app", Domain: domain})
 }
 
-// startServingNode starts a node with a first configuration, and waits until it is ready.
+// startServingNode writes a first configuration, starts a node, and waits until the node is
+// ready.
 func (f *testFleet) startServingNode() *testNode {
 	f.t.Helper()
 	f.configure(key)
@@ -86,7 +87,8 @@
 	return n
 }
 
-// configure writes the next version of the configuration, with these keys of the account.
+// configure writes the next version of the configuration, with the given keys as the keys of
+// the account.
 func (f *testFleet) configure(keys ...string) {
 	f.version++
 	route := func(name, kind, service string, timeout time.Duration, attempts int) fakes.Route {
@@ -161,7 +163,8 @@
 
 func (n *testNode) ready() bool { return n.readyStatus() == http.StatusOK }
 
-// readyStatus returns the status of the readiness endpoint, 0 without a response.
+// readyStatus returns the status of the readiness endpoint, or 0 if the endpoint gives no
+// response.
 func (n *testNode) readyStatus() int {
 	resp, err := http.Get("http://" + n.node.ready.Addr().String() + "/readyz")
 	if err != nil {
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -17,15 +17,16 @@
 const holdPrefix = "wigeondale/quarantine/"
 
 const (
-	// holdTimeout bounds one write; holdRetry is the pause after a failed one.
+	// holdTimeout bounds one write; holdRetry is the pause after a failed write.
 	holdTimeout = time.Second
 	holdRetry   = 2 * time.Second
-	// peerHoldWait and peerHoldSpread determine when a node writes a hold that another node found
-	// and that isn't in the store yet.
+	// A node writes a hold that another node found, and that isn't in the store yet, after
+	// peerHoldWait and a random part of peerHoldSpread. By then the node that found the hold
+	// has usually written it.
 	peerHoldWait   = 3 * time.Second
 	peerHoldSpread = 5 * time.Second
-	// expirySpread spreads the removal of a record whose hold has ended over the nodes: one removal
-	// is enough.
+	// expirySpread is the time over which the nodes spread their removals of a record whose
+	// hold has ended: one removal is enough.
 	expirySpread = time.Minute
 )
 
@@ -35,13 +36,14 @@
 	Remove(ctx context.Context, key string) error
 }
 
-// holdRecord is the record of one hold. Its key names the request.
+// holdRecord is the record of one hold. The key of the record names the request.
 type holdRecord struct {
 	Account     string `json:"account"`
 	UntilUnixMS int64  `json:"until_unix_ms"`
 }
 
-// holds stores the quarantined requests, so that they outlive all routers.
+// holds keeps records of the quarantined requests in the store, so that the holds outlive all
+// routers.
 type holds struct {
 	store holdStore
 	guard *quarantine.Guard
@@ -67,7 +69,8 @@
 	}
 }
 
-// quarantined records that a request is quarantined, which may not be in the store yet.
+// quarantined schedules the write of a hold that may not be in the store yet. local is true if
+// this node found the hold.
 func (h *holds) quarantined(hold quarantine.HoldUpdate, local bool) {
 	due := time.Now()
 	if !local {
@@ -80,12 +83,14 @@
 	case !known:
 		h.add(hold.Digest, &holdTask{due: due, local: local})
 	case !time.Now().Before(until):
-		// The expired record blocks a new one; its removal triggers the new one.
+		// The expired record prevents the creation of a new record. Its removal triggers the
+		// creation.
 		h.add(hold.Digest, &holdTask{due: due, local: local, remove: true})
 	}
 }
 
-// lifted records that a request may be sent again.
+// lifted handles the lift of a hold: it cancels a pending write, and schedules the removal of
+// the record if the store has one.
 func (h *holds) lifted(d quarantine.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -166,7 +171,7 @@
 	}
 }
 
-// step executes the tasks that are due and returns the time to the next one.
+// step executes the tasks that are due and returns the time until the next task is due.
 func (h *holds) step(ctx context.Context) time.Duration {
 	for {
 		d, t, wait := h.nextTask()
@@ -177,7 +182,8 @@
 	}
 }
 
-// nextTask returns the task that is due first, and the time until then.
+// nextTask returns the task that is due first, and the time until then; first is nil if there
+// is no task.
 func (h *holds) nextTask() (d quarantine.Digest, first *holdTask, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -1,10 +1,10 @@
-// Package hosted wires one wigeond on the users' platform: routes, accounts and replicas come from
-// the platform's store, requests are passed on without parsing their content, and nothing is kept
-// on the machine's disk. Decisions are made in the other packages; package platform translates
-// between the platform's formats and theirs.
+// Package hosted wires one wigeond on the users' platform: routes, accounts and replicas come
+// from the platform's store, requests are passed on without parsing their content, and nothing
+// is stored on the machine's disk. Decisions are made in the other packages; package platform
+// translates between the platform's formats and the formats of the other packages.
 //
-// The parts of the product's own interface (claims, plans, orders, cursors) are not created here,
-// so they cost nothing.
+// The parts of the product's own interface (claims, plans, orders, cursors) are not created
+// here, so they cost nothing.
 package hosted
 
 import (
@@ -196,7 +196,7 @@
 	return struct{ Version int64 }{t.Version}
 }
 
-// readiness returns why this node accepts no new connections, nil if it does.
+// readiness returns why this node accepts no new connections, or nil if it accepts them.
 func (n *node) readiness() error {
 	switch {
 	case n.leaving.Load():
@@ -224,7 +224,8 @@
 	return g.Run()
 }
 
-// untilSignal waits for the signal to end and then until all open requests have ended.
+// untilSignal waits for a signal that ends the process, and then until
+// all open requests have ended, but not longer than grace.
 func (n *node) untilSignal(sigs <-chan os.Signal, stop <-chan struct{}) error {
 	if signals.Wait(sigs, stop, n.set, n.log) {
 		n.shutdown()
@@ -232,8 +233,8 @@
 	return nil
 }
 
-// shutdown accepts no new connections and lets the open requests finish, for as long as the
-// platform lets the process run.
+// shutdown makes the node accept no new connections, and lets the open requests finish for as
+// long as the platform lets the process run.
 func (n *node) shutdown() {
 	n.log.Emit(event.ShutdownBegun)
 	n.leaving.Store(true)
--- a/hosted/hosted_test.go
+++ b/hosted/hosted_test.go
@@ -15,8 +15,8 @@
 	"wigeondale/settings"
 )
 
-// Guards against a node without a configuration that denies an allowed request, so that the client
-// does not come back.
+// A node without a configuration must not deny a request, since the client would not come
+// back. It must refuse the request with a time to come back, and must not be ready.
 func TestWithoutConfigurationARequestIsRefused(t *testing.T) {
 	f := newFleet(t)
 	n := f.startNode("n1")
@@ -57,8 +57,8 @@
 	}
 }
 
-// Guards against a generation that is cut off when its engine crashes or falls silent without
-// closing the connection, in the middle of a stream whose copy is in the other failure domain.
+// A generation must not be cut off when its engine crashes, or falls silent without closing
+// the connection, in the middle of a stream whose copy is in the other failure domain.
 func TestDraftOutlivesItsEngine(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -94,7 +94,7 @@
 	}
 }
 
-// Guards against runs that go on after their client has disconnected.
+// A run must end when its client has disconnected.
 func TestClientLeaves(t *testing.T) {
 	f := newFleet(t)
 	engines := f.startEngines(2, 100000, 5*time.Millisecond)
@@ -110,8 +110,8 @@
 	await(t, "the end of the run", func() bool { return e.OpenRequests() == 0 })
 }
 
-// Guards against requests that are sent to a leaving replica seconds after the node received the
-// update.
+// A leaving replica must get no requests from the moment at which the node receives the
+// update, and not only seconds later. An older update that arrives late must not change that.
 func TestLeavingReplicaGetsNothing(t *testing.T) {
 	f := newFleet(t)
 	a := f.startApp("a0", "d0")
@@ -132,7 +132,7 @@
 	}
 }
 
-// hasLink reports whether any other node is linked.
+// hasLink reports whether this node has a link to any other node.
 func (p *peers) hasLink() bool {
 	p.mu.Lock()
 	mesh := p.mesh
@@ -144,9 +144,9 @@
 	return ok
 }
 
-// Guards against a revoked key that is still accepted by a node which the store rejects: the store
-// responds to the other node only when the key is revoked, so the node must get the update from the
-// other one.
+// A node that the store rejects must not go on accepting a revoked key. When the key is
+// revoked, the store responds to the other node only, so the rejected node must get the update
+// from the other node.
 func TestRevocationIsHeardThroughAnotherNode(t *testing.T) {
 	f := newFleet(t)
 	f.startApp("a0", "d0")
@@ -164,8 +164,8 @@
 	})
 }
 
-// Guards against a rolling restart that cuts off generations: when the signal comes while a stream
-// is open, the node must be unready at once, finish the stream, and then exit.
+// A rolling restart must not cut off generations: when the signal comes while a stream is
+// open, the node must be unready at once, finish the stream, and then exit.
 func TestShutdownCutsNothing(t *testing.T) {
 	f := newFleet(t)
 	f.startEngines(2, 60, 10*time.Millisecond)
@@ -180,7 +180,7 @@
 	<-n.done
 }
 
-// Guards against a process that exits at a signal which only means that its settings changed.
+// The process must not exit at a signal which only means that its settings changed.
 func TestReloadCutsNothing(t *testing.T) {
 	f := newFleet(t)
 	f.startApp("a0", "d0")
@@ -191,8 +191,8 @@
 	}
 }
 
-// Guards against a request that gets no answer within its route's timeout because a silent replica
-// is waited for until the client's own time is over.
+// A request must get an answer within its route's timeout. The fault is to wait for a silent
+// replica until the client's own time is over.
 func TestAnswerAtTheRoutesTimeout(t *testing.T) {
 	f := newFleet(t)
 	a := f.startApp("a0", "d0")
@@ -203,8 +203,8 @@
 	}
 }
 
-// Guards against reading a prompt again: a client whose router crashed must be sent to the replica
-// that has its prompt cached.
+// A client whose router crashed must be sent to the replica that has its prompt cached, so
+// that the prompt is not read again.
 func TestReturningClientFindsItsPrompt(t *testing.T) {
 	f := newFleet(t)
 	engines := f.startEngines(6, 5, 0)
@@ -245,7 +245,7 @@
 	}
 }
 
-// Guards against one invalid item of the store that ends a node or removes its configuration.
+// One invalid item of the store must not make a node exit or lose its configuration.
 func TestBadItemsLeaveTheLastGoodValue(t *testing.T) {
 	f := newFleet(t)
 	f.startApp("a0", "d0")
@@ -273,7 +273,8 @@
 	}
 }
 
-// An operator sees a node's state without its logs; the state must contain no key.
+// An operator must see a node's state without its logs, and the state must contain no key of a
+// client.
 func TestInspection(t *testing.T) {
 	f := newFleet(t)
 	f.startApp("a0", "d0")
@@ -306,8 +307,8 @@
 	}
 }
 
-// Guards against a node at a new address that gets no links because its entry in the store still
-// has the address of the node before it.
+// A node at a new address must register this address. Otherwise it gets no links, because its
+// entry in the store still has the address of the previous node with the same id.
 func TestNodeRegistersItsNewAddress(t *testing.T) {
 	f := newFleet(t)
 	f.store.Put(nodePrefix+"n1", []byte("127.0.0.1:1"))
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -36,9 +36,9 @@
 
 func idOf(name string, at int64) string { return fleet.Incarnation{Name: name, StartedAt: at}.ID() }
 
-// Guards against a healthy replica that gets no work, or a run that is waited for although it is
-// lost: a replica restarts under its name, and state of the earlier incarnation (a mark of leaving,
-// an open stream, a suspicion) is applied to the later one.
+// When a replica restarts under its name, state of the earlier incarnation (a mark of leaving,
+// an open stream, a suspicion) must not be applied to the later incarnation. Otherwise a
+// healthy replica gets no work, or the node waits for a run that is lost.
 func TestLaterLifetimeStartsAnew(t *testing.T) {
 	v := newTestView()
 	v.apply(entryStartedAt("i", 1000, 5, "ready"))
@@ -61,9 +61,10 @@
 	}
 }
 
-// Guards against requests to an incarnation that has ended: a heartbeat from before the crash is
-// written after the first one of the next start, or the machine's clock was set back so that the
-// later start has the earlier start time. Reports must not be ordered by start time.
+// No requests may go to an incarnation that has ended. The faults arise when a heartbeat from
+// before the crash is written after the first heartbeat of the next start, or when the
+// machine's clock was set back so that the later start has the earlier start time. Reports
+// must not be ordered by start time.
 func TestNewerWordWins(t *testing.T) {
 	v := newTestView()
 	v.Put(entryStartedAt("i", 2000, 5, "ready"))
@@ -79,10 +80,10 @@
 	}
 }
 
-// Guards against a restarted replica that gets no work while the store is unavailable: it is found
-// at its own address under its own name with a later start time, and the known name was taken for a
-// known replica. Older entries of the store must not undo what was found before the store listed
-// it.
+// A replica that restarts while the store is unavailable must get work. It is found at its own
+// address under its own name with a later start time; the fault is to take the known name for
+// a known replica. Older entries of the store must not undo the adoption before the store
+// lists the later incarnation.
 func TestRebornReplicaIsAdopted(t *testing.T) {
 	v := newTestView()
 	v.apply(entryStartedAt("i", 1000, 5, "ready"))
@@ -103,9 +104,9 @@
 	}
 }
 
-// Guards against a generation that pauses for seconds, or ends, after its engine restarted under
-// its name: the engine's connections are blocked, it crashes, restarts and registers, and the
-// generation's own connection shows no sign of it.
+// A generation must not pause for seconds, or end, after its engine restarted under its name.
+// The engine's connections are blocked, the engine crashes, restarts and registers, and the
+// generation's own connection gives no indication of the restart.
 func TestDraftGoesOnWhenItsEngineIsReborn(t *testing.T) {
 	f := newFleet(t)
 	var engines []*fakes.Replica
@@ -129,7 +130,8 @@
 	}
 }
 
-// invalidEntries returns invalid entries, made from a valid one: none of them names a usable replica.
+// invalidEntries returns invalid entries, made from a valid entry: none of the invalid entries
+// names a usable replica.
 func invalidEntries() map[string]string {
 	valid := string(entryStartedAt("x", 1000, 1, "ready").Data)
 	with := func(old, new string) string { return strings.Replace(valid, old, new, 1) }
@@ -155,9 +157,10 @@
 	}
 }
 
-// Guards against requests to an address without a replica, or a healthy replica without requests:
-// another program writes entries next to those of the replicas, with their addresses. A partly
-// understood entry must not be used, and must not take over the address.
+// Another program writes entries next to the entries of the replicas, with the addresses of
+// the replicas. A partly understood entry must not be used, and must not take over the
+// address: otherwise requests go to an address without a replica, or a healthy replica gets no
+// requests.
 func TestForeignEntriesNameNoReplica(t *testing.T) {
 	for name, data := range invalidEntries() {
 		t.Run(name, func(t *testing.T) {
@@ -175,10 +178,10 @@
 	}
 }
 
-// Guards against a replica that gets requests because of an entry that isn't its own, or that never
-// gets requests again: another program overwrites its entry, and some seconds later the replica's
-// own heartbeat restores it. A broken rewrite must withhold new work, and only until the entry is
-// valid again.
+// Another program overwrites the entry of a replica, and some seconds later the replica's own
+// heartbeat restores the entry. A broken rewrite must withhold new work, and only until the
+// entry is valid again: the replica must neither get requests because of an entry that isn't
+// its own, nor be left without requests for good.
 func TestBrokenRewriteWithholdsWork(t *testing.T) {
 	broken := invalidEntries()
 	broken["no start time"] = string(replicaEntry("i", "10.0.0.1:80", 6).Data)
@@ -198,8 +201,8 @@
 	}
 }
 
-// Guards against replicas of a new service that get no work: they register before the configuration
-// that names their service is in force, and their entries are not looked at again.
+// Replicas of a new service must get work although they register before the configuration that
+// names their service is in force. The fault is that their entries are not looked at again.
 func TestServiceIsNamedLater(t *testing.T) {
 	v := newTestView()
 	v.apply(infra.Value{Key: "servers/x", CreateRev: 9, ModRev: 9, Data: []byte(invalidEntries()["unnamed service"])})
@@ -211,8 +214,8 @@
 	}
 }
 
-// Whatever invalid entries exist alongside valid ones, and in whatever order, exactly the replicas
-// with valid entries are known.
+// Whatever invalid entries exist alongside valid entries, and in whatever order, exactly the
+// replicas with valid entries must be known.
 func TestSoundEntriesHoldBesideForeignOnes(t *testing.T) {
 	bad := invalidEntries()
 	names := slices.Sorted(maps.Keys(bad))
--- a/hosted/incarnations.go
+++ b/hosted/incarnations.go
@@ -8,25 +8,28 @@
 
 // incarnations decides which of two reports about a replica's name is newer.
 //
-// Reports arrive late and out of order: an old page of the store, an update from a neighbour, or a
-// heartbeat that was in flight when the replica crashed. Start times don't order them, since the
-// clock of a machine may be set back between two starts. So the report received last counts,
-// reports from the store in the order of their revisions, but an incarnation that another one has
-// replaced never becomes current again.
+// Reports arrive late and out of order: an old page of the store, an update from a neighbour,
+// or a heartbeat that was in flight when the replica crashed. Start times don't show the order
+// of reports, since the clock of a machine may be set back between two starts. So the report
+// received last counts, and reports from the store are received in the order of their
+// revisions. But an incarnation that another incarnation has replaced never becomes current
+// again.
 type incarnations struct {
 	current  map[string]fleet.Incarnation   // current incarnation by name
 	replaced map[string][]fleet.Incarnation // replaced incarnations by name, the latest last
 }
 
-// maxReplaced is the number of replaced incarnations that are remembered for a name. A report older
-// than that many starts does not arrive any more: the history of the store covers fewer.
+// maxReplaced is the number of replaced incarnations that are remembered for a name. A report
+// older than maxReplaced starts does not arrive any more: the history of the store covers
+// fewer starts.
 const maxReplaced = 16
 
 func newIncarnations() incarnations {
 	return incarnations{current: map[string]fleet.Incarnation{}, replaced: map[string][]fleet.Incarnation{}}
 }
 
-// relation is the relation of a reported incarnation to the current one of its name.
+// relation is the relation of a reported incarnation to the current incarnation of the same
+// name.
 type relation uint8
 
 const (
@@ -36,8 +39,8 @@
 	outdated                  // an earlier incarnation
 )
 
-// update records a reported incarnation. It returns the incarnation that was current before, and
-// how the reported one relates to it.
+// update records a reported incarnation. It returns the incarnation that was current before,
+// and how the reported incarnation relates to it.
 func (l *incarnations) update(reported fleet.Incarnation) (before fleet.Incarnation, rel relation) {
 	known, ok := l.current[reported.Name]
 	switch {
@@ -62,7 +65,7 @@
 	l.replaced[inc.Name] = kept
 }
 
-// get returns the current incarnation of a name.
+// get returns the current incarnation of a name, and false if the name is not known.
 func (l *incarnations) get(name string) (fleet.Incarnation, bool) {
 	inc, ok := l.current[name]
 	return inc, ok
--- a/hosted/load_query.go
+++ b/hosted/load_query.go
@@ -20,22 +20,25 @@
 // depend on the number of routers and engines.
 
 const (
-	// queriedEngines is how many engines are queried for a prompt. With more of them, more routers
-	// find the same free capacity at the same moment; with fewer, free capacity is not found.
+	// queriedEngines is how many engines are queried for a prompt. If more are queried, more
+	// routers find the same free capacity at the same moment; if fewer are queried, free
+	// capacity is not found.
 	queriedEngines = 3
-	// preferredEngines is the number of preferred engines of a request, from which those are drawn
-	// that are queried first. The client may come back through another router, which finds the
-	// cached prompt by querying twice that many engines instead of all of them. With fewer, the
-	// crash of a failure domain leaves too few to choose from.
+	// preferredEngines is the number of preferred engines of a request. The engines that are
+	// queried first are drawn from the preferred engines. The client may come back through
+	// another router, which finds the cached prompt by querying 2*preferredEngines engines
+	// instead of all engines. With fewer preferred engines, the crash of a failure domain
+	// leaves too few to choose from.
 	preferredEngines = 8
-	// queryMaxWait bounds the wait for the responses, which take a few ms; waiting for a lost
-	// packet would cost more time than a badly placed prompt.
+	// queryMaxWait bounds the wait for the responses, which take a few ms. To wait longer, for
+	// a lost packet, would cost more time than a badly placed prompt.
 	queryMaxWait = 80 * time.Millisecond
-	// queryTimeout ends a query. A response that comes later is outdated.
+	// queryTimeout ends a query. A response that arrives later is outdated.
 	queryTimeout = 250 * time.Millisecond
-	// queryInterval is how often the waiting requests of this router have engines queried, all of
-	// them together. Between two reports of an engine, each router that queries it sees the same
-	// free capacity and sends a prompt there.
+	// queryInterval is how often engines are queried for the requests that wait at this
+	// router, for all of these requests together. More frequent queries would do harm: between
+	// two reports of an engine, each router that queries the engine sees the same free
+	// capacity and sends a prompt there.
 	queryInterval = 400 * time.Millisecond
 )
 
@@ -53,7 +56,8 @@
 	queried, responded *metrics.Counter
 }
 
-// querySteps select the engines to query: those that could be chosen and did not respond just now.
+// querySteps select the engines to query: engines that could be chosen and did not respond
+// just now.
 var querySteps = withCommonSteps(
 	routing.StepConfig{Name: routing.FilterUsable},
 	routing.StepConfig{Name: routing.FilterStale},
@@ -71,12 +75,13 @@
 	}, nil
 }
 
-// needed reports whether engines are to be queried, since the other routers don't broadcast their
-// loads.
+// needed reports whether engines are to be queried. They are if the other routers don't
+// broadcast their loads.
 func (s *loadQuerier) needed() bool { return s.states != nil && !s.dir.PeersSendLoads() }
 
-// sample returns the engines to query for a request with the given key: some of its preferred
-// engines, or of a larger set if those are too few or were queried before.
+// sample returns the engines to query for a request with the given key. They are drawn from
+// the preferred engines of the request, or from a larger set if the preferred engines are too
+// few or were queried before.
 func (s *loadQuerier) sample(candidates []routing.Candidate, req routing.PickRequest, key uint64, earlier int) []routing.Candidate {
 	req.Now = time.Now()
 	for n := preferredEngines * (1 + earlier); ; n *= 2 {
@@ -87,8 +92,8 @@
 	}
 }
 
-// query queries engines and waits for their responses, at most queryMaxWait. It returns how many
-// responded.
+// query queries engines and waits for their responses, at most queryMaxWait. It returns how
+// many engines responded.
 func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.RequestSize) (answered int) {
 	answers := make(chan bool, len(drawn))
 	for _, c := range drawn {
@@ -111,8 +116,9 @@
 	return answered
 }
 
-// queryOne records the load that one engine reports. An engine without a response is not chosen
-// now; whether it works is decided by its runs.
+// queryOne queries one engine, records the load that the engine reports, and reports whether
+// the engine responded. An engine without a response is not chosen now, but it isn't
+// suspected: whether it works is decided by its runs.
 func (s *loadQuerier) queryOne(ctx context.Context, b fleet.Backend, typical directory.RequestSize) bool {
 	s.queried.Inc()
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
@@ -132,7 +138,8 @@
 	next time.Time
 }
 
-// due reports whether it is time for a query. A request that has just arrived always queries.
+// due reports whether it is time for a query. For a request that has just arrived, a query is
+// always due.
 func (g *queryGate) due(isNew bool, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/hosted/load_query_test.go
+++ b/hosted/load_query_test.go
@@ -11,14 +11,14 @@
 	"wigeondale/generation"
 )
 
-// idleStates reports for each engine that it is idle.
+// idleStates reports that each engine is idle.
 type idleStates struct{}
 
 func (idleStates) State(context.Context, fleet.Backend) (fleet.EngineState, error) {
 	return fleet.EngineState{}, nil
 }
 
-// cachedParts reports which engine has which part cached, and counts the queries.
+// cachedParts reports which engine has which part of a prompt cached, and counts the queries.
 type cachedParts struct {
 	mu       sync.Mutex
 	engineOf map[string]string
@@ -38,10 +38,10 @@
 	return out, nil
 }
 
-// Guards against engines that answer thousands of queries at once, which delays tokens, after a
-// restart of all routers: clients come back through other routers, each of which queries all
-// engines for the prompt. Where engines are queried before they are chosen, the prompt is at one of
-// its preferred engines.
+// After a restart of all routers, clients come back through other routers. If each router
+// queried all engines for the prompt, engines would answer thousands of queries at once, which
+// delays tokens. Where engines are queried for their loads before one is chosen, the prompt is
+// at one of its preferred engines, so only these may be queried.
 func TestReturningClientIsFoundAtItsHomes(t *testing.T) {
 	list := engineList(160, 5)
 	before, after := pickerOf(t, list, 55000), pickerOf(t, list, 55000)
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -7,17 +7,18 @@
 	"wigeondale/directory"
 )
 
-// Routers that are all linked to each other broadcast their open requests at each replica; package
-// directory adds them to the router's own. Where there are too many routers for a full mesh they
-// broadcast no loads, and query engines instead (load_query.go).
+// Routers that are all linked to each other broadcast their open requests at each replica;
+// package directory adds the loads of the other routers to the router's own. Where there are
+// too many routers for a full mesh, the routers broadcast no loads, and query engines instead
+// (load_query.go).
 //
-// If routers sent their loads to some of the others only, each would know a part of the loads, take
-// it for the total, and ignore what engines report; overloads would go unnoticed. Forwarding all
-// loads to all routers costs each router messages that grow with the square of the number of
-// routers, which saturate its network link.
+// If routers sent their loads only to some of the other routers, each router would know a part
+// of the loads, take this part for the total, and ignore what engines report; overloads would
+// go unnoticed. Forwarding all loads to all routers costs each router messages that grow with
+// the square of the number of routers, and these messages saturate its network link.
 const (
-	// loadsInterval bounds the delay until other routers know what this router sent where. A prompt
-	// takes about a second to read.
+	// loadsInterval bounds the delay until other routers know which requests this router sent
+	// to which replica. It is short compared with the time to read a prompt, about a second.
 	loadsInterval = 40 * time.Millisecond
 	// loadsSoonDelay is the delay until other routers know that a prompt was sent or read. When
 	// engines are full, each router that does not know about such a change yet sends one more
@@ -36,15 +37,16 @@
 	loads      directory.PeerLoads
 }
 
-// loadsMessage holds a router's loads, or those that changed.
+// loadsMessage holds all loads of a router, or the loads that changed.
 type loadsMessage struct {
 	Loads directory.PeerLoads `cbor:"1,keyasint"`
 	// All reports that the router has no other open requests.
 	All bool `cbor:"2,keyasint,omitempty"`
 }
 
-// broadcastLoop broadcasts this router's loads whenever they change, as long as it is linked to all
-// others, and applies the loads they sent. It calls after at the end of each round.
+// broadcastLoop broadcasts this router's loads whenever they change, as long as this router is
+// linked to all other routers, and applies the loads that the other routers sent. It calls
+// after at the end of each round.
 func (p *peers) broadcastLoop(ctx context.Context, send func(loadsMessage), after func(now time.Time)) {
 	tick := time.NewTicker(loadsInterval)
 	defer tick.Stop()
@@ -73,8 +75,9 @@
 	}
 }
 
-// broadcastLoads sends all loads, or those that changed since last, and returns the loads sent and
-// the time when all were sent last.
+// broadcastLoads sends all loads of this router if loadsFullInterval has passed since
+// lastFull, and otherwise the loads that differ from last. It returns the current loads and
+// the time when all loads were sent last.
 func (p *peers) broadcastLoads(now time.Time, last directory.PeerLoads, lastFull time.Time, send func(loadsMessage)) (directory.PeerLoads, time.Time) {
 	local := p.dir.LocalLoads()
 	if now.Sub(lastFull) >= loadsFullInterval {
@@ -87,7 +90,8 @@
 	return local, lastFull
 }
 
-// broadcastSoon makes this router broadcast its loads at once instead of at the next tick.
+// broadcastSoon makes this router broadcast its loads after loadsSoonDelay instead of at the
+// next tick.
 func (p *peers) broadcastSoon() {
 	select {
 	case p.soon <- struct{}{}:
@@ -95,7 +99,8 @@
 	}
 }
 
-// changes returns the entries of now that differ from before, and 0 for those that now lacks.
+// changes returns the entries of now that differ from before, and a zero load for each entry
+// of before that now lacks.
 func changes(before, now directory.PeerLoads) directory.PeerLoads {
 	out := directory.PeerLoads{}
 	for id, v := range now {
@@ -112,10 +117,10 @@
 }
 
 // handleLoads applies a message from another router. A message with all loads also ends the
-// requests that it does not list: they may have ended since the previous message, or the message
-// about their end may have been lost. Otherwise such requests would count at their engines until
-// the router used the same engine again; where that is rare, more and more idle engines would seem
-// busy.
+// requests that the message does not list: they may have ended since the previous message, or
+// the message about their end may have been lost. Otherwise such requests would count at their
+// engines until the other router used the same engine again; where that is rare, more and more
+// idle engines would seem busy.
 func (p *peers) handleLoads(from string, m loadsMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,12 +145,12 @@
 	p.received[from] = t
 }
 
-// applyPeerLoads passes the sum of the other routers' loads to the directory, if this router is
-// linked to all of them.
+// applyPeerLoads passes the sum of the other routers' loads to the directory, if this router
+// is linked to all other routers.
 //
 // The loads of only some routers must not be used: after a start of all nodes a node knows few
-// others for about a second and would take them for all of them. Their loads would count for
-// seconds, and engines would not be queried.
+// other nodes for about a second and would take these for all other nodes. Their loads would
+// count for seconds, and engines would not be queried.
 func (p *peers) applyPeerLoads(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -11,10 +11,10 @@
 	"wigeondale/settings"
 )
 
-// Guards against idle engines that seem busy, more and more of them the longer routers run, above
-// all where a router rarely uses the same engine twice: a request ends just before a router repeats
-// all its loads, or the message about its end is lost. The repetition must also end the requests
-// that it does not list.
+// Idle engines must not seem busy, more and more of them the longer routers run. That happens
+// above all where a router rarely uses the same engine twice: a request ends just before a
+// router repeats all its loads, or the message about the request's end is lost. The repetition
+// must also end the requests that it does not list.
 func TestWhatEndedIsForgottenByTheOthers(t *testing.T) {
 	for name, lost := range map[string]bool{"ends before a repetition": false, "its message is lost": true} {
 		t.Run(name, func(t *testing.T) {
@@ -57,10 +57,10 @@
 	}
 }
 
-// Guards against prompts that are placed for six seconds as if most engines were idle, after a
-// start of many routers: a router is linked to the first few others and receives their loads, then
-// finds out that there are many more. The loads of a few must not count for all of them; engines
-// must be queried.
+// After a start of many routers, a router is linked to the first few other routers and
+// receives their loads, then finds out that there are many more routers. The loads of a few
+// routers must not count for the loads of all routers; engines must be queried. Otherwise
+// prompts are placed for six seconds as if most engines were idle.
 func TestWordOfAFewIsDroppedWhenThereAreMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// paceChunks is the number of chunks after which the pace of a stream is rated. A stream that
-	// ends sooner is rated at its end, if it has minPaceChunks.
+	// paceChunks is the number of chunks after which the pace of a stream is rated. A stream
+	// that ends sooner is rated at its end, if it has at least minPaceChunks chunks.
 	paceChunks    = 20
 	minPaceChunks = 5
-	// cutOffCheck is the delay between the cut-off of an answer and the check whether its replica
-	// still works. If it does, the answer counts as a failure; a replica that crashed is known by
-	// then.
+	// cutOffCheck is the delay between the cut-off of an answer and the check whether the
+	// answer's replica still works. If the replica works, the answer counts as a failure.
+	// After this delay the crash of a replica is known.
 	cutOffCheck = 1500 * time.Millisecond
 )
 
-// observedEngines wraps the replicas for roll-outs: it counts the result of each first attempt, and
-// lets runs be ended so that they continue at another version.
+// observedEngines wraps the access to the replicas for roll-outs: it counts the result of each
+// first attempt, and allows runs to be ended so that they continue at another version.
 type observedEngines struct {
 	generation.Engines
 	rollouts *rollouts
@@ -62,7 +62,8 @@
 	return &observedStream{Stream: s, run: run, rollouts: o.rollouts}, nil
 }
 
-// observedRun is one attempt.
+// observedRun is one attempt whose result is counted for a roll-out, or whose run may have to
+// move to another version.
 type observedRun struct {
 	b         fleet.Backend
 	route     string
@@ -70,7 +71,8 @@
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 
-	// Set if the attempt counts for a roll-out.
+	// rollout is set if the attempt counts for a roll-out. The fields after it
+	// are used only then.
 	rollout     *serviceRollout
 	startedAt   time.Duration
 	aspect      rollout.Aspect // aspect of the answer that is rated next
@@ -79,7 +81,8 @@
 	chunks      int
 }
 
-// newObservedRun rates only the first attempt of a request: a later attempt goes to the old
+// newObservedRun returns the record of an attempt. The attempt is rated only if it is the
+// first attempt of a request while a roll-out is open: a later attempt goes to the old
 // version, and often follows a crash.
 func newObservedRun(b fleet.Backend, r *backend.StartRequest, ro *serviceRollout) *observedRun {
 	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.LastAttempt}
@@ -104,14 +107,16 @@
 		r.b.Version == rule.Target, clock.SinceBoot())
 }
 
-// observeTime counts the time to the answer, or to its first chunk.
+// observeTime counts the time to the answer, or to its first chunk, unless the attempt was
+// already rated by its time.
 func (r *observedRun) observeTime(s *rollouts, aspect rollout.Aspect) {
 	if r.rollout != nil && !r.timeCounted.Swap(true) {
 		r.observe(s, aspect, rollout.GradeOf(clock.SinceBoot()-r.startedAt))
 	}
 }
 
-// observeOverdue counts an answer that has not come yet as slow.
+// observeOverdue counts an answer that has not come yet as slow, if it is so late that it will
+// count as slow in any case.
 func (r *observedRun) observeOverdue(s *rollouts, now time.Duration) {
 	if r.rollout == nil || r.timeCounted.Load() {
 		return
@@ -136,14 +141,15 @@
 		r.timeCounted.Store(true)
 		r.observe(s, r.aspect, rollout.Failed)
 	case refused || errors.Is(err, backend.ErrNotSent) || r.ctx.Err() != nil:
-		// It did not run, or this router ended it.
+		// The replica did not run the attempt, or this router ended it.
 	default:
 		time.AfterFunc(cutOffCheck, func() { r.observeCutOff(s) })
 	}
 	return err
 }
 
-// observeCutOff counts an answer that was cut off, if its replica goes on working.
+// observeCutOff counts an answer that was cut off as a failure, if its replica goes on
+// working.
 func (r *observedRun) observeCutOff(s *rollouts) {
 	if s.dir.Leaving(r.b.ID) || s.mon.State(r.b.ID) != health.Healthy || s.crashed(r.b) {
 		return
@@ -151,8 +157,8 @@
 	r.observe(s, r.aspect, rollout.Failed)
 }
 
-// crashed probes whether a replica has crashed, which the failure detector finds out only with the
-// next attempts there.
+// crashed probes whether a replica has crashed. The failure detector finds out about a crash
+// only with the next attempts at the replica.
 func (s *rollouts) crashed(b fleet.Backend) bool {
 	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
@@ -186,7 +192,8 @@
 	return t, s.run.observeFailure(s.rollouts, err)
 }
 
-// countChunk counts one chunk.
+// countChunk counts one chunk, and rates the time to the first chunk and the pace when they
+// are known.
 func (r *observedRun) countChunk(s *rollouts) {
 	if r.rollout == nil {
 		return
@@ -201,7 +208,8 @@
 	}
 }
 
-// observePace rates the pace once, from the given number of chunks on.
+// observePace rates the pace of the stream once, if the stream has at least the given number
+// of chunks.
 func (r *observedRun) observePace(s *rollouts, least int) {
 	if r.rollout == nil || r.chunks < least || r.firstAt == 0 {
 		return
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -25,8 +25,8 @@
 
 const (
 	peerKeyBytes = 32
-	// peerHeartbeat is the heartbeat interval of a link. A node counts as dead only after several
-	// missed heartbeats.
+	// peerHeartbeat is the heartbeat interval of a link. A node is considered dead only after
+	// several missed heartbeats.
 	peerHeartbeat   = time.Second
 	peerDialTimeout = 500 * time.Millisecond
 	peerMaxBackoff  = 2 * time.Second
@@ -38,8 +38,8 @@
 	floodRemoved = "hosted.replica-gone"
 )
 
-// peers connects this node with the other nodes. It is idle until the key with which all links
-// authenticate has been read from the store.
+// peers connects this node with the other nodes. It has no links until the key with which all
+// links authenticate has been read from the store.
 type peers struct {
 	set       *settings.Settings
 	reg       *registration
@@ -87,31 +87,32 @@
 	return p
 }
 
-// currentMesh returns the mesh, nil before it is up.
+// currentMesh returns the mesh, or nil while the mesh is not up yet.
 func (p *peers) currentMesh() *peer.Mesh {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mesh
 }
 
-// broadcastRemoved broadcasts that a replica's address turned out to belong to another replica. The
-// registry distributes that too, but not while the store is unavailable: then each router would
-// find out only by sending a request there, and each such request counts as one more arrival.
+// broadcastRemoved broadcasts that a replica's address turned out to belong to another
+// replica. The registry distributes this removal too, but not while the store is unavailable:
+// then each router would find out only by sending a request to this address, and each such
+// request counts as one more arrival.
 func (p *peers) broadcastRemoved(id, _ string, source directory.Source) {
 	if source != directory.FromRefusal {
 		return
 	}
 	if mesh := p.currentMesh(); mesh != nil {
-		// If it is not delivered, the other routers find out on their own.
+		// If the message is not delivered, the other routers find out on their own.
 		_ = mesh.Flood(floodRemoved, removedMessage{id})
 	}
 }
 
-// broadcastCrash broadcasts a failure domain that this router, or a router that reported it,
-// considers crashed. Each router forwards it once.
+// broadcastCrash broadcasts a failure domain that this router, or a router that reported the
+// domain, considers crashed. Each router forwards the report of a crash once.
 func (p *peers) broadcastCrash(domain string) {
 	if mesh := p.currentMesh(); mesh != nil {
-		// If it is not delivered, the other routers find out on their own.
+		// If the message is not delivered, the other routers find out on their own.
 		_ = mesh.SendToLinked(floodCrash, crashMessage{domain})
 	}
 }
@@ -119,7 +120,8 @@
 // broadcastAdopted broadcasts adopted replicas to all nodes.
 func (p *peers) broadcastAdopted(m adoptedMessage) {
 	if mesh := p.currentMesh(); mesh != nil {
-		// Repeated while the store is unavailable.
+		// A lost message does no harm: the adopted replicas are broadcast again while the
+		// store is unavailable.
 		_ = mesh.Flood(floodAdopted, m)
 	}
 }
@@ -143,7 +145,7 @@
 	}
 }
 
-// settled is called after a series of put and removed.
+// settled is called when a series of calls of put and removed is complete.
 func (p *peers) settled() {
 	p.firstRead.Do(func() { close(p.storeRead) })
 	p.mu.Lock()
@@ -164,8 +166,8 @@
 	}
 }
 
-// registrationState returns whether the key of the links is known, and the lease of this node's
-// entry if the entry has this node's address.
+// registrationState returns whether the key of the links is known, and the lease of this
+// node's entry, or 0 if no entry has this node's address.
 func (p *peers) registrationState() (key bool, lease infra.LeaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -201,14 +203,15 @@
 	p.mesh.SetDiscoveredSeeds(addrs)
 }
 
-// registeredNodes returns the number of registered nodes, this one included.
+// registeredNodes returns the number of registered nodes, including this node.
 func (p *peers) registeredNodes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return max(len(p.addrs), 1)
 }
 
-// liveNodes returns the nodes that are considered working, this one included.
+// liveNodes returns the ids of the nodes that are considered working, including this node; it
+// returns nil while there is no mesh.
 func (p *peers) liveNodes() []string {
 	mesh := p.currentMesh()
 	if mesh == nil {
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// typicalPrompt and typicalAnswer are the tokens assumed for a request that does not state its
-	// size: those of an ordinary generation on the first deployments.
+	// typicalPrompt and typicalAnswer are the tokens assumed for a request that does not state
+	// its size: the tokens of an ordinary generation on the first deployments.
 	typicalPrompt = 5000
 	typicalAnswer = 1000
-	// waitForReplica is how long a request waits before it is checked again whether a replica has
-	// come up.
+	// waitForReplica is how long a request waits when no replica is available, before the
+	// router checks again whether a replica has come up.
 	waitForReplica = 50 * time.Millisecond
-	// unreadByCopy is the part of a prompt that an engine reads again when a run continues from its
-	// copy: what had not been copied yet.
+	// unreadByCopy is the part of a prompt that an engine reads again when a run continues
+	// from its copy: the part that had not been copied yet.
 	unreadByCopy = 0.05
 )
 
-// idleOnly is a bound on the backlog, in tokens, that only an engine without any prompt to read
-// meets.
+// idleOnly is a bound, in tokens, on the backlog of an engine. Only an engine that has no
+// prompt to read meets it.
 const idleOnly = 1
 
 // picker chooses replicas for attempts and standbys for the copies of runs.
@@ -46,7 +46,8 @@
 	log             *event.Log
 	queues          queues
 	loadQuerier     *loadQuerier
-	// rollouts determines which versions attempts may use; nil for any version.
+	// rollouts determines which versions attempts may use. If it is nil, attempts may use any
+	// version.
 	rollouts *rollouts
 	refusal  admission.RefusalPolicy
 	// broadcastSoon makes this router broadcast its changed loads at once.
@@ -68,16 +69,19 @@
 	return p, nil
 }
 
-// memoryWeight lets free memory decide between engines with equal delay: one more copy at an engine
-// weighs slightly more than the difference that counts as equal, and less than one more run.
+// memoryWeight lets free memory decide between engines with equal delay: one more copy at an
+// engine weighs slightly more than the difference that counts as equal, and less than one more
+// run.
 //
-// Without it, work goes to engines that keep many copies. Where a router knows only part of the
-// loads, their memory runs out and runs are preempted.
+// Without this weight, work goes to engines that keep many copies. Where a router knows only
+// part of the loads, the memory of these engines runs out and runs are preempted.
 const memoryWeight = 0.25
 
-// nonEngineSteps choose the replica of a service that is not a model engine, anyEngineSteps the
-// engine that runs an attempt, standbySteps the engine that keeps its copy. A copy is never used as
-// the probe of a suspected replica: a copy that isn't made would be noticed only when it is needed.
+// nonEngineSteps choose the replica of a service that is not a model engine. anyEngineSteps
+// and preferredSteps choose the engine that runs an attempt, preferredSteps among the
+// preferred engines of the request. standbySteps choose the engine that keeps the copy of a
+// run. A copy is never used as the probe of a suspected replica: a copy that could not be made
+// would be noticed only when it is needed.
 var (
 	nonEngineSteps = withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
@@ -93,8 +97,8 @@
 	)
 )
 
-// engineSteps returns the steps that choose the engine for an attempt, among the engines kept by a
-// filter on the age of their reports.
+// engineSteps returns the steps that choose the engine for an attempt. byAge is the filter
+// that selects engines by the age of their reports.
 func engineSteps(byAge string) []routing.StepConfig {
 	return withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
@@ -121,8 +125,8 @@
 // Lookup implements generation.Picker.
 func (p *picker) Lookup(id string) (fleet.Backend, bool) { return p.dir.Backend(id) }
 
-// Pick implements generation.Picker. Whether a replica is leaving is checked once more at the
-// moment of sending.
+// Pick implements generation.Picker. It checks once more, at the moment of sending, whether
+// the chosen replica is leaving.
 func (p *picker) Pick(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	b, share, err := p.pick(ctx, a)
 	ro := p.rollouts.of(a.Service)
@@ -149,7 +153,8 @@
 	return p.choose(p.nonEngine, p.candidates(a), a, directory.Load{Requests: 1})
 }
 
-// choose prefers failure domains other than that of the attempt that was lost.
+// choose chooses a replica outside the failure domain of the attempt that was lost, or in this
+// domain if there is no usable replica elsewhere.
 func (p *picker) choose(router *routing.Router, among []routing.Candidate, a generation.PickRequest, load directory.Load) (fleet.Backend, generation.LoadShare, error) {
 	req := p.pickRequest(a)
 	req.OtherDomain = a.LostDomain
@@ -201,10 +206,11 @@
 }
 
 // cacheCandidates returns the replicas that may have the prompt of a returning client in their
-// caches: the preferred engines of the request if prompts are placed by them, else all replicas.
+// caches. These are the preferred engines of the request if prompts are placed at preferred
+// engines, else all replicas.
 //
-// If each router queried all engines, then after a restart of all routers, when all clients return
-// within one second, thousands of queries would delay the work of the engines.
+// If each router queried all engines, then after a restart of all routers, when all clients
+// return within one second, thousands of queries would delay the work of the engines.
 func (p *picker) cacheCandidates(a generation.PickRequest) []routing.Candidate {
 	all := p.allowedReplicas(a.Service)
 	if !p.loadQuerier.needed() || a.UniquePart == "" {
@@ -252,8 +258,8 @@
 	return req
 }
 
-// capacity returns how many tokens an engine of the service can hold in memory, 0 for a service
-// that is not a model engine.
+// capacity returns how many tokens an engine of the service can hold in memory, or 0 for a
+// service that is not a model engine.
 func (p *picker) capacity(service string) int {
 	if t := p.table.Get(); t != nil {
 		return t.Service(service).Memory
@@ -263,7 +269,8 @@
 
 func (p *picker) healthy(id string) bool { return p.mon.State(id) == health.Healthy }
 
-// tokensOf returns the tokens of a request's prompt and answer.
+// tokensOf returns the number of tokens of a request's prompt and answer, or typical numbers
+// if the request does not state its size.
 func tokensOf(a generation.PickRequest) (prompt, answer int) {
 	if a.PromptTokens <= 0 {
 		return typicalPrompt, typicalAnswer
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -14,30 +14,34 @@
 	// startedMaxWait is how long a response that has started waits for a replica to continue at: a
 	// little less than clients tolerate.
 	startedMaxWait = 5 * time.Second
-	// refusedRetry is the time to come back that is sent with a refusal when nothing better is
+	// refusedRetry is the time to come back that is sent with a refusal when no better time is
 	// known: crashed replicas are back within seconds.
 	refusedRetry = 600 * time.Millisecond
-	// maxFruitless bounds consecutive attempts without a chunk.
+	// maxFruitless is how many attempts in a row may end without delivering a chunk.
 	maxFruitless = 8
-	// killMargin is how long before the platform's kill the process exits.
+	// killMargin is how long before the platform kills the process the process exits on its
+	// own.
 	killMargin = 300 * time.Millisecond
 	// expiryHeartbeats is the number of missed heartbeats after which an entry expires, as the
 	// platform documents. A suspected replica gets its first request again after that time: a
 	// crashed replica is out of the registry by then, and its successor is another incarnation.
 	expiryHeartbeats = 3
-	// prefillFactor and queueFactor extend the bound on the time to a first chunk, since prompts
-	// are read one after the other. A replica that lost the run is found by querying it.
+	// prefillFactor and queueFactor extend the bound on the time to a first chunk, since
+	// prompts are read one after the other. A longer bound does little harm: a replica that
+	// lost the run is found by querying the replica.
 	prefillFactor = 5
 	queueFactor   = 2
-	// typicalGap is the assumed time between the chunks of one stream before any was observed: more
-	// than without other work, less than while a prompt is read.
+	// typicalGap is the time between the chunks of one stream that is assumed before any was
+	// observed. It is longer than at an engine without other work, and shorter than while a
+	// prompt is read.
 	typicalGap = 60 * time.Millisecond
-	// tick is the interval of evaluation; it adds to the time of each detection.
+	// tick is the interval at which the failure detector evaluates; it adds to the time of
+	// each detection.
 	tick = 10 * time.Millisecond
 )
 
-// policyOf adapts the failure detector to replicas that often crash by failure domain, and to
-// clients for whom a short pause is too long.
+// policyOf returns the policy of the failure detector, adapted to replicas that often crash by
+// failure domain, and to clients for whom even a short pause is too long.
 func policyOf(h *settings.Hosted) health.Policy {
 	p := health.DefaultPolicy()
 	p.FailuresPerHour = h.FailuresPerHour
@@ -72,5 +76,6 @@
 	return report, err
 }
 
-// bytesPerToken is the size by which package generation states prompts.
+// bytesPerToken converts the sizes of prompts: package generation states them in bytes, with
+// this number of bytes for each token.
 const bytesPerToken = 4
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -15,31 +15,33 @@
 	"wigeondale/routing"
 )
 
-// Requests wait at the router for an engine that can take them: there they can still go to
-// whichever engine is free first, and be refused at once if their position in the queue is too far
-// back.
+// Requests wait at the router for an engine that can take them. While a request waits at the
+// router, it can still go to whichever engine is free first, or be refused at once if its
+// position in the queue is too far back.
 const (
-	// readingShare is the part of the time to a late first chunk within which an engine should have
-	// read the prompts sent to it. The rest is for the wait at the router, where a request can
-	// still go to another engine.
+	// readingShare is the part of the time to a late first chunk within which an engine should
+	// have read the prompts sent to it. The rest of this time is for the wait at the router,
+	// where a request can still go to another engine.
 	readingShare = 0.5
-	// retryInterval is how often the first request of the queue tries again; the ones behind it try
-	// less often, by their position.
+	// retryInterval is how often the first request of the queue tries again; the requests
+	// behind it try less often, by their position.
 	retryInterval = 10 * time.Millisecond
-	// maxRetryFactor bounds that: the interval is at most 1+maxRetryFactor times as long.
+	// maxRetryFactor bounds the interval of the requests further back: it is at most
+	// 1+maxRetryFactor times retryInterval.
 	maxRetryFactor = 8
-	// activeWaiters is how many requests at the head of the queue look for an engine at the same
-	// time. With the first one only, a request that needs more memory than is free anywhere blocks
-	// all requests behind it.
+	// activeWaiters is how many requests at the head of the queue look for an engine at the
+	// same time. If only the first request did, a request that needs more memory than is free
+	// anywhere would block all requests behind it.
 	activeWaiters = 3
-	// adviceSpread spreads the return of clients that are refused at the same time.
+	// adviceSpread spreads the return of clients that are refused at the same time: the time
+	// to come back that each client gets is longer by a random part of up to adviceSpread.
 	adviceSpread = 0.5
 	// codeOverloaded is the code of a refusal because the wait would be too long.
 	codeOverloaded = "overloaded"
 )
 
-// queue holds the requests waiting for the engines of one service, and estimates about those
-// engines.
+// queue holds the requests that wait for the engines of one service, and the estimates about
+// these engines.
 type queue struct {
 	waitQueue   *admission.WaitQueue
 	reading     admission.PrefillRate
@@ -68,13 +70,14 @@
 	return sq
 }
 
-// backlog returns the bound on the tokens that an engine has still to read.
+// backlog returns the bound on the tokens that an engine may have to read when the request is
+// sent to it.
 func (q *queue) backlog(a generation.PickRequest) float64 {
 	return q.reading.TokensWithin(time.Duration(readingShare * float64(a.FirstChunkTarget)))
 }
 
-// pickEngine chooses an engine for a request that is near the head of the queue, or returns when to
-// try again.
+// pickEngine chooses an engine for a request that is near the head of the queue. Otherwise, or
+// if no engine can take the request, it returns when to try again, or a refusal.
 func (p *picker) pickEngine(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	q := p.queues.of(a.Service)
 	rank := admission.RankNew
@@ -105,7 +108,7 @@
 	return fleet.Backend{}, nil, p.waitOrRefuse(q, a, pos, now)
 }
 
-// logChoice logs the chosen engine and the load it was chosen by.
+// logChoice logs the chosen engine and the estimate of its load that the choice was based on.
 func (p *picker) logChoice(a generation.PickRequest, id string, pos admission.Position, now time.Time) {
 	load, age, known := p.dir.Estimate(id, now)
 	ageMS := int64(-1)
@@ -116,8 +119,8 @@
 		"reading", int(load.Reading), "running", int(load.Running), "held", int(load.Memory), "age_ms", ageMS)
 }
 
-// chooseEngine chooses an engine for a run: a preferred one of the request if any of them can take
-// it.
+// chooseEngine chooses an engine for a run. Where engines are queried for their loads, it
+// chooses a preferred engine of the request if any of these can take the run.
 func (p *picker) chooseEngine(a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	all, load := p.candidates(a), loadOf(a, 0)
 	if p.loadQuerier.needed() {
@@ -129,8 +132,9 @@
 	return p.choose(p.anyEngine, all, a, load)
 }
 
-// waitOrRefuse returns when a request is to try again, or refuses it, by the configured refusal
-// policy. A request that an engine has received is never refused here.
+// waitOrRefuse returns when a request is to try again, or refuses the request, by the
+// configured refusal policy. A request that was sent to an engine before is never refused
+// here; see sentBefore.
 func (p *picker) waitOrRefuse(q *queue, a generation.PickRequest, pos admission.Position, now time.Time) error {
 	wait := p.waitState(q, a, pos, now)
 	if !sentBefore(a) {
@@ -150,7 +154,7 @@
 	return &generation.Unavailable{Retryable: true, RetryAfter: next, Err: errOverloaded}
 }
 
-// waitState returns what is known of a waiting request.
+// waitState returns what is known of a waiting request, for the refusal policy.
 func (p *picker) waitState(q *queue, a generation.PickRequest, pos admission.Position, now time.Time) admission.WaitState {
 	expect, _ := q.waitQueue.ExpectedWait(pos.Ahead+1, now) // 0 while no rate is known
 	return admission.WaitState{Position: pos, Expected: expect, Target: a.FirstChunkTarget, CallerTimeLeft: a.TimeLeft}
@@ -164,15 +168,15 @@
 	return &generation.Unavailable{Code: codeOverloaded, RetryAfter: advice, Err: errOverloaded}
 }
 
-// sentBefore reports whether the request was sent to an engine that was lost, or from which it was
-// moved to another version. It is then no longer certain that the request has not run, so a refusal
-// would be a failure without a time to come back.
+// sentBefore reports whether the request was sent to an engine that was lost, or was moved
+// from an engine to another version. In both cases it is no longer certain that the request
+// has not run, so a refusal would be a failure without a time to come back.
 func sentBefore(a generation.PickRequest) bool { return a.MayHaveRun || a.Resume || a.LostDomain != "" }
 
 var errOverloaded = Error.New("all engines have as much work as they can take")
 
-// timedShare measures the time to the first chunk, from which the reading speed of engines is
-// estimated.
+// timedShare measures the time to the first chunk of a request. The reading speed of engines
+// is estimated from these times.
 type timedShare struct {
 	*directory.Share
 	queue         *queue
--- a/hosted/queue_test.go
+++ b/hosted/queue_test.go
@@ -10,8 +10,8 @@
 	"wigeondale/generation"
 )
 
-// fullPicker returns a picker with two engines, whose memory is full except for some tokens at
-// each.
+// fullPicker returns a picker with two engines, whose memory is full except for the given
+// number of tokens at each engine.
 func fullPicker(t *testing.T, free int) *picker {
 	const memory = 50000
 	list := engineList(2, 2)
@@ -26,8 +26,8 @@
 	return generation.PickRequest{RequestID: id, Service: "llm", PromptTokens: tokens, MaxAnswerTokens: 500, FirstChunkTarget: 4 * time.Second}
 }
 
-// Guards against requests that are refused although engines have memory for them, because a request
-// larger than the free memory of any engine arrived first and blocks them.
+// Requests must not be refused while engines have memory for them. The fault is that a request
+// larger than the free memory of any engine arrived first and blocks the requests behind it.
 func TestLargeRequestHoldsUpNobody(t *testing.T) {
 	p := fullPicker(t, 8000)
 	_, _, err := p.Pick(t.Context(), newPickRequest("large", 20000))
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against a client that waits for seconds and is refused then: engines are full, ten
-// requests wait and one is admitted each second; one more arrives. It must be refused at once, with
+// A client must not wait for seconds and then be refused. Engines are full, ten requests wait
+// and one is admitted each second; one more request arrives. It must be refused at once, with
 // the time at which its position would be reached.
 func TestTooLateATurnIsRefusedAtOnce(t *testing.T) {
 	p := fullPicker(t, 0)
@@ -73,9 +73,9 @@
 	}
 }
 
-// Guards against runs that are preempted for lack of memory while other engines have plenty: two
-// engines are idle, one of them keeps a copy. Copies must count, since only part of the copies of
-// other routers is known.
+// Runs must not be preempted for lack of memory while other engines have plenty. Two engines
+// are idle, and one of them keeps a copy: the other must be chosen. Copies must count, since a
+// router knows only part of the copies of other routers.
 func TestIdleEngineWithoutCopiesGoesFirst(t *testing.T) {
 	p := fullPicker(t, 50000)
 	p.dir.Begin("e0", directory.Load{Memory: 6000})
--- a/hosted/registration.go
+++ b/hosted/registration.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// nodeLease is how long a dead node stays registered. It is the longest lease that the store
-	// grants, since each renewal is one call by each node.
+	// nodeLease is how long a dead node stays registered. It is the longest lease that the
+	// store grants, since each renewal is one call by each node to the store.
 	nodeLease = 10 * time.Minute
 	renewal   = nodeLease / 3
-	// registerTimeout bounds one call; registerRetry is the pause after a failed one.
+	// registerTimeout bounds one call to the store; registerRetry is the pause after a failed
+	// call.
 	registerTimeout = time.Second
 	registerRetry   = 500 * time.Millisecond
 	// readWait is how long a registration waits for the first read of the store, which takes some
 	// tenths of a second when all nodes start at once.
 	readWait = 2 * time.Second
-	// keySpread is the time over which nodes that all start for the first time spread the creation
-	// of the key: the first one creates it, and most others read it before they try.
+	// keySpread is the time over which nodes that all start for the first time spread the
+	// creation of the key: the first node creates the key, and most other nodes read it before
+	// they try.
 	keySpread = 200 * time.Millisecond
 )
 
@@ -36,19 +38,20 @@
 	KeepAlive(ctx context.Context, lease infra.LeaseID) error
 }
 
-// registration maintains this node's address in the store, and creates the key with which all links
-// authenticate if there is none.
+// registration maintains this node's address in the store, and creates the key with which all
+// links authenticate if the store has none.
 type registration struct {
 	set   *settings.Settings
 	store registry
 	log   *event.Log
-	// storeRead is closed when the store has been read once. After that, state returns whether the key
-	// exists, and the lease of this node's entry, 0 if no entry has this node's address.
+	// storeRead is closed when the store has been read once. After that, state returns whether
+	// the key exists, and the lease of this node's entry, or 0 if no entry has this node's
+	// address.
 	storeRead <-chan struct{}
 	state     func() (key bool, lease infra.LeaseID)
 }
 
-// run registers and renews until ctx ends.
+// run registers this node and renews its lease until ctx ends.
 func (r *registration) run(ctx context.Context) {
 	if !r.awaitRead(ctx) {
 		return
@@ -69,8 +72,9 @@
 	}
 }
 
-// awaitRead waits up to readWait until the store has been read, since what exists there need not be
-// written again. It returns false when ctx has ended.
+// awaitRead waits up to readWait until the store has been read, since what the store contains
+// already need not be written again. If the key of the links is still not known then, it waits
+// for a random part of keySpread. It returns false when ctx has ended.
 func (r *registration) awaitRead(ctx context.Context) bool {
 	timer := time.NewTimer(readWait)
 	defer timer.Stop()
@@ -86,11 +90,12 @@
 	return clock.Sleep(ctx, rand.N(keySpread))
 }
 
-// resumeLease renews the lease of the entry that this node left behind when it stopped.
+// resumeLease renews the lease of the entry that this node left behind when it stopped. It
+// returns false if there is no such entry or the renewal failed.
 //
-// Without it, when all nodes stop and start again, each of them makes three writes for what is in
-// the store already, while all of them read it. Those writes would be the largest part of the calls
-// to the store.
+// Without this renewal, when all nodes stop and start again, each of them would make three
+// writes for what is in the store already, while all of them read the store. These writes
+// would be the largest part of the calls to the store.
 func (r *registration) resumeLease(ctx context.Context) (infra.LeaseID, bool) {
 	_, lease := r.state()
 	if lease == 0 {
@@ -116,8 +121,8 @@
 	return false
 }
 
-// register writes this node's address. A key that another node created first arrives through the
-// mirror.
+// register writes this node's address, and creates the key of the links if necessary. If
+// another node created the key first, that key arrives through the mirror.
 func (r *registration) register(ctx context.Context) (infra.LeaseID, error) {
 	ctx, stop := context.WithTimeout(ctx, registerTimeout)
 	defer stop()
--- a/hosted/registration_test.go
+++ b/hosted/registration_test.go
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// Guards against restarts of all nodes in which most calls to the store write what is there
-// already. The store contains the key of the links, and the node's entry under a lease that is
-// valid, has expired, or belongs to another address. A store that can't be read must not keep a
-// node from registering.
+// A restart of all nodes must not write what is in the store already: otherwise such writes
+// are most of the calls to the store. The store contains the key of the links, and the node's
+// entry under a lease that is valid, has expired, or belongs to another address. A store that
+// can't be read must not keep a node from registering.
 func TestRestartRenewsItsEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		items []infra.Value
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -15,9 +15,9 @@
 	"wigeondale/settings"
 )
 
-// The routers of these tests are the program's own: they choose engines, count their open requests
-// and broadcast them as in production. Only the engines and the delay of messages between routers
-// are modelled.
+// The routers of these tests are the program's own: they choose engines, count their open
+// requests and broadcast their loads as in production. Only the engines and the delay of
+// messages between routers are simulated.
 const (
 	replayRouters = 6
 	replayPrompt  = 5000
@@ -34,14 +34,16 @@
 // replaySize is the size of a simulated fleet.
 type replaySize struct {
 	routers, engines, domains int
-	// linked is the number of other routers that receive a router's messages; 0 for all.
+	// linked is the number of other routers that receive a router's messages; 0 means all
+	// other routers.
 	linked int
 	// seeds is the number of runs, one after the other.
 	seeds int
 	// work sets the size of requests and the speed of engines; the zero value means
 	// typicalWork.
 	work replayWork
-	// modify modifies the picker for a comparison.
+	// modify changes the picker of each router for a comparison; nil means that nothing is
+	// changed.
 	modify func(*picker)
 }
 
@@ -60,8 +62,9 @@
 	return s.work
 }
 
-// fewRouters are all linked to each other. Routers that choose at the same moment choose at random;
-// with fewer seeds the bounds on the sums passed and failed by turns.
+// fewRouters is a fleet whose routers are all linked to each other. Routers that choose at the
+// same moment choose at random; with fewer seeds the bounds on the sums would be met in some
+// runs and not in others.
 var fewRouters = replaySize{routers: replayRouters, engines: 12, domains: 4, seeds: 12}
 
 // replayFleet is a simulated fleet under load.
@@ -130,8 +133,9 @@
 	return f.engines[b.ID].Report(), nil
 }
 
-// isLinked reports whether two routers are linked: each is linked to the routers that follow it and
-// precede it in a ring.
+// isLinked reports whether two routers are linked: the routers form a ring, and each router is
+// linked to the next and the previous size.linked/2 routers, or to all routers if size.linked
+// is 0.
 func (f *replayFleet) isLinked(from, to *replayRouter) bool {
 	n := len(f.routers)
 	after := (to.index - from.index + n) % n
@@ -206,8 +210,8 @@
 	*to = append(*to, d)
 }
 
-// crash makes a domain's engines crash. All routers are notified at once, both of the crash and of
-// the return.
+// crash makes the engines of a failure domain crash, and lets them return after the time down.
+// All routers are notified at once, both of the crash and of the return.
 func (f *replayFleet) crash(domain string, down time.Duration) {
 	crashed := map[string]bool{}
 	for _, b := range f.list {
@@ -272,7 +276,8 @@
 	crashes map[time.Duration]string
 }
 
-// play returns the sum over the seeds.
+// play replays the load once for each seed. It returns the sum of the results and the number
+// of all requests.
 func (l load) play(t *testing.T, size replaySize, each func(f *replayFleet)) (sum figures, all int) {
 	for seed := range size.seeds {
 		arrivals := replay.Arrivals(uint64(seed+1), l.end, l.rates...)
--- a/hosted/replay_size_test.go
+++ b/hosted/replay_size_test.go
@@ -7,15 +7,15 @@
 	"wigeondale/replay"
 )
 
-// manyRouters are linked to a few others each: messages to all of them would saturate their network
-// links.
+// manyRouters is a fleet whose routers are linked to a few other routers each: messages to all
+// routers would saturate their network links.
 var manyRouters = replaySize{routers: 95, engines: 160, domains: 5, linked: 8, seeds: 2}
 
-// Guards against a burst in which half of the generations are late, none is refused, and engines
-// read twice as much as necessary, for long after the burst: for nine seconds more generations are
-// requested than the engines read, and two failure domains crash. A router that knows only its own
-// requests and those of eight others, a tenth of all, assumes that every engine has free
-// capacity.
+// A burst must not make half of the generations late while none is refused, nor make engines
+// read twice as much as necessary for long after the burst. For nine seconds more generations
+// are requested than the engines can read, and two failure domains crash. The fault is that a
+// router knows only its own requests and the requests of eight other routers, a tenth of all
+// requests, and assumes that every engine has free capacity.
 func TestBurstOverManyRouters(t *testing.T) {
 	const burstEnd = 14 * time.Second
 	burst := load{
@@ -42,9 +42,9 @@
 	}
 }
 
-// Guards against requests that are refused or late although engines idle: under a normal load with
-// a crash, whose runs look for other engines at once, a router that knows only a few engines must
-// not take them for all of them.
+// Requests must not be refused or late while engines idle. Under a normal load, a crash makes
+// the interrupted runs look for other engines at once; a router that knows only a few engines
+// must not take these for all engines.
 func TestNothingIsRefusedByManyRoutersWhileThereIsRoom(t *testing.T) {
 	normal := load{end: 10 * time.Second, rates: []replay.Rate{{PerSecond: 48}}, crashes: map[time.Duration]string{4 * time.Second: "d2"}}
 	got, all := normal.play(t, manyRouters, func(*replayFleet) {})
--- a/hosted/replay_test.go
+++ b/hosted/replay_test.go
@@ -7,10 +7,10 @@
 	"wigeondale/replay"
 )
 
-// Guards against a burst in which most generations are late, for long after it, while engines read
-// twice as much as necessary: four times the normal number of prompts arrives for eight seconds,
-// more than the engines read. If all are admitted, copies and runs displace each other from memory
-// and no client is asked to come back later.
+// A burst must not make most generations late, for long after the burst, while engines read
+// twice as much as necessary. For eight seconds four times the normal number of prompts
+// arrives, more than the engines can read. If all prompts are admitted, copies and runs
+// displace each other from memory and no client is asked to come back later.
 func TestBurstIsServedByChoice(t *testing.T) {
 	const burstEnd = 12 * time.Second
 	burst := load{end: 22 * time.Second, rates: []replay.Rate{
@@ -41,10 +41,10 @@
 	}
 }
 
-// Guards against generations that wait for half a minute at an engine that has just come back,
-// while others idle: a domain crashes in a burst, and its engines come back at the same moment for
-// all routers, whose waiting requests all go there. Memory alone must not limit what an engine is
-// sent, and the loads of other routers must arrive in time.
+// Generations must not wait for half a minute at an engine that has just come back, while
+// other engines idle. A domain crashes in a burst, and its engines come back at the same
+// moment for all routers, whose waiting requests all go to these engines. Memory alone must
+// not limit what an engine is sent, and the loads of other routers must arrive in time.
 func TestEngineThatIsBackIsNotSwamped(t *testing.T) {
 	crash := load{end: 16 * time.Second, rates: []replay.Rate{{PerSecond: 3}, {From: 4 * time.Second, PerSecond: 12}},
 		crashes: map[time.Duration]string{8 * time.Second: "d1"}}
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against requests that are refused although engines idle, under a normal load with a crash.
+// Requests must not be refused while engines idle, under a normal load with a crash.
 func TestNothingIsRefusedWhileThereIsRoom(t *testing.T) {
 	normal := load{end: 15 * time.Second, rates: []replay.Rate{{PerSecond: 3}}, crashes: map[time.Duration]string{6 * time.Second: "d2"}}
 	got, all := normal.play(t, fewRouters, func(*replayFleet) {})
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -26,7 +26,8 @@
 )
 
 const (
-	// rolloutPrefix starts the keys of the records of roll-outs; the service follows.
+	// rolloutPrefix starts the keys of the records of roll-outs; the name of the service
+	// follows.
 	rolloutPrefix = "wigeondale/rollouts/"
 	// rolloutTick is how often roll-outs are updated.
 	rolloutTick = 100 * time.Millisecond
@@ -37,7 +38,7 @@
 	// and takeOverRanks how many nodes take part.
 	takeOverAfter = 600 * time.Millisecond
 	takeOverRanks = 12
-	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed one.
+	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed write.
 	rolloutWrite = time.Second
 	rolloutRetry = 400 * time.Millisecond
 	// rolloutEcho is how long after a write the node waits until the change comes back from the
@@ -53,10 +54,10 @@
 
 // rollouts holds the roll-outs of all services at this node.
 //
-// Each node follows the record of a service in the store, counts the results of its own attempts,
-// and broadcasts them. The node that ranks first by rendezvous hash writes the change that is due;
-// if it does not, the next one does. If two nodes write at once, the conditional write lets only
-// one succeed.
+// Each node follows the record of a service in the store, counts the results of its own
+// attempts, and broadcasts the counts. The node that ranks first by rendezvous hash writes the
+// change that is due; if this node does not write it, the node that ranks next does. If two
+// nodes write at once, the conditional write lets only one of them succeed.
 type rollouts struct {
 	writer      rolloutWriter
 	dir         *directory.Directory
@@ -68,7 +69,7 @@
 	runs        *runSet
 	prober      quarantine.Prober
 
-	// Set before use.
+	// The following functions are set before the first use.
 	routers func() int
 	age     func(time.Time) time.Duration // age of this node's copy of the store
 	rank    func(service string) int      // rank of this node among those that may write
@@ -103,7 +104,7 @@
 	}, nil
 }
 
-// of returns the roll-out of a service, nil if there never was one.
+// of returns the roll-out of a service, or nil if the service never had a roll-out.
 func (s *rollouts) of(service string) *serviceRollout {
 	if s == nil {
 		return nil
@@ -166,7 +167,8 @@
 	s.forService(service).SetOrder(order, clock.SinceBoot())
 }
 
-// removed handles the removal of an item from the store.
+// removed handles the removal of an item from the store: the removal of an order withdraws the
+// order.
 func (s *rollouts) removed(key string) {
 	if s == nil {
 		return
@@ -188,7 +190,7 @@
 	}
 }
 
-// connect connects the roll-outs to the other nodes.
+// connect gives the roll-outs the functions by which they use the links to the other nodes.
 func (s *rollouts) connect(p *peers, n *storeSync) {
 	s.routers, s.age = p.registeredNodes, n.age
 	s.rank = func(service string) int { return rankIn(p.liveNodes(), p.set.Node.ID, service) }
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -34,10 +34,10 @@
 	}
 }
 
-// idleAfter is how long after its end a roll-out is still updated: runs move until then.
+// idleAfter is how long after its end a roll-out is still updated, since runs move until then.
 const idleAfter = 5 * time.Second
 
-// idle reports whether a roll-out ended a while ago.
+// idle reports whether a roll-out ended more than idleAfter ago, so that it needs no updates.
 func (o *serviceRollout) idle(now time.Duration) bool {
 	stage := o.Stage()
 	return stage == o.logged && now-o.stageSince > idleAfter && (stage == rollout.Completed || stage == rollout.RolledBack) &&
@@ -56,7 +56,7 @@
 	s.writeIfDue(ro, now, ready)
 }
 
-// ready counts the replicas of a service that accept work.
+// ready counts the replicas of a service that are healthy and not leaving, by version.
 func (s *rollouts) ready(ro *serviceRollout) rollout.ReplicaCounts {
 	rule := ro.Rule()
 	domains := map[string]bool{}
@@ -100,8 +100,9 @@
 	}
 }
 
-// moveRuns ends the runs at this node that have to continue at another version, once there was time
-// to copy each to the replica where it continues.
+// moveRuns ends the runs at this node that have to continue at another version. It waits for
+// MoveGrace after the stage changed, so that there is time to copy each run to the replica
+// where the run continues.
 func (s *rollouts) moveRuns(ro *serviceRollout, now time.Duration) {
 	if now-ro.stageSince < rollout.MoveGrace {
 		return
@@ -113,7 +114,8 @@
 	}
 }
 
-// writeIfDue writes the change of the record that is due, if this node's rank allows it by now.
+// writeIfDue writes the change of the record that is due, if this node's rank allows the write
+// by now: each rank waits takeOverAfter longer than the rank before it.
 func (s *rollouts) writeIfDue(ro *serviceRollout, now time.Duration, ready rollout.ReplicaCounts) {
 	next, revision, due := ro.NextRecord(now, ready)
 	if !due {
@@ -146,11 +148,13 @@
 		s.log.Emit(event.RolloutNotWritten, "service", ro.service, "stage", string(next.Stage), "revision", revision, "err", err)
 		return
 	}
-	// It takes effect here when it comes back from the store, with the revision that it has there.
+	// The new record takes effect at this node when it comes back from the store, with its
+	// revision in the store.
 	ro.retryAt.Store(int64(clock.SinceBoot() + rolloutEcho))
 }
 
-// rankIn returns the number of nodes that come before this one in the order in which they write.
+// rankIn returns the number of nodes that come before this node in the order in which nodes
+// write.
 func rankIn(members []string, local, service string) int {
 	key := xxhash.Sum64String(service)
 	localWeight := routing.Rendezvous(key, local)
--- a/hosted/rollouts_test.go
+++ b/hosted/rollouts_test.go
@@ -12,7 +12,8 @@
 	fakes "wigeondale/fakes/hosted"
 )
 
-// startVersion starts replicas of a version, engines if the service is the engines' one.
+// startVersion starts n replicas of a version of a service. They are engines if the service is
+// llm, the service of model engines.
 func (f *testFleet) startVersion(service, version string, n int) []*fakes.Replica {
 	var out []*fakes.Replica
 	for i := range n {
@@ -24,8 +25,8 @@
 	return out
 }
 
-// sendSteadily sends calls until stop is called, which returns how many there were and how many of
-// them did not succeed.
+// sendSteadily sends calls until the returned function is called. That function returns how
+// many calls were sent and how many of them did not succeed.
 func sendSteadily(nodes []*testNode, path string) (stop func() (sent, failed int)) {
 	var sent, bad atomic.Int64
 	var group sync.WaitGroup
@@ -59,8 +60,9 @@
 
 const rolloutTime = 6 * time.Second
 
-// Guards against a roll-out whose result the operator does not learn, and whose new replicas get
-// half of all requests from the start: the order comes first, then replicas of the version.
+// The operator must be notified of the result of a roll-out, and the new replicas must not get
+// half of all requests from the start: the order comes first, then replicas of the version
+// start.
 func TestGoodVersionCompletes(t *testing.T) {
 	f := newFleet(t)
 	f.startVersion("app", "v1", 2)
@@ -83,8 +85,9 @@
 	}
 }
 
-// Guards against clients that get a bad version's failures for as long as it runs: the new version
-// fails each request, and its answers are not evaluated, or each node evaluates only its own.
+// Clients must not get a bad version's failures for as long as the version runs. The new
+// version fails each request; the fault is that its answers are not evaluated, or that each
+// node evaluates only its own answers.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	f := newFleet(t)
 	f.startVersion("app", "v1", 2)
@@ -114,8 +117,8 @@
 	}
 }
 
-// Guards against generations that are cut off when a roll-out completes: they run at old replicas,
-// which stop when the completion is written, so they must be moved before.
+// Generations must not be cut off when a roll-out completes. They run at old replicas, which
+// stop when the completion is written, so they must be moved before.
 func TestRunsMoveBeforeTheOldVersionStops(t *testing.T) {
 	f := newFleet(t)
 	old := f.startVersion("llm", "v1", 2)
@@ -152,7 +155,8 @@
 	group.Wait()
 }
 
-// Guards against a roll-out that stops half way when its order is withdrawn during the trial.
+// A roll-out whose order is withdrawn during the trial must be rolled back, and must not stop
+// half way.
 func TestWithdrawnRolloutIsRolledBack(t *testing.T) {
 	f := newFleet(t)
 	f.startVersion("app", "v1", 2)
@@ -173,9 +177,9 @@
 	}
 }
 
-// Guards against rolling back the version on trial because of a request that crashes replicas: a
-// replica of the new version crashes in the middle of an answer; few other requests use it, so the
-// failure detector does not know yet.
+// The version on trial must not be rolled back because of a request that crashes replicas. A
+// replica of the new version crashes in the middle of an answer; few other requests use this
+// replica, so the failure detector does not know of the crash yet.
 func TestCrashIsNoBadAnswerOfAVersion(t *testing.T) {
 	f := newFleet(t)
 	f.startVersion("app", "v1", 2)
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// readersPerDomain is how many nodes of a failure domain read the store; the others get its
-	// contents from their neighbours.
+	// readersPerDomain is how many nodes of a failure domain read the store; the other nodes
+	// get the contents of the store from their neighbours.
 	readersPerDomain = 1
-	// syncInterval is how often a node sends how current its copy of the store is.
+	// syncInterval is how often a node broadcasts how current its copy of the store is.
 	syncInterval = 400 * time.Millisecond
-	// staleAfter is the age of its copy from which a node reads the store itself: more than the age
-	// it sees while a reader works, and less than the time within which a configuration has to be
-	// in force.
+	// staleAfter is the age of its copy from which a node reads the store itself. It is more
+	// than the age that the copy reaches while a reader works, and less than the time within
+	// which a configuration has to be in force.
 	staleAfter = 1700 * time.Millisecond
-	// pullTimeout bounds one query to a neighbour. A page shares the network link with the
-	// requests.
+	// pullTimeout bounds one query to a neighbour. The response, a page of the store, shares
+	// the network link with the requests.
 	pullTimeout = time.Second
 )
 
@@ -39,14 +39,16 @@
 	AgeMS  int64 `cbor:"2,keyasint"` // time since the store last confirmed it, directly or through other nodes
 }
 
-// storeSync distributes the contents of the store, which only a few nodes read. A node sends how
-// current its copy is, at once when that changes; a neighbour with an older copy requests the
-// difference and sends its own state in turn, so that updates pass through any set of links.
+// storeSync distributes the contents of the store, which only a few nodes read. A node sends
+// to its neighbours how current its copy is, at once when its copy changes; a neighbour with
+// an older copy requests the difference and sends its own state in turn, so that updates pass
+// through any set of links.
 //
-// If all nodes read the store, the number of calls, which are priced and limited, would grow with
-// the number of nodes. With few readers, a node could rely on one that is cut off from the store
-// without noticing, and revoked keys would go on working. Therefore each copy has an age; a node
-// whose copy is stale reads the store itself, and so does a node that the others can't reach.
+// If all nodes read the store, the number of calls, which are priced and limited, would grow
+// with the number of nodes. With few readers, a node could rely on a reader that is cut off
+// from the store without noticing, and revoked keys would go on working. Therefore each copy
+// has an age; a node whose copy is stale reads the store itself, and so does a node that the
+// other nodes can't reach.
 type storeSync struct {
 	id, domain string
 	mirror     *mirror.Mirror // set before join
@@ -79,13 +81,15 @@
 	n.mesh = mesh
 }
 
-// readsStore reports whether this node reads the store itself.
+// readsStore reports whether this node reads the store itself: it is a reader of its failure
+// domain, or its copy is stale.
 func (n *storeSync) readsStore() bool {
 	now := time.Now()
 	return n.age(now) > staleAfter || n.isReader()
 }
 
-// isReader reports whether this node is one of the nodes of its failure domain that read the store.
+// isReader reports whether this node is one of the nodes whose task it is to read the store
+// for their failure domain. Without a mesh each node is a reader.
 func (n *storeSync) isReader() bool {
 	n.mu.Lock()
 	mesh := n.mesh
@@ -104,8 +108,8 @@
 	return ahead < readersPerDomain
 }
 
-// age returns the time since the store confirmed the contents of this node's copy, to this node or
-// to one whose message reached it.
+// age returns the time since the store confirmed the contents of this node's copy, either to
+// this node or to a node whose message reached this node.
 func (n *storeSync) age(now time.Time) time.Duration {
 	age := n.mirror.Age(now)
 	localNewest := n.mirror.Newest()
@@ -135,7 +139,7 @@
 	}
 }
 
-// broadcast sends how current this node's copy is to the neighbours.
+// broadcast sends to the neighbours how current this node's copy is.
 func (n *storeSync) broadcast() {
 	now := time.Now()
 	m := syncMessage{Newest: n.mirror.Newest(), AgeMS: n.age(now).Milliseconds()}
@@ -144,7 +148,8 @@
 	n.lastSent = now
 	n.mu.Unlock()
 	if mesh != nil {
-		// Sent again soon; a neighbour that misses it reads the store itself.
+		// The state is sent again soon. A neighbour that misses several messages reads the
+		// store itself.
 		_ = mesh.SendToLinked(msgSync, m)
 	}
 }
@@ -164,7 +169,7 @@
 	go n.pull(mesh, from)
 }
 
-// pull requests and applies the difference to a neighbour's newer copy.
+// pull requests the difference to a neighbour's newer copy and applies the difference.
 func (n *storeSync) pull(mesh *peer.Mesh, from string) {
 	err := n.mirror.Pull(from, func(q mirror.DeltaRequest) (mirror.Delta, error) {
 		ctx, stop := context.WithTimeout(context.Background(), pullTimeout)
--- a/hosted/store_sync_size_test.go
+++ b/hosted/store_sync_size_test.go
@@ -52,7 +52,7 @@
 	return infra.Value{Key: "op/config", CreateRev: 1, ModRev: c.rev}, c.changed
 }
 
-// nodeStore is the store as seen by one node, which it can reject.
+// nodeStore is the store as seen by one node. The store can be made to reject this node.
 type nodeStore struct {
 	*changeLog
 	rejected *atomic.Bool
@@ -165,14 +165,14 @@
 	return n
 }
 
-// syncBound is the largest allowed delay of a change at a node while some neighbour that it reaches
-// has the change: a configuration has to be in force two seconds after it was accepted.
+// syncBound is the largest allowed delay until a node has a change that some neighbour which
+// it reaches has. A configuration has to be in force two seconds after it was accepted.
 const syncBound = 2 * time.Second
 
-// Guards against nodes that go on with revoked keys: the store rejects a third of the nodes for
-// nine seconds, all its readers among them, and changes every half second. A node must not wait for
-// its own reads, or for a reader that is rejected too. Messages take no time here: the test
-// measures the waits of the program.
+// Nodes must not go on with revoked keys. The store rejects a third of the nodes for nine
+// seconds, among them all nodes that read it, and changes every half second. A node must not
+// wait for its own reads, or for a reader that the store rejects too. Messages take no time
+// here: the test measures the waits of the program.
 func TestNewsReachNodesThatTheStoreTurnsAway(t *testing.T) {
 	for _, size := range []int{95, 300} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
--- a/hosted/suspects.go
+++ b/hosted/suspects.go
@@ -9,8 +9,8 @@
 	"wigeondale/quarantine"
 )
 
-// crashProber finds out whether replicas have crashed, also if another incarnation listens at the
-// address. It implements quarantine.Prober.
+// crashProber finds out whether replicas have crashed, also if another incarnation listens at
+// the address of the crashed replica. It implements quarantine.Prober.
 type crashProber struct {
 	backend.Prober
 	querier runQuerier
@@ -42,7 +42,8 @@
 	})
 }
 
-// isolated reports whether other nodes are registered and none is linked.
+// isolated reports whether other nodes are registered but this node has a link to none of
+// them.
 func (p *peers) isolated() bool {
 	if p.registeredNodes() <= 1 {
 		return false
@@ -58,8 +59,8 @@
 // broadcastSuspects broadcasts an update about suspected requests to all nodes.
 func (p *peers) broadcastSuspects(m quarantine.Update) {
 	if mesh := p.currentMesh(); mesh != nil {
-		// A node that misses it receives the update after the next crash, or reads the hold from
-		// the store.
+		// A node that misses the message receives the update after the next crash, or reads
+		// the hold from the store.
 		_ = mesh.Flood(quarantine.FloodUpdate, m)
 	}
 }
--- a/hosted/suspects_test.go
+++ b/hosted/suspects_test.go
@@ -12,8 +12,8 @@
 	"wigeondale/quarantine"
 )
 
-// crashingFleet is a fleet whose replicas come back some time after each crash, as new incarnations
-// at the same addresses.
+// crashingFleet is a fleet in which each crashed replica comes back after the time downFor, as
+// a new replica at the same address.
 type crashingFleet struct {
 	*testFleet
 	downFor time.Duration
@@ -53,7 +53,8 @@
 	})
 }
 
-// markedArrivals counts the arrivals of requests with the crash mark.
+// markedArrivals counts the arrivals, at all replicas, of requests that contain the crash
+// mark.
 func (c *crashingFleet) markedArrivals() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,8 +85,8 @@
 	return resp.StatusCode, resp.Header.Get("Retry-After")
 }
 
-// Guards against a request that crashes each replica that runs it and is sent to the next one,
-// retry after retry, through all routers.
+// A request that crashes each replica that runs it must not be sent to one replica after the
+// other, retry after retry, through all routers.
 func TestRequestThatCrashesReplicasIsNotSentOn(t *testing.T) {
 	const tries, most = 8, 6 // three crashes, and three more over all routers
 	for _, c := range []struct {
@@ -143,7 +144,7 @@
 // quarantined returns the number of requests that the node quarantines.
 func (n *testNode) quarantined() int { return len(n.guard.Holds()) }
 
-// Guards against a quarantined request that crashes replicas again after a restart of all nodes. An
+// A quarantined request must not crash replicas again after a restart of all nodes. An
 // operator lifts a hold by removing its record.
 func TestHoldsOutliveAllNodes(t *testing.T) {
 	f := newCrashingFleet(t)
@@ -177,8 +178,8 @@
 	}
 }
 
-// Guards against a node that starts later and does not know a quarantined request, because the
-// store was unavailable when the request was quarantined.
+// A node that starts later must know a quarantined request, although the store was unavailable
+// when the request was quarantined: the hold must be stored once the store is available again.
 func TestHoldsAreStoredOnceTheStoreIsBack(t *testing.T) {
 	f := newCrashingFleet(t)
 	f.configure(key)
@@ -199,8 +200,9 @@
 	await(t, "another node's hold", func() bool { return n.quarantined() == 2 })
 }
 
-// Guards against a removal taken for an operator's lift: a request is quarantined again while the
-// expired record of its previous hold is still in the store, and then that record is removed.
+// The removal of an expired record must not be taken for an operator's lift. A request is
+// quarantined again while the expired record of its previous hold is still in the store, and
+// then this record is removed.
 func TestRemovalOfAnEndedRecordLiftsNothing(t *testing.T) {
 	f := newCrashingFleet(t)
 	f.configure(key)
--- a/hosted/typical_size.go
+++ b/hosted/typical_size.go
@@ -6,13 +6,15 @@
 	"wigeondale/directory"
 )
 
-// typicalSize estimates the typical size of a service's requests from those that start.
+// typicalSize estimates the typical size of a service's requests from the requests that were
+// sent to an engine.
 type typicalSize struct {
 	mu   sync.Mutex
 	mean directory.RequestSize
 }
 
-// sizeWeight is the weight of the latest request: about twenty requests make up most of the mean.
+// sizeWeight is the weight of the latest request in the mean: about twenty requests make up
+// most of the mean.
 const sizeWeight = 0.05
 
 func (u *typicalSize) add(prompt, answer int) {
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -11,7 +11,7 @@
 	"wigeondale/routing"
 )
 
-// serviceRollout is the roll-out of one service, with this node's part in it.
+// serviceRollout is the roll-out of one service, with the state that only this node needs.
 type serviceRollout struct {
 	*rollout.Rollout
 	service         string
@@ -20,7 +20,8 @@
 	writing         atomic.Bool
 	retryAt         atomic.Int64 // time on the boot clock
 
-	// Used by the goroutine that calls tick only: what was logged last, and what is due.
+	// Only the goroutine that calls tick uses the following fields: what was logged last, and
+	// since when a change is due.
 	logged        rollout.Stage
 	stageSince    time.Duration // start of the stage that was logged last
 	loggedBad     bool
@@ -28,7 +29,8 @@
 	dueSince      time.Duration // since when a change of the record is due; 0 while none is
 }
 
-// partition holds the replicas of a service, divided by a rule.
+// partition holds the replicas of a service, divided by the rule that was in force at an
+// epoch.
 type partition struct {
 	of      []routing.Candidate
 	epoch   uint64
@@ -36,8 +38,8 @@
 	trial   []routing.Candidate // for attempts that are part of the trial
 }
 
-// candidates returns the replicas that an attempt may use. The partition is recomputed only when
-// the replicas or the rule have changed.
+// candidates returns the replicas among all that an attempt may use. The partition is
+// recomputed only when the replicas or the rule have changed.
 func (o *serviceRollout) candidates(all []routing.Candidate, trial bool, limits rollout.Limits) []routing.Candidate {
 	rule := o.Rule()
 	s := o.partition.Load()
@@ -51,7 +53,8 @@
 	return s.allowed
 }
 
-// sameList reports whether two slices share their elements; lists are never modified in place.
+// sameList reports whether two slices are the same list. It compares the addresses of the
+// first elements, which suffices since lists are never modified in place.
 func sameList(a, b []routing.Candidate) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -90,13 +93,14 @@
 	if ro == nil {
 		return all
 	}
-	// An attempt after a lost one, and the attempt of a returning client, go to a version that is
-	// known to work.
+	// An attempt after a lost attempt, and the attempt of a returning client, go to a version
+	// that is known to work.
 	firstAttempt := !a.IsRetry && !a.Resume && len(a.PromptParts) == 0
 	return ro.candidates(all, firstAttempt && ro.Assign(a.RequestID, clock.SinceBoot()), p.rollouts.limits)
 }
 
-// allowedReplicas returns the replicas that an attempt may use that is not part of a trial.
+// allowedReplicas returns the replicas of a service that an attempt may use if the attempt is
+// not part of a trial.
 func (p *picker) allowedReplicas(service string) []routing.Candidate {
 	all := p.dir.Service(service)
 	if ro := p.rollouts.of(service); ro != nil {
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -13,16 +13,18 @@
 	"wigeondale/route"
 )
 
-// view builds the table in force and the directory of replicas from the items of the store. It
-// implements mirror.Receiver.
+// view maintains the table in force and the directory of replicas, which it builds from the
+// items of the store. It implements mirror.Receiver.
 type view struct {
 	table *route.Current
 	dir   *directory.Directory
 	mon   *health.Monitor
 	peers *peers
-	// rollouts handles the orders to move services to other versions.
+	// rollouts receives the items of the store about roll-outs: the operators' orders and the
+	// records.
 	rollouts *rollouts
-	// holds handles the stored records of quarantined requests; nil for none.
+	// holds receives the stored records of quarantined requests, and quarantines or lifts
+	// accordingly. If it is nil, these records are ignored.
 	holds *holds
 	log   *event.Log
 
@@ -39,8 +41,9 @@
 	changed         bool
 }
 
-// maxLogged is the largest number of replicas added together that are logged one by one. A router
-// that starts reads thousands of replicas, whose log lines would crowd out all others.
+// maxLogged is the largest number of replicas added together that are logged one by one. A
+// router that starts reads thousands of replicas, whose log lines would crowd out all other
+// lines.
 const maxLogged = 20
 
 func newView(table *route.Current, dir *directory.Directory, mon *health.Monitor, p *peers, ro *rollouts, log *event.Log) *view {
@@ -118,7 +121,7 @@
 	v.addReplica(b, item, rel)
 }
 
-// addReplica stores a valid entry.
+// addReplica records the replica that a valid entry describes.
 func (v *view) addReplica(b fleet.Backend, item infra.Value, rel relation) {
 	old, known := v.replicas[b.ID]
 	b.Started = item.CreateRev
@@ -146,8 +149,8 @@
 	errNoStartTime    = Error.New("the entry lacks the start time that it had before")
 )
 
-// checkRewrite returns an error if an entry can't have been written by the replica itself, given
-// what its earlier entries said.
+// checkRewrite returns an error if the replica itself can't have written an entry, given what
+// its earlier entries stated.
 func (v *view) checkRewrite(b fleet.Backend) error {
 	if known, ok := v.incarnations.get(b.Incarnation.Name); ok && known.StartedAt != 0 && b.Incarnation.StartedAt == 0 {
 		return errNoStartTime
@@ -155,10 +158,11 @@
 	return nil
 }
 
-// withhold handles an entry that describes no usable replica. If it replaces the entry of a known
-// replica, that replica gets no new work until its entry is valid again; its runs go on, and it
-// keeps its address and its place in the directory. The directory is updated by SetIntent, which
-// can be undone; a mark that a replica is leaving can't.
+// withhold handles an entry that describes no usable replica. If the entry replaces the entry
+// of a known replica, that replica gets no new work until its entry is valid again; the
+// replica's runs go on, and the replica keeps its address and its place in the directory. The
+// directory is updated by SetIntent, which can be undone; a mark that a replica is leaving
+// can't be undone.
 func (v *view) withhold(name string, item infra.Value, err error) {
 	v.log.Emit(event.ItemUnreadable, "key", item.Key, "revision", item.ModRev, "err", err)
 	if _, known := v.incarnations.get(name); known && !v.withheld[name] {
@@ -167,7 +171,7 @@
 	}
 }
 
-// release undoes withhold.
+// release undoes withhold for the replica with the given name.
 func (v *view) release(name string) {
 	if v.withheld[name] {
 		delete(v.withheld, name)
@@ -175,21 +179,24 @@
 	}
 }
 
-// retryUnknownServices retries the entries whose services were not in the previous configuration.
+// retryUnknownServices applies again the entries whose services were not in the previous
+// configuration.
 func (v *view) retryUnknownServices() {
 	for name, item := range v.unknownServices {
 		v.putReplica(name, item)
 	}
 }
 
-// endIncarnation removes an incarnation of a replica that a later one has replaced: its runs are
-// lost, and what is known about it does not apply to its successor.
+// endIncarnation removes an incarnation of a replica that a later incarnation has replaced:
+// the runs of the earlier incarnation are lost, and what is known about it does not apply to
+// its successor.
 func (v *view) endIncarnation(inc fleet.Incarnation) {
 	v.mon.Restarted(inc.ID())
 	v.drop(inc.ID(), "restarted")
 }
 
-// replaceAtAddress marks a replica as leaving whose address a replica started later has taken.
+// replaceAtAddress records that a replica has its address. If another replica has the same
+// address, the replica that started earlier is marked as leaving.
 func (v *view) replaceAtAddress(b fleet.Backend, revision int64) {
 	other, taken := v.replicas[v.byAddr[b.Addr]]
 	if taken && other.ID != b.ID && other.Addr == b.Addr {
@@ -233,7 +240,8 @@
 	v.changed = true
 }
 
-// markLeaving marks a replica as leaving, in effect at once and not with the next BatchDone.
+// markLeaving marks a replica as leaving. The mark takes effect at once, and not with the next
+// BatchDone.
 func (v *view) markLeaving(id, reason string, revision int64) {
 	if v.dir.Leaving(id) {
 		if _, known := v.dir.Backend(id); known {
@@ -241,7 +249,8 @@
 		}
 	}
 	v.log.Emit(event.ReplicaLeaving, "backend", id, "reason", reason, "revision", revision)
-	// The directory may not know it yet; then the next BatchDone passes the mark on.
+	// The directory may not know the replica yet; then the next BatchDone passes the mark to
+	// the directory.
 	if b, ok := v.replicas[id]; ok {
 		b.Leaving = true
 		v.replicas[id] = b
@@ -270,7 +279,7 @@
 	v.dir.Update(list, time.Now())
 }
 
-// logAdded logs the replicas that were added.
+// logAdded logs the replicas that were added since the last BatchDone.
 func (v *view) logAdded() {
 	if len(v.added) > maxLogged {
 		v.log.Emit(event.ReplicasKnown, "replicas", len(v.added), "all", len(v.replicas))
@@ -282,8 +291,8 @@
 	v.added = v.added[:0]
 }
 
-// recordLoad records the load that a replica stated in a response. The time is measured from the
-// start of this node, since the system clock may be set.
+// recordLoad records the load that a replica stated in a response. The time of the record is
+// measured from the start of this node, since the system clock may be set.
 func (v *view) recordLoad(id string, l platform.Load) {
 	now := v.startedAt.Add(time.Since(v.startedAt))
 	v.dir.Report(id, fleet.LoadReport{
--- a/hosted/view_test.go
+++ b/hosted/view_test.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// Guards against a router that sends requests to a crashed replica after its start, which the
-// replica now at that address refuses: a replica crashed and a new one took its address; the old
-// entry has not expired; a router starts and reads both, in the order of their ids. The later one
-// in that order must not be taken for the successor, and a mark on a replica that isn't in the
+// After its start a router must not send requests to a crashed replica whose address a new
+// replica has: the new replica refuses these requests. The old entry has not expired; the
+// router starts and reads both entries, in the order of their ids. The later entry in that
+// order must not be taken for the successor, and a mark on a replica that isn't in the
 // directory yet must not be lost.
 func TestOlderEntryOfAnAddressLeaves(t *testing.T) {
 	for name, order := range map[string][]infra.Value{
