--- a/health/domain.go
+++ b/health/domain.go
@@ -58,13 +58,13 @@
 
 	mu      sync.Mutex
 	members map[*engine]struct{}
-	failed  map[*engine]int64 // when each member that failed did so last
+	failed  map[*engine]int64 // when each member failed last
 
 	crashedAt int64 // 0 if never
 	// confirming is true while members that failed are queried to find out whether the domain
 	// crashed, so that one confirmation runs at a time.
 	confirming bool
-	queriedAt  int64 // when its members were last queried about their common silence, 0 if never
+	queriedAt  int64 // when the members were last queried about their common silence, 0 if never
 }
 
 // SetFailureDomain sets the failure domain of a backend server. Backend servers of the same
--- a/health/engine.go
+++ b/health/engine.go
@@ -12,7 +12,7 @@
 	id        string
 	lastToken atomic.Int64 // time of the last token on any stream
 	gaps      Gaps
-	domain    atomic.Pointer[domain] // nil until its failure domain is set
+	domain    atomic.Pointer[domain] // nil until the failure domain of the backend server is set
 	// lastConfirmedAt is when the backend server last answered a query about its failure
 	// domain, or 0 if it never did.
 	lastConfirmedAt atomic.Int64
@@ -20,21 +20,21 @@
 	mu                     sync.Mutex
 	streams                []*Stream
 	pauseCredit            time.Duration // pauses of this process since creditFrom, not counted as silence
-	creditFrom             int64         // value of lastToken that the credit belongs to
+	creditFrom             int64         // value of lastToken to which pauseCredit belongs; with any other value the credit is void
 	state                  State
 	stateSince             int64 // when the state was entered
 	refusedInRow           int   // refused connections in a row
 	lateInRow              int   // late answers in a row
-	lateSince              int64 // time of the first of those
+	lateSince              int64 // time of the first late answer in the row
 	backoff                time.Duration
 	retryAt                int64
 	probeInFlight          bool
 	probeUntil             int64
 	incarnation            string
 	peerReportUntil        int64
-	reinstatedUntil        int64 // set when Usable reinstates it because of the ejection bound
+	reinstatedUntil        int64 // until when the engine may get work although it is ejected; set when Usable reinstates it
 	cachedThreshold        thresholdCache
-	lastTokenBeforeSuspect int64 // time of its last token before a suspicion, else 0
+	lastTokenBeforeSuspect int64 // time of the last token of the engine before a suspicion, else 0
 	query                  runQuery
 }
 
--- a/health/query.go
+++ b/health/query.go
@@ -51,7 +51,7 @@
 // runQuery is the last query that an engine was sent. It may be read and written only while
 // engine.mu is held.
 type runQuery struct {
-	sentAt int64 // 0 when it was never queried
+	sentAt int64 // 0 if the engine was never queried
 	open   bool  // no report has arrived yet
 	failed bool  // the query failed
 }
@@ -61,9 +61,9 @@
 
 const (
 	notQueried      queryState = iota
-	queryPending               // it was queried and has some time left to answer
-	queryAnswered              // it has answered
-	queryUnanswered            // it has not answered in time
+	queryPending               // the engine was queried and has some time left to answer
+	queryAnswered              // the engine has answered
+	queryUnanswered            // the engine has not answered in time
 )
 
 // queryState returns the state of the query of the engine at t. The caller holds e.mu.
--- a/health/stream.go
+++ b/health/stream.go
@@ -42,7 +42,7 @@
 
 	prev := s.engine.lastToken.Swap(t)
 	if s.lastToken.Swap(t) == 0 {
-		s.monitor.success(s.engine) // it answers, so it is healthy
+		s.monitor.success(s.engine) // the engine answers, so it is healthy
 		return                      // the engine may have been idle before: this is no gap
 	}
 	// A gap that spans a pause of this process is no measure of the engine.
--- a/health/threshold.go
+++ b/health/threshold.go
@@ -8,16 +8,16 @@
 // History is the input for the evaluation of one engine.
 type History struct {
 	Gaps         Shares        // observed gaps, including the prior
-	Silence      time.Duration // since its last token on any stream, without pauses of this process
+	Silence      time.Duration // time since the engine's last token on any stream, without pauses of this process
 	Streams      int           // streams that have received their first token
 	Bytes        float64       // prompt and accepted text over those streams
-	PeerReported bool          // a current report of a peer says that it fails
+	PeerReported bool          // another router currently reports that the engine fails
 }
 
 // Decision is the result of evaluating a History.
 type Decision struct {
 	Suspect   bool
-	Threshold time.Duration // silence from which it is suspected
+	Threshold time.Duration // silence from which the engine is suspected
 }
 
 // Evaluate decides whether an engine has been silent for long enough to resume its streams
--- a/health/tick.go
+++ b/health/tick.go
@@ -81,7 +81,7 @@
 // tickResult is the result of evaluating all engines in one tick.
 type tickResult struct {
 	watched     int // engines with open streams, or suspected recently
-	recent      int // of those, suspected recently
+	recent      int // engines among the watched that were suspected recently
 	evaluations []evaluation
 }
 
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -39,7 +39,7 @@
 	f.store.Register(successor, false)
 	f.store.SetUnresponsive(false)
 	await(t, "an up-to-date copy of the store", func() bool { return n.storeSync.age(time.Now()) < staleAfter })
-	time.Sleep(listedWithin + 2*adoptInterval) // nothing must happen to it
+	time.Sleep(listedWithin + 2*adoptInterval) // the new engine must stay in use during this time
 	if n.dir.Leaving("e1") {
 		t.Error("the new engine is leaving although the store lists it")
 	}
--- a/hosted/loads_test.go
+++ b/hosted/loads_test.go
@@ -36,7 +36,7 @@
 				}, to.applyPeerLoads)
 				time.Sleep(loadsInterval + time.Millisecond) // the first repetition
 				share := local.dir.Begin("e0", directory.Load{Requests: 1, Reading: 5000, Memory: 6000})
-				time.Sleep(loadsFullInterval - loadsInterval) // just before the next one
+				time.Sleep(loadsFullInterval - loadsInterval) // just before the next repetition of all loads
 				if remote.dir.Reading("e0") != 5000 {
 					t.Fatal("the other router does not know the request")
 				}
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -67,7 +67,7 @@
 type observedRun struct {
 	b         fleet.Backend
 	route     string
-	resumable bool // it can continue at another replica
+	resumable bool // the run can continue at another replica
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -58,7 +58,7 @@
 	mesh         *peer.Mesh
 	received     map[string]peerLoads // latest loads received, by router
 	soon         chan struct{}        // signals that changed loads are to be broadcast at once
-	fullyLinked  func() bool          // reports whether this node is linked to all others; set before run
+	fullyLinked  func() bool          // reports whether this node is linked to all other nodes; set before run
 	keyKnown     chan struct{}        // closed when the key is known
 	storeRead    chan struct{}        // closed when the store has been read once
 	firstRead    sync.Once            // guards the closing of storeRead
@@ -251,7 +251,7 @@
 	defer l.Close()
 	p.fullyLinked = mesh.IsFullMesh
 	go p.broadcastLoop(ctx, func(m loadsMessage) {
-		_ = mesh.SendToLinked(msgLoads, m) // a lost message is repeated with the next full one
+		_ = mesh.SendToLinked(msgLoads, m) // a lost change is repeated with the next message that contains all loads
 	}, func(now time.Time) {
 		p.storeSync.tick(now)
 		p.rollouts.tick(now)
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -40,7 +40,7 @@
 	mon             *health.Monitor
 	nonEngine       *routing.Router // for services that are not model engines
 	anyEngine       *routing.Router // for engines
-	preferredEngine *routing.Router // for engines, among the preferred ones of a request
+	preferredEngine *routing.Router // for engines, among the preferred engines of a request
 	standby         *routing.Router
 	cacheFinder     *cachelookup.Finder
 	log             *event.Log
@@ -134,7 +134,7 @@
 	case ro == nil:
 	case err == nil:
 		ro.MarkSent(a.RequestID)
-	case ro.Unassign(a.RequestID): // the version on trial has no replica for it
+	case ro.Unassign(a.RequestID): // the version on trial has no replica for this request
 		return p.Pick(ctx, a)
 	}
 	return b, share, err
@@ -163,7 +163,7 @@
 	if err == nil || req.OtherDomain == "" {
 		return b, share, err
 	}
-	req.OtherDomain = "" // fall back to that failure domain
+	req.OtherDomain = "" // fall back to the failure domain of the lost attempt
 	return chooser.Pick(router, among, req, load)
 }
 
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -76,7 +76,7 @@
 
 	mu        sync.Mutex
 	served    []time.Duration // time to the first chunk, of served requests
-	arrivedAt []time.Duration // arrival of those requests, from the start of the replay
+	arrivedAt []time.Duration // arrival of the served requests, from the start of the replay
 	refused   []time.Duration // time to the refusal, of refused requests
 	lost      int
 }
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -72,7 +72,7 @@
 	// The following functions are set before the first use.
 	routers func() int
 	age     func(time.Time) time.Duration // age of this node's copy of the store
-	rank    func(service string) int      // rank of this node among those that may write
+	rank    func(service string) int      // rank of this node among the nodes that may write
 	flood   func(rollout.Report)
 
 	mu        sync.RWMutex
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -36,7 +36,7 @@
 // syncMessage states how current a node's copy of the store is.
 type syncMessage struct {
 	Newest int64 `cbor:"1,keyasint"` // revision of the latest change
-	AgeMS  int64 `cbor:"2,keyasint"` // time since the store last confirmed it, directly or through other nodes
+	AgeMS  int64 `cbor:"2,keyasint"` // time since the store last confirmed the copy, directly or through other nodes
 }
 
 // storeSync distributes the contents of the store, which only a few nodes read. A node sends
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -21,15 +21,15 @@
 	queue        events
 	routers      []*Tracker
 	isolated     int           // router that receives no updates for modelIsolation
-	isolatedFrom time.Duration // when that starts
+	isolatedFrom time.Duration // when the isolation starts
 	servers      []*server
 	// allCrashes holds all crashes under each request, whatever their cause: the evidence that
 	// a plain count of crashes would use.
 	allCrashes map[Digest]map[string]bool
 
 	crashes    map[string]int           // crashes under each request that crashes its servers
-	thirdCrash map[string]time.Duration // when the third of them happened
-	lateRuns   map[string]int           // runs started at servers more than modelWindow after that
+	thirdCrash map[string]time.Duration // when the third crash under each such request happened
+	lateRuns   map[string]int           // runs of each such request started at servers more than modelWindow after its third crash
 	wrongHolds map[string]bool          // other requests that were refused by a quarantine
 }
 
@@ -59,7 +59,7 @@
 	submission uint64
 	server     *server
 	sent       time.Duration
-	firstToken time.Duration // when its first token came, 0 before
+	firstToken time.Duration // when the first token of the run arrived, 0 before
 }
 
 const (
@@ -347,7 +347,7 @@
 // tally sums up the results of several fleets.
 type tally struct {
 	fleets, lost  int // simulated fleets, requests that lost an attempt
-	wrong, plain  int // other requests that were refused, and those that a plain count of three would refuse
+	wrong, plain  int // harmless requests that were refused, and harmless requests that a plain count of three crashes would refuse
 	late, crashes int // the most arrivals that came too late, and the crashes under that request
 	findings      []string
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -24,7 +24,7 @@
 const (
 	Unreachable State = iota // no answer: can't be distinguished from a broken network
 	Working                  // the same incarnation still answers
-	Exited                   // nothing listens at its address, or another incarnation does
+	Exited                   // nothing listens at the address of the backend server, or another incarnation does
 )
 
 // String returns the name of the state in logs.
--- a/quarantine/submission.go
+++ b/quarantine/submission.go
@@ -12,7 +12,7 @@
 	guard      *Guard
 	digest     Digest
 	account    string
-	submission uint64 // random id that tells the submissions of one request apart
+	submission uint64 // random id that distinguishes the submissions of one request
 }
 
 // DigestString returns the digest of the request as text, empty if it isn't tracked.
--- a/quarantine/suspect.go
+++ b/quarantine/suspect.go
@@ -15,7 +15,7 @@
 	At          time.Duration // on the clock that is passed to the tracker
 	SentAt      time.Duration // when the request was sent there
 	Submission  uint64        // id of the client's submission, which may reach several backend servers
-	From        string        // router that reported it, empty for this one
+	From        string        // router that reported the crash, empty for this router
 }
 
 // suspect is one suspected request.
@@ -23,9 +23,9 @@
 	digest               Digest
 	account              string
 	crashes              []Crash
-	holdStart, holdUntil time.Duration // 0 while it isn't quarantined
+	holdStart, holdUntil time.Duration // 0 while the request isn't quarantined
 	pending              bool          // enough crashes are known, and Confirm is due
-	cleared              bool          // it was quarantined, and then found to be a bystander or lifted
+	cleared              bool          // the request was quarantined, and then found to be a bystander or lifted
 	updatedAt            time.Duration
 }
 
@@ -46,7 +46,7 @@
 type ReportedCrash struct {
 	Backend string `json:"backend"`
 	AgeMS   int64  `json:"age_ms"`
-	From    string `json:"from,omitempty"` // router that reported it, empty for this one
+	From    string `json:"from,omitempty"` // router that reported the crash, empty for this router
 }
 
 // report returns the Report of s.
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -62,7 +62,7 @@
 type Tracker struct {
 	suspects        map[Digest]*suspect
 	countByAccount  map[string]int
-	suspectsByCrash map[string][]Digest // by incarnation, the requests that its crash counts against
+	suspectsByCrash map[string][]Digest // requests that a crash counts against, by the incarnation that crashed
 	exits           exitTimes
 	answers         *answerTimes
 }
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -54,7 +54,7 @@
 	Evidence      float64
 	OtherEvidence float64 `json:"Doubt"` // evidence without that of the failure domain that contributes most
 	Answers       int     // answers of the new version
-	BadAnswers    int     `json:"BadOnes"` // bad ones among those
+	BadAnswers    int     `json:"BadOnes"` // bad answers of the new version
 }
 
 func (v Verdict) String() string {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -62,7 +62,7 @@
 type Report struct {
 	Service     string  `cbor:"1,keyasint"`
 	Order       int64   `cbor:"2,keyasint"` // revision of the order
-	Incarnation uint64  `cbor:"8,keyasint"` // identifies the run of the router process; its counts start at zero with each run
+	Incarnation uint64  `cbor:"8,keyasint"` // identifies the run of the router process; the router's counts start at zero with each run
 	Sequence    uint64  `cbor:"3,keyasint"` // increases with each report of one run
 	ElapsedMS   int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
 	New         []Count `cbor:"5,keyasint,omitempty"`
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -17,9 +17,9 @@
 	fails  float64       // share of the answers that are failures
 	slower float64       // slowdown factor; 0 for the speed of the old version
 	slow   float64       // share of the answers that are slower
-	after  time.Duration // time after the order at which it turns bad
-	busy   int           // concurrent requests at a replica from which it is bad; 0 for any number
-	route  string        // route on which it is bad; empty for all
+	after  time.Duration // time after the order at which the version turns bad
+	busy   int           // number of concurrent requests at a replica from which the version is bad; 0 for any number
+	route  string        // route on which the version is bad; empty for all routes
 }
 
 // faults describes the faults that affect both versions.
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -91,7 +91,7 @@
 	// Barred versions get no requests: they are the targets of earlier orders that did not
 	// complete.
 	Barred []string `json:"barred,omitempty"`
-	Reason string   `json:"reason,omitempty"` // why it was rolled back
+	Reason string   `json:"reason,omitempty"` // why the roll-out was rolled back
 }
 
 // forOrder returns the record with which the order o, which follows the order of r, starts.
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -37,7 +37,7 @@
 	revision  int64 // store revision of record, 0 if there is no record yet
 	stagedAt  time.Duration
 	stale     bool
-	bad       bool // the new version was found bad, by this router or in a report from another one
+	bad       bool // the new version was found bad, by this router or by another router that reported it
 	verdict   Verdict
 	domains   int
 	quota     *quota                // nil before the first request of the trial
