--- a/health/state.go
+++ b/health/state.go
@@ -36,10 +36,10 @@
 // some answers of a healthy server are late too: only several in a row, over some time and with
 // no answer in between, make it suspect.
 //
-// Without it, a replica that accepts calls but never answers would lose each race and stay
-// healthy, since a cancelled call gives no result. Its share of all calls would be late, and
-// each of them would cost a second attempt until the budget is spent and callers wait for their
-// deadlines.
+// Without this evidence, a replica that accepts calls but never answers would lose each race
+// and stay healthy, since a cancelled call gives no result. Its share of all calls would be
+// late, and each of them would cost a second attempt until the budget is spent and callers
+// wait for their deadlines.
 func (m *Monitor) Late(backend string) {
 	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
--- a/health/stream.go
+++ b/health/stream.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// SetBlocked records that the caller stopped taking tokens, or takes them again. Without it, a
-// slow caller would make a healthy engine look silent.
+// SetBlocked records that the caller stopped taking tokens, or takes them again. Without this
+// call, a slow caller would make a healthy engine look silent.
 func (s *Stream) SetBlocked(blocked bool, now time.Time) {
 	if !blocked {
 		t := int64(now.Sub(s.monitor.epoch))
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -16,7 +16,7 @@
 //     them may stop sending to it; only the progress from stage to stage is written to one place,
 //     the store, with a conditional write.
 //   - The old replicas stop as soon as a roll-out is recorded as completed. Their runs are
-//     therefore moved before that is written.
+//     therefore moved before the completion is written.
 //
 // The package does no input or output. Times are read by the caller, on one clock.
 package rollout
