--- a/health/stream.go
+++ b/health/stream.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// priorInterval is how many gaps of a stream there are for each one that also goes into the prior
-// shared by all engines. Recording all of them would make the prior's counters contended.
+// Of priorInterval gaps of a stream, one is also recorded in the prior that all engines share.
+// If all gaps were recorded there, many goroutines would contend for the prior's counters.
 const priorInterval = 16
 
 // Stream monitors one attempt on its engine. Token and SetBlocked may run concurrently with the
@@ -42,7 +42,7 @@
 
 	prev := s.engine.lastToken.Swap(t)
 	if s.lastToken.Swap(t) == 0 {
-		s.monitor.success(s.engine) // it answers, so it is healthy
+		s.monitor.success(s.engine) // the engine answers, so it is healthy
 		return                      // the engine may have been idle before: this is no gap
 	}
 	// A gap that spans a pause of this process is no measure of the engine.
@@ -59,8 +59,8 @@
 	}
 }
 
-// SetBlocked records that the caller stopped taking tokens, or takes them again. Without it, a
-// slow caller would make a healthy engine look silent.
+// SetBlocked records that the caller stopped taking tokens, or takes them again. Without this
+// call, a slow caller would make a healthy engine look silent.
 func (s *Stream) SetBlocked(blocked bool, now time.Time) {
 	if !blocked {
 		t := int64(now.Sub(s.monitor.epoch))
@@ -72,13 +72,15 @@
 	s.blocked.Store(blocked)
 }
 
-// received returns how many tokens of the answer came, from this attempt and earlier ones.
+// received returns how many tokens of the answer arrived, from this attempt and earlier
+// attempts.
 func (s *Stream) received() int { return s.work.Received + int(s.tokens.Load()) }
 
 // SetCopied sets whether a copy of the run's state is kept elsewhere.
 func (s *Stream) SetCopied(copied bool) { s.resumable.Store(copied) }
 
-// Close ends the monitoring. Call it as soon as the last token was read.
+// Close ends the monitoring of the attempt. The caller calls it as soon as the last token was
+// read.
 func (s *Stream) Close() {
 	if s.closed.Swap(true) {
 		return
@@ -95,8 +97,8 @@
 	s.pauseCredit += pause
 }
 
-// silence returns the time since the last token, or since the stream was opened, without
-// pauses of this process.
+// silence returns the time since the last token, or since the stream was opened if no token
+// has arrived, less the time for which this process was paused.
 func (s *Stream) silence(now int64) time.Duration {
 	last := s.lastToken.Load()
 	from := last
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -1,5 +1,5 @@
-// Package rollout moves a service to replicas of another version, and back if that version answers
-// worse than the one before.
+// Package rollout moves a service to replicas of another version, and back to the old version
+// if the new version answers worse.
 //
 // The design guards against these failures:
 //
@@ -16,7 +16,7 @@
 //     them may stop sending to it; only the progress from stage to stage is written to one place,
 //     the store, with a conditional write.
 //   - The old replicas stop as soon as a roll-out is recorded as completed. Their runs are
-//     therefore moved before that is written.
+//     therefore moved before the completion is written.
 //
 // The package does no input or output. Times are read by the caller, on one clock.
 package rollout
@@ -91,10 +91,12 @@
 	// Barred versions get no requests: they are the targets of earlier orders that did not
 	// complete.
 	Barred []string `json:"barred,omitempty"`
-	Reason string   `json:"reason,omitempty"` // why it was rolled back
+	Reason string   `json:"reason,omitempty"` // why the roll-out was rolled back
 }
 
-// forOrder returns the record with which a later order starts.
+// forOrder returns the record with which the order o, which follows the order of r, starts.
+// Unless the roll-out of r completed, the target of r stays barred along with the versions
+// barred before.
 func (r Record) forOrder(o Order) Record {
 	next := Record{Order: o.Revision, Target: o.Target, Stage: Waiting}
 	if r.Stage == Completed {
