--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -12,8 +12,8 @@
 )
 
 // attemptSpread is the range of the random step that is added to the attempt number after a
-// change of router: two routers that take over the same answer at the same moment must not give
-// the same number to two attempts.
+// change of router, since two routers that take over the same answer at the same moment must
+// not give the same number to two attempts.
 const attemptSpread = 1 << 16
 
 // attempt is one run of the request on one engine.
@@ -45,19 +45,21 @@
 	return x.attemptNumber
 }
 
-// watchAttempt registers a with the failure detector, unless a is the last attempt allowed.
+// watchAttempt registers a with the failure detector. The last attempt allowed is not
+// registered, since no other attempt could replace it.
 func (x *run) watchAttempt(a *attempt) {
 	a.ctx, a.cancel = context.WithCancelCause(x.ctx)
 	if x.isLastAttempt() {
-		// No other attempt may follow: ending this one because it is silent would only lose an
-		// answer that may still arrive.
+		// No other attempt may follow: if this attempt were ended because it is silent, an
+		// answer that may still arrive would be lost, and nothing would be gained.
 		a.watch = noWatch{}
 		return
 	}
 	a.watch = x.Watcher.Watch(a.backend.ID, x.work(), a.cancel)
 }
 
-// work describes to the failure detector what the next attempt has to do.
+// work describes to the failure detector what the next attempt has to do: how much text the
+// engine has to prefill and how many tokens or chunks have been received already.
 func (x *run) work() health.Work {
 	w := health.Work{Request: x.req.ID, PromptBytes: x.promptBytes(), Received: x.filter.next}
 	if x.req.Opaque != nil {
@@ -78,7 +80,7 @@
 	}
 }
 
-// lossReport is what the quarantine guard evaluates when a was lost.
+// lossReport returns the record of the loss of a that the quarantine guard evaluates.
 func (a *attempt) lossReport(cause string) quarantine.Loss {
 	l := quarantine.Loss{Backend: a.backend, Chunks: a.accepted, Ran: time.Since(a.sentAt), Cause: cause}
 	if !a.firstAt.IsZero() {
@@ -87,7 +89,8 @@
 	return l
 }
 
-// closeReader stops reading a. The engine keeps the attempt for its linger time.
+// closeReader stops reading a. The engine keeps the attempt for its linger time; only the
+// attempt of an opaque request is cancelled, since it ends with its connection.
 func (a *attempt) closeReader() {
 	if a.stream != nil {
 		a.stream.Close()
@@ -114,7 +117,8 @@
 	return o != nil && (x.req.NonIdempotent || x.attemptsSent+1 >= o.MaxAttempts)
 }
 
-// noWatch is the Watch of an attempt that must not be ended because of silence.
+// noWatch is a Watch that does nothing. It is used for an attempt that must not be ended
+// because of silence.
 type noWatch struct{}
 
 func (noWatch) Token(time.Time)            {}
@@ -122,7 +126,8 @@
 func (noWatch) SetCopied(bool)             {}
 func (noWatch) Close()                     {}
 
-// promptBytes is the size of the text that an attempt has to prefill.
+// promptBytes returns the size of the text that an attempt has to prefill: the prompt, and the
+// accepted part of the answer if the request isn't opaque.
 func (x *run) promptBytes() int {
 	if o := x.req.Opaque; o != nil {
 		return o.PromptTokens * bytesPerToken
@@ -130,7 +135,7 @@
 	return len(x.req.Prompt) + len(x.text)
 }
 
-// detach closes the reader. The engine keeps the attempt for its linger time.
+// detach closes the reader of the current attempt, as described at closeReader.
 func (x *run) detach() {
 	if x.current != nil {
 		x.current.closeReader()
@@ -138,7 +143,7 @@
 	}
 }
 
-// abandon closes the reader and has the attempt cancelled.
+// abandon closes the reader of the current attempt and has the attempt cancelled.
 func (x *run) abandon() {
 	a := x.current
 	if a == nil {
@@ -157,9 +162,9 @@
 	})
 }
 
-// linger is how long the engine keeps an attempt without a reader. For a request that is not
-// idempotent it lasts until the deadline (at most maxNonIdempotentLinger): its only run must
-// outlast a long silence.
+// linger returns how long the engine keeps an attempt without a reader. For a request that is
+// not idempotent the engine keeps it until the deadline (at most maxNonIdempotentLinger): such
+// a request may run only once, so its run must outlast a long silence.
 func (x *run) linger() time.Duration {
 	if !x.req.NonIdempotent || x.req.Deadline.IsZero() {
 		return x.opts.Linger
--- a/generation/bench_test.go
+++ b/generation/bench_test.go
@@ -29,7 +29,7 @@
 func (nullSink) Token(int, []byte, string) error     { return nil }
 func (nullSink) Flush() error                        { return nil }
 
-// BenchmarkRunner reports the cost of one complete answer of 1000 tokens.
+// BenchmarkRunner measures the cost of one complete answer of 1000 tokens.
 func BenchmarkRunner(b *testing.B) {
 	const tokens = 1000
 	var data bytes.Buffer
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -11,7 +11,8 @@
 const (
 	// copyCheckInterval is how often a run checks that its copy still exists.
 	copyCheckInterval = 300 * time.Millisecond
-	// copyTimeout bounds the making of a copy, which may queue behind other copies.
+	// copyTimeout bounds the time that the making of a copy may take. The copy may have to
+	// wait for other copies.
 	copyTimeout = 1500 * time.Millisecond
 	// copyRefreshAge is the age at which a copy that was made on demand is brought up to date.
 	// Backend servers drop a copy that isn't updated for longer.
@@ -42,13 +43,13 @@
 	}
 }
 
-// maintainCopy makes or refreshes the standby copy of the attempt in the background, when one is
-// missing, was lost or is due for a refresh.
+// maintainCopy makes or refreshes the standby copy of the attempt in the background, when
+// there is no copy, the copy was lost or it is due for a refresh.
 //
-// Without it, a run whose copy is lost with its failure domain continues without one, and when
-// the run's own domain crashes some seconds later its prompt has to be read again. The symptom is
-// answers that pause for a second or more, with their prefill paid for twice, in every second
-// crash.
+// Without it, a run whose copy is lost with the failure domain of the copy continues without
+// any copy. If the failure domain of the run crashes some seconds later, the prompt has to be
+// read again. The symptom is that in every second crash answers pause for a second or more,
+// with their prefill paid for twice.
 func (x *run) maintainCopy(a *attempt, now time.Time) {
 	if x.Copier == nil || x.req.Opaque == nil || !x.req.Opaque.Copies.OnDemand || x.tracked.Suspected() || now.Sub(a.copyCheckedAt) < copyCheckInterval {
 		return
@@ -70,8 +71,8 @@
 	go x.makeCopy(a.ctx, a, to)
 }
 
-// dropCopy frees the copy of a run that has ended. Otherwise the unused copy would occupy memory
-// for some more seconds.
+// dropCopy frees the copy of a run that has ended. Otherwise the unused copy would occupy
+// memory for some more seconds, until the backend servers drop it because of its age.
 func (x *run) dropCopy(a *attempt) {
 	a.collectCopy()
 	if a.copy.name == "" {
@@ -87,7 +88,8 @@
 	})
 }
 
-// copyIsCurrent reports whether the copy still exists and needs no refresh yet.
+// copyIsCurrent reports whether the copy still exists and needs no refresh yet. A copy that
+// the backend server itself keeps up to date needs none.
 func (x *run) copyIsCurrent(a *attempt, now time.Time) bool {
 	if a.copy.backend.Addr == "" || !x.Picker.KeepsCopy(a.copy.backend.ID) {
 		return false
@@ -95,7 +97,8 @@
 	return a.copy.name == "" || now.Sub(a.copy.madeAt) < copyRefreshAge
 }
 
-// makeCopy runs in a goroutine alongside the stream; collectCopy picks up its result.
+// makeCopy makes or refreshes a copy. It runs in a goroutine alongside the stream; collectCopy
+// receives its result.
 func (x *run) makeCopy(ctx context.Context, a *attempt, to standbyCopy) {
 	ctx, stop := context.WithTimeout(ctx, copyTimeout)
 	defer stop()
@@ -118,7 +121,8 @@
 	source    fleet.Backend // backend server on which the attempt ran
 }
 
-// collectCopyAtLoss picks up a copy that was completed just before the loss.
+// collectCopyAtLoss records a copy that was completed just before the loss, so that the run
+// can continue from it.
 func (a *attempt) collectCopyAtLoss() {
 	select {
 	case c := <-a.copyResult:
@@ -130,8 +134,8 @@
 	}
 }
 
-// collectCopy picks up the result of makeCopy, if there is one, so that the run would resume from
-// the latest copy.
+// collectCopy records the result of makeCopy, if there is one, so that after a loss the run
+// continues from the latest copy.
 func (a *attempt) collectCopy() {
 	select {
 	case c := <-a.copyResult:
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -10,8 +10,8 @@
 	"wigeondale/fleet"
 )
 
-// dispatch sends the request to the picked engine. pick has checked the deadline, after the
-// claim.
+// dispatch sends the request to the picked engine. It doesn't check the deadline: the state
+// pick has done so, after the claim.
 func (x *run) dispatch() string {
 	if err := x.tracked.Refusal(x.ctx); err != nil {
 		return x.end("fail", CodeQuarantined, err)
@@ -55,12 +55,12 @@
 	return x.req.Opaque.Opaque
 }
 
-// chooseStandby chooses the backend server on which the backend server of a keeps a copy of the
-// run.
+// chooseStandby chooses the backend server that is to keep a standby copy of the run of a, and
+// records it in a. It returns the zero value if there is to be no copy.
 //
 // Without a copy in another failure domain, the crash of a domain makes each answer that ran
-// there pause for a second or more while another engine reads its prompt again, and the prefill
-// is paid for twice.
+// there pause for a second or more while another engine reads its prompt again, and the
+// prefill is paid for twice.
 func (x *run) chooseStandby(a *attempt) fleet.Backend {
 	if x.req.Opaque == nil || !x.req.Opaque.Copies.KeptUpToDate || x.tracked.Suspected() {
 		return fleet.Backend{}
@@ -85,7 +85,7 @@
 	return backend.Copies{FromCopy: true, Name: lost.name, Source: lost.source}
 }
 
-// makeCurrent makes a the attempt from which tokens are accepted.
+// makeCurrent makes a the current attempt: from now on, only its tokens are accepted.
 func (x *run) makeCurrent(a *attempt, s Stream, ev string) string {
 	a.stream = s
 	a.confirmed = true
@@ -115,9 +115,9 @@
 	a.closeReader()
 	x.attemptsSent--
 	if isRefusal && refused.Code == codeAttemptExists {
-		// Another router runs this very request, and the pointer to that run, which is soft
-		// state, was lost. Reporting that the request was refused and has not run would be
-		// untrue.
+		// Another router runs this same request. The stored pointer to that run is soft state
+		// and was lost. It would be untrue to report that the request was refused and has not
+		// run.
 		return x.end("lose", CodeDuplicate, ErrDuplicate)
 	}
 	if x.mustEnd() {
@@ -129,8 +129,8 @@
 	x.exclude[a.backend.ID] = true
 	x.waitErr = err
 	x.logLoss(a, causeNotRun, err)
-	// Refusals are reported as well: by their code other routers find out that an engine is
-	// leaving before its load reports or the VM list show it.
+	// Refusals are reported as well: from the code of a refusal, other routers find out that
+	// an engine is leaving before its load reports or the list of VMs show it.
 	x.Watcher.Result(a.backend.ID, err)
 	if isRefusal {
 		x.m.refusedByEngine.Inc()
@@ -150,8 +150,8 @@
 	return "not-started"
 }
 
-// recordFailedAnswer keeps a failure that the backend server itself answered with. It becomes the
-// final answer unless another attempt is allowed and succeeds.
+// recordFailedAnswer keeps a failure that the backend server itself returned as its answer.
+// That failure becomes the final answer unless another attempt is allowed and succeeds.
 func (x *run) recordFailedAnswer(a *attempt, failed *backend.FailedAnswer) string {
 	x.mayHaveRun = true
 	x.failedAnswer = failed
@@ -215,9 +215,9 @@
 }
 
 // suspect decides how to continue an answer whose attempt was lost. If the accepted text is
-// available, another engine continues the answer and the old attempt is cancelled. Otherwise (the
-// request is not idempotent, or this router never saw the text) only the same run can deliver the
-// rest.
+// available, another engine continues the answer and the old attempt is cancelled. Otherwise
+// (the request is not idempotent, or this router never received the text) only the run of the
+// old attempt can deliver the rest.
 func (x *run) suspect() string {
 	x.tracked.AwaitExamination(x.ctx, x.lossExamined)
 	if x.mustEnd() {
@@ -234,7 +234,8 @@
 		return x.giveUp(CodeEngineLost, x.waitErr)
 	}
 	x.callerSlow = false
-	// The engine may be back in a moment, and callers wait for a few seconds at most.
+	// The engine may be available again in a moment, and callers wait for a few seconds at
+	// most.
 	if x.fruitlessTries > 1 && time.Since(x.lostAt) > x.opts.StartedMaxWait {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
@@ -306,8 +307,9 @@
 	}
 }
 
-// attach bounds the wait for the engine's response, not the reading after it: a frozen engine
-// accepts connections and sends nothing.
+// attach attaches to the run that the engine keeps for a. It bounds the wait for the engine's
+// response, since a frozen engine accepts connections and sends nothing. It doesn't bound the
+// reading after that.
 func (x *run) attach(a *attempt) (Stream, error) {
 	cancel := a.cancel
 	t := time.AfterFunc(x.opts.AttachTimeout, func() { cancel(ErrEngineLost) })
--- a/generation/end.go
+++ b/generation/end.go
@@ -9,8 +9,8 @@
 	"wigeondale/fleet"
 )
 
-// finalOutcome has an entry for every final state of the chart. The outcome of a cancelled run
-// depends on how far it got.
+// finalOutcome maps every final state of the chart to an outcome. The outcome of a cancelled
+// run depends on how far the run got.
 var finalOutcome = map[string]fleet.Outcome{
 	"complete":  fleet.Complete,
 	"refused":   fleet.NotRun,
@@ -19,8 +19,8 @@
 	"cancelled": "",
 }
 
-// giveUp ends the run with the event that is true. It is the only place that decides whether
-// "not-run" may be reported.
+// giveUp ends the run and returns the event that leads to the true outcome. No other function
+// decides whether "not-run" may be reported.
 func (x *run) giveUp(code string, err error) string {
 	if errors.Is(err, ErrCallerDisconnected) {
 		return x.callerDisconnected(err)
@@ -48,7 +48,7 @@
 	return "failed"
 }
 
-// deliverFailedAnswer delivers a failure that the backend server itself answered with as the
+// deliverFailedAnswer delivers a failure that the backend server itself returned, as the
 // complete answer.
 func (x *run) deliverFailedAnswer() string {
 	x.detach()
@@ -61,7 +61,8 @@
 	return "failed-answer"
 }
 
-// finishComplete marks the only chunk of an answer that is delivered in one part.
+// finishComplete is the finish mark of the only chunk of an answer that is delivered in one
+// part.
 const finishComplete = "whole"
 
 func (x *run) end(ev, code string, err error) string {
@@ -80,9 +81,10 @@
 	return ev
 }
 
-// retryAfter returns when the caller should come back. If the cause was expected to pass soon,
-// the time stated with it is only the interval until the router's own next try. Those tries have
-// failed by now, so the caller is told to wait for the default time at least.
+// retryAfter returns how long the caller should wait before it comes back. If the cause was
+// expected to pass soon, the time stated with the cause is only the interval until the
+// router's own next try. Those tries have failed by now, so the caller is told to wait for the
+// default time at least.
 func (x *run) retryAfter(u *Unavailable) time.Duration {
 	if u.Retryable {
 		return max(u.RetryAfter, x.opts.RetryAfter)
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -70,8 +70,8 @@
 	codeInternalFlow       = "internal"
 )
 
-// Unavailable is the error with which an Admitter, Claims or Picker reports the cause and when to
-// come back. Any other error counts as final and without a time to come back.
+// Unavailable is the error with which an Admitter, Claims or Picker reports the cause and when
+// the caller should come back. Any other error counts as final and gives no time to come back.
 type Unavailable struct {
 	Code       string        // sent to the caller; empty selects this package's code
 	Retryable  bool          // the missing resource is expected within RetryAfter
@@ -99,13 +99,14 @@
 	BodyHash      [16]byte
 	Resume        *ResumePoint // nil for a new request
 
-	// Opaque, if set, is passed on without being parsed, in place of Ref and Prompt. The chunks
-	// of its answer are delivered as tokens. It isn't claimed: each such request has an id of its
-	// own and reaches a single router.
+	// Opaque, if set, replaces Ref and Prompt. It is passed on without being parsed, and the
+	// chunks of its answer are delivered as tokens. Opaque requests aren't claimed: each of
+	// them has an id of its own and reaches a single router.
 	Opaque *Opaque
 }
 
-// subject identifies what the request and its repeats have in common.
+// subject identifies the request for the quarantine guard: repeats of the request have the
+// same subject.
 func (r *Request) subject() quarantine.Subject {
 	if o := r.Opaque; o != nil {
 		return quarantine.Subject{Account: r.Account, Method: o.Method, Host: o.Host, Target: o.Opaque.Target, Body: o.Body}
@@ -135,8 +136,8 @@
 	OnDemand     bool // they make one on request
 }
 
-// ResumePoint is where to continue an answer that was started through another router. Its origin
-// and its text have been checked against the cursor.
+// ResumePoint is the point from which to continue an answer that was started through another
+// router. The origin and the text of the point have been checked against the cursor.
 type ResumePoint struct {
 	Backend     string
 	Incarnation string
@@ -174,8 +175,8 @@
 	Tokens     int // delivered by this run
 	Resumes    int
 	Digest     string // identifies the request and its repeats; empty if crashes under it aren't tracked
-	// TimeToFirstToken is the time until the first token was delivered, and LongestPause the longest
-	// time between two consecutive tokens.
+	// TimeToFirstToken is the time until the first token was delivered. LongestPause is the
+	// longest time between two consecutive tokens.
 	TimeToFirstToken time.Duration
 	LongestPause     time.Duration
 }
@@ -218,40 +219,44 @@
 	Service         string // of an opaque request, instead of Ref
 	PromptTokens    int    // estimated tokens of its prompt, 0 if not stated
 	MaxAnswerTokens int    // maximum number of tokens of its answer
-	// FirstChunkTarget is the time from the start of the request after which the first chunk is late; 0 if
-	// it is never late.
+	// FirstChunkTarget is the time from the start of the request after which the first chunk
+	// is late; 0 means that it is never late.
 	FirstChunkTarget time.Duration
-	// SinceFirstTry is the time since the first try by the client of an opaque request, as far as known.
+	// SinceFirstTry is the time since the first try by the client of an opaque request, as far
+	// as that time is known.
 	SinceFirstTry time.Duration
-	// TimeLeft is the time for which the client of an opaque request still waits; 0 if not known.
+	// TimeLeft is how long the client of an opaque request still waits; 0 if not known.
 	TimeLeft time.Duration
 	// Late reports that the first chunk can't arrive in time any more.
 	Late bool
-	// UniquePart is the id of the part of the prompt that no other request shares, "" if not known.
+	// UniquePart is the id of the part of the prompt that no other request shares, or "" if
+	// that part isn't known.
 	UniquePart string
-	// PromptParts are the ids of the prompt's parts if the client came back with part of its answer: a
-	// backend server may still have them in its cache.
+	// PromptParts are the ids of the prompt's parts if the client came back with part of its
+	// answer, since a backend server may still have those parts in its cache. Otherwise, and
+	// from the second attempt on, it is nil.
 	PromptParts []string
 	Prefer      string // backend server that has a copy; chosen if it is available
 	// LostDomain is the failure domain of the most recently lost attempt. Other domains are
-	// preferred: the fault that took that backend server may have taken its neighbours.
+	// preferred: the fault that made that backend server unreachable may affect its neighbours
+	// as well.
 	LostDomain string
 }
 
 // Picker chooses engines. At the time of the call, Pick must check that the engine is not
-// leaving. The share accounts for the attempt in the engine's load until it is ended.
+// leaving. The returned LoadShare counts the attempt in the engine's load until End is called.
 type Picker interface {
 	Pick(ctx context.Context, a PickRequest) (b fleet.Backend, s LoadShare, err error)
-	// Lookup finds a known engine, leaving or not.
+	// Lookup returns a known engine, whether or not it is leaving.
 	Lookup(backendID string) (fleet.Backend, bool)
 	// KeepsCopy reports whether the copy at a backend server can still be expected to exist.
 	KeepsCopy(backendID string) bool
-	// Standby chooses where the run at b keeps a copy. ok is false if there is no such backend
-	// server.
+	// Standby chooses the backend server that keeps a copy of the run at b. ok is false if no
+	// backend server can.
 	Standby(a PickRequest, b fleet.Backend) (standby fleet.Backend, s LoadShare, ok bool)
 }
 
-// LoadShare accounts for an attempt, or a copy, in the load of its backend server.
+// LoadShare counts an attempt, or a copy, in the load of its backend server.
 type LoadShare interface {
 	// PrefillDone records that the prompt has been read. Further calls do nothing.
 	PrefillDone()
@@ -262,7 +267,8 @@
 // Watch reports the progress of one stream to the failure detector.
 type Watch interface {
 	Token(now time.Time)
-	// SetBlocked reports that the caller stopped reading tokens, or resumed it.
+	// SetBlocked reports that the caller stopped reading tokens (true) or started to read
+	// again (false).
 	SetBlocked(blocked bool, now time.Time)
 	// SetCopied reports whether a copy of the run's state exists elsewhere, from which the run
 	// can continue without another prefill.
@@ -291,7 +297,7 @@
 	Close() error
 }
 
-// Engines opens streams.
+// Engines opens streams of new attempts and attaches to attempts that an engine still keeps.
 type Engines interface {
 	Open(ctx context.Context, b fleet.Backend, r backend.StartRequest) (Stream, error)
 	Attach(ctx context.Context, b fleet.Backend, id backend.StreamID, from int) (Stream, error)
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -10,9 +10,9 @@
 	"wigeondale/fleet"
 )
 
-// Guards against: an answer lacks a token, repeats one or mixes two generations. Tokens of
-// several attempts reach the router in any order: late ones of a lost engine, repeated ones, ones
-// after a gap. The fault is to accept a token without checking its attempt and index.
+// Tokens of several attempts reach the router in any order: late ones of a lost engine,
+// repeated ones, and ones after a gap. If the router accepted a token without checking its
+// attempt and its index, an answer would lack a token, repeat one or mix two generations.
 func TestAcceptorProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var a tokenFilter
@@ -41,9 +41,9 @@
 	})
 }
 
-// Guards against: after the loss of a failure domain, the answers that were continued elsewhere
-// pause for a second. A generation is resumed at an engine where new generations and calls wait
-// for a slot. The fault is that the resume has the priority of a new generation.
+// A generation is resumed at an engine where new generations and calls wait for a slot. If the
+// resume had only the priority of a new generation, then after the loss of a failure domain
+// the answers that were continued elsewhere would pause for a second.
 func TestResumeIsAheadOfNewWorkAtTheEngine(t *testing.T) {
 	sent := map[fleet.Priority][2]int{}
 	for _, p := range []fleet.Priority{fleet.Batch, fleet.Interactive} {
@@ -60,9 +60,9 @@
 	}
 }
 
-// Guards against: an answer ends, or is wrong, because its engine failed. The first engine
-// delivers three tokens, then fails in one of the ways below. The fault is to take the engine's
-// end for the end of the answer, or to resume from a text other than the delivered one.
+// An answer must not end, or be wrong, because its engine failed. The first engine delivers
+// three tokens and then fails in one of the ways listed below. The router must not take the
+// engine's end for the end of the answer, nor resume from a text other than the delivered one.
 func TestAnswerOutlivesItsEngine(t *testing.T) {
 	for _, tc := range []struct {
 		fault    string
@@ -97,10 +97,10 @@
 	}
 }
 
-// Guards against: a caller repeats a request that was reported as "not-run" and has run, or a
-// non-idempotent request reaches a second engine. Each row states what the engines do. The fault
-// is to derive the outcome from the last error only, instead of from all attempts that may have
-// reached an engine.
+// A request that has run must not be reported as "not-run", since the caller would repeat it,
+// and a non-idempotent request must not reach a second engine. Both would happen if the
+// outcome were derived from the last error only, instead of from all attempts that may have
+// reached an engine. Each row states what the engines do.
 func TestFinalAnswersAreTrue(t *testing.T) {
 	refuse, closed := behavior{fault: "refuse"}, behavior{fault: "close"}
 	for _, tc := range []struct {
@@ -159,9 +159,9 @@
 	}
 }
 
-// Guards against: a non-idempotent generation is lost, or runs twice, when a connection breaks.
-// The connection is reset after three tokens, and the engine still has the run. The fault is to
-// give up, or to dispatch again, instead of re-attaching.
+// The connection of a non-idempotent generation is reset after three tokens, and the engine
+// still has the run. The router must re-attach to that run: if it gave up, the generation
+// would be lost, and if it dispatched again, the generation would run twice.
 func TestNonIdempotentReattaches(t *testing.T) {
 	first, second := newFakeEngine(t, behavior{3, "reset"}, behavior{2, "reset"}, behavior{}), newFakeEngine(t, behavior{})
 	h := &harness{engines: []*fakeEngine{first, second}}
@@ -175,9 +175,9 @@
 	}
 }
 
-// Guards against: after a router crashed, its caller's answer is cut or mixes two generations.
-// Another router receives the cursor; each row states what is left of the old run. The fault is
-// to continue with anything but the same run or the very text that was delivered.
+// After a router crashed, another router receives the cursor; each row states what is left of
+// the old run. The answer may be continued only by the same run or from the very text that was
+// delivered: otherwise the caller's answer would be cut or would mix two generations.
 func TestAnswerOutlivesItsRouter(t *testing.T) {
 	point := ResumePoint{Backend: "e0", Incarnation: "i1", Attempt: 3, Offset: 3, Text: answerText(3), HaveText: true}
 	with := func(f func(*ResumePoint)) *ResumePoint { p := point; f(&p); return &p }
@@ -219,9 +219,9 @@
 	}
 }
 
-// Guards against: a caller whose connection broke finds its run cancelled when it comes back. The
-// sink fails in mid-answer. The fault is to treat a lost caller like a lost engine. A passed
-// deadline does cancel the run.
+// The sink fails in mid-answer because the caller's connection broke. If the router treated a
+// lost caller like a lost engine, the caller would find its run cancelled when it comes back.
+// A passed deadline, in contrast, does cancel the run.
 func TestWhoCancels(t *testing.T) {
 	h := &harness{engines: []*fakeEngine{newFakeEngine(t, behavior{5, "hang"})}}
 	res := h.run(t, Request{}, &fakeSink{failAt: 2}, Options{})
@@ -234,9 +234,9 @@
 	}
 }
 
-// Guards against: a request is dispatched after its deadline. The process is frozen after the
-// claim and resumes past the deadline, before the timer of the context has fired. The fault is to
-// check the context only, and not the clock.
+// A request must not be dispatched after its deadline. The process is frozen after the claim
+// and resumes past the deadline, before the timer of the context has fired. A check of the
+// context alone, and not of the clock, would miss that.
 func TestDeadlineIsReadFromTheClock(t *testing.T) {
 	x := &run{ctx: t.Context(), req: Request{Deadline: time.Now().Add(-time.Millisecond)}}
 	if !x.mustEnd() || !errors.Is(x.endCause(), ErrDeadline) {
@@ -244,12 +244,13 @@
 	}
 }
 
-// Guards against: an engine is given up, and all its streams at this router resume elsewhere,
-// though it works as before. One caller reads no tokens for a while, so that its stream isn't
-// read. The fault is that the failure detector doesn't know that the caller causes the silence.
+// One caller reads no tokens for a while, so that its stream isn't read. The failure detector
+// must be notified that the caller causes the silence: otherwise the engine would be given up,
+// and all its streams at this router would resume elsewhere, although the engine works as
+// before.
 func TestSlowCallerIsNoSilence(t *testing.T) {
-	// The first engine stops after three tokens with nothing else buffered, so that at least one
-	// flush happens during a stream, however its tokens arrive.
+	// The first engine stops after three tokens with nothing else buffered, so that at least
+	// one flush happens during a stream, however the tokens of the stream arrive.
 	h := &harness{silentAfter: 3, engines: []*fakeEngine{newFakeEngine(t, behavior{3, "hang"}), newFakeEngine(t, behavior{})}}
 	flushes, reported := 0, 0
 	sink := &fakeSink{flush: func() {
--- a/generation/maxwait_test.go
+++ b/generation/maxwait_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Guards against: an answer is cut with "no replica" as soon as its silence is detected, though
-// its engine would take the next attempt. The machine is busy: the engine paused before, so that
-// its next silence is tolerated for 4.3 s; a started answer may wait for 4 s. The fault is to
-// count the silence as part of the wait.
+// The machine is busy: the engine paused before, so that its next silence is tolerated for 4.3
+// s, while a started answer may wait for 4 s. If the silence counted as part of the wait, the
+// answer would be cut with "no replica" as soon as the silence is detected, though its engine
+// would take the next attempt.
 func TestSilenceIsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Runner{opts: Options{StartedMaxWait: 4 * time.Second}}
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -18,8 +18,8 @@
 	"wigeondale/health"
 )
 
-// script is what one attempt does: it delivers the chunks up to lastChunk and then fails with
-// err, or completes if lastChunk is 0.
+// script states what one attempt does: it delivers the chunks up to lastChunk and then fails
+// with err, or completes if lastChunk is 0.
 type script struct {
 	openErr   error
 	silent    time.Duration // before the answer starts
@@ -187,8 +187,8 @@
 	return res
 }
 
-// fleetWatcher records which attempts are under the failure detector: Watch is called before the
-// attempt is opened.
+// fleetWatcher records which attempts are registered with the failure detector. The runner
+// calls Watch before it opens the attempt.
 type fleetWatcher struct{ w *fakeFleet }
 
 func (v fleetWatcher) Result(_ string, err error) { v.w.results = append(v.w.results, err) }
@@ -208,9 +208,9 @@
 
 var errBroken = backend.ErrBroken
 
-// Guards against: after a loss an answer lacks chunks, has some twice, or mixes two runs.
-// Attempts end anywhere, before or after their first chunk, any number of times. What the client
-// has received must always be a prefix of the one true answer.
+// After losses, an answer must not lack chunks, have some twice or mix two runs. Attempts end
+// anywhere, before or after their first chunk, any number of times. What the client has
+// received must always be a prefix of the one true answer.
 func TestOpaqueAnswerIsABeginningOfTheTrueOne(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := &fakeFleet{chunks: rapid.IntRange(1, 12).Draw(rt, "pieces"), budget: rapid.IntRange(0, 6).Draw(rt, "budget")}
@@ -242,8 +242,9 @@
 	synctest.Test(t, func(*testing.T) { f() })
 }
 
-// Guards against: an answer pauses for a second after each crash, and its prefill is paid for
-// twice. The fault is to start the run over although another backend server has a copy of the run.
+// A run is lost while another backend server has a copy of it. If the run were started over
+// instead of continuing from the copy, then after each crash the answer would pause for a
+// second and its prefill would be paid for twice.
 func TestLostRunGoesOnAtItsCopy(t *testing.T) {
 	w := &fakeFleet{chunks: 9, budget: 9, scripts: []script{{lastChunk: 4, err: errBroken}}}
 	_, out := w.run(t, nil)
@@ -258,8 +259,8 @@
 	}
 }
 
-// Guards against: an answer is lost because the copy of its run is lost too. The run is lost, and
-// the backend server of the copy reports that it has none.
+// The run is lost, and the backend server of its copy reports that it has no copy. The answer
+// must not be lost because of that.
 func TestMissingCopyIsNoEnd(t *testing.T) {
 	refused := &backend.Refused{Status: 503, Code: "overloaded"}
 	w := &fakeFleet{chunks: 9, budget: 9, scripts: []script{{lastChunk: 4, err: errBroken}, {openErr: refused}}}
@@ -269,8 +270,8 @@
 	}
 }
 
-// Guards against: working replicas are suspected, and with them their failure domain. A run is
-// ended on purpose so that it continues elsewhere. The fault is to treat that as a loss.
+// A run that is ended on purpose, so that it continues elsewhere, must not count as a loss:
+// otherwise working replicas and their failure domain are suspected.
 func TestMovedRunIsNoFault(t *testing.T) {
 	w := &fakeFleet{chunks: 9, budget: 9, scripts: []script{{lastChunk: 4, err: fmt.Errorf("a layer above: %w", ErrMoved)}}}
 	res, out := w.run(t, nil)
@@ -290,8 +291,8 @@
 	}
 }
 
-// Guards against: every second crash makes an answer pause. The failure domain of the copy
-// crashes, then that of the run. The fault is that no other copy is made in between.
+// The failure domain of the copy crashes, then the failure domain of the run. If no other copy
+// were made in between, every second crash would make an answer pause.
 func TestLostCopyIsReplaced(t *testing.T) {
 	synctestRun(t, func() {
 		w := &fakeFleet{chunks: 20, budget: 9, lost: map[string]bool{"s0-0": true}, scripts: []script{{lastChunk: 10, err: errBroken}}}
@@ -306,9 +307,9 @@
 	})
 }
 
-// Guards against: where backend servers don't keep copies by themselves, each crash makes an
-// answer pause while its prompt is read again, because no copy was requested. Where backend
-// servers make no copies on demand, none must be requested.
+// Where backend servers don't keep copies by themselves, the router must request them: without
+// a copy, each crash makes an answer pause while its prompt is read again. Where backend
+// servers make no copies on demand, the router must request none.
 func TestCopiesThatAreMadeOnDemandOnly(t *testing.T) {
 	for name, c := range map[string]struct {
 		copying  Copying
@@ -336,8 +337,8 @@
 	}
 }
 
-// Guards against: a booking is made twice, because a request that may run only once is sent again
-// after its answer was lost.
+// A request that may run only once must not be sent again after its answer was lost: a
+// booking, for example, would be made twice.
 func TestOnceIsNeverSentTwice(t *testing.T) {
 	for _, first := range []script{{openErr: errBroken}, {openErr: backend.ErrMismatch}, {lastChunk: 1, err: errBroken}} {
 		w := &fakeFleet{chunks: 3, budget: 9, scripts: []script{first}}
@@ -353,8 +354,9 @@
 	}
 }
 
-// Guards against: a failure that a replica answered with is replaced by one of the router's, or
-// an idempotent call fails although another replica would have answered.
+// A failure that a replica returned as its answer must reach the caller, not be replaced by a
+// failure of the router. An idempotent call must not fail although another replica would have
+// answered it.
 func TestOwnFailureOfTheBackend(t *testing.T) {
 	failed := &backend.FailedAnswer{Head: backend.Head{Status: 500}, Body: []byte("its words")}
 	w := &fakeFleet{chunks: 1, budget: 9, scripts: []script{{openErr: failed}}}
@@ -372,9 +374,8 @@
 	}
 }
 
-// Guards against: a service that lost half of its replicas receives several times as many
-// arrivals as requests. Each attempt is refused, or lost. The fault is that started answers draw
-// on no budget.
+// Each attempt is refused or lost. If started answers drew on no budget, a service that has
+// lost half of its replicas would receive several times as many arrivals as requests.
 func TestNoArrivalBeyondTheBudget(t *testing.T) {
 	synctestRun(t, func() {
 		refused := &backend.Refused{Status: 421}
@@ -390,8 +391,8 @@
 	})
 }
 
-// Guards against: an answer that would have arrived is lost because of a silence. The fault is to
-// give up the last attempt although no other may follow.
+// The last attempt must not be given up because of a silence, since no other attempt may
+// follow: an answer that would have arrived would be lost.
 func TestLastAttemptIsNotGivenUpForSilence(t *testing.T) {
 	w := &fakeFleet{chunks: 1, budget: 9, scripts: []script{{openErr: errBroken}}}
 	w.run(t, func(r *Request) { r.Opaque.MaxAttempts = 2 })
@@ -400,9 +401,9 @@
 	}
 }
 
-// Guards against: a caller waits 10 s for a run that ended after one. The replica runs the
-// request and its answer is lost, while the replica's other streams continue. Silence alone can't
-// tell that from a queue, so the replica has to be queried.
+// The replica runs the request and the answer is lost, while the replica's other streams
+// continue. The caller must not wait 10 s for a run that ended after one second. Silence alone
+// can't tell this case from a queue, so the replica has to be queried.
 func TestRunThatTheReplicaDoesNotHaveIsGivenUp(t *testing.T) {
 	for _, c := range []struct {
 		running  bool
@@ -418,9 +419,9 @@
 	}
 }
 
-// Guards against: generations are cut at a crash though the service has budget left. Many nodes
-// share the budget, and one node's part is spent. The fault is that continuing a started answer
-// may draw no more than a retry of a call.
+// Many nodes share the budget, and the part of one node is spent. If a started answer could
+// draw no more for its continuation than a call for a retry, generations would be cut at a
+// crash though the service has budget left.
 func TestStartedAnswerMayOverdraw(t *testing.T) {
 	synctestRun(t, func() {
 		w := &fakeFleet{chunks: 9, overdraft: 1, scripts: []script{{lastChunk: 2, err: errBroken}}}
@@ -434,9 +435,9 @@
 	})
 }
 
-// Guards against: requests end early on VMs whose wall clock is set ahead. The fault is to
-// measure the deadline on the wall clock because it counts suspensions; the boot clock counts
-// those as well and is never set.
+// On VMs whose wall clock is set ahead, requests must not end early. They would if the
+// deadline were measured on the wall clock, for the reason that it counts suspensions; the
+// boot clock counts suspensions as well and is never set.
 func TestOpaqueDeadlineIsOnTheBootClock(t *testing.T) {
 	early := func(r *Request) {
 		r.Deadline = time.Now().Add(time.Hour)
@@ -452,9 +453,9 @@
 	}
 }
 
-// Guards against: refused clients come back at once, only to be refused again. A request waits in
-// vain for a backend server, which the router tries to find every 20 ms. The fault is to send the
-// client the interval until the router's own next try as the time to come back.
+// A request waits for a backend server without success, and the router tries to find one every
+// 20 ms. If the client were told to come back after the interval until the router's own next
+// try, refused clients would come back at once, only to be refused again.
 func TestAdviceIsNotTheRoutersOwnWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &fakeFleet{unavailable: true}
--- a/generation/pause.go
+++ b/generation/pause.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// afterPauseWindow is how long after the end of a silence that may have been a pause of this
-// process a loss is still attributed to it.
+// afterPauseWindow is the time after a silence that may have been a pause of this process
+// during which a loss is still attributed to that pause.
 const afterPauseWindow = time.Second
 
-// awaitCallerDisconnect waits for up to CallerGrace for a possible disconnect of the caller to be
-// noticed, when a stream breaks during or just after a silence that may have been a pause of this
-// process.
+// awaitCallerDisconnect waits for up to CallerGrace for a possible disconnect of the caller to
+// be noticed, when a stream breaks during or just after a silence that may have been a pause
+// of this process.
 //
 // It guards against this sequence: this process is paused in mid-stream. Its caller continues
 // through another router, which takes over the engine's stream. When this process resumes, it
-// finds both connections closed. If it notices the engine's first, it would start the answer on
-// another engine for a caller that has left, and cancel the run that the other router is reading.
-// The symptom would be attempts without a failed engine. A break in a flowing stream needs no
-// wait: its caller was connected a moment ago.
+// finds both connections closed. If it notices the closed connection of the engine first, it
+// would start the answer on another engine for a caller that has left, and cancel the run that
+// the other router is reading. The symptom would be attempts without a failed engine.
+//
+// A break in a flowing stream needs no wait, since its caller was connected a moment ago.
 func (x *run) awaitCallerDisconnect() {
 	now := time.Now()
 	longSilence := maxElapsed(now, x.lastToken) > x.opts.PauseGap
--- a/generation/pause_test.go
+++ b/generation/pause_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// Guards against: a generation is started again on another engine for a caller that has left, and
-// the stream that another router reads is cancelled. This process was paused. Its caller
-// continued through another router, which took over the stream. After the pause, the broken
-// stream was noticed first, and the loss was handled before the caller's disconnect could be
-// noticed.
+// After a pause of this process, a generation must not be started again on another engine for
+// a caller that has left, nor may the stream that another router reads be cancelled. During
+// the pause the caller continued through another router, which took over the stream. After the
+// pause, the broken stream is noticed first, and the loss must not be handled before the
+// caller's disconnect can be noticed.
 func TestLossAfterOwnPauseWaitsForTheCaller(t *testing.T) {
 	first, second := newFakeEngine(t, behavior{3, "reset"}), newFakeEngine(t, behavior{})
 	ctx, disconnect := context.WithCancel(t.Context())
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -35,7 +35,7 @@
 	voidTimeout                 = 5 * time.Second
 )
 
-// Options configures a Runner. Zero durations and counts select the defaults.
+// Options configures a Runner. A duration or count of zero selects the default.
 type Options struct {
 	Node                 string        // prefix of the names under which requests are claimed
 	Linger               time.Duration // how long engines keep an attempt without a reader; default 10 s
@@ -134,8 +134,8 @@
 // copies) has ended.
 func (r *Runner) Wait() { r.background.Wait() }
 
-// Run carries req to its end and returns the one final, true result. It delivers to sink from the
-// calling goroutine only. ctx ends when the caller disconnects.
+// Run runs req until it has a final outcome, and returns that one, true result. It delivers to
+// sink from the calling goroutine only. ctx ends when the caller disconnects.
 func (r *Runner) Run(ctx context.Context, req Request, sink Sink) Result {
 	r.m.open.Add(1)
 	defer r.m.open.Add(-1)
@@ -163,7 +163,8 @@
 	ctx  context.Context
 	req  Request
 	sink Sink
-	// tracked records, for the quarantine guard, crashes under the request and its repeats.
+	// tracked records, for the quarantine guard, the crashes of backend servers that ran the
+	// request or its repeats.
 	tracked *quarantine.Submission
 	// lossExamined is closed when the guard has determined what caused the latest loss.
 	lossExamined <-chan struct{}
@@ -238,7 +239,7 @@
 	return x.keepsText
 }
 
-// service is the service of an opaque request, else empty.
+// service returns the service of an opaque request, or "" if the request isn't opaque.
 func (x *run) service() string {
 	if x.req.Opaque == nil {
 		return ""
@@ -246,7 +247,8 @@
 	return x.req.Opaque.Service
 }
 
-// meterText updates the metric of the memory used by accepted text.
+// meterText updates the metric of the memory used by accepted text when the capacity of the
+// text has changed.
 func (x *run) meterText() {
 	if c := int64(cap(x.text)); c != x.textCap {
 		x.m.textBytes.Add(c - x.textCap)
--- a/generation/runquery.go
+++ b/generation/runquery.go
@@ -10,11 +10,10 @@
 )
 
 const (
-	// runQueryDelay is how long an attempt waits for its first chunk before its backend server is
-	// queried for it. Most prompts are read in less time.
+	// runQueryDelay is how long an attempt waits for its first chunk before the router queries
+	// the backend server for the run. Most prompts are read in less time.
 	runQueryDelay = 1800 * time.Millisecond
-	// runQueryInterval is the time between further queries, and runQueryTimeout bounds each of
-	// them.
+	// runQueryInterval is the time between further queries. runQueryTimeout bounds each query.
 	runQueryInterval = 700 * time.Millisecond
 	runQueryTimeout  = 300 * time.Millisecond
 )
@@ -28,16 +27,17 @@
 type RunReport struct {
 	Queued int // requests that wait for a slot
 	Active int // runs, including requests whose prompts are being read
-	// ChunksMade is the number of chunks that each run has produced, by request id. Only runs that have
-	// produced at least one are listed.
+	// ChunksMade maps the request ids of runs to the number of chunks that each run has
+	// produced. Only runs that have produced at least one chunk are listed.
 	ChunksMade map[string]int
 	// Restarted reports that the backend server was restarted, so that it has none of its earlier
 	// runs.
 	Restarted bool
 }
 
-// mayHave reports whether the backend server may have a run of the request. A request that isn't
-// listed may be queued or have its prompt read, as long as the report counts such requests.
+// mayHave reports whether the backend server may have a run of the request. A request that
+// isn't listed may still be in the queue, or its prompt may be being read, as long as the
+// report counts more requests than it lists.
 func (r RunReport) mayHave(request string) bool {
 	if r.Restarted {
 		return false
@@ -46,8 +46,9 @@
 	return named || r.Queued > 0 || r.Active > len(r.ChunksMade)
 }
 
-// HasRun implements the report interface of package health. It reports false for a run whose
-// latest chunks were not received: the run exists, but its connection no longer delivers.
+// HasRun implements the report interface of package health. It reports false for a run that
+// has produced more chunks than were received: the run exists, but its connection no longer
+// delivers.
 func (r RunReport) HasRun(request string, received int) bool {
 	if made, named := r.ChunksMade[request]; named {
 		return made <= received
@@ -55,8 +56,8 @@
 	return r.mayHave(request)
 }
 
-// runNotFound is the cause with which an attempt is cancelled if its backend server reports that
-// it has no such run.
+// runNotFound is the cause with which an attempt is cancelled if its backend server reports
+// that it doesn't have the run of the attempt.
 type runNotFound struct{}
 
 func (runNotFound) Error() string { return "the backend server has no such run" }
@@ -64,13 +65,13 @@
 // Resume reports that the answer is to be continued on another backend server.
 func (runNotFound) Resume() bool { return true }
 
-// pollRun queries the backend server for an attempt that waits long for its first chunk, until
-// stop is called.
+// pollRun queries the backend server at intervals for an attempt that waits long for its first
+// chunk, until stop is called.
 //
-// It detects a backend server that loses an answer, or accepts requests and never works on them,
-// while its other streams continue. Silence alone can't tell that from a queue, which is why the
-// time limit for the first chunk is long. Without the query the answer would be late by many
-// times the duration of the run.
+// It detects a backend server that loses an answer, or accepts requests and never works on
+// them, while its other streams continue. Silence alone can't tell such a fault from a queue,
+// which is why the time limit for the first chunk is long. Without the query the answer would
+// be late by many times the duration of the run.
 func (x *run) pollRun(a *attempt) (stop func()) {
 	if x.RunQuerier == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
 		return func() {}
--- a/generation/runquery_test.go
+++ b/generation/runquery_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Guards against: a generation is started again elsewhere while its prompt is still being read,
-// which can take long. The backend server is queried for it, and lists only runs that have
-// produced a chunk. The fault is to treat a run that isn't listed as one that doesn't exist.
+// A generation must not be started again elsewhere while its prompt is still being read, which
+// can take long. The backend server is queried for the run, and lists only runs that have
+// produced a chunk: a run that isn't listed must not be treated as one that doesn't exist.
 func TestRunThatIsNotNamed(t *testing.T) {
 	for name, c := range map[string]struct {
 		report  RunReport
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -55,9 +55,9 @@
 	return float64(len(x.req.Prompt)/bytesPerToken + x.req.MaxTokens - x.filter.next)
 }
 
-// claim makes this run the only one that may dispatch the request. A claim whose result is
-// unknown is voided: it was not used, and the void has no effect if another run has claimed the
-// key.
+// claim claims the request for this run, so that no other run may dispatch it. A claim whose
+// result is unknown is voided: this run did not use it, and the void has no effect if another
+// run has claimed the key.
 func (x *run) claim() string {
 	x.claimOwner = x.newClaimOwner()
 	granted, err := x.Claims.Claim(x.ctx, x.req.Account, x.req.ID, x.req.BodyHash, x.claimOwner)
@@ -65,7 +65,7 @@
 		return x.giveUp(CodeNoClaim, err)
 	}
 	if !granted {
-		// Another run may have dispatched it, so "not-run" would be untrue.
+		// Another run may have dispatched the request, so "not-run" would be untrue.
 		x.claimOwner = ""
 		return x.end("lose", CodeDuplicate, ErrDuplicate)
 	}
@@ -101,13 +101,15 @@
 	if retryable {
 		x.delay = max(u.RetryAfter, minPickDelay)
 	}
-	// An engine that was lost or that refused may be available again, which is better than none.
+	// An engine that was lost or that refused may be available again, and trying such an
+	// engine is better than having none.
 	clear(x.exclude)
 	return "none"
 }
 
-// drawBudget draws from the retry budget for one more arrival. The first try to continue a
-// started answer may use more of the budget than other retries: without it the answer is cut.
+// drawBudget draws from the retry budget for one more attempt that arrives at a backend
+// server. The first try to continue a started answer may use more of the budget than other
+// retries, since the answer is cut if it can't be continued.
 func (x *run) drawBudget() bool {
 	if x.firstAfterLoss {
 		return x.Budget.Continue(x.service())
@@ -115,16 +117,16 @@
 	return x.Budget.Take(x.service())
 }
 
-// budgetRetryInterval is how often a started answer tries again to draw from the retry budget,
-// which grows with each first try.
+// budgetRetryInterval is how often a started answer tries again to draw from the retry budget.
+// The budget grows with the first try of each other request.
 const budgetRetryInterval = 100 * time.Millisecond
 
 // waitForBudget ends or delays an attempt for which the service has no retry budget left. A
-// started answer waits for budget: it represents work already paid for.
+// started answer waits for budget, since it represents work already paid for.
 //
-// Without this bound, when replicas crash while the store is unreachable, each router tries one
-// outdated replica address after the other, and a service that has lost half of its replicas
-// receives several times as many arrivals as requests.
+// If attempts were not bounded by the budget, each router would try one outdated replica
+// address after the other when replicas crash while the store is unreachable, and a service
+// that has lost half of its replicas would receive several times as many arrivals as requests.
 func (x *run) waitForBudget() string {
 	if !x.started() {
 		return x.giveUp(CodeRetryBudget, x.waitErr)
@@ -155,8 +157,8 @@
 	return a
 }
 
-// wait sleeps until the next pick, within the caller's deadline and the maximum wait. It ends the
-// run at once if the delay doesn't fit in them.
+// wait sleeps until the next pick, within the caller's deadline and the maximum wait. If the
+// delay is longer than the time left by either of these, wait ends the run at once.
 func (x *run) wait() string {
 	if x.mustEnd() {
 		return x.giveUp(CodeDeadline, x.endCause())
@@ -176,13 +178,15 @@
 	return "retry"
 }
 
-// waitLeft is how much longer the request may wait for a backend server. The maximum wait of a
-// started answer is counted from when its loss is noticed; that of an opaque one from its last
-// chunk, since its client leaves after a pause, whatever caused it.
+// waitLeft returns how much longer the request may wait for a backend server. The maximum wait
+// of a started answer is counted from when its loss is noticed; the maximum wait of an opaque
+// answer is counted from its last chunk, since its client leaves after a pause, whatever
+// caused the pause.
 //
-// If the wait of a started answer were counted from its last token, a silence could use it up: after
-// earlier pauses the failure detector tolerates an engine's silence for longer. The answer would
-// be cut at the moment at which the silence is detected, though another engine could continue it.
+// If the wait of a started answer were counted from its last token, a silence could use it up:
+// after earlier pauses the failure detector tolerates an engine's silence for longer. The
+// answer would be cut at the moment at which the silence is detected, though another engine
+// could continue it.
 func (x *run) waitLeft() time.Duration {
 	maxWait, since := x.opts.MaxWait, x.lastToken
 	if o := x.req.Opaque; o != nil {
@@ -214,8 +218,8 @@
 		return true
 	}
 	if o := x.req.Opaque; o != nil {
-		// Only the boot clock: on the VMs that serve opaque requests the wall clock is set ahead
-		// by seconds, which would end requests early.
+		// Only the boot clock is read here: on the VMs that serve opaque requests the wall
+		// clock is set ahead by seconds, which would end requests early.
 		return o.Deadline.Passed()
 	}
 	d := x.req.Deadline
--- a/generation/stream.go
+++ b/generation/stream.go
@@ -72,20 +72,20 @@
 		return nil
 	}
 	// While the caller reads slowly, this goroutine reads no tokens. If the failure detector
-	// didn't know, a healthy engine would seem silent, and this router would give up all streams
-	// of that engine.
+	// weren't notified, a healthy engine would seem silent, and this router would give up all
+	// streams of that engine.
 	a.watch.SetBlocked(true, now)
 	err := x.sink.Flush()
 	a.watch.SetBlocked(false, time.Now())
 	// The sink can also block within Token, but rarely. If the attempt was ended during such a
-	// write, the engine isn't at fault and still has the run: re-attach to it instead of paying
-	// for a new prefill.
+	// write, the engine isn't at fault and still has the run. The router then re-attaches to
+	// the run instead of paying for a new prefill.
 	x.callerSlow = !silent && a.ctx.Err() != nil
 	return err
 }
 
-// recordDelay records how long a token took to arrive. Before the first token, lastToken is the
-// start.
+// recordDelay records how long a token took to arrive. Before the first token, lastToken is
+// the time at which the run started.
 func (x *run) recordDelay(now time.Time) {
 	wait := now.Sub(x.lastToken)
 	if x.res.Tokens == 0 {
@@ -95,8 +95,8 @@
 	x.res.LongestPause = max(x.res.LongestPause, wait)
 }
 
-// completeAttempt ends an attempt after its last token, when nothing is left to cancel. It reads
-// the end mark if that is buffered, so that the connection can be reused.
+// completeAttempt ends an attempt after its last token, when nothing is left to cancel. If the
+// end mark of the stream is buffered, it is read, so that the connection can be reused.
 func (x *run) completeAttempt(a *attempt) string {
 	if a.stream.Buffered() {
 		a.stream.Next()
@@ -106,8 +106,9 @@
 	return "done"
 }
 
-// streamEnded handles the end of a stream before the last token. An end mark alone doesn't mean
-// that the answer is complete: an engine that ended the attempt itself sends one too.
+// streamEnded handles the end of a stream before the last token. An end mark alone doesn't
+// mean that the answer is complete, since an engine that itself ended the attempt early sends
+// an end mark too.
 func (x *run) streamEnded(a *attempt, err error) string {
 	if errors.Is(err, io.EOF) && (x.req.Opaque != nil || x.filter.next >= x.req.MaxTokens) {
 		x.dropCopy(a)
