--- a/admission/account.go
+++ b/admission/account.go
@@ -22,7 +22,8 @@
 	return a.limit.Weight
 }
 
-// rate and burst are this router's parts of the limit.
+// rate returns this router's part of the account's rate limit, in tokens per second. burst
+// returns its part of the limit on bursts.
 func (a *account) rate() float64 { return a.limit.TokensPerSecond * a.fraction }
 
 func (a *account) burst() float64 {
@@ -33,8 +34,8 @@
 	return b * a.fraction
 }
 
-// concurrent is this router's part of the bound on concurrent requests, rounded up: rounded down,
-// an account with a low limit would be refused by most routers.
+// concurrent returns this router's part of the bound on concurrent requests, rounded up. If it
+// were rounded down, an account with a low limit would be refused by most routers.
 func (a *account) concurrent() int {
 	return int(float64(a.limit.MaxConcurrent)*a.fraction + 0.999)
 }
@@ -48,12 +49,14 @@
 		limit = max(localDemand, 1) // only MaxConcurrent is divided
 	}
 	localDemand = min(localDemand, limit)
-	// The level was accumulated at the old fraction: refill at that rate before changing it.
+	// The level was accumulated at the old fraction, so the bucket is refilled at the old rate
+	// before the fraction changes.
 	a.tokens.refill(a.rate(), a.burst(), now)
 	a.fraction = limitShare(limit, localDemand, a.reachable, a.unreachable) / limit
 }
 
-// charge draws a ticket's cost, or returns how long until that is possible.
+// charge draws a ticket's cost. If the level is too low, it draws nothing and returns how long
+// to wait until it suffices.
 func (a *account) charge(cost float64, now time.Time) (ok bool, wait time.Duration) {
 	if a.limit.TokensPerSecond <= 0 {
 		return true, 0
@@ -61,7 +64,8 @@
 	return a.tokens.take(cost, a.rate(), a.burst(), now)
 }
 
-// settle corrects the estimate when the actual cost is known.
+// settle corrects the charge when the actual cost is known: it returns what was charged too
+// much, or draws what was charged too little.
 func (a *account) settle(estimated, actual float64) {
 	if a.limit.TokensPerSecond > 0 {
 		a.tokens.give(estimated - actual)
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -57,7 +57,8 @@
 	ReasonNoReplica      Reason = "no-replica"
 )
 
-// Refused is the error of Admit. It means that no part of the request was run.
+// Refused is the error that Admit returns for a refused ticket. It means that no part of the
+// request was run.
 type Refused struct {
 	Reason     Reason
 	RetryAfter time.Duration
@@ -77,17 +78,18 @@
 	DemandHalfLife  time.Duration // of the observed demand (default 2 s)
 	MaxCapacityWait time.Duration // longest wait for a pool without any capacity (default 3 s)
 	// Capacity returns how many requests of this router the backend servers of a pool can run
-	// now. nil means no bound. It is called with a lock held and must return quickly.
+	// now. A nil function means no bound. It is called with a lock held and must return
+	// quickly.
 	Capacity func(pool string) int
-	// BatchCapacity is the same for new work of batch priority. The rest of the capacity is left
-	// for interactive requests and resumes; nil means Capacity. Batch generations run for
-	// minutes: if they could fill every slot, an interactive request would wait until one of them
-	// has ended.
+	// BatchCapacity returns how many of these requests may be new work of batch priority. The
+	// rest of the capacity is left for interactive requests and resumes. A nil function means
+	// the same bound as Capacity. Batch generations run for minutes: if they could fill every
+	// slot, an interactive request would wait until one of them has ended.
 	BatchCapacity func(pool string) int
-	// MinUrgentSlots returns how many interactive requests this router may run, and how many resumes
-	// beyond Capacity, whatever else runs; nil means none. Engines serve them first, so that
-	// behind batch requests already sent they wait for one free slot, not for all of those
-	// requests.
+	// MinUrgentSlots returns how many interactive requests this router may run whatever else
+	// runs, and how many resumes it may run beyond Capacity. A nil function means none.
+	// Engines serve such requests first, so that behind batch requests that were sent already
+	// they wait for one free slot, not for all of those batch requests to end.
 	MinUrgentSlots func(pool string) int
 }
 
--- a/admission/bench_test.go
+++ b/admission/bench_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// BenchmarkShareAboveMesh reports what part of a fleet-wide limit a client account gets whose
-// demand equals the limit and arrives evenly at some of 830 routers, each linked to 8 others:
-// those without a link count as unreachable.
+// BenchmarkShareAboveMesh reports what part of a fleet-wide limit a client account gets. The
+// account's demand equals the limit and arrives evenly at some of 830 routers. Each router is
+// linked to 8 others; routers without a link count as unreachable.
 func BenchmarkShareAboveMesh(b *testing.B) {
 	const routers, links, limit = 830, 8, 1000.0
 	for _, entered := range []int{1, 8, 83, routers} {
--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -25,8 +25,9 @@
 	b.level = min(b.level, burst)
 }
 
-// take draws cost. If the level is too low, wait is the time until it suffices. A full bucket
-// admits a cost above the burst and goes into debt: otherwise a long generation could never run.
+// take draws cost. If the level is too low, it draws nothing, and wait is the time until the
+// level suffices. A full bucket admits a cost above the burst and goes into debt: otherwise a
+// long generation could never run.
 func (b *bucket) take(cost, rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	b.refill(rate, burst, now)
 	need := min(cost, burst)
@@ -40,10 +41,12 @@
 	return false, time.Duration((need - b.level) / rate * float64(time.Second))
 }
 
-// give returns the overestimated tokens, or draws the underestimated ones (negative values).
+// give adds tokens that were drawn because of an overestimate. A negative number draws the
+// tokens that were missing because of an underestimate.
 func (b *bucket) give(tokens float64) { b.level += tokens }
 
-// decayed is a rate of events per second in which events lose weight with a half-life.
+// decayed measures a rate of events per second. The weight of an event decays with a
+// half-life.
 type decayed struct {
 	sum float64
 	at  time.Time
@@ -61,7 +64,8 @@
 	d.sum += n
 }
 
-// perSecond is the rate: the sum over an exponential window, whose mean length is halfLife/ln 2.
+// perSecond returns the rate: the sum of the weighted events divided by the mean length of the
+// exponential window, which is halfLife/ln 2.
 func (d *decayed) perSecond(now time.Time, halfLife time.Duration) float64 {
 	d.fade(now, halfLife)
 	return d.sum * math.Ln2 / halfLife.Seconds()
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -11,8 +11,8 @@
 	"wigeondale/fleet"
 )
 
-// recheckInterval is how often waiting tickets check whether capacity grew without a release,
-// since the capacity function can't notify the controller.
+// recheckInterval is how often waiting tickets check whether the capacity has grown although
+// no ticket was released, since the capacity function can't notify the controller.
 const recheckInterval = 50 * time.Millisecond
 
 // Controller admits requests on one router.
@@ -28,17 +28,18 @@
 	seq      uint64
 }
 
-// waitSafetyFactor is the factor by which an estimated wait is increased when it decides whether
-// a new request is refused.
+// waitSafetyFactor is the factor by which an estimated wait is increased before it decides
+// whether a new request is refused.
 const waitSafetyFactor = 1.1
 
-// maxQueueShare is the part of the slack until its deadline that new batch work may spend in the
-// queue.
+// maxQueueShare is the part of the slack until its deadline that new batch work may spend in
+// the queue.
 //
-// Without it, the queue grows above capacity until each ticket waits as long as it can. That
-// serves no more tickets than a short queue, since the slots are full either way. But each ticket
-// starts late and ends just before its deadline or is cut there, and when capacity is back the
-// backlog makes all requests of the next ten seconds late as well.
+// Without it, above capacity the queue grows until each ticket waits as long as its deadline
+// allows. Such a queue serves no more tickets than a short queue, since the slots are full
+// either way. But each ticket starts late and ends just before its deadline or is cut there,
+// and when capacity is back the backlog makes all requests of the next ten seconds late as
+// well.
 const maxQueueShare = 0.4
 
 // NewController returns a Controller without accounts: call SetLimits.
@@ -77,8 +78,9 @@
 	return p
 }
 
-// Admit returns when the ticket may run, or refuses it. When the work has ended, release must be
-// called with the tokens that it actually cost; later calls do nothing. The error is a *Refused.
+// Admit returns when the ticket may run, or refuses the ticket with an error of type *Refused.
+// When the work has ended, release must be called with the tokens that the work actually cost.
+// Further calls of release do nothing.
 func (c *Controller) Admit(ctx context.Context, t Ticket) (release func(actual float64), err error) {
 	c.mu.Lock()
 	w, refused := c.enter(&t, time.Now())
@@ -96,8 +98,8 @@
 	}, nil
 }
 
-// enter decides at once, or puts the ticket in its queue: in that case the returned waiter has a
-// ready channel.
+// enter admits or refuses the ticket at once, or puts the ticket in its queue. Only a waiter
+// that is in a queue has a ready channel.
 func (c *Controller) enter(t *Ticket, now time.Time) (*waiter, *Refused) {
 	a := c.accounts[t.Account]
 	if a == nil {
@@ -153,15 +155,15 @@
 	return nil
 }
 
-// checkQueue refuses a ticket that can't finish in time at the rate at which the queues drain, or
-// that would wait longer than is useful. If the queue is full it drops the ticket with the
-// highest start tag, provided that the new ticket would be served before that one. Resumes are
-// not refused for a full queue.
+// checkQueue refuses a ticket that can't finish in time at the rate at which the queues drain,
+// or that would wait longer than is useful. If the queue is full, it refuses the new ticket or
+// drops the waiting ticket with the highest start tag, whichever would be served later.
+// Resumes are not refused because the queue is full.
 func (c *Controller) checkQueue(w *waiter, now time.Time) *Refused {
 	p := w.pool
 	wait := p.waitFor(p.ahead(w), w.ticket.Priority, &c.cfg, now)
-	// The ticket is refused either now or after waiting in vain, so the estimated wait is
-	// increased to refuse it now.
+	// A ticket that can't finish in time is refused either now or after a useless wait. The
+	// estimated wait is increased so that such a ticket is refused now.
 	if w.expired(now.Add(time.Duration(float64(wait)*waitSafetyFactor)), c.cfg.MinService) {
 		return c.cfg.refuse(ReasonDeadline, wait)
 	}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -48,9 +48,9 @@
 	synctest.Wait()
 }
 
-// Guards against: a small account's request waits behind hundreds of a large one. The large
-// account queues up to 200 tickets, then small accounts one each. Whatever the costs are, each
-// small ticket must be served within one ticket of each account.
+// The requests of a small account must not wait behind hundreds of requests of a large
+// account. The large account queues up to 200 tickets, then small accounts queue one each.
+// Whatever the costs are, each small ticket must be served within one ticket of each account.
 func TestLargeAccountDoesNotStarveSmall(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		small := rapid.IntRange(1, 5).Draw(rt, "small accounts")
@@ -77,7 +77,7 @@
 	})
 }
 
-// Guards against: an account that pauses now and then is served before all others each time it
+// An account that pauses now and then must not be served before all others each time it
 // returns. One account is served for a while, then a second one queues as many tickets of the
 // same cost. From then on both must be served equally.
 func TestIdleAccountSavesUpNothing(t *testing.T) {
@@ -104,9 +104,9 @@
 	}
 }
 
-// Guards against: started answers are dropped under load, interactive requests are late because
-// of batch requests, or batch requests never run. There is one slot; one ticket of each class is
-// queued in the worst order.
+// Under load, started answers must not be dropped, interactive requests must not be late
+// because of batch requests, and batch requests must still run. There is one slot; one ticket
+// of each class is queued in the worst order.
 func TestOrderOfClasses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(1, map[string]Limit{"a": noLimit})
@@ -128,10 +128,11 @@
 	})
 }
 
-// Guards against: callers wait in a queue for an answer that comes too late anyway. Service takes
-// 100 ms on one slot, ten tickets wait, and a caller has 300 ms. It must be refused at once, with
-// a time to come back. A resume may be refused for its deadline too, but never because the queue
-// is full or for lack of tokens. An interactive request with the same deadline must be served.
+// A caller must not wait in a queue for an answer that comes too late anyway. Service takes
+// 100 ms on one slot, ten tickets wait, and a caller has 300 ms. It must be refused at once,
+// with a time to come back. A resume may be refused for its deadline too, but never because
+// the queue is full or for lack of tokens. An interactive request with the same deadline must
+// be served.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(1, map[string]Limit{"a": noLimit})
@@ -165,8 +166,8 @@
 	})
 }
 
-// Guards against: slots or tokens leak, and after an incident the router refuses work although
-// nothing runs. The contexts and deadlines of the tickets end at the very moment at which they
+// If slots or tokens leak, the router refuses work after an incident although nothing runs.
+// Here the contexts and deadlines of the tickets end at the very moment at which the tickets
 // are admitted.
 func TestNothingLeaksWhenWaitersGiveUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -196,9 +197,9 @@
 	})
 }
 
-// Guards against: requests for an idle model wait behind a saturated one. One pool has no
-// capacity and a ticket waits for it. Another pool's ticket must run at once, and the first one
-// when capacity returns without any release.
+// Requests for an idle model must not wait behind requests for a saturated one. One pool has
+// no capacity and a ticket waits for it. A ticket of another pool must run at once, and the
+// waiting ticket must run when capacity returns, even without any release.
 func TestSaturatedPoolHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var capacity atomic.Int64
@@ -223,7 +224,8 @@
 	})
 }
 
-// Guards against: a full queue of one account keeps all other accounts out.
+// A queue that one account has filled must not keep all other accounts out: the ticket with
+// the highest start tag is dropped for a ticket that would be served before it.
 func TestFullQueueMakesRoomByTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewController(Config{MaxQueue: 5, Capacity: func(string) int { return 1 }}, nil, nil)
@@ -247,8 +249,9 @@
 	})
 }
 
-// Guards against: an account exceeds its limit by stating a lower cost than it uses, or a long
-// generation is never admitted. Costs are settled at the end, debts included.
+// An account must not exceed its limit by stating a lower cost than it uses, and a long
+// generation must be admitted at some time. Costs are settled at the end of the work, and
+// debts are included.
 func TestBucketSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(9, map[string]Limit{"a": {TokensPerSecond: 100, Burst: 200}})
@@ -275,9 +278,10 @@
 	})
 }
 
-// Guards against: in a partition every part grants the whole limit. For any demands and any
-// partition of the fleet into parts that reach only their own members, the sum of the parts stays
-// within the stated overshoot; if no peer is unreachable it is the limit itself.
+// In a partition, the parts of the fleet must not each grant the whole limit. For any demands
+// and any partition of the fleet into parts that reach only their own members, the sum of the
+// parts' shares stays within the stated overshoot. If no peer is unreachable, the sum is the
+// limit itself.
 func TestShareOvershootIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "nodes")
@@ -312,7 +316,8 @@
 	})
 }
 
-// Guards against: the retries of a failing fleet add to its load.
+// The retries of a failing fleet must not multiply its load: they are limited to a share of
+// first tries.
 func TestRetryBudgetIsAShare(t *testing.T) {
 	b := NewRetryBudget(0.1, 5)
 	taken := 0
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -37,8 +37,8 @@
 	return w.requiredTime(time.Now(), c.cfg.MinService)
 }
 
-// giveUp takes a waiter out of the queue. If it was admitted at the same moment, giveUp returns
-// nil and the caller must release it.
+// giveUp takes a waiter out of the queue. If the waiter was admitted at the same moment,
+// giveUp returns nil and the caller must release the waiter's slot.
 func (c *Controller) giveUp(w *waiter, reason Reason) *Refused {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,8 @@
 	return <-w.ready
 }
 
-// drainTime estimates when all tickets of w's priority that wait now will have been served.
+// drainTime estimates how long it takes until all tickets of w's priority that wait now have
+// been served.
 func (c *Controller) drainTime(w *waiter) time.Duration {
 	of := w.ticket.Priority
 	return w.pool.waitFor(w.pool.queued(of), of, &c.cfg, time.Now())
@@ -62,8 +63,9 @@
 	w.ready <- r
 }
 
-// recheck admits a pool's tickets in case its capacity grew, at most once per interval however
-// many wait. It reports whether the pool has been without capacity for too long.
+// recheck admits a pool's tickets in case the pool's capacity has grown. It does so at most
+// once per interval, however many tickets wait. It reports whether the pool has been without
+// capacity for too long.
 func (c *Controller) recheck(p *pool) (dead bool) {
 	now := time.Now()
 	c.mu.Lock()
--- a/admission/dump.go
+++ b/admission/dump.go
@@ -53,7 +53,8 @@
 	return out
 }
 
-// meanService is the mean service time, weighted by the requests that run now.
+// meanService returns the mean service time over both priorities, weighted by the numbers of
+// requests that run now.
 func (p *pool) meanService() time.Duration {
 	if p.running == 0 {
 		return 0
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// PeerDemand is the demand of each client account that one other router observed, in tokens per
-// second, from its last heartbeat.
+// PeerDemand is the demand of each client account that one other router observed, in tokens
+// per second, as reported in that router's last heartbeat.
 type PeerDemand struct {
 	Node   string
 	Demand map[string]float64
@@ -46,9 +46,9 @@
 	}
 }
 
-// peerDemands holds the peers' demands; peers that report none are only counted. In fleets that
-// are too large for a full mesh of links nearly all peers report none, and looking each of them
-// up for each client account would cost more than the rest of admission.
+// peerDemands holds the peers' demands. Peers that report no demand are only counted: in
+// fleets that are too large for a full mesh of links nearly all peers report none, and looking
+// up each of these peers for each client account would cost more than the rest of admission.
 type peerDemands struct {
 	peers                  []PeerDemand
 	reachable, unreachable int // number of peers that report no demand
@@ -81,9 +81,10 @@
 	}
 }
 
-// Demand returns this router's observed demand per client account in tokens per second, including
-// refused requests, for the heartbeats to peers. It is capped at the limit: what an account
-// requests beyond the limit must not increase its share.
+// Demand returns this router's observed demand per client account in tokens per second,
+// including refused requests, for the heartbeats to peers. The demand is capped at the
+// account's limit, since what an account requests beyond its limit must not increase this
+// router's share. Demands close to zero are left out.
 func (c *Controller) Demand() map[string]float64 {
 	now := time.Now()
 	c.mu.Lock()
--- a/admission/limits_test.go
+++ b/admission/limits_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against: a client account's share, computed from sums of the peers' demands, differs
-// from the one computed from the list of demands. Some peers report the account, some only
-// others, some none; some of each are unreachable. The fault is not to count a peer without
-// demand, so that the part reserved for it is given away.
+// A client account's share that is computed from sums of the peers' demands must be the same
+// as the share computed from the list of demands. Some peers report the account, some only
+// others, some none; some of each are unreachable. If a peer without demand weren't counted,
+// the part reserved for that peer would be given away.
 func TestShareCountsPeersWithoutDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000.0
--- a/admission/losses.go
+++ b/admission/losses.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// LossHistory records when a run was last lost with its engine, and derives from it how much of an
-// engine's memory copies may use.
+// LossHistory records when a run was last lost with its engine, and derives from that time how
+// much of an engine's memory copies may use.
 //
-// It balances the use of scarce memory. A copy saves reading the prompt again if its run is lost,
-// and takes the space of another run if not. When failure domains crash every few seconds, copies
-// are worth most of the memory even in a burst; in a burst without any crash, each copy causes a
-// run to be refused.
+// It balances the use of scarce memory. If the run of a copy is lost, the copy saves reading
+// the prompt again; if not, the copy takes the space of another run. When failure domains
+// crash every few seconds, copies are worth most of the memory even in a burst; in a burst
+// without any crash, each copy causes a run to be refused.
 type LossHistory struct {
 	mu   sync.Mutex
 	last time.Time
@@ -22,14 +22,14 @@
 	// runs: some copies are always kept for the first crash, and prompts need space as well.
 	minCopyShare = 0.4
 	maxCopyShare = 0.8
-	// recentLossAge is the age up to which a loss means that the next one is expected soon, and
-	// oldLossAge the age from which it has no influence.
+	// recentLossAge is the age up to which a loss means that the next loss is expected soon.
+	// oldLossAge is the age from which a loss has no influence.
 	recentLossAge = 12 * time.Second
 	oldLossAge    = 40 * time.Second
 )
 
-// NewLossHistory returns a history that expects engines to fail until it has seen no loss for a while:
-// the first crash comes without a warning.
+// NewLossHistory returns a history that starts as if a run had just been lost, since the first
+// crash comes without a warning. If no loss follows for a while, copies get less memory.
 func NewLossHistory(now time.Time) *LossHistory { return &LossHistory{last: now} }
 
 // RecordLoss records that a run was lost.
@@ -39,7 +39,7 @@
 	l.last = now
 }
 
-// CopyShare is the part of an engine's memory up to which copies are kept there.
+// CopyShare returns the part of an engine's memory up to which copies are kept there.
 func (l *LossHistory) CopyShare(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -10,11 +10,12 @@
 	"wigeondale/fleet"
 )
 
-// Guards against: interactive requests miss their deadlines while batch requests run for minutes,
-// or no batch request runs at all while interactive ones want every slot. In the first part more
-// batch requests than slots arrive, then an interactive one and a resume; in the second,
-// interactive requests fill every slot, then more of both arrive. The fault is to give batch
-// requests the last slots, or to give them none in order to reserve slots for interactive ones.
+// Interactive requests must not miss their deadlines while batch requests run for minutes, and
+// batch requests must run even while interactive ones want every slot. Neither may batch
+// requests get the last slots, nor may they get none in order to reserve slots for interactive
+// requests. In the first part more batch requests than slots arrive, then an interactive one
+// and a resume; in the second part, interactive requests fill every slot, then more of both
+// arrive.
 func TestDraftsLeaveRoomForLookups(t *testing.T) {
 	interactive := Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}
 	batch := Ticket{Account: "a", Cost: 1}
@@ -53,7 +54,8 @@
 	})
 }
 
-// newReservingController has ten slots, of which new batch work may use eight.
+// newReservingController returns a controller with ten slots, of which new batch work may use
+// eight.
 func newReservingController() *Controller {
 	c := NewController(Config{
 		Capacity:      func(string) int { return 10 },
@@ -63,11 +65,11 @@
 	return c
 }
 
-// Guards against: callers wait for seconds and are refused then, and started batch requests are
-// cut at their deadline. Batch requests of two seconds, with a deadline of five, arrive at twice
-// the rate at which they can be served, and interactive ones run alongside. The fault is to
-// estimate the wait from the rate at which all work ends, including interactive requests, and to
-// ignore the time that a batch request needs.
+// Callers must not be refused only after they have waited for seconds, and started batch
+// requests must not be cut at their deadline. Both happen if the wait is estimated from the
+// rate at which all work ends, including interactive requests, and if the time that a batch
+// request needs is ignored. Batch requests of two seconds, with a deadline of five, arrive at
+// twice the rate at which they can be served, and interactive requests run alongside.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service, deadline = 2 * time.Second, 5 * time.Second
@@ -107,10 +109,10 @@
 	})
 }
 
-// Guards against: for ten seconds after an overload every batch request is late. Batch requests
-// of two seconds with a deadline of five arrive at twice the rate at which they can be served,
-// then at three quarters of it. The fault is that the queue has grown to the longest wait that
-// its tickets allow, and is served first. A short queue keeps the slots just as full.
+// After an overload, batch requests must not be late for another ten seconds. That happens if
+// the queue has grown to the longest wait that its tickets allow, and is served first; a short
+// queue keeps the slots just as full. Batch requests of two seconds with a deadline of five
+// arrive at twice the rate at which they can be served, then at three quarters of that rate.
 func TestQueueIsNoLongerThanOfUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service, deadline, slots = 2 * time.Second, 5 * time.Second, 24
@@ -150,10 +152,10 @@
 	})
 }
 
-// Guards against: near full load batch requests queue for ever while slots stay empty. Two
-// interactive requests run within the reserve of two slots; batch requests arrive. The fault is
-// to count the interactive requests against the batch share, and to keep the reserve empty in
-// addition.
+// Near full load, batch requests must not queue for ever while slots stay empty. Two
+// interactive requests run within the reserve of two slots, and batch requests arrive. The
+// router must not count the interactive requests against the batch share and keep the reserve
+// empty in addition.
 func TestReserveHoldsLookupsThatRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
@@ -171,9 +173,9 @@
 	})
 }
 
-// Guards against: interactive requests queue behind batch requests that run for minutes.
-// Interactive requests want more than every slot, and so do batch requests, which don't end. The
-// fault is to give batch requests their whole share while interactive ones wait.
+// Interactive requests must not queue behind batch requests that run for minutes. Interactive
+// requests want more than every slot, and so do batch requests, which don't end. Batch
+// requests must not get their whole share while interactive requests wait.
 func TestDraftsYieldWhileLookupsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newReservingController()
@@ -207,10 +209,9 @@
 	})
 }
 
-// Guards against: a request waits for minutes, until its deadline, for a model all of whose
-// replicas are leaving or down. A ticket is queued while the pool has no capacity; another one
-// comes later, and one after capacity is back. The fault is to wait for a free slot without
-// checking whether there can be one.
+// If all replicas of a model are leaving or down, a request must not wait for minutes, until
+// its deadline, for a free slot that there can't be. A ticket is queued while the pool has no
+// capacity; another one arrives later, and one after capacity is back.
 func TestPoolWithoutReplicas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -9,7 +9,8 @@
 	"wigeondale/fleet"
 )
 
-// class indexes the queues in the order of service.
+// class is the index of a queue in a pool. The classes are listed in the order in which their
+// queues are served.
 type class int
 
 const (
@@ -32,11 +33,12 @@
 	return batchNew
 }
 
-// batchEvery is the share of batch work while interactive work waits too, one grant in so many.
-// Without it a flood of interactive requests would starve started batch requests.
+// batchEvery means that, while interactive work and batch work both wait, one grant in
+// batchEvery goes to batch work. Otherwise a flood of interactive requests would starve
+// started batch requests.
 const batchEvery = 4
 
-// classLoad is the running work of one priority, and how long such work takes.
+// classLoad describes the running work of one priority, and how long such work takes.
 type classLoad struct {
 	running     int
 	mean        float64 // seconds, moving average; 0 before the first release
@@ -47,9 +49,10 @@
 const (
 	// serviceTimeWeight is the weight of the latest service time in the averages.
 	serviceTimeWeight = 1.0 / 16
-	// estimateHalfLife is the time without a release after which estimated service times count
-	// half. Otherwise service times that rose during a failure would cause every request to be
-	// refused permanently, and nothing would run that could show that the failure is over.
+	// estimateHalfLife is the time without a release after which the estimated service times
+	// count only half. Otherwise service times that rose during a failure would cause every
+	// request to be refused permanently, and no request would run that could show that the
+	// failure is over.
 	estimateHalfLife = 5 * time.Second
 )
 
@@ -64,18 +67,19 @@
 	l.perCost += serviceTimeWeight * (per - l.perCost)
 }
 
-// requiredTime is the time that work of a given cost must have left until its deadline.
+// requiredTime estimates how much time work of a given cost must have left until its deadline.
 func (l *classLoad) requiredTime(cost float64, now time.Time) time.Duration {
-	// Requests that started together end together: no release is expected for as long as one
-	// takes.
+	// Requests that started together end together, so no release is expected for as long as
+	// one request takes.
 	expectedGap := min(l.mean, estimateHalfLife.Seconds())
 	age := max(now.Sub(l.lastRelease).Seconds()-expectedGap, 0)
 	trust := math.Exp2(-age / estimateHalfLife.Seconds())
 	return time.Duration(trust * l.perCost * cost * float64(time.Second))
 }
 
-// pool is the work that competes for the same backend servers: those of one model, or of one
-// service that is not a model engine. A saturated pool must not delay the others.
+// pool holds the work that competes for the same backend servers: the servers of one model, or
+// of one service that is not a model engine. Each pool has queues of its own, since a
+// saturated pool must not delay the others.
 type pool struct {
 	name            string
 	queues          [classes]*queue
@@ -103,8 +107,9 @@
 	return n
 }
 
-// next chooses the queue to serve, nil if none may be served: interactive before batch, resumes
-// before new work, but one grant in batchEvery to batch while both wait.
+// next chooses the queue to serve, or returns nil if no waiting ticket has a slot. Interactive
+// work goes before batch work and resumes go before new work, but one grant in batchEvery goes
+// to batch work while both priorities wait.
 func (p *pool) next(cfg *Config) *queue {
 	interactive := p.firstServable(cfg, interactiveResume, interactiveNew)
 	batch := p.firstServable(cfg, batchResume, batchNew)
@@ -121,7 +126,8 @@
 	return interactive
 }
 
-// firstServable is the first queue that has work for which there is a slot.
+// firstServable returns the first queue, in the given order, that has work for which there is
+// a slot, or nil.
 func (p *pool) firstServable(cfg *Config, order ...class) *queue {
 	for _, c := range order {
 		if len(p.queues[c].items) > 0 && p.hasSlot(c, cfg) {
@@ -131,7 +137,7 @@
 	return nil
 }
 
-// noteCapacity records whether the pool has any capacity now.
+// noteCapacity records whether the pool has any capacity now, and since when it has had none.
 func (p *pool) noteCapacity(cfg *Config, now time.Time) {
 	switch {
 	case cfg.capacity(p.name) > 0:
@@ -143,8 +149,9 @@
 
 // unavailable reports whether the pool has been without capacity for too long to keep waiting.
 //
-// Without it, when all replicas of a model are leaving or down, its requests queue until the
-// callers' deadlines, minutes later, although no replica exists that could run them.
+// Without this check, when all replicas of a model are leaving or down, requests for the model
+// queue until the callers' deadlines, minutes later, although no replica exists that could run
+// them.
 func (p *pool) unavailable(cfg *Config, now time.Time) bool {
 	return !p.noCapacitySince.IsZero() && now.Sub(p.noCapacitySince) >= cfg.MaxCapacityWait
 }
@@ -161,13 +168,13 @@
 	return p.running < capacity+cfg.minUrgentSlots(p.name)
 }
 
-// hasBatchSlot reports whether new batch work leaves enough capacity for other work. One slot in
-// batchEvery is available to it even if interactive requests use all others.
+// hasBatchSlot reports whether new batch work leaves enough capacity for other work. One slot
+// in batchEvery is available to batch work even if interactive requests use all others.
 //
-// The capacity that it leaves is for running interactive requests as well as for future ones.
-// Otherwise those would also use part of the batch share, and near full load batch requests would
-// queue for ever while slots stay empty. Only while interactive requests wait is the whole
-// reserve left free.
+// The capacity that batch work leaves free counts running interactive requests as well as
+// future ones. Otherwise the running requests would also use part of the batch share, and near
+// full load batch requests would queue for ever while slots stay empty. Only while interactive
+// requests wait is the whole reserve left free.
 func (p *pool) hasBatchSlot(cfg *Config) bool {
 	capacity, running := cfg.batchCapacity(p.name), p.load[fleet.Batch].running
 	if len(p.queues[interactiveNew].items) == 0 && running < capacity {
@@ -204,17 +211,17 @@
 	return len(p.queues[batchResume].items) + len(p.queues[batchNew].items)
 }
 
-// waitFor estimates the time until n tickets of a priority have been served; 0 if unknown. A slot
-// that becomes free goes to interactive requests first, whatever used it; batch requests get only
-// the slots of batch requests, or a stream of quick interactive requests would make their wait
-// look short.
+// waitFor estimates the time until n tickets of a priority have been served; 0 means that the
+// time is unknown. A slot that becomes free goes to interactive requests first, whatever work
+// used it. Batch requests are expected to get only the slots of batch requests: otherwise a
+// stream of quick interactive requests would make the wait of batch requests look short.
 func (p *pool) waitFor(n int, of fleet.Priority, cfg *Config, now time.Time) time.Duration {
 	if of == fleet.Batch {
 		return p.waitForBatch(n, cfg, now)
 	}
-	// By Little's law, running work ends at the rate of its number divided by its mean service
-	// time. The rate of releases itself can't be used: at low load it equals the rate of
-	// arrivals, and the first burst would be refused.
+	// By Little's law, running work ends at the rate of the number of running requests divided
+	// by their mean service time. The rate of releases itself can't be used: at low load it
+	// equals the rate of arrivals, and the first burst would be refused.
 	rate := p.load[fleet.Batch].rate() + p.load[fleet.Interactive].rate()
 	if rate <= 0 {
 		return 0
@@ -222,9 +229,10 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-// waitForBatch estimates the wait from the expected ends of the running batch requests. After an
-// idle time they start together and so end together: with a mean rate, requests that arrive
-// behind such a group would be queued to wait in vain.
+// waitForBatch estimates the wait from the expected ends of the running batch requests. After
+// an idle time batch requests start together and so end together. If a mean rate were used
+// instead, requests that arrive behind such a group would be queued although they can't be
+// served in time.
 func (p *pool) waitForBatch(n int, cfg *Config, now time.Time) time.Duration {
 	slots := len(p.batchRunning)
 	mean := p.load[fleet.Batch].mean
@@ -259,7 +267,8 @@
 	return cmp.Or(w.expectedEnd.Compare(o.expectedEnd), cmp.Compare(w.seq, o.seq))
 }
 
-// rate is the number of running requests that end per second.
+// rate returns the number of running requests of this priority that are expected to end per
+// second.
 func (l *classLoad) rate() float64 {
 	if l.mean <= 0 {
 		return 0
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -33,7 +33,8 @@
 
 func newQueue() *queue { return &queue{finishTags: map[*account]float64{}} }
 
-// tags returns the position of a ticket in virtual time.
+// tags returns the start tag and the finish tag of a ticket: the virtual times at which its
+// service starts and ends.
 func (q *queue) tags(a *account, cost float64) (start, finish float64) {
 	start = max(q.virtualTime, q.finishTags[a])
 	return start, start + max(cost, 1)/a.weight()
@@ -55,8 +56,8 @@
 	return w
 }
 
-// remove takes out any waiter. The later tickets of its account keep their tags, which delays
-// only that account.
+// remove takes a waiter out of the queue, wherever it is. The later tickets of its account
+// keep their tags, which delays only that account.
 func (q *queue) remove(w *waiter) {
 	if w.index < 0 {
 		return
@@ -75,7 +76,7 @@
 	q.virtualTime = 0
 }
 
-// ahead counts the waiters that would be served before a new ticket.
+// ahead counts the waiters that would be served before a new ticket of the account.
 func (q *queue) ahead(a *account, cost float64) int {
 	start, _ := q.tags(a, cost)
 	n := 0
@@ -105,9 +106,10 @@
 	return w.seq < o.seq
 }
 
-// expired reports whether a ticket can no longer finish in time. A batch request that was started
-// anyway would be cut at its caller's deadline, after it had used a slot for minutes. Resumes
-// need only the minimum service time, since they represent work already paid for.
+// expired reports whether a ticket can no longer finish in time. If a batch request were
+// started anyway, it would be cut at its caller's deadline, after it had used a slot for
+// minutes. Resumes need only the minimum service time, since they represent work already paid
+// for.
 func (w *waiter) expired(now time.Time, minService time.Duration) bool {
 	d := w.ticket.Deadline
 	return !d.IsZero() && now.Add(w.requiredTime(now, minService)).After(d)
@@ -120,8 +122,9 @@
 	return max(minService, w.pool.load[w.ticket.Priority].requiredTime(w.ticket.Cost, now))
 }
 
-// maxQueueWait is how long a ticket may wait; bounded is false if there is no limit. Interactive
-// requests need no such limit: they are served first and their deadline is near.
+// maxQueueWait returns how long a ticket may wait; bounded is false if there is no limit.
+// Interactive requests need no such limit, since they are served first and their deadline is
+// near.
 func (w *waiter) maxQueueWait(now time.Time, minService time.Duration) (d time.Duration, bounded bool) {
 	t := &w.ticket
 	if t.Resume || t.Priority != fleet.Batch || t.Deadline.IsZero() {
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -10,12 +10,12 @@
 type RefusalPolicy string
 
 const (
-	// RefuseLate refuses requests that would be late. Requests in time are not delayed by them,
-	// and the refused clients are told when to come back.
+	// RefuseLate refuses requests that would be late. Requests that can be in time are not
+	// delayed by late ones, and the refused clients are told when to come back.
 	RefuseLate RefusalPolicy = "late"
 	// RefuseUnservable refuses only requests that can't be answered any more. A request that
-	// would be late goes behind all that can be in time, and only to an engine that reads no
-	// prompt.
+	// would be late goes behind all requests that can be in time, and only to an engine that
+	// is not reading any prompt.
 	//
 	// With RefuseLate, refused clients come back into the same overload, are late by then, and
 	// are refused again. The symptom is callers without any answer in a burst, after which the
@@ -29,11 +29,11 @@
 }
 
 const (
-	// waitShare is the part of the time until the first chunk is late that a request may be
-	// expected to wait here. What remains after reading the prompt is for waits that last longer
-	// than expected, which half of them do.
+	// waitShare is the part of the target for the first chunk that a request may be expected
+	// to wait here. The time that remains after reading the prompt is kept for waits that last
+	// longer than expected, since half of the waits do.
 	waitShare = 0.3
-	// uselessFactor is how many times that time a caller waits for a first chunk at most.
+	// uselessFactor is how many times the target for the first chunk a caller waits at most.
 	uselessFactor = 3
 	// answerShare is the part of a caller's remaining time that is reserved for the answer
 	// itself.
@@ -48,13 +48,13 @@
 	CallerTimeLeft time.Duration // remaining time of its caller; 0 if not known
 }
 
-// maxWaitInTime is how long a request may wait here and still be in time.
+// maxWaitInTime returns how long a request may wait here and still be in time.
 func (w WaitState) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
-// InTime reports whether its first chunk is still expected in time.
+// InTime reports whether the request's first chunk is still expected in time.
 func (w WaitState) InTime() bool { return w.Target <= 0 || w.Waited+w.Expected <= w.maxWaitInTime() }
 
-// servable reports whether it can still be answered.
+// servable reports whether the request can still be answered.
 func (w WaitState) servable() bool {
 	if w.Waited+w.Expected > uselessFactor*w.Target {
 		return false
@@ -62,9 +62,10 @@
 	return w.CallerTimeLeft <= 0 || w.Expected <= time.Duration((1-answerShare)*float64(w.CallerTimeLeft))
 }
 
-// Refuses reports whether a request is refused now, and when it should come back: not before it
-// would have been granted a slot. A request that has waited in vain should stay away for at least
-// as long as it waited, since it would not be granted one sooner.
+// Refuses reports whether a request is refused now, and after what time its client should come
+// back. That time is not shorter than the wait until the request would have been granted a
+// slot. A request that has waited without a slot should come back only after at least as long
+// as it has waited, since it would not be granted a slot sooner.
 func (r RefusalPolicy) Refuses(w WaitState) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
@@ -72,7 +73,7 @@
 	return max(w.Expected, w.Waited), true
 }
 
-// MaxWait is how long a request may wait, whatever wait is expected.
+// MaxWait returns how long a request may wait, whatever wait is expected.
 func (r RefusalPolicy) MaxWait(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
 		return uselessFactor * target
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -11,14 +11,14 @@
 	level float64
 }
 
-// NewRetryBudget returns a budget that earns share of a retry for each first try and holds at
-// most burst, with which it starts.
+// NewRetryBudget returns a budget that grows by share of a retry with each first try, up to
+// burst retries. It starts with burst retries.
 func NewRetryBudget(share, burst float64) *RetryBudget {
 	return &RetryBudget{share: share, burst: burst, level: burst}
 }
 
-// Resize changes the maximum that the budget holds, when the number of routers that share it
-// changes. It can always hold at least one retry.
+// Resize changes the maximum number of retries in the budget, when the number of routers that
+// share it changes. The maximum is at least one retry.
 func (b *RetryBudget) Resize(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -26,7 +26,7 @@
 	b.level = min(b.level, b.burst)
 }
 
-// First counts a first try.
+// First records a first try, from which the budget grows.
 func (b *RetryBudget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/share.go
+++ b/admission/share.go
@@ -1,8 +1,9 @@
 package admission
 
 // MaxOvershoot bounds what the parts of a partitioned fleet may use of a limit in total, as a
-// multiple of the limit, provided that all parts use the same last known demands. Changes of
-// demand between two heartbeats come on top, until they are received.
+// multiple of the limit, provided that all parts use the same last known demands. When the
+// demand changes between two heartbeats, the total may be higher until the heartbeats are
+// received.
 const MaxOvershoot = 1.25
 
 // unreachableWeight is the share of an unreachable peer's demand that is still reserved for it.
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -7,15 +7,15 @@
 
 // WaitQueue is a queue of the requests that wait at this router for a free slot at an engine.
 //
-// It serves overload: for some seconds more prompts arrive than engines read, or engines crash
-// and all their runs need another engine at once. Without an order each request tries on its own
-// at random: the one that has waited longest has no better chance than the latest one, waiting
-// requests are not counted, and all of them rush to the first engine that is back. With a queue,
-// the number of requests ahead yields the expected wait, so that requests that can't be served in
-// time are refused at once.
+// It is needed in overload: for some seconds more prompts arrive than engines read, or engines
+// crash and all their runs need another engine at once. Without an order each request tries on
+// its own at random: the request that has waited longest has no better chance than the latest
+// one, waiting requests are not counted, and all of them are sent to the first engine that is
+// available again. With a queue, the number of requests ahead yields the expected wait, so
+// that requests that can't be served in time are refused at once.
 //
-// It only makes decisions: callers pass the time in and poll their position at short intervals. A
-// request that is no longer polled is dropped from the queue.
+// A WaitQueue only makes decisions: callers pass the time in and poll the positions of their
+// requests at short intervals. A request that is no longer polled is dropped from the queue.
 type WaitQueue struct {
 	mu            sync.Mutex
 	waiters       map[string]*queueEntry
@@ -52,23 +52,23 @@
 }
 
 const (
-	// dropAfter is when a request that is no longer polled is dropped: several times the longest
-	// interval between two polls. If the process pauses for longer, only the order of the queue
-	// is lost.
+	// dropAfter is the time after its last poll at which a request is dropped. It is several
+	// times the longest interval between two polls. If the process pauses for longer, only the
+	// order of the queue is lost.
 	dropAfter = 400 * time.Millisecond
 	// intervalWeight is the weight of the latest interval in grantInterval.
 	intervalWeight = 0.2
 	// intervalMaxAge is the time since the last grant after which grantInterval is no longer
-	// valid: it was measured in an earlier burst.
+	// valid, since it was measured in an earlier burst.
 	intervalMaxAge = 5 * time.Second
 )
 
 // NewWaitQueue returns an empty queue.
 func NewWaitQueue() *WaitQueue { return &WaitQueue{waiters: map[string]*queueEntry{}} }
 
-// Poll adds a request to the queue, or polls it if it is already there. age is the time since its
-// client's first try: a client that was told to come back goes before requests that arrived since
-// then.
+// Poll adds a request to the queue, or records that a request in the queue still waits, and
+// returns its position. age is the time since the first try by the request's client: a client
+// that was told to come back goes before requests that arrived since its first try.
 func (l *WaitQueue) Poll(id string, rank Rank, age time.Duration, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,9 +134,9 @@
 	delete(l.waiters, id)
 }
 
-// ExpectedWait returns how long a request with so many others ahead is expected to wait; false while
-// that isn't known. While no slot is granted the expectation grows with the time since the last
-// grant.
+// ExpectedWait returns how long a request with so many others ahead is expected to wait. The
+// bool is false while the wait can't be estimated. While no slot is granted, the expected wait
+// grows with the time since the last grant.
 func (l *WaitQueue) ExpectedWait(ahead int, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +159,7 @@
 	return first
 }
 
-// goesBefore is the order of the queue.
+// goesBefore reports whether e goes before other in the queue.
 func (e *queueEntry) goesBefore(other *queueEntry) bool {
 	if e.rank != other.rank {
 		return e.rank < other.rank
@@ -167,7 +167,8 @@
 	return e.arrivedAt.Before(other.arrivedAt)
 }
 
-// countAhead counts the requests that go before w, and drops those that are no longer polled.
+// countAhead counts the requests that go before w, and drops all requests that are no longer
+// polled.
 func (l *WaitQueue) countAhead(self string, w *queueEntry, now time.Time) int {
 	n := 0
 	for id, o := range l.waiters {
--- a/admission/waitqueue_test.go
+++ b/admission/waitqueue_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against: a request that came back at the time it was told is refused again, and a
-// started answer waits behind new requests. Engines are full; new requests arrive while others
-// wait. The fault is that a free slot goes to the request that polls first.
+// A client that came back at the time it was told must not be refused again, and a started
+// answer must not wait behind new requests. Engines are full, and new requests arrive while
+// others wait. A free slot must not go to the request that happens to poll first.
 func TestLineKeepsItsOrder(t *testing.T) {
 	l, now := NewWaitQueue(), time.Unix(1000, 0)
 	for i, w := range []struct {
@@ -40,9 +40,9 @@
 	}
 }
 
-// Guards against: no request gets an engine although engines are free. The first request in the
-// queue is no longer polled because its client has disconnected. The fault is to keep waiting for
-// it.
+// The first request in the queue is no longer polled because its client has disconnected. If
+// the queue kept waiting for that request, no request would get an engine although engines are
+// free.
 func TestWhoAsksNoMoreIsDropped(t *testing.T) {
 	l, now := NewWaitQueue(), time.Unix(1000, 0)
 	l.Poll("gone", RankNew, 0, now)
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against: requests wait until they are late and are refused only then. Slots are granted
-// at a measurable interval, and more requests wait than can be served in time. The fault is not
-// to use the interval.
+// Slots are granted at a measurable interval, and more requests wait than can be served in
+// time. If the expected wait didn't follow from that interval, requests would wait until they
+// are late and be refused only then.
 func TestExpectationFollowsThePace(t *testing.T) {
 	l, now := NewWaitQueue(), time.Unix(1000, 0)
 	if _, known := l.ExpectedWait(3, now); known {
@@ -80,9 +80,9 @@
 	}
 }
 
-// Guards against: the only waiting request is refused though it is the next one. At a router with
-// little traffic two requests wait 100 ms each, three seconds apart; a third one arrives. The
-// fault is to count time in which no request waited as part of the interval between grants.
+// At a router with little traffic two requests wait 100 ms each, three seconds apart; a third
+// one arrives. If time in which no request waited counted as part of the interval between
+// grants, the only waiting request would be refused though it is the next one.
 func TestTimeWithoutWaitersIsNoPace(t *testing.T) {
 	l, now := NewWaitQueue(), time.Unix(1000, 0)
 	for _, id := range []string{"one", "two"} {
@@ -130,8 +130,8 @@
 	})
 }
 
-// Guards against: engines that read slowly are sent several prompts each, and all of those are
-// late. The fault is to assume the prefill rate of another deployment.
+// The prefill rate must be measured. If the rate of another deployment were assumed, engines
+// that read slowly would be sent several prompts each, and all of those prompts would be late.
 func TestReadingSpeedIsLearnt(t *testing.T) {
 	var r PrefillRate
 	if got := r.TokensWithin(time.Second); got != 0 {
@@ -153,9 +153,9 @@
 	}
 }
 
-// Guards against: in a burst runs are refused to make space for copies that are not needed, or
-// prompts are read again in each crash for lack of copies. The fault is to give copies a fixed
-// share of memory.
+// The memory for copies must follow the losses. If copies had a fixed share of memory, runs
+// would be refused in a burst to make space for copies that are not needed, or prompts would
+// be read again in each crash for lack of copies.
 func TestCopiesFollowLosses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := NewLossHistory(now)
@@ -172,8 +172,8 @@
 	}
 }
 
-// Guards against: requests that could be in time wait behind those that can't. The fault is that
-// a request that was marked late goes before others again because it arrived first.
+// Requests that could be in time must not wait behind requests that can't. A request that was
+// marked late must not go before others again because it arrived first.
 func TestLateGoLast(t *testing.T) {
 	l, now := NewWaitQueue(), time.Unix(1000, 0)
 	l.Poll("late", RankNew, 0, now)
@@ -189,8 +189,8 @@
 	}
 }
 
-// A request that can't be served is refused at once by both policies; one that would only be late
-// is refused by RefuseLate only.
+// Both policies refuse at once a request that can't be served. Only RefuseLate refuses a
+// request that would only be late.
 func TestWhoIsRefused(t *testing.T) {
 	const target = 4 * time.Second
 	for _, c := range []struct {
