--- a/generation/generation.go
+++ b/generation/generation.go
@@ -133,7 +133,7 @@
 // Copying states how the backend servers of a service copy the state of a run to another one.
 type Copying struct {
 	KeptUpToDate bool // they keep a copy up to date from the start of a run
-	OnDemand     bool // they make one on request
+	OnDemand     bool // they make a copy on request
 }
 
 // ResumePoint is the point from which to continue an answer that was started through another
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -40,7 +40,7 @@
 	Node                 string        // prefix of the names under which requests are claimed
 	Linger               time.Duration // how long engines keep an attempt without a reader; default 10 s
 	MaxWait              time.Duration // longest wait for an engine before the first token; default 3 s
-	StartedMaxWait       time.Duration // the same once the answer has started; default 20 s
+	StartedMaxWait       time.Duration // longest wait for an engine once the answer has started; default 20 s
 	AttachTimeout        time.Duration // of one try to re-attach; default 2 s
 	RetryAfter           time.Duration // sent to the caller when no better value is known; default 1 s
 	MaxTokenlessAttempts int           // consecutive attempts without a token; default 8
