--- a/routing/delay.go
+++ b/routing/delay.go
@@ -20,13 +20,15 @@
 	Reading() float64
 	// Running is the number of runs that are generating tokens.
 	Running() float64
-	// Memory is the number of tokens in memory, of runs and of copies of runs.
+	// Memory is the number of tokens that runs and copies of runs occupy in the engine's
+	// memory.
 	Memory() float64
-	// ReportedAt is when the engine last reported its load; zero if it never did.
+	// ReportedAt is when the engine last reported its load. It is zero if the engine never
+	// did.
 	ReportedAt() time.Time
 }
 
-// idleEngine is the load of candidates about which nothing is known.
+// idleEngine is the load that is assumed for candidates about which nothing is known.
 type idleEngine struct{}
 
 func (idleEngine) Reading() float64      { return 0 }
@@ -41,20 +43,20 @@
 	return idleEngine{}
 }
 
-// delayPerRun is the share of a prompt's reading time by which each concurrent run is
-// delayed: an engine step that reads a chunk of a prompt takes several times as long as
-// one that only generates a token.
+// delayPerRun is the share of a prompt's reading time by which each concurrent run is delayed.
+// It is high because an engine step that reads a chunk of a prompt takes several times as long
+// as a step that only generates a token.
 const delayPerRun = 0.8
 
-// delayScorer rates by the delay that the prompt causes, expressed in tokens read in
-// that time: its own wait behind prompts that the engine has yet to read, plus the
-// slowdown of the runs that generate tokens there.
+// delayScorer rates candidates by the delay that the prompt causes, expressed as the number of
+// tokens that an engine reads in that time: the prompt's own wait behind prompts that the
+// engine has yet to read, plus the slowdown of the runs that generate tokens there.
 //
-// A count of requests is not enough: it gives a stored copy, a run that generates
-// tokens and a prompt that is being read the same weight, although only a prompt takes
-// time from the others. Prompts are then sent to engines that are reading one while
-// other engines read none, and under normal load the first chunks arrive after twice the
-// time that a prompt takes.
+// A count of requests is not enough: it gives a stored copy, a run that generates tokens and a
+// prompt that is being read the same weight, although only a prompt takes time from the
+// others. Prompts would then be sent to engines that are reading a prompt while other engines
+// read none, and under normal load the first chunks would arrive after twice the time that a
+// prompt takes.
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
@@ -72,18 +74,19 @@
 	}
 }
 
-// backlogWithinBound reports whether the engine would finish reading the prompt within
-// the allowed backlog. An engine that reads no prompt accepts one of any length.
+// backlogWithinBound reports whether the engine's prompt tokens to be read, including this
+// prompt, are within the allowed backlog. An engine that is not reading any prompt passes,
+// however long the new prompt is.
 //
-// Without this filter, an engine that has just restarted has all its memory free, so
-// every waiting prompt is sent there and read one after the other, while other engines
-// become idle. Answers then miss their deadlines after a crash.
+// Without this filter, an engine that has just restarted has all its memory free, so every
+// waiting prompt is sent there and read one after the other, while other engines become idle.
+// Answers then miss their deadlines after a crash.
 func backlogWithinBound(c *Candidate, req *PickRequest) bool {
 	reading := c.engineLoad().Reading()
 	return req.Backlog <= 0 || reading == 0 || reading+float64(req.PromptTokens) <= req.Backlog
 }
 
-// memoryScorer rates by free memory.
+// memoryScorer rates candidates by their free memory.
 type memoryScorer struct{}
 
 func (memoryScorer) Score(v View, out []float64) {
--- a/routing/delay_test.go
+++ b/routing/delay_test.go
@@ -40,9 +40,9 @@
 	return r
 }
 
-// Guards against first chunks that take twice as long as reading the prompt while other
-// engines read nothing. It happens when a stored copy, a run that generates tokens and
-// a prompt that is being read all count the same.
+// A prompt must be sent to the engine where it causes the least delay. If a stored copy, a run
+// that generates tokens and a prompt that is being read all counted the same, first chunks
+// would take twice as long as reading the prompt while other engines read nothing.
 func TestPromptGoesWhereItDelaysLeast(t *testing.T) {
 	req := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 5600, Capacity: 55000, Backlog: 10000}
 	for _, c := range []struct {
@@ -65,8 +65,9 @@
 	}
 }
 
-// Guards against refusing a prompt for ever although engines are idle: it happens when
-// the prompt alone is longer than the bound on the backlog and the bound includes it.
+// A prompt that alone is longer than the bound on the backlog must not be refused for ever
+// although engines are idle. That happens if the bound includes the new prompt even at an idle
+// engine.
 func TestIdleEngineTakesAnyPrompt(t *testing.T) {
 	req := PickRequest{FleetKnown: true, PromptTokens: 30000, MemoryTokens: 31000, Capacity: 55000, Backlog: 10000}
 	if _, _, err := promptRouter(t).Pick(engines(fakeEngine{}), req); err != nil {
@@ -107,9 +108,10 @@
 	return time.Unix(1000, 0).Add(-s.age)
 }
 
-// Guards against preferring busy engines to ones that are known to be idle. Some
-// engines reported recently, others long ago or never; an engine without a report must
-// not count as idle.
+// An engine that reported recently must be preferred to an engine about which nothing is
+// known. Some engines reported recently, others long ago or never. If an engine without a
+// report counted as idle, it could turn out to be busy while engines that are known to be idle
+// get no work.
 func TestKnownEnginesGoFirst(t *testing.T) {
 	never, old, recent := fakeReportingEngine{fakeEngine{}, -1}, fakeReportingEngine{fakeEngine{}, time.Minute}, fakeReportingEngine{fakeEngine{reading: 3000, memory: 3000}, time.Millisecond}
 	req := PickRequest{FleetKnown: true, PromptTokens: 5000, MemoryTokens: 6000, Capacity: 55000, Now: time.Unix(1000, 0)}
@@ -138,7 +140,8 @@
 	}
 }
 
-// Draw selects at random from all candidates that pass the filters, each at most once.
+// Draw must select at random from all candidates that pass the filters, and must select each
+// of them at most once.
 func TestDrawTakesEachOnce(t *testing.T) {
 	all := engines(make([]fakeEngine, 10)...)
 	drawn := map[string]int{}
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Reason says why no candidate was left.
+// Reason states why no candidate was left.
 type Reason string
 
 // Reasons of NoCandidate.
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -6,8 +6,9 @@
 	"wigeondale/health"
 )
 
-// Filter removes candidates that must not get the attempt. Keep filters the indices in
-// place and returns the remaining ones.
+// Filter removes candidates that must not get the attempt. left holds the indices in all of
+// the remaining candidates. Keep removes indices from left in place and returns the indices
+// that are kept.
 type Filter interface {
 	Name() string
 	Keep(all []Candidate, left []int32, req *PickRequest, sc *scratch) []int32
@@ -38,11 +39,11 @@
 	FilterUsable  = "usable"
 	FilterExclude = "exclude"
 	FilterRole    = "role"
-	// FilterHealthy removes backend servers that would get the request as a health
-	// probe.
+	// FilterHealthy removes backend servers that are under suspicion: the request would serve
+	// as a health probe for them.
 	FilterHealthy = "healthy"
-	// FilterOtherDomain keeps a copy in another failure domain than the run that it
-	// copies.
+	// FilterOtherDomain removes the backend servers in the failure domain of a run, so that
+	// the copy of the run is kept in another failure domain.
 	FilterOtherDomain = "other-domain"
 )
 
@@ -61,7 +62,8 @@
 
 func notExcluded(c *Candidate, req *PickRequest) bool { return !req.Exclude[c.Backend.ID] }
 
-// notSuspected queries the health monitor; without one, it keeps every candidate.
+// notSuspected reports whether the health monitor has no suspicion about the candidate.
+// Without a monitor it returns true for every candidate.
 func notSuspected(c *Candidate, req *PickRequest) bool {
 	return req.Healthy == nil || req.Healthy(c.Backend.ID)
 }
@@ -72,7 +74,10 @@
 
 func acceptsPrompts(c *Candidate, _ *PickRequest) bool { return c.Role != roleDecode }
 
-// usableFilter queries the health monitor about all candidates at once.
+// usableFilter keeps the candidates that the health monitor allows to get work. It queries the
+// monitor about all candidates in one call, since the bound on ejected backend servers is a
+// share of the whole set. If the request has no Usable function, the candidate's State
+// decides.
 type usableFilter struct{}
 
 func (usableFilter) Name() string { return FilterUsable }
--- a/routing/fresh.go
+++ b/routing/fresh.go
@@ -4,30 +4,30 @@
 
 // Names of the filters by the age of an engine's load report.
 const (
-	// FilterFresh keeps engines with a recent load report; if there are none, it keeps
-	// all.
+	// FilterFresh keeps engines with a recent load report. If no engine has a recent report,
+	// it keeps all of them.
 	FilterFresh = "fresh"
-	// FilterFreshOnly keeps engines with a recent load report, even if there are none.
+	// FilterFreshOnly keeps engines with a recent load report, even if that leaves no engine.
 	FilterFreshOnly = "fresh-only"
-	// FilterStale keeps engines whose report is missing or so old that they are worth
-	// another query.
+	// FilterStale keeps engines whose report is missing or so old that the engine should be
+	// queried again.
 	FilterStale = "stale"
 )
 
 const (
-	// maxReportAge is how long an engine's load report is used. In that time an engine
-	// reads half a prompt of typical size; what other routers send there meanwhile
-	// isn't known.
+	// maxReportAge is how long an engine's load report is used. In that time an engine reads
+	// half a prompt of typical size; what other routers send to that engine meanwhile isn't
+	// known.
 	maxReportAge = 600 * time.Millisecond
-	// queryAgainAfter is the age from which a report is worth another query: an
+	// queryAgainAfter is the age of a report from which its engine should be queried again: an
 	// engine's report changes a few times a second.
 	queryAgainAfter = 300 * time.Millisecond
 )
 
 // freshFilter keeps engines with a recent load report, if there are any.
 //
-// Where routers can't send each other their loads, an engine without a report looks
-// idle. Without this filter it would be preferred to engines that have a report.
+// Where routers can't send each other their loads, an engine without a report looks idle.
+// Without this filter such an engine would be preferred to engines that have a report.
 type freshFilter struct{}
 
 func (freshFilter) Name() string { return FilterFresh }
--- a/routing/pickers.go
+++ b/routing/pickers.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Picker chooses an index by the scores. affinity holds the part of each score that
-// expresses affinity to that candidate.
+// Picker chooses the index of a candidate by the scores. affinity holds, for each candidate,
+// the part of its score that comes from affinity, such as a cached prefix.
 type Picker interface {
 	Choose(score, affinity []float64, rng *rand.Rand) int
 }
@@ -23,8 +23,8 @@
 	PickBest:       best{},
 }
 
-// twoChoices draws two candidates at random, adds the one with the highest affinity if
-// any has affinity, and takes the one with the best total score.
+// twoChoices draws two candidates at random and adds the candidate with the highest affinity,
+// if any has affinity. Of these it takes the candidate with the best total score.
 type twoChoices struct{}
 
 func (twoChoices) Choose(score, affinity []float64, rng *rand.Rand) int {
@@ -39,8 +39,8 @@
 	return best
 }
 
-// argmax takes the first of the highest scores. All routers with the same view make the
-// same choice, so it serves as a baseline.
+// argmax takes the first candidate with the highest score. All routers with the same view make
+// the same choice, so argmax serves as a baseline.
 type argmax struct{}
 
 func (argmax) Choose(score, _ []float64, _ *rand.Rand) int {
@@ -53,13 +53,14 @@
 	return best
 }
 
-// best takes one of the highest scores, at random among scores that are about equal. It
-// is meant for routers that send each other their loads: two random choices would then
-// miss idle engines, and routers that choose at the same moment rarely pick the same
-// engine, since many are about equal.
+// best takes a random candidate among those whose scores are about equal to the highest. It is
+// meant for routers that send each other their loads. With known loads, a choice among only
+// two random candidates would miss idle engines; and since many candidates are about equal,
+// routers that choose at the same moment rarely pick the same engine.
 type best struct{}
 
-// scoreTolerance is how far below the highest a score still counts as equal.
+// scoreTolerance is how far below the highest score another score may be and still count as
+// equal.
 const scoreTolerance = 0.02
 
 func (best) Choose(score, _ []float64, rng *rand.Rand) int {
--- a/routing/preferred_test.go
+++ b/routing/preferred_test.go
@@ -20,8 +20,8 @@
 	return out
 }
 
-// Routers that see the same candidates, in any order, must choose the same preferred
-// engines for a key; and a removed candidate must be the only one replaced.
+// Routers that see the same candidates, in any order, must choose the same preferred engines
+// for a key. When a candidate is removed, only that candidate may be replaced.
 func TestHomesAreTheSameForAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := engines(make([]fakeEngine, rapid.IntRange(1, 200).Draw(t, "engines"))...)
@@ -46,7 +46,8 @@
 	})
 }
 
-// Each engine is preferred for as many keys as the others, within a third of the mean.
+// Each engine must be preferred for about as many keys as the others, within a third of the
+// mean.
 func TestHomesAreBalanced(t *testing.T) {
 	const keys, n = 8000, 8
 	all := engines(make([]fakeEngine, 160)...)
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,12 +1,12 @@
-// Package routing chooses a backend server for one attempt: filters remove candidates
-// that must not get it, scorers rate the rest, and a picker chooses one. Each step is a
-// small pure type; the settings name the steps and their weights.
+// Package routing chooses a backend server for one attempt: filters remove candidates that
+// must not get it, scorers rate the remaining candidates, and a picker chooses one of these.
+// Each step is a small pure type; the settings name the steps and their weights.
 //
-// Load reports lag, so all routers may see the same idle engine and send to it
-// together. The default picker therefore compares a few candidates drawn at random
-// instead of taking the best of all. The loss of a failure domain makes hundreds of
-// streams resume at the same moment; a separate scorer spreads them, and a common
-// prompt prefix doesn't draw them to one engine.
+// Load reports lag, so all routers may see the same idle engine and send requests to it at the
+// same time. The default picker therefore compares a few candidates drawn at random instead of
+// taking the best of all. The loss of a failure domain makes hundreds of streams resume at the
+// same moment; a separate scorer spreads these streams, and a prompt prefix that they have in
+// common doesn't draw them to one engine.
 package routing
 
 import (
@@ -30,7 +30,8 @@
 	Load(now time.Time) float64
 	// Leaving reports whether the backend server accepts no new work.
 	Leaving() bool
-	// Hits counts the leading blocks that are known to be in its cache.
+	// Hits returns how many leading blocks of the prompt are known to be in the backend
+	// server's cache.
 	Hits(blocks []uint64, now time.Time) int
 }
 
@@ -41,7 +42,7 @@
 	Role        string // "both", "prefill" or "decode"
 	Serves      []fleet.ModelRef
 	State       health.State
-	// Live, when set, overrides the three figures below.
+	// Live, when set, overrides the three fields below.
 	Live       Live
 	EstLoad    float64
 	Leaving    bool
@@ -78,25 +79,25 @@
 	FailureDomain string // of this router
 	OtherDomain   string // failure domain that FilterOtherDomain removes; empty for none
 	PromptBytes   int
-	// PromptTokens is the number of prompt tokens to be read, MemoryTokens the number of tokens that
-	// the run occupies in memory at its end, and Capacity the number of tokens that an
-	// engine of the service can hold in memory; 0 when that isn't known.
+	// PromptTokens is the number of prompt tokens to be read. MemoryTokens is the number of
+	// tokens that the run occupies in memory at its end. Capacity is the number of tokens that
+	// an engine of the service can hold in memory. Each is 0 when it isn't known.
 	PromptTokens, MemoryTokens, Capacity int
-	// Backlog bounds the tokens that an engine has yet to read, including this prompt;
-	// 0 for no bound.
+	// Backlog bounds the number of prompt tokens that an engine has yet to read, including
+	// this prompt; 0 means no bound.
 	Backlog float64
 	Resume  bool
 	Request uint64 // hash of the request id, used to spread resumed requests
 	Now     time.Time
-	// FleetKnown is true once the directory has received a report from any engine: then
-	// an empty snapshot means that no backend server serves Ref. Before, it may only
-	// mean that this router has just started.
+	// FleetKnown is true once the directory has received a report from any engine. From then
+	// on, an empty snapshot means that no backend server serves Ref. Before, it may only mean
+	// that this router has just started.
 	FleetKnown bool
-	// Usable is health.Monitor.Usable. It is called for all candidates at once, since
-	// the bound on ejection is a share of the set. If nil, Candidate.State decides.
+	// Usable is health.Monitor.Usable. It is called once for all candidates, since the bound
+	// on ejected backend servers is a share of the whole set. If nil, Candidate.State decides.
 	Usable func(ids []string) []bool
-	// Healthy reports whether a backend server is under no suspicion; FilterHealthy
-	// calls it.
+	// Healthy reports whether a backend server is under no suspicion. FilterHealthy calls it.
+	// If nil, every backend server counts as healthy.
 	Healthy func(id string) bool
 }
 
@@ -124,7 +125,7 @@
 	pool    sync.Pool
 }
 
-// scratch holds the buffers of one Pick; they are reused to avoid allocations.
+// scratch holds the buffers of one Pick. They are reused to avoid allocations.
 type scratch struct {
 	left     []int32
 	ids      []string
@@ -143,8 +144,8 @@
 	return s
 }
 
-// Pick chooses a candidate from the snapshot, which it only reads. When the filters
-// leave none, the error is a *NoCandidate.
+// Pick chooses a candidate from the snapshot, which it only reads. When the filters leave no
+// candidate, the error is a *NoCandidate.
 func (r *Router) Pick(snapshot []Candidate, req PickRequest) (Candidate, Trace, error) {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
@@ -182,8 +183,8 @@
 	return last
 }
 
-// Draw returns up to n of the candidates that pass the filters, at random and without
-// rating them. The caller queries them for their state before it chooses one.
+// Draw returns up to n of the candidates that pass the filters, at random and without rating
+// them. The caller queries the returned candidates for their state before it chooses one.
 func (r *Router) Draw(snapshot []Candidate, req PickRequest, n int) []Candidate {
 	sc := r.pool.Get().(*scratch)
 	defer r.pool.Put(sc)
@@ -201,9 +202,9 @@
 	return out
 }
 
-// rate fills in the weighted scores. Scores that express affinity to a candidate are
-// also summed separately: the picker must be able to find that candidate, which two
-// random draws out of many would miss.
+// rate stores the weighted scores in sc. Scores that express affinity to a candidate are also
+// summed separately: the picker must be able to find the candidate with the highest affinity,
+// which two random draws out of many candidates would miss.
 func (r *Router) rate(snapshot []Candidate, req *PickRequest, sc *scratch) {
 	n := len(sc.left)
 	sc.loads = resize(sc.loads, n)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -44,8 +44,8 @@
 	return r
 }
 
-// Each row makes all candidates unusable in one way. The error must name the cause and
-// report correctly whether a retry can help, since callers act on it.
+// Each row makes all candidates unusable in one way. The error must name the cause and report
+// correctly whether a retry can help, since callers decide by that whether they try again.
 func TestNothingLeft(t *testing.T) {
 	other := fleet.ModelRef{Model: "m", Version: "v2"}
 	rows := []struct {
@@ -88,8 +88,8 @@
 	}
 }
 
-// Guards against sending work to an engine that is leaving, failed, was tried before or
-// runs another version. Whatever the scores, the chosen candidate passes every filter.
+// Work must not be sent to an engine that is leaving, has failed, was tried before or runs
+// another version. Whatever the scores are, the chosen candidate must pass every filter.
 func TestPickNeverPassesAFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(1, 20).Draw(t, "n"))
@@ -122,10 +122,10 @@
 	})
 }
 
-// Guards against overloading one engine with a popular prompt prefix while others are
-// idle. Requests with one prefix arrive, and each adds load to the engine that gets it.
-// The first few must be sent to few engines, but no load may exceed the bound, not even
-// where affinity alone decides.
+// A popular prompt prefix must not overload one engine while others are idle. Requests with
+// one prefix arrive, and each adds load to the engine that gets it. The first few requests
+// must be sent to few engines, but no load may exceed the bound, not even where affinity alone
+// decides.
 func TestPrefixAffinityIsBounded(t *testing.T) {
 	affinityOnly := []StepConfig{{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: ScoreRendezvous}, {Name: PickArgmax}}
 	for _, steps := range [][]StepConfig{DefaultSteps(), affinityOnly} {
@@ -157,16 +157,16 @@
 	}
 }
 
-// Guards against resuming all streams on the one engine that looks idle. After the loss
-// of a failure domain all routers resume their streams at the same moment; here 300
-// requests with one prompt prefix see the same lagging snapshot.
+// After the loss of a failure domain all routers resume their streams at the same moment, and
+// must not resume all of them on the one engine that looks idle. Here 300 requests with one
+// prompt prefix see the same lagging snapshot.
 func TestResumesSpread(t *testing.T) {
 	all := candidates(24)
 	for i := range all {
 		all[i].EstLoad = 5
 	}
 	all[3].EstLoad = 4
-	// With argmax, only the scorer spreads them.
+	// With argmax, only the spread scorer distributes the requests.
 	argmaxOnly := []StepConfig{{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: ScoreLoad}, {Name: ScoreSpread}, {Name: PickArgmax}}
 	for _, steps := range [][]StepConfig{DefaultSteps(), argmaxOnly} {
 		r, got := router(t, steps...), map[string]int{}
@@ -225,7 +225,7 @@
 	}
 }
 
-// fakeSizedEngine is an engine whose reports showed how many requests it runs at once.
+// fakeSizedEngine is an engine whose reports have shown how many requests it runs at once.
 type fakeSizedEngine struct{ load, slots float64 }
 
 func (s fakeSizedEngine) Load(time.Time) float64       { return s.load }
@@ -233,12 +233,12 @@
 func (s fakeSizedEngine) Hits([]uint64, time.Time) int { return 0 }
 func (s fakeSizedEngine) Slots() float64               { return s.slots }
 
-// Guards against requests that wait at one engine for a long generation to end while
-// other engines have free slots; near full load the fleet saturates with an eighth of
-// its slots empty. It happens when affinity considers only the mean load, and load
-// ignores the number of slots. First, the preferred engine of a prefix has no free slot
-// although its load is within the bound around the mean; then the least loaded engines
-// are small and full, while a large engine has more requests and also free slots.
+// Requests must not wait at one engine for a long generation to end while other engines have
+// free slots; otherwise, near full load, the fleet saturates with an eighth of its slots
+// empty. That happens when affinity considers only the mean load, and load ignores the number
+// of slots. First, the preferred engine of a prefix has no free slot although its load is
+// within the bound around the mean. Then the least loaded engines are small and full, while a
+// large engine has more requests and also free slots.
 func TestWorkGoesWhereAPlaceIsFree(t *testing.T) {
 	r, req := router(t), PickRequest{Ref: ref, Blocks: []uint64{7, 8}}
 	all := candidates(6)
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -38,12 +38,12 @@
 	ScoreSlots      = "free-places"
 )
 
-// loadSlack is added to loads before they are compared. A continuous batch accepts that
-// many more requests at little cost, so on an idle fleet a difference of one request
-// must not outweigh a cached prefix.
+// loadSlack is added to loads before they are compared. A continuous batch accepts that many
+// more requests at little cost, so on an idle fleet a difference of one request must not
+// outweigh a cached prefix.
 const loadSlack = 4
 
-// loadScorer prefers the least loaded candidate, by ratio.
+// loadScorer prefers the least loaded candidate. It compares loads by their ratio.
 type loadScorer struct{}
 
 func (loadScorer) Score(v View, out []float64) {
@@ -56,14 +56,16 @@
 	}
 }
 
-// Reporter is implemented by a Live that also knows the load in the last report alone.
+// Reporter is implemented by a Live that also knows the load as stated in the last report,
+// without what was sent since.
 type Reporter interface {
-	// Reported is the number of requests running and waiting by the last report.
+	// Reported is the number of requests that were running and waiting according to the last
+	// report.
 	Reported() float64
 }
 
-// reportedScorer uses the last report alone and ignores what was sent since. It serves
-// as a baseline.
+// reportedScorer rates candidates by the last report alone and ignores what was sent since
+// then. It serves as a baseline.
 type reportedScorer struct{}
 
 func (reportedScorer) Score(v View, out []float64) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// boundedLoad is how far above the mean, as a factor, a candidate's load may be while
-// prefix affinity still draws work to it. Without a bound, one popular prefix would
+// boundedLoad is the factor by which a candidate's load may exceed the mean while prefix
+// affinity still draws work to that candidate. Without a bound, one popular prefix would
 // overload one engine while others are idle.
 const boundedLoad = 1.25
 
@@ -86,7 +88,8 @@
 // SlotCounter is implemented by a Live that knows how many requests its backend server runs
 // at once.
 type SlotCounter interface {
-	// Slots is that number as shown by the reports, 0 when unknown.
+	// Slots is the number of requests that the backend server runs at once, as shown by its
+	// reports; 0 when unknown.
 	Slots() float64
 }
 
@@ -98,23 +101,23 @@
 	return p.Slots()
 }
 
-// fullShare is the share of its slots from which a backend server counts as full:
-// requests that other routers sent there show only in the next report.
+// fullShare is the share of its slots in use from which a backend server counts as full. It is
+// below 1 because requests that other routers sent to the backend server show only in the next
+// report.
 const fullShare = 0.9
 
-// isFull reports whether a candidate is known to have no free slot. Prefix affinity
-// then draws no work to it.
+// isFull reports whether a candidate is known to have no free slot. Prefix affinity then draws
+// no work to the candidate.
 //
-// Without this check, near full load the loads of two engines differ by little, so the
-// prefix outweighs the difference. Requests then wait at one engine for a long
-// generation to end, to save some milliseconds of prefill, while other engines have
-// free slots.
+// Without this check, near full load the loads of two engines differ by little, so the prefix
+// outweighs the difference. Requests then wait at one engine for a long generation to end, to
+// save some milliseconds of prefill, while other engines have free slots.
 func (v *View) isFull(k int) bool {
 	slots := v.slots(k)
 	return slots > 0 && v.loads[k] >= fullShare*slots
 }
 
-// prefixScorer prefers the cache that is known to contain most of the prompt.
+// prefixScorer prefers the candidate whose cache is known to contain most of the prompt.
 type prefixScorer struct{}
 
 func (prefixScorer) Score(v View, out []float64) {
@@ -135,13 +138,14 @@
 // that have these blocks in common go to the same engine.
 const leadingBlocks = 2
 
-// rendezvousScorer sends equal prefixes to equal engines without needing any report:
-// the candidate with the highest hash gets 1, the next one 0.5. Overloaded and
-// full ones are skipped.
+// rendezvousScorer sends equal prefixes to equal engines without needing any report: the
+// candidate with the highest hash gets 1, the next one 0.5. Overloaded and full candidates are
+// skipped.
 type rendezvousScorer struct{}
 
 func (rendezvousScorer) Score(v View, out []float64) {
-	// Otherwise resumed streams with one popular prefix would all go to one engine.
+	// Resumed streams get no score here: otherwise all resumed streams with one popular prefix
+	// would go to one engine.
 	if len(v.req.Blocks) == 0 || v.req.Resume {
 		return
 	}
@@ -170,9 +174,10 @@
 	}
 }
 
-// Rendezvous is the weight of a member for a key, for highest-random-weight hashing.
+// Rendezvous returns the weight of a member for a key, for highest-random-weight hashing.
 func Rendezvous(key uint64, id string) uint64 {
-	// The finalizer of SplitMix64 mixes the two without another pass over id.
+	// The finalizer of SplitMix64 mixes the key and the id's hash without another pass over
+	// id.
 	x := xxhash.Sum64String(id) ^ key
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -192,7 +197,7 @@
 	}
 }
 
-// spreadScorer gives each resumed request its own order of the candidates, so that
+// spreadScorer gives each resumed request an order of the candidates of its own, so that
 // routers that resume requests at the same time don't all choose the same idle engine.
 type spreadScorer struct{}
 
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -12,8 +12,8 @@
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// weightedScorer is a scorer with its weight; affinity marks scorers that draw a
-// request to particular candidates.
+// weightedScorer is a scorer with its weight. affinity marks scorers that draw a request to
+// particular candidates.
 type weightedScorer struct {
 	scorer   Scorer
 	weight   float64
@@ -48,9 +48,9 @@
 	ScoreSlots:      {scorer: slotsScorer{}, affinity: true},
 }
 
-// DefaultSteps is the configuration used when the settings name none. ScorePrefix is
-// not included: ScoreRendezvous sends equal prompts to equal engines without the
-// polling for cache events that ScorePrefix needs.
+// DefaultSteps returns the steps that are used when the settings name none. ScorePrefix is not
+// included: ScoreRendezvous sends equal prompts to equal engines without the polling for cache
+// events that ScorePrefix needs.
 func DefaultSteps() []StepConfig {
 	return []StepConfig{
 		{Name: FilterServes},
@@ -67,7 +67,7 @@
 	}
 }
 
-// Uses reports whether a step is among the configured ones.
+// Uses reports whether steps contains a step of the given name.
 func Uses(steps []StepConfig, name string) bool {
 	return slices.ContainsFunc(steps, func(s StepConfig) bool { return s.Name == name })
 }
