--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,12 +1,12 @@
-// Package hedge sends a second try of a slow idempotent call to another backend server and uses
-// whichever answer arrives first.
+// Package hedge sends a second try of a slow idempotent call to another backend server and
+// uses whichever answer arrives first.
 //
-// It serves calls of which one replica stalls (a long pause, a lost packet, a full queue) while
-// the others answer in milliseconds. The second try is sent only after a delay derived from the
-// observed latencies, so that few calls cause one, and only within a budget that is a share of
-// first tries: when all replicas are slow, every call is slow, and hedging each of them would
-// double the load that made the replicas slow. A call that is not idempotent is never hedged: two
-// backend servers could both run it.
+// It is made for calls that are slow because one replica stalls (a long pause, a lost packet,
+// a full queue) while the others answer in milliseconds. The second try is sent only after a
+// delay derived from the observed latencies, so that few calls cause a second try. It is sent
+// only within a budget that is a share of first tries: when all replicas are slow, every call
+// is slow, and hedging each of them would double the load that made the replicas slow. A call
+// that is not idempotent is never hedged, since two backend servers could both run it.
 package hedge
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Budget limits second tries to a share of first ones.
+// Budget limits second tries to a share of first tries.
 type Budget interface {
 	First()     // counts a first try
 	Take() bool // draws one second try; false means that none is left
@@ -67,15 +67,16 @@
 	}
 }
 
-// Range and precision of the latencies, in microseconds.
+// These constants are the range of the recorded latencies, in microseconds, and the number of
+// significant digits.
 const (
 	lowest  = 1
 	highest = int64(time.Minute / time.Microsecond)
 	digits  = 2
 )
 
-// latencies holds the latencies of one pool of backend servers in two histograms. Every half
-// window the older one is reset and becomes the newer one.
+// latencies holds the latencies of one pool of backend servers in two histograms. After half a
+// window, the older histogram is reset and becomes the newer one.
 type latencies struct {
 	rotated      time.Time
 	older, newer *hdrhistogram.Histogram
@@ -98,8 +99,8 @@
 	l.rotated = now
 }
 
-// delay returns the percentile of the newer histogram, or of the older one while the newer has
-// too few values. ok is false while both have too few.
+// delay returns the percentile of the newer histogram, or of the older histogram while the
+// newer one has too few values. ok is false while both have too few.
 func (l *latencies) delay(percentile float64, minSamples int64) (time.Duration, bool) {
 	h := l.older
 	if l.newer.TotalCount() >= minSamples {
@@ -112,9 +113,9 @@
 }
 
 // Observe records how long a call of the pool took until its answer started. For a call whose
-// second try won, that is the whole wait from the first try. It is a lower bound of what the
-// first try would have taken, and above the percentile, so that answers made faster by hedging
-// don't shorten the delay of later calls.
+// second try won, took must be the whole wait from the first try. That wait is a lower bound
+// of what the first try would have taken, and it is above the percentile, so that answers made
+// faster by hedging don't shorten the delay of later calls.
 func (h *Hedger) Observe(pool string, took time.Duration, now time.Time) {
 	us := min(max(took.Microseconds(), lowest), highest)
 	h.mu.Lock()
@@ -128,12 +129,12 @@
 	_ = l.newer.RecordValue(us) // can't fail: the value is within the range
 }
 
-// Delay returns how long to wait for the first try of a call before a second one is worth its
-// cost. ok is false if no second try may be sent, because the call may not be repeated, hedging
-// is off or too few latencies are known.
+// Delay returns how long to wait for the first try of a call before a second try is worth its
+// cost. ok is false if no second try may be sent, because the call may not be repeated,
+// hedging is off or too few latencies are known.
 func (h *Hedger) Delay(pool string, idempotent bool) (time.Duration, bool) {
-	// Without this guard a slow booking is booked twice: the slower answer is dropped here, but
-	// both backend servers have run the call.
+	// Without this check a slow booking is booked twice: the slower answer is dropped here,
+	// but both backend servers have run the call.
 	if !idempotent {
 		return 0, false
 	}
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -25,7 +25,7 @@
 	return true
 }
 
-// newHedger returns a Hedger that has observed latencies of 1 to 100 ms, so that the delay is
+// newHedger returns a Hedger that has observed latencies of 1 to 100 ms, so that its delay is
 // about 95 ms.
 func newHedger(budget *fakeBudget) *Hedger {
 	h := New(Config{Enabled: true}, budget, metrics.NewSet())
@@ -70,10 +70,10 @@
 	}
 }
 
-// Guards against: a slot is booked twice because a call that may not be repeated was hedged, or a
-// call is slow although another replica is idle because a call that may be repeated wasn't
-// hedged. The first try is slower than 95 of 100 calls were; a second one is sent after that
-// delay and the faster answer is used.
+// A call that may not be repeated must not be hedged: otherwise a slot is booked twice. A call
+// that may be repeated must be hedged: otherwise it is slow although another replica is idle.
+// The first try is slower than 95 of 100 calls were; a second try is sent after that delay,
+// and the faster answer is used.
 func TestSecondTries(t *testing.T) {
 	const long, short = 10 * time.Second, 10 * time.Millisecond
 	rows := []struct {
@@ -129,9 +129,9 @@
 	}
 }
 
-// Guards against: the share of hedged calls grows until only the budget limits it. One call in
-// ten is slow and its second try wins quickly. If the call were recorded with the latency of the
-// second try instead of the whole wait, each win would lower the percentile.
+// One call in ten is slow and its second try wins quickly. If such a call were recorded with
+// the latency of the second try instead of the whole wait, each win would lower the
+// percentile, and the share of hedged calls would grow until only the budget limits it.
 func TestWinsDoNotShortenTheDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHedger(&fakeBudget{left: 1000})
@@ -149,8 +149,9 @@
 	})
 }
 
-// Guards against: a call during which a try panics ends every router to which its caller sends
-// it, since tries run in goroutines of their own and not in that of the caller's connection.
+// Tries run in goroutines of their own and not in the goroutine of the caller's connection, so
+// an unrecovered panic of a try ends the router process. A call that makes a try panic must
+// not end every router to which its caller sends it.
 func TestPanicOfATryFailsTheCallOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := &fakeBackends{}
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -16,9 +16,9 @@
 type Call[T any] struct {
 	Pool       string
 	Idempotent bool
-	// Try sends the call. second is true if it must go to another backend server than the first
-	// try. Try is called at most twice, possibly concurrently. Its answer may be read until
-	// release is called or ctx ends.
+	// Try sends the call. second is true if the call must go to another backend server than
+	// the first try. Try is called at most twice, possibly concurrently. The answer that it
+	// returns may be read until release is called or ctx ends.
 	Try func(ctx context.Context, second bool) (T, error)
 	// HasOther reports whether there is another backend server for a second try.
 	HasOther func() bool
@@ -43,9 +43,9 @@
 	pending int
 }
 
-// Do makes the call and returns the first answer; the other try is cancelled. If both tries fail,
-// err is the error of the first one. release cancels the winner's context: call it when the
-// answer has been read.
+// Do makes the call and returns the first answer; the other try is cancelled. If both tries
+// fail, err is the error of the first try. release cancels the context of the try that
+// answered first: call it when the answer has been read.
 func Do[T any](ctx context.Context, h *Hedger, call Call[T]) (value T, release func(), err error) {
 	if call.Idempotent {
 		h.budget.First()
@@ -108,7 +108,8 @@
 	}()
 }
 
-// try makes one try. It runs in its own goroutine, where a panic would end the router process.
+// try makes one try and returns a panic as an error: a try runs in its own goroutine, where a
+// panic would end the router process.
 func (r *race[T]) try(ctx context.Context, second bool) (v T, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -124,9 +125,9 @@
 	}
 }
 
-// firstResult waits for the first answer, or for the failure of all tries. If the first try fails
-// before the delay is over, no second one is sent: that would be a retry, which the caller of Do
-// has to decide on.
+// firstResult waits for the first answer, or for the failure of all tries. If the first try
+// fails before the delay is over, no second try is sent: that would be a retry, and the caller
+// of Do has to decide whether to retry.
 func (r *race[T]) firstResult(delay time.Duration) outcome[T] {
 	t := time.NewTimer(delay)
 	defer t.Stop()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -42,7 +42,8 @@
 	ClientTimeout time.Duration // how long the client waits; 0 if not stated
 	// FirstChunk is the number of the first chunk that the client wants of a stream.
 	FirstChunk int
-	// HasPartialAnswer reports that the client has chunks before that one from an earlier try.
+	// HasPartialAnswer reports that the client has chunks before FirstChunk from an earlier
+	// try.
 	HasPartialAnswer bool
 	PromptTokens     int      // tokens of the prompt, 0 if not stated
 	MaxAnswerTokens  int      // maximum number of tokens of the answer, 0 if not stated
@@ -65,7 +66,8 @@
 	Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 }
 
-// Budgets counts first tries, a share of which may be retried.
+// Budgets counts the first tries of each service. The number of retries is limited to a share
+// of the first tries.
 type Budgets interface {
 	First(service string)
 }
@@ -75,8 +77,8 @@
 	Table   *route.Current
 	Runner  Runner
 	Budgets Budgets
-	// StreamMaxWait returns how long a stream waits for a backend server, given its target time; nil
-	// selects half of the target.
+	// StreamMaxWait returns how long a stream waits for a backend server, given the stream's
+	// target time. If it is nil, a stream waits for half of the target.
 	StreamMaxWait func(target time.Duration) time.Duration
 	Log           *event.Log
 	Set           *metrics.Set
@@ -101,14 +103,15 @@
 	// startGrace is how long after its start a Relay lets requests wait for the first
 	// configuration. If there is none by then, the store is assumed to be unreachable.
 	startGrace = 500 * time.Millisecond
-	// startPoll is how often it checks for the configuration meanwhile.
+	// startPoll is how often a waiting request checks whether there is a configuration.
 	startPoll = 5 * time.Millisecond
-	// noConfigRetryAfter is the time to come back after startGrace while there is no
-	// configuration: the store is unreachable, and a client that comes back too soon is refused
-	// again.
+	// noConfigRetryAfter is the time after which refused clients are told to come back if
+	// there is no configuration after startGrace. The store is unreachable then, and a client
+	// that comes back too soon is refused again.
 	noConfigRetryAfter = 2 * time.Second
-	// retryAfterDivisor limits the time to come back to a third of the client's remaining time: a
-	// client that came back later could not be served any more.
+	// retryAfterDivisor limits the time after which a client is told to come back to a third
+	// of the client's remaining time, since a client that came back later could not be served
+	// any more.
 	retryAfterDivisor = 3
 )
 
@@ -137,13 +140,13 @@
 	return v
 }
 
-// table returns the route table in force, nil if there is none. Just after the start it waits for
-// the first one.
+// table returns the route table in force, or nil if there is none. Just after the start of the
+// router it waits for the first table.
 //
-// Without the wait, after all routers were killed, clients come back before the routers have read
-// the store. They would be told to come back two seconds later for a configuration that is
-// available after a tenth of a second. The symptom is refusals for lack of a configuration right
-// after a start.
+// Without the wait, after all routers were killed, clients come back before the routers have
+// read the store. They would be told to come back two seconds later because of a configuration
+// that is available after a tenth of a second. The symptom is refusals for lack of a
+// configuration right after a start.
 func (r *Relay) table(ctx context.Context) *route.Table {
 	for {
 		t := r.cfg.Table.Get()
@@ -158,7 +161,7 @@
 	}
 }
 
-// job is one request with all that was decided about it at its start.
+// job is one request with everything that was decided about it at its start.
 type job struct {
 	cfg      *Config
 	req      *Request
@@ -205,9 +208,10 @@
 	return min(req.ClientTimeout, rt.Timeout)
 }
 
-// age estimates how long ago the client tried first from its remaining time, assuming that
-// clients wait for about as long as the route allows. It is used only to order waiting requests,
-// since a client may have set a shorter timeout from the start.
+// age estimates how long ago the client made its first try. The estimate is the route's
+// timeout minus the client's remaining time, since it assumes that clients wait for about as
+// long as the route allows. It is used only to order waiting requests, since a client may have
+// set a shorter timeout from the start.
 func (j *job) age() time.Duration {
 	if j.req.ClientTimeout <= 0 || j.route.Timeout <= 0 {
 		return 0
@@ -215,8 +219,9 @@
 	return max(j.route.Timeout-j.req.ClientTimeout, 0)
 }
 
-// maxWait is how long a request waits for a backend server: half of the time until its answer is
-// late, since the rest is needed to run it, or as configured.
+// maxWait returns how long a request waits for a backend server. By default it waits for half
+// of the time until its answer is late, since the other half is needed to run the request. For
+// streams, the configuration may set another time.
 func (j *job) maxWait() time.Duration {
 	if j.route.Kind == route.Stream && j.cfg.StreamMaxWait != nil {
 		return j.cfg.StreamMaxWait(j.route.Target)
@@ -266,8 +271,8 @@
 	return req
 }
 
-// copying returns which copies of the run are made: only a run that may be continued elsewhere
-// needs any.
+// copying returns which copies of the run are made. Only a run that may be continued elsewhere
+// needs copies.
 func (j *job) copying() generation.Copying {
 	if j.route.Kind != route.Stream || !j.route.Resumable {
 		return generation.Copying{}
@@ -292,7 +297,8 @@
 	return Result{Status: http.StatusBadGateway}
 }
 
-// retryAfter limits the time to come back to a third of the client's remaining time.
+// retryAfter limits the advised time to come back to a third of the client's remaining time,
+// for the reason stated at retryAfterDivisor.
 func (j *job) retryAfter(advice time.Duration) time.Duration {
 	if j.req.ClientTimeout <= 0 {
 		return advice
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -43,9 +43,9 @@
 	return r.Serve(t.Context(), req, nil), got
 }
 
-// Guards against: a client is told that nothing ran, and sends the request again, though it had
-// run; or an answer that was cut looks complete. A refusal states that nothing ran, so it may
-// be sent only with an outcome for which that is true.
+// A refusal states that nothing ran, so that the client may send the request again. It may be
+// sent only with an outcome for which that is true: otherwise a request that had run would run
+// twice. An answer that was cut must not look complete.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
@@ -65,8 +65,8 @@
 	}
 }
 
-// Guards against: a client comes back when its time is over, because it is told to wait for
-// longer than a third of its remaining time.
+// A client must not be told to wait for longer than a third of its remaining time: it would
+// come back when its time is over.
 func TestAdviceFitsTheClientsTime(t *testing.T) {
 	res := generation.Result{Outcome: fleet.NotRun, RetryAfter: 5 * time.Second}
 	v, _ := serve(t, res, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: 3 * time.Second}, nil)
@@ -103,8 +103,9 @@
 	}
 }
 
-// Guards against: a request that may run only once is tried again elsewhere, a request outlives
-// its route's timeout, or an account's priority doesn't override that of the route.
+// A request that may run only once must not be tried again elsewhere, a request must not
+// outlive its route's timeout, and an account's priority must override the priority of the
+// route.
 func TestRouteDecidesWhatMayBeRepeated(t *testing.T) {
 	_, got := serve(t, generation.Result{Outcome: fleet.Complete}, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: time.Hour}, nil)
 	left := got.Opaque.Deadline.Remaining()
@@ -113,10 +114,10 @@
 	}
 }
 
-// Guards against: clients that come back right after a start are told to wait for two seconds.
-// All routers were killed; a request arrives before its router has read the configuration, which
-// it has a tenth of a second later. The fault is to treat a start as an unreachable store. If the
-// store is unreachable, the clients must be told to wait for two seconds.
+// All routers were killed; a request arrives before its router has read the configuration,
+// which the router does a tenth of a second later. If a start were treated like an unreachable
+// store, clients that come back right after a start would be told to wait for two seconds. If
+// the store really is unreachable, the clients must be told to wait for two seconds.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	for name, c := range map[string]struct {
 		known time.Duration // after the start
