--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ModelRef names exactly what an engine runs. Two generations may be joined into one
-// answer only when all three parts are equal.
+// ModelRef names exactly what an engine runs. Two generations may be joined into one answer
+// only when all three fields are equal.
 type ModelRef struct {
 	Model   string `json:"model" cbor:"1,keyasint"`
 	Version string `json:"version" cbor:"2,keyasint"`
@@ -28,9 +28,9 @@
 type Priority uint8
 
 const (
-	// Batch is work that may wait: long generations.
+	// Batch is the priority of work that may wait: long generations.
 	Batch Priority = iota
-	// Interactive is work that is useless when late: short calls.
+	// Interactive is the priority of work that is useless when late: short calls.
 	Interactive
 )
 
@@ -59,9 +59,9 @@
 const (
 	// Complete means that the whole answer was delivered.
 	Complete Outcome = "complete"
-	// NotRun means that no backend server has run any of the request. It may be
-	// reported only while no byte of the request can have reached a backend server, or
-	// when the backend server itself refused the request before starting it.
+	// NotRun means that no backend server has run any part of the request. It may be reported
+	// only while no byte of the request can have reached a backend server, or when every
+	// backend server that was reached refused the request before starting it.
 	NotRun Outcome = "not-run"
 	// Failed means that the request ran at least in part and will not complete.
 	Failed Outcome = "failed"
@@ -82,28 +82,28 @@
 // Backend is a backend server as announced in the VM list.
 type Backend struct {
 	ID string `json:"id"`
-	// Incarnation is set where a backend server may restart under the same name; ID is
-	// then the ID of this value.
+	// Incarnation is set where a backend server may restart under the same name; the field ID
+	// is then the result of Incarnation.ID.
 	Incarnation   Incarnation `json:"-"`
 	Addr          string      `json:"addr"` // host:port
 	VM            string      `json:"vm"`
 	FailureDomain string      `json:"failure_domain"`
 	Kind          Kind        `json:"kind"`
 	Service       string      `json:"service,omitempty"` // name under /services/, for Kind Service
-	// Version is that of its software, where a roll-out may replace it; empty
-	// elsewhere.
+	// Version is the version of the backend server's software, where a roll-out may replace
+	// that software; it is empty elsewhere.
 	Version string `json:"-"`
-	// ChecksFence is true when the backend server refuses an order whose fencing number
-	// is lower than one that it has already seen.
+	// ChecksFence is true when the backend server refuses an order whose fencing number is
+	// lower than a number that it has already seen.
 	ChecksFence bool `json:"checks_fence"`
-	// Started orders the starts of backend servers: a later start has a higher number.
-	// 0 when that isn't known.
+	// Started orders the starts of backend servers: a later start has a higher number. 0 means
+	// that the number isn't known.
 	Started int64 `json:"started,omitempty"`
 	// Leaving is true once the VM list shows that the VM is about to be removed.
 	Leaving bool `json:"leaving"`
 }
 
-// Name is the name by which the backend server is addressed.
+// Name returns the name by which the backend server is addressed.
 func (b *Backend) Name() string {
 	if b.Incarnation.Name != "" {
 		return b.Incarnation.Name
@@ -111,7 +111,7 @@
 	return b.ID
 }
 
-// LoadReport is an engine's own report of its load, which lags.
+// LoadReport is an engine's own report of its load. It lags behind the actual load.
 type LoadReport struct {
 	Incarnation string     `json:"incarnation"` // new at each start of the engine
 	AsOfUnixMS  int64      `json:"as_of_unix_ms"`
@@ -124,21 +124,21 @@
 	Serves      []ModelRef `json:"serves"`
 }
 
-// AsOf is the time that the report describes.
+// AsOf returns the time that the report describes.
 func (r LoadReport) AsOf() time.Time { return time.UnixMilli(r.AsOfUnixMS) }
 
-// EngineState is an engine's report of its work and memory, made when it is queried. It
-// describes a moment some tenths of a second ago.
+// EngineState is an engine's report of its work and memory, made when the engine is queried.
+// It describes a moment some tenths of a second ago.
 type EngineState struct {
 	Queued           int        // requests that wait for a slot in the batch
-	NextPromptTokens int        // prompt tokens of the first of them, 0 if none waits
+	NextPromptTokens int        // prompt tokens of the first waiting request, 0 if none waits
 	Reading          int        // requests in the batch whose prompts are being read
 	MemoryUsed       int        // tokens in memory that can't be evicted
-	CopyTokens       int        // of those, tokens of copies of runs of other engines
+	CopyTokens       int        // the part of MemoryUsed that copies of runs of other engines occupy
 	Runs             []RunState // in the batch, with their prompts read
 }
 
-// RunState is one run in an EngineState.
+// RunState describes one run in an EngineState.
 type RunState struct {
 	Memory int // tokens in memory
 	Chunks int // chunks of its answer
--- a/fleet/prefix.go
+++ b/fleet/prefix.go
@@ -9,9 +9,9 @@
 // BlockBytes is the size of one prompt-prefix cache block, in bytes of prompt.
 const BlockBytes = 256
 
-// PrefixBlocks hashes each full block of the prompt together with all that precedes it,
-// so that equal hashes mean equal prefixes. At most max hashes are returned. Engines
-// identify their cached blocks by the same hashes.
+// PrefixBlocks hashes each full block of the prompt together with all blocks that precede it,
+// so that equal hashes mean equal prefixes. At most max hashes are returned. Engines identify
+// their cached blocks by the same hashes.
 func PrefixBlocks(prompt string, max int) []uint64 {
 	n := min(len(prompt)/BlockBytes, max)
 	blocks := make([]uint64, 0, n)
--- a/fleet/request.go
+++ b/fleet/request.go
@@ -6,9 +6,9 @@
 	"encoding/hex"
 )
 
-// RequestID identifies a request towards backend servers. It is derived from the client
-// account and the key together: with the key alone, two accounts that choose the same
-// key would reach each other's streams on an engine.
+// RequestID returns the id that identifies a request towards backend servers. It is derived
+// from the client account and the key together: if it were derived from the key alone, two
+// accounts that choose the same key would reach each other's streams on an engine.
 func RequestID(account, key string) string {
 	h := sha256.New()
 	var n [8]byte
--- a/route/current.go
+++ b/route/current.go
@@ -2,16 +2,18 @@
 
 import "sync/atomic"
 
-// Current is the Table in force in this process. Its version only grows: a stale read
-// of the store, a restarted watch or another router may deliver an older one later.
+// Current holds the Table in force in this process. The version of the table in force only
+// grows: a stale read of the store, a restarted watch or another router may deliver an older
+// table after a newer one.
 type Current struct {
 	table atomic.Pointer[Table]
 }
 
-// Get returns the table in force, or nil before the first.
+// Get returns the table in force, or nil before the first table is installed.
 func (c *Current) Get() *Table { return c.table.Load() }
 
-// Install puts a newer table into force; it returns false if the table isn't newer.
+// Install puts a newer table into force. It returns false, and changes nothing, if the table
+// isn't newer than the one in force.
 func (c *Current) Install(t *Table) bool {
 	for {
 		old := c.table.Load()
--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,10 @@
 // Package route holds the routes, services and client accounts of one version of the
 // configuration, and finds the route and the account of a request.
 //
-// It guards against handling a request by a version older than one whose effect has
-// already been seen: a revoked access would work again, or a service would answer from
-// which a route was moved away. A Table is therefore immutable, a request uses one
-// Table from start to end, and Current only ever moves to a higher version.
+// It guards against handling a request by a version that is older than a version whose effect
+// has already been seen: a revoked access would work again, or a route's requests would go to
+// a service from which the route has been moved away. A Table is therefore immutable, a
+// request uses one Table from start to end, and Current only ever moves to a higher version.
 package route
 
 import (
@@ -22,15 +22,16 @@
 
 // The kinds of a route.
 const (
-	// Once is a request that may run at most once.
+	// Once is the kind of route whose requests may run at most once.
 	Once Kind = iota
-	// Repeatable is a request that may run more than once.
+	// Repeatable is the kind of route whose requests may run more than once.
 	Repeatable
-	// Stream is answered by numbered chunks.
+	// Stream is the kind of route whose responses are streams of numbered chunks, so that a
+	// client can resume them.
 	Stream
 )
 
-// String names the kind in logs.
+// String returns the name of the kind that is used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Repeatable:
@@ -41,7 +42,8 @@
 	return "once"
 }
 
-// WeightedService is one service of a split route.
+// WeightedService is one of the services of a split route. Its part of the requests is its
+// weight divided by the sum of the weights.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -56,7 +58,7 @@
 	Split       []WeightedService
 	Kind        Kind
 	Resumable   bool          // a stream may continue at another replica
-	Timeout     time.Duration // a request has its final answer by then; 0 means none
+	Timeout     time.Duration // time within which a request gets its final answer; 0 means no limit
 	Target      time.Duration // deadline for an answer, or for a stream's first chunk, to be on time
 	MaxAttempts int
 	Priority    int  // 0 is the highest
@@ -68,7 +70,7 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick chooses the service of one request; n is a random number.
+// Pick chooses the service of one request by the random number n.
 func (r *Route) Pick(n uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -91,13 +93,12 @@
 type Service struct {
 	Name       string
 	HealthPath string // where its replicas answer health checks
-	// Engine reports that its replicas are model engines. Each has memory for Memory
-	// tokens of the requests that it runs.
+	// Engine reports that the service's replicas are model engines. Each replica has memory
+	// for Memory tokens of the requests that it runs.
 	Engine bool
 	Memory int
-	// KeepsCopies reports that a replica keeps an up-to-date copy of a run at another
-	// replica from the start of the run, and MakesCopies that it makes a copy on
-	// request.
+	// KeepsCopies reports that a replica keeps an up-to-date copy of a run at another replica
+	// from the start of the run. MakesCopies reports that a replica makes a copy on request.
 	KeepsCopies, MakesCopies bool
 }
 
@@ -105,7 +106,7 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority overrides that of the route, if HasPriority.
+	// Priority replaces the priority of the route if HasPriority is true.
 	Priority    int
 	HasPriority bool
 }
@@ -121,12 +122,13 @@
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// Keyless reports that the configuration has no accounts: no request needs a key.
+	// Keyless reports that the configuration has no accounts, so that no request needs a key.
 	Keyless bool
 	Limits  Limits
 }
 
-// Table finds routes and accounts of one version. It is immutable.
+// Table maps hosts and paths to routes, names to services and API keys to client accounts, for
+// one configuration version. It is immutable.
 type Table struct {
 	Version  int64
 	Keyless  bool
@@ -136,7 +138,7 @@
 	keys     map[string]*Account
 }
 
-// NewTable prepares one version for look-ups.
+// NewTable builds the Table of one version of the configuration.
 func NewTable(c *Config) *Table {
 	t := &Table{
 		Version:  c.Version,
@@ -163,7 +165,8 @@
 	return t
 }
 
-// Match returns the route with the longest prefix that begins the path.
+// Match returns the route of the host whose prefix is the longest one with which the path
+// begins.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for _, r := range t.hosts[hostOf(host)] {
@@ -182,7 +185,8 @@
 	return strings.ToLower(host)
 }
 
-// Account returns the client account to which the key belongs.
+// Account returns the client account to which the key belongs. The bool is false if the key is
+// empty or belongs to no account.
 func (t *Table) Account(key string) (*Account, bool) {
 	a, ok := t.keys[key]
 	return a, ok && key != ""
@@ -202,10 +206,11 @@
 	return only, n == 1
 }
 
-// Service returns a service by its name; the zero value when it isn't known.
+// Service returns the service of the given name, or the zero value if the configuration has no
+// such service.
 func (t *Table) Service(name string) Service { return t.services[name] }
 
-// HasService reports whether the configuration names a service.
+// HasService reports whether the configuration has a service of the given name.
 func (t *Table) HasService(name string) bool {
 	_, ok := t.services[name]
 	return ok
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against sending a request to the service of a shorter prefix after a route was
-// added below it, which happens when the first match is used instead of the longest.
+// A request must be handled by the route with the longest prefix. If the first match were used
+// instead, a request would go to the service of a shorter prefix after a route was added below
+// that prefix.
 func TestLongestPrefixWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "c"})
@@ -34,9 +35,9 @@
 	})
 }
 
-// Guards against serving an account again whose key was revoked. The new version is in
-// force, and a stale read delivers the one before it: the highest version must be in
-// force, not the latest arrival.
+// The highest version must be in force, not the version that arrived last. If a stale read
+// that delivers an older version replaced the new version, an account whose key was revoked
+// would be served again.
 func TestVersionOnlyGrows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Current
