--- a/placement/neighbours.go
+++ b/placement/neighbours.go
@@ -10,8 +10,9 @@
 	"wigeondale/health"
 )
 
-// Neighbours returns a function that finds up to n other backend servers of b's service and failure
-// domain, in the order of their health states, working ones first.
+// Neighbours returns a function that finds up to n other backend servers of b's service and
+// failure domain that are not leaving. They are ordered by their health states, with healthy
+// ones first, and at random among equal states.
 func Neighbours(dir *directory.Directory, mon *health.Monitor) func(b fleet.Backend, n int) []fleet.Backend {
 	return func(b fleet.Backend, n int) []fleet.Backend { return neighbours(dir, mon, b, n) }
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement places attempts: it combines the choice among backend servers (routing), their
-// known state (directory) and their health (health).
+// Package placement chooses the backend server for an attempt: it combines the choice among
+// backend servers (routing), their known state (directory) and their health (health).
 //
-// Between the choice and the sending, a backend server may start leaving, or another attempt may be
-// sent to it as its only probe; the request would then reach a server that must get nothing. Both
-// are therefore checked once more at the moment of sending, and the choice is repeated without that
-// server.
+// Between the choice and the sending, a backend server may start leaving, or another attempt
+// may be sent to it as its only probe; the request would then reach a backend server that must
+// not get any request. Both conditions are therefore checked once more at the moment of
+// sending, and if one of them holds, the choice is repeated without that backend server.
 package placement
 
 import (
@@ -20,20 +20,22 @@
 	"wigeondale/routing"
 )
 
-// maxTries bounds how often a choice is repeated because the chosen server became unavailable
-// meanwhile.
+// maxTries bounds how often a backend server is chosen. The choice is repeated when the chosen
+// backend server became unavailable meanwhile.
 const maxTries = 4
 
 // Chooser chooses a backend server among candidates.
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
-	// RetryAfter is the retry time that is returned when a backend server is expected back soon.
+	// RetryAfter is the time to come back that is returned when a backend server is expected
+	// to be available soon.
 	RetryAfter time.Duration
 }
 
-// Pick chooses with the router and counts the attempt, with its load, until the share ends. If no
-// backend server can be chosen, the error is a *generation.Unavailable.
+// Pick chooses a backend server with the router, and counts the attempt with its load at that
+// backend server until the returned share is ended. If no backend server can be chosen, the
+// error is a *generation.Unavailable.
 func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range maxTries {
 		req.Now = time.Now()
@@ -68,7 +70,7 @@
 	return out
 }
 
-// Watcher makes the failure detector watch attempts.
+// Watcher registers attempts with the failure detector.
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
@@ -77,13 +79,14 @@
 	LeavingCode string
 }
 
-// Watch starts to watch one attempt.
+// Watch registers one attempt with the failure detector.
 func (w Watcher) Watch(id string, work health.Work, cancel context.CancelCauseFunc) generation.Watch {
 	return w.Monitor.Watch(id, work, cancel)
 }
 
-// Result reports how an attempt started. Only a connection error counts against a backend server: a
-// refusal shows that it is alive. One that refuses because it is leaving gets no more requests.
+// Result reports how an attempt started. Only a connection error counts against a backend
+// server: a refusal shows that the backend server is alive. A backend server that refuses
+// because it is leaving gets no more requests.
 func (w Watcher) Result(id string, err error) {
 	refused, ok := errors.AsType[*backend.Refused](err)
 	if !ok {
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -1,12 +1,13 @@
-// Package replacement finds out which replica has taken the address of one that
-// crashed, while the registry is unavailable.
+// Package replacement finds out which replica has taken the address of a replica that crashed,
+// while the registry is unavailable.
 //
-// When a failure domain crashes, its replicas are back a second later, at the same addresses and
-// with new ids. While the registry is unavailable no router is notified of them, so that the
-// other domains carry all work; when a second domain of three crashes, a single one does.
-// Then a third to two thirds of all generations are late or lost until the registry is back.
-// So the addresses of lost replicas are probed to see which replica answers now. Addresses may
-// also be reused by other services: a replica is accepted only by what it reports of itself.
+// When a failure domain crashes, its replicas are back a second later, at the same addresses
+// and with new ids. While the registry is unavailable no router is notified of these replicas,
+// so that the other failure domains carry all work. When a second domain of three crashes, a
+// single domain carries all work. Then a third to two thirds of all generations are late or
+// lost until the registry is back. So the addresses of lost replicas are probed to see which
+// replica answers now. Addresses may also be reused by other services: a replica is accepted
+// only by what it reports of itself.
 package replacement
 
 import (
@@ -21,26 +22,27 @@
 // ErrUnchanged reports that the known replica still has its address and has not restarted.
 var ErrUnchanged = errors.New("no other replica has the address")
 
-// Replica is a replica that answered at the address of another one.
+// Replica is a replica that answered at the address of a lost replica.
 type Replica struct {
 	fleet.Incarnation
 	MemoryTokens int  // tokens that fit into its engine's memory
 	Leaving      bool // it accepts no more work
 }
 
-// Prober finds out which replica has the address of another one now.
+// Prober finds out which replica has the address of a given replica now.
 type Prober interface {
-	// Identify returns the replica that has the address of b, or ErrUnchanged when that is b
-	// itself. Any other error means that it could not be found out. checkPath is the path of
-	// the health check of its service.
+	// Identify returns the replica that has the address of b, or ErrUnchanged when that
+	// replica is b itself. Any other error means that the replica could not be identified.
+	// checkPath is the path of the health check of b's service.
 	Identify(ctx context.Context, b fleet.Backend, checkPath string) (Replica, error)
 }
 
 const (
-	// probeInterval is the least time between two probes of an address: a start takes about
-	// as long.
+	// probeInterval is the least time between two probes of an address. The start of a replica
+	// takes about as long.
 	probeInterval = time.Second
-	// probeTimeout bounds one probe. A replica that is up answers at once.
+	// probeTimeout bounds one probe. It can be short because a running replica answers at
+	// once.
 	probeTimeout = 300 * time.Millisecond
 	// maxProbes bounds the number of concurrent probes.
 	maxProbes = 16
@@ -55,10 +57,10 @@
 // New returns a Finder.
 func New(prober Prober) *Finder { return &Finder{prober: prober, probedAt: map[string]time.Time{}} }
 
-// Find returns the replicas that have taken the addresses of lost ones, each with the failure
-// domain and other fields of the one whose address it has. fits decides by what a replica
-// reports of itself whether it serves what the lost one did. Addresses that were probed
-// recently are skipped.
+// Find returns the replicas that have taken the addresses of lost replicas. Each has the
+// failure domain and the other fields of the lost replica whose address it has. fits decides,
+// by what a replica reports of itself, whether the replica serves what the lost one served.
+// Addresses that were probed recently are skipped.
 func (s *Finder) Find(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Replica) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
@@ -71,7 +73,7 @@
 			ctx, stop := context.WithTimeout(ctx, probeTimeout)
 			defer stop()
 			f, err := s.prober.Identify(ctx, b, checkPath)
-			// An address that gave no result is probed again later.
+			// If the probe of an address gives no result, the address is probed again later.
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
 			}
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -11,7 +11,7 @@
 	"wigeondale/fleet"
 )
 
-// fakeProber is a fake prober that holds which replica answers at each address.
+// fakeProber is a Prober with a table of the replicas that answer at each address.
 type fakeProber struct {
 	mu       sync.Mutex
 	replicas map[string]Replica
@@ -35,10 +35,10 @@
 	return f, nil
 }
 
-// Guards against: after a crash of a failure domain while the registry is unavailable a third of
-// the engines gets no work, since none of the restarted replicas is known. They are back at their
-// addresses with new ids; some are still down, one kept running, one is leaving, and one address
-// belongs to another service now.
+// A failure domain crashes while the registry is unavailable. Its replicas are back at their
+// addresses with new ids; some are still down, one kept running, one is leaving, and one
+// address belongs to another service now. If the restarted replicas were not found, a third of
+// the engines would get no work.
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{
@@ -61,8 +61,8 @@
 	})
 }
 
-// Guards against: nodes probe dead machines all the time while the registry is unavailable,
-// because each search probes an address again that didn't answer.
+// While the registry is unavailable, nodes must not probe dead machines all the time. That
+// happens if each search probes an address again that didn't answer.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{"h:1": {}}}
