--- a/cachelookup/cachelookup.go
+++ b/cachelookup/cachelookup.go
@@ -1,14 +1,14 @@
 // Package cachelookup finds the backend server that still has the prompt of a request in its
 // cache, after the client reconnected because its router was lost.
 //
-// When a router dies in the middle of an answer, the client reconnects through another one,
-// which knows nothing of the answer and would send it to any backend server. A prompt of
-// thousands of tokens would be read once more while the backend server that read it first still
-// has it cached: prefill would be paid for twice after each loss of a router, and answers would
-// continue a second late. What a router remembers is lost with it, or with all routers, but the
-// backend servers know what they have cached, so they are queried. This is done only for clients
-// that reconnected, and at most once per backend server while a result may be reused, because
-// queries cost the backend servers work.
+// When a router dies in the middle of an answer, the client reconnects through another router,
+// which knows nothing of the answer and would send the request to any backend server. A prompt
+// of thousands of tokens would be read once more while the backend server that read it first
+// still has it cached: prefill would be paid for twice after each loss of a router, and
+// answers would continue a second late. What a router remembers is lost when that router, or
+// all routers, are lost, but the backend servers know what they have cached, so the backend
+// servers are queried. This is done only for clients that reconnected, and at most once per
+// backend server while a result may be reused, because queries cost the backend servers work.
 package cachelookup
 
 import (
@@ -24,13 +24,13 @@
 	"wigeondale/fleet"
 )
 
-// Lister queries a backend server for the parts of prompts that it has cached, with the number of
-// tokens of each.
+// Lister queries a backend server for the parts of prompts that it has cached. The result maps
+// the id of each part to its number of tokens.
 type Lister interface {
 	CachedParts(ctx context.Context, b fleet.Backend) (map[string]int, error)
 }
 
-// Config configures a Finder. Zero values mean the defaults.
+// Config configures a Finder. Zero values select the defaults.
 type Config struct {
 	MaxAge        time.Duration // how long the result of a query is reused
 	Timeout       time.Duration // of one query
@@ -41,12 +41,13 @@
 const (
 	defaultMaxAge  = 2 * time.Second
 	defaultTimeout = 150 * time.Millisecond
-	// defaultMaxCandidates bounds the connections that the return of one client can open where there
-	// are thousands of replicas.
+	// defaultMaxCandidates bounds how many connections are opened when one client reconnects
+	// to a fleet of thousands of replicas.
 	defaultMaxCandidates = 200
 )
 
-// Finder remembers the results of queries. It is safe for concurrent use.
+// Finder finds the backend server that has a prompt cached, and reuses the results of its
+// queries. It is safe for concurrent use.
 type Finder struct {
 	cfg    Config
 	lister Lister
@@ -64,7 +65,7 @@
 	tokens map[string]int
 }
 
-// New returns a Finder that queries backend servers by lister.
+// New returns a Finder that queries backend servers through lister.
 func New(lister Lister, cfg Config) *Finder {
 	if cfg.MaxAge <= 0 {
 		cfg.MaxAge = defaultMaxAge
@@ -87,8 +88,8 @@
 	}
 }
 
-// Find returns which of the candidates has most of the leading parts cached, and how many tokens
-// these are; 0 when none has any of them.
+// Find returns the candidate that has most tokens of the leading parts cached, and the number
+// of these tokens. If no candidate has the first part, it returns "" and 0.
 func (f *Finder) Find(ctx context.Context, candidates []fleet.Backend, parts []string) (id string, tokens int) {
 	candidates = f.sample(candidates)
 	f.queryAll(ctx, candidates)
@@ -105,7 +106,8 @@
 	return id, tokens
 }
 
-// sample returns the candidates, or a random sample if there are too many.
+// sample returns the candidates, or a random sample of them if there are more than
+// MaxCandidates.
 func (f *Finder) sample(candidates []fleet.Backend) []fleet.Backend {
 	if len(candidates) <= f.cfg.MaxCandidates {
 		return candidates
@@ -115,8 +117,8 @@
 	return drawn[:f.cfg.MaxCandidates]
 }
 
-// leadingTokens counts the tokens of the cached parts up to the first that is missing: a
-// part is of use only with all that come before it.
+// leadingTokens counts the tokens of the cached parts up to the first part that is missing,
+// since a part is of use only together with all parts that come before it.
 func (h cachedParts) leadingTokens(parts []string) int {
 	n := 0
 	for _, p := range parts {
@@ -129,7 +131,8 @@
 	return n
 }
 
-// queryAll queries, concurrently, those candidates whose last result is too old.
+// queryAll queries, concurrently, the candidates without a result that is recent enough to be
+// reused.
 func (f *Finder) queryAll(ctx context.Context, candidates []fleet.Backend) {
 	var wg sync.WaitGroup
 	for _, b := range candidates {
@@ -148,7 +151,8 @@
 	return ok && time.Since(h.at) < f.cfg.MaxAge
 }
 
-// query queries one backend server, or joins a query of it that is under way.
+// query queries one backend server. If a query of that backend server is under way already, it
+// waits for that query instead.
 func (f *Finder) query(ctx context.Context, b fleet.Backend) {
 	f.flight.Do(b.ID, func() (any, error) {
 		f.queries.Inc()
--- a/cachelookup/cachelookup_test.go
+++ b/cachelookup/cachelookup_test.go
@@ -12,7 +12,8 @@
 	"wigeondale/fleet"
 )
 
-// fakeLister is a Lister that answers from a table; a missing entry gives an error.
+// fakeLister is a Lister that answers from a table. A backend server without an entry gives an
+// error.
 type fakeLister struct {
 	mu      sync.Mutex
 	cached  map[string]map[string]int
@@ -44,7 +45,8 @@
 	return out
 }
 
-// A part of a prompt is of use only with all parts before it.
+// Only leading parts count: a part of a prompt is of use only together with all parts before
+// it.
 func TestMostOfTheLeadingPartsWins(t *testing.T) {
 	l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{
 		"tail": {"p2": 900}, "head": {"p1": 10}, "both": {"p1": 10, "p2": 50},
@@ -58,8 +60,9 @@
 	}
 }
 
-// Guards against: engines are slowed down by queries. All routers die and hundreds of clients
-// reconnect at once; if each of them queried every engine, the queries would add up.
+// All routers die and hundreds of clients reconnect at once. Each engine must be queried only
+// once for many clients: if each client caused a query of every engine, the queries would slow
+// down the engines.
 func TestEachIsAskedOnceForMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{"a": {"p": 1}}, delay: 5 * time.Millisecond}
@@ -80,7 +83,8 @@
 	})
 }
 
-// Guards against: a client that reconnected waits for an engine that doesn't answer.
+// A client that reconnected must not wait for an engine that doesn't answer, beyond the
+// timeout of one query.
 func TestSilentOneIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{"a": {"p": 1}}, delay: time.Hour}
@@ -92,8 +96,8 @@
 	})
 }
 
-// Guards against: a node opens thousands of connections at once because it queries every replica
-// of a large fleet when a client reconnects.
+// When a client reconnects to a large fleet, a node must not query every replica: it would
+// open thousands of connections at once.
 func TestFewAreAskedInALargeFleet(t *testing.T) {
 	l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{}}
 	var all []fleet.Backend
