--- a/admission/controller.go
+++ b/admission/controller.go
@@ -35,11 +35,11 @@
 // maxQueueShare is the part of the slack until its deadline that new batch work may spend in
 // the queue.
 //
-// Without it, above capacity the queue grows until each ticket waits as long as its deadline
-// allows. Such a queue serves no more tickets than a short queue, since the slots are full
-// either way. But each ticket starts late and ends just before its deadline or is cut there,
-// and when capacity is back the backlog makes all requests of the next ten seconds late as
-// well.
+// Without this limit, above capacity the queue grows until each ticket waits as long as its
+// deadline allows. Such a queue serves no more tickets than a short queue, since the slots are
+// full either way. But each ticket starts late and ends just before its deadline or is cut
+// there, and when capacity is back the backlog makes all requests of the next ten seconds late
+// as well.
 const maxQueueShare = 0.4
 
 // NewController returns a Controller without accounts: call SetLimits.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -21,10 +21,11 @@
 	expectedEnd time.Time // of batch work that runs
 }
 
-// queue orders the waiters of one class by start-time fair queueing (Goyal, Vin, Cheng 1996): the
-// tickets of each account follow each other in virtual time by cost over weight, and the lowest
-// start tag is served first. However many tickets a large account has waiting, the next ticket of
-// a small one is at most one ticket of each other account away.
+// queue orders the waiters of one class by start-time fair queueing (Goyal, Vin, Cheng 1996).
+// The tickets of each account follow each other in virtual time, spaced by their cost divided
+// by the account's weight, and the lowest start tag is served first. However many tickets a
+// large account has waiting, at most one ticket of each other account is served before the
+// next ticket of a small account.
 type queue struct {
 	items       waiters
 	virtualTime float64 // start tag of the most recently served ticket
--- a/admission/share.go
+++ b/admission/share.go
@@ -17,8 +17,9 @@
 // of the limit, and parts whose members can reach each other use less.
 const unreachableWeight = 1 / MaxOvershoot
 
-// idleShare is the demand, as a share of the limit, that is assumed for each node in addition to
-// the observed one: a node without demand yet must be able to admit its first request.
+// idleShare is the demand, as a share of the limit, that is assumed for each node in addition
+// to the observed demand, since a node without demand yet must be able to admit its first
+// request.
 const idleShare = 0.01
 
 // peerTotals sums up the demand of a number of other routers.
--- a/cachelookup/cachelookup.go
+++ b/cachelookup/cachelookup.go
@@ -151,8 +151,8 @@
 	return ok && time.Since(h.at) < f.cfg.MaxAge
 }
 
-// query queries one backend server. If a query of that backend server is under way already, it
-// waits for that query instead.
+// query queries one backend server. If a query of the same backend server is under way
+// already, this call waits for the result of that query instead.
 func (f *Finder) query(ctx context.Context, b fleet.Backend) {
 	f.flight.Do(b.ID, func() (any, error) {
 		f.queries.Inc()
--- a/generation/accept.go
+++ b/generation/accept.go
@@ -9,12 +9,13 @@
 	gap                // at least one token before it is missing
 )
 
-// tokenFilter decides which tokens belong to the answer: only those of the current attempt, each
-// index once and in order.
+// tokenFilter decides which tokens belong to the answer: only the tokens of the current
+// attempt, each index once and in order.
 //
-// Without it, tokens of a lost engine that comes back after a resume would be mixed with those of
-// its successor, and tokens that an engine repeats or skips would reach the caller. The caller
-// would read a text that no single generation wrote, and nothing in the text would show it.
+// Without this filter, tokens of a lost engine that is available again after a resume would be
+// mixed with the tokens of its successor, and tokens that an engine repeats or skips would
+// reach the caller. The caller would read a text that no single generation wrote, and nothing
+// in the text would show it.
 type tokenFilter struct {
 	attempt int
 	next    int
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -24,7 +24,8 @@
 	// Copy copies the run of the request at from, and returns the name of the copy. Later calls
 	// for the same run copy only the state added since.
 	Copy(ctx context.Context, from fleet.Backend, request string, to fleet.Backend) (name string, err error)
-	// Drop frees the copy of a run that has ended, on both backend servers.
+	// Drop frees the copy of a run that has ended, on the backend server of the run and on
+	// that of the copy.
 	Drop(ctx context.Context, from fleet.Backend, name string) error
 }
 
@@ -46,10 +47,10 @@
 // maintainCopy makes or refreshes the standby copy of the attempt in the background, when
 // there is no copy, the copy was lost or it is due for a refresh.
 //
-// Without it, a run whose copy is lost with the failure domain of the copy continues without
-// any copy. If the failure domain of the run crashes some seconds later, the prompt has to be
-// read again. The symptom is that in every second crash answers pause for a second or more,
-// with their prefill paid for twice.
+// If a lost copy were not replaced, a run whose copy is lost with the failure domain of the
+// copy would continue without any copy. If the failure domain of the run crashes some seconds
+// later, the prompt would have to be read again. The symptom is that in every second crash
+// answers pause for a second or more, with their prefill paid for twice.
 func (x *run) maintainCopy(a *attempt, now time.Time) {
 	if x.Copier == nil || x.req.Opaque == nil || !x.req.Opaque.Copies.OnDemand || x.tracked.Suspected() || now.Sub(a.copyCheckedAt) < copyCheckInterval {
 		return
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -47,8 +47,8 @@
 	// ErrMoved means that an attempt was ended so that the answer is continued elsewhere. It is
 	// not a fault of the backend server.
 	ErrMoved = errors.New("answer is to go on elsewhere")
-	// ErrNoResume means that no remaining run or text can continue the answer without changing
-	// it.
+	// ErrNoResume means that no remaining run and no known text can continue the answer
+	// without changing the answer.
 	ErrNoResume = errors.New("answer can't be continued")
 )
 
@@ -284,8 +284,8 @@
 	Result(backendID string, err error)
 }
 
-// Stream is the answer of one attempt, implemented by *backend.Stream. It belongs to one
-// goroutine, but Close may be called from another one.
+// Stream is the answer of one attempt, implemented by *backend.Stream. It is used by one
+// goroutine only, except that Close may be called from another goroutine.
 type Stream interface {
 	// Next returns the next token, or io.EOF after the end of the answer.
 	Next() (backend.Token, error)
@@ -333,7 +333,7 @@
 type RetryBudget interface {
 	// Take draws one retry for a request to service, which is empty for model engines.
 	Take(service string) bool
-	// Continue draws one retry for a started answer whose attempt was lost. It may draw more than
-	// Take allows, up to a limit.
+	// Continue draws one retry for a started answer whose attempt was lost. Such a retry may
+	// overdraw the budget, up to a limit.
 	Continue(service string) bool
 }
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -260,7 +260,8 @@
 		}
 	}}
 	res := h.run(t, Request{}, sink, Options{})
-	// The last flush comes after the end of the watch.
+	// The last flush comes after the end of the watch, so that flush is not reported as the
+	// caller's time.
 	if res.Outcome != fleet.Complete || flushes < 2 || reported != flushes-1 || h.blocked {
 		t.Errorf("%v: %d of %d flushes reported as the caller's time, still blocked: %v", res.Outcome, reported, flushes, h.blocked)
 	}
--- a/generation/stream.go
+++ b/generation/stream.go
@@ -11,7 +11,7 @@
 
 var errGap = errors.New("token missing")
 
-// stream delivers the attempt's tokens until the attempt ends.
+// stream delivers the tokens of the current attempt until the attempt ends.
 func (x *run) stream() string {
 	a := x.current
 	for {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,12 +1,13 @@
 // Package relay forwards requests with an opaque body to the service of their route, and gives
-// each one its one final, true answer.
+// each request its one final, true answer.
 //
-// A router that has no configuration yet, or an outdated one, must not report that a route or a
-// key doesn't exist: it refuses with the time to come back. A refusal means that nothing ran. It
-// is given at once, and only while that is true (package generation decides it). A request that
-// ran and whose answer is lost gets a status that doesn't state whether it ran (502, or 504 after
-// the deadline), or a broken connection if its answer has started. At the route's timeout the
-// final answer is given, whatever is still running.
+// A router that has no configuration yet, or an outdated one, must not report that a route or
+// a key doesn't exist: it refuses the request with the time to come back. A refusal means that
+// nothing of the request ran. It is given at once, and only while it is certain that nothing
+// ran (package generation decides this). A request that ran and whose answer is lost gets a
+// status that doesn't state whether it ran (502, or 504 after the deadline), or a broken
+// connection if its answer has started. At the route's timeout the final answer is given, even
+// if an attempt is still running.
 package relay
 
 import (
--- a/route/route.go
+++ b/route/route.go
@@ -192,8 +192,8 @@
 	return a, ok && key != ""
 }
 
-// OnlyEngine returns the service whose replicas are model engines, if there is exactly
-// one.
+// OnlyEngine returns the service whose replicas are model engines. The bool is false unless
+// exactly one service has such replicas.
 func (t *Table) OnlyEngine() (Service, bool) {
 	var only Service
 	n := 0
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -19,8 +19,8 @@
 // NoCandidate is returned when the filters leave no candidate.
 type NoCandidate struct {
 	Reason Reason
-	// Retryable is true when the request may succeed later: backend servers recover, or
-	// new ones replace those that are leaving. Repeating the request doesn't help when
+	// Retryable is true when the request may succeed later: backend servers recover, or new
+	// backend servers replace those that are leaving. Repeating the request doesn't help when
 	// no backend server serves the model.
 	Retryable bool
 	Trace     Trace
