--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// RefusalPolicy is a policy that decides which of the requests that wait for an engine are refused.
+// RefusalPolicy is a policy that decides which of the requests that wait for an engine are
+// refused.
 //
-// It applies when for some seconds more prompts arrive than engines read. Which policy is better
-// depends on how much a late answer is worth to its caller, which only the operator knows:
-// serving late answers makes some others late that would have been in time.
+// It applies when for some seconds more prompts arrive than engines read. Which policy is
+// better depends on how much a late answer is worth to its caller, which only the operator
+// knows: serving late answers makes some others late that would have been in time.
 type RefusalPolicy string
 
 const (
--- a/admission/share.go
+++ b/admission/share.go
@@ -36,8 +36,9 @@
 // withIdle adds the idle demand that is assumed for each node.
 func (o peerTotals) withIdle(idle float64) float64 { return o.demand + float64(o.nodes)*idle }
 
-// LimitShare is this node's part of a fleet-wide limit, computed from its own demand, the demand of
-// reachable peers and the last known demand of unreachable ones, all in the unit of the limit.
+// LimitShare is this node's part of a fleet-wide limit, computed from its own demand, the
+// demand of reachable peers and the last known demand of unreachable ones, all in the unit of
+// the limit.
 func LimitShare(limit, localDemand float64, reachableDemands, unreachableDemands []float64) float64 {
 	var reachable, unreachable peerTotals
 	for _, d := range reachableDemands {
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -85,8 +85,8 @@
 	return Position{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: w.late}
 }
 
-// MarkLate moves a waiting request behind all requests that can still be in time, permanently, and
-// returns its new position.
+// MarkLate moves a waiting request behind all requests that can still be in time, permanently,
+// and returns its new position.
 func (l *WaitQueue) MarkLate(id string, now time.Time) Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,13 +99,13 @@
 	return Position{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: true}
 }
 
-// RecordGrant records that a request was granted a slot, and takes it out of the queue. grantInterval is
-// measured only from grants to requests that had to wait, during an interval throughout which
-// requests were waiting.
+// RecordGrant records that a request was granted a slot, and takes it out of the queue.
+// grantInterval is measured only from grants to requests that had to wait, during an interval
+// throughout which requests were waiting.
 //
 // If other intervals counted, then at a router with little traffic the measure would be the
-// interval at which requests arrive, not the one at which engines have free slots, and a request
-// that is alone in the queue would be refused although it is the next one.
+// interval at which requests arrive, not the one at which engines have free slots, and a
+// request that is alone in the queue would be refused although it is the next one.
 func (l *WaitQueue) RecordGrant(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// ErrOtherAnswered is the cause with which the context of a try is cancelled when the other try answered
-// first.
+// ErrOtherAnswered is the cause with which the context of a try is cancelled when the other
+// try answered first.
 var ErrOtherAnswered = errors.New("the other try answered first")
 
 // Call is one call that may be hedged.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -74,8 +74,8 @@
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
-	// LeavingCode is the code of the refusal with which a backend server reports that it accepts no more
-	// work.
+	// LeavingCode is the code of the refusal with which a backend server reports that it
+	// accepts no more work.
 	LeavingCode string
 }
 
