--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// BenchmarkNeighbours measures the choice of neighbours after a change, and
-// reports the number of links per node that result from the choices of all nodes.
+// BenchmarkNeighbours measures the choice of neighbours after a change, and reports the
+// average and the maximum number of links per node that the choices of all nodes lead
+// to.
 func BenchmarkNeighbours(b *testing.B) {
 	rs := testRecords(targetNodes)
 	t := Config{}.withDefaults().Topology
--- a/peer/call.go
+++ b/peer/call.go
@@ -10,9 +10,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// maxRelays is the maximum number of linked nodes that are tried as relays of one
-// call. The next one is tried only if the previous one had no route, so that the
-// call surely was not run.
+// maxRelays is the maximum number of linked nodes that are tried as relays of one call.
+// The next relay is tried only if the previous relay had no route to the callee,
+// because only then is it certain that the callee has not run the call.
 const maxRelays = 3
 
 // defaultCallTimeout is the timeout of a call whose caller has no deadline, and
@@ -36,11 +36,11 @@
 	}
 }
 
-// Call sends a request to a node and waits for the reply until ctx ends. If there
-// is no link to the node, Call dials the node; if that fails, it sends the request
-// through a linked node, which relays it. Errors: ErrNoRoute, ErrStopped and
-// ErrTooLarge (the call was not run), ErrLinkLost (it may have run), *RemoteError
-// (the callee's answer).
+// Call sends a request to a node and waits for the reply until ctx ends. If there is no
+// link to the node, Call dials the node; if that fails, it sends the request through a
+// linked node, which relays it. Errors: ErrNoRoute, ErrStopped and ErrTooLarge (the
+// callee did not run the call), ErrLinkLost (the callee may have run the call),
+// *RemoteError (the callee answered that the call failed).
 func Call[Req, Rep any](ctx context.Context, m *Mesh, node, kind string, req Req) (Rep, error) {
 	var rep Rep
 	body, err := encMode.Marshal(req)
@@ -75,9 +75,9 @@
 	return m.relay(ctx, node, f)
 }
 
-// relay sends the call through linked nodes, each of which may forward it by one
-// hop. It tries the next linked node only if the call surely has not reached the
-// callee.
+// relay sends the call through linked nodes, each of which may forward it by one hop.
+// It tries the next linked node only if it is certain that the call has not reached the
+// callee, so that the callee does not run the call twice.
 func (m *Mesh) relay(ctx context.Context, node string, f frame) (cbor.RawMessage, error) {
 	f.To = node
 	links := m.shuffledLinks(node)
@@ -136,7 +136,7 @@
 	delete(l.calls, id)
 }
 
-// failCalls fails the calls that wait for a reply on a link that has closed.
+// failCalls makes the calls that wait for a reply on a closed link return ErrLinkLost.
 func (l *link) failCalls() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +159,8 @@
 	reply <- f
 }
 
-// receiveCall serves or relays a call in its own goroutine.
+// receiveCall serves or relays a call in its own goroutine. If all call slots are
+// taken, it replies CodeBusy instead.
 func (m *Mesh) receiveCall(l *link, f frame) {
 	l.markUsed()
 	select {
@@ -270,9 +271,9 @@
 	return uint64(max(time.Until(t).Milliseconds(), 1))
 }
 
-// timeoutOf returns the timeout that the caller sent. If there is none or it
-// exceeds the default, the default applies, so that no call occupies a slot for
-// longer than that.
+// timeoutOf returns the timeout that the caller sent. If the caller sent no timeout, or
+// one above the default, timeoutOf returns the default, so that no call occupies a slot
+// for longer than the default.
 func timeoutOf(f frame) time.Duration {
 	limit := uint64(defaultCallTimeout / time.Millisecond)
 	if f.Arg == 0 || f.Arg > limit {
--- a/peer/config.go
+++ b/peer/config.go
@@ -14,15 +14,14 @@
 	OtherDomainLinks int // in larger fleets: links to other failure domains
 }
 
-// Config describes one node. Zero durations and counts are replaced by the
-// defaults.
+// Config describes one node. New replaces zero durations and counts by the defaults.
 type Config struct {
 	ID            string
 	Addr          string // host:port that other nodes dial
 	FailureDomain string
-	Incarnation   uint64 // zero: the time of New in ns since 1970
+	Incarnation   uint64 // zero means the time of New in ns since 1970
 	Seeds         []string
-	TLS           *tls.Config // nil: plain WebSocket
+	TLS           *tls.Config // nil means links without TLS
 	Topology      Topology
 
 	Heartbeat      time.Duration // interval between heartbeats on a link; default 1 s
@@ -34,11 +33,11 @@
 	IdleTimeout    time.Duration // until an unused link made for a call is closed; default 60 s
 	MaxMessage     int           // size of a message in bytes; default 1 MiB + 64 KiB
 	MaxQueueBytes  int           // bytes queued on one link; default 4 MiB
-	MaxLinks       int           // accepted and dialled; default 64
-	MaxCallLinks   int           // dialled on demand for calls; default 8
+	MaxLinks       int           // open links, accepted and dialled; default 64
+	MaxCallLinks   int           // links dialled on demand for calls; default 8
 	MaxCallsServed int           // calls that this node runs at once; default 128
 
-	// Dial opens the TCP connections; nil means a net.Dialer.
+	// Dial opens the TCP connections. If it is nil, the mesh uses a net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -20,15 +20,16 @@
 
 // Long messages are compressed, each independently of the others.
 //
-// When hundreds of nodes with thousands of backend servers start together, each
-// node sends large pages to its neighbours. Without compression these saturate
-// slow network links, and calls to the registry queue behind them and time out,
-// so that nodes know all backend servers only half a minute after their start.
+// When hundreds of nodes with thousands of backend servers start together, each node
+// sends large pages to its neighbours. Without compression these pages saturate slow
+// network links. Calls to the registry then queue behind the pages and time out, so
+// that nodes know all backend servers only half a minute after their start.
 const (
 	compression = websocket.CompressionNoContextTakeover
-	// compressionThreshold is the length in bytes from which compression is
-	// worthwhile. The tables of the compressor take about a megabyte, which nodes
-	// of small fleets, whose messages are shorter, never need.
+	// compressionThreshold is the length in bytes from which messages are compressed.
+	// The tables of the compressor take about a megabyte of memory; nodes of small
+	// fleets never allocate them, because their messages are shorter than the
+	// threshold.
 	compressionThreshold = 32 << 10
 )
 
@@ -36,8 +37,9 @@
 // the same node is kept, or because the remote node is this node itself.
 var errDuplicateLink = errors.New("a link to the node exists")
 
-// errUnreachable means that there was no answer at an address. A node that
-// answers is alive, even if it refuses the connection because it is busy.
+// errUnreachable means that there was no answer at an address. Of the errors of a probe
+// only this one makes the probed member suspect: a node that answers is alive, even if
+// it refuses the connection because it is busy.
 var errUnreachable = errors.New("no answer")
 
 // dialState holds the backoff of the dials to one address.
@@ -119,9 +121,10 @@
 	return l, nil
 }
 
-// checkDialled returns an error if the dialled node is not the expected one, is
-// this node itself, or is linked already. In the last case the acceptor would
-// replace the existing healthy link.
+// checkDialled returns an error if the dialled node is not the expected one, is this
+// node itself, or is linked already. In the last case the dialler must end the
+// handshake, because otherwise the acceptor would replace the existing healthy link by
+// the new one.
 func (m *Mesh) checkDialled(rec Record, wantID string) error {
 	if wantID != "" && rec.ID != wantID {
 		return Error.New("%w: dialled node %s, reached node %s", ErrHandshake, wantID, rec.ID)
@@ -168,8 +171,8 @@
 	e.demand = nil
 }
 
-// dial returns a link to the node that listens at addr. It dials the node unless
-// there is a link already. wantID is the expected node id, or empty for a seed.
+// dial returns a link to the node that listens at addr. It dials the node unless a link
+// to wantID exists already. wantID is the expected node id, or empty for a seed.
 func (m *Mesh) dial(ctx context.Context, addr, wantID string) (*link, error) {
 	ch := m.dialer.DoChan(addr, func() (any, error) { return m.dialOnce(addr, wantID) })
 	select {
@@ -269,11 +272,12 @@
 	return nil
 }
 
-// replaces reports whether link l replaces the link old to the same node. Both
-// nodes keep the same link: if both dialled at the same time, it is the link
-// dialled by the node with the lower id. A node that dials again has lost its old
-// link, even if that link still appears open at the other end. Without that rule
-// a half-open link would block the new one until its timeout.
+// replaces reports whether link l replaces the link old to the same node. Both nodes
+// must keep the same link: if both dialled at the same time, they keep the link dialled
+// by the node with the lower id. If the same node dialled both links, it has lost the
+// old link, even if the old link still appears open at the other end, so the new link
+// replaces the old one. Otherwise a half-open link would block the new link until the
+// half-open link times out.
 func replaces(old, l *link, silence time.Duration) bool {
 	switch {
 	case l.incarnation != old.incarnation:
--- a/peer/dialpolicy.go
+++ b/peer/dialpolicy.go
@@ -28,11 +28,11 @@
 	}
 }
 
-// dialSeeds dials seeds whose address is not that of a live member: several at
-// once while this node has no link, and then one random seed per heartbeat, which
-// joins parts of the fleet that have started separately. The VM list may name the
-// whole fleet; if a starting node dialled all of it, every node would have to
-// perform a handshake.
+// dialSeeds dials seeds whose address is not the address of a live member. While this
+// node has no link, it dials several seeds at once. After that it dials one random seed
+// per heartbeat, so that parts of the fleet that have started separately are joined.
+// The VM list may name the whole fleet; if a starting node dialled all of it, every
+// node would have to perform a handshake.
 func (m *Mesh) dialSeeds(now time.Time, known map[string]bool) {
 	if len(m.links) > 0 && !due(now, &m.nextSeedDial, m.cfg.Heartbeat) {
 		return
@@ -58,9 +58,9 @@
 	return now.Sub(latest(e.neighbourSince, e.lastReceived)) > 2*m.cfg.Heartbeat
 }
 
-// dialAsync dials in the background unless the address is being dialled or in
-// backoff, or too many dials are in progress. unreachable is called if there is
-// no answer at the address; it may be nil.
+// dialAsync dials in the background unless the address is being dialled or in backoff,
+// or too many dials are in progress. If there is no answer at the address, dialAsync
+// calls unreachable, unless unreachable is nil.
 func (m *Mesh) dialAsync(now time.Time, addr, wantID string, unreachable func()) {
 	s := m.dials[addr]
 	if s == nil {
@@ -103,8 +103,9 @@
 	s.backoff(time.Now(), m.cfg.Heartbeat/initialBackoffDivisor, m.cfg.MaxBackoff)
 }
 
-// probe dials a random member that has no link. Otherwise the crash of a member
-// that no node has chosen as a neighbour would never be detected.
+// probe dials a random member that has no link. If there is no answer, the member
+// becomes suspect. Without these probes, the crash of a member that no node has chosen
+// as a neighbour would never be detected.
 func (m *Mesh) probe(now time.Time) {
 	e := m.randomEntry(func(e *entry) bool {
 		return e.rec.Status == Alive && m.links[e.rec.ID] == nil
@@ -126,8 +127,8 @@
 }
 
 // dialDead dials a random dead member. After a partition the nodes on each side
-// consider those on the other side dead, and without this no node would dial the
-// other side again.
+// consider the nodes on the other side dead, and without these dials no node would dial
+// the other side again.
 func (m *Mesh) dialDead(now time.Time) {
 	e := m.randomEntry(func(e *entry) bool { return e.rec.Status == Dead })
 	if e != nil {
@@ -172,9 +173,10 @@
 	return m.dial(ctx, addr, node)
 }
 
-// freeCallLink reports whether another link may be dialled for a call. If the
-// limit on such links is reached, it closes the one that is unused for longest
-// and on which no call waits for a reply.
+// freeCallLink reports whether another link may be dialled for a call. If the limit on
+// links dialled for calls is reached, freeCallLink closes the link that has been unused
+// for longest among those on which no call waits for a reply. It returns false if calls
+// wait on all of these links.
 func (m *Mesh) freeCallLink() bool {
 	links := m.callLinks()
 	if len(links) < m.cfg.MaxCallLinks {
--- a/peer/errors.go
+++ b/peer/errors.go
@@ -13,10 +13,10 @@
 var (
 	// ErrNoRoute means that the call did not reach the node and was not run.
 	ErrNoRoute = errors.New("no route to node")
-	// ErrLinkLost means that the link closed or the context ended during the call:
-	// the callee may have run it.
+	// ErrLinkLost means that the link closed or the context ended during the call, so
+	// the callee may have run the call.
 	ErrLinkLost = errors.New("link lost during call")
-	// ErrStopped means that the mesh is not running and nothing was sent.
+	// ErrStopped means that the mesh is not running, so nothing was sent.
 	ErrStopped = errors.New("mesh stopped")
 	// ErrTooLarge means that an encoded message exceeds Config.MaxMessage.
 	ErrTooLarge = errors.New("message too large")
@@ -25,20 +25,24 @@
 	ErrHandshake = errors.New("handshake refused")
 )
 
-// Code classifies the failure of a call that was answered.
+// Code classifies the failure of a call to which the callee or a relay replied with an
+// error.
 type Code uint16
 
 const (
 	// CodeHandler is an error returned by the callee's handler.
 	CodeHandler Code = 1 + iota
-	// CodeNoHandler means that the callee has no handler for the kind: not run.
+	// CodeNoHandler means that the callee has no handler for the kind and did not run
+	// the call.
 	CodeNoHandler
-	// CodeBadRequest means that the request could not be decoded: not run.
+	// CodeBadRequest means that the callee could not decode the request and did not run
+	// the call.
 	CodeBadRequest
-	// CodeBusy means that the callee runs too many calls already: not run.
+	// CodeBusy means that the node that received the call already runs too many calls;
+	// the call was not run.
 	CodeBusy
-	codeRelayNoRoute // the relaying node could not reach the callee: not run
-	codeRelayLost    // the relaying node lost its link to the callee: may have run
+	codeRelayNoRoute // the relaying node could not reach the callee; the call was not run
+	codeRelayLost    // the relaying node lost its link to the callee; the callee may have run the call
 	// CodeUser is the first code that handlers may define.
 	CodeUser Code = 100
 )
--- a/peer/evaluate.go
+++ b/peer/evaluate.go
@@ -35,10 +35,11 @@
 
 // Evaluate decides how the record of a member changes. It is a pure function.
 //
-// A node that was paused received nothing during the pause. Without PauseEnd it
-// would mark the whole fleet dead as soon as it resumes. A member from which this
-// node still receives on a direct link is never marked dead because of another
-// node's suspicion, which may be due to a partition between those two.
+// A node that was paused received nothing during the pause. If Evaluate did not count
+// timeouts from PauseEnd, the node would mark all its neighbours suspect, and suspect
+// members dead, as soon as it resumes. A member from which this node still receives on
+// a direct link is never marked dead because of another node's suspicion, which may be
+// due to a partition between the member and that other node.
 func Evaluate(now time.Time, e Evidence, p Policy) Decision {
 	since := latest(e.LastReceived, e.NeighbourSince, e.PauseEnd)
 	timedOut := now.Sub(since) > p.LinkTimeout
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -24,7 +24,7 @@
 	return &seenSet{limit: limit, current: make(map[uint64]struct{})}
 }
 
-// add adds the key and reports whether it was not in the set before.
+// add adds the key and reports whether the key is new to the set.
 func (s *seenSet) add(key uint64) bool {
 	if _, ok := s.current[key]; ok {
 		return false
@@ -69,8 +69,9 @@
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
 // SendToLinked sends v to the linked members only, which do not forward it. It is meant
-// for updates that newer ones soon replace. Forwarding would cost one message per
-// link of the fleet for each update, instead of one per neighbour.
+// for updates that newer updates soon replace. Forwarding each update would cost one
+// message per link of the whole fleet, instead of one message per neighbour of this
+// node.
 func (m *Mesh) SendToLinked(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
 
 func (m *Mesh) flood(kind string, v any, hops uint64) error {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// receiveFlood queues a new flood for its handler and forwards it.
+// receiveFlood queues a flood that this node has not seen yet for its handler and
+// forwards the flood.
 func (m *Mesh) receiveFlood(l *link, f frame) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,8 +132,8 @@
 	}
 }
 
-// recoverPanic runs a handler and turns a panic into an error. All nodes run the
-// same handlers, and a flood is forwarded before it is handled, so without this a
+// recoverPanic runs a handler and turns a panic into an error. All nodes run the same
+// handlers, and a flood is forwarded before it is handled, so without the recovery a
 // single message could crash every node.
 func recoverPanic(handler func() error) (err error) {
 	defer func() {
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -34,11 +34,11 @@
 	MAC []byte
 }
 
-// handshake performs the handshake and returns the record of the authenticated
-// remote node. The caller bounds its duration by ctx and its size by the read
-// limit of c. A dialler passes check, which may end the handshake before a proof
-// is sent, so that the acceptor keeps any link that it already has; an acceptor
-// passes nil.
+// handshake performs the handshake and returns the record of the authenticated remote
+// node. The caller bounds its duration by ctx and its size by the read limit of c. A
+// dialler passes check, which may end the handshake before the dialler sends its proof,
+// so that the acceptor keeps any link that it already has to the dialler. An acceptor
+// passes a nil check, which makes handshake act as the acceptor.
 func handshake(ctx context.Context, c *websocket.Conn, key []byte, self Record, check func(Record) error) (Record, error) {
 	nonce := make([]byte, nonceBytes)
 	rand.Read(nonce)
--- a/peer/link.go
+++ b/peer/link.go
@@ -77,7 +77,7 @@
 	l.once.Do(func() { close(l.done) })
 }
 
-// closeReason returns why the link closed. It does not change after run has
+// closeReason returns why the link closed. The reason does not change after run has
 // returned.
 func (l *link) closeReason() string {
 	l.mu.Lock()
@@ -85,9 +85,10 @@
 	return l.reason
 }
 
-// send queues a message and never blocks. A link whose queue is full is closed,
-// because its peer reads too slowly and the queue must not grow without bound.
-// Lost messages are repaired by anti-entropy once there is a new link.
+// send queues a message and never blocks. A link whose queue is full is closed, because
+// its peer reads too slowly and the queue must not grow without bound. Anti-entropy
+// repairs the loss of the queued messages once there is a new link. send returns false
+// if the link is closed.
 func (l *link) send(kind frameType, payload []byte) bool {
 	select {
 	case <-l.done:
--- a/peer/members.go
+++ b/peer/members.go
@@ -11,11 +11,11 @@
 type Summary struct {
 	Revision uint64 // revision of the configuration in force
 	Ready    bool
-	// Demand is the demand in tokens per second, by client account. SetSummary
-	// expects only the entries that changed; zero removes an entry. Members
-	// returns it for this node and for linked nodes only: in a fleet above the
-	// full-mesh limit, the demand of every client account at every node would not
-	// fit into the 3 KB/s of one node.
+	// Demand is the demand in tokens per second, by client account. SetSummary expects
+	// only the entries that changed; zero removes an entry. Members returns the demand
+	// of this node and of linked nodes only: in a fleet above the full-mesh limit, the
+	// demand of every client account at every node would not fit into the 3 KB/s of one
+	// node.
 	Demand map[string]float64
 }
 
@@ -115,8 +115,8 @@
 	demand[account] = rate
 }
 
-// SetLeaving announces to the fleet that this node is shutting down. It cannot be
-// undone within an incarnation.
+// SetLeaving announces to the fleet that this node is shutting down. The announcement
+// cannot be undone within an incarnation.
 func (m *Mesh) SetLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,8 +127,8 @@
 	m.publishSelf()
 }
 
-// publishSelf increments the version of this node's record and schedules the
-// record to be sent to the linked nodes.
+// publishSelf increments the version of this node's record and makes the next tick send
+// the record to the linked nodes.
 func (m *Mesh) publishSelf() {
 	m.self.Version++
 	m.storeSelf()
--- a/peer/members_bench_test.go
+++ b/peer/members_bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkMembers measures copying the membership at the target size and choosing
-// one member by rendezvous hash, as is done for the owner of a shard of claims.
+// BenchmarkMembers measures copying the membership at the target size and choosing one
+// member by rendezvous hash, which is how the owner of a shard of claims is chosen.
 func BenchmarkMembers(b *testing.B) {
 	m := idleMesh(b, targetNodes)
 	b.ReportAllocs()
--- a/peer/merge.go
+++ b/peer/merge.go
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// Merge merges two records of one node. It is commutative, associative and
-// idempotent, so that the members agree regardless of the order, repetition or
-// delay of the records they receive. Without that, a delayed report could
-// overwrite a newer one.
+// Merge merges two records of one node. It is commutative, associative and idempotent,
+// so that the members agree regardless of the order, repetition or delay of the records
+// they receive. Without these properties, a delayed report could overwrite a newer
+// report.
 func Merge(a, b Record) Record {
 	if c := cmp.Compare(a.Incarnation, b.Incarnation); c != 0 {
 		return pick(c, a, b)
@@ -100,15 +100,15 @@
 	return -1
 }
 
-// refute returns the record with which a node refutes a record about itself that
-// it received from a peer, and whether it needs to refute it.
+// refute returns the record with which a node refutes a record about itself that it
+// received from a peer, and whether the received record needs to be refuted.
 //
-// A node that was paused or cut off is marked suspect or dead by its peers. If it
-// did not refute that, it would stay dead for them although it serves requests.
-// A received record with a higher incarnation than the node's own means that the
-// node's clock was set back before a restart. The node then continues with an
-// incarnation above the received one, because otherwise its records would lose
-// every merge.
+// A node that was paused or cut off is marked suspect or dead by its peers. If the node
+// did not refute that status, it would stay dead for its peers although it serves
+// requests. A received record with a higher incarnation than the node's own means that
+// the node's clock was set back before a restart. The node then continues with an
+// incarnation above the received one, because otherwise its records would lose every
+// merge.
 func refute(self, received Record) (Record, bool) {
 	if received.Incarnation > self.Incarnation {
 		self.Incarnation = received.Incarnation + 1
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -22,9 +22,9 @@
 	}
 })
 
-// Guards against two members that disagree about a third one forever. This
-// happens if they receive the same records in a different order, or one of them
-// twice, and the result of the merge depends on order or repetition.
+// TestMergeIsAJoin guards against two members that disagree about a third one forever.
+// The failure occurs if they receive the same records in a different order, or one of
+// them twice, and the result of the merge depends on order or repetition.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := records.Draw(t, "a"), records.Draw(t, "b"), records.Draw(t, "c")
@@ -40,10 +40,10 @@
 	})
 }
 
-// Guards against a resumed or restarted node that serves requests but stays dead
-// for its peers. This happens if they spread a record about it in the meantime,
-// with any version or incarnation, and the node's refutation does not win the
-// merge against that record.
+// TestRefutationWins guards against a resumed or restarted node that serves requests
+// but stays dead for its peers. The failure occurs if they spread a record about it in
+// the meantime, with any version or incarnation, and the node's refutation does not win
+// the merge against that record.
 func TestRefutationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self, received := records.Draw(t, "self"), records.Draw(t, "rumour")
@@ -59,8 +59,8 @@
 	})
 }
 
-// Guards against live members that are marked dead and dead members that are not
-// detected, because of silence, a peer's suspicion or this node's own pause. Each
+// TestJudge guards against live members that are marked dead and dead members that are
+// not detected, because of silence, a peer's suspicion or this node's own pause. Each
 // case is named after its situation.
 func TestJudge(t *testing.T) {
 	p := Policy{LinkTimeout: 4 * time.Second, SuspectTimeout: 5 * time.Second, ForgetAfter: time.Hour}
@@ -91,9 +91,9 @@
 	}
 }
 
-// Guards against digests that never become equal and dropped members that return
-// forever. This happens if the digests depend on the order in which records are
-// merged or on dead records that only some nodes have dropped.
+// TestTableDigestsAgree guards against digests that never become equal and dropped
+// members that return forever. The failure occurs if the digests depend on the order in
+// which records are merged or on dead records that only some nodes have dropped.
 func TestTableDigestsAgree(t *testing.T) {
 	now := time.Unix(1, 0)
 	a, b := newTable(), newTable()
@@ -129,10 +129,10 @@
 	}
 }
 
-// Guards against a dead member that its neighbours detect at once but all other
-// members only after many digests. This happens if a neighbour suspects the
-// member and does not send the suspicion with the changed records of the next
-// tick.
+// TestSuspicionIsPushed guards against a dead member that its neighbours detect at once
+// but all other members only after many digests. The failure occurs if a neighbour
+// suspects the member and does not send the suspicion with the changed records of the
+// next tick.
 func TestSuspicionIsPushed(t *testing.T) {
 	m, err := New(Config{ID: "n", Addr: "n"}, testKey, nil, nil)
 	if err != nil {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -54,8 +54,8 @@
 	onChange           []func()
 }
 
-// New returns a mesh that does nothing until Run is called. key is the shared
-// key, at least 16 bytes. log and set may be nil.
+// New returns a mesh that does nothing until Run is called. key is the shared key of
+// the fleet and must have at least 16 bytes. log and set may be nil.
 func New(cfg Config, key []byte, log *event.Log, set *metrics.Set) (*Mesh, error) {
 	cfg = cfg.withDefaults()
 	if len(key) < minKeyBytes {
@@ -172,9 +172,9 @@
 	}
 }
 
-// announceLeave sends a dead record of this node to the linked nodes, so that
-// they need not wait for a timeout, and closes the links after their queues have
-// been written.
+// announceLeave sends a dead record of this node to the linked nodes, so that the
+// linked nodes detect the shutdown without waiting for a timeout, and closes the links
+// after their queues have been written.
 func (m *Mesh) announceLeave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,9 +216,9 @@
 	m.onLink = append(m.onLink, fn)
 }
 
-// OnChange registers fn to be called after changes of the membership, on the
-// goroutine of the flood handlers; it must not block. Several changes in quick
-// succession may result in one call. Register before Run.
+// OnChange registers fn to be called after changes of the membership, on the goroutine
+// of the flood handlers. fn must not block, because floods wait meanwhile. Several
+// changes in quick succession may result in one call. Register before Run.
 func (m *Mesh) OnChange(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -123,12 +123,11 @@
 	}
 }
 
-// Guards against a node that stays out of the fleet after a pause or network cut,
-// or loses its state in the fleet. This happens if the silence is not detected,
-// if the node does not refute the reports about it, or if no node dials again
-// because each side considers the other dead. The test drops all bytes to and
-// from n02 for a minute while the connections stay open, and removes the seeds
-// before.
+// TestCutAndHeal guards against a node that stays out of the fleet after a pause or
+// network cut, or loses its state in the fleet. The failure occurs if the silence is
+// not detected, if the node does not refute the reports about it, or if no node dials
+// again because each side considers the other dead. The test drops all bytes to and
+// from n02 for a minute while the connections stay open, and removes the seeds before.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -161,10 +160,10 @@
 	})
 }
 
-// Guards against a link that appears healthy at one end but is unusable. This
-// happens if the bytes from n00 to n01 are lost and those from n01 to n00 are
-// not, so that only n01 can detect it. n01 must close the link for both nodes.
-// Both must stay members through the third node, which also relays calls between
+// TestOneWayCutRelays guards against a link that appears healthy at one end but is
+// unusable. The failure occurs if the bytes from n00 to n01 are lost and those from n01
+// to n00 are not, so that only n01 can detect it. n01 must close the link for both
+// nodes. Both must stay members through the third node, which also relays calls between
 // them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -191,9 +190,10 @@
 	})
 }
 
-// Guards against a caller that repeats a call that ran, or gives up a call that
-// never ran. This happens if the errors do not distinguish a call to an
-// unreachable node from a call whose callee is cut off while it runs.
+// TestCallErrorsTellWhetherItRan guards against a caller that repeats a call that ran,
+// or gives up a call that never ran. The failure occurs if the errors do not
+// distinguish a call to an unreachable node from a call whose callee is cut off while
+// it runs.
 func TestCallErrorsTellWhetherItRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -220,8 +220,9 @@
 	})
 }
 
-// Guards against a single message whose handler panics and that thereby crashes
-// every node, because each node forwards the message before it handles it.
+// TestPanicOfAHandlerEndsNoNode guards against a single message whose handler panics
+// and that thereby crashes every node, because each node forwards the message before it
+// handles it.
 func TestPanicOfAHandlerEndsNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -247,9 +248,9 @@
 	})
 }
 
-// Guards against a restarted node that its peers confuse with its previous
-// incarnation. This happens if n01 stops and starts again without a configuration
-// in force, and the state of its old incarnation is kept.
+// TestRestartWithNewIncarnation guards against a restarted node that its peers confuse
+// with its previous incarnation. The failure occurs if n01 stops and starts again
+// without a configuration in force, and the state of its old incarnation is kept.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -274,8 +275,9 @@
 	})
 }
 
-// Guards against a process with a wrong key that joins the fleet. This happens if
-// the dialler or the acceptor does not check the proof of the other side.
+// TestWrongKeyIsRefused guards against a process with a wrong key that joins the fleet.
+// The failure occurs if the dialler or the acceptor does not check the proof of the
+// other side.
 func TestWrongKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -295,9 +297,9 @@
 	})
 }
 
-// Guards against a process without the key that is accepted as a node. This
-// happens if a node dials the process, which sends its own hello and then returns
-// the node's proof, and the proofs are the same in both directions.
+// TestReflectedProofIsRefused guards against a process without the key that is accepted
+// as a node. The failure occurs if a node dials the process, which sends its own hello
+// and then returns the node's proof, and the proofs are the same in both directions.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -332,11 +334,11 @@
 	c.Read(ctx)
 }
 
-// Guards against healthy links that close every few seconds and lose their calls.
-// This happens if the settings list a seed under another address than the seed
-// node announces. The seed then never counts as known and is dialled again and
-// again, and the acceptor treats each new connection of a dialler as the end of
-// the old link.
+// TestSeedAliasKeepsTheLink guards against healthy links that close every few seconds
+// and lose their calls. The failure occurs if the settings list a seed under another
+// address than the seed node announces. The seed then never counts as known and is
+// dialled again and again, and the acceptor treats each new connection of a dialler as
+// the end of the old link.
 func TestSeedAliasKeepsTheLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -349,9 +351,10 @@
 	})
 }
 
-// Guards against unbounded memory or a crash caused by the messages of one peer.
-// This happens if an authenticated peer sends a malformed or an oversized message
-// and the size is not bounded or the error is ignored. The link must be closed.
+// TestBadMessagesEndTheLink guards against unbounded memory or a crash caused by the
+// messages of one peer. The failure occurs if an authenticated peer sends a malformed
+// or an oversized message and the size is not bounded or the error is ignored. The link
+// must be closed.
 func TestBadMessagesEndTheLink(t *testing.T) {
 	cases := map[string][]byte{
 		rejectMalformed: {0xff, 0x00, 0x13},
@@ -397,9 +400,10 @@
 	return c
 }
 
-// Guards against a slow reader that makes its neighbours run out of memory. This
-// happens if an authenticated peer stops reading while floods are sent and the
-// queue is unbounded. The link must be closed when the queue reaches its limit.
+// TestSlowLinkIsDropped guards against a slow reader that makes its neighbours run out
+// of memory. The failure occurs if an authenticated peer stops reading while floods are
+// sent and the queue is unbounded. The link must be closed when the queue reaches its
+// limit.
 func TestSlowLinkIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -421,10 +425,10 @@
 	})
 }
 
-// Guards against floods that miss nodes, crashes that not all nodes detect, and
-// too many links per node in a large fleet. This happens if the sparse graph of
-// links is not connected or records do not spread. The test runs 40 nodes, more
-// than the full-mesh limit, sends a flood and cuts off one node without an
+// TestSparseMesh guards against floods that miss nodes, crashes that not all nodes
+// detect, and too many links per node in a large fleet. The failure occurs if the
+// sparse graph of links is not connected or records do not spread. The test runs 40
+// nodes, more than the full-mesh limit, sends a flood and cuts off one node without an
 // announcement.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -471,9 +475,10 @@
 	return n, err
 }
 
-// Guards against nodes that know all backend servers only half a minute after the
-// start of a large fleet. This happens if nodes send large pages of similar
-// entries to their neighbours over slow network links without compression.
+// TestLongMessagesAreCompressed guards against nodes that know all backend servers only
+// half a minute after the start of a large fleet. The failure occurs if nodes send
+// large pages of similar entries to their neighbours over slow network links without
+// compression.
 func TestLongMessagesAreCompressed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
--- a/peer/message.go
+++ b/peer/message.go
@@ -67,8 +67,8 @@
 type recordBatch struct {
 	_       struct{} `cbor:",toarray"`
 	Records []Record
-	// More means that the batch was truncated at its limit and the receiver should
-	// send another digest.
+	// More means that the batch was truncated at its limit, so the receiver should send
+	// another digest to get the rest.
 	More bool
 }
 
--- a/peer/peertest/network.go
+++ b/peer/peertest/network.go
@@ -25,8 +25,8 @@
 	return &Network{listeners: make(map[string]*pipeListener), cuts: make(map[[2]string]bool)}
 }
 
-// Cut drops all bytes sent from one address to another if on is true. If on is
-// false, it lets new connections pass again.
+// Cut drops all bytes sent from one address to another if on is true. If on is false,
+// Cut lets the bytes of new connections pass again.
 func (f *Network) Cut(from, to string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// Isolate cuts an address off from all others in both directions if on is true.
-// If on is false, it ends these cuts.
+// Isolate cuts an address off from all other addresses in both directions if on is
+// true. If on is false, Isolate ends these cuts.
 func (f *Network) Isolate(addr string, on bool) {
 	f.mu.Lock()
 	peers := make([]string, 0, len(f.listeners))
--- a/peer/receive.go
+++ b/peer/receive.go
@@ -64,8 +64,8 @@
 	for _, r := range b.Records {
 		changed = m.mergeRecord(r) || changed
 	}
-	// Request the rest only if this part changed the table. Otherwise records that
-	// this node does not store would be exchanged again and again without a pause.
+	// Request the rest only if this part changed the table. Otherwise two nodes would
+	// exchange records that this node does not store again and again without a pause.
 	if b.More && changed {
 		l.sendBody(typeSync, m.digest(true))
 	}
@@ -93,8 +93,9 @@
 	return true
 }
 
-// refuteIfNeeded refutes a received record about this node, unless the record is
-// not newer than the node's own or the mesh is stopping.
+// refuteIfNeeded refutes a received record about this node if the record is newer than
+// the node's own record and the mesh is not stopping. A stopping node does not refute
+// that it is dead.
 func (m *Mesh) refuteIfNeeded(r Record) {
 	if !m.running {
 		return
--- a/peer/table.go
+++ b/peer/table.go
@@ -38,7 +38,7 @@
 
 // merge merges a record into the table and reports whether anything changed.
 //
-// A dead record of an unknown node is ignored. Otherwise two nodes that drop it
+// A dead record of an unknown node is ignored. Otherwise two nodes that drop the record
 // at different times would send it back to each other forever.
 func (t *table) merge(now time.Time, r Record) bool {
 	e, known := t.byID[r.ID]
@@ -149,9 +149,9 @@
 	return t.ids, t.idsHash
 }
 
-// differing returns the records of the buckets whose hash differs from the
-// remote node's, beginning at bucket start. It returns at most max records and
-// reports whether some were left out.
+// differing returns the records of the buckets whose hash differs from the remote
+// node's, beginning at bucket start. It returns at most max records and reports whether
+// it left out any because of that limit.
 func (t *table) differing(remote []uint64, start, max int) ([]Record, bool) {
 	var differs [syncBuckets]bool
 	any := false
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -79,9 +79,9 @@
 	}
 }
 
-// detectPause records a pause of this process if too much time has passed since
-// the last tick. During the pause this node received nothing, which is no
-// evidence against the other nodes.
+// detectPause records a pause of this process if too much time has passed since the
+// last tick. During the pause this node received nothing, so its timeouts start again
+// from the end of the pause: the silence is no evidence against the other nodes.
 func (m *Mesh) detectPause(now, lastTick time.Time) {
 	gap := now.Sub(lastTick)
 	if gap <= m.cfg.Policy.LinkTimeout/2 {
@@ -91,9 +91,9 @@
 	m.log.Emit(event.PeerPaused, "for", gap.String())
 }
 
-// closeSilent closes the links on which nothing was received for the link
-// timeout: the remote node is paused or cut off, or the connection transports
-// bytes in one direction only.
+// closeSilent closes the links on which nothing was received for the link timeout,
+// because the remote node is paused or cut off, or the connection transports bytes in
+// one direction only.
 func (m *Mesh) closeSilent(now time.Time) {
 	for _, l := range m.links {
 		if now.Sub(latest(l.receivedAt(), m.pauseEnd)) > m.cfg.Policy.LinkTimeout {
@@ -143,8 +143,8 @@
 	m.recordStatus(now, e, Suspect)
 }
 
-// recordStatus stores the status that this node assigns to another node. A
-// suspicion is also sent to the linked nodes.
+// recordStatus stores the status that this node assigns to another node. A suspicion is
+// also sent to the linked nodes with the changed records of the next push.
 func (m *Mesh) recordStatus(now time.Time, e *entry, s Status) {
 	r := e.rec
 	r.Status = s
@@ -268,7 +268,7 @@
 }
 
 // callLinks returns the links that this node dialled to nodes that are not its
-// neighbours, the longest unused first.
+// neighbours, ordered so that the link that has been unused for longest comes first.
 func (m *Mesh) callLinks() []*link {
 	var out []*link
 	for id, l := range m.links {
--- a/peer/topology.go
+++ b/peer/topology.go
@@ -7,9 +7,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rendezvous returns the n members with the highest rendezvous hash weight for
-// key, highest first. Every node that has the same members chooses the same ones,
-// and if a member is removed, only the keys assigned to it move.
+// Rendezvous returns the n members with the highest rendezvous hash weight for key,
+// highest first. All nodes that have the same members choose the same n members for a
+// key. If a member is removed, only the keys assigned to that member move.
 func Rendezvous(key string, members []Member, n int) []Member {
 	all := make([]weighted, 0, len(members))
 	for i, m := range members {
@@ -56,11 +56,11 @@
 	return weight(a, b)
 }
 
-// neighbours returns the ids of the nodes to which node self keeps links. Up to
-// the full-mesh limit these are all nodes. Otherwise they are the nodes with the
-// highest pair weights within self's failure domain and outside it. If there are
-// too few candidates on one of the two sides, more are taken from the other.
-// peers are the live members without self.
+// neighbours returns the ids of the nodes to which node self keeps links. Up to the
+// full-mesh limit the neighbours are all nodes. Otherwise they are the nodes with the
+// highest pair weights within self's failure domain and outside it. If there are too
+// few candidates within the failure domain or outside it, more neighbours are taken
+// from the other group. peers are the live members without self.
 func neighbours(self Record, peers []Record, t Topology) map[string]bool {
 	out := make(map[string]bool)
 	if len(peers) < t.FullMeshLimit {
