--- a/once/agree.go
+++ b/once/agree.go
@@ -15,7 +15,7 @@
 	"wigeondale/infra"
 )
 
-// maxShards bounds the number of shards that is accepted from the key-value
+// maxShards is the highest number of shards that a node accepts from the key-value
 // service.
 const maxShards = 1 << 16
 
@@ -27,12 +27,12 @@
 
 // shardAgreement holds the shards, whose number all nodes agree on.
 //
-// If two nodes were configured with different numbers of shards, they would
-// look up the same key in different logs, each would be granted the claim, and
-// the request would run twice before any node notices. The number is therefore
-// stored under a key that is created once and never overwritten. The first
-// node creates it, and every node uses the stored number. A node that has not
-// read the number yet refuses claims.
+// If two nodes were configured with different numbers of shards, they would look up the
+// same key in different logs, each would be granted the claim, and the request would
+// run twice before any node notices. The number is therefore stored under a key that is
+// created once and never overwritten. The first node creates it, and every node uses
+// the stored number. A node that has not read the number yet, and fails to read it when
+// a claim arrives, refuses the claim.
 type shardAgreement struct {
 	shards  atomic.Pointer[[]*shard] // nil until the number is known
 	loading singleflight.Group
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// openShards returns the shards. It first reads their number from the key-value
-// service if this node has not read it yet.
+// openShards returns the shards. If this node does not know the number of shards yet,
+// openShards first reads the number from the key-value service.
 func (c *Claims) openShards(ctx context.Context) ([]*shard, error) {
 	if list := c.loadedShards(); list != nil {
 		return list, nil
@@ -67,9 +67,10 @@
 	}
 }
 
-// agreeOnShards creates the key that stores the number of shards, or reads the
-// number if the key exists. A create whose answer is lost may still take effect
-// later, but never overwrites an existing key; the next call reads the number.
+// agreeOnShards creates the key that stores the number of shards, or reads the number
+// if the key exists. If the answer to a create is lost, the create may still take
+// effect later. This is harmless: a create never overwrites an existing key, and the
+// next call of agreeOnShards reads the number.
 func (c *Claims) agreeOnShards() error {
 	if c.loadedShards() != nil {
 		return nil
@@ -122,8 +123,9 @@
 	return list
 }
 
-// inCooldown reports whether the last failure was so recent that requests are
-// refused without another try, as shard.inCooldown does.
+// inCooldown reports whether the last failure to read the number of shards was less
+// than Config.Cooldown ago. Claims are then refused without another try, for the reason
+// given at shard.inCooldown.
 func (a *shardAgreement) inCooldown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/once/batcher.go
+++ b/once/batcher.go
@@ -12,9 +12,9 @@
 	done chan Result // capacity 1, so that run does not block if the caller has stopped waiting
 }
 
-// batcher collects operations while the previous batch is being sent, so that
-// the number of writes depends on the elapsed time and not on the number of
-// operations.
+// batcher collects operations while the previous batch is being sent, and sends them as
+// the next batch, so that the number of writes depends on the elapsed time and not on
+// the number of operations.
 type batcher struct {
 	send     func([]Op) []Result
 	maxOps   int
@@ -25,8 +25,8 @@
 	busy  bool
 }
 
-// submit sends op with the next batch and waits for its result. If ctx ends
-// while op is still queued, op is removed from the queue and surely not written.
+// submit sends op with the next batch and waits for its result. If ctx ends while op is
+// still queued, submit removes op from the queue, so that op is never written.
 func (b *batcher) submit(ctx context.Context, op Op) Result {
 	w, ok := b.enqueue(op)
 	if !ok {
@@ -35,8 +35,8 @@
 	return b.wait(ctx, w)
 }
 
-// submitAll enqueues all operations before it waits for the results, so that
-// they share a batch.
+// submitAll enqueues all operations before it waits for their results, so that the
+// operations share a batch.
 func (b *batcher) submitAll(ctx context.Context, ops []Op) []Result {
 	waiters := make([]*waiter, len(ops))
 	for i, op := range ops {
--- a/once/claims.go
+++ b/once/claims.go
@@ -107,12 +107,11 @@
 // Window returns how long a key prevents a second run of its request.
 func (c *Claims) Window() time.Duration { return c.cfg.Window }
 
-// Claim claims the key for an attempt. The name of the attempt must be unique
-// across all nodes and their restarts; claiming again for the same attempt is
-// idempotent. The attempt may only be dispatched if the claim is granted and a
-// check of the deadline after that succeeds. After an error the attempt must
-// never be dispatched. Errors: ErrUnavailable, ErrUnknown, ErrKeyReused,
-// ErrInvalid.
+// Claim claims the key for an attempt. The name of the attempt must be unique across
+// all nodes and their restarts; claiming again for the same attempt is idempotent. The
+// attempt may only be dispatched if the claim is granted and CheckDeadline, called
+// after the claim was granted, returns no error. After an error the attempt must never
+// be dispatched. Errors: ErrUnavailable, ErrUnknown, ErrKeyReused, ErrInvalid.
 func (c *Claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (ClaimResult, error) {
 	op, err := c.newOp(OpClaim, account, key, attempt)
 	if err != nil {
@@ -140,8 +139,9 @@
 	return ClaimResult{Granted: granted, Holder: r.Holder, Attempt: r.Attempt, State: r.State}, nil
 }
 
-// Void records that an attempt of this node was never dispatched and never will
-// be, which frees its key. After an error the void is retried in the background.
+// Void records that an attempt of this node was never dispatched and never will be,
+// which frees the attempt's key. If the write fails, Void returns an error and the void
+// is retried in the background.
 func (c *Claims) Void(ctx context.Context, account, key, attempt string) error {
 	op, err := c.newOp(OpVoid, account, key, attempt)
 	if err != nil {
@@ -159,7 +159,8 @@
 	return Error.Wrap(ErrUnknown)
 }
 
-// VoidAsync does what Void does, but in the background.
+// VoidAsync queues the void that Void would write and returns at once; the void is
+// written in the background.
 func (c *Claims) VoidAsync(account, key, attempt string) error {
 	op, err := c.newOp(OpVoid, account, key, attempt)
 	if err != nil {
@@ -169,9 +170,9 @@
 	return nil
 }
 
-// HandleBatch executes a batch that another router forwarded. It does so even if this
-// node does not consider itself the owner of the shard, because the log decides
-// which claim holds a key.
+// HandleBatch executes a batch that another router forwarded, even if this node does
+// not consider itself the owner of the shard, because the log decides which claim holds
+// a key.
 func (c *Claims) HandleBatch(ctx context.Context, b Batch) (BatchResult, error) {
 	shards, err := c.openShards(ctx)
 	if err != nil {
@@ -206,9 +207,9 @@
 	return nil
 }
 
-// execute forwards op to the shard's owner. If that gives no definite result,
-// this node writes op itself and returns the state of the key in the log. That
-// is safe because a repeated operation takes effect once.
+// execute forwards op to the shard's owner. If the owner's answer is missing or not
+// definite, this node writes op itself and returns the state of the key in the log. The
+// second write is safe because a repeated operation takes effect once.
 func (c *Claims) execute(ctx context.Context, op Op) Result {
 	shards, err := c.openShards(ctx)
 	if err != nil {
--- a/once/once.go
+++ b/once/once.go
@@ -35,8 +35,8 @@
 var Error = errs.Class("once")
 
 var (
-	// ErrUnavailable means that the claim was not written to the log and never
-	// will be, so the request was not run. It is returned as an *UnavailableError.
+	// ErrUnavailable means that the claim was not written to the log and never will be,
+	// so the request was not run. Claim returns it as an *UnavailableError.
 	ErrUnavailable = errors.New("claims unavailable")
 	// ErrUnknown means that the claim may have been written to the log. The attempt
 	// must not be dispatched, now or later, so the request was not run. The key may
@@ -50,7 +50,8 @@
 	ErrInvalid = errors.New("invalid claim")
 )
 
-// UnavailableError is ErrUnavailable with the time to wait before a retry.
+// UnavailableError is an error that matches ErrUnavailable and carries the time to wait
+// before a retry.
 type UnavailableError struct {
 	RetryAfter time.Duration
 }
@@ -67,7 +68,8 @@
 type State uint8
 
 const (
-	// Claimed means that an attempt holds the key; it may have been dispatched.
+	// Claimed means that an attempt holds the key; the attempt may have been
+	// dispatched.
 	Claimed State = 1 + iota
 	// Voided means that the attempt that held the key was never dispatched and
 	// never will be.
@@ -130,8 +132,8 @@
 type Code uint8
 
 const (
-	// CodeDone means that the log was read up to and including the operation; the
-	// other fields of the Result are the state of the key at that point.
+	// CodeDone means that the log was read up to and including the operation. The other
+	// fields of the Result are the state of the key after the operation.
 	CodeDone Code = 1 + iota
 	// CodeUnavailable means that the operation was not written to the log.
 	CodeUnavailable
@@ -154,21 +156,20 @@
 	Results []Result `cbor:"1,keyasint"`
 }
 
-// Forwarder finds the owners of shards and forwards batches to them over the
-// peer links. A failed Forward is harmless even if the owner wrote the
-// operations: the forwarding router then writes them itself, and an operation
-// that is in the log twice takes effect once.
+// Forwarder finds the owner of each shard and forwards batches to the owner over the
+// peer links. A failed Forward is harmless even if the owner wrote the operations: the
+// forwarding router then writes them itself, and an operation that is in the log twice
+// takes effect once.
 type Forwarder interface {
 	Owner(shard int) (node string, self bool)
 	Forward(ctx context.Context, node string, b Batch) (BatchResult, error)
 }
 
 // CheckDeadline returns an error if ctx has ended or its deadline has passed. Callers
-// check it after a claim is granted, immediately before the dispatch. If the
-// process was frozen while it waited for the claim, the deadline may have
-// passed although the timer of ctx has not fired yet. The monotonic clock may
-// have been stopped during the freeze, so the deadline is compared with the
-// wall clock as well.
+// call CheckDeadline after a claim is granted, immediately before the dispatch. If the
+// process was frozen while it waited for the claim, the deadline may have passed
+// although the timer of ctx has not fired yet. The monotonic clock may have been
+// stopped during the freeze, so the deadline is compared with the wall clock as well.
 func CheckDeadline(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrDeadlinePassed, err))
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -42,10 +42,11 @@
 	return New(Config{Node: "n", Incarnation: "i", KV: kv, Prefix: "c/", Shards: 1, Window: time.Hour, ClockSkew: time.Minute, CompactEvery: 1}, soleOwner{})
 }
 
-// Guards against claims that each wait for a timeout before they are refused
-// during an outage, and against refused claims that turn out to hold their key.
-// This happens if each claim calls the failing key-value service again. The test
-// makes the service refuse calls, claims keys, and restores the service.
+// TestOutageRefusesAtOnce guards against claims that each wait for a timeout before
+// they are refused during an outage, and against refused claims that turn out to hold
+// their key. The failure occurs if each claim calls the failing key-value service
+// again. The test makes the service refuse calls, claims keys, and restores the
+// service.
 func TestOutageRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		kv := &downStore{Store: kvtest.New()}
@@ -106,10 +107,10 @@
 	return ok, v, err
 }
 
-// Guards against a key that is granted at two nodes. This happens if claims.shards
-// differs between the nodes and each looks up the key in the log that its own
-// number of shards selects. The test claims each key at one node after the other;
-// the first answer of the key-value service is lost.
+// TestShardsAreAgreed guards against a key that is granted at two nodes. The failure
+// occurs if claims.shards differs between the nodes and each looks up the key in the
+// log that its own number of shards selects. The test claims each key at one node after
+// the other; the first answer of the key-value service is lost.
 func TestShardsAreAgreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -144,10 +145,10 @@
 	})
 }
 
-// Guards against a key that is granted again within its window. This happens if
-// a snapshot removes claims by their age according to one node's clock. The test
-// takes snapshots within the window, one of them with a clock that runs ahead,
-// and claims the key again.
+// TestWindow guards against a key that is granted again within its window. The failure
+// occurs if a snapshot removes claims by their age according to one node's clock. The
+// test takes snapshots within the window, one of them with a clock that runs ahead, and
+// claims the key again.
 func TestWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSoleOwner(kvtest.New())
@@ -185,8 +186,8 @@
 	})
 }
 
-// frozenContext is a context whose timer has not fired yet, as after a freeze of
-// the process.
+// frozenContext is a context whose deadline has passed but whose timer has not fired
+// yet, as after a freeze of the process.
 type frozenContext struct {
 	context.Context
 	deadline time.Time
@@ -194,9 +195,9 @@
 
 func (f frozenContext) Deadline() (time.Time, bool) { return f.deadline, true }
 
-// Guards against a dispatch after the caller has given up. This happens if the
-// process freezes past the deadline after the claim was granted, resumes before
-// its timers have fired, and checks only the context's Done channel.
+// TestInTimeAfterFreeze guards against a dispatch after the caller has given up. The
+// failure occurs if the process freezes past the deadline after the claim was granted,
+// resumes before its timers have fired, and checks only the context's Done channel.
 func TestInTimeAfterFreeze(t *testing.T) {
 	now := time.Now()
 	if err := CheckDeadline(frozenContext{t.Context(), now.Add(-time.Second)}); !errors.Is(err, ErrDeadlinePassed) {
@@ -207,9 +208,9 @@
 	}
 }
 
-// Guards against a key that stays held although no attempt uses it. This happens
-// if a forwarded claim is delayed, its router gives up and voids the attempt
-// through another router, the claim is then written, and the void of a claim
+// TestVoidBeforeClaim guards against a key that stays held although no attempt uses it.
+// The failure occurs if a forwarded claim is delayed, its router gives up and voids the
+// attempt through another router, the claim is then written, and the void of a claim
 // that was not in the log yet has been ignored.
 func TestVoidBeforeClaim(t *testing.T) {
 	table := newTable()
@@ -239,10 +240,10 @@
 	return v, ok, err
 }
 
-// Guards against a key that is granted twice. This happens if a router reads a
-// snapshot and pauses, other routers claim the key, store a newer snapshot and
-// truncate the log, and the first router continues reading the log with the
-// truncated entries missing from its table.
+// TestTruncatedWhileBeingRead guards against a key that is granted twice. The failure
+// occurs if a router reads a snapshot and pauses, other routers claim the key, store a
+// newer snapshot and truncate the log, and the first router continues reading the log
+// with the truncated entries missing from its table.
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
 	other := newSoleOwner(store)
@@ -268,7 +269,8 @@
 	if v, err := claim(reader, "key1", "late2"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
 	}
-	// The same for a router that has already built its table and falls behind.
+	// The truncation must not grant a key twice either if the reading router has
+	// already built its table and falls behind.
 	claimSome(2*logWindow, 4*logWindow)
 	if v, err := claim(reader, "key0", "late3"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -101,8 +101,8 @@
 	go func() { _ = c.Run(ctx) }()
 }
 
-// request sends one caller's attempt to a router: it claims the key, checks the
-// deadline, and dispatches.
+// request sends one caller's attempt to a router, which claims the key, checks the
+// deadline, and dispatches the attempt.
 func (f *testFleet) request(router int, key string, body byte, abandon bool) {
 	f.attempts++
 	attempt := fmt.Sprint("attempt", f.attempts)
@@ -205,8 +205,9 @@
 	synctest.Wait()
 }
 
-// readState returns the attempt and state of each key. Router 0 reads them in the
-// view that it has; for the other routers a new view is built.
+// readState returns the attempt and state of each key. For router 0 it reads them in
+// the view that the router has; for the other routers it builds a new view, so that the
+// check also compares a kept view with rebuilt ones.
 func (f *testFleet) readState(i int, c *Claims) string {
 	s := &shard{cfg: &Config{Node: "x", KV: f.kv.Store, Prefix: "c/"}}
 	if shards := c.loadedShards(); i == 0 && len(shards) > 0 {
@@ -240,13 +241,13 @@
 	return text
 }
 
-// Guards against a request marked non-idempotent that runs twice, or that runs
-// although its caller received "not run". This happens if anything but the first
-// claim in the log grants a key, if an attempt continues after its claim failed,
-// or if a void frees a key in use. The test retries requests at other routers
-// while two routers act as the owner, answers from the key-value service and
-// between routers are lost, writes take effect late, and routers pause past the
-// deadline or crash.
+// TestAtMostOneGrant guards against a request marked non-idempotent that runs twice, or
+// that runs although its caller received "not run". The failure occurs if anything but
+// the first claim in the log grants a key, if an attempt continues after its claim
+// failed, or if a void frees a key in use. The test retries requests at other routers
+// while two routers act as the owner, answers from the key-value service and between
+// routers are lost, writes take effect late, and routers pause past the deadline or
+// crash.
 func TestAtMostOneGrant(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gen := rapid.Custom(func(rt *rapid.T) action {
--- a/once/shard.go
+++ b/once/shard.go
@@ -104,7 +104,9 @@
 	return results
 }
 
-// append returns CodeDone if the entry is in the log and applied to v.
+// append writes the entry to the log. It returns CodeDone if the entry is in the log
+// and applied to v, CodeUnknown if the entry may be in the log, and CodeUnavailable if
+// the entry is not in the log.
 func (s *shard) append(ctx context.Context, v *view, e entry) Code {
 	data, err := cbor.Marshal(e)
 	if err != nil {
@@ -132,9 +134,10 @@
 }
 
 // refresh reads the log to its end if v has a claim for any of the keys, because
-// another router that acts as the owner may have voided that claim since. If the
-// read fails, v is used as it is. At worst it shows a claim that has been voided
-// since, which causes an unnecessary refusal but never a second run.
+// another router that acts as the owner may have voided that claim since. If the log
+// was truncated, refresh returns a new view. If the read fails for another reason, it
+// returns v as it is: at worst v shows a claim that has been voided since, which causes
+// an unnecessary refusal but never a second run.
 func (s *shard) refresh(ctx context.Context, v *view, ops []Op) (*view, error) {
 	if !v.hasAnyClaim(ops) {
 		return v, nil
@@ -193,8 +196,8 @@
 	return r
 }
 
-// openView returns the shard's view. It builds one from the snapshot and the log
-// if there is none or the current one lacks entries.
+// openView returns the shard's view. If there is no view, or the current view lacks
+// entries, openView builds a new view from the snapshot and the log.
 func (s *shard) openView(ctx context.Context) (*view, error) {
 	if v := s.currentView(); v != nil && !v.isIncomplete() {
 		return v, nil
--- a/once/table.go
+++ b/once/table.go
@@ -42,7 +42,8 @@
 	return &table{claims: make(map[KeyID]claim), nodeIndexes: make(map[string]uint16)}
 }
 
-// apply applies one entry. Entries must be applied in log order.
+// apply applies one entry of the log. Entries must be applied in log order, because the
+// first claim of a key holds the key.
 func (t *table) apply(e entry) {
 	t.latest = max(t.latest, clampSeconds(e.AtUnix))
 	for _, op := range e.Ops {
@@ -81,8 +82,9 @@
 	}
 }
 
-// nodeIndex returns the index of a node name, which it adds if needed. Names
-// beyond the range of the index are not stored and read as "".
+// nodeIndex returns the index of a node name and adds the name if it is not in the
+// table yet. Once all indexes are used, a new name is not stored: it gets index 0,
+// which stands for the name "".
 func (t *table) nodeIndex(name string) uint16 {
 	if i, ok := t.nodeIndexes[name]; ok {
 		return i
--- a/once/upkeep.go
+++ b/once/upkeep.go
@@ -13,11 +13,12 @@
 	"wigeondale/kvlog"
 )
 
-// maxConcurrentVoids is the number of voids that wait for a batch at once.
+// maxConcurrentVoids is the maximum number of voids that wait for a batch at the same
+// time.
 const maxConcurrentVoids = 256
 
-// voidQueue is a queue of void operations that still have to be written. It has
-// at most limit operations; when it is full, the oldest one is dropped.
+// voidQueue is a queue of void operations that still have to be written. It has at most
+// limit operations; when the queue is full, add drops the oldest operation.
 type voidQueue struct {
 	limit int
 	wake  chan struct{}
@@ -30,7 +31,8 @@
 	return &voidQueue{limit: limit, wake: make(chan struct{}, 1)}
 }
 
-// add appends op and reports whether the oldest operation was dropped for it.
+// add appends op and reports whether it dropped the oldest operation because the queue
+// was full.
 func (q *voidQueue) add(op Op) (dropped bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,15 +80,15 @@
 	}
 }
 
-// flushVoids writes the queued voids of this node's abandoned attempts for the
-// key before another attempt claims it, so that the caller's retry is not
-// refused because of them.
+// flushVoids writes the queued voids of this node's abandoned attempts for the key
+// before another attempt claims it, so that a caller's retry is not refused because of
+// the abandoned attempts.
 func (c *Claims) flushVoids(ctx context.Context, k KeyID) {
 	c.voidAll(ctx, c.voids.takeKey(k))
 }
 
-// voidAll writes the void operations and returns how many of them failed and
-// were queued again. It sends them concurrently, so that they share batches.
+// voidAll writes the void operations and returns how many of them failed and were
+// queued again. It submits the operations concurrently, so that they share batches.
 func (c *Claims) voidAll(ctx context.Context, ops []Op) int {
 	var requeued atomic.Int64
 	var group errgroup.Group
@@ -102,7 +104,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // no error is returned above
+	_ = group.Wait() // the functions of the group return no error
 	return int(requeued.Load())
 }
 
@@ -112,8 +114,8 @@
 	tick := time.NewTicker(c.cfg.RetryAfter)
 	defer tick.Stop()
 	wake := c.voids.wake
-	// Read the number of shards now, so that claims during a later outage do not
-	// depend on reading it.
+	// Read the number of shards now, so that claims do not depend on reading that
+	// number from the key-value service during a later outage.
 	_, _ = c.openShards(ctx)
 	for {
 		select {
@@ -206,11 +208,11 @@
 type ShardDump struct {
 	Shard    int    `json:"shard"`
 	Owner    string `json:"owner"`
-	Open     bool   `json:"open"` // this node has read the shard's log
+	Open     bool   `json:"open"` // whether this node has read the shard's log
 	Position uint64 `json:"position"`
 	Snapshot uint64 `json:"snapshot"`
 	Claims   int    `json:"claims"`
-	Down     bool   `json:"down"` // claims are refused without a try, after a failure
+	Down     bool   `json:"down"` // whether claims are refused without a try because a write failed recently
 }
 
 // Dump returns the state of each shard. It is empty while the number of shards
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -171,8 +171,10 @@
 	e.demand = nil
 }
 
-// dial returns a link to the node that listens at addr. It dials the node unless a link
-// to wantID exists already. wantID is the expected node id, or empty for a seed.
+// dial dials the node that listens at addr and returns the new link. If the handshake
+// shows that a link to the expected node exists already, dial keeps and returns the
+// existing link. wantID is the id of the expected node, or empty for a seed, of which
+// any id is accepted.
 func (m *Mesh) dial(ctx context.Context, addr, wantID string) (*link, error) {
 	ch := m.dialer.DoChan(addr, func() (any, error) { return m.dialOnce(addr, wantID) })
 	select {
