--- a/directory/batch.go
+++ b/directory/batch.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// defaultBatch is assumed until an engine's reports show more.
+	// defaultBatch is the estimate until an engine's reports have shown a value.
 	defaultBatch = 64
 	minBatch     = 4
 	maxBatch     = 4096
 	// shrinkFactor bounds how much one report can reduce the estimate.
 	shrinkFactor = 0.75
-	// growShare is the share of the estimate at which an engine without a queue shows
-	// that it may run more requests; growFactor is the factor by which the estimate
-	// then grows.
+	// An engine that has no queue and runs at least growShare of the estimate may be
+	// able to run more requests than estimated. The estimate then becomes growFactor
+	// times the number of requests that it runs.
 	growShare  = 0.85
 	growFactor = 1.25
-	// growPause is how long an estimate that a queue confirmed is not raised: each
-	// attempt to raise it makes requests wait at the engine.
+	// growPause is the time after a report with a queue during which the estimate is
+	// not raised, because each attempt to raise the estimate makes requests wait at the
+	// engine.
 	growPause = 30 * time.Second
-	// queueShare is how much urgent work is sent beyond the estimate, as a share of it:
-	// a short queue at the engine fills a free slot at the engine's next step instead
-	// of after this router's next poll.
+	// queueShare is the number of urgent requests sent beyond the estimate, as a share
+	// of the estimate. They form a short queue at the engine, from which the engine
+	// fills a free slot at its next step instead of after this router's next poll.
 	queueShare = 0.125
 )
 
@@ -33,8 +34,8 @@
 // With too high a value, requests queue at the engine, where a client account's share
 // and a deadline have no effect, and calls wait behind long generations that can no
 // longer be refused. With too low a value, the engine idles while requests are refused.
-// Engines do not report how many they run at most, but a report in which some requests
-// wait shows it: it is the number that run.
+// Engines do not report how many requests they run at most. But in a report in which
+// some requests wait, the number of running requests is that maximum.
 type batchSize struct {
 	learned     float64   // 0 until reports have shown a value
 	hadQueue    bool      // the last report had requests waiting
@@ -49,7 +50,7 @@
 	case b.hadQueue:
 		b.queueSeenAt = now
 		if running < before && !wasQueued {
-			return // a burst, which the engine's next step may start to run
+			return // the waiting requests may be a burst that the engine starts to run at its next step
 		}
 		b.learned = max(running, b.learned*shrinkFactor)
 	case running >= before*growShare && now.Sub(b.queueSeenAt) > growPause:
@@ -60,9 +61,10 @@
 	}
 }
 
-// restart keeps the estimate for a new incarnation, which usually runs on the same VM:
-// with the default, a whole failure domain that comes back would be overloaded. The
-// estimate may grow at once.
+// restart keeps the estimate for a new incarnation of the engine, because the new
+// incarnation usually runs on the same VM. If each estimate returned to the default, a
+// whole failure domain that comes back would be overloaded. restart clears the time of
+// the last queue, so that the estimate may grow at once.
 func (b *batchSize) restart() { *b = batchSize{learned: b.learned} }
 
 func (b *batchSize) value() float64 {
@@ -73,7 +75,8 @@
 }
 
 // limit is how many requests an engine should have at once when the given share of its
-// slots may be used. For the full share it is a little more than the slots.
+// slots may be used. For the full share the limit is a little more than the number of
+// slots, see queueShare.
 func (b *batchSize) limit(share float64) float64 {
 	if share >= 1 {
 		return b.value()*(1+queueShare) + 1
@@ -81,8 +84,9 @@
 	return b.value() * share
 }
 
-// LearnedCapacity is like Capacity, but each candidate takes as many requests as its
-// reports showed, or the given share of them: the rest is left for more urgent work.
+// LearnedCapacity is like Capacity, but uses as the limit of each candidate the given
+// share of the number of requests that its reports showed. A share below 1 leaves the
+// rest of the slots for more urgent work.
 func LearnedCapacity(candidates []routing.Candidate, share float64, now time.Time) int {
 	return capacity(candidates, now, func(r *record) float64 { return r.requestLimit(share) })
 }
@@ -93,7 +97,8 @@
 	return r.batch.limit(share)
 }
 
-// capacity sums the remaining free capacity of each candidate.
+// capacity sums, over the candidates that are not leaving, the limit minus the load of
+// other routers. The sum counts as at least 1 if any candidate accepts work.
 func capacity(candidates []routing.Candidate, now time.Time, limit func(*record) float64) int {
 	var sum float64
 	accepting := false
@@ -113,8 +118,9 @@
 	return max(int(sum), 1)
 }
 
-// Slots sums the slots of all candidates, whichever router uses them now: perBackend
-// for each candidate or, when that is 0, the number that its reports showed.
+// Slots sums the slots of all candidates that are not leaving, including the slots that
+// other routers use now. Each candidate counts with perBackend slots or, if perBackend
+// is 0, with the number that its reports showed.
 func Slots(candidates []routing.Candidate, perBackend float64) int {
 	var sum float64
 	for _, c := range candidates {
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -9,13 +9,16 @@
 	"wigeondale/fleet"
 )
 
-// targetReplicas and targetModels are the sizes that docs/CAPACITY.md works out.
+// targetReplicas and targetModels are the sizes for which docs/CAPACITY.md calculates
+// the capacity.
 const (
 	targetReplicas = 10_000
 	targetModels   = 7
 )
 
-// bigFleet knows all replicas and has received a report from the first ones.
+// bigFleet returns a Directory that knows all replicas of the target size and has
+// received a report from as many replicas as reporting says, and the list of all
+// replicas.
 func bigFleet(reporting int) (*Directory, []fleet.Backend) {
 	d, now := New(nil), time.Now()
 	var list []fleet.Backend
@@ -39,8 +42,8 @@
 	}
 }
 
-// BenchmarkRoundAt10000 measures the cost of a polling round without the polls:
-// choosing the engines to poll, twice.
+// BenchmarkRoundAt10000 measures the cost of a polling round without the polls: the
+// round chooses the engines to poll twice, before and after the polls.
 func BenchmarkRoundAt10000(b *testing.B) {
 	const subset, explore = 32, 8
 	d, _ := bigFleet(500)
--- a/directory/cache.go
+++ b/directory/cache.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	// relearnTime is how long an engine's cache map isn't used after a gap in its
-	// events; stored blocks are reported again when they are used again.
+	// relearnTime is how long an engine's cache map isn't used after a gap in the
+	// engine's events. Meanwhile the map fills again, because the engine reports a
+	// stored block again when the block is used again.
 	relearnTime = 20 * time.Second
-	// maxBlocks bounds the memory of one engine's map. Blocks beyond it are not
-	// recorded, which costs only affinity.
+	// maxBlocks bounds the memory of one engine's map. Blocks beyond this number are
+	// not recorded; the only cost is that prompts with these blocks may not be routed
+	// to the engine that has them cached.
 	maxBlocks = 16384
 )
 
@@ -45,9 +47,9 @@
 	return c.seq
 }
 
-// apply applies a batch and returns true when events were missing. Without that check,
-// a lost "removed" event would send prompts to a cache that no longer contains them,
-// for as long as the engine runs.
+// apply applies a batch and reports whether events were missing, in which case it
+// clears the map. Otherwise a lost "removed" event would make this router send prompts
+// to a cache that no longer contains their blocks, for as long as the engine runs.
 func (c *cacheMap) apply(b CacheBatch, now time.Time) (gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,12 +1,13 @@
 // Package directory records the backend servers that this router knows of. It merges
 // the VM list, load reports, cache events, reports from other routers and this router's
-// own requests in progress, each of which is late or incomplete in its own way.
+// own requests in progress, each of which may be late or incomplete.
 //
 // Reports lag, so an engine that looks idle may just have been sent a hundred requests;
-// the requests sent by this router since the report are added. An engine that is
-// leaving may look alive in a lagging list; once any source reports that an incarnation
-// is leaving, that holds until a new incarnation appears. Cache events have gaps; after
-// a gap the map of that engine isn't used until it has been relearned.
+// the requests that this router sent after the report was made are therefore added to
+// the reported load. An engine that is leaving may look alive in a lagging list; once
+// any source reports that an incarnation is leaving, the backend server counts as
+// leaving until a new incarnation appears. Cache events have gaps; after a gap the map
+// of that engine isn't used until it has been relearned.
 package directory
 
 import (
@@ -22,8 +23,8 @@
 )
 
 // PollInterval is the mean interval at which a router polls an engine's load and at
-// which a node that reads the VM list reads it; each poll is moved by up to PollJitter
-// of it.
+// which a node that reads the VM list reads it; each interval is lengthened or
+// shortened by up to PollJitter times its length.
 const (
 	PollInterval = time.Second
 	PollJitter   = 0.25
@@ -34,15 +35,16 @@
 
 // LeavingBound is the time after which a leaving backend server gets no new work,
 // counted from when the VM list, a load report or an engine's refusal would first show
-// it to any router that polls: one poll with its jitter, then the flood, either of a
-// peer report or, for the VM list, of a reader's update. The readers of the list poll
-// at different times, so the first of them usually has it sooner. The lag of the
-// platform's VM list comes on top; and when a flood is lost, digests deliver the update
-// later, within some rounds.
+// it to any router that polls: the bound is one poll with its jitter plus one flood,
+// either of a peer report or, for the VM list, of a reader's update. The readers of the
+// list poll at different times, so the first reader usually sees the change sooner. The
+// lag of the platform's VM list comes on top. If a flood is lost, digests deliver the
+// update later, within some rounds.
 const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
 // missingGrace is how long a backend server may be missing from the VM list before it
-// is removed. The list lags and may be served by an old replica.
+// is removed. A reading may lack a server that exists, because the list lags and may be
+// served by an old replica.
 const missingGrace = 30 * time.Second
 
 // Source names the source of the information that a backend server is leaving.
@@ -57,7 +59,8 @@
 	FromPeerReport Source = "rumour"
 )
 
-// table is an immutable view of the fleet; changes replace it as a whole.
+// table is an immutable view of the fleet. A change replaces the whole table by a new
+// one, so that readers need no lock.
 type table struct {
 	byID     map[string]*record
 	byRef    map[fleet.ModelRef][]routing.Candidate
@@ -71,10 +74,10 @@
 	anyReport atomic.Bool
 	loads     loadTracker
 	// OnLeaving, set before use, is called once for each incarnation that turns out to
-	// be leaving, so that a peer report can be broadcast.
+	// be leaving, so that this router can broadcast a peer report. It may be nil.
 	OnLeaving func(id, incarnation string, source Source)
 
-	mu     sync.Mutex // serialises writers
+	mu     sync.Mutex // held by writers, one at a time; readers use table
 	subset map[string]bool
 	intent map[string]bool // VMs that should leave by the configuration
 }
@@ -86,8 +89,9 @@
 	return d
 }
 
-// Update applies a reading of the VM list. Backend servers missing from it are kept for
-// a while, and for as long as they have requests of this router in progress.
+// Update applies a reading of the VM list. Backend servers missing from the list are
+// kept for missingGrace, and for as long as they have requests of this router in
+// progress.
 func (d *Directory) Update(list []fleet.Backend, now time.Time) {
 	d.mu.Lock()
 	old := d.table.Load()
@@ -101,8 +105,10 @@
 		if r.applyListEntry(b, now) {
 			nowLeaving = append(nowLeaving, r)
 		}
-		// The configuration may be older than this entry of the list: without this, a
-		// router that was started after that revision would send work there.
+		// The configuration in force may be older than this entry of the list, so its
+		// intent is applied to new entries too. Otherwise a router that was started
+		// after that revision of the configuration would send work to a VM that should
+		// leave.
 		if r.setIntent(d.intent[b.VM]) {
 			nowIntended = append(nowIntended, r)
 		}
@@ -141,8 +147,9 @@
 	}
 }
 
-// Select restricts snapshots to a subset of the engines; nil means all. Engines outside
-// the subset are not polled often enough to know their state.
+// Select restricts snapshots to a subset of the engines; nil means all engines. Engines
+// outside the subset are left out because this router does not poll them often enough
+// to know their state.
 func (d *Directory) Select(subset map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,7 +190,8 @@
 	return d.table.Load().byRef[ref]
 }
 
-// Serving counts all engines known to serve ref, in the subset or not.
+// Serving counts all engines known to serve ref, including the engines outside the
+// subset.
 func (d *Directory) Serving(ref fleet.ModelRef) int {
 	n := 0
 	for _, r := range d.table.Load().byID {
@@ -212,7 +220,8 @@
 	return r.candidate().Backend, true
 }
 
-// Incarnation returns the last reported incarnation, or "" when none is known.
+// Incarnation returns the last reported incarnation of a backend server, or "" if none
+// is known.
 func (d *Directory) Incarnation(id string) string {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -226,8 +235,8 @@
 	return slices.Sorted(maps.Keys(d.table.Load().byID))
 }
 
-// MarkLeaving records that one incarnation is leaving. That holds until the backend
-// server reports a new incarnation. An empty incarnation means the current one.
+// MarkLeaving records that one incarnation is leaving. The mark holds until the backend
+// server reports a new incarnation. An empty incarnation means the current incarnation.
 func (d *Directory) MarkLeaving(id, incarnation string, source Source) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -238,9 +247,9 @@
 	}
 }
 
-// SetIntent sets the VMs that should leave by the configuration in force. It sets a
-// state and records no event: a VM that is no longer in the set gets work again, unless
-// another source reports it as leaving.
+// SetIntent sets the VMs that should leave by the configuration in force. Unlike
+// MarkLeaving, it does not mark incarnations: a VM that is not in the set at the next
+// call gets work again, unless another source reports it as leaving.
 func (d *Directory) SetIntent(leavingVMs map[string]bool) {
 	d.mu.Lock()
 	d.intent = maps.Clone(leavingVMs)
@@ -256,8 +265,9 @@
 	}
 }
 
-// Leaving reports whether a backend server is leaving. It is called again at dispatch,
-// and for queued work. An unknown backend server counts as leaving.
+// Leaving reports whether a backend server is leaving. Callers call it again at
+// dispatch, and for queued work, because the backend server may have started to leave
+// since it was chosen. An unknown backend server counts as leaving.
 func (d *Directory) Leaving(id string) bool {
 	r := d.table.Load().byID[id]
 	return r == nil || r.Leaving()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -27,10 +27,11 @@
 	return fleet.LoadReport{Incarnation: incarnation, AsOfUnixMS: asOf.UnixMilli(), Running: running, Serves: []fleet.ModelRef{ref}}
 }
 
-// Guards against sending all work to the engine whose report is oldest: a report
-// doesn't include what was sent after it was made. An engine reports 10 running
-// requests, of which 4 were sent by this router; the report arrives a second late, and
-// in that second this router sends 5 more and 2 of its requests end.
+// TestEstimateBringsLateReportsForward guards against sending all work to the engine
+// whose report is oldest: a report doesn't include the requests that were sent after it
+// was made. An engine reports 10 running requests, of which 4 were sent by this router;
+// the report arrives a second late, and in that second this router sends 5 more and 2
+// of its requests end.
 func TestEstimateBringsLateReportsForward(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
@@ -59,8 +60,9 @@
 	})
 }
 
-// Guards against routers that together send an engine more than it can run. The load of
-// the other routers is subtracted; leaving engines don't count.
+// TestCapacityLeavesRoomForOthers guards against routers that together send an engine
+// more than it can run. The load of the other routers must be subtracted from each
+// engine's capacity, and leaving engines must not count.
 func TestCapacityLeavesRoomForOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
@@ -82,10 +84,10 @@
 	}
 }
 
-// Guards against requests that queue at an engine, and against an engine that idles
-// while requests are refused. Engines don't report how many requests they run at most.
-// The default estimate is 64; the engine runs 20, and its reports show a queue, or it
-// runs 200. Then it restarts.
+// TestReportsShowHowManyAnEngineTakes guards against requests that queue at an engine,
+// and against an engine that idles while requests are refused. Engines don't report how
+// many requests they run at most. The default estimate is 64; the engine runs 20, and
+// its reports show a queue, or it runs 200. Then it restarts.
 func TestReportsShowHowManyAnEngineTakes(t *testing.T) {
 	for _, actual := range []int{20, 200} {
 		synctest.Test(t, func(t *testing.T) { checkLearnedCapacity(t, actual) })
@@ -117,10 +119,10 @@
 	}
 }
 
-// Guards against sending new work to a VM that is about to stop. The VM list, load
-// reports and peer reports arrive late and in any order. Once a source reported that an
-// incarnation is leaving, only a report of another incarnation may bring the engine
-// back.
+// TestLeavingSticksToItsIncarnation guards against sending new work to a VM that is
+// about to stop. The VM list, load reports and peer reports arrive late and in any
+// order. Once a source reported that an incarnation is leaving, only a report of
+// another incarnation may bring the engine back.
 func TestLeavingSticksToItsIncarnation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -163,7 +165,10 @@
 	})
 }
 
-// Guards against sending work to an engine that was marked before its first report.
+// TestMarkBeforeFirstReport guards against sending work to an engine that was marked as
+// leaving before its incarnation was known. The VM list shows the engine leaving, then
+// its first report arrives, and then a lagging replica of the list shows the engine
+// live again. The mark must be kept, and must be announced only once.
 func TestMarkBeforeFirstReport(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
@@ -183,8 +188,9 @@
 	}
 }
 
-// Guards against sending prompts to a cache that removed their blocks: the event
-// "removed" is lost, which shows only as a gap in the sequence numbers.
+// TestCacheGapDropsTrust guards against sending prompts to a cache that removed their
+// blocks: the event "removed" is lost, which this router can detect only by a gap in
+// the sequence numbers.
 func TestCacheGapDropsTrust(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := New(nil)
@@ -276,9 +282,10 @@
 	return CacheBatch{}, errors.New("none")
 }
 
-// Guards against sending work to a leaving VM for longer than LeavingBound because
-// frozen engines delay the poller, and against every router polling every engine. There
-// are 200 engines and a frozen one; once the fleet is known, one VM leaves.
+// TestPollerKeepsItsBounds guards against sending work to a leaving VM for longer than
+// LeavingBound because frozen engines delay the poller, and against every router
+// polling every engine. There are 200 engines and a frozen one; once the fleet is
+// known, one VM leaves.
 func TestPollerKeepsItsBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePlatform{polled: map[string]int{}, fleet: []fleet.Backend{engine("frozen")}}
@@ -347,11 +354,11 @@
 	}
 }
 
-// Guards against ignoring an engine whose clock is set back by an hour while it runs.
-// It happens when its reports count as out of order and when the time of its last
-// report is taken from its own clock: it then still gets work when it leaves, its load
-// stays as it was an hour ago, and it is polled in every round in place of other
-// engines.
+// TestEngineClockIsSetBack guards against ignoring an engine whose clock is set back by
+// an hour while it runs. The failure occurs if the engine's reports count as out of
+// order, or if the time of its last report is taken from the engine's clock. The engine
+// then still gets work when it leaves, its load stays as it was an hour ago, and it is
+// polled in every round in place of other engines.
 func TestEngineClockIsSetBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
@@ -378,8 +385,9 @@
 	})
 }
 
-// A report that arrives after a newer one doesn't change the load, but its leaving flag
-// still counts.
+// TestOvertakenReport guards against an outdated load, and against sending work to an
+// engine that has reported that it is leaving. A report that arrives after a newer
+// report must not change the load, but its leaving flag must still count.
 func TestOvertakenReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
--- a/directory/dump.go
+++ b/directory/dump.go
@@ -12,7 +12,7 @@
 	Backend      fleet.Backend    `json:"backend"`
 	Report       fleet.LoadReport `json:"report"`
 	Load         float64          `json:"estimated_load"`
-	RequestLimit float64          `json:"requests_taken"` // at once, as its reports showed
+	RequestLimit float64          `json:"requests_taken"` // requests at once, as the reports showed
 	Leaving      bool             `json:"leaving"`
 	Marks        []string         `json:"leaving_incarnations"`
 	Member       bool             `json:"in_subset"`
@@ -55,10 +55,10 @@
 	return len(c.blocks)
 }
 
-// Capacity is how many requests this router may have in progress at the given
-// candidates of a Snapshot when each runs perBackend at once; the load of other routers
-// is subtracted. The result is at least 1 while any candidate accepts work, since the
-// reported load of other routers lags.
+// Capacity returns how many requests this router may have in progress at the given
+// candidates of a Snapshot if each candidate runs perBackend requests at once. The load
+// of other routers is subtracted. The result is at least 1 while any candidate accepts
+// work, because the reported load of other routers lags and may be too high.
 func Capacity(candidates []routing.Candidate, perBackend float64, now time.Time) int {
 	return capacity(candidates, now, func(*record) float64 { return perBackend })
 }
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// mark records that an incarnation is leaving. Only a new incarnation clears it:
-// sources lag behind each other, so a "live" that arrives later may be older
-// information, and trusting it would send new work to an engine that is about to stop.
+// mark records that an incarnation is leaving. Only a new incarnation clears the mark.
+// The sources lag behind each other, so a message that shows the incarnation live may
+// be older than the mark although it arrives later; if it cleared the mark, new work
+// would be sent to an engine that is about to stop.
 func (r *record) mark(incarnation string) {
 	if slices.Contains(r.marks, incarnation) {
 		return
@@ -15,8 +16,8 @@
 	}
 }
 
-// markLeaving marks an incarnation, or the current one if empty. It returns true when
-// the backend server was not leaving before and now is.
+// markLeaving marks an incarnation as leaving; an empty incarnation means the current
+// one. It returns true if the backend server was not leaving before and is leaving now.
 func (r *record) markLeaving(incarnation string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,13 +26,15 @@
 	}
 	r.mark(incarnation)
 	if r.last.Incarnation == "" {
-		// It never reported: any mark counts until its incarnation is known.
+		// The backend server has never sent a report, so its incarnation is unknown.
+		// The mark "" makes it count as leaving until its first report.
 		r.mark("")
 	}
 	return r.updateLeaving()
 }
 
-// setIntent sets whether the VM should leave by the configuration.
+// setIntent sets whether the VM should leave by the configuration. It returns true if
+// the backend server was not leaving before and is leaving now.
 func (r *record) setIntent(leaving bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +42,8 @@
 	return r.updateLeaving()
 }
 
-// updateLeaving recomputes the flag and returns true when it becomes set.
+// updateLeaving recomputes the flag leaving and returns true if the flag was not set
+// before and is set now.
 func (r *record) updateLeaving() bool {
 	now := r.intent || r.backend.Leaving || slices.Contains(r.marks, r.last.Incarnation)
 	was := r.leaving.Swap(now)
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -9,26 +9,28 @@
 // This file records the state that an engine reports when it is queried, corrected by
 // the requests that this router started since.
 //
-// Where there are too many routers to send each other their loads, each router knows
+// In a fleet with too many routers to send each other their loads, each router knows
 // only its own requests. Without the engines' own reports, every engine seems to have
 // free capacity, nothing waits, nothing is refused, and prompts crowd each other out of
-// memory. In a burst, generations then take half as long again, and none is refused.
+// memory. In a burst, generations then take half as long again, and no generation is
+// refused.
 
-// reportLag is the assumed age of an engine's report when it arrives. Requests that
-// this router started within that time may not be included and are added. If the value
-// is too high, a request may count twice for a moment; if it is too low, an engine to
-// which this router has just sent a prompt seems idle.
+// reportLag is the assumed age of an engine's report when it arrives. A request that
+// this router started within that time may be missing from the report, so its load is
+// added. If the value is too high, a request may count twice for a moment; if it is too
+// low, an engine to which this router has just sent a prompt seems idle.
 const reportLag = 300 * time.Millisecond
 
-// RequestSize is the size in tokens of a typical request of a service: reports list the runs,
-// but not how large they will become.
+// RequestSize is the size in tokens of a typical request of a service: it is needed
+// because reports list the runs of an engine, but not how large the runs will become.
 type RequestSize struct{ Prompt, Answer float64 }
 
 // observation is the peers' load derived from one report of an engine.
 type observation struct {
 	at time.Time
-	// peers is the load of other routers' requests. It may be negative while the report
-	// contains less than this router has in progress.
+	// peers is the load of other routers' requests: the reported load minus the load of
+	// this router's requests. It is negative if the report contains less than this
+	// router has in progress.
 	peers Load
 }
 
@@ -45,10 +47,10 @@
 	}
 }
 
-// loadFromState returns the load that the requests in a report will cause. What waits,
-// and the rest of the prompts being read and of the answers being generated, are added
-// to what is in memory. Reports don't include how far a prompt has been read, so it
-// counts in full.
+// loadFromState returns the load that the requests in a report will cause. The tokens
+// of waiting requests, the unread rest of the prompts being read and the rest of the
+// answers being generated are added to the tokens in memory. Reports don't include how
+// far a prompt has been read, so a prompt that is being read counts in full as Reading.
 func loadFromState(s fleet.EngineState, size RequestSize) Load {
 	total := size.Prompt + size.Answer
 	queued := float64(s.Queued) * size.Prompt
@@ -81,7 +83,8 @@
 	r.observed.Store(&observation{at: now, peers: reported.Minus(r.local.load())})
 }
 
-// rememberStart keeps a started request until every report includes it. r.mu is held.
+// rememberStart keeps the load of a started request for reportLag, after which every
+// report that arrives is assumed to include the request. The caller holds r.mu.
 func (r *record) rememberStart(l Load, now time.Time) {
 	kept := r.recentStarts[:0]
 	for _, b := range r.recentStarts {
@@ -92,7 +95,8 @@
 	r.recentStarts = append(kept, recentStart{now, l})
 }
 
-// ReportedAt is when the engine last reported its state; zero if it never did.
+// ReportedAt returns the time when the engine's last report of its state arrived, or
+// the zero time if none did.
 func (r *record) ReportedAt() time.Time {
 	if o := r.observed.Load(); o != nil {
 		return o.at
@@ -100,8 +104,8 @@
 	return time.Time{}
 }
 
-// peerLoad is the load of other routers' requests: as they send it or, if they don't,
-// as the engine reported it.
+// peerLoad returns the load of other routers' requests: as these routers send it or, if
+// they don't send their loads, as derived from the engine's last report.
 func (r *record) peerLoad() Load {
 	if r.peersSendLoads.Load() {
 		return r.peers.load()
@@ -123,8 +127,8 @@
 	}
 }
 
-// Estimate is the estimated load of an engine and the age of the engine's own report;
-// reported is false if it never sent one.
+// Estimate returns the estimated load of an engine and the age of the engine's last
+// report of its state. reported is false if the engine never sent a report.
 func (d *Directory) Estimate(id string, now time.Time) (l Load, age time.Duration, reported bool) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -134,6 +138,6 @@
 	return r.estimatedLoad(), now.Sub(seen), !seen.IsZero()
 }
 
-// PeersSendLoads reports whether other routers send their loads. If not, engines must be
-// queried for them.
+// PeersSendLoads reports whether other routers send their loads. If they don't, this
+// router must query the engines for their loads.
 func (d *Directory) PeersSendLoads() bool { return d.loads.peersSendLoads.Load() }
--- a/directory/observed_test.go
+++ b/directory/observed_test.go
@@ -10,9 +10,10 @@
 
 var typical = RequestSize{Prompt: 5000, Answer: 1000}
 
-// Guards against sending a prompt to an engine that is reading one while others are
-// idle. An engine reports one request in its batch and no run; a request must count
-// before its prompt is read, too.
+// TestReportCountsWhatIsToCome guards against sending a prompt to an engine that is
+// reading another prompt while other engines are idle. While an engine reads a prompt,
+// its report shows a request in its batch but no run; the request must count before its
+// prompt has been read, too.
 func TestReportCountsWhatIsToCome(t *testing.T) {
 	for name, c := range map[string]struct {
 		state fleet.EngineState
@@ -31,8 +32,9 @@
 	}
 }
 
-// Guards against counting a request of this router twice, or not at all. Reports are
-// old when they arrive: some already include the request and some don't; then it ends.
+// TestReportAndOwnRequestsAreCountedOnce guards against counting a request of this
+// router twice, or not at all. Reports are old when they arrive: some already include
+// the request and some don't. Then the request ends, and its load must no longer count.
 func TestReportAndOwnRequestsAreCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(nil)
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -5,18 +5,20 @@
 	"sync/atomic"
 )
 
-// This file records the load that other routers have at each backend server, as they
-// broadcast it.
+// This file records the load that other routers have at each backend server, as these
+// routers broadcast it.
 //
-// Without it, each router knows its own requests, and those of the others only from
-// reports that arrive a second late. Several routers then send their next long prompt
-// to the same idle engine at the same moment, which reads the prompts one after the
-// other while other engines are idle: generations take half as long again as necessary.
+// Without these broadcasts, each router knows its own requests, and knows the requests
+// of other routers only from engines' reports that arrive a second late. Several
+// routers then send their next long prompt to the same idle engine at the same moment.
+// That engine reads the prompts one after the other while other engines are idle, so
+// that generations take half as long again as necessary.
 
 // PeerLoads is the load that routers have in progress, by backend server.
 type PeerLoads map[string]Load
 
-// loadCounter is a Load that changes with every request, in thousandths.
+// loadCounter is a Load that can be changed with every request without a lock. Its
+// counters are in thousandths.
 type loadCounter struct {
 	requests, reading, running, memory atomic.Int64
 }
@@ -44,14 +46,14 @@
 	}
 }
 
-// loadTracker is the state behind LocalLoads and SetPeerLoads. Both are called many times
-// a second, so they visit only backend servers that have any load.
+// loadTracker is the state behind LocalLoads and SetPeerLoads. Both methods are called
+// many times a second, so they visit only backend servers that have any load.
 type loadTracker struct {
-	peersSendLoads atomic.Bool // other routers send their loads
+	peersSendLoads atomic.Bool // set if other routers send their loads
 
 	mu        sync.Mutex
-	busy      map[*record]struct{} // with requests of this router, now or recently
-	peerLoads PeerLoads            // as last set
+	busy      map[*record]struct{} // backend servers with requests of this router, now or recently
+	peerLoads PeerLoads            // the sum that SetPeerLoads set last, plus the changes added since
 }
 
 // markBusy records that a request of this router is in progress at r.
@@ -94,8 +96,9 @@
 	}
 }
 
-// SetPeerLoads replaces the load of other routers, summed over them. Nil means that
-// they don't send it: then engines' reports are used again.
+// SetPeerLoads replaces the load of other routers, summed over them. A nil sum means
+// that the other routers don't send their loads; the engines' reports are then used
+// again.
 func (d *Directory) SetPeerLoads(sum PeerLoads) {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
--- a/directory/peers_test.go
+++ b/directory/peers_test.go
@@ -10,11 +10,11 @@
 	"wigeondale/fleet"
 )
 
-// Guards against a processor load that grows with the number of known backend servers.
-// 3,000 are known and a few have requests; loads are broadcast and summed 25 times a
-// second. The code used to visit all known servers each time. The loads sent and
-// counted must equal those found by visiting all of them, in whatever order events
-// come.
+// TestLoadsAreThoseOfAWalkOverEverything guards against a processor load that grows
+// with the number of known backend servers. 3,000 are known and a few have requests;
+// loads are broadcast and summed 25 times a second. The failure occurs if each round
+// visits all known servers. The loads sent and counted must equal the loads found by
+// visiting all servers, in whatever order events come.
 func TestLoadsAreThoseOfAWalkOverEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(nil)
--- a/directory/poll.go
+++ b/directory/poll.go
@@ -30,15 +30,17 @@
 	SubsetSize  int           // engines per model (default 32)
 	Explore     int           // engines outside the subset polled per round (default 8)
 	Concurrency int           // polls in progress at once (default 16)
-	Interval    time.Duration // between polls of an engine (default PollInterval)
+	Interval    time.Duration // mean time between polls of an engine (default PollInterval)
 	// ListInterval is the interval between reads of the VM list (default Interval).
 	ListInterval time.Duration
-	// ListChanged triggers a read of the list without waiting; nil never does. With it,
-	// a lister that is notified of changes needs no short ListInterval.
+	// A value from ListChanged triggers a read of the list without waiting for
+	// ListInterval; nil means that nothing triggers such reads. A lister that is
+	// notified of changes and sends them here needs no short ListInterval.
 	ListChanged <-chan struct{}
-	Timeout     time.Duration // of one poll (default half of Interval)
-	// CacheEvents enables polling engines for their cache events. Only a scorer that
-	// uses them justifies the second call of each poll and the memory.
+	Timeout     time.Duration // timeout of one poll (default half of Interval)
+	// CacheEvents enables polling engines for their cache events. They should be
+	// enabled only if a scorer uses the cache maps, since each poll then makes a second
+	// call and the maps take memory.
 	CacheEvents bool
 }
 
@@ -53,8 +55,8 @@
 }
 
 // Poller keeps a Directory up to date. Each router polls a subset of the engines: if
-// all of hundreds of routers polled all of thousands of engines, there would be
-// millions of polls a second.
+// hundreds of routers each polled thousands of engines, there would be millions of
+// polls a second.
 type Poller struct {
 	cfg   PollConfig
 	dir   *Directory
@@ -68,8 +70,8 @@
 }
 
 // Run polls until ctx ends. A failed poll leaves the recorded state as it was. The VM
-// list has its own loop: engines that time out must not delay the information that
-// others are leaving.
+// list is read in a loop of its own, so that engines that time out don't delay the
+// information that other engines are leaving.
 func (p *Poller) Run(ctx context.Context) error {
 	p.ReadList(ctx)
 	var group errgroup.Group
@@ -81,7 +83,8 @@
 // minListGap is the minimum time between two reads of the VM list.
 const minListGap = 100 * time.Millisecond
 
-// loop runs f at jittered intervals, counted from start to start, and when woken.
+// loop runs f at jittered intervals, counted from start to start, and whenever it
+// receives a value from wake.
 func loop(ctx context.Context, every time.Duration, wake <-chan struct{}, f func(context.Context)) {
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -90,7 +93,8 @@
 		select {
 		case <-ctx.Done():
 		case <-wake:
-			// Many changes at once must not cause continuous reads of the list.
+			// Wait for minListGap first, so that many changes in quick succession don't
+			// cause continuous reads of the list.
 			time.Sleep(time.Until(started.Add(minListGap)))
 		case <-time.After(time.Until(next)):
 		}
@@ -103,7 +107,7 @@
 	return time.Duration(float64(d) * (1 + PollJitter*(2*u-1)))
 }
 
-// PollEngines polls the engines of the subset, and a few others, once.
+// PollEngines polls the engines of the subset, and a few engines outside it, once.
 func (p *Poller) PollEngines(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(p.cfg.Concurrency)
@@ -111,7 +115,7 @@
 	p.dir.Select(members)
 	explore := p.cfg.Explore
 	if len(members) == 0 {
-		explore = 2 * p.cfg.SubsetSize // a router that knows nothing yet
+		explore = 2 * p.cfg.SubsetSize // this router knows no engine's models yet, so it polls more engines to find them
 	}
 	ids := slices.Collect(maps.Keys(members))
 	ids = append(ids, p.dir.LeastRecentlyReported(p.cfg.Router, members, explore)...)
--- a/directory/record.go
+++ b/directory/record.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// milli is the fixed-point unit of costs, so that they add up exactly.
+	// milli is the number of fixed-point units in one request or token. Loads are
+	// counted in these units so that additions and subtractions cancel out exactly.
 	milli = 1000
-	// fadeTime is the age of a report at which the other routers' load in it counts for
-	// only fadeFloor: an old load is less reliable, but an engine must not look idle
-	// only because its reports stopped.
+	// fadeTime is the age of a report from which the other routers' load in the report
+	// counts only with the factor fadeFloor. An old load is less reliable, but an
+	// engine must not look idle only because its reports stopped.
 	fadeTime  = 10 * time.Second
 	fadeFloor = 0.5
 	// maxMarks is how many leaving incarnations are remembered.
@@ -33,15 +34,16 @@
 	slots            atomic.Uint64 // batch.learned, float64 bits
 	leaving          atomic.Bool
 	cache            cacheMap
-	peersSendLoads   *atomic.Bool // other routers send their loads
-	// observed is the engine's last report of its state, nil before the first.
+	peersSendLoads   *atomic.Bool // set if other routers send their loads
+	// observed stores what the engine's last report of its state showed. It is nil
+	// before the first report.
 	observed atomic.Pointer[observation]
 
 	mu            sync.Mutex
 	backend       fleet.Backend
 	last          fleet.LoadReport
 	reportedAt    time.Time // when the last report arrived, zero if none did
-	listedAt      time.Time // last time on the VM list
+	listedAt      time.Time // time of the last reading of the VM list that included it
 	recentChanges timeline
 	recentStarts  []recentStart // requests started recently by this router
 	batch         batchSize
@@ -51,7 +53,7 @@
 
 func newRecord(b fleet.Backend, peersSendLoads *atomic.Bool) *record {
 	r := &record{id: b.ID, backend: b, peersSendLoads: peersSendLoads}
-	r.backend.Leaving = false // applyListEntry sets it
+	r.backend.Leaving = false // applyListEntry sets it, so that the first entry that shows it also sets a mark
 	return r
 }
 
@@ -60,9 +62,9 @@
 func (r *record) applyListEntry(b fleet.Backend, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// Only the first entry that shows it marks the incarnation known at that time: a
-	// new incarnation that starts while the list still lags must not stay marked for as
-	// long as it runs.
+	// Only the first entry that shows the backend server leaving marks the incarnation
+	// known at that time. If each such entry did, a new incarnation that starts while
+	// the list still lags would be marked for as long as it runs.
 	if b.Leaving && !r.backend.Leaving {
 		r.mark(r.last.Incarnation)
 	}
@@ -78,8 +80,9 @@
 	return now.Sub(r.listedAt) < missingGrace || r.local.requests.Load() > 0
 }
 
-// applyReport applies a load report. changed reports that the candidate differs,
-// nowLeaving that the backend server is now leaving.
+// applyReport applies a load report. changed reports whether the candidate made from
+// the record differs from before, nowLeaving whether the backend server was not leaving
+// before and is leaving now.
 func (r *record) applyReport(rep fleet.LoadReport, now time.Time) (changed, nowLeaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +94,8 @@
 		return false, r.updateLeaving()
 	}
 	if !sameIncarnation && r.last.Incarnation == "" && slices.Contains(r.marks, "") {
-		// The mark was set before the incarnation was known; it applies to this one.
+		// The mark "" was set before any incarnation was known; it applies to the
+		// incarnation that this first report shows.
 		r.mark(rep.Incarnation)
 	}
 	changed = r.reportedAt.IsZero() || !sameIncarnation || rep.Role != r.last.Role || !slices.Equal(rep.Serves, r.last.Serves)
@@ -106,25 +110,28 @@
 	return changed, r.updateLeaving()
 }
 
-// reorderSpan is how much later than a newer report a report may arrive. It is far
-// above the duration of a poll; an engine's clock is seldom set back by less.
+// reorderSpan is the maximum difference in time between two reports by which the older
+// one still counts as having arrived out of order. It is far above the duration of a
+// poll, and an engine's clock is seldom set back by less.
 const reorderSpan = 2 * time.Second
 
 // overtaken reports whether a report describes an earlier moment than the last one. A
-// much earlier one comes from an engine whose clock was set back: if it counted as
-// overtaken, the engine's reports would be ignored until its clock caught up.
+// report of a much earlier moment comes from an engine whose clock was set back: if
+// that report counted as overtaken, the engine's reports would be ignored until its
+// clock caught up.
 func overtaken(rep, last fleet.LoadReport) bool {
 	by := time.Duration(last.AsOfUnixMS-rep.AsOfUnixMS) * time.Millisecond
 	return by > 0 && by <= reorderSpan
 }
 
-// estimatePeerLoad splits the reported load into this router's and other routers'. The
-// report includes this router's requests as they were at its time, so requests started
-// and ended since are subtracted from the current ones.
+// estimatePeerLoad derives the load of other routers from the reported load. The report
+// includes this router's requests as they were when the report was made. That number is
+// the current number of requests minus the net change since then, and it is subtracted
+// from the reported load.
 func (r *record) estimatePeerLoad(now time.Time) {
 	asOf := r.last.AsOf()
 	if asOf.After(now) || now.Sub(asOf) > timelineSpan {
-		asOf = now // the engine's clock is off, or the report is too old to use
+		asOf = now // the engine's clock is wrong, or the report is older than the timeline
 	}
 	localNow := float64(r.local.requests.Load()) / milli
 	localThen := localNow - r.recentChanges.changeSince(asOf)/milli
@@ -134,8 +141,9 @@
 	r.asOf.Store(asOf.UnixMilli())
 }
 
-// Load estimates the requests running and waiting: the load of other routers by the
-// last report, faded by its age, plus this router's current load.
+// Load estimates the number of requests that run and wait: this router's current load
+// plus the load of other routers, as they send it or, if they don't, by the last
+// report, faded by the report's age.
 func (r *record) Load(now time.Time) float64 {
 	local := float64(r.local.requests.Load()) / milli
 	if r.peersSendLoads.Load() {
@@ -150,21 +158,23 @@
 	return local + peers*(1-fade)
 }
 
-// Reported is the load by the last report alone.
+// Reported returns the load that the last load report showed, without any correction.
 func (r *record) Reported() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return float64(r.last.Running + r.last.Waiting)
 }
 
-// Slots is how many requests the backend server runs at once, as far as its reports
-// showed it; 0 when they did not.
+// Slots returns how many requests the backend server runs at once according to its
+// reports, or 0 if its reports have not shown that number yet.
 func (r *record) Slots() float64 { return math.Float64frombits(r.slots.Load()) }
 
-// Leaving reports that no new work may be sent there.
+// Leaving reports whether the backend server is leaving, so that no new work may be
+// sent to it.
 func (r *record) Leaving() bool { return r.leaving.Load() }
 
-// Hits counts the leading blocks known to be in the cache.
+// Hits returns how many of the blocks, counted from the first without a gap, are known
+// to be in the engine's prefix cache.
 func (r *record) Hits(blocks []uint64, now time.Time) int { return r.cache.hits(blocks, now) }
 
 // addLocal changes the load of this router's requests.
@@ -187,7 +197,8 @@
 // Running is the number of runs that are generating tokens.
 func (r *record) Running() float64 { return r.estimatedLoad().Running }
 
-// Memory is the number of tokens that runs, at their ends, and copies take in memory.
+// Memory is the estimated number of tokens that take memory at the engine: runs count
+// with the size that they will have at their end, and copies count as well.
 func (r *record) Memory() float64 { return r.estimatedLoad().Memory }
 
 func (r *record) serves(ref fleet.ModelRef) bool {
--- a/directory/share.go
+++ b/directory/share.go
@@ -4,18 +4,18 @@
 
 // Load is the load that requests put on a backend server.
 type Load struct {
-	Requests float64 `cbor:"1,keyasint,omitempty"` // in units of an ordinary one
+	Requests float64 `cbor:"1,keyasint,omitempty"` // in units of an ordinary request
 	Reading  float64 `cbor:"2,keyasint,omitempty"` // tokens of prompts that are yet to be read
 	Running  float64 `cbor:"3,keyasint,omitempty"` // runs that are generating tokens
 	Memory   float64 `cbor:"4,keyasint,omitempty"` // tokens of runs and copies in memory
 }
 
-// Plus is the sum of two loads.
+// Plus returns the sum of the loads l and o.
 func (l Load) Plus(o Load) Load {
 	return Load{l.Requests + o.Requests, l.Reading + o.Reading, l.Running + o.Running, l.Memory + o.Memory}
 }
 
-// Minus is their difference.
+// Minus returns the load l less the load o.
 func (l Load) Minus(o Load) Load {
 	return Load{l.Requests - o.Requests, l.Reading - o.Reading, l.Running - o.Running, l.Memory - o.Memory}
 }
@@ -23,14 +23,15 @@
 // Share is one request's part of the load of its backend server. Its methods may be
 // called by any goroutine.
 type Share struct {
-	record *record // nil for an unknown backend server
+	record *record // nil for an unknown backend server, whose load is not counted
 
 	mu    sync.Mutex
 	load  Load
 	ended bool
 }
 
-// Begin adds a request's load to a backend server until End is called on its share.
+// Begin adds a request's load to a backend server. The load counts until End is called
+// on the returned Share. For an unknown backend server nothing is counted.
 func (d *Directory) Begin(id string, l Load) *Share {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -41,8 +42,8 @@
 	return &Share{record: r, load: l}
 }
 
-// Start adds one request, in units of an ordinary one. Call done once when it has
-// ended; more calls do nothing.
+// Start adds one request whose cost is given in units of an ordinary request. The
+// caller must call done when the request has ended; further calls of done do nothing.
 func (d *Directory) Start(id string, cost float64) (done func()) {
 	return d.Begin(id, Load{Requests: cost}).End
 }
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -12,8 +12,9 @@
 	"wigeondale/routing"
 )
 
-// Subset chooses size of the ids for one router by rendezvous hash: routers spread
-// evenly over the fleet, and a changed fleet changes few choices.
+// Subset chooses size of the ids for one router by rendezvous hash, so that the choices
+// of all routers spread evenly over the fleet and a change of the fleet changes few
+// choices. If size is 0 or less, it chooses all ids.
 func Subset(router string, ids []string, size int) []string {
 	if size <= 0 || len(ids) <= size {
 		return slices.Clone(ids)
@@ -27,7 +28,8 @@
 	return firstIDs(all, size)
 }
 
-// ranked is an engine with its sort keys: age first, then weight.
+// ranked is an engine with its sort keys: the lowest age comes first, then the highest
+// weight.
 type ranked struct {
 	id     string
 	age    int64
@@ -65,9 +67,10 @@
 	return members
 }
 
-// LeastRecentlyReported returns up to n engines outside members to be polled for what they serve:
-// first those that never reported, in this router's own order, then the others with the
-// oldest report first, so that changes of placement are noticed.
+// LeastRecentlyReported returns up to n engines outside members, to be polled for the
+// models that they serve. Engines that never sent a report come first, in an order of
+// this router's own; then come the other engines, the oldest report first, so that
+// changes of placement are noticed.
 func (d *Directory) LeastRecentlyReported(router string, members map[string]bool, n int) []string {
 	key := xxhash.Sum64String(router)
 	var all []ranked
@@ -82,8 +85,8 @@
 }
 
 // lastReportMS is when the last report arrived, in Unix milliseconds by this router's
-// clock; an engine that never reported comes before all others. By the engines' own
-// clocks, an engine whose clock is behind would be polled in each round.
+// clock; an engine that never reported comes before all others. If the engines' own
+// clocks were used, an engine whose clock is behind would be polled in each round.
 func (r *record) lastReportMS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/directory/timeline.go
+++ b/directory/timeline.go
@@ -8,9 +8,9 @@
 	timelineSpan = bucketCount * bucketWidth
 )
 
-// timeline records, for the last seconds, the requests of this router that started
-// minus those that ended in each tenth of a second. It is used to correct a late report
-// for what happened since.
+// timeline records, for the last seconds, the number of requests of this router that
+// started minus the number that ended in each tenth of a second. With it, a late report
+// is corrected for the requests that started and ended after the report was made.
 type timeline struct {
 	netChange [bucketCount]int32 // net change in thousandths of a request
 	stamp     [bucketCount]uint32
@@ -27,7 +27,8 @@
 	l.netChange[i] += int32(units)
 }
 
-// changeSince is the net change after t, to the width of a bucket.
+// changeSince returns the net change after t, in thousandths of a request. It counts
+// whole buckets, and leaves out the bucket that contains t.
 func (l *timeline) changeSince(t time.Time) float64 {
 	from := bucketOf(t)
 	var sum int64
--- a/once/upkeep.go
+++ b/once/upkeep.go
@@ -212,7 +212,7 @@
 	Position uint64 `json:"position"`
 	Snapshot uint64 `json:"snapshot"`
 	Claims   int    `json:"claims"`
-	Down     bool   `json:"down"` // whether claims are refused without a try because a write failed recently
+	Down     bool   `json:"down"` // whether claims are refused without a try because a batch failed recently
 }
 
 // Dump returns the state of each shard. It is empty while the number of shards
