--- a/inventory/bench_test.go
+++ b/inventory/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// targetRecords is the size that docs/CAPACITY.md works out: 10,000 replicas and 830
-// nodes.
+// targetRecords is the size for which docs/CAPACITY.md calculates the capacity: 10,000
+// replicas and 830 nodes.
 const targetRecords = 10_830
 
 func targetList() []Item {
@@ -52,7 +52,7 @@
 	}
 }
 
-// BenchmarkDelta measures a change of one entry at a node that receives it.
+// BenchmarkDelta measures the work of a node that receives a change of one entry.
 func BenchmarkDelta(b *testing.B) {
 	list := targetList()
 	s, _, now := targetState(list)
@@ -66,7 +66,8 @@
 	b.ReportMetric(encoded(b, d), "B/delta")
 }
 
-// BenchmarkDigest measures a digest round in which nothing differs, at both ends.
+// BenchmarkDigest measures a digest round between two nodes with equal inventories,
+// counting the work of both nodes.
 func BenchmarkDigest(b *testing.B) {
 	s, _, _ := targetState(targetList())
 	var request, answer Digest
@@ -98,7 +99,8 @@
 	b.ReportMetric(bytes, "B/round")
 }
 
-// BenchmarkTakeAll measures a start: a node gets the whole inventory from a neighbour.
+// BenchmarkTakeAll measures the start of a node that gets the whole inventory from a
+// neighbour.
 func BenchmarkTakeAll(b *testing.B) {
 	s, _, now := targetState(targetList())
 	var bytes float64
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is a set of nodes on a fake clock. The first ones read the list, each
-// through a replica with a lag of its own.
+// testFleet is a set of nodes on a fake clock. The first fleetReaders nodes read the
+// list, each through a replica with a lag of its own.
 type testFleet struct {
 	*rapid.T
 	now     time.Time
 	list    [][]Item // the list at each second
 	nodes   []*State
 	readers []*Observer
-	lags    []int // seconds
+	lags    []int // by reader, in seconds
 }
 
 const (
@@ -108,8 +108,9 @@
 	}
 }
 
-// settleAll leaves the list unchanged until each reader has seen its final state and
-// has had a mismatch for longer than mismatchTimeout.
+// settleAll leaves the list unchanged until each reader has seen the list's final state
+// and every mismatch with it has lasted longer than mismatchTimeout, so that the
+// readers have put the final state into force.
 func (w *testFleet) settleAll() {
 	for _, pause := range []time.Duration{time.Second, time.Second, mismatchTimeout, mismatchTimeout} {
 		w.now = w.now.Add(pause)
@@ -124,10 +125,11 @@
 	}
 }
 
-// Guards against a node that goes on sending work to a VM that was removed, or sends
-// none to a new one, while the others know better. Readers have different lags, floods
-// are lost, nodes and readers restart, in any order; then the list stays unchanged. It
-// happens when no reader sends a change, or when an older reading prevails for good.
+// TestAllConvergeToTheNewestReading guards against a node that goes on sending work to
+// a VM that was removed, or sends none to a new VM, while other nodes have the current
+// list. Readers have different lags, floods are lost, nodes and readers restart, in any
+// order; then the list stays unchanged. The failure occurs if no reader sends a change,
+// or if an older reading prevails for good.
 func TestAllConvergeToTheNewestReading(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newTestFleet(t)
@@ -162,9 +164,10 @@
 	return list
 }
 
-// Guards against losing all backend servers of the fleet. The service of the VM list
-// restarts and shows nothing at first, then a part of the list; a reading that lacks a
-// lot must not be applied at once. The rows are readings a second or more apart.
+// TestShrunkReadingIsHeldBack guards against losing all backend servers of the fleet.
+// The service of the VM list restarts and shows nothing at first, then a part of the
+// list; a reading that lacks more than half of the entries must not be applied at once.
+// Each row lists readings that are 6 s apart.
 func TestShrunkReadingIsHeldBack(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shown []int // entries of each reading, 6 s apart
@@ -195,10 +198,10 @@
 	}
 }
 
-// Guards against a change that is undone and repeated on all nodes for as long as one
-// replica of the list lags. r1 sees a removal; r2, through the lagging replica, still
-// lists the VM in each of its readings; then r2 restarts. It happens when a reader puts
-// whatever it reads into force.
+// TestLaggingReaderUndoesNothing guards against a change that is undone and repeated on
+// all nodes for as long as one replica of the list lags. r1 sees a removal; r2, through
+// the lagging replica, still lists the VM in each of its readings; then r2 restarts.
+// The failure occurs if a reader puts whatever it reads into force.
 func TestLaggingReaderUndoesNothing(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
@@ -223,11 +226,11 @@
 	}
 }
 
-// Guards against a change that is undone for a moment or arrives half a minute late.
-// r1, whose clock is ahead, reports that an engine has moved; a reading of r2 that
-// started before shows an older move; the list then moves the engine again. It happens
-// when a reading that was answered late counts as a new one, or when what it showed
-// counts as already reported.
+// TestLateReading guards against a change that is undone for a moment or arrives half a
+// minute late. r1, whose clock is ahead, reports that an engine has moved; a reading of
+// r2 that started before r1's reading shows an older move; the list then moves the
+// engine again. The failure occurs if a reading that was answered late counts as a new
+// reading, or if what that reading showed counts as already reported.
 func TestLateReading(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
@@ -250,9 +253,10 @@
 	}
 }
 
-// Guards against the failure in TestLeavingIsNotUndone: r2 reports another change of
-// the VM, which it still sees live, before it receives r1's report that the VM is
-// leaving.
+// TestLeavingIsKeptBesideAnotherChange guards against sending new work to a VM that is
+// about to stop, as TestLeavingIsNotUndone does. Here r2 still sees the VM live and
+// reports another change of the VM before it receives r1's report that the VM is
+// leaving. The mark must be kept.
 func TestLeavingIsKeptBesideAnotherChange(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	changesOf := func(reader string, at time.Duration, change func(*Item)) []Record {
--- a/inventory/dump.go
+++ b/inventory/dump.go
@@ -41,9 +41,9 @@
 // Dump is the state of an Inventory for operators.
 type Dump struct {
 	Duty               string                `json:"duty"`
-	Readings           int                   `json:"readings"` // by this node, since its start
+	Readings           int                   `json:"readings"` // number of readings by this node since its start
 	Withholding        bool                  `json:"held_back"`
-	LastReadingSeconds float64               `json:"last_reading_heard_s"` // ago
+	LastReadingSeconds float64               `json:"last_reading_heard_s"` // time since the last update about a reading
 	Live               int                   `json:"live"`
 	Removed            int                   `json:"removed"`
 	Records            map[string]RecordDump `json:"records"`
@@ -58,8 +58,8 @@
 	Reader   string `json:"reader"`
 }
 
-// Dump returns the state. Records are keyed b/ID for backend servers and e/ID for entry
-// VMs.
+// Dump returns the state. The keys of its records are b/ID for backend servers and e/ID
+// for entry VMs.
 func (v *Inventory) Dump() any {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/inventory/exchange.go
+++ b/inventory/exchange.go
@@ -9,24 +9,28 @@
 
 const (
 	// maxFlood is the maximum number of records in one flood, maxFloods the maximum
-	// number of floods after one reading. Records beyond that are sent by digests.
+	// number of floods after one reading. Changes that don't fit into these floods
+	// reach the other nodes by digests.
 	maxFlood  = 256
 	maxFloods = 4
 	// maxExchange bounds the bytes of records in one message, estimated by
-	// Record.bytes; it is far below the bound of package peer.
+	// Record.bytes. The bound is far below the maximum message size of package peer, so
+	// that no message closes a link.
 	maxExchange = 256 << 10
 	// overhead is the maximum encoded size of a record without its texts.
 	overhead = 60
 )
 
-// Delta is what a reader floods after a reading.
+// Delta is the message that a reader floods after a reading: the changed records and
+// the times of the newest readings.
 type Delta struct {
 	_       struct{} `cbor:",toarray"`
 	Newest  NewestReadings
 	Records []Record
 }
 
-// Digest compares two inventories. Buckets is sent only if Root differs.
+// Digest is a summary by which two nodes compare their inventories. Buckets, the hash
+// of each bucket, is sent only if Root differs.
 type Digest struct {
 	_       struct{} `cbor:",toarray"`
 	Root    uint64
@@ -34,11 +38,11 @@
 	Buckets []uint64
 }
 
-// Batch holds all records of as many buckets as fit.
+// Batch holds all records of as many buckets as fit into one message.
 type Batch struct {
 	_       struct{} `cbor:",toarray"`
-	Buckets []uint16 // in a request: buckets that differ
-	Done    int      // how many of them, from the first, are covered by Records
+	Buckets []uint16 // in a request, the buckets that differ; nil in a response
+	Done    int      // number of these buckets, from the first, whose records are in Records
 	Records []Record
 }
 
@@ -82,8 +86,9 @@
 	return out
 }
 
-// Batch collects the records of the buckets, in their order, as far as they fit. The
-// first bucket is always included completely, so that an exchange makes progress.
+// Batch collects the records of the buckets, in the order of the buckets, as far as
+// complete buckets fit into maxExchange bytes. The first bucket is always included
+// completely, so that an exchange makes progress.
 func (s *State) Batch(buckets []uint16) Batch {
 	var wanted [bucketCount]bool
 	for _, b := range buckets {
@@ -120,7 +125,7 @@
 	return answer, changed
 }
 
-// bytes is an upper estimate of the encoded size.
+// bytes returns an upper estimate of the record's encoded size.
 func (r Record) bytes() int {
 	i := r.Item
 	return overhead + len(i.ID) + len(i.VM) + len(i.Addr) + len(i.FailureDomain) + len(i.Role) + len(i.Service) + len(r.Reader)
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,16 +1,18 @@
 // Package inventory keeps a copy of the VM list on every node while few nodes read it.
 //
-// Two nodes of each failure domain read the list. What changed between two readings is
-// flooded; digests between neighbours repair what a flood missed.
+// Two nodes of each failure domain read the list. They flood the changes between two
+// readings; digests between neighbours deliver the changes to nodes that a flood
+// missed.
 //
 // If each of hundreds of nodes read a list of thousands of entries every second, the
 // list would be the first service to fail, and each node would spend its budget on
 // parsing it. With few readers, these failures must be handled. Readers lag by
-// different times, and messages arrive out of order: records merge by the time of their
-// reading, in any order (Merge, Observer). A flood is lost, a partition heals, a node
-// starts: digests repair the difference (State.Differing). The readers crash, or can't
-// read: other nodes notice the silence and read the list (Choose). The list is down,
-// empty or half empty: it removes nothing (Observer.evaluate).
+// different times, and messages arrive out of order; therefore records are merged by
+// the time of their reading, whatever the order of arrival (Merge, Observer). A flood
+// is lost, a partition heals or a node starts; digests then repair the difference
+// (State.Differing). The readers crash or can't read; other nodes then notice that no
+// updates arrive and read the list themselves (Choose). The list is down, empty or half
+// empty; such a reading then removes no records (Observer.evaluate).
 package inventory
 
 import (
@@ -35,12 +37,13 @@
 	// digestInterval is the mean time between digests with a random neighbour.
 	digestInterval = 5 * time.Second
 	// fallbackInterval is the mean time between readings of a node that isn't one of
-	// the chosen readers: while the list is down for all, every node is a fallback
-	// reader.
+	// the chosen readers: The interval is long because every node is a fallback reader
+	// while no node can read the list.
 	fallbackInterval = 30 * time.Second
 	// callTimeout bounds one call to a neighbour.
 	callTimeout = 2 * time.Second
-	// jitterShare is the share by which each interval is moved either way.
+	// jitterShare is the share of its length by which each interval is lengthened or
+	// shortened at most.
 	jitterShare = 0.25
 )
 
@@ -48,7 +51,7 @@
 type Peers interface {
 	// Members lists the visible nodes, this one included.
 	Members() []peer.Member
-	// Neighbour returns a linked node at random, false if there is none.
+	// Neighbour returns a random linked node, or false if there is none.
 	Neighbour() (string, bool)
 	Flood(Delta)
 	Compare(ctx context.Context, node string, d Digest) (Digest, error)
@@ -82,8 +85,8 @@
 	members        []peer.Member
 	withholding    bool
 	readings       int
-	nextFallback   time.Time // next reading as a fallback reader
-	fallbackActive bool      // has read as a fallback, and no chosen reader has reported since
+	nextFallback   time.Time // time of the next reading as a fallback reader
+	fallbackActive bool      // this node has read as a fallback, and no chosen reader has reported a reading since
 }
 
 // New returns an Inventory; Run starts reading and comparing.
@@ -128,10 +131,11 @@
 // Changed receives a value after the known records have changed.
 func (v *Inventory) Changed() <-chan struct{} { return v.changed }
 
-// MembersChanged makes the next check of the duty read the members again.
+// MembersChanged makes the next check of this node's duty read the members from Peers
+// again.
 func (v *Inventory) MembersChanged() { v.membersStale.Store(true) }
 
-// Live returns the records on the list, in no order.
+// Live returns the records of entries that are on the list, in no particular order.
 func (v *Inventory) Live() []Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -168,7 +172,8 @@
 	v.fallbackActive = false
 }
 
-// due chooses the duty again and reports whether to read now.
+// due chooses this node's duty again and reports whether the node should read the list
+// now.
 func (v *Inventory) due(now time.Time) bool {
 	var members []peer.Member
 	stale := v.membersStale.Swap(false)
@@ -184,7 +189,8 @@
 	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.lastReadingAt), v.fallbackActive})
 	if v.duty == FallbackReader && before != FallbackReader {
 		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.lastReadingAt).String())
-		// Spreads the readings: all nodes notice the silence at the same time.
+		// All nodes notice the silence at the same time, so the first fallback reading
+		// of each node is at a random time.
 		v.nextFallback = now.Add(time.Duration(rand.Float64() * float64(fallbackInterval)))
 	}
 	if v.duty == NotReader && before != NotReader {
@@ -215,15 +221,15 @@
 	v.merge(changes, v.met.byReading)
 	out := deltas(v.state.newest, changes)
 	if first && len(out) == 0 {
-		// Other nodes that would read as a fallback find out at once that they need
-		// not.
+		// Send a delta without records, so that the other nodes find out at once that
+		// the list was read and need not read it as a fallback.
 		out = append(out, Delta{Newest: v.state.newest})
 	}
 	return out
 }
 
-// recordReading records this reading as the newest one; it returns true if it is the
-// first one of a fallback reader.
+// recordReading records this reading as the newest reading. It returns true if the
+// reading is the first since this node became an active fallback reader.
 func (v *Inventory) recordReading(started time.Time) (first bool) {
 	h := NewestReadings{Reading: v.state.nextStamp(started)}
 	if v.duty == Reader {
@@ -235,7 +241,8 @@
 	return first
 }
 
-// logDecision logs when this node starts to withhold readings, and how that ends.
+// logDecision counts the decision and logs it if this node starts to withhold readings
+// or a much smaller reading is confirmed.
 func (v *Inventory) logDecision(decision Decision, shown int) {
 	switch decision {
 	case Withheld:
@@ -252,7 +259,8 @@
 	v.withholding = decision == Withheld
 }
 
-// merge merges records and counts those that changed something. Callers hold v.mu.
+// merge merges records into the state. It counts the records that changed the state and
+// returns their number. Callers hold v.mu.
 func (v *Inventory) merge(records []Record, from *metrics.Counter) int {
 	changed := v.state.Merge(records, time.Now())
 	if len(changed) == 0 {
@@ -266,8 +274,9 @@
 	return len(changed)
 }
 
-// deltas splits changes into floods. Records that no node saw change are left to
-// digests: every node that starts makes the same ones.
+// deltas splits changes into floods. Records with At 0, whose entry no node saw change,
+// are not flooded: every node that starts makes the same records from the list, and
+// digests send them to nodes that can't read it.
 func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
 	d := Delta{Newest: h}
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -67,7 +67,7 @@
 	change()
 }
 
-// duties counts the nodes by duty and returns one that doesn't read.
+// duties counts the nodes by duty and returns a node that doesn't read the list.
 func (w *fakeNetwork) duties() (count map[Duty]int, rests *Inventory) {
 	count = map[Duty]int{}
 	for _, v := range w.nodes {
@@ -138,9 +138,10 @@
 	return slices.ContainsFunc(v.Live(), func(r Record) bool { return r.Item.ID == id && r.Item.Leaving })
 }
 
-// Guards against sending new work to a leaving VM for longer than LeavingBound, by
-// routers that don't read the list. The readers see the VM leaving and must send that
-// update at once. Then the same when all floods are lost: digests must deliver it.
+// TestLeavingIsKnownWithinItsBound guards against sending new work to a leaving VM for
+// longer than LeavingBound, by routers that don't read the list. The readers see the VM
+// leaving and must send that update at once. Then another VM leaves while all floods
+// are lost, and digests must deliver the update.
 func TestLeavingIsKnownWithinItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeNetwork(10, engines(20))
@@ -163,10 +164,11 @@
 	})
 }
 
-// Guards against a fleet without up-to-date data when its readers can't read the list,
-// and against all nodes reading it at every poll. First the readers can't reach the
-// list, then no node can. Being alive doesn't mean that a member can read; and a node
-// that receives no updates must not start to poll at the readers' rate.
+// TestSilentReadersAreReplaced guards against a fleet without up-to-date data when its
+// readers can't read the list, and against all nodes reading it at every poll. First
+// the readers can't reach the list, then no node can. The failures occur if a reader
+// that is alive counts as able to read, or if a node that receives no updates polls at
+// the readers' rate.
 func TestSilentReadersAreReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeNetwork(10, engines(20))
@@ -195,8 +197,8 @@
 		w.set(func() { before = sum(w.reads, w.nodes) })
 		time.Sleep(10 * fallbackInterval)
 		w.set(func() {
-			// 8 nodes that aren't chosen readers, each at fallbackInterval with its
-			// jitter.
+			// 8 nodes aren't chosen readers; each of them reads at fallbackInterval
+			// with its jitter.
 			if n := sum(w.reads, w.nodes) - before; n > 8*14 || n < 8*6 {
 				t.Errorf("%d readings in an outage, by nodes that normally don't read", n)
 			}
@@ -218,10 +220,10 @@
 	return n
 }
 
-// Guards against a new node that isn't ready while the VM list is down, and against
-// closing a link because a message is too large. One node knows 10,000 entries; another
-// starts and can't read the list. It must get the inventory from its neighbour, and not
-// in one message.
+// TestStartTakesInventoryFromNeighbour guards against a new node that isn't ready while
+// the VM list is down, and against a link that is closed because a message is too
+// large. One node knows 10,000 entries; a new node starts and can't read the list. The
+// new node must get the inventory from its neighbour in several messages.
 func TestStartTakesInventoryFromNeighbour(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeNetwork(2, engines(10_000))
@@ -243,9 +245,10 @@
 	})
 }
 
-// Guards against sending the whole inventory over every link when the fleet restarts.
-// Nodes start one after another and read the same list before they connect; they must
-// not each give the same entries a version of their own.
+// TestStartsAgreeWithoutExchange guards against sending the whole inventory over every
+// link when the fleet restarts. Nodes start one after another and read the same list
+// before they connect; if each node gave the same entries a version of its own, all
+// records would differ.
 func TestStartsAgreeWithoutExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeNetwork(2, engines(100))
@@ -259,8 +262,9 @@
 	})
 }
 
-// Guards against a faulty peer that sends a record with a time far in the future: it
-// would prevail over all later readings.
+// TestRecordsOfAFaultyPeerAreRefused guards against invalid records from a faulty peer.
+// For example, a record with a time far in the future would prevail over all later
+// readings.
 func TestRecordsOfAFaultyPeerAreRefused(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	good := Record{Item: Item{ID: "x", Role: "engine"}, At: now.UnixMilli(), Reader: "r"}
--- a/inventory/merge_test.go
+++ b/inventory/merge_test.go
@@ -25,9 +25,9 @@
 	}
 })
 
-// Guards against two nodes that differ for ever about one VM. They receive the same
-// readings in a different order, or one of them twice; the result of a merge must not
-// depend on order or repetition.
+// TestMergeIsAJoin guards against two nodes that differ for ever about one VM. The
+// nodes receive the same readings in a different order, or one reading twice; the
+// result of a merge must not depend on order or repetition.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := genRecord.Draw(t, "a"), genRecord.Draw(t, "b"), genRecord.Draw(t, "c")
@@ -43,9 +43,10 @@
 	})
 }
 
-// Guards against sending new work to a VM that is about to stop. One reader sees it
-// leaving; an older reading, or a later one through a lagging replica, shows it live;
-// the two messages arrive out of order. The later arrival must not undo the mark.
+// TestLeavingIsNotUndone guards against sending new work to a VM that is about to stop.
+// One reader sees the VM leaving; an older reading, or a later reading through a
+// lagging replica, shows it live; the two messages arrive out of order. The message
+// that arrives last must not undo the mark.
 func TestLeavingIsNotUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaving := genRecord.Draw(t, "leaving")
@@ -64,8 +65,8 @@
 	})
 }
 
-// Guards against no node reading the list, or hundreds. The name of each row is the
-// situation.
+// TestChoose guards against a list that no node reads, and against a list that hundreds
+// of nodes read. Each row is named after its situation.
 func TestChoose(t *testing.T) {
 	members := func(self, n int, change func(*peer.Member)) []peer.Member {
 		var out []peer.Member
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -4,11 +4,12 @@
 
 const (
 	// mismatchTimeout is how long the inventory may differ from a reader's unchanged
-	// reading before the reader puts its reading into force. Until then, the reading
-	// may come from a lagging replica of the list.
+	// reading before the reader puts its reading into force. Before that time, the
+	// reading may come from a lagging replica of the list.
 	mismatchTimeout = 30 * time.Second
-	// confirmAfter is the minimum time between a much smaller reading and the one that
-	// confirms it; every reading between them must be as small.
+	// confirmAfter is the minimum time between a reading that is much smaller than the
+	// inventory and the reading that confirms it. Every reading between them must be as
+	// small.
 	confirmAfter = 10 * time.Second
 	// missingDivisor: a reading that lacks more than 1/missingDivisor of the entries is
 	// withheld.
@@ -19,17 +20,18 @@
 // effects except on its own memory.
 //
 // The list has no version, and two readers may see it through replicas that lag by
-// different times. If a reader compared its reading with the inventory alone, the one
-// that is behind would undo each change that the other one makes, in turn, for as long
-// as the lag lasts. So only a change between two readings of the same reader counts; a
-// lasting difference without such a change (a reader that crashed before it sent all
-// its updates) counts only after mismatchTimeout.
+// different times. If a reader compared its reading with the inventory alone, the
+// reader whose replica is behind would undo each change that the other reader makes,
+// and the other reader would make the change again, for as long as the lag lasts. So
+// only a change between two readings of the same reader counts; a lasting difference
+// without such a change (a reader that crashed before it sent all its updates) counts
+// only after mismatchTimeout.
 type Observer struct {
 	self        string
 	last        map[string]Item     // this reader's last reading; nil before the first
 	mismatches  map[string]mismatch // by key
-	smallSince  time.Time           // first of the small readings withheld; zero: none
-	lastMissing int                 // entries that the last one of them lacked
+	smallSince  time.Time           // time of the first of the small readings being withheld; zero if none is
+	lastMissing int                 // number of entries that the last withheld small reading lacked
 }
 
 // mismatch is a record that differs from this reader's reading.
@@ -44,15 +46,15 @@
 // The decisions of Observe.
 const (
 	Accepted  Decision = iota
-	Withheld           // much smaller than the inventory: nothing is changed by it
-	Confirmed          // much smaller, but so were the readings before it
+	Withheld           // the reading is much smaller than the inventory and changes nothing
+	Confirmed          // the reading is much smaller, but so were the readings before it
 )
 
 // NewObserver returns the Observer of the reader with the id self.
 func NewObserver(self string) *Observer { return &Observer{self: self} }
 
-// Reset forgets the last reading. A node that reads again after a while must not report
-// as changed now what changed long ago.
+// Reset forgets the last reading. Otherwise a node that reads again after a while would
+// report changes that were made long ago as changes made now.
 func (o *Observer) Reset() { o.last, o.mismatches, o.smallSince = nil, nil, time.Time{} }
 
 // Observe returns the records to be merged into s after a reading that started at
@@ -88,7 +90,8 @@
 }
 
 // evaluate withholds a reading that is empty or lacks more than half of the inventory:
-// an outage of the list must not take the fleet out of service. An empty reading is
+// an outage of the list must not take the fleet out of service. It accepts a smaller
+// reading once all readings of the last confirmAfter were as small. An empty reading is
 // never accepted, since the reader itself is on the list.
 func (o *Observer) evaluate(s *State, reading map[string]Item, now time.Time) Decision {
 	live, missing := 0, 0
@@ -109,7 +112,8 @@
 		o.smallSince = time.Time{}
 		return Withheld
 	}
-	// When a list fills up again after a restart of its service, the wait starts again.
+	// If this reading lacks fewer entries than the last withheld one, the list may be
+	// filling up after a restart of its service, so the wait starts again.
 	if o.smallSince.IsZero() || missing < o.lastMissing {
 		o.smallSince = now
 	}
@@ -131,8 +135,9 @@
 	outdated      []string // keys whose record is newer than this reading
 }
 
-// compare compares an entry with its record. same reports that this reader's previous
-// reading showed it as this one does.
+// compare compares an entry with its record. listed reports whether this reading
+// contains the entry, same whether this reader's previous reading showed the entry as
+// this reading does.
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
@@ -152,7 +157,8 @@
 }
 
 // newer reports whether the record came from a reading that started after this one. A
-// time far ahead comes from a wrong clock and is overtaken, see State.nextStamp.
+// record whose time is far ahead comes from a reader with a wrong clock and does not
+// count as newer; State.nextStamp makes this reading prevail over it.
 func (f *findings) newer(r Record) bool {
 	ahead := r.At - f.started.UnixMilli()
 	return ahead > 0 && ahead < mismatchTimeout.Milliseconds()
@@ -167,9 +173,10 @@
 	return f.started.Sub(d.since) >= mismatchTimeout
 }
 
-// firstRecord is the record of an entry that no reader has seen change. Every reader of
-// the same list makes the same one, so that a fleet that starts has nothing to
-// exchange; and any record that was seen to change prevails over it.
+// firstRecord returns the record of an entry that no reader has seen change. Every
+// reader of the same list makes the same record, so that a fleet that starts has
+// nothing to exchange. Any record of a change prevails over a first record, because its
+// At is higher.
 func firstRecord(i Item) Record { return Record{Item: i} }
 
 func (f *findings) changedRecord(old Record, known bool, i Item, listed bool) Record {
@@ -187,8 +194,8 @@
 	return next
 }
 
-// keepPrevious keeps the previous reading's version of outdated entries, so that the
-// next reading still detects the change.
+// keepPrevious stores, for the entries in which this reading is outdated, what the
+// previous reading showed, so that the next reading still detects the change.
 func (f *findings) keepPrevious(next map[string]Item) {
 	for _, key := range f.outdated {
 		before, seen := f.last[key]
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -7,23 +7,24 @@
 )
 
 const (
-	// readersPerDomain is how many nodes of each failure domain read the list: one may
-	// be down or cut off without its peers noticing.
+	// readersPerDomain is how many nodes of each failure domain read the list. One
+	// reader would not be enough, since it may be down or cut off before its peers
+	// notice.
 	readersPerDomain = 2
-	// silence is how long a node waits for an update about any reader's reading. It is
-	// several times the time that such an update takes to reach the whole fleet by
-	// digests.
+	// silence is how long a node waits for an update about any reader's reading before
+	// it reads the list itself. It is several times as long as such an update takes to
+	// reach the whole fleet by digests.
 	silence = time.Minute
 )
 
-// Duty is the part that a node has in reading the VM list.
+// Duty says whether a node reads the VM list, and why.
 type Duty int
 
 // The duties of a node.
 const (
-	NotReader      Duty = iota // others read
-	Reader                     // it is one of the chosen readers of its failure domain
-	FallbackReader             // fallback: it isn't chosen, but gets no updates from a chosen reader
+	NotReader      Duty = iota // other nodes read the list
+	Reader                     // the node is one of the chosen readers of its failure domain
+	FallbackReader             // the node isn't chosen, but gets no updates from a chosen reader
 )
 
 // String names the duty in dumps.
@@ -41,13 +42,13 @@
 	FallbackActive bool
 }
 
-// Choose determines a node's duty. A reader that is leaving reads until it stops, when
-// the others have already chosen another one. Nodes that see different members choose
-// differently, which costs some extra readings. A node that gets no updates reads as a
-// fallback, since the chosen readers may be up and unable to read. It goes on until a
-// chosen reader reports: if it stopped at its own update, or at that of another
-// fallback reader, no node would read twice, and only two readings of one node show a
-// change.
+// Choose determines a node's duty. A reader that is leaving goes on reading until it
+// stops; by then the other nodes have already chosen another reader. Nodes that see
+// different members choose differently, which costs some extra readings. A node that
+// gets no updates reads as a fallback, since the chosen readers may be up and unable to
+// read. The fallback reader goes on until a chosen reader reports a reading. If it
+// stopped at its own update, or at the update of another fallback reader, no node would
+// read twice, although only two readings of one node show a change.
 func Choose(v View) Duty {
 	var near []peer.Member
 	for _, m := range v.Members {
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -32,7 +32,8 @@
 	Leaving       bool
 }
 
-// key identifies an entry: a node and a backend server may have the same id.
+// key identifies an entry. It contains the kind of the entry, because a node and a
+// backend server may have the same id.
 func (i Item) key() string {
 	if i.Role == RoleEntry {
 		return "e/" + i.ID
@@ -53,22 +54,24 @@
 	)
 }
 
-// sameIncarnation reports whether both are the same VM at the same address.
+// sameIncarnation reports whether both items show the same VM at the same address.
 func (i Item) sameIncarnation(o Item) bool { return i.VM == o.VM && i.Addr == o.Addr }
 
 // Record is the known state of one entry of the VM list. (At, Reader) orders the
-// readings that it came from; LeavingAt grows independently, see Merge.
+// readings from which records come; LeavingAt grows independently of that order, see
+// Merge.
 type Record struct {
 	_       struct{} `cbor:",toarray"`
 	Item    Item
-	Removed bool // removed from the list: a tombstone
+	Removed bool // the entry was removed from the list; the record is a tombstone
 	// At is when the reader started the reading that first showed this state, in Unix
-	// milliseconds of a hybrid clock. 0 means that no reader saw the entry change: it
-	// was on the first list that a node read.
+	// milliseconds of a hybrid clock. 0 means that no reader saw the entry change,
+	// because the entry was on the first list that a node read.
 	At     int64
 	Reader string
-	// FirstSeen is the At at which this incarnation of the VM was first seen, LeavingAt the last
-	// At at which any reader saw it leaving; 0 means never.
+	// FirstSeen is the At of the reading that first showed this incarnation of the VM.
+	// LeavingAt is the latest At at which any reader saw the VM leaving; 0 means that
+	// no reader did.
 	FirstSeen, LeavingAt int64
 }
 
@@ -83,14 +86,15 @@
 	)
 }
 
-// Merge joins two records of one key. The newer reading prevails completely; LeavingAt is
-// the greater of both, whichever reading it came with.
+// Merge joins two records of one key. The record of the newer reading prevails in all
+// fields but LeavingAt, which becomes the greater value of the two records.
 //
 // Readers see the list through replicas that lag by different times, and messages
-// arrive out of order: without the order, a node would keep whatever arrived last, and
-// two nodes would differ for ever. Without LeavingAt, a node that missed "leaving" and then
-// receives only a "live" that is newer by its time but outdated would send new work to
-// a VM that is about to stop.
+// arrive out of order: without the order by time, a node would keep whatever record
+// arrived last, and two nodes would differ for ever. Without LeavingAt, a node that
+// missed the record that shows the VM leaving, and then receives only a record that
+// shows it live, from a reading that is newer by its time but saw outdated data, would
+// send new work to a VM that is about to stop.
 func Merge(a, b Record) Record {
 	left := max(a.LeavingAt, b.LeavingAt)
 	if a.compare(b) < 0 {
@@ -100,8 +104,9 @@
 	return a
 }
 
-// MarkedLeaving reports that a reader has seen this incarnation of the VM leaving, even
-// when the newest reading shows it live again: that may be older information.
+// MarkedLeaving reports whether a reader has seen this incarnation of the VM leaving.
+// It does so even if the newest reading shows the VM live again, because that reading
+// may have seen older data.
 func (r Record) MarkedLeaving() bool {
 	return !r.Removed && (r.Item.Leaving || r.LeavingAt > 0 && r.LeavingAt >= r.FirstSeen)
 }
@@ -109,7 +114,8 @@
 // matches reports whether the record has the state that a reading shows.
 func (r Record) matches(i Item) bool { return !r.Removed && r.Item == i }
 
-// hash covers all fields, so that two nodes that differ in any field notice it.
+// hash covers all fields, so that two nodes whose records differ in any field notice
+// the difference.
 func (r Record) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -132,8 +138,9 @@
 	return d.Sum64()
 }
 
-// valid checks what a peer sent. A time far ahead would prevail over every later
-// reading, and a time near the maximum would leave no greater one.
+// valid checks a record that a peer sent. A time far ahead would prevail over every
+// later reading, and after a time near the maximum there would be no greater time for a
+// later reading.
 func (r Record) valid(now time.Time) bool {
 	if ahead := max(r.At, r.FirstSeen, r.LeavingAt) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
 		return false
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -7,17 +7,21 @@
 )
 
 const (
-	// bucketCount is the number of parts that two nodes compare: many, so that a part
-	// that differs costs few records each way.
+	// bucketCount is the number of parts in which two nodes compare their records. It
+	// is large, so that for each part that differs only a few records are sent each
+	// way.
 	bucketCount = 256
-	// tombstoneKeep is how long a removal is remembered. A node that is cut off for
-	// longer brings the entry back, and a reader removes it again, see Observer.
+	// tombstoneKeep is how long a removal is remembered. A node that was cut off for
+	// longer brings the removed entry back, and a reader then removes the entry again,
+	// see Observer.
 	tombstoneKeep = time.Hour
-	// maxRecords bounds the memory that faulty peers can fill.
+	// maxRecords is the maximum number of records; it bounds the memory that faulty
+	// peers can fill.
 	maxRecords = 65_536
 )
 
-// State is the merged inventory of one node. It is a plain value without locks.
+// State is the merged inventory of one node. It has no lock, so its users must hold
+// their own.
 type State struct {
 	records map[string]Record
 	buckets [bucketCount]uint64 // xor of the records' hashes
@@ -28,8 +32,8 @@
 // NewestReadings holds the times of the newest readings known to a node.
 type NewestReadings struct {
 	_       struct{} `cbor:",toarray"`
-	Reading int64    // by any node
-	Chosen  int64    // by one of the chosen readers
+	Reading int64    // time of the newest reading by any node
+	Chosen  int64    // time of the newest reading by one of the chosen readers
 }
 
 // NewState returns an empty State.
@@ -92,8 +96,8 @@
 	return r.Removed && now.UnixMilli()-r.At > tombstoneKeep.Milliseconds()
 }
 
-// RecordReadings records the newest readings known to another node, and reports which of the two
-// are newer than those known here.
+// RecordReadings records the newest readings known to another node, and reports for
+// each of the two times whether it is newer than the time known here.
 func (s *State) RecordReadings(h NewestReadings, now time.Time) (reading, chosen bool) {
 	if max(h.Reading, h.Chosen)-now.UnixMilli() > maxAhead.Milliseconds() {
 		return false, false
@@ -105,8 +109,8 @@
 	return reading, chosen
 }
 
-// nextStamp is a time after all that were seen, so that a reader whose clock is behind
-// still prevails with what it sees after them.
+// nextStamp returns a time after all times seen so far, so that the later reading of a
+// reader whose clock is behind still prevails over the earlier records.
 func (s *State) nextStamp(started time.Time) int64 {
 	s.clock = max(started.UnixMilli(), s.clock+1)
 	return s.clock
--- a/inventory/sync.go
+++ b/inventory/sync.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Answer serves Peers.Compare.
+// Answer answers the Peers.Compare of another node.
 func (v *Inventory) Answer(d Digest) Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -34,7 +34,7 @@
 	return v.state.Answer(d)
 }
 
-// Exchange serves Peers.Exchange.
+// Exchange answers the Peers.Exchange of another node.
 func (v *Inventory) Exchange(b Batch) Batch {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -43,8 +43,9 @@
 	return answer
 }
 
-// digestRound compares with a random neighbour. It also makes the members be read
-// again, in case a change went unnoticed, and removes old tombstones.
+// digestRound compares digests with a random neighbour. It also makes the next check of
+// the duty read the members again, in case no notification of a change arrived, and
+// removes old tombstones.
 func (v *Inventory) digestRound(ctx context.Context) {
 	v.MembersChanged()
 	v.mu.Lock()
@@ -55,8 +56,8 @@
 	}
 }
 
-// Sync compares digests with a node and exchanges the records that differ. A failure is
-// left to the next round.
+// Sync compares digests with a node and exchanges the records that differ. After a
+// failure, the next round tries again.
 func (v *Inventory) Sync(ctx context.Context, node string) {
 	wasEmpty := v.size() == 0
 	differed, err := v.sync(ctx, node)
@@ -100,7 +101,8 @@
 	return v.state.Differing(answer), nil
 }
 
-// exchangeBuckets exchanges as many of the buckets as fit into messages both ways.
+// exchangeBuckets exchanges the records of as many of the buckets as fit into one
+// message each way, and returns the number of these buckets.
 func (v *Inventory) exchangeBuckets(ctx context.Context, node string, buckets []uint16) (done int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
