--- a/directory/batch.go
+++ b/directory/batch.go
@@ -50,7 +50,9 @@
 	case b.hadQueue:
 		b.queueSeenAt = now
 		if running < before && !wasQueued {
-			return // the waiting requests may be a burst that the engine starts to run at its next step
+			// The waiting requests may be a burst that the engine starts to run at its next
+			// step.
+			return
 		}
 		b.learned = max(running, b.learned*shrinkFactor)
 	case running >= before*growShare && now.Sub(b.queueSeenAt) > growPause:
--- a/directory/poll.go
+++ b/directory/poll.go
@@ -115,7 +115,8 @@
 	p.dir.Select(members)
 	explore := p.cfg.Explore
 	if len(members) == 0 {
-		explore = 2 * p.cfg.SubsetSize // this router knows no engine's models yet, so it polls more engines to find them
+		// This router knows no engine's models yet, so it polls more engines to find them.
+		explore = 2 * p.cfg.SubsetSize
 	}
 	ids := slices.Collect(maps.Keys(members))
 	ids = append(ids, p.dir.LeastRecentlyReported(p.cfg.Router, members, explore)...)
--- a/directory/record.go
+++ b/directory/record.go
@@ -53,7 +53,9 @@
 
 func newRecord(b fleet.Backend, peersSendLoads *atomic.Bool) *record {
 	r := &record{id: b.ID, backend: b, peersSendLoads: peersSendLoads}
-	r.backend.Leaving = false // applyListEntry sets it, so that the first entry that shows it also sets a mark
+	// Leaving is left to applyListEntry, so that the first entry that shows the
+	// backend server leaving also sets a mark.
+	r.backend.Leaving = false
 	return r
 }
 
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -12,18 +12,19 @@
 
 // Store is the part of the platform's store that a Mirror reads.
 type Store interface {
-	// Page reads items under prefix whose keys come after the given key. With stale the
-	// data may be seconds old, which the store can serve at far less cost.
+	// Page reads items under prefix whose keys come after the given key. If stale is
+	// true, the data may be seconds old; the store can serve such data at far less
+	// cost.
 	Page(ctx context.Context, prefix, after string, stale bool) (infra.Page, error)
 	// Changes waits up to wait for changes after a revision. It fails with
-	// infra.ErrCompacted when the store no longer has them.
+	// infra.ErrCompacted if the store no longer has these changes.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (events []infra.WatchEvent, at int64, err error)
 	// Reset drops all connections, so that the next call opens a new one.
 	Reset()
 }
 
-// Receiver is notified of the items in the mirror. Calls come one at a time, and must
-// not call the Mirror.
+// Receiver is notified of the items in the mirror. The Mirror calls its methods one at
+// a time and with its lock held, so these methods must not call the Mirror.
 type Receiver interface {
 	// Put is called for a new or changed item.
 	Put(v infra.Value)
@@ -33,28 +34,31 @@
 	BatchDone()
 }
 
-// Config of a Mirror. Zero durations mean the defaults.
+// Config configures a Mirror. Zero durations mean the defaults.
 type Config struct {
 	Prefix string
 	// Wait is how long one call may wait for a change. It bounds the age of a reader's
-	// state, and with it the age of the state that it sends to other nodes.
+	// state, and so the age of the state that the reader sends to other nodes.
 	Wait time.Duration
-	// Slack is added to Wait for the response to arrive.
+	// Slack is the time that the response of a call may take in addition to Wait.
 	Slack time.Duration
-	// Pause between two calls batches changes that come in quick succession.
+	// Pause is the time between two calls. It makes changes that come in quick
+	// succession arrive in one batch.
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
-	// PageMaxAge is how long the pages of a failed read may be used. It must be less than the
-	// time for which the store keeps its history of changes.
+	// PageMaxAge is how long the pages of a failed read may be used. It must be less
+	// than the time for which the store keeps its history of changes, because the
+	// changes made since the first page are fetched from that history.
 	PageMaxAge time.Duration
 	// ConfirmAfter is how long after an outage of the store a missing item may still come
 	// back.
 	ConfirmAfter time.Duration
 	// IsReader reports whether this node reads the store; nil means always. A node that
-	// has not yet read everything once reads it in any case.
+	// has not yet received all items once reads the store in any case.
 	IsReader func() bool
-	// OnUpdate, if set, is called after changes; it must not block.
+	// OnUpdate, if set, is called whenever this node has all changes up to a newer
+	// revision; it must not block.
 	OnUpdate func()
 	Log      *event.Log
 	Set      *metrics.Set
--- a/mirror/fake_test.go
+++ b/mirror/fake_test.go
@@ -27,7 +27,7 @@
 	stalePage *infra.Page // response to stale reads, if set
 	pageSize  int
 	pages     int
-	failEvery int // every so many pages one fails; 0 for none
+	failEvery int // every failEvery-th read of a page fails; 0 means that none fails
 }
 
 func newFakeStore() *fakeStore {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,18 +1,20 @@
 // Package mirror keeps a copy of all items under a prefix of the platform's store, and
 // notifies a Receiver of each change.
 //
-// A call that waits for changes is where a node can lose contact without noticing it.
-// The store drops its history; a connection stays silent for good while new ones work;
-// the store is down, or rejects this node and serves others. So each call has a bound
-// of its own, a failed call is followed by a new connection, and after a loss of
-// history the whole prefix is read again. Entries that expired during an outage of the
-// store come back when it does: items missing after an outage are unconfirmed removals
-// for a while, and only then count as removed.
+// While a call waits for changes, a node can lose contact with the store without
+// noticing: the store drops its history; a connection stays silent for good while new
+// connections work; or the store is down, or rejects this node and serves other nodes.
+// So each call has a timeout of its own, the call after a failed call uses a new
+// connection, and after a loss of history the whole prefix is read again. Entries that
+// expired during an outage of the store come back soon after the store does. Therefore
+// items that are missing after an outage are unconfirmed removals for a while, and
+// count as removed only if they have not come back after that time.
 //
 // Few nodes read the store; the others get changes from their neighbours (Delta,
-// Merge). This also serves a node that the store rejects. Age is how old a node's state
-// may be, so that a node that gets no changes from neighbours can read the store
-// itself.
+// Merge). In this way a node that the store rejects gets the changes, too. Age reports
+// how long ago the store last answered this node, which is how old the node's state may
+// be without changes from neighbours, so that a node that gets no such changes can read
+// the store itself.
 package mirror
 
 import (
@@ -34,20 +36,20 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("mirror")
 
-// Mirror follows one prefix.
+// Mirror keeps a copy of the items under one prefix of the store.
 type Mirror struct {
 	cfg           Config
 	store         Store
-	retryDelay    time.Duration // used by Run's goroutine only, as is partial
-	partial       *fullRead     // nil unless a read of all items is in progress
-	failing       atomic.Bool   // the latest call failed
-	callRequested atomic.Bool   // CatchUp requested a call
+	retryDelay    time.Duration // accessed only by the goroutine of Run, as is partial
+	partial       *fullRead     // nil if no read of all items is in progress
+	failing       atomic.Bool   // set if the latest call failed
+	callRequested atomic.Bool   // set if CatchUp has requested a call
 
 	mu            sync.Mutex
 	state         state
 	synced        bool          // the state is complete up to state.newest
 	lastAnswer    time.Time     // when the store last answered
-	missingPolicy removalPolicy // how items are treated that go missing now
+	missingPolicy removalPolicy // how items that go missing now are treated
 
 	calls, failures *metrics.Counter
 }
@@ -64,7 +66,7 @@
 	}
 }
 
-// Run follows the prefix until ctx ends.
+// Run keeps the copy up to date until ctx ends.
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := idlePoll
@@ -77,7 +79,8 @@
 	return nil
 }
 
-// read makes one call and returns how long to wait before the next.
+// read makes one call of the store, or one attempt to read all items, and returns how
+// long to wait before the next call.
 func (m *Mirror) read(ctx context.Context) time.Duration {
 	m.calls.Inc()
 	err := m.fetch(ctx)
@@ -125,11 +128,13 @@
 	m.state.advance(upTo)
 }
 
-// CatchUp makes Run call the store once soon, even at a node that doesn't read it.
+// CatchUp makes Run call the store once soon, even if IsReader reports that this node
+// doesn't read the store.
 func (m *Mirror) CatchUp() { m.callRequested.Store(true) }
 
-// update runs f with the state locked, then notifies the receiver that the batch is complete
-// and, if the revision advanced, calls OnUpdate.
+// update runs f with the state locked. If f passed items to the receiver, it then
+// notifies the receiver that the batch is complete. If the revision advanced, it calls
+// OnUpdate without the lock.
 func (m *Mirror) update(f func()) {
 	m.mu.Lock()
 	before := m.state.newest
@@ -142,22 +147,23 @@
 	}
 }
 
-// Synced reports whether all items have been received once, from the store or a
-// neighbour.
+// Synced reports whether this node has received all items once, from the store or from
+// a neighbour.
 func (m *Mirror) Synced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.synced
 }
 
-// Newest is the revision up to which this node has all changes.
+// Newest returns the revision up to which this node has all changes.
 func (m *Mirror) Newest() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.newest
 }
 
-// Age is how long ago the store last answered this node.
+// Age returns how long ago the store last answered this node, or neverAnswered if it
+// never did.
 func (m *Mirror) Age(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -167,11 +173,11 @@
 	return now.Sub(m.lastAnswer)
 }
 
-// neverAnswered is the age when the store has never answered.
+// neverAnswered is the age that Age returns if the store has never answered.
 const neverAnswered = time.Hour
 
-// Delta responds to a neighbour's request. It is empty when this node has nothing
-// newer, or isn't complete itself.
+// Delta responds to a neighbour's request. The Delta is empty if this node has nothing
+// newer, or has not received all items once itself.
 func (m *Mirror) Delta(req DeltaRequest) Delta {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -182,8 +188,8 @@
 }
 
 // Merge applies a neighbour's Delta, which was made for this node's Newest or an
-// earlier revision. A Full one must contain all pages; one with RemovalsUnknown contains
-// nothing.
+// earlier revision. A Delta with Full set must contain the items of all pages. A Delta
+// with RemovalsUnknown set contains no changes and is ignored.
 func (m *Mirror) Merge(d Delta) {
 	m.update(func() {
 		m.state.merge(d, time.Now().Add(m.cfg.ConfirmAfter))
@@ -191,7 +197,9 @@
 	})
 }
 
-// confirmRemovals removes the items that have not come back in time.
+// confirmRemovals removes the items whose removal has been unconfirmed until its end.
+// Once the time after the last outage has passed, items that go missing later are
+// removed at once again.
 func (m *Mirror) confirmRemovals(now time.Time) {
 	m.update(func() {
 		if !m.missingPolicy.until.IsZero() && !now.Before(m.missingPolicy.until) {
@@ -201,7 +209,8 @@
 	})
 }
 
-// callFailed records a failed call and returns how long to wait before the next.
+// callFailed records a failed call, drops the connections and returns how long to wait
+// before the next call.
 func (m *Mirror) callFailed(err error) time.Duration {
 	m.failures.Inc()
 	m.store.Reset()
@@ -213,7 +222,7 @@
 	m.missingPolicy = removalPolicy{unconfirmed: true}
 	m.mu.Unlock()
 	m.retryDelay = min(2*m.retryDelay, maxRetry)
-	// Spreads the retries of nodes whose calls failed at the same time.
+	// The random wait spreads the retries of nodes whose calls failed at the same time.
 	return m.retryDelay/2 + rand.N(m.retryDelay/2)
 }
 
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -10,9 +10,10 @@
 	"wigeondale/infra"
 )
 
-// Guards against acting on a route that was removed long ago. Watches receive nothing
-// while changes are made, and then the store drops its history. A watch that continues
-// from the newest revision would miss the changes between.
+// TestLostHistoryIsReadAnew guards against acting on a route that was removed long ago.
+// Watches receive nothing while changes are made, and then the store drops its history.
+// The failure occurs if the node continues from the newest revision: it would miss the
+// changes made before that revision, such as the removal of the route.
 func TestLostHistoryIsReadAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -30,9 +31,10 @@
 	})
 }
 
-// Guards against counting all replicas as removed after an outage of the store, so that
-// every request is refused. Entries expire during the outage and come back within two
-// seconds; items missing from the first read after it must not be removed at once.
+// TestLapsedEntriesMayComeBack guards against counting all replicas as removed after an
+// outage of the store, so that every request is refused. Entries expire during the
+// outage and come back within two seconds after it. Items missing from the first read
+// after the outage must not be removed at once.
 func TestLapsedEntriesMayComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -58,8 +60,9 @@
 	})
 }
 
-// Guards against missing all further changes after a broken connection, which happens
-// when the next call waits on a connection that stays silent.
+// TestFailedCallGetsAFreshConnection guards against a node that misses all further
+// changes after a connection broke. The failure occurs if the call after a failed call
+// uses the same connection, which stays silent.
 func TestFailedCallGetsAFreshConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -75,9 +78,10 @@
 	})
 }
 
-// Guards against keys that work for seconds at one node after they were revoked. The
-// store rejects that node and serves the others; keys are revoked, and a neighbour
-// sends the change. The node must not wait for the store.
+// TestNeighbourIsHeardWhileTheStoreTurnsAway guards against keys that work for seconds
+// at one node after they were revoked. The store rejects that node and serves the other
+// nodes; keys are revoked, and a neighbour sends the change. The node must apply the
+// change without waiting for the store.
 func TestNeighbourIsHeardWhileTheStoreTurnsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -93,8 +97,9 @@
 	})
 }
 
-// Guards against a store that every node calls, or none: each call must decide again
-// whether this node reads the store.
+// TestOnlyReadersCallTheStore guards against a store that every node calls, and against
+// a store that no node calls. Before each call, the node must check again whether it is
+// a reader of the store.
 func TestOnlyReadersCallTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -117,11 +122,12 @@
 	})
 }
 
-// Guards against sending work for ever to a replica that crashed during an outage of
-// the store, at nodes that don't read the store. Its entry expires during the outage; a
-// reader holds the removal as unconfirmed, passes on later changes, and confirms the
-// removal after a while. A node that has a newer revision doesn't request earlier
-// changes again, so the unconfirmed removal must be sent along.
+// TestDoubtReachesNeighbours guards against sending work for ever to a replica that
+// crashed during an outage of the store, at nodes that don't read the store. The
+// replica's entry expires during the outage; a reader holds the removal as unconfirmed,
+// sends later changes to its neighbours, and confirms the removal after a while. A node
+// that has a newer revision doesn't request earlier changes again, so the reader must
+// send the unconfirmed removal together with the later changes.
 func TestDoubtReachesNeighbours(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -158,10 +164,11 @@
 	})
 }
 
-// Guards against a start of many nodes that fills their network links with copies of
-// all items. A node gets a newer revision from a neighbour that started later and
-// therefore doesn't know what was removed in between. The node must get the few changes
-// from the store, and all items from the neighbour only while the store is unavailable.
+// TestStoreIsAskedWhereNeighbourKnowsNoRemovals guards against a start of many nodes
+// that fills their network links with copies of all items. A neighbour has a newer
+// revision, but started later and therefore doesn't know which items were removed
+// before its start. The node must get the few changes from the store, and all items
+// from the neighbour only while the store is unavailable.
 func TestStoreIsAskedWhereNeighbourKnowsNoRemovals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
--- a/mirror/panicguard.go
+++ b/mirror/panicguard.go
@@ -8,8 +8,9 @@
 	"wigeondale/infra"
 )
 
-// panicGuard passes items on to a Receiver and recovers from its panics: otherwise an
-// item that makes one node panic would do so on every node, again at each start.
+// panicGuard passes items on to a Receiver and recovers from the Receiver's panics.
+// Otherwise an item that makes the Receiver panic would stop every node, and stop it
+// again after each start.
 type panicGuard struct {
 	out Receiver
 	log *event.Log
--- a/mirror/read.go
+++ b/mirror/read.go
@@ -12,20 +12,22 @@
 // fullRead is the progress of a read of all items.
 type fullRead struct {
 	startedAt time.Time
-	stale     bool // pages may be seconds old
+	stale     bool // set if the pages may be seconds old
 	items     []infra.Value
-	revision  int64 // of the oldest page: later changes may be missing
+	revision  int64 // revision of the oldest page; later changes may be missing
 	lastKey   string
-	complete  bool // nothing follows after lastKey
+	complete  bool // set if no items follow after lastKey
 }
 
-// readAll reads page after page. It continues where an earlier call failed.
+// readAll reads all items, page after page. If an earlier call failed, readAll keeps
+// the pages of that call and continues after them, unless they are older than
+// PageMaxAge.
 //
 // If a failure discarded the pages, or if many nodes that start together exceeded the
-// store's rate of reads, no node would get all pages in time and each would start
-// again; nodes would not be ready for half a minute. So the first read accepts stale
-// pages, which the store serves without a rate limit, and then fetches the changes
-// since, before any of the items is used.
+// store's rate of reads, no node would get all pages in time, each node would start
+// again, and no node would be ready for half a minute. So the first read accepts stale
+// pages, which the store serves without a rate limit, and then fetches the changes made
+// since these pages, before any of the items is used.
 func (m *Mirror) readAll(ctx context.Context) error {
 	if m.partial == nil || time.Since(m.partial.startedAt) > m.cfg.PageMaxAge {
 		m.partial = &fullRead{startedAt: time.Now(), stale: !m.Synced()}
@@ -39,7 +41,7 @@
 	events, now, err := m.changesSince(ctx, r)
 	if errors.Is(err, infra.ErrCompacted) {
 		m.cfg.Log.Emit(event.StoreHistoryLost, "after", r.revision)
-		m.partial = &fullRead{startedAt: time.Now()} // not stale this time
+		m.partial = &fullRead{startedAt: time.Now()} // read up-to-date pages this time
 		return m.readAll(ctx)
 	}
 	if err != nil {
@@ -54,7 +56,8 @@
 	return nil
 }
 
-// changesSince returns the changes since the pages, if those may be stale.
+// changesSince returns the changes made since the revision of the pages, if the pages
+// may be stale. Otherwise it returns no changes.
 func (m *Mirror) changesSince(ctx context.Context, r *fullRead) ([]infra.WatchEvent, int64, error) {
 	if !r.stale {
 		return nil, r.revision, nil
--- a/mirror/read_test.go
+++ b/mirror/read_test.go
@@ -11,16 +11,17 @@
 	"wigeondale/infra"
 )
 
-// Guards against nodes that all start at once and are not ready for half a minute. Each
-// reads all items, and the store's bandwidth is shared, so that no node gets all pages
-// in time. A failed read must keep the pages it has and not start again.
+// TestFailedReadGoesOnWhereItStopped guards against nodes that all start at once and
+// are not ready for half a minute. Each node reads all items, and the nodes share the
+// store's bandwidth, so that no node gets all pages in time. After a failed read, a
+// node must keep the pages it has and not start again.
 func TestFailedReadGoesOnWhereItStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		for i := range 100 {
 			s.put(strconv.Itoa(i))
 		}
-		s.failEvery = 3 // of ten pages
+		s.failEvery = 3 // every third read of a page fails; there are ten pages
 		out, m := startMirrorWith(t, s, Config{})
 		time.Sleep(5 * time.Second)
 		if !m.Synced() || len(out.items) != 100 {
@@ -29,9 +30,10 @@
 	})
 }
 
-// Guards against missing the changes made during a read of all items. A read fails and
-// continues much later, when the store has dropped the changes since its first page.
-// Pages may be used only while the changes since are available.
+// TestOldPagesAreNotUsed guards against missing the changes made during a read of all
+// items. A read fails and continues much later, when the store has dropped the changes
+// made since the first page was read. Pages may be used only while the changes made
+// since they were read are available.
 func TestOldPagesAreNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -39,7 +41,7 @@
 			s.put(strconv.Itoa(i))
 		}
 		s.failEvery = 2
-		out, m := startMirrorWith(t, s, Config{}) // has the first page
+		out, m := startMirrorWith(t, s, Config{}) // the mirror has the first page
 		s.fail(errors.New("down"))
 		time.Sleep(defaultKeep + time.Second)
 		s.mu.Lock()
@@ -54,10 +56,10 @@
 	})
 }
 
-// Guards against starting with a configuration that was replaced seconds ago and
-// accepting keys that were revoked. The first read is served from stale data; the
-// changes since are available, or were dropped. Stale pages must not be used before the
-// changes since have been applied.
+// TestFirstReadIsBroughtUpToDate guards against starting with a configuration that was
+// replaced seconds ago and accepting keys that were revoked. The first read is served
+// from stale data; the changes made since that data are available or have been dropped.
+// Stale pages must not be used before these changes have been applied.
 func TestFirstReadIsBroughtUpToDate(t *testing.T) {
 	for name, compacted := range map[string]bool{"changes known": false, "changes dropped": true} {
 		t.Run(name, func(t *testing.T) {
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -13,18 +13,20 @@
 // neighbour that lags by more removals has to read all items.
 const defaultMaxRemovals = 256
 
-// Removal records that an item was missing at a revision.
+// Removal records that an item was missing at the revision Rev.
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Unconfirmed marks an item that went missing by an outage and may come back.
+	// Unconfirmed marks an item that is missing since an outage of the store and may
+	// come back.
 	Unconfirmed bool `cbor:"3,keyasint,omitempty"`
-	// UnconfirmedMS is for how much longer it may come back; 0 while that isn't known.
+	// UnconfirmedMS is for how many more milliseconds the item may come back; 0 means
+	// that this time isn't known yet, because the outage lasts.
 	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// unconfirmedUntil is until when the removal is unconfirmed; unknown is used when it
-// doesn't say.
+// unconfirmedUntil returns the time until which the removal is unconfirmed, or unknown
+// if the removal doesn't contain that time.
 func (r Removal) unconfirmedUntil(unknown time.Time) time.Time {
 	if r.UnconfirmedMS == 0 {
 		return unknown
@@ -35,23 +37,23 @@
 // DeltaRequest requests the changes after a revision.
 type DeltaRequest struct {
 	After int64 `cbor:"1,keyasint"`
-	// All requests all items if the changes since aren't available, page by page: the
-	// items whose keys come after Last.
+	// If All is set and the changes since After aren't available, the response is one
+	// page of all items: the page of the items whose keys come after Last.
 	All  bool   `cbor:"2,keyasint,omitempty"`
 	Last string `cbor:"3,keyasint,omitempty"`
 }
 
-// Delta holds the changes between two revisions. A long one is cut at a revision: the
-// rest is requested once it has been applied.
+// Delta holds the changes between two revisions. A long Delta is cut between two
+// revisions; the node that applies the first part then requests the rest.
 type Delta struct {
 	Newest  int64         `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all items
+	Full    bool          `cbor:"2,keyasint,omitempty"` // set if the Delta is a page of all items
 	Items   []infra.Value `cbor:"3,keyasint,omitempty"`
 	Removed []Removal     `cbor:"4,keyasint,omitempty"`
-	// RemovalsUnknown reports that removals since the requested revision aren't known, so
-	// that only a read of all items would help.
+	// RemovalsUnknown reports that the responding node doesn't know all removals since
+	// the requested revision, so that it could only send all items.
 	RemovalsUnknown bool `cbor:"5,keyasint,omitempty"`
-	More            bool `cbor:"6,keyasint,omitempty"` // more pages follow
+	More            bool `cbor:"6,keyasint,omitempty"` // set if more pages follow
 }
 
 // pageBytes is the size from which a Delta is cut. A page of this size occupies a slow
@@ -60,7 +62,8 @@
 const pageBytes = 256 << 10
 
 // removalPolicy defines how missing items are treated: as removed, or as unconfirmed
-// removals until the given time. A zero time means that it isn't known yet.
+// removals until the given time. A zero time means that the end isn't known yet,
+// because the outage of the store lasts.
 type removalPolicy struct {
 	unconfirmed bool
 	until       time.Time
@@ -68,11 +71,12 @@
 
 // unconfirmedRemoval is an item that went missing and may come back.
 type unconfirmedRemoval struct {
-	rev   int64 // at which it was missing
+	rev   int64 // revision at which the item was missing
 	until time.Time
 }
 
-// remainingMS is for how much longer the item may come back, 0 when that isn't known.
+// remainingMS returns for how many more milliseconds the item may come back, or 0 if
+// that time isn't known yet.
 func (d unconfirmedRemoval) remainingMS() int64 {
 	if d.until.IsZero() {
 		return 0
@@ -85,24 +89,25 @@
 type state struct {
 	receiver      Receiver
 	items         map[string]infra.Value
-	unconfirmed   map[string]unconfirmedRemoval // missing since an outage; not yet reported as removed
-	removed       []Removal                     // the latest, in the order of their arrival
-	tombstones    map[string]int64              // the same by key, so that an older item doesn't come back
+	unconfirmed   map[string]unconfirmedRemoval // items missing since an outage and not yet passed on as removed, by key
+	removed       []Removal                     // the latest removals, in the order of their arrival
+	tombstones    map[string]int64              // revisions of the removals in removed, by key, so that an older item doesn't come back
 	newest        int64                         // all changes up to this revision are known
-	removalsFloor int64                         // removals up to it are not in removed
-	maxRemovals   int                           // removals that are remembered
+	removalsFloor int64                         // removals up to this revision may be missing from removed
+	maxRemovals   int                           // maximum length of removed
 	// pageBytes is the size from which a Delta is cut.
 	pageBytes int
-	dirty     bool // receiver was notified since the last flush
+	dirty     bool // set if the receiver was notified since the last flush
 }
 
 func newState(out Receiver) state {
 	return state{receiver: out, maxRemovals: defaultMaxRemovals, pageBytes: pageBytes, items: map[string]infra.Value{}, unconfirmed: map[string]unconfirmedRemoval{}, tombstones: map[string]int64{}}
 }
 
-// advance records that all changes up to a revision are known. Neighbours request what
-// is newer, so the revision of a single change must not count: a node that doesn't read
-// the store would never get the changes before it.
+// advance records that all changes up to a revision are known. The revision of a single
+// change must not be recorded here before all earlier changes are known: a node
+// requests from its neighbours only changes after the recorded revision, so a node that
+// doesn't read the store would never get the earlier changes.
 func (s *state) advance(rev int64) { s.newest = max(s.newest, rev) }
 
 func (s *state) put(v infra.Value) {
@@ -156,7 +161,8 @@
 	}
 }
 
-// replace applies the complete list of items at a revision.
+// replace applies the complete list of items at a revision. Items that are not in the
+// list are removed as d says.
 func (s *state) replace(items []infra.Value, at int64, d removalPolicy) {
 	if s.newest == 0 {
 		s.removalsFloor = at
@@ -174,7 +180,7 @@
 	s.advance(at)
 }
 
-// setUnconfirmedEnd sets the end of the unconfirmed removals for which it wasn't known.
+// setUnconfirmedEnd sets the end of the unconfirmed removals whose end wasn't known.
 func (s *state) setUnconfirmedEnd(end time.Time) {
 	for key, d := range s.unconfirmed {
 		if d.until.IsZero() {
@@ -184,7 +190,8 @@
 	}
 }
 
-// confirmExpired removes the items that did not come back in time.
+// confirmExpired removes the items that did not come back before the end of their
+// unconfirmed removal.
 func (s *state) confirmExpired(now time.Time) {
 	for key, d := range s.unconfirmed {
 		if !d.until.IsZero() && !now.Before(d.until) {
@@ -204,8 +211,8 @@
 	return s.page(req.Last)
 }
 
-// changesAfter returns the changes in the order of their revisions. When they are cut,
-// Newest is the revision before the first change left out.
+// changesAfter returns the changes in the order of their revisions. If the changes
+// don't fit into one Delta, Newest is the revision before the first change left out.
 func (s *state) changesAfter(after int64) Delta {
 	d := Delta{Newest: s.newest}
 	for _, v := range s.items {
@@ -228,7 +235,8 @@
 }
 
 // unconfirmedRemovals returns the unconfirmed removals after a revision. They must be
-// sent with the others: a node that has a newer revision never requests them again.
+// sent with the other changes, because a node that has a newer revision never requests
+// them again.
 func (s *state) unconfirmedRemovals(after, upTo int64) []Removal {
 	var out []Removal
 	for key, d := range s.unconfirmed {
@@ -239,8 +247,8 @@
 	return out
 }
 
-// cutAtRevision moves a cut at n so that it doesn't split a revision and at least one
-// revision comes before it.
+// cutAtRevision returns the position of a cut near n that doesn't split the items of
+// one revision and leaves at least one revision before the cut.
 func cutAtRevision(items []infra.Value, n int) int {
 	if n == len(items) {
 		return n
@@ -258,7 +266,8 @@
 	return n
 }
 
-// page returns items in the order of their keys.
+// page returns the items whose keys come after last, in the order of their keys, as far
+// as they fit into one page.
 func (s *state) page(last string) Delta {
 	d := Delta{Newest: s.newest, Full: true}
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -273,7 +282,9 @@
 	return d
 }
 
-// countFitting is the number of leading items that make a page: at least one.
+// countFitting returns the number of leading items that fit into a page of bound bytes.
+// If there are items, it is at least 1, so that an item larger than a page is sent,
+// too.
 func countFitting(items []infra.Value, bound int) int {
 	size := 0
 	for i, v := range items {
@@ -288,10 +299,11 @@
 // merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the
 // time that the neighbour gives, or until end if it gives none.
 //
-// Otherwise each node would hold a removal as unconfirmed for the whole time again.
-// When the store has been back for a while and a replica leaves, the one reader that
-// still holds that removal as unconfirmed for a moment may notify the others first:
-// they would then go on sending work to the replica for two seconds.
+// If merge used end in any case, each node would hold a removal as unconfirmed for the
+// whole time again. When the store has been back for a while and a replica leaves, one
+// reader may still hold that removal as unconfirmed for a moment and be the first to
+// send it to the other nodes. The other nodes would then go on sending work to the
+// replica for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
 	if d.Newest <= s.newest || d.RemovalsUnknown {
 		return
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -13,10 +13,10 @@
 	"wigeondale/infra"
 )
 
-// Guards against the return of an old configuration, or of work sent to a removed
-// replica. Changes arrive through a neighbour, and then a delayed response of the store
-// brings the state before them. The result must be the newest change of each item,
-// whatever the order of arrival.
+// TestItemsNeverGoBack guards against the return of an old configuration, or of work
+// sent to a removed replica. Changes arrive through a neighbour, and then a delayed
+// response of the store brings an older state. The result must be the newest change of
+// each item, whatever the order of arrival.
 func TestItemsNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		out := &recorder{items: map[string]int64{}}
@@ -53,10 +53,10 @@
 	})
 }
 
-// Guards against nodes that differ for ever. Changes and removals reach one node;
-// another one gets them as deltas, made at any time, for a node that lags by any
-// amount, in pages of any size, with changes between two pages. Both must end with the
-// same items.
+// TestDifferencesMakeNodesEqual guards against nodes that differ for ever. Changes and
+// removals reach one node. A second node gets them from the first as deltas, which are
+// made at any time and with any lag, and as pages of any size with changes between two
+// pages. Both nodes must end with the same items.
 func TestDifferencesMakeNodesEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := New(nil, &recorder{items: map[string]int64{}}, Config{}), New(nil, &recorder{items: map[string]int64{}}, Config{})
@@ -68,7 +68,7 @@
 		keys := rapid.Custom(func(t *rapid.T) string { return strconv.Itoa(rapid.IntRange(0, 40).Draw(t, "number")) })
 		change := func() {
 			rev += rapid.Int64Range(1, 3).Draw(t, "gap")
-			for _, key := range rapid.SliceOfNDistinct(keys, 1, 4, rapid.ID).Draw(t, "keys") { // of one transaction
+			for _, key := range rapid.SliceOfNDistinct(keys, 1, 4, rapid.ID).Draw(t, "keys") { // keys changed by one transaction
 				if rapid.Bool().Draw(t, "put") {
 					first.state.put(infra.Value{Key: key, ModRev: rev})
 				} else {
@@ -103,10 +103,10 @@
 	})
 }
 
-// Guards against changes that never reach nodes that don't read the store. While a node
-// reads page after page, an item changes that was already read, and then one that
-// wasn't. The revision of the newest item must not count as the revision up to which
-// all changes are known.
+// TestLaterPagesDoNotHideChanges guards against changes that never reach nodes that
+// don't read the store. While a node reads page after page, an item changes that was
+// already read, and then an item changes that wasn't. The revision of the newest item
+// must not count as the revision up to which all changes are known.
 func TestLaterPagesDoNotHideChanges(t *testing.T) {
 	s := newState(&recorder{items: map[string]int64{}})
 	s.replace([]infra.Value{{Key: "a", ModRev: 3}, {Key: "z", ModRev: 9}}, 5, removalPolicy{})
@@ -115,11 +115,12 @@
 	}
 }
 
-// Guards against sending work to a replica more than two seconds after the store
-// acknowledged its removal. The store has been back for a second and a half when a
-// replica leaves; the reader that had lost the store holds that removal as unconfirmed
-// for half a second more, and notifies its neighbours before another reader does. The
-// neighbours must not hold it as unconfirmed for the whole time again.
+// TestDoubtEndsEverywhereAtOnce guards against sending work to a replica more than two
+// seconds after the store acknowledged its removal. The store has been back for a
+// second and a half when a replica leaves; a reader that had lost contact with the
+// store holds that removal as unconfirmed for half a second more, and sends it to its
+// neighbours before another reader does. The neighbours must not hold the removal as
+// unconfirmed for the whole time again.
 func TestDoubtEndsEverywhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const remaining, full = 500 * time.Millisecond, 2 * time.Second
@@ -162,8 +163,8 @@
 	r.recorder.Removed(key)
 }
 
-// Guards against an item that makes its receiver panic and so stops every node, again
-// at each start.
+// TestItemThatFailsItsReaderEndsNoNode guards against an item that makes the receiver
+// panic and thereby stops every node, and stops it again after each start.
 func TestItemThatFailsItsReaderEndsNoNode(t *testing.T) {
 	out := &panickingReceiver{recorder{items: map[string]int64{}}}
 	s := newState(panicGuard{out: out})
