--- a/directory/directory.go
+++ b/directory/directory.go
@@ -185,7 +185,7 @@
 }
 
 // Snapshot returns the engines that serve ref. The slice is shared and must only be
-// read. It costs one atomic load and one map look-up.
+// read. A call costs one atomic load and one map look-up.
 func (d *Directory) Snapshot(ref fleet.ModelRef) []routing.Candidate {
 	return d.table.Load().byRef[ref]
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -284,8 +284,8 @@
 
 // TestPollerKeepsItsBounds guards against sending work to a leaving VM for longer than
 // LeavingBound because frozen engines delay the poller, and against every router
-// polling every engine. There are 200 engines and a frozen one; once the fleet is
-// known, one VM leaves.
+// polling every engine. The fleet has 200 engines and one frozen engine; once the
+// router knows the fleet, one VM leaves.
 func TestPollerKeepsItsBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakePlatform{polled: map[string]int{}, fleet: []fleet.Backend{engine("frozen")}}
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -6,8 +6,8 @@
 	"wigeondale/fleet"
 )
 
-// This file records the state that an engine reports when it is queried, corrected by
-// the requests that this router started since.
+// This file records the state that an engine reports when it is queried, and adds the
+// requests that this router has started since that report was made.
 //
 // In a fleet with too many routers to send each other their loads, each router knows
 // only its own requests. Without the engines' own reports, every engine seems to have
@@ -116,7 +116,8 @@
 	return Load{}
 }
 
-// estimatedLoad is the load of this router's requests and those of its peers.
+// estimatedLoad returns the load of this router's requests plus the load of other
+// routers' requests, with negative values raised to zero.
 func (r *record) estimatedLoad() Load {
 	sum := r.local.load().Plus(r.peerLoad())
 	return Load{
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -79,8 +79,9 @@
 	return out
 }
 
-// AddPeerLoads adds a change to the load of other routers; the next SetPeerLoads
-// replaces the sum.
+// AddPeerLoads adds a change to the load of other routers. The next SetPeerLoads
+// replaces the resulting sum. While the other routers don't send their loads,
+// AddPeerLoads does nothing.
 func (d *Directory) AddPeerLoads(change PeerLoads) {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
--- a/directory/peers_test.go
+++ b/directory/peers_test.go
@@ -11,10 +11,10 @@
 )
 
 // TestLoadsAreThoseOfAWalkOverEverything guards against a processor load that grows
-// with the number of known backend servers. 3,000 are known and a few have requests;
-// loads are broadcast and summed 25 times a second. The failure occurs if each round
-// visits all known servers. The loads sent and counted must equal the loads found by
-// visiting all servers, in whatever order events come.
+// with the number of known backend servers. 3,000 servers are known and a few of them
+// have requests; loads are broadcast and summed 25 times a second. The failure occurs
+// if each round visits all known servers. The loads sent and counted must equal the
+// loads found by visiting all servers, in whatever order events come.
 func TestLoadsAreThoseOfAWalkOverEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := New(nil)
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -84,9 +84,10 @@
 	return firstIDs(all, n)
 }
 
-// lastReportMS is when the last report arrived, in Unix milliseconds by this router's
-// clock; an engine that never reported comes before all others. If the engines' own
-// clocks were used, an engine whose clock is behind would be polled in each round.
+// lastReportMS returns when the last report arrived, in Unix milliseconds by this
+// router's clock. For an engine that never sent a report it returns the lowest value,
+// so that the engine comes before all other engines. If the engines' own clocks were
+// used, an engine whose clock is behind would be polled in each round.
 func (r *record) lastReportMS() int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -10,9 +10,9 @@
 // different times, and messages arrive out of order; therefore records are merged by
 // the time of their reading, whatever the order of arrival (Merge, Observer). A flood
 // is lost, a partition heals or a node starts; digests then repair the difference
-// (State.Differing). The readers crash or can't read; other nodes then notice that no
-// updates arrive and read the list themselves (Choose). The list is down, empty or half
-// empty; such a reading then removes no records (Observer.evaluate).
+// (State.Differing). The readers crash or can't read the list; other nodes then notice
+// that no updates arrive and read the list themselves (Choose). The list is down, empty
+// or half empty; such a reading then removes no records (Observer.evaluate).
 package inventory
 
 import (
@@ -37,7 +37,7 @@
 	// digestInterval is the mean time between digests with a random neighbour.
 	digestInterval = 5 * time.Second
 	// fallbackInterval is the mean time between readings of a node that isn't one of
-	// the chosen readers: The interval is long because every node is a fallback reader
+	// the chosen readers. The interval is long because every node is a fallback reader
 	// while no node can read the list.
 	fallbackInterval = 30 * time.Second
 	// callTimeout bounds one call to a neighbour.
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -108,9 +108,9 @@
 }
 
 // TestShardsAreAgreed guards against a key that is granted at two nodes. The failure
-// occurs if claims.shards differs between the nodes and each looks up the key in the
-// log that its own number of shards selects. The test claims each key at one node after
-// the other; the first answer of the key-value service is lost.
+// occurs if claims.shards differs between the nodes and each node looks up the key in
+// the log that its own number of shards selects. The test claims each key at one node
+// after the other; the first answer of the key-value service is lost.
 func TestShardsAreAgreed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
--- a/peer/call.go
+++ b/peer/call.go
@@ -22,8 +22,8 @@
 // callHandler handles calls of one kind.
 type callHandler func(ctx context.Context, from string, body cbor.RawMessage) (any, error)
 
-// HandleCall registers fn for calls of a kind. Each call runs in its own
-// goroutine under the caller's deadline. Register before Run.
+// HandleCall registers fn for calls of a kind. Each call runs in its own goroutine
+// under the caller's deadline. HandleCall must be called before Run.
 func HandleCall[Req, Rep any](m *Mesh, kind string, fn func(ctx context.Context, from string, req Req) (Rep, error)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/dialpolicy.go
+++ b/peer/dialpolicy.go
@@ -31,8 +31,8 @@
 // dialSeeds dials seeds whose address is not the address of a live member. While this
 // node has no link, it dials several seeds at once. After that it dials one random seed
 // per heartbeat, so that parts of the fleet that have started separately are joined.
-// The VM list may name the whole fleet; if a starting node dialled all of it, every
-// node would have to perform a handshake.
+// The VM list may name the whole fleet; if a starting node dialled all listed VMs,
+// every node of the fleet would have to perform a handshake with it.
 func (m *Mesh) dialSeeds(now time.Time, known map[string]bool) {
 	if len(m.links) > 0 && !due(now, &m.nextSeedDial, m.cfg.Heartbeat) {
 		return
@@ -48,8 +48,8 @@
 	}
 }
 
-// mayDial reports whether this node may dial a neighbour now. The node with the
-// lower id dials first, and the other one waits for two heartbeats, so that the
+// mayDial reports whether this node may dial a neighbour now. The node with the lower
+// id dials first, and the node with the higher id waits for two heartbeats, so that the
 // two nodes rarely dial each other at the same time.
 func (m *Mesh) mayDial(now time.Time, e *entry) bool {
 	if m.cfg.ID < e.rec.ID {
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -4,8 +4,8 @@
 // calls (requests with a reply).
 //
 // Failures it guards against:
-//   - A node crashes or is cut off: its neighbours stop receiving from it and
-//     report it as suspect. Every member marks it dead unless it refutes the
+//   - A node crashes or is cut off: its neighbours stop receiving from it and report
+//     it as suspect. Every member marks the node dead unless the node refutes the
 //     suspicion in time.
 //   - A node is paused and resumes: it receives the reports that mark it suspect
 //     or dead and refutes them with a higher version of its own record. Its own
@@ -13,10 +13,10 @@
 //     from the other nodes during the pause.
 //   - A node restarts: its new incarnation replaces all that was known about the
 //     old one.
-//   - A link is silent, broken in one direction or slow: it is closed after a
-//     timeout or when its bounded queue is full, and dialled again with jittered
-//     backoff. Lost messages are repaired by anti-entropy (OnLink,
-//     RandomNeighbour), never by unbounded queues.
+//   - A link is silent, broken in one direction or slow: the link is closed after a
+//     timeout or when its bounded queue is full, and the node is dialled again with
+//     jittered backoff. Anti-entropy (OnLink, RandomNeighbour) repairs the loss of
+//     messages, so queues need not grow without bound to avoid such losses.
 //   - A process without the shared key connects: both sides prove the key before
 //     any other message is read, and the size of every message is bounded.
 //
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -10,10 +10,10 @@
 	"wigeondale/event"
 )
 
-// seenSet contains the keys of recently received floods. It consists of two sets,
-// of which the older one is discarded when the newer one is full, so that its
-// memory is bounded at any rate of floods. A flood that still circulates after
-// its key was discarded is treated as new; the limit on hops stops it.
+// seenSet contains the keys of recently received floods. It consists of two sets, of
+// which the older one is discarded when the newer one is full, so that its memory is
+// bounded at any rate of floods. A flood that still circulates after its key was
+// discarded is treated as new; such a flood ends when it reaches the limit on hops.
 type seenSet struct {
 	limit    int
 	current  map[uint64]struct{}
@@ -48,7 +48,8 @@
 type floodHandler func(from string, body cbor.RawMessage) error
 
 // HandleFlood registers fn for floods of a kind. Handlers run one at a time in the
-// order of arrival and must not block. Register before Run.
+// order of arrival and must not block, because later floods wait for them. HandleFlood
+// must be called before Run.
 func HandleFlood[T any](m *Mesh, kind string, fn func(from string, v T)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,10 +63,9 @@
 	}
 }
 
-// Flood sends v to every reachable member, and each handles it once. It does not
-// wait and does not guarantee delivery: a member that is cut off or slow misses
-// the message, and the package that defines the kind must repair that by
-// anti-entropy.
+// Flood sends v to every reachable member, and each handles it once. Flood does not
+// wait for delivery and does not guarantee it: a member that is cut off or slow misses
+// the message, and the package that defines the kind must repair that by anti-entropy.
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
 // SendToLinked sends v to the linked members only, which do not forward it. It is meant
--- a/peer/members.go
+++ b/peer/members.go
@@ -53,8 +53,8 @@
 	return float64(len(ids))
 }
 
-// IsFullMesh reports whether there are few enough members for each to be linked to all
-// others.
+// IsFullMesh reports whether the fleet has so few members that each member keeps links
+// to all other members.
 func (m *Mesh) IsFullMesh() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
 
 func (m *Mesh) member(e *entry) Member {
@@ -102,8 +102,9 @@
 	}
 }
 
-// applyDemand updates one entry of demand. It bounds the size of the map, because
-// a faulty peer could otherwise fill the memory with account names.
+// applyDemand updates one entry of demand. It does not add an entry to a map that has
+// reached its maximum size, because a faulty peer could otherwise fill the memory with
+// account names.
 func applyDemand(demand map[string]float64, account string, rate float64) {
 	if rate == 0 {
 		delete(demand, account)
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -22,9 +22,10 @@
 	}
 })
 
-// TestMergeIsAJoin guards against two members that disagree about a third one forever.
-// The failure occurs if they receive the same records in a different order, or one of
-// them twice, and the result of the merge depends on order or repetition.
+// TestMergeIsAJoin guards against two members that disagree about a third member
+// forever. The failure occurs if the two members receive the same records in a
+// different order, or one receives a record twice, and the result of the merge depends
+// on order or repetition.
 func TestMergeIsAJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := records.Draw(t, "a"), records.Draw(t, "b"), records.Draw(t, "c")
@@ -41,9 +42,9 @@
 }
 
 // TestRefutationWins guards against a resumed or restarted node that serves requests
-// but stays dead for its peers. The failure occurs if they spread a record about it in
-// the meantime, with any version or incarnation, and the node's refutation does not win
-// the merge against that record.
+// but stays dead for its peers. The failure occurs if its peers spread a record that
+// marks the node suspect or dead, with any version or incarnation, and the node's
+// refutation does not win the merge against that record.
 func TestRefutationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self, received := records.Draw(t, "self"), records.Draw(t, "rumour")
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -200,16 +200,16 @@
 	}
 }
 
-// SetDiscoveredSeeds replaces the seeds found in the VM list. The seeds of the
-// configuration are kept.
+// SetDiscoveredSeeds replaces the seeds that were found in the VM list by addrs. The
+// seeds of the configuration are kept.
 func (m *Mesh) SetDiscoveredSeeds(addrs []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.seeds = append(append([]string(nil), m.cfg.Seeds...), addrs...)
 }
 
-// OnLink registers fn to be called with the id of the remote node whenever a link
-// comes up. Each call runs in its own goroutine. Register before Run.
+// OnLink registers fn to be called with the id of the remote node whenever a link comes
+// up. Each call of fn runs in its own goroutine. OnLink must be called before Run.
 func (m *Mesh) OnLink(fn func(node string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -218,7 +218,8 @@
 
 // OnChange registers fn to be called after changes of the membership, on the goroutine
 // of the flood handlers. fn must not block, because floods wait meanwhile. Several
-// changes in quick succession may result in one call. Register before Run.
+// changes in quick succession may result in one call of fn. OnChange must be called
+// before Run.
 func (m *Mesh) OnChange(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -235,7 +236,8 @@
 	return links[0].node, true
 }
 
-// shuffledLinks returns the links to all linked nodes but except, in random order.
+// shuffledLinks returns the links to all linked nodes other than the node with the id
+// except, in random order.
 func (m *Mesh) shuffledLinks(except string) []*link {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -251,8 +253,8 @@
 
 func (m *Mesh) requestTick() { signal(m.tickRequested) }
 
-// signal sends on a channel of capacity one without blocking. Signals that have
-// not been received yet are coalesced.
+// signal sends on a channel of capacity one without blocking. If a signal has not been
+// received yet, another one is dropped, so that the receiver handles both at once.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -19,8 +19,8 @@
 	"wigeondale/peer/peertest"
 )
 
-// startNodes runs n nodes with the ids n00, n01, ... on an in-memory network.
-// Their addresses are their ids; the first node is the seed of all.
+// startNodes runs n nodes with the ids n00, n01, ... on an in-memory network. The
+// address of each node is its id, and the first node is the seed of all nodes.
 func startNodes(t *testing.T, f *peertest.Network, n int, configure func(*Config)) []*node {
 	nodes := make([]*node, n)
 	for i := range nodes {
@@ -57,7 +57,8 @@
 	synctest.Wait()
 }
 
-// wantAlive checks that all given nodes consider one node alive, or all dead.
+// wantAlive checks that all given nodes consider the node id alive or, if alive is
+// false, dead.
 func wantAlive(t *testing.T, nodes []*node, id string, alive bool) {
 	t.Helper()
 	for _, n := range nodes {
@@ -126,8 +127,9 @@
 // TestCutAndHeal guards against a node that stays out of the fleet after a pause or
 // network cut, or loses its state in the fleet. The failure occurs if the silence is
 // not detected, if the node does not refute the reports about it, or if no node dials
-// again because each side considers the other dead. The test drops all bytes to and
-// from n02 for a minute while the connections stay open, and removes the seeds before.
+// again because each side considers the other side dead. The test drops all bytes to
+// and from n02 for a minute while the connections stay open, and removes the seeds
+// before.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -161,10 +163,10 @@
 }
 
 // TestOneWayCutRelays guards against a link that appears healthy at one end but is
-// unusable. The failure occurs if the bytes from n00 to n01 are lost and those from n01
-// to n00 are not, so that only n01 can detect it. n01 must close the link for both
-// nodes. Both must stay members through the third node, which also relays calls between
-// them.
+// unusable. The failure occurs if the bytes from n00 to n01 are lost and the bytes from
+// n01 to n00 are not, so that only n01 can detect the loss. n01 must close the link for
+// both nodes. Both must stay members through the third node, which also relays calls
+// between them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -193,7 +195,7 @@
 // TestCallErrorsTellWhetherItRan guards against a caller that repeats a call that ran,
 // or gives up a call that never ran. The failure occurs if the errors do not
 // distinguish a call to an unreachable node from a call whose callee is cut off while
-// it runs.
+// the call runs.
 func TestCallErrorsTellWhetherItRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -220,9 +222,9 @@
 	})
 }
 
-// TestPanicOfAHandlerEndsNoNode guards against a single message whose handler panics
-// and that thereby crashes every node, because each node forwards the message before it
-// handles it.
+// TestPanicOfAHandlerEndsNoNode guards against a single message that crashes every node
+// because its handler panics. The failure reaches every node because each node forwards
+// the message before it runs the handler.
 func TestPanicOfAHandlerEndsNoNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -275,9 +277,9 @@
 	})
 }
 
-// TestWrongKeyIsRefused guards against a process with a wrong key that joins the fleet.
-// The failure occurs if the dialler or the acceptor does not check the proof of the
-// other side.
+// TestWrongKeyIsRefused guards against a process with a wrong key that is accepted as a
+// member of the fleet. The failure occurs if the dialler or the acceptor does not check
+// the proof of the other side.
 func TestWrongKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
--- a/peer/revisions.go
+++ b/peer/revisions.go
@@ -8,13 +8,13 @@
 // maxLevels is the maximum number of revisions in one digest.
 const maxLevels = 4
 
-// A revision digest has one bit per member and level instead of one number per
-// member, which keeps it small in large fleets. The bits refer to the ordered
-// ids of the live members, so both nodes must have the same set of live members.
-// If they do not, the digest is ignored until the membership digests have
-// brought the sets in line. The hash covers the incarnations as well, so that a
-// revision that an earlier incarnation had reached is not attributed to a
-// restarted node, which has no revision in force yet.
+// A revision digest has one bit per member and level instead of one number per member,
+// which keeps the digest small in large fleets. The bits refer to the ordered ids of
+// the live members, so both nodes must have the same set of live members. If they do
+// not, the digest is ignored until the membership digests have brought the sets in
+// line. The hash covers the incarnations as well, so that a revision that an earlier
+// incarnation had reached is not attributed to a restarted node, which has no revision
+// in force yet.
 
 // buildRevisionDigest returns the digest of the highest revisions known.
 func (t *table) buildRevisionDigest(reply bool) revisionDigest {
--- a/peer/topology.go
+++ b/peer/topology.go
@@ -48,7 +48,7 @@
 }
 
 // pairWeight returns the same weight for both orders of a pair, so that two nodes
-// mostly choose each other and few links are chosen by only one of their ends.
+// mostly choose each other and few links are chosen by only one of the two nodes.
 func pairWeight(a, b string) uint64 {
 	if a > b {
 		a, b = b, a
