--- a/peer/flood.go
+++ b/peer/flood.go
@@ -10,10 +10,10 @@
 	"wigeondale/event"
 )
 
-// seenSet contains the keys of recently received floods. It consists of two sets,
-// of which the older one is discarded when the newer one is full, so that its
-// memory is bounded at any rate of floods. A flood that still circulates after
-// its key was discarded is treated as new; the limit on hops stops it.
+// seenSet contains the keys of recently received floods. It consists of two sets, of
+// which the older one is discarded when the newer one is full, so that its memory is
+// bounded at any rate of floods. A flood that still circulates after its key was
+// discarded is treated as new; such a flood ends when it reaches the limit on hops.
 type seenSet struct {
 	limit    int
 	current  map[uint64]struct{}
@@ -24,7 +24,7 @@
 	return &seenSet{limit: limit, current: make(map[uint64]struct{})}
 }
 
-// add adds the key and reports whether it was not in the set before.
+// add adds the key and reports whether the key is new to the set.
 func (s *seenSet) add(key uint64) bool {
 	if _, ok := s.current[key]; ok {
 		return false
@@ -48,7 +48,8 @@
 type floodHandler func(from string, body cbor.RawMessage) error
 
 // HandleFlood registers fn for floods of a kind. Handlers run one at a time in the
-// order of arrival and must not block. Register before Run.
+// order of arrival and must not block, because later floods wait for them. HandleFlood
+// must be called before Run.
 func HandleFlood[T any](m *Mesh, kind string, fn func(from string, v T)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -62,15 +63,15 @@
 	}
 }
 
-// Flood sends v to every reachable member, and each handles it once. It does not
-// wait and does not guarantee delivery: a member that is cut off or slow misses
-// the message, and the package that defines the kind must repair that by
-// anti-entropy.
+// Flood sends v to every reachable member, and each handles it once. Flood does not
+// wait for delivery and does not guarantee it: a member that is cut off or slow misses
+// the message, and the package that defines the kind must repair that by anti-entropy.
 func (m *Mesh) Flood(kind string, v any) error { return m.flood(kind, v, 0) }
 
 // SendToLinked sends v to the linked members only, which do not forward it. It is meant
-// for updates that newer ones soon replace. Forwarding would cost one message per
-// link of the fleet for each update, instead of one per neighbour.
+// for updates that newer updates soon replace. Forwarding each update would cost one
+// message per link of the whole fleet, instead of one message per neighbour of this
+// node.
 func (m *Mesh) SendToLinked(kind string, v any) error { return m.flood(kind, v, maxFloodHops) }
 
 func (m *Mesh) flood(kind string, v any, hops uint64) error {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// receiveFlood queues a new flood for its handler and forwards it.
+// receiveFlood queues a flood that this node has not seen yet for its handler and
+// forwards the flood.
 func (m *Mesh) receiveFlood(l *link, f frame) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,8 +132,8 @@
 	}
 }
 
-// recoverPanic runs a handler and turns a panic into an error. All nodes run the
-// same handlers, and a flood is forwarded before it is handled, so without this a
+// recoverPanic runs a handler and turns a panic into an error. All nodes run the same
+// handlers, and a flood is forwarded before it is handled, so without the recovery a
 // single message could crash every node.
 func recoverPanic(handler func() error) (err error) {
 	defer func() {
--- a/peer/members.go
+++ b/peer/members.go
@@ -11,11 +11,11 @@
 type Summary struct {
 	Revision uint64 // revision of the configuration in force
 	Ready    bool
-	// Demand is the demand in tokens per second, by client account. SetSummary
-	// expects only the entries that changed; zero removes an entry. Members
-	// returns it for this node and for linked nodes only: in a fleet above the
-	// full-mesh limit, the demand of every client account at every node would not
-	// fit into the 3 KB/s of one node.
+	// Demand is the demand in tokens per second, by client account. SetSummary expects
+	// only the entries that changed; zero removes an entry. Members returns the demand
+	// of this node and of linked nodes only: in a fleet above the full-mesh limit, the
+	// demand of every client account at every node would not fit into the 3 KB/s of one
+	// node.
 	Demand map[string]float64
 }
 
@@ -53,8 +53,8 @@
 	return float64(len(ids))
 }
 
-// IsFullMesh reports whether there are few enough members for each to be linked to all
-// others.
+// IsFullMesh reports whether the fleet has so few members that each member keeps links
+// to all other members.
 func (m *Mesh) IsFullMesh() bool { return m.countAlive() <= float64(m.cfg.Topology.FullMeshLimit) }
 
 func (m *Mesh) member(e *entry) Member {
@@ -102,8 +102,9 @@
 	}
 }
 
-// applyDemand updates one entry of demand. It bounds the size of the map, because
-// a faulty peer could otherwise fill the memory with account names.
+// applyDemand updates one entry of demand. It does not add an entry to a map that has
+// reached its maximum size, because a faulty peer could otherwise fill the memory with
+// account names.
 func applyDemand(demand map[string]float64, account string, rate float64) {
 	if rate == 0 {
 		delete(demand, account)
@@ -115,8 +116,8 @@
 	demand[account] = rate
 }
 
-// SetLeaving announces to the fleet that this node is shutting down. It cannot be
-// undone within an incarnation.
+// SetLeaving announces to the fleet that this node is shutting down. The announcement
+// cannot be undone within an incarnation.
 func (m *Mesh) SetLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,8 +128,8 @@
 	m.publishSelf()
 }
 
-// publishSelf increments the version of this node's record and schedules the
-// record to be sent to the linked nodes.
+// publishSelf increments the version of this node's record and makes the next tick send
+// the record to the linked nodes.
 func (m *Mesh) publishSelf() {
 	m.self.Version++
 	m.storeSelf()
