--- a/intent/bench_test.go
+++ b/intent/bench_test.go
@@ -9,7 +9,7 @@
 	"wigeondale/fleet"
 )
 
-// The target sizes, as derived in docs/CAPACITY.md.
+// These are the target sizes, which docs/CAPACITY.md derives.
 const (
 	targetAccounts = 5600
 	targetModels   = 7
@@ -17,7 +17,8 @@
 	modelsEach     = 2 // models that each client account may use
 )
 
-// targetState returns a state of the target size with a full history.
+// targetState returns a state of the target size whose history of plans and changed objects
+// is as long as HistoryWindow allows.
 func targetState(b *testing.B) *State {
 	s := NewState()
 	for i := range targetAccounts {
--- a/intent/change.go
+++ b/intent/change.go
@@ -25,8 +25,8 @@
 	Remove Op = "remove"
 )
 
-// Change sets or removes one object. Exactly the field named by Kind is set; for a
-// removal only its identifying fields are used.
+// Change sets or removes one object. Kind names the one field that is set; a removal uses
+// only the identifying fields of that object.
 type Change struct {
 	Kind      Kind       `json:"kind"`
 	Op        Op         `json:"op"`
@@ -37,8 +37,8 @@
 	Placement *Placement `json:"placement,omitempty"`
 }
 
-// Object identifies the object that is changed, as in "account/acme". Two changes
-// overlap when their objects are equal. It is empty for a malformed change.
+// Object identifies the object that is changed, as in "account/acme". Two changes overlap
+// when their objects are equal. The result is empty for a malformed change.
 func (c Change) Object() string {
 	switch {
 	case c.Kind == KindAccount && c.Account != nil:
@@ -114,8 +114,8 @@
 	m[key] = v
 }
 
-// dropOldHistory drops history that is older than the base of any plan that can still
-// be accepted.
+// dropOldHistory drops the plans and changed objects that were recorded before the oldest
+// base that a plan may still have.
 func (s *State) dropOldHistory() {
 	if s.Revision <= HistoryWindow {
 		return
--- a/intent/check.go
+++ b/intent/check.go
@@ -8,8 +8,8 @@
 	"wigeondale/fleet"
 )
 
-// Limits of one plan, which keep a revision far below the key-value service's limit of
-// 1 MB for a value.
+// These limits of one plan keep a revision far below the key-value service's limit of 1 MB
+// for a value.
 const (
 	MaxChanges = 2000
 	MaxName    = 128 // bytes in an id
@@ -158,8 +158,8 @@
 	return "role must be both, prefill or decode"
 }
 
-// Conflicts compares a plan with a state that may be newer than the plan's base. If it
-// returns none, the plan's changes may be appended as the next revision.
+// Conflicts compares a plan with a state that may be newer than the plan's base. If
+// Conflicts returns none, the plan's changes may be appended as the next revision.
 func (s *State) Conflicts(p Plan) []Conflict {
 	if p.Base > s.Revision {
 		return []Conflict{{Object: "plan", Reason: "its base is newer than this state"}}
@@ -190,10 +190,10 @@
 	return Conflict{Object: "plan", Reason: err.Error()}
 }
 
-// lostReplicas finds models that would lose their last replica, and a fleet that would
-// lose its last router. Two plans that each remove a different one of two VMs change no
-// common object; if both were accepted, a model would have no replica. A plan therefore
-// lists the VMs that it relies on, and at least one of them must still be staying.
+// lostReplicas finds models that would lose their last replica, and a fleet that would lose
+// its last router. Two plans that each remove a different one of two VMs change no common
+// object; if both were accepted, a model would have no replica. A plan therefore lists the
+// VMs that it relies on, and is refused if all of them are leaving by now.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
--- a/intent/clock.go
+++ b/intent/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// pauseClock detects that the process was suspended and resumed. Without it a router
-// that resumes after minutes would route by a configuration that was replaced in the
+// pauseClock detects that the process was suspended and resumed. Without pauseClock, a
+// router that resumes after minutes would route by a configuration that was replaced in the
 // meantime, and send requests to a VM that has left or to a version that was withdrawn.
-// It compares both the monotonic and the wall clock, because the monotonic clock stands
-// still in a suspended VM.
+// pauseClock compares both the monotonic and the wall clock, because the monotonic clock
+// stands still in a suspended VM.
 type pauseClock struct {
 	mu             sync.Mutex
 	maxTickGap     time.Duration // a longer gap between ticks counts as a pause
@@ -47,8 +47,9 @@
 	c.lastContact = now
 }
 
-// confirm records that the revision was found to be the newest by an exchange that
-// started at startedAt. An exchange that started before a pause proves nothing.
+// confirm records that an exchange, which started at startedAt, found the revision to be
+// the newest. An exchange that started before a pause proves nothing, because the revision
+// may have been replaced during the pause.
 func (c *pauseClock) confirm(startedAt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,8 +60,9 @@
 	c.lastContact = now
 }
 
-// contactDue reports whether the node should contact the service or a peer, before the
-// last contact becomes too old.
+// contactDue reports whether the node should contact the service or a peer now: its
+// revision isn't confirmed, or half of the time has passed after which the last contact is
+// too old.
 func (c *pauseClock) contactDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/intent/codec.go
+++ b/intent/codec.go
@@ -17,7 +17,7 @@
 	return r, Error.Wrap(err)
 }
 
-// EncodeState returns the encoding of a state for snapshots and for peers.
+// EncodeState returns the encoding of a state that snapshots contain and peers receive.
 func EncodeState(s *State) ([]byte, error) {
 	b, err := cbor.Marshal(s)
 	return b, Error.Wrap(err)
@@ -32,9 +32,9 @@
 	return s.filled(), nil
 }
 
-// entryRevision decodes a log entry. An entry that can't be decoded counts as a
-// revision without changes: every node must arrive at the same state, and no node may
-// be blocked by it for good.
+// entryRevision decodes a log entry. An entry that can't be decoded counts as a revision
+// without changes, so that every node arrives at the same state and the entry doesn't block
+// any node for good.
 func entryRevision(e LogEntry) (Revision, bool) {
 	r, err := DecodeRevision(e.Data)
 	if err != nil {
--- a/intent/confirm.go
+++ b/intent/confirm.go
@@ -48,11 +48,11 @@
 	}
 }
 
-// confirmOnce looks for the plan in the log and, if it isn't there, tries to create it
-// as the entry after the last one. An append whose response was lost is repeated at the
-// same position as long as that is free, so that the delayed append and the new one are
-// the same entry. It moves on to a higher position only when an entry of another plan
-// has the former one, because then the delayed append can't take effect.
+// confirmOnce looks for the plan in the log and, if the plan isn't there, tries to create
+// it as the entry after the last one. An append whose response was lost is repeated at the
+// same position as long as that position is free, so that the delayed append and the new
+// one are the same entry. confirmOnce moves on to a higher position only when an entry of
+// another plan has the former position, because then the delayed append can't take effect.
 func (k *Keeper) confirmOnce(ctx context.Context, p Plan) (r Revision, done bool, err error) {
 	startedAt := time.Now()
 	if !k.loaded.Load() && !k.syncLog(ctx) {
@@ -67,10 +67,10 @@
 		return p.Revision(n), true, nil
 	}
 	if conflicts := s.Conflicts(p); len(conflicts) > 0 {
-		// No append of this plan with a lost response can take effect after this
-		// refusal. Without a new revision the same state would have led to the same
-		// append as before; and the new revision has the position at which the append
-		// was tried.
+		// After this refusal, no append of this plan whose response was lost can take
+		// effect. Such an append was tried because the plan had no conflict in the earlier
+		// state; there is a conflict now only because new revisions were installed, and the
+		// first of them has the position at which the append was tried.
 		k.cfg.Events.Emit(event.PlanConflict, "plan", p.ID, "head", s.Revision)
 		return Revision{}, true, &ConflictError{Base: p.Base, Head: s.Revision, Conflicts: conflicts}
 	}
--- a/intent/confirm_test.go
+++ b/intent/confirm_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// runBetween runs steps of other operators and delayed writes between a read and its
-// append.
+// runBetween runs steps of other operators and applies delayed writes between a read and
+// the append that follows it.
 func (r *race) runBetween() {
 	if r.depth >= 3 {
 		return
@@ -69,13 +69,13 @@
 	r.step()
 }
 
-// Guards against a change that takes effect twice, replaces another operator's change
-// without notice, is lost after it was acknowledged, or takes effect after it was
-// refused. Operators confirm plans made at the same revision at several nodes, while
-// responses are lost, writes take effect late and the same plan is confirmed again at
-// another node. The faults would be: accepting a plan without looking for it in the log
-// or without comparing the objects changed since its base, or trying again at another
-// position than the one whose outcome is unknown.
+// TestOperatorsRace guards against a change that takes effect twice, replaces another
+// operator's change without notice, is lost after it was acknowledged, or takes effect
+// after it was refused. Operators confirm plans made at the same revision at several nodes,
+// while responses are lost, writes take effect late and the same plan is confirmed again at
+// another node. The faults would be: accepting a plan without looking for it in the log or
+// without comparing the objects changed since its base, or trying again at another position
+// than the position whose outcome is unknown.
 func TestOperatorsRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &race{t: t, log: newFakeLog(), outcomes: map[string]uint64{}}
@@ -148,10 +148,10 @@
 	}
 }
 
-// Guards against an operator being told that nothing was changed when the change takes
-// effect. The append is applied, its response is lost, and the service is unavailable
-// from then on; the last failure, which certainly changed nothing, must not hide the
-// first one, which may have.
+// TestConfirmTellsDoubt guards against an operator who is told that nothing was changed
+// although the change takes effect. The append is applied, its response is lost, and the
+// service is unavailable from then on. The last failure, which certainly changed nothing,
+// must not hide the first failure, which may have changed something.
 func TestConfirmTellsDoubt(t *testing.T) {
 	log := newFakeLog()
 	k := NewKeeper(Config{Log: log, PeerClient: fakePeers{}})
--- a/intent/entry.go
+++ b/intent/entry.go
@@ -4,11 +4,12 @@
 	"slices"
 )
 
-// entryVMs is the object of a conflict about the last router.
+// entryVMs is the object that a conflict names when a plan would remove the last router.
 const entryVMs = "entry VMs"
 
-// addEntries adds a step for each router whose VM is to leave, and refuses a plan that
-// removes the last router, because the fleet would then reject every client.
+// addEntries adds a step for each router whose VM is to leave, lists the VMs of the routers
+// that remain, and refuses a plan that removes the last router, because the fleet would
+// then reject every client.
 func (p *Plan) addEntries(before, after *State, view FleetView) {
 	var remaining []string
 	removed := false
@@ -41,8 +42,8 @@
 	p.Conflicts = append(p.Conflicts, Conflict{Object: entryVMs, Reason: reason + "; use force to go on"})
 }
 
-// warnUnknown warns about VMs that the fleet doesn't have: a misspelt id would be
-// accepted and have no effect.
+// warnUnknown warns about VMs that the fleet doesn't have, because a plan with a misspelt
+// id would be accepted and have no effect.
 func (p *Plan) warnUnknown(view FleetView) {
 	known := map[string]bool{}
 	for _, e := range view.Entries {
--- a/intent/errors.go
+++ b/intent/errors.go
@@ -30,14 +30,14 @@
 	ErrNotReady = errors.New("no confirmed state")
 )
 
-// Conflict is the reason why one object of a plan can't be changed as planned.
+// Conflict states why one object of a plan can't be changed as planned.
 type Conflict struct {
 	Object   string `json:"object"`
 	Revision uint64 `json:"revision,omitempty"` // revision that changed the object after the plan's base
 	Reason   string `json:"reason"`
 }
 
-// ConflictError refuses a plan. Nothing was changed.
+// ConflictError reports that a plan was refused and that nothing was changed.
 type ConflictError struct {
 	Base, Head uint64
 	Conflicts  []Conflict
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("plan made at revision %d conflicts at revision %d: %s", e.Base, e.Head, strings.Join(parts, "; "))
 }
 
-// InvalidError refuses a change that is not valid in the state it applies to.
+// InvalidError reports a change that is not valid in the state that the change applies to.
 type InvalidError struct {
 	Object string
 	Reason string
--- a/intent/fake_test.go
+++ b/intent/fake_test.go
@@ -21,8 +21,8 @@
 	outcomeCount
 )
 
-// fakeLog is an in-memory Log. before, if set, runs between a reader's read and its
-// append.
+// fakeLog is an in-memory Log. If before is set, it runs between a caller's read and that
+// caller's append.
 type fakeLog struct {
 	entries map[uint64]LogEntry
 	delayed []LogEntry
@@ -102,7 +102,7 @@
 
 func (f *fakeLog) Snapshot(context.Context, uint64, []byte) error { return nil }
 
-// fakePeers connects keepers by name; a keeper that isn't in it can't be reached.
+// fakePeers connects keepers by name; a keeper that isn't in the map can't be reached.
 type fakePeers map[string]*Keeper
 
 func (f fakePeers) Peers() []string {
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -65,8 +65,8 @@
 	k.subscribers = append(k.subscribers, f)
 }
 
-// UpToDate reports whether this node may act on its state. It is false from a pause until
-// the revision has been confirmed with a peer or the service. Every request checks it,
+// UpToDate reports whether this node may act on its state. The result is false from a pause
+// until a peer or the service has confirmed the revision. Every request checks UpToDate,
 // because after a pause a request may run before any timer does.
 func (k *Keeper) UpToDate() bool {
 	ok, _ := k.Ready()
@@ -81,9 +81,9 @@
 	return k.clock.ready(time.Now())
 }
 
-// HandleRevision handles a revision that peer from has broadcast. This node doesn't broadcast it
-// again: a broadcast goes to every router, and repeating it at each would take a number
-// of messages that grows with the square of the number of routers.
+// HandleRevision handles a revision that peer from has broadcast. This node doesn't
+// broadcast the revision again: a broadcast goes to every router, and if each router
+// repeated it, the number of messages would grow with the square of the number of routers.
 func (k *Keeper) HandleRevision(from string, r Revision) {
 	k.RecordContact()
 	s := k.State()
@@ -101,8 +101,9 @@
 // service but can reach its peers stays ready.
 func (k *Keeper) RecordContact() { k.clock.recordContact(time.Now()) }
 
-// HandlePeerRevision handles the revision in a peer's summary. If it is newer than this node's, the
-// missing revisions are fetched from that peer in the background.
+// HandlePeerRevision handles the revision in a peer's summary. If the peer's revision is
+// newer than this node's, the missing revisions are fetched from that peer in the
+// background.
 func (k *Keeper) HandlePeerRevision(node string, revision uint64) {
 	k.RecordContact()
 	if revision <= k.State().Revision {
@@ -114,7 +115,8 @@
 	}
 }
 
-// BatchFrom returns the revisions from number from on for a peer that has all earlier ones.
+// BatchFrom returns the revisions from number from on, for a peer that has all earlier
+// revisions.
 func (k *Keeper) BatchFrom(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
@@ -135,8 +137,8 @@
 	return b, err
 }
 
-// install applies the next revision and reports whether it did. Only install and
-// installState replace the state.
+// install applies r if it is the next revision, and reports whether it did. Only install
+// and installState replace the state.
 func (k *Keeper) install(r Revision) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -194,7 +196,7 @@
 	return nil
 }
 
-// catchUp reads the log from the revision after this node's to its end.
+// catchUp reads the log from the revision after this node's revision to the end of the log.
 func (k *Keeper) catchUp(ctx context.Context) error {
 	for {
 		from := k.State().Revision + 1
@@ -225,8 +227,8 @@
 	return true
 }
 
-// Revisions returns at most max revisions from number from on: from the log or, if the
-// log is unavailable, those that this node still has in memory.
+// Revisions returns at most max revisions from number from on. They come from the log or,
+// if the log is unavailable, from the revisions that this node still has in memory.
 func (k *Keeper) Revisions(ctx context.Context, from uint64, max int) ([]Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a node that routes by an older configuration than before, because it
-// installs what arrives without comparing revisions. Revisions, batches and snapshots
-// arrive late, more than once and out of order.
+// TestStateOnlyForwards guards against a node that routes by an older configuration than
+// before, because it installs what arrives without comparing revisions. Revisions, batches
+// and snapshots arrive late, more than once and out of order.
 func TestStateOnlyForwards(t *testing.T) {
 	full := filledLog(t, 8)
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,10 +45,10 @@
 	})
 }
 
-// Guards against a router that was paused and routes by a configuration replaced in the
-// meantime. It is paused for longer than the bound, resumes, and handles a request
-// before any timer has run. It must check the clock, and must not be confirmed by a
-// peer that was paused as well.
+// TestFreshAfterPause guards against a router that was paused and routes by a configuration
+// replaced in the meantime. The router is paused for longer than the bound, resumes, and
+// handles a request before any timer has run. The router must check the clock, and a peer
+// that was paused as well must not confirm the router's state.
 func TestFreshAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -88,10 +88,10 @@
 	})
 }
 
-// Guards against an outage of the service that stops traffic, and against a router
-// without any contact that continues with an old configuration. The service becomes
-// unavailable, a router starts, then its last peer is lost. Readiness must depend on
-// both the service and the peers.
+// TestOutage guards against an outage of the service that stops traffic, and against a
+// router without any contact that continues with an old configuration. The service becomes
+// unavailable, a router starts, then its last peer is lost. Readiness must depend on both
+// the service and the peers.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -121,7 +121,7 @@
 	return p
 }
 
-// Refused reports whether the plan can't be confirmed as it stands.
+// Refused reports whether the plan has conflicts and therefore can't be confirmed.
 func (p Plan) Refused() bool { return len(p.Conflicts) > 0 }
 
 // Requested returns the changes that the operator requested.
@@ -192,8 +192,8 @@
 	return slices.Compact(refs)
 }
 
-// replicas returns the VMs that serve ref, or will by their placement, and that don't
-// leave.
+// replicas returns the VMs that serve ref, or will serve it by their placement, except VMs
+// that are leaving.
 func replicas(s *State, view FleetView, ref fleet.ModelRef) []string {
 	var vms []string
 	for _, b := range view.Backends {
@@ -207,8 +207,9 @@
 	return vms
 }
 
-// desiredOrServed returns what a backend server is to have loaded: its placement if it
-// has one, otherwise the versions that it reports as served.
+// desiredOrServed returns the versions that a backend server is to have loaded: the
+// versions of its placement or, if it has no placement, the versions that it reports as
+// served.
 func desiredOrServed(s *State, view FleetView, backend string) []fleet.ModelRef {
 	if p, ok := s.Placement[backend]; ok {
 		return p.Desired
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// Guards against a model that loses all replicas although neither plan would remove the
-// last one. Two operators each remove half of its VMs, in plans made at the same
-// revision. The plans have no object in common, so comparing objects alone accepts
-// both.
+// TestLeavesThatAreFatalTogether guards against a model that loses all replicas although no
+// single plan would remove the last one. Two operators each remove half of the model's VMs,
+// in plans made at the same revision. The plans have no object in common, so comparing
+// objects alone would accept both.
 func TestLeavesThatAreFatalTogether(t *testing.T) {
 	s := NewState()
 	one := MakePlan(s, view(), "op", "1", Intents{Changes: []Change{leave("vm1"), leave("vm2")}})
@@ -85,9 +85,10 @@
 	}
 }
 
-// Guards against a plan that takes effect again when it is confirmed a second time,
-// long after. Its id has been dropped from the bounded history, so the history must
-// reach back at least as far as the oldest base that is accepted.
+// TestForgottenPlanIsRefused guards against a plan that takes effect again when it is
+// confirmed a second time, long after the first. By then the plan's id has been dropped
+// from the bounded history, so the history must reach back at least as far as the oldest
+// base that is accepted.
 func TestForgottenPlanIsRefused(t *testing.T) {
 	s := NewState()
 	p := MakePlan(s, FleetView{}, "op", "1", Intents{Changes: []Change{leave("vm1")}})
@@ -111,9 +112,9 @@
 	}
 }
 
-// Guards against requesting far more than the weight store's rate for minutes. The
-// store returns no size for a version that is placed on many engines, and an unknown
-// size must not count as 0.
+// TestUnknownSizeLoadsAlone guards against loads that together request far more than the
+// weight store's rate for minutes. The store returns no size for a version that is placed
+// on many engines, and an unknown size must not count as 0.
 func TestUnknownSizeLoadsAlone(t *testing.T) {
 	const rate, hosts = 10, 100
 	loads := []Load{{Backend: "a", Bytes: 1}, {Backend: "b"}, {Backend: "c"}, {Backend: "d", Bytes: 1}, {Backend: "e", Bytes: 1}}
--- a/intent/ports.go
+++ b/intent/ports.go
@@ -22,9 +22,9 @@
 	Head(ctx context.Context) (uint64, error)
 	// Read returns at most max entries in order, starting at number from.
 	Read(ctx context.Context, from uint64, max int) ([]LogEntry, error)
-	// AppendAt creates entry n if it doesn't exist; otherwise it returns the existing
-	// entry. ErrUnavailable means that nothing was written; after any other error the
-	// entry may or may not appear.
+	// AppendAt creates entry n if it doesn't exist; otherwise AppendAt returns the existing
+	// entry. ErrUnavailable means that nothing was written; after any other error the entry
+	// may or may not appear.
 	AppendAt(ctx context.Context, n uint64, id string, data []byte) (won bool, existing LogEntry, err error)
 	// Follow calls f for each entry from number from on, until ctx ends or the service
 	// becomes unavailable.
@@ -37,8 +37,8 @@
 
 // Batch is the data that a node sends to a peer that is behind.
 type Batch struct {
-	// Snapshot is an encoded state. It is set if the requested revisions are no longer
-	// available one by one.
+	// Snapshot is an encoded state. It is set if the sender no longer has the requested
+	// revisions one by one.
 	Snapshot  []byte     `cbor:"1,keyasint,omitempty"`
 	Revisions []Revision `cbor:"2,keyasint,omitempty"`
 	// UpToDate is true if the sender may itself act on its state.
@@ -49,13 +49,14 @@
 type PeerClient interface {
 	// Peers returns routers that seem alive and reachable, in any order.
 	Peers() []string
-	// Flood broadcasts a revision to every reachable router; it doesn't wait.
+	// Flood broadcasts a revision to every reachable router and returns without waiting for
+	// any of them.
 	Flood(r Revision)
 	// FetchFrom requests the revisions from number from on from a router.
 	FetchFrom(ctx context.Context, node string, from uint64) (Batch, error)
 }
 
-// Defaults of Config.
+// These are the defaults of Config.
 const (
 	DefaultTick             = 250 * time.Millisecond
 	DefaultPauseBound       = 2 * time.Second
--- a/intent/run.go
+++ b/intent/run.go
@@ -11,7 +11,7 @@
 	"wigeondale/event"
 )
 
-// peersPerSync bounds the peers queried one after the other in one Sync, because each
+// peersPerSync bounds the peers queried one after the other in one Sync, because each query
 // may take a whole timeout; the next Sync starts with a random peer again.
 const peersPerSync = 3
 
@@ -48,8 +48,8 @@
 	}
 }
 
-// syncLoop confirms the revision when that is needed, and also polls at a low rate in
-// case broadcasts and watches fail.
+// syncLoop confirms the revision when the last contact is too old or a pause was detected.
+// It also polls at a low rate, because broadcasts and watches may fail without an error.
 func (k *Keeper) syncLoop(ctx context.Context) error {
 	poll := time.Now()
 	for ctx.Err() == nil {
@@ -69,8 +69,9 @@
 	return time.Duration(float64(d) * (0.5 + k.cfg.Random()))
 }
 
-// Sync updates the state from the service or, if that fails, from a peer that may act
-// on its own state. It reports whether one of them confirmed the state.
+// Sync updates the state from the service or, if the service fails, from a peer that may
+// act on the peer's own state. Sync reports whether the service or a peer confirmed the
+// state.
 func (k *Keeper) Sync(ctx context.Context) bool {
 	if k.syncLog(ctx) {
 		return true
@@ -118,9 +119,9 @@
 	return true
 }
 
-// broadcastSince broadcasts the revisions that a watcher read from the log itself.
-// Other nodes don't: many may read the same revisions at once, for example when the
-// service comes back.
+// broadcastSince broadcasts the revisions that a watcher itself read from the log. Other
+// nodes don't broadcast what they read, because many may read the same revisions at once,
+// for example when the service comes back.
 func (k *Keeper) broadcastSince(before uint64) {
 	if !k.cfg.IsWatcher() {
 		return
@@ -141,9 +142,9 @@
 	}
 }
 
-// fetch installs the revisions that a peer has beyond this node's. Only a peer that may
-// act on its own state confirms this node's state: two nodes that were paused at the
-// same time must not confirm each other.
+// fetch installs the revisions that a peer has and this node doesn't. Only a peer that may
+// act on its own state confirms this node's state: two nodes that were paused at the same
+// time must not confirm each other.
 func (k *Keeper) fetch(ctx context.Context, node string) bool {
 	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
@@ -164,7 +165,7 @@
 	return true
 }
 
-// fetchLoop fetches the revisions that peers' summaries show to be missing.
+// fetchLoop fetches the revisions that this node lacks according to its peers' summaries.
 func (k *Keeper) fetchLoop(ctx context.Context) error {
 	for {
 		select {
@@ -217,9 +218,9 @@
 	k.cfg.PeerClient.Flood(r)
 }
 
-// snapshotLoop stores snapshots, so that a starting node need not read all revisions.
-// Only watchers store them, each after a random delay, and the log refuses an older
-// one.
+// snapshotLoop stores snapshots, so that a starting node need not read all revisions. Only
+// watchers store snapshots, each after a random delay, and the log refuses a snapshot that
+// isn't newer than the stored one.
 func (k *Keeper) snapshotLoop(ctx context.Context) error {
 	for {
 		select {
--- a/intent/service_test.go
+++ b/intent/service_test.go
@@ -41,11 +41,11 @@
 	return p
 }
 
-// Guards against a plan that is accepted twice or reported as failed when the service
-// loses responses, and against a new node that can't start once old entries are
-// deleted. With the fake service, writes are applied and their responses lost, the plan
-// is confirmed at a second node too, and then a snapshot replaces old entries. Nodes
-// must read the log back and start from the snapshot.
+// TestAgainstTheService guards against a plan that is accepted twice or reported as failed
+// when the service loses responses, and against a new node that can't start once old
+// entries are deleted. With the fake service, writes are applied and their responses lost,
+// the plan is confirmed at a second node too, and then a snapshot replaces old entries.
+// Nodes must read the log back and start from the snapshot.
 func TestAgainstTheService(t *testing.T) {
 	srv := kv.New("127.0.0.1:0")
 	if err := srv.Start(); err != nil {
--- a/intent/state.go
+++ b/intent/state.go
@@ -1,13 +1,13 @@
-// Package intent holds the desired state of the fleet and its changes. Operators'
+// Package intent contains the desired state of the fleet and its changes. Operators'
 // requests (Intents) become plans, a confirmed plan becomes the next revision of an
-// append-only log, and the Keeper of each node holds the newest state that the node
-// knows.
+// append-only log, and the Keeper of each node stores the newest state that the node knows.
 //
-// The package guards against four failures. When operators confirm plans at the same
-// time, only one can create the next log entry. When the response to a confirmation is
-// lost, the entry is read back. A node that was paused or disconnected doesn't act on
-// an old state until it has confirmed it (Ready). A node doesn't go back to an older
-// revision: only revision n+1 is applied to revision n.
+// The package guards against four failures. When operators confirm plans at the same time,
+// only one of them can create the next log entry. When the response to a confirmation is
+// lost, the log is read again to find out whether the entry was created. A node that was
+// paused or disconnected doesn't act on an old state until the node has confirmed that
+// state (Ready). A node doesn't go back to an older revision: only revision n+1 is applied
+// to revision n.
 package intent
 
 import (
@@ -16,12 +16,13 @@
 	"wigeondale/fleet"
 )
 
-// HistoryWindow is the number of revisions for which a state remembers accepted plans
-// and changed objects. A plan with an older base is refused, so that a plan whose id
-// has been dropped can't be accepted a second time.
+// HistoryWindow is the number of revisions for which a state remembers accepted plans and
+// changed objects. A plan whose base is older is refused, so that a plan whose id has been
+// dropped from the history can't be accepted a second time.
 const HistoryWindow = 1024
 
-// State is the desired state at one revision. It is immutable once published.
+// State is the desired state at one revision. A State that the Keeper has published is not
+// modified.
 type State struct {
 	Revision  uint64               `json:"revision"`
 	Accounts  map[string]Account   `json:"accounts"`
@@ -29,9 +30,10 @@
 	Traffic   map[string]Traffic   `json:"traffic"`   // by model
 	VMs       map[string]VMIntent  `json:"vms"`       // by VM id
 	Placement map[string]Placement `json:"placement"` // by backend server id
-	// Touched is the last revision that changed each object, including removed objects.
+	// Touched maps each object, including removed objects, to the last revision that
+	// changed it.
 	Touched map[string]uint64 `json:"touched,omitempty"`
-	// Plans is the revision as which each plan was accepted.
+	// Plans maps the id of each accepted plan to the revision that the plan became.
 	Plans map[string]uint64 `json:"plans,omitempty"`
 }
 
@@ -65,8 +67,8 @@
 	Model    string   `json:"model"`
 	Weights  []Weight `json:"weights"`
 	Priority string   `json:"priority"` // default priority class: batch or interactive
-	// Previous is the split before this one, set by Apply. It is used while a version
-	// of this one isn't served by any backend server yet.
+	// Previous is the split before this one; Apply sets it. Previous is used until every
+	// version that has a share in Weights is served by some backend server.
 	Previous []Weight `json:"previous,omitempty"`
 }
 
--- a/intent/waves.go
+++ b/intent/waves.go
@@ -8,7 +8,7 @@
 	"wigeondale/fleet"
 )
 
-// WaveSeconds is how long the loads of one wave may read from the weight store.
+// WaveSeconds is how long the loads of one wave may take to read from the weight store.
 const WaveSeconds = 60
 
 // derivePlacements derives the loads that a new traffic split needs. Each version with
@@ -67,8 +67,8 @@
 	}
 }
 
-// withoutRetired returns the versions in have, without versions of the model that no
-// longer get traffic.
+// withoutRetired returns the versions in have, except versions of the model that no longer
+// receive traffic.
 func withoutRetired(t Traffic, have []fleet.ModelRef) []fleet.ModelRef {
 	var out []fleet.ModelRef
 	for _, ref := range have {
@@ -80,8 +80,9 @@
 	return out
 }
 
-// hostsOf returns the engines that don't leave and have, or are to have, any version of
-// a model, in an order in which neighbours are in different failure domains.
+// hostsOf returns the engines that have, or are to have, any version of a model, except
+// engines that are leaving. In the result, neighbours are in different failure domains as
+// long as several domains have engines left.
 func hostsOf(s *State, view FleetView, model string) []fleet.Backend {
 	byDomain := map[string]int{}
 	type ranked struct {
