--- a/order/executor.go
+++ b/order/executor.go
@@ -33,12 +33,13 @@
 	// Sizes returns the size in bytes of the weights of all placements, by
 	// ModelRef.String().
 	Sizes func(context.Context) map[string]int64
-	// Candidate reports whether this router should try to acquire the lease; nil means
-	// yes. A few candidates are enough, and each try costs the service one read.
+	// Candidate reports whether this router should try to acquire the lease; nil means that
+	// the router always tries. A few candidates are enough, and each try costs the service
+	// one read.
 	Candidate func() bool
-	// Incarnation returns an engine's incarnation from its last load report, or ""; nil
-	// means that none is known. An engine with a new incarnation is queried
-	// immediately.
+	// Incarnation returns an engine's incarnation from its last load report, or "" if there
+	// is no report; nil means that no incarnation is known. An engine with a new
+	// incarnation is queried immediately.
 	Incarnation func(id string) string
 	Random      func() float64 // 0 to 1, for jitter; nil means none
 	Policy      Policy
@@ -50,12 +51,14 @@
 type Executor struct {
 	cfg Config
 
-	// Used only by the goroutine that acquires and renews the lease.
+	// These fields are used only by the goroutine that acquires and renews the lease, so no
+	// lock guards them.
 	machine   *chart.Machine
 	heldLease HeldLease
 	nextTry   time.Time // earliest time of the next try to acquire the lease
 
-	// Used only by the goroutine that sends orders.
+	// These fields are used only by the goroutine that sends orders, so no lock guards
+	// them.
 	progress   Progress
 	schedule   *Schedule
 	progressOf uint64 // fencing number of the tenure that progress and schedule belong to
@@ -94,10 +97,9 @@
 	}, nil
 }
 
-// Run sends orders until ctx ends, then gives the lease up. A goroutine of its own
-// renews the lease: a round may wait long for engines that don't answer, and if the
-// lease expired in the meantime, the next tenure would have to wait before its first
-// orders.
+// Run sends orders until ctx ends, then gives the lease up. A separate goroutine renews the
+// lease, because a round may wait long for engines that don't answer; if the lease expired
+// in the meantime, the next tenure would have to wait before its first orders.
 func (e *Executor) Run(ctx context.Context) error {
 	var g errgroup.Group
 	g.Go(func() error { return e.runEvery(ctx, e.keepLease) })
@@ -137,7 +139,8 @@
 	return d
 }
 
-// keepLease tries to acquire the lease, or renews it.
+// keepLease tries to acquire the lease if this router doesn't have it, and renews it
+// otherwise.
 func (e *Executor) keepLease(ctx context.Context) {
 	if !e.holding() && e.mayAcquire(time.Now()) {
 		e.acquire(ctx)
@@ -161,8 +164,8 @@
 	return ok
 }
 
-// mayAcquire limits the rate of tries to acquire the lease, so that waiting routers
-// cost little.
+// mayAcquire reports whether this router may try to acquire the lease now. It limits the
+// rate of tries, so that waiting routers cost little.
 func (e *Executor) mayAcquire(now time.Time) bool {
 	if now.Before(e.nextTry) || !e.cfg.Candidate() || !e.cfg.UpToDate() {
 		return false
@@ -239,12 +242,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), e.cfg.Policy.OrderDeadline)
 	defer cancel()
-	// A lease that can't be given up expires by itself.
+	// A failed Release is ignored, because the lease then expires by itself.
 	_ = e.cfg.Lease.Release(ctx, e.heldLease)
 }
 
-// fireChartEvent moves the state chart. An event that the chart doesn't allow is a bug
-// in this package; the orders themselves are guarded by the tenure, not by the chart.
+// fireChartEvent changes the state of the chart. An event that the chart doesn't allow is a
+// bug in this package. The tenure, not the chart, decides whether an order may be sent.
 func (e *Executor) fireChartEvent(name string) {
 	if err := e.machine.Fire(name); err != nil {
 		e.cfg.Events.Emit(event.OrderFailed, "error", err)
@@ -293,8 +296,8 @@
 	e.cfg.Events.Emit(event.OrderSent, "backend", s.Backend.ID, "fence", fence, "plan", s.Order.Plan, "desired", fmt.Sprint(s.Order.Desired))
 }
 
-// permit reports whether an order may be sent now, with its deadline and fencing
-// number.
+// permit reports whether an order may be sent now, and returns the order's deadline and
+// fencing number.
 func (e *Executor) permit(b fleet.Backend) (time.Time, uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/lease.go
+++ b/order/lease.go
@@ -23,9 +23,9 @@
 	return &kvLease{kv: kv, key: prefix + LeaseKey, node: node}
 }
 
-// Acquire implements Lease. When the response to a create is lost, the outcome isn't
-// determined: no router renews that lease, the service deletes the key when it expires,
-// and a router acquires it again.
+// Acquire implements Lease. When the response to a create is lost, Acquire doesn't find out
+// whether the key was created: no router renews that lease, so the service deletes the key
+// when the lease expires, and then a router can acquire the lease again.
 func (l *kvLease) Acquire(ctx context.Context, ttl time.Duration) (HeldLease, bool, error) {
 	_, taken, err := l.kv.Get(ctx, l.key)
 	if err != nil || taken {
@@ -37,14 +37,14 @@
 	}
 	created, v, err := l.kv.CreateWithLease(ctx, l.key, []byte(l.node), id)
 	if err != nil || !created {
-		// Failure is ignored: the lease expires by itself.
+		// A failed Revoke is ignored, because the lease then expires by itself.
 		_ = l.kv.Revoke(ctx, id)
 		return HeldLease{}, false, Error.Wrap(err)
 	}
 	return HeldLease{Fence: uint64(v.CreateRev), ID: int64(id), TTL: ttl}, true, nil
 }
 
-// Renew implements Lease. It also reads the key: without the key the lease protects
+// Renew implements Lease. Renew also reads the key: without the key the lease protects
 // nothing, and another node may have created the key again.
 func (l *kvLease) Renew(ctx context.Context, h HeldLease) error {
 	left, err := l.kv.KeepAlive(ctx, infra.LeaseID(h.ID))
--- a/order/next.go
+++ b/order/next.go
@@ -9,7 +9,7 @@
 	"wigeondale/intent"
 )
 
-// View is the state of the fleet that one round works with.
+// View is what one round knows about the fleet.
 type View struct {
 	Backends []fleet.Backend
 	Status   map[string]Status // by backend server id; those that didn't answer are absent
@@ -22,14 +22,14 @@
 	Order   Order
 }
 
-// Progress records since when all new versions of each model are served.
+// Progress records, for each model, the time since which all its new versions are served.
 type Progress struct {
 	since map[string]time.Time
 }
 
-// Next returns the orders of one round. An order contains the complete set of versions
-// that the backend server is to have now: those it has and may keep, and the loads of
-// the current wave. A backend server whose desired state is already the same gets no
+// Next returns the orders of one round. An order contains the complete set of versions that
+// the backend server is to have now: the versions that it has and may keep, and the loads
+// of the current wave. A backend server whose desired state is already the same gets no
 // order.
 func Next(s *intent.State, v View, p Policy, progress *Progress, now time.Time) []Step {
 	progress.update(s, v, now)
@@ -41,8 +41,8 @@
 			continue
 		}
 		o := Order{Plan: fmt.Sprintf("r-%d", s.Revision), Role: role(s, b, status)}
-		// Leaving is never revoked: an engine that is shutting down by its own decision
-		// would get new requests that it is about to abort.
+		// An order never revokes Leaving: an engine may be shutting down by its own
+		// decision, and would then get new requests that it is about to abort.
 		o.Leaving = status.Leaving || s.Leaving(b.VM)
 		o.Desired = desiredNow(s, b, status, wave[b.ID], progress.unloadAllowed(p, now))
 		if orderInEffect(s, b, o, status) {
@@ -53,7 +53,7 @@
 	return steps
 }
 
-// orderInEffect reports whether b already is in the state that the order would request.
+// orderInEffect reports whether b is already in the state that the order would request.
 func orderInEffect(s *intent.State, b fleet.Backend, o Order, st Status) bool {
 	if o.Leaving != st.Leaving || (st.Role != "" && o.Role != st.Role) {
 		return false
@@ -95,8 +95,8 @@
 	return out
 }
 
-// currentWave returns the loads that should be running: those that already are, and as
-// many more as the weight store's budget for one wave allows.
+// currentWave returns the loads that should be running: the loads that are running already,
+// and as many more as the weight store's budget for one wave allows.
 func currentWave(s *intent.State, v View, p Policy) map[string][]fleet.ModelRef {
 	running, waiting, hosts := missingLoads(s, v)
 	out := map[string][]fleet.ModelRef{}
@@ -114,8 +114,8 @@
 	return out
 }
 
-// missingLoads returns the running loads, those not started, and the number of engines
-// that answered.
+// missingLoads returns the loads that are running, the loads that haven't been started, and
+// the number of engines that answered.
 func missingLoads(s *intent.State, v View) (running, waiting []intent.Load, hosts int) {
 	for _, b := range v.Backends {
 		st, ok := v.Status[b.ID]
@@ -138,8 +138,8 @@
 	return running, waiting, hosts
 }
 
-// update records since when all placed versions of each model are served. A backend
-// server that doesn't answer counts as not serving, unless it is leaving.
+// update records, for each model, the time since which all its placed versions are served.
+// A backend server that doesn't answer counts as not serving, unless it is leaving.
 func (p *Progress) update(s *intent.State, v View, now time.Time) {
 	if p.since == nil {
 		p.since = map[string]time.Time{}
--- a/order/next_test.go
+++ b/order/next_test.go
@@ -17,8 +17,8 @@
 	v2 = fleet.ModelRef{Model: "m", Version: "v2"}
 )
 
-// fakeFleet is a set of engines that follow orders; a test completes their loads. It
-// records the orders it gets.
+// fakeFleet is a set of engines that follow orders and record them. A load completes when
+// the test says so.
 type fakeFleet struct {
 	mu         sync.Mutex
 	list       []fleet.Backend
@@ -95,9 +95,10 @@
 func (freeLease) Renew(context.Context, HeldLease) error   { return nil }
 func (freeLease) Release(context.Context, HeldLease) error { return nil }
 
-// Guards against a model without a replica while its new version loads, and against
-// requests beyond the weight store's rate. A plan replaces v1 by v2 on four engines;
-// ordering all loads at once, or unloading v1 when v2 is ordered, would cause it.
+// TestWavesKeepOldVersions guards against a model without a replica while its new version
+// loads, and against requests beyond the weight store's rate. A plan replaces v1 by v2 on
+// four engines. The faults would be ordering all loads at once, or unloading v1 when v2 is
+// ordered.
 func TestWavesKeepOldVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c", "d")
--- a/order/order.go
+++ b/order/order.go
@@ -1,18 +1,18 @@
-// Package order brings backend servers to the placement in the desired state. One
-// router at a time sends orders: the holder of a lease in the key-value service. Its
-// fencing number is the create revision of the lease's key, so each new holder has a
-// higher one.
+// Package order brings backend servers to the placement in the desired state. One router at
+// a time sends orders: the holder of a lease in the key-value service. The holder's fencing
+// number is the create revision of the lease's key, so each new holder has a higher fencing
+// number than the holders before.
 //
-// The package guards against this failure: a holder is paused, its lease expires,
-// another router takes over, and the first one resumes and sends an order of an old
-// plan, which makes an engine unload a version that traffic has just moved to. Backend
-// servers that check the fencing number reject such an order. For the others, each
-// order must end well before the lease does by the holder's own clock, which is checked
-// directly before the order is sent; and a new holder waits for the duration of a whole
-// lease plus the deadline of an order before it sends its first order to them. A pause
-// between that check and the write to the connection can't be excluded by any clock.
-// Therefore an order states the complete desired state, and orders are read back and
-// repeated until the backend server agrees.
+// The package guards against this failure: a holder is paused, its lease expires, another
+// router takes over, and the first one resumes and sends an order of an old plan, which
+// makes an engine unload a version that traffic has just moved to. Backend servers that
+// check the fencing number reject such an order. For backend servers that don't check it,
+// each order must end well before the lease does by the holder's own clock, which is
+// checked directly before the order is sent; and a new holder waits for the duration of a
+// whole lease plus the deadline of an order before it sends its first order to them. No
+// clock can exclude a pause between that check and the write to the connection. Therefore
+// an order states the complete desired state, and the holder reads each backend server's
+// status and repeats the order until the backend server reports that state.
 package order
 
 import (
@@ -28,7 +28,7 @@
 // Error is the class of the errors of this package.
 var Error = errs.Class("order")
 
-// ErrLeaseLost means that the lease is no longer held.
+// ErrLeaseLost means that this router no longer holds the lease.
 var ErrLeaseLost = errors.New("lease lost")
 
 // ErrStale means that a backend server has seen a higher fencing number.
@@ -53,14 +53,14 @@
 	Role    string
 }
 
-// Backends sends orders to backend servers. Order must not repeat the call by itself,
-// and must return when ctx ends.
+// Backends sends orders to backend servers. The method Order must not repeat a call by
+// itself, and must return when ctx ends.
 type Backends interface {
 	Order(ctx context.Context, b fleet.Backend, o Order) (Status, error)
 	Status(ctx context.Context, b fleet.Backend) (Status, error)
 }
 
-// HeldLease is an acquired lease.
+// HeldLease identifies a lease that this router has acquired.
 type HeldLease struct {
 	Fence uint64
 	ID    int64
@@ -71,14 +71,14 @@
 type Lease interface {
 	// Acquire takes the lease if it is free; ok is false if another router holds it.
 	Acquire(ctx context.Context, ttl time.Duration) (h HeldLease, ok bool, err error)
-	// Renew extends the lease. ErrLeaseLost means that it has expired or isn't held any
-	// more.
+	// Renew extends the lease. ErrLeaseLost means that the lease has expired or that this
+	// router doesn't hold it any more.
 	Renew(ctx context.Context, h HeldLease) error
-	// Release gives the lease up.
+	// Release gives the lease up before it expires, so that another router can acquire it.
 	Release(ctx context.Context, h HeldLease) error
 }
 
-// Defaults of Policy.
+// These are the defaults of Policy.
 const (
 	DefaultTTL           = 12 * time.Second
 	DefaultOrderDeadline = 2 * time.Second
--- a/order/round.go
+++ b/order/round.go
@@ -34,7 +34,7 @@
 	e.send(ctx, steps)
 }
 
-// readFleet queries the engines that are due. For the others it uses their last
+// readFleet queries the engines that are due. For the other engines it uses their last
 // answers.
 func (e *Executor) readFleet(ctx context.Context, s *intent.State, now time.Time) View {
 	v := View{Backends: e.cfg.List(), Weights: e.sizes(ctx)}
@@ -71,8 +71,8 @@
 	_ = g.Wait()
 }
 
-// sizes waits no longer than the deadline of an order, because a slow weight store must
-// not delay orders that load nothing.
+// sizes returns the sizes of the weights. It waits no longer than the deadline of an order,
+// because a slow weight store must not delay orders that load nothing.
 func (e *Executor) sizes(ctx context.Context) map[string]int64 {
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Policy.OrderDeadline)
 	defer cancel()
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -36,7 +36,7 @@
 	status map[string]Status // last answers, except those of engines whose query failed since
 }
 
-// queryRecord is what was known about an engine when it was last queried.
+// queryRecord is what this router knew about an engine when it last queried the engine.
 type queryRecord struct {
 	at          time.Time
 	backend     fleet.Backend
@@ -52,8 +52,8 @@
 }
 
 // Due returns the engines to query in the round that started at now. The caller records
-// their answers and calls it again with the same now until it returns none: an answer
-// may show an old version, which makes the hosts of that model due as well.
+// their answers and calls Due again with the same now until Due returns none: an answer may
+// show an old version, which makes the hosts of that model due as well.
 func (c *Schedule) Due(s *intent.State, list []fleet.Backend, incarnation func(id string) string, now time.Time) []fleet.Backend {
 	c.removeUnlisted(list)
 	if nothingToDo(s) {
@@ -121,8 +121,8 @@
 	return p.Role != k.placement.Role || !slices.Equal(p.Desired, k.placement.Desired)
 }
 
-// recordQuery records what is known before the query is sent: what changes while the
-// query is running must count as changed in the next round.
+// recordQuery records what is known before the query is sent: a change that happens while
+// the query is running must count as a change in the next round.
 func (c *Schedule) recordQuery(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
 	k, ok := c.known[b.ID]
 	if !ok {
@@ -136,16 +136,16 @@
 	}
 }
 
-// sweepDue reports whether the engine's time in the periodic sweep has come since it
-// was last queried. These times are distributed by a hash of the engine's id and never
-// move, so no change of the list can delay an engine.
+// sweepDue reports whether the engine's time in the periodic sweep has come since the
+// engine was last queried. A hash of the engine's id determines this time, which never
+// moves, so no change of the list can delay an engine.
 func (c *Schedule) sweepDue(id string, last, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(id) % uint64(SweepInterval))
 	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + SweepInterval - phase) / SweepInterval) }
 	return sweepNumber(now) > sweepNumber(last)
 }
 
-// unloading returns the models of which some engine has a version to unload.
+// unloading returns the models of which at least one engine has a version to unload.
 func (c *Schedule) unloading(s *intent.State, list []fleet.Backend) map[string]bool {
 	out := map[string]bool{}
 	for _, b := range list {
@@ -198,7 +198,8 @@
 	return slices.ContainsFunc(p.Desired, func(r fleet.ModelRef) bool { return models[r.Model] })
 }
 
-// nothingToDo reports whether no engine can need an order.
+// nothingToDo reports whether no engine can need an order, because the state has no
+// placement and no leaving VM.
 func nothingToDo(s *intent.State) bool {
 	if len(s.Placement) > 0 {
 		return false
--- a/order/schedule_test.go
+++ b/order/schedule_test.go
@@ -70,10 +70,10 @@
 	}
 }
 
-// Guards against an engine that restarted or lost a version and is never corrected, and
-// against a change that waits for a minute, in any sequence of changes, failures and
-// unannounced losses. The faults would be a schedule that delays an engine, or one that
-// uses an old answer as the current one.
+// TestScheduleAsksInTime guards against an engine that restarted or lost a version and is
+// never corrected, and against a change that waits for a minute, in any sequence of
+// changes, failures and unannounced losses. The faults would be a schedule that delays an
+// engine, or a schedule that uses an old answer as the current one.
 func TestScheduleAsksInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newScheduleRunner(6)
@@ -122,8 +122,9 @@
 	})
 }
 
-// Guards against querying all engines in each round. In a large fleet where nothing
-// changes, this cost the holder of the order lease one CPU core and 4.4 MB per second.
+// TestQuietRoundsAreBounded guards against querying all engines in each round. In a large
+// fleet where nothing changes, this cost the holder of the order lease one CPU core and 4.4
+// MB per second.
 func TestQuietRoundsAreBounded(t *testing.T) {
 	const engines, perRound = 6000, 2 * 6000 / 60
 	r := newScheduleRunner(engines)
@@ -164,9 +165,10 @@
 	}
 }
 
-// Guards against a model without a replica. Two engines serve v2; one loses it and
-// nothing reports it; the other one then also has v1. v1 must not be unloaded because
-// of an answer of the first engine that is a minute old.
+// TestOldVersionStaysWhenAnAnswerIsOld guards against a model without a replica. Two
+// engines serve v2; the first one loses v2 and nothing reports this; the second one then
+// also has v1. The second engine must not be told to unload v1 because of an answer of the
+// first engine that is a minute old.
 func TestOldVersionStaysWhenAnAnswerIsOld(t *testing.T) {
 	r := newScheduleRunner(2)
 	a, b := r.f.list[0].ID, r.f.list[1].ID
@@ -195,8 +197,8 @@
 }
 
 // BenchmarkRound measures a round with 10,000 engines, in which each query is two HTTP
-// requests over loopback; the time of the server side is included. "all" is what a new
-// holder does, and what each round did before there was a Schedule.
+// requests over loopback; the time of the server side is included. "all" is the round in
+// which a new holder queries every engine, as each round did before Schedule existed.
 func BenchmarkRound(b *testing.B) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/v1/load" {
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -6,8 +6,8 @@
 	"wigeondale/fleet"
 )
 
-// Tenure is one uninterrupted period of holding the lease, by the holder's own clock.
-// It decides whether an order may be sent; it does no I/O.
+// Tenure is one uninterrupted period during which a router holds the lease, by that
+// router's own clock. A Tenure decides whether an order may be sent; it does no I/O.
 type Tenure struct {
 	Fence      uint64
 	policy     Policy
@@ -18,7 +18,8 @@
 }
 
 // NewTenure starts a tenure. startedAt is the time when the call that acquired the lease
-// started: the service counts the lease's duration from some time after that.
+// started. The service counts the lease's duration from some time after startedAt, so a
+// validity that is counted from startedAt ends before the lease does.
 func NewTenure(p Policy, fence uint64, startedAt, now time.Time) *Tenure {
 	t := &Tenure{Fence: fence, policy: p, busyUntil: map[string]time.Time{}}
 	t.RecordRenewal(startedAt)
@@ -48,9 +49,10 @@
 // the fencing number.
 func (t *Tenure) InQuietPeriod(now time.Time) bool { return now.Before(t.quietUntil) }
 
-// PermitSend reports whether an order to b may be sent now, and the deadline by which it must
-// have ended. It marks b as busy until b's answer is recorded or the deadline has
-// passed: until then an unanswered order may still arrive, and would undo a newer one.
+// PermitSend reports whether an order to b may be sent now, and the deadline by which the
+// order must have ended. It marks b as busy until b's answer is recorded or the deadline
+// has passed: until then an unanswered order may still arrive, and would undo a newer
+// order.
 func (t *Tenure) PermitSend(now time.Time, b fleet.Backend) (deadline time.Time, ok bool) {
 	deadline = now.Add(t.policy.OrderDeadline)
 	if deadline.After(t.validUntil) {
@@ -62,8 +64,8 @@
 	if now.Before(t.busyUntil[b.ID]) {
 		return time.Time{}, false
 	}
-	// One nanosecond after the deadline, so that an order that arrives exactly at its
-	// deadline can't coincide with the next one.
+	// b stays busy until one nanosecond after the deadline, so that an order that arrives
+	// exactly at its deadline can't coincide with the next order.
 	t.busyUntil[b.ID] = deadline.Add(1)
 	return deadline, true
 }
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -41,7 +41,8 @@
 	plan    int
 }
 
-// sentOrder is an order on its way; it arrives by its deadline or not at all.
+// sentOrder is an order on its way to an engine; the order arrives by its deadline or not
+// at all.
 type sentOrder struct {
 	to       *engine
 	fence    uint64
@@ -84,7 +85,8 @@
 	h.plan = sim.newest
 }
 
-// order sends an order without renewing the lease first, like a holder that was paused.
+// order sends an order without renewing the lease first, as a holder does that was paused
+// after its last renewal.
 func (sim *simulation) order(i int, e *engine) {
 	h := sim.holders[i]
 	if h.tenure == nil {
@@ -142,12 +144,12 @@
 	}
 }
 
-// Guards against an engine that returns to an older plan and unloads a version that
-// traffic was moved to. A holder is paused or disconnected, its lease expires or is
-// lost by the service, and another one takes over; then the first one resumes and sends
-// an order, or one of its orders is delayed on the way. The holder must check its lease
-// directly before each order, and a new holder must wait until the former one can't
-// send any more.
+// TestNoOlderOrderAfterNewer guards against an engine that returns to an older plan and
+// unloads a version that traffic was moved to. A holder is paused or disconnected, its
+// lease expires or is lost by the service, and another router takes over; then the first
+// holder resumes and sends an order, or one of its orders is delayed on the way. A holder
+// must check its lease directly before each order, and a new holder must wait until the
+// former one can't send any more.
 func TestNoOlderOrderAfterNewer(t *testing.T) {
 	// The sequences are rare; with fewer checks the test may not detect a broken guard.
 	if err := flag.Set("rapid.checks", "2000"); err != nil {
