--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -10,11 +10,11 @@
 )
 
 // Append adds an entry and returns its position. An id is appended only once within the
-// window, no matter how often and by how many processes Append is called with it.
+// window, no matter how often and by how many processes Append is called with that id.
 //
-// Errors: ErrUnavailable (not appended), ErrUnsettled (call again with the same id and
-// data), ErrExpired, ErrTooLarge, *TruncatedError (this Log was behind a truncation;
-// nothing was appended, and the next call starts reading at the floor).
+// Errors: ErrUnavailable (this call did not append the entry), ErrUnsettled (call again
+// with the same id and data), ErrExpired, ErrTooLarge, *TruncatedError (this Log was behind
+// a truncation; nothing was appended, and the next call starts reading at the floor).
 func (l *Log) Append(ctx context.Context, id string, data []byte) (uint64, error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
@@ -55,10 +55,10 @@
 	}
 }
 
-// AppendAt adds an entry at position n only. won is true when the entry with this id is
-// in the log; existing is then that entry, at n or where an earlier append of the same
-// id put it. Otherwise existing is the entry at n. Errors are those of Append, and
-// ErrGap.
+// AppendAt adds an entry at position n only. won is true when the entry with this id is in
+// the log; existing is then the entry with this id, at n or at the position where an
+// earlier append of the same id put it. Otherwise existing is the entry at n. AppendAt
+// returns the same errors as Append, and ErrGap.
 func (l *Log) AppendAt(ctx context.Context, n uint64, id string, data []byte) (won bool, existing Entry, err error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
@@ -73,8 +73,8 @@
 }
 
 func (l *Log) appendAt(ctx context.Context, n uint64, id string, value []byte) (Entry, error) {
-	// The id is looked up both before and after catchUp, because catchUp may find the
-	// log truncated and drop the known ids.
+	// The id is looked up here, and again after catchUp, because catchUp may find the log
+	// truncated and drop the known ids.
 	if m, ok := l.find(id); ok {
 		return l.existingEntry(ctx, m, value)
 	}
@@ -115,9 +115,9 @@
 	return l.ids.find(id)
 }
 
-// existingEntry returns the entry with this id, which is known to be at n. If it was
-// truncated since, it still counts as appended, and the returned entry is built from
-// the caller's value.
+// existingEntry returns the entry with this id, which is known to be at n. If the entry was
+// truncated since, it still counts as appended, and the returned entry is built from the
+// caller's value.
 func (l *Log) existingEntry(ctx context.Context, n uint64, value []byte) (Entry, error) {
 	e, err := l.readOne(ctx, n)
 	if err == nil {
@@ -126,9 +126,9 @@
 	return l.decodeEntry(infra.Value{Key: l.entryKey(n), Data: value})
 }
 
-// createAt creates value at n, the lowest position not known to be taken, and returns
-// the entry at n. While the outcome is unknown it repeats the same create:
-// create-if-absent also returns the value that is already there.
+// createAt creates value at n, the lowest position not known to be taken, and returns the
+// entry at n. While the outcome is unknown, createAt repeats the same create. This is safe,
+// because create-if-absent returns the value that is already there.
 func (l *Log) createAt(ctx context.Context, n uint64, id string, value []byte) (Entry, error) {
 	var err error
 	for try := range l.opts.SettleTries {
@@ -167,11 +167,11 @@
 	return l.decodeEntry(v)
 }
 
-// checkFloor checks after a create that its position is not below the floor. Otherwise
-// a process that was paused while others appended, took a snapshot and truncated would
-// create an entry at a position that no reader reads, and acknowledge it. A create
-// can't succeed at a deleted position before the floor in the pointer has risen above
-// that position, so reading the pointer after the create detects it.
+// checkFloor checks after a create that its position is not below the floor. Without this
+// check, a process that was paused while others appended, took a snapshot and truncated
+// would create an entry at a position that no reader reads, and acknowledge the entry. A
+// create can't succeed at a deleted position before the floor in the pointer has risen
+// above that position, so the pointer that is read after the create shows such a case.
 func (l *Log) checkFloor(ctx context.Context, e Entry, id string) (Entry, error) {
 	p, err := l.readPointer(ctx)
 	if err != nil {
@@ -183,8 +183,9 @@
 	if e.N < p.Floor {
 		if e.ID == id && e.Rev < p.rev {
 			// The entry was created before this pointer was written: either in time and
-			// truncated since, or after an earlier truncation. Neither "appended" nor
-			// "not appended" would be certain.
+			// truncated since, or after an earlier truncation, when the position was
+			// already below the floor. Neither "appended" nor "not appended" would be
+			// certain.
 			l.unsettled.set(id, e.N)
 		}
 		l.resetPosition(p)
@@ -196,8 +197,8 @@
 	return e, nil
 }
 
-// resetPosition forgets the position and the known ids, so that the next call starts
-// reading at the floor.
+// resetPosition drops the position and the known ids, so that the next call starts reading
+// at the floor.
 func (l *Log) resetPosition(p pointer) {
 	l.next = 0
 	l.ids = newIDWindow(l.opts.Window)
@@ -212,8 +213,8 @@
 	return nil
 }
 
-// recordEntry records entry e at l.next and advances past it, which determines the
-// outcome of appends with an unknown outcome at that position.
+// recordEntry records entry e, which is at l.next, and moves l.next past it. An append at
+// that position whose outcome was unknown thereby has a known outcome.
 func (l *Log) recordEntry(e Entry) {
 	l.next = e.N + 1
 	l.ids.add(e.N, e.ID)
@@ -250,8 +251,9 @@
 	}
 }
 
-// withUnsettled replaces "not appended" by ErrUnsettled while an earlier create of the
-// same id may still take effect: "not appended" would be false if it did.
+// withUnsettled replaces "not appended" by ErrUnsettled while an earlier create of the same
+// id may still take effect, because "not appended" would be false if that create did take
+// effect.
 func (l *Log) withUnsettled(id string, err error) error {
 	if err == nil {
 		return nil
@@ -266,8 +268,8 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrUnsettled, withoutUnavailable(err)))
 }
 
-// withoutUnavailable keeps the text of err but no longer matches ErrUnavailable, which
-// would state that nothing was appended.
+// withoutUnavailable returns an error with the text of err that doesn't match
+// ErrUnavailable, because ErrUnavailable would state that nothing was appended.
 func withoutUnavailable(err error) error { return errors.New(err.Error()) }
 
 func (l *Log) waitBeforeRetry(ctx context.Context) bool {
--- a/kvlog/keys.go
+++ b/kvlog/keys.go
@@ -71,7 +71,7 @@
 	return Entry{N: n, ID: r.ID, Data: r.Data, Rev: v.CreateRev}, nil
 }
 
-// idWindow holds the ids of the newest entries with their positions.
+// idWindow maps the ids of the newest entries to their positions.
 type idWindow struct {
 	size  uint64
 	first uint64 // position of the oldest entry in the window
--- a/kvlog/kvlog.go
+++ b/kvlog/kvlog.go
@@ -1,20 +1,19 @@
 // Package kvlog is an append-only log in the key-value service. Entry n is written with
-// create-if-absent, so the process whose create succeeds has appended it: a race has
+// create-if-absent, so the process whose create succeeds has appended the entry: a race has
 // exactly one winner, and the log needs no leader.
 //
-// The response to a create may be lost, and the create may take effect at any later
-// time. An appender therefore stays at its position: it creates the same entry at the
-// same position again until it sees that the position is taken, by its own entry or
-// another one. Only then can the delayed create have no effect any more, and only then
-// does the appender move on. So an entry is in the log at most once, and every position
-// below an entry is taken.
+// The response to a create may be lost, and the create may take effect at any later time.
+// An appender therefore stays at its position: it creates the same entry at the same
+// position again until it sees that the position is taken, by its own entry or another one.
+// Only then can the delayed create have no effect any more, and only then does the appender
+// move on. So an entry is in the log at most once, and every position below an entry is
+// taken.
 //
-// Old entries are deleted once a snapshot covers them, and a deleted position is absent
-// again: a delayed create, or one by an appender that was paused for long, would
-// succeed there. Two rules prevent acknowledging an entry that no process reads. The
-// snapshot's pointer records the lowest valid position (the floor) before anything is
-// deleted, and an appender reads the pointer after each create and ignores positions
-// below the floor.
+// Old entries are deleted once a snapshot covers them. A deleted position is absent again,
+// so a delayed create, or a create by an appender that was paused for long, would succeed
+// there. Two rules prevent acknowledging an entry that no process reads. The snapshot's
+// pointer records the lowest valid position (the floor) before anything is deleted, and an
+// appender reads the pointer after each create and ignores positions below the floor.
 package kvlog
 
 import (
@@ -34,7 +33,7 @@
 var Error = errs.Class("kvlog")
 
 var (
-	// ErrUnavailable means that this call did not append the entry, and that it will
+	// ErrUnavailable means that this call did not append the entry, and that the entry will
 	// not appear later because of this call.
 	ErrUnavailable = errors.New("log unavailable, nothing appended")
 	// ErrUnsettled means that the outcome is unknown: the entry may be in the log or
@@ -43,7 +42,8 @@
 	// ErrExpired means that the outcome of an append was unknown and its position has
 	// been truncated since: whether it was appended can't be determined any more.
 	ErrExpired = errors.New("append outcome no longer known")
-	// ErrTooLarge means that the id or the data exceeds the limit for one value.
+	// ErrTooLarge means that the id or the data exceeds its limit (maxIDBytes,
+	// MaxDataBytes).
 	ErrTooLarge = errors.New("entry too large")
 	// ErrGap means that the given position is beyond the end of the log.
 	ErrGap = errors.New("position beyond the end of the log")
@@ -82,7 +82,7 @@
 // maxIDBytes bounds the id of one entry.
 const maxIDBytes = 1024
 
-// Defaults of Options.
+// These are the defaults of Options.
 const (
 	DefaultWindow      = 4096
 	DefaultSettleTries = 3
@@ -108,11 +108,11 @@
 	PageEntries int
 	// Jitter returns a number in [0,1); nil means no jitter.
 	Jitter func() float64
-	// Token returns a unique part for the chunk keys of a snapshot; nil means a random
-	// one.
+	// Token returns a unique part for the chunk keys of a snapshot; nil means that a random
+	// part is used.
 	Token func() string
-	// Observe, if set, is called for every entry that this Log reads or appends, in
-	// order and before the Append that read it returns. It must not call the Log.
+	// Observe, if set, is called for every entry that this Log reads or appends, in order
+	// and before the Append that read the entry returns. Observe must not call the Log.
 	Observe func(Entry)
 	Events  *event.Log
 	Metrics *metrics.Set
@@ -149,11 +149,11 @@
 	prefix string
 	opts   Options
 
-	// appendLock is held during an append. It is a channel instead of a mutex, so that
-	// waiting for it ends when the caller's context does.
+	// appendLock is locked during an append. It is a channel instead of a mutex, so that a
+	// caller stops waiting for the lock when its context ends.
 	appendLock chan struct{}
 
-	// The fields below are guarded by appendLock.
+	// appendLock guards the fields below.
 	next      uint64 // lowest position not known to be taken; 0 before the first read
 	ids       idWindow
 	unsettled *unsettledIDs
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -14,10 +14,10 @@
 	"wigeondale/kvlog/kvtest"
 )
 
-// Guards against a follower that stays at an old entry while the log has newer ones.
-// The watch closes, or stays open and delivers nothing, or the log is truncated past a
-// follower that was not running; a follower that relies on the watch alone, or skips
-// truncated entries, misses them.
+// TestFollowWithoutWatch guards against a follower that stays at an old entry while the log
+// has newer ones. The watch closes, or stays open and delivers nothing, or the log is
+// truncated past a follower that was not running; a follower that relies on the watch
+// alone, or skips truncated entries, misses newer entries.
 func TestFollowWithoutWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -99,11 +99,11 @@
 	}
 }
 
-// Guards against an entry that is in the log twice, or is reported as not appended. The
-// response to an append is lost, other processes append more entries than the window
-// holds, and the appender reads on for another append and then calls Append for the
-// first id again. The id was found in the log and must be remembered although it is
-// outside the window.
+// TestLandedPastTheWindow guards against an entry that is in the log twice, or is reported
+// as not appended. The response to an append is lost, other processes append more entries
+// than the window has ids, and the appender reads on for another append and then calls
+// Append for the first id again. The appender found the first id in the log while reading,
+// and must remember the id although it is outside the window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := kvtest.NewController()
--- a/kvlog/kvtest/controller.go
+++ b/kvlog/kvtest/controller.go
@@ -36,7 +36,7 @@
 	answer  chan error
 }
 
-// NewController returns one with an empty store.
+// NewController returns a Controller with an empty store.
 func NewController() *Controller { return &Controller{Store: New()} }
 
 // Blocked returns the number of blocked calls.
@@ -53,8 +53,8 @@
 	return len(b.delayed)
 }
 
-// ApplyDelayed applies the i-th delayed write, with i modulo their number; without any it does
-// nothing.
+// ApplyDelayed applies the i-th delayed write, with i modulo the number of delayed writes.
+// It does nothing if there is no delayed write.
 func (b *Controller) ApplyDelayed(i int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,8 +66,8 @@
 	b.delayed = append(b.delayed[:i], b.delayed[i+1:]...)
 }
 
-// Release completes the i-th blocked call with fault f, with i modulo their number;
-// without any it does nothing.
+// Release completes the i-th blocked call with fault f, with i modulo the number of blocked
+// calls. It does nothing if there is no blocked call.
 func (b *Controller) Release(i int, f Fault) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,7 +136,7 @@
 	return <-call.answer
 }
 
-// Get blocks until released, then reads.
+// Get blocks until the call is released, then reads.
 func (c *Client) Get(ctx context.Context, key string) (v infra.Value, ok bool, err error) {
 	var got infra.Value
 	var found bool
@@ -147,7 +147,7 @@
 	return got, found, nil
 }
 
-// Range blocks until released, then reads.
+// Range blocks until the call is released, then reads.
 func (c *Client) Range(ctx context.Context, from, end string, limit int) ([]infra.Value, error) {
 	var got []infra.Value
 	err := c.waitForRelease(ctx, false, func() { got, _ = c.Store.Range(ctx, from, end, limit) })
@@ -157,12 +157,12 @@
 	return got, nil
 }
 
-// Create blocks until released, then writes.
+// Create blocks until the call is released, then writes.
 func (c *Client) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
 	return c.CompareAndSwap(ctx, key, 0, data)
 }
 
-// CompareAndSwap blocks until released, then writes.
+// CompareAndSwap blocks until the call is released, then writes.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, rev int64, data []byte) (bool, infra.Value, error) {
 	type result struct {
 		ok bool
@@ -176,17 +176,17 @@
 	return got.ok, got.v, nil
 }
 
-// Put blocks until released, then writes.
+// Put blocks until the call is released, then writes.
 func (c *Client) Put(ctx context.Context, key string, data []byte, _ infra.LeaseID) error {
 	return c.waitForRelease(ctx, true, func() { _ = c.Store.Put(ctx, key, data, 0) })
 }
 
-// Delete blocks until released, then writes.
+// Delete blocks until the call is released, then writes.
 func (c *Client) Delete(ctx context.Context, key string) error {
 	return c.waitForRelease(ctx, true, func() { _ = c.Store.Delete(ctx, key) })
 }
 
-// DeleteRange blocks until released, then writes.
+// DeleteRange blocks until the call is released, then writes.
 func (c *Client) DeleteRange(ctx context.Context, from, end string) error {
 	return c.waitForRelease(ctx, true, func() { _ = c.Store.DeleteRange(ctx, from, end) })
 }
--- a/kvlog/kvtest/store.go
+++ b/kvlog/kvtest/store.go
@@ -14,9 +14,10 @@
 	"wigeondale/infra"
 )
 
-// Store is the data of the service. Its own methods don't block for a release.
+// Store is the data of the service. A call of a Store's own method doesn't wait for a
+// release by a Controller.
 type Store struct {
-	// Latency, if set, is the duration slept in each call of a Store (not of a Client).
+	// Latency, if set, is how long each call of a Store (not of a Client) sleeps.
 	Latency time.Duration
 	// OnCreate, if set, is called for each key that is created.
 	OnCreate func(key string, data []byte)
@@ -78,12 +79,12 @@
 	return out, nil
 }
 
-// Create writes key if it is absent.
+// Create writes key if it is absent. Otherwise it returns the existing value.
 func (s *Store) Create(ctx context.Context, key string, data []byte) (bool, infra.Value, error) {
 	return s.CompareAndSwap(ctx, key, 0, data)
 }
 
-// CreateWithLease is Create; it ignores the lease.
+// CreateWithLease does the same as Create and ignores the lease.
 func (s *Store) CreateWithLease(ctx context.Context, key string, data []byte, _ infra.LeaseID) (bool, infra.Value, error) {
 	return s.Create(ctx, key, data)
 }
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// Watch reports puts from now on, and first those keys that still exist and were
-// changed at fromRev or later, if fromRev is positive.
+// Watch reports puts from now on. If fromRev is positive, it first reports the keys that
+// still exist and were changed at fromRev or later.
 func (s *Store) Watch(ctx context.Context, prefix string, fromRev int64) (<-chan infra.WatchEvent, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -254,12 +254,12 @@
 	return rapid.SliceOfN(gen, 10, 150).Draw(rt, "moves")
 }
 
-// Guards against an entry that is in the log twice, is missing after it was
-// acknowledged, or is present after its appender got "not appended". Appenders race for
-// positions while responses are lost, writes take effect late, processes pause before
-// or after their call takes effect or exit, and snapshots truncate the log. The faults
-// would be: moving past a position where the appender's own create may still take
-// effect, returning a final result while it may, or trusting a truncated position.
+// TestEveryEntryOnceInOneOrder guards against an entry that is in the log twice, is missing
+// after it was acknowledged, or is present after its appender got "not appended". Appenders
+// race for positions while responses are lost, writes take effect late, processes pause
+// before or after their call takes effect or exit, and snapshots truncate the log. The
+// faults would be: moving past a position where the appender's own create may still take
+// effect, returning a final result while that create may, or trusting a truncated position.
 func TestEveryEntryOnceInOneOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
--- a/kvlog/read.go
+++ b/kvlog/read.go
@@ -10,16 +10,16 @@
 	"wigeondale/infra"
 )
 
-// Read returns at most max entries in order, starting at position from (counted from
-// 1); none when from is beyond the end. Errors: ErrUnavailable, *TruncatedError.
+// Read returns at most max entries in order, starting at position from (counted from 1). It
+// returns no entries when from is beyond the end. Errors: ErrUnavailable, *TruncatedError.
 func (l *Log) Read(ctx context.Context, from uint64, max int) ([]Entry, error) {
 	entries, _, err := l.readPage(ctx, from, max)
 	return entries, err
 }
 
-// readPage reads the entries first and the pointer after them. A delayed create may
-// have put an entry at a truncated position. The pointer read afterwards shows this,
-// because its floor rose above that position before the position could become absent.
+// readPage reads the entries first and the pointer after them, because a delayed create may
+// have put an entry at a truncated position. The pointer that is read afterwards shows
+// this: its floor rose above that position before the position could become absent.
 func (l *Log) readPage(ctx context.Context, from uint64, limit int) ([]Entry, pointer, error) {
 	from = max(from, 1)
 	values, err := l.kv.Range(ctx, l.entryKey(from), l.entryEnd(), limit)
@@ -102,7 +102,9 @@
 		return nil
 	}
 	if start == 0 {
-		// Entries appended between the read and the start of the watch are in neither.
+		// This second read delivers the entries that were appended after the first read and
+		// before the start of the watch: neither the first read nor the watch contains
+		// them.
 		if err := t.readToEnd(ctx); err != nil {
 			return err
 		}
@@ -134,8 +136,8 @@
 	}
 }
 
-// handleEvent delivers an entry directly from the watch if it is the next one and the
-// watch started right after the entry before it. The first create that such a watch
+// handleEvent delivers an entry directly from the watch if the entry is the next one and
+// the watch started right after the entry before it. The first create that such a watch
 // reports at a position is the valid one. Any other event causes a read.
 func (t *follower) handleEvent(ctx context.Context, e infra.WatchEvent) error {
 	if e.Err != nil {
--- a/kvlog/snapshot.go
+++ b/kvlog/snapshot.go
@@ -16,8 +16,8 @@
 	// chunkBytes is the maximum size of one chunk of a snapshot, below the service's
 	// limit of 1 MB.
 	chunkBytes = 900_000
-	// loadTries is how often LoadSnapshot tries to read a complete snapshot. It starts
-	// again when a newer snapshot replaces the one it is reading.
+	// loadTries is how often LoadSnapshot tries to read a complete snapshot. A try fails
+	// when a newer snapshot replaces the snapshot that is being read.
 	loadTries = 4
 )
 
@@ -50,9 +50,9 @@
 }
 
 // Snapshot stores data as the state after entry upTo and makes it the current snapshot.
-// It then truncates the log: it keeps Window entries up to and including upTo and
-// deletes the older ones. Errors: ErrStaleSnapshot, ErrGap, ErrUnavailable;
-// ErrUnsettled means that the snapshot may be the current one.
+// Snapshot then truncates the log: it keeps Window entries up to and including upTo and
+// deletes the older ones. Errors: ErrStaleSnapshot, ErrGap, ErrUnavailable; ErrUnsettled
+// means that the new snapshot may or may not have become the current one.
 func (l *Log) Snapshot(ctx context.Context, upTo uint64, data []byte) error {
 	old, err := l.readPointer(ctx)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// floorFor returns the floor that keeps the entries of the window, whose ids must still
-// be found.
+// floorFor returns the floor of a snapshot up to upTo. The entries of the window are above
+// it, because their ids must still be found.
 func (l *Log) floorFor(upTo uint64) uint64 {
 	if upTo <= l.opts.Window {
 		return 1
@@ -86,8 +86,8 @@
 	return upTo - l.opts.Window + 1
 }
 
-// checkReached returns ErrGap for a position that the log has not reached. The floor of
-// a snapshot there could be above positions that are still to be written.
+// checkReached returns ErrGap for a position that the log has not reached. A snapshot at
+// such a position could have a floor above positions that are still to be written.
 func (l *Log) checkReached(ctx context.Context, n uint64) error {
 	_, ok, err := l.kv.Get(ctx, l.entryKey(n))
 	if err != nil {
@@ -112,8 +112,8 @@
 	return i, nil
 }
 
-// putChunk repeats a put while its outcome is unknown. No other snapshot writes the
-// same key, so a put that takes effect twice changes nothing.
+// putChunk puts one chunk and repeats the put while its outcome is unknown. No other
+// snapshot writes the same key, so a put that takes effect twice changes nothing.
 func (l *Log) putChunk(ctx context.Context, key string, chunk []byte) error {
 	var err error
 	for range l.opts.SettleTries {
@@ -128,9 +128,9 @@
 	return err
 }
 
-// swapPointer makes p the current pointer if old still is. When a response is lost, it
-// repeats the swap from the same revision: if the first one took effect, the repeated
-// one fails and returns the current pointer.
+// swapPointer makes p the current pointer if old is still the current one. When a response
+// is lost, swapPointer repeats the swap from the same revision: if the first swap took
+// effect, the repeated swap fails and returns the current pointer, which is then p.
 func (l *Log) swapPointer(ctx context.Context, old, p pointer) error {
 	data, err := cbor.Marshal(p)
 	if err != nil {
@@ -164,8 +164,8 @@
 	return l.kv.CompareAndSwap(ctx, l.pointerKey(), rev, data)
 }
 
-// truncate deletes what p made obsolete. Failures are ignored: no process reads below
-// the floor, and the next snapshot deletes what is left.
+// truncate deletes what p made obsolete. Failures are ignored: no process reads below the
+// floor, and the next snapshot deletes what this one left.
 func (l *Log) truncate(ctx context.Context, p pointer) {
 	l.deleteRange(ctx, l.entryKey(0), l.entryKey(p.Floor))
 	l.deleteRange(ctx, l.prefix+chunkPart, l.chunkPrefix(p.UpTo))
@@ -209,9 +209,8 @@
 	return 0, nil, false, Error.Wrap(fmt.Errorf("%w: snapshot incomplete", ErrCorrupt))
 }
 
-// readChunks returns complete=false when a chunk is missing or the digest differs, as
-// it happens when a newer snapshot became current and the chunks of this one were
-// deleted.
+// readChunks returns complete=false when a chunk is missing or the digest differs, which
+// happens when a newer snapshot became current and the chunks of this one were deleted.
 func (l *Log) readChunks(ctx context.Context, p pointer) (data []byte, complete bool, err error) {
 	for i := range p.Chunks {
 		v, ok, err := l.kv.Get(ctx, l.chunkKey(p, i))
