--- a/infra/client.go
+++ b/infra/client.go
@@ -19,12 +19,13 @@
 const (
 	maxIdleConns    = 16
 	idleConnTimeout = 30 * time.Second
-	// maxResponseBytes bounds one response: a page of values of up to 1 MB each.
+	// maxResponseBytes bounds one response, which may be a page of values of up to 1 MB
+	// each.
 	maxResponseBytes = 64 << 20
 	maxErrorBytes    = 4 << 10
 )
 
-// Defaults of KVConfig.
+// These are the defaults of KVConfig.
 const (
 	DefaultCallTimeout = time.Second
 	DefaultMaxInFlight = 32
@@ -32,7 +33,7 @@
 
 // newTransport returns a transport that never sends a request twice. net/http resends a
 // request when a reused connection breaks and the request has GetBody or counts as
-// idempotent, and HTTP/2 resends after GOAWAY. This client would see one call where the
+// idempotent, and HTTP/2 resends after GOAWAY. The client would then see one call where the
 // service saw two writes. Therefore the transport uses HTTP/1 only and no proxy, and
 // newPost clears GetBody.
 func newTransport(dialTimeout time.Duration) *http.Transport {
@@ -48,8 +49,8 @@
 	}
 }
 
-// newHTTPClient returns a client that doesn't follow redirects, because following one
-// sends the request again.
+// newHTTPClient returns a client that doesn't follow redirects, because following a
+// redirect sends the request again.
 func newHTTPClient(dialTimeout time.Duration) *http.Client {
 	return &http.Client{
 		Transport: newTransport(dialTimeout),
@@ -72,8 +73,8 @@
 	return req, nil
 }
 
-// effect distinguishes calls that change stored data (writes) from those that don't
-// (reads).
+// effect distinguishes calls that change stored data (writes) from calls that don't change
+// it (reads).
 type effect bool
 
 const (
@@ -81,9 +82,10 @@
 	writes effect = true
 )
 
-// wrapFailure returns err as ErrUnknownOutcome if the call is a write that may have
-// reached the service, else as ErrUnavailable. connected is false when the call never
-// had a connection, so that no byte of it can have been sent.
+// wrapFailure returns err as ErrUnknownOutcome if the call is a write that may have reached
+// the service, else as ErrUnavailable. connected is false when the call never had a
+// connection or the service refused it before it could take effect, so that nothing can
+// have been applied.
 func wrapFailure(e effect, connected bool, err error) error {
 	if e == writes && connected {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
@@ -195,8 +197,8 @@
 	return nil
 }
 
-// read sends a request that has no body and changes nothing. The caller closes the
-// response body.
+// read sends a request that has no body and doesn't change stored data. The caller closes
+// the response body.
 func read(ctx context.Context, client *http.Client, method, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
--- a/infra/etcd.go
+++ b/infra/etcd.go
@@ -148,8 +148,8 @@
 	return c.CreateWithLease(ctx, key, data, 0)
 }
 
-// CreateWithLease is Create with the key attached to lease: the service deletes the key
-// when the lease ends.
+// CreateWithLease does the same as Create and attaches the key to lease: the service
+// deletes the key when the lease ends.
 func (c *EtcdKV) CreateWithLease(ctx context.Context, key string, data []byte, lease LeaseID) (bool, Value, error) {
 	zero := "0"
 	cmp := compare{Key: []byte(key), Target: "CREATE", Result: "EQUAL", CreateRev: &zero}
@@ -203,7 +203,7 @@
 	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, in, &emptyResponse{})
 }
 
-// Grant creates a lease of ttl, rounded up to whole seconds.
+// Grant creates a lease whose duration is ttl, rounded up to whole seconds.
 func (c *EtcdKV) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var out leaseResponse
--- a/infra/kv.go
+++ b/infra/kv.go
@@ -1,11 +1,11 @@
-// Package infra holds the clients of the external services of a deployment: the
+// Package infra contains the clients of the external services of a deployment: the
 // key-value service, the VM list and the weight store.
 //
-// When the response to a write is lost, the service may have applied the write, may
-// apply it much later, or may never have received it. The errors therefore distinguish
-// the cases: ErrUnavailable means that nothing was applied, ErrUnknownOutcome that the
-// write may have been. Nothing in this package sends a write a second time; the callers
-// decide whether to repeat it.
+// When the response to a write is lost, the service may have applied the write, may apply
+// it much later, or may never have received it. The errors therefore distinguish the cases:
+// ErrUnavailable means that nothing was applied, ErrUnknownOutcome that the write may have
+// been applied or may still be. Nothing in this package sends a write a second time; the
+// callers decide whether to repeat it.
 package infra
 
 import (
@@ -22,8 +22,8 @@
 var (
 	// ErrUnavailable means that the call failed and certainly changed nothing.
 	ErrUnavailable = errors.New("service unavailable, nothing applied")
-	// ErrUnknownOutcome means that a write failed for the caller and may have been
-	// applied or may still be applied later.
+	// ErrUnknownOutcome means that the caller got no valid response to a write, and that
+	// the write may have been applied or may still be applied later.
 	ErrUnknownOutcome = errors.New("outcome unknown, write may be applied")
 	// ErrRejected means that the service refused the call as invalid; nothing was applied.
 	ErrRejected = errors.New("call rejected by the service")
@@ -43,12 +43,13 @@
 	Data      []byte
 	CreateRev int64
 	ModRev    int64
-	// Lease is the lease the key is attached to; 0 means none or not known.
+	// Lease is the lease that the key is attached to; 0 means that there is none or that it
+	// isn't known.
 	Lease LeaseID `cbor:",omitempty"`
 }
 
-// WatchEvent is one change under a watched prefix. Err is set in the last event before
-// the channel closes, unless the context of the watch ended.
+// WatchEvent is one change under a watched prefix. Err is set in the last event before the
+// channel closes, unless the watch closed because its context ended.
 type WatchEvent struct {
 	Deleted bool
 	Value   Value
@@ -71,8 +72,8 @@
 	// Create writes the key if it is absent; otherwise it returns the existing value.
 	Create(ctx context.Context, key string, data []byte) (bool, Value, error)
 	CreateWithLease(ctx context.Context, key string, data []byte, lease LeaseID) (bool, Value, error)
-	// CompareAndSwap writes the key if its revision is modRev; otherwise it returns the
-	// current value, whose Key is empty when the key is absent.
+	// CompareAndSwap writes the key if its revision is modRev; otherwise CompareAndSwap
+	// returns the current value, whose Key is empty when the key is absent.
 	CompareAndSwap(ctx context.Context, key string, modRev int64, data []byte) (bool, Value, error)
 	Put(ctx context.Context, key string, data []byte, lease LeaseID) error
 	Delete(ctx context.Context, key string) error
--- a/infra/lists.go
+++ b/infra/lists.go
@@ -12,14 +12,15 @@
 	"wigeondale/fleet"
 )
 
-// Roles of VMs in the VM list.
+// These are the roles of VMs in the VM list.
 const (
 	RoleEngine  = "engine"
 	RoleService = "service"
 	RoleEntry   = "entry"
 )
 
-// Labels of the VM list, which has the Prometheus HTTP service-discovery format.
+// These are the labels of the VM list, which has the Prometheus HTTP service-discovery
+// format.
 const (
 	labelVM        = "__meta_vm_id"
 	labelRole      = "__meta_role"
@@ -32,8 +33,8 @@
 	maxVMListBytes = 16 << 20
 )
 
-// VM is one entry of the VM list. For RoleEntry, only the ID of Backend is set: it is
-// the node's id, and Addr is the address at which its peers reach the node.
+// VM is one entry of the VM list. For RoleEntry, Backend.ID is the node's id and no other
+// field of Backend is set; Addr is the address at which the node's peers reach the node.
 type VM struct {
 	ID            string
 	Role          string
@@ -43,8 +44,8 @@
 	Leaving       bool
 }
 
-// VMList reads the platform's list of VMs, which may be out of date: it shows changes
-// late.
+// VMList reads the platform's list of VMs. The list may be out of date, because it shows
+// changes late.
 type VMList struct {
 	url     string
 	client  *http.Client
--- a/infra/platform_test.go
+++ b/infra/platform_test.go
@@ -29,10 +29,10 @@
 	}
 }
 
-// Guards against the key-value service receiving one write twice. The service reads a
-// write on a reused connection and closes it; net/http then resends the request by
-// itself if it has GetBody and looks idempotent, which any later header such as
-// Idempotency-Key would cause.
+// TestWriteIsNeverReplayed guards against the key-value service receiving one write twice.
+// The service reads a write on a reused connection and closes the connection. net/http then
+// resends the request by itself if the request has GetBody and looks idempotent; a header
+// such as Idempotency-Key, if it were added later, would make it look so.
 func TestWriteIsNeverReplayed(t *testing.T) {
 	var seen atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -62,9 +62,10 @@
 	}
 }
 
-// Guards against reporting "not applied" for a write that was applied. The connection
-// or the response is lost or the call times out after the write was sent, and an error
-// that says nothing about the write is treated as a refusal.
+// TestErrorsTellWhatMayBeApplied guards against reporting "not applied" for a write that
+// was applied. The connection or the response is lost or the call times out after the write
+// was sent, and an error that doesn't show whether the write was applied is treated as a
+// refusal.
 func TestErrorsTellWhatMayBeApplied(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
--- a/infra/watch.go
+++ b/infra/watch.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// watchBuffer is the number of events buffered for a slow receiver before the stream
-// stops being read.
+// watchBuffer is the number of events buffered for a slow receiver. While the buffer is
+// full, the stream is not read.
 const watchBuffer = 64
 
 type watchRequest struct {
@@ -35,8 +35,9 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Watch opens a stream of changes. Once open it has no timeout: on a broken connection
-// it delivers nothing and reports no error, so the caller also polls at a low rate.
+// Watch opens a stream of changes. Once the stream is open it has no timeout: on a broken
+// connection the stream delivers nothing and reports no error, so the caller also polls at
+// a low rate.
 func (c *EtcdKV) Watch(ctx context.Context, prefix string, fromRev int64) (<-chan WatchEvent, error) {
 	start := time.Now()
 	resp, cancel, err := c.openWatch(ctx, prefix, fromRev)
--- a/kvlog/snapshot.go
+++ b/kvlog/snapshot.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// floorFor returns the floor of a snapshot up to upTo. The entries of the window are above
-// it, because their ids must still be found.
+// floorFor returns the floor of a snapshot up to upTo. The entries of the window are at
+// or above the floor, because their ids must still be found.
 func (l *Log) floorFor(upTo uint64) uint64 {
 	if upTo <= l.opts.Window {
 		return 1
@@ -130,7 +130,8 @@
 
 // swapPointer makes p the current pointer if old is still the current one. When a response
 // is lost, swapPointer repeats the swap from the same revision: if the first swap took
-// effect, the repeated swap fails and returns the current pointer, which is then p.
+// effect, the repeated swap fails and returns the current pointer, which is then p unless
+// another snapshot has replaced it.
 func (l *Log) swapPointer(ctx context.Context, old, p pointer) error {
 	data, err := cbor.Marshal(p)
 	if err != nil {
--- a/order/lease_test.go
+++ b/order/lease_test.go
@@ -12,9 +12,9 @@
 )
 
 // TestLeaseAgainstTheService guards against two routers that send orders at the same time.
-// The service loses the lease of one router, a second router acquires the lease, and the
-// first one renews its own. Renewing must check which router's lease the key belongs to,
-// and the fencing number must grow.
+// The key to which one router's lease is attached is deleted, a second router acquires
+// the lease, and the first one renews its own. Renewing must check which router's lease
+// the key belongs to, and the fencing number must grow.
 func TestLeaseAgainstTheService(t *testing.T) {
 	srv := kv.New("127.0.0.1:0")
 	if err := srv.Start(); err != nil {
