--- a/backend/backend.go
+++ b/backend/backend.go
@@ -38,11 +38,12 @@
 	ErrMismatch = errors.New("answer does not match the request")
 	// ErrUnknownStream means that the engine has no stream of this attempt.
 	ErrUnknownStream = errors.New("unknown stream")
-	// ErrStaleFence means that the engine has seen a higher fencing number.
+	// ErrStaleFence means that the engine has seen a higher fencing number than the one in
+	// the order.
 	ErrStaleFence = errors.New("stale fencing number")
 )
 
-// Refused is an engine's answer that it did not start the request.
+// Refused is an engine's answer which states that the engine did not start the request.
 type Refused struct {
 	Status     int
 	Code       string // such as overloaded, leaving, model_not_loaded, bad_request
@@ -67,8 +68,8 @@
 	ResumeTokens int           // index of the first token to generate
 	Linger       time.Duration // how long the engine keeps the attempt without a reader
 
-	// Opaque, when set, is the complete request. Of the fields above only
-	// ResumeTokens is then used, as the number of the first chunk to send.
+	// Opaque, when set, is the complete request. Of the fields above, only ResumeTokens is
+	// then used: it is the number of the first chunk to send.
 	Opaque       *Opaque
 	Copies       Copies
 	FirstAttempt bool // no attempt of the request was sent before
@@ -83,8 +84,8 @@
 	Finish string // empty until the last token
 }
 
-// OrderRequest sets the complete desired state of an engine, not a change to
-// it.
+// OrderRequest contains the complete desired state of an engine, not a change to that
+// state.
 type OrderRequest struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -20,14 +20,13 @@
 	cancelBackoffMin  = 100 * time.Millisecond
 	cancelBackoffMax  = 15 * time.Second
 	cancelMaxAge      = time.Hour
-	// incarnationLag is how long the known incarnation of an engine may lag
-	// behind its actual one. An incarnation that differs from the attempt's but
-	// was already known when the attempt was abandoned counts as a restart only
-	// after this time.
+	// incarnationLag is how long the known incarnation of an engine may lag behind its
+	// actual one. If the known incarnation differs from the attempt's, but was already
+	// known when the attempt was abandoned, it counts as a restart only after this time.
 	incarnationLag = 10 * time.Second
 )
 
-// AbandonedAttempt is an attempt whose stream is no longer read by any router.
+// AbandonedAttempt is an attempt whose stream no router reads any more.
 type AbandonedAttempt struct {
 	Backend     fleet.Backend
 	Incarnation string // of the engine when the attempt was opened; may be empty
@@ -43,8 +42,8 @@
 
 // CancellerOptions configures a Canceller. Every field is optional.
 type CancellerOptions struct {
-	// Incarnation returns the last reported incarnation of the engine, or "" if
-	// there is none.
+	// Incarnation returns the last reported incarnation of the engine, or "" if no
+	// incarnation was reported.
 	Incarnation func(backendID string) string
 	Rand        func() float64 // in [0, 1); math/rand/v2 by default
 	Max         int            // attempts queued at once; the default is 65536
@@ -52,15 +51,14 @@
 	Metrics     *metrics.Set
 }
 
-// Canceller repeats the cancel of each abandoned attempt until the engine
-// acknowledges it, reports that it has no such attempt, or has restarted.
+// Canceller repeats the cancel of each abandoned attempt until the engine acknowledges it,
+// reports that it has no such attempt, or has restarted.
 //
-// A single cancel is not enough: if an engine freezes, its streams are resumed
-// on other engines, and the cancel is lost, the engine continues after the
-// freeze and generates tokens that no client reads. This would only be visible
-// as extra resource use. Cancels to one engine are sent one after the other, so
-// a frozen engine has at most one pending request and doesn't delay the cancels
-// to other engines.
+// A single cancel is not enough: if an engine freezes, its streams are resumed on other
+// engines, and the cancel is lost, the engine continues after the freeze and generates
+// tokens that no client reads. This waste would only be visible as extra resource use.
+// Cancels to one engine are sent one after the other, so a frozen engine has at most one
+// pending request and doesn't delay the cancels to other engines.
 type Canceller struct {
 	api  CancelAPI
 	opts CancellerOptions
@@ -80,12 +78,11 @@
 	knownIncarnation string // last reported incarnation of the engine at queuedAt
 }
 
-// restarted reports whether the engine has restarted since the attempt was
-// opened, so that the attempt no longer exists. now is the engine's last
-// reported incarnation. It lags behind and may still name the incarnation
-// before the attempt's own, whose stream is running. A different incarnation
-// therefore counts only if it changed after the attempt was queued, or if
-// incarnationLag has passed.
+// restarted reports whether the engine has restarted since the attempt was opened, so that
+// the attempt no longer exists. now is the engine's last reported incarnation. The report
+// lags behind: now may still be an incarnation from before the attempt was opened, although
+// the attempt's stream is running. A different incarnation therefore counts only if it
+// changed after the attempt was queued, or if incarnationLag has passed.
 func (q *queuedCancel) restarted(now string) bool {
 	if q.Incarnation == "" || now == "" || now == q.Incarnation {
 		return false
@@ -116,8 +113,8 @@
 	return c
 }
 
-// Add queues the cancel of an attempt. It never blocks. If the queue is full the
-// attempt is dropped and counted; the engine then ends it after its linger time.
+// Add queues the cancel of an attempt. It never blocks. If the queue is full, the cancel is
+// dropped and counted; the engine then ends the attempt after its linger time.
 func (c *Canceller) Add(a AbandonedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,8 +181,8 @@
 	}
 }
 
-// peek returns the attempt to cancel next. An empty queue is removed under the
-// same lock, so that Add can tell whether a worker serves the queue.
+// peek returns the attempt to cancel next. It removes an empty queue under the same lock,
+// so that for Add the existence of a queue shows whether a worker serves it.
 func (c *Canceller) peek(id string) (queuedCancel, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/backend/chunk.go
+++ b/backend/chunk.go
@@ -80,9 +80,8 @@
 	return s.unescape(b)
 }
 
-// isLiteral reports whether b is the content of a JSON string without escapes.
-// It returns false for control characters and invalid UTF-8, which are left to
-// parseChunkSlow.
+// isLiteral reports whether b is the content of a JSON string without escapes. It returns
+// false for control characters and invalid UTF-8, so that parseChunkSlow handles them.
 func isLiteral(b []byte) bool {
 	ascii := true
 	for _, c := range b {
--- a/backend/chunk_test.go
+++ b/backend/chunk_test.go
@@ -26,8 +26,8 @@
 	return NewStream(io.NopCloser(strings.NewReader(s)), testID, "i")
 }
 
-// Guards against a caller receiving tokens of another request's answer. An
-// engine, or a proxy in front of it, may swap two answers on one connection;
+// TestStreamChecksEachChunk guards against a caller receiving tokens of another request's
+// answer. An engine, or a proxy in front of it, may swap two answers on one connection, so
 // the client must check the ids in each chunk and not rely on the connection.
 func TestStreamChecksEachChunk(t *testing.T) {
 	answer := chunk(testID, 0, " a\"\\\n<\u00e9\U0001F600", "") + ": note\n" + chunk(testID, 1, strings.Repeat("x", 3*streamBufferBytes), "stop") + "data: [DONE]\n\n"
--- a/backend/chunkslow.go
+++ b/backend/chunkslow.go
@@ -67,9 +67,9 @@
 	return Token{Index: index, Text: s.text, Finish: finish}, nil
 }
 
-// finishReason accepts only the two reasons that end a complete answer. Any
-// other reason, such as that of an attempt that was cancelled or ran out of
-// memory, is an error: the truncated answer would otherwise count as complete.
+// finishReason accepts only the two reasons that end a complete answer. Any other reason,
+// for example that the attempt was cancelled or ran out of memory, is an error: the
+// truncated answer would otherwise count as complete.
 func finishReason(v *fastjson.Value) (string, error) {
 	if v == nil || v.Type() == fastjson.TypeNull {
 		return "", nil
--- a/backend/client.go
+++ b/backend/client.go
@@ -49,8 +49,8 @@
 	Ext       startExt       `json:"ext"`
 }
 
-// Open starts an attempt. *Refused and ErrNotSent mean that it did not run;
-// ErrBroken means that it may have run.
+// Open starts an attempt. *Refused and ErrNotSent mean that the attempt did not run;
+// ErrBroken means that the attempt may have run.
 func (c *Client) Open(ctx context.Context, b fleet.Backend, r StartRequest) (*Stream, error) {
 	body, err := json.Marshal(startBody{
 		Model: r.Ref.Model, Prompt: r.Prompt, MaxTokens: r.MaxTokens, Stream: true, Priority: priorityOf(r),
@@ -72,9 +72,9 @@
 	return newStream(resp, StreamID{Request: r.ID, Attempt: r.Attempt, Ref: r.Ref}), nil
 }
 
-// Attach reads an attempt that an engine still has, starting at token index
-// from. Any other reader of the stream is disconnected. A missing stream is
-// ErrUnknownStream.
+// Attach reads an attempt that an engine still has, starting at token index from. The
+// engine disconnects any other reader of the stream. If the engine doesn't have the stream,
+// the error is ErrUnknownStream.
 func (c *Client) Attach(ctx context.Context, b fleet.Backend, id StreamID, from int) (*Stream, error) {
 	resp, err := c.send(ctx, http.MethodGet, b, streamPath(id.Request, id.Attempt)+"?from="+strconv.Itoa(from), nil)
 	if err != nil {
@@ -96,8 +96,8 @@
 	Incarnation string
 }
 
-// Cancel ends an attempt on the engine. It is idempotent. A missing stream is
-// ErrUnknownStream.
+// Cancel ends an attempt on the engine. It is idempotent. If the engine doesn't have the
+// stream, the error is ErrUnknownStream.
 func (c *Client) Cancel(ctx context.Context, b fleet.Backend, request string, attempt int) (CancelResult, error) {
 	var out struct {
 		Generated int `json:"generated"`
@@ -130,8 +130,8 @@
 	return r, err
 }
 
-// Order sets an engine's desired state. ErrStaleFence means that the engine has
-// seen a higher fencing number, which is then Fence in the returned status.
+// Order sets an engine's desired state. ErrStaleFence means that the engine has seen a
+// higher fencing number; Fence in the returned status is then that number.
 func (c *Client) Order(ctx context.Context, b fleet.Backend, o OrderRequest) (OrderStatus, error) {
 	if o.Desired == nil {
 		o.Desired = []fleet.ModelRef{}
@@ -216,9 +216,9 @@
 	resp.Body.Close()
 }
 
-// parseRefusal turns an answer with a status other than 200 into an error. Only
-// a documented refusal status with an error code is *Refused ("not run"). A 500
-// or a proxy's 503 may come after the request has run, so it is ErrBroken.
+// parseRefusal converts an answer with a status other than 200 into an error. Only a
+// documented refusal status with an error code becomes *Refused ("not run"). A 500 or a
+// proxy's 503 may come after the request has run, so such an answer becomes ErrBroken.
 func parseRefusal(resp *http.Response) error {
 	defer resp.Body.Close()
 	var body struct {
--- a/backend/opaque.go
+++ b/backend/opaque.go
@@ -21,21 +21,22 @@
 	Streaming bool
 	Resumable bool           // another backend server may continue the answer
 	Deadline  clock.Deadline // the time left is sent to the backend server
-	// Urgency orders the requests that wait at a backend server; 0 goes first.
+	// Urgency determines the order of the requests that wait at a backend server; requests
+	// with 0 go first.
 	Urgency int
 }
 
 // Copies states which standby copies of its run an attempt creates and uses.
 type Copies struct {
-	// Standby is the backend server that keeps a copy of the attempt's state up
-	// to date while the attempt runs. No copy is made if its address is empty.
+	// Standby is the backend server that keeps a copy of the attempt's state up to date
+	// while the attempt runs. If Standby's address is empty, no copy is made.
 	Standby fleet.Backend
-	// FromCopy means that the attempt continues from the copy that its backend server
-	// has. A backend server without that copy refuses the attempt.
+	// FromCopy means that the attempt continues from the copy that its backend server has.
+	// A backend server that doesn't have the copy refuses the attempt.
 	FromCopy bool
-	// Name and Source describe a copy that was made on demand: its name, and the
-	// backend server that the run was copied from. Name is empty for a copy that
-	// was kept up to date during the run.
+	// Name and Source describe a copy that was made on demand: Name is the name of the
+	// copy, and Source is the backend server that the run was copied from. Name is empty
+	// for a copy that was kept up to date during the run.
 	Name   string
 	Source fleet.Backend
 }
@@ -46,8 +47,8 @@
 	Header http.Header
 }
 
-// FailedAnswer is a complete answer by which a backend server reports that the
-// request failed. The request did run.
+// FailedAnswer is a complete answer by which a backend server reports that the request ran
+// and failed.
 type FailedAnswer struct {
 	Head
 	Body []byte
--- a/backend/send.go
+++ b/backend/send.go
@@ -24,10 +24,10 @@
 // DialConfig configures how connections are opened and when they are given up.
 type DialConfig struct {
 	Timeout time.Duration // for opening a connection
-	// UnackedTimeout is how long sent bytes, or keep-alive probes on an idle
-	// connection, may stay unacknowledged before the connection is closed. Without
-	// it a connection whose peer is unreachable or lost power fails only minutes
-	// later. 0 uses the defaults of the operating system.
+	// UnackedTimeout is how long sent bytes, or keep-alive probes on an idle connection,
+	// may stay unacknowledged before the connection is closed. Without this timeout, a
+	// connection whose peer is unreachable or lost power fails only minutes later. 0 uses
+	// the defaults of the operating system.
 	UnackedTimeout time.Duration
 	BufferBytes    int // size of the read buffer and of the write buffer, in bytes
 }
@@ -95,8 +95,8 @@
 		c.mu.Unlock()
 		return 0, net.ErrClosed
 	}
-	// Counted before the write, so that bytes that may have been sent count as
-	// sent.
+	// The bytes are counted before the write, so that bytes that may have been sent count
+	// as sent.
 	c.written += int64(len(p))
 	c.mu.Unlock()
 	return c.Conn.Write(p)
@@ -108,8 +108,8 @@
 	return c.written
 }
 
-// seal prevents all further writes and reports whether any byte was written
-// since writtenBytes returned writtenBefore.
+// seal prevents all further writes and reports whether any byte was written since
+// writtenBytes returned writtenBefore.
 func (c *sealConn) seal(writtenBefore int64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/backend/send_test.go
+++ b/backend/send_test.go
@@ -19,9 +19,9 @@
 	"wigeondale/fleet"
 )
 
-// readThenClose starts a server that answers the first request of each
-// connection, then reads one more and closes without an answer. It returns the
-// server and a function that returns the number of requests read.
+// readThenClose starts a server that answers the first request of each connection, then
+// reads one more request and closes the connection without an answer. readThenClose returns
+// the server and a function that returns the number of requests read.
 func readThenClose(t *testing.T) (fleet.Backend, func() int) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,10 +60,10 @@
 	return fleet.Backend{ID: "s", Addr: l.Addr().String()}, count
 }
 
-// Guards against a non-idempotent service call running twice. On a reused
-// connection the service reads the request, acts on it and closes; net/http sees
-// no answer and resends the request on a new connection, because it considers a
-// GET, or a POST with an idempotency header, replayable.
+// TestServiceCallIsSentOnce guards against a non-idempotent service call running twice. On
+// a reused connection the service reads the request, acts on it and closes the connection;
+// net/http sees no answer and resends the request on a new connection, because it considers
+// a GET, or a POST with an idempotency header, replayable.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodHead, http.MethodDelete} {
 		for _, body := range []string{"", "a body"} {
@@ -89,10 +89,9 @@
 	}
 }
 
-// Guards against ErrNotSent being returned for a request that ran. The caller's
-// context ends after a connection is assigned, while the transport's writer
-// goroutine still writes; the connection must be sealed before the error is
-// classified.
+// TestSealStopsLaterWrites guards against ErrNotSent being returned for a request that ran.
+// The caller's context ends after a connection is assigned, while the transport's writer
+// goroutine still writes; the connection must be sealed before the error is classified.
 func TestSealStopsLaterWrites(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -110,10 +109,10 @@
 	}
 }
 
-// Guards against a caller receiving another caller's answer when a service swaps
-// two answers: the request id in the answer must be compared. The test also
-// checks that redirects, which would repeat a call, aren't followed and that the
-// caller's API key isn't forwarded.
+// TestServiceAnswerIsOfItsRequest guards against a caller receiving another caller's answer
+// when a service swaps two answers: the client must compare the request id in the answer.
+// The test also checks that the client doesn't follow redirects, which would repeat a call,
+// and doesn't forward the caller's API key.
 func TestServiceAnswerIsOfItsRequest(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Authorization") != "" {
@@ -136,7 +135,8 @@
 	}
 }
 
-// An answer counts as a refusal ("not run") only in the documented form.
+// TestRefusals guards against a request that ran being reported as not run: an answer
+// counts as a refusal ("not run") only in the documented form.
 func TestRefusals(t *testing.T) {
 	for _, tc := range []struct {
 		status  int
@@ -183,10 +183,10 @@
 	return CancelResult{Generated: 12}, nil
 }
 
-// Guards against engines generating for hours without a reader. An engine
-// freezes, its stream is resumed on another engine, the cancel gets no answer,
-// and the engine continues after the freeze. The cancel must be repeated until it
-// is acknowledged.
+// TestCancellerRepeats guards against engines generating for hours without a reader. An
+// engine freezes, its stream is resumed on another engine, the cancel gets no answer, and
+// the frozen engine continues after the freeze. The Canceller must repeat the cancel until
+// the engine acknowledges it.
 func TestCancellerRepeats(t *testing.T) {
 	const never = 1000
 	for _, tc := range []struct {
@@ -219,8 +219,8 @@
 	}
 }
 
-// refusingAddr returns an address that refuses connections until the test ends:
-// the port is bound, so that no other process can get it, but not listening.
+// refusingAddr returns an address that refuses connections until the test ends: a socket is
+// bound to the port, so that no other process can get the port, but does not listen.
 func refusingAddr(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
--- a/backend/service.go
+++ b/backend/service.go
@@ -37,10 +37,10 @@
 // CloseIdle closes connections that carry no request.
 func (c *ServiceClient) CloseIdle() { c.rt.CloseIdleConnections() }
 
-// Do sends a call and returns the service's answer, whatever its status; the
-// caller closes its body. Redirects are not followed. ErrNotSent means that no byte
-// was sent, ErrBroken that the call may have run, ErrMismatch that the answer
-// names another request. A call that is not idempotent is sent at most once.
+// Do sends a call and returns the service's answer, whatever the answer's status is; the
+// caller closes the answer's body. Redirects are not followed. ErrNotSent means that no
+// byte was sent, ErrBroken that the call may have run, ErrMismatch that the answer names
+// another request. A call that is not idempotent is sent at most once.
 func (c *ServiceClient) Do(ctx context.Context, b fleet.Backend, call Call) (*http.Response, error) {
 	req, err := newCallRequest(ctx, b, call)
 	if err != nil {
@@ -52,8 +52,8 @@
 	}
 	echo := resp.Header.Get(requestIDHeader)
 	if echo != "" && echo != call.RequestID {
-		// Closed without draining, so that the connection isn't reused: its
-		// answers are out of step with its requests, and the next answer would
+		// The body is closed without being read to its end, so that the connection isn't
+		// reused: its answers are out of step with its requests, and the next answer would
 		// be wrong too.
 		resp.Body.Close()
 		return nil, Error.Wrap(ErrMismatch)
@@ -81,13 +81,13 @@
 
 // ForbidReplay prevents net/http from sending a request twice.
 //
-// If a server reads a request on a reused connection, acts on it and closes the
-// connection, the transport sees the connection end without an answer. It
-// resends the request if it considers it replayable: a GET without a body, or
-// any request with an idempotency header. The server then runs it twice, which
-// is visible only in the server's own records. A body that can't be rewound
-// makes a GET unreplayable (an empty body adds no bytes), and the headers are
-// removed.
+// If a server reads a request on a reused connection, acts on it and closes the connection,
+// the transport sees the connection end without an answer. The transport resends the
+// request if it considers the request replayable: a GET without a body, or any request with
+// an idempotency header. The server then runs the request twice, which is visible only in
+// the server's own records. A body that can't be rewound makes a GET unreplayable (an empty
+// body adds no bytes), and without the idempotency headers, which ForbidReplay removes, no
+// other request is replayable.
 func ForbidReplay(req *http.Request) {
 	req.Header.Del("Idempotency-Key")
 	req.Header.Del("X-Idempotency-Key")
@@ -101,8 +101,8 @@
 	}
 }
 
-// copyHeader copies src without the headers of the caller's connection and
-// without those meant for the router only, above all the caller's API key.
+// copyHeader copies src to dst, except the headers of the caller's connection and the
+// headers meant for the router only, above all the caller's API key.
 func copyHeader(dst, src http.Header) {
 	CopyHeader(dst, src, routerHeaders)
 	for name := range dst {
@@ -112,7 +112,7 @@
 	}
 }
 
-// CopyHeader copies the end-to-end headers of src to dst, except those named in
+// CopyHeader copies the end-to-end headers of src to dst, except the headers named in
 // except, whose names are in canonical form.
 func CopyHeader(dst, src http.Header, except []string) {
 	drop := map[string]bool{}
@@ -143,5 +143,5 @@
 	"Transfer-Encoding", "Upgrade",
 }
 
-// routerHeaders are used only between callers and the router.
+// routerHeaders are meant for the router only, and are not forwarded to services.
 var routerHeaders = []string{"Authorization", "Last-Event-Id"}
--- a/backend/stream.go
+++ b/backend/stream.go
@@ -30,7 +30,7 @@
 	lengthQuoted = []byte(`"length"`)
 )
 
-// StreamID identifies a stream. Every chunk of the stream must name it.
+// StreamID identifies a stream. Every chunk of the stream must contain this id.
 type StreamID struct {
 	Request string
 	Attempt int
@@ -92,7 +92,8 @@
 // Head returns nil: the chunks of this protocol carry all information.
 func (s *Stream) Head() *Head { return nil }
 
-// Close stops reading. The engine keeps the attempt for its linger time.
+// Close stops reading. The engine keeps the attempt for its linger time, so that it can be
+// attached to.
 func (s *Stream) Close() error { return s.body.Close() }
 
 // Buffered reports whether another complete line is already in the read buffer,
@@ -146,8 +147,8 @@
 	return trimLine(s.line), nil
 }
 
-// unexpectedEOF replaces io.EOF, so that the end of the connection is not taken
-// for the end of the answer.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, so that the end of the connection
+// is not mistaken for the end of the answer.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
