--- a/callerapi/answer.go
+++ b/callerapi/answer.go
@@ -23,17 +23,17 @@
 	generation.CodeQuarantined: http.StatusInternalServerError,
 }
 
-// permanentFailures are the codes for which the same request never succeeds, so
-// that no Retry-After is sent.
+// permanentFailures are the codes of failures that the same request would get again every
+// time, so no Retry-After is sent with them.
 var permanentFailures = map[string]bool{
 	generation.CodeKeyReused:   true,
 	generation.CodeBadRequest:  true,
 	generation.CodeQuarantined: true,
 }
 
-// failureOf returns the failure that is sent for a run, or nil if the run is
-// complete. A result without an outcome counts as unknown, so that the caller is
-// never promised more than is certain.
+// failureOf returns the failure to send to the caller of a run, or nil if the run is
+// complete. A result without an outcome counts as unknown, so that the caller is never
+// promised more than is certain.
 func failureOf(res generation.Result) *Failure {
 	if res.Outcome == fleet.Complete {
 		return nil
--- a/callerapi/body.go
+++ b/callerapi/body.go
@@ -19,7 +19,7 @@
 
 const maxDepth = 32 // maximum nesting depth of a body
 
-// params holds the fields of a body that are used. Other fields, such as
+// params contains the fields of a body that this package uses. Other fields, such as
 // temperature, are accepted because common clients send them, and have no effect.
 type params struct {
 	Model      string
@@ -98,7 +98,7 @@
 	}
 }
 
-// requireOne refuses a request for several answers; only one is generated.
+// requireOne refuses a request for several answers, because only one answer is generated.
 func (p *fieldReader) requireOne(name string) {
 	n := 1
 	p.read(name, &n, "1")
@@ -151,8 +151,8 @@
 	return [16]byte(sum[:16])
 }
 
-// tooDeep reports whether the body is nested deeper than maxDepth. It is checked
-// before any decoder recurses over the body.
+// tooDeep reports whether the body is nested deeper than maxDepth. It is called before any
+// decoder that recurses over the body.
 func tooDeep(raw []byte) bool {
 	depth := 0
 	for i := 0; i < len(raw); i++ {
--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -30,7 +30,8 @@
 	return string(raw)
 }
 
-// The events must have exactly these bytes, which clients of OpenAI's format parse.
+// TestStreamBytes checks that the events have exactly these bytes, because clients of
+// OpenAI's format parse them.
 func TestStreamBytes(t *testing.T) {
 	s := newServer(t, func(_ context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		if req.Prompt != "<|user|>\nhi\n<|assistant|>\n" || req.Account != "acme" || req.ID == "k1" {
@@ -66,11 +67,10 @@
 	}
 }
 
-// Guards against a resumed answer with a token that is missing, repeated or of
-// another generation. The first router streams three tokens and crashes; the
-// caller reconnects with its last cursor to a second router, which has no record of
-// the request. The second router must resume from exactly the delivered position and
-// text.
+// TestReconnectAtAnotherNode guards against a resumed answer with a token that is missing,
+// repeated or of another generation. The first router streams three tokens and crashes; the
+// caller reconnects with its last cursor to a second router, which has no record of the
+// request. The second router must resume from exactly the delivered position and text.
 func TestReconnectAtAnotherNode(t *testing.T) {
 	first := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ", "two ", "three ")
@@ -110,9 +110,9 @@
 	}
 }
 
-// Guards against a caller getting another account's text, or an answer spliced from
-// two. The caller reconnects with a cursor or a text that does not belong to its
-// request; each such reconnect must be refused before any work is done.
+// TestReconnectRefused guards against a caller getting another account's text, or an answer
+// spliced from two generations. The caller reconnects with a cursor or a text that does not
+// belong to its request; each such reconnect must be refused before any work is done.
 func TestReconnectRefused(t *testing.T) {
 	s := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ", "two ")
@@ -147,10 +147,11 @@
 	}
 }
 
-// Guards against a caller receiving not-run for a request of which it already has
-// tokens: it would send the request as a new one and get a second generation. Its
-// router crashes, and the next one refuses the reconnect before it checks the
-// cursor. That this try ran nothing does not mean that the request never ran.
+// TestReconnectIsNeverNotRun guards against a caller receiving not-run for a request of
+// which the caller already has tokens: the caller would send the request as a new one and
+// get a second generation. The caller's router crashes, and the next router refuses the
+// reconnect before it checks the cursor. This try ran nothing, but that does not mean that
+// the request never ran.
 func TestReconnectIsNeverNotRun(t *testing.T) {
 	notReady := func(c *callerapi.Config) { c.Gate = fakeGate{errNotReady} }
 	full := func(c *callerapi.Config) { c.MaxOpen = -1 }
@@ -181,11 +182,11 @@
 	}
 }
 
-// Guards against an answer that begins with the text of one generation and ends
-// with that of another. A node finishes and keeps a second generation of a request
-// whose first one broke off; the caller reconnects there with the cursor of the
-// first. The kept answer must not be continued at the cursor's offset unless the
-// text before it is the same.
+// TestKeptAnswerOfAnotherDraft guards against an answer that begins with the text of one
+// generation and ends with that of another. A node finishes and keeps a second generation
+// of a request whose first generation broke off; the caller reconnects there with the
+// cursor of the first generation. The kept answer must not be continued at the cursor's
+// offset unless the text before the offset is the same.
 func TestKeptAnswerOfAnotherDraft(t *testing.T) {
 	answering := func(texts ...string) *callerapi.Server {
 		return newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
@@ -209,8 +210,8 @@
 	}
 }
 
-// A refusal must have its own HTTP status and a correct outcome: none of these
-// requests may reach the runner.
+// TestRefusals checks that a refusal has its own HTTP status and a correct outcome, and
+// that none of these requests reaches the runner.
 func TestRefusals(t *testing.T) {
 	notReady := func(c *callerapi.Config) { c.Gate = fakeGate{errNotReady} }
 	full := func(c *callerapi.Config) { c.MaxOpen = -1 }
@@ -255,8 +256,8 @@
 	}
 }
 
-// The outcome that a run reports must be sent to the caller unchanged, or weakened
-// to unknown.
+// TestRunOutcomes checks that the caller gets the outcome that a run reports, unchanged or
+// weakened to unknown.
 func TestRunOutcomes(t *testing.T) {
 	set := metrics.NewSet()
 	for _, c := range []struct {
@@ -292,9 +293,10 @@
 	}
 }
 
-// Guards against two generations of one request. The caller repeats a request while
-// the first is running, after it has finished and its answer was lost, and with
-// another body. The key must be held while its request runs, and kept afterwards.
+// TestOneDraftPerKey guards against two generations of one request. The caller repeats a
+// request while the first is running, after it has finished and its answer was lost, and
+// with another body. The node must mark the key as running while its request runs, and keep
+// the key afterwards.
 func TestOneDraftPerKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
@@ -337,8 +339,9 @@
 	})
 }
 
-// As TestOneDraftPerKey, but the first request runs on another node. A reconnect is
-// allowed, because it takes over its own stream.
+// TestOneDraftAcrossNodes guards against the same failure as TestOneDraftPerKey when the
+// first request runs on another node. A reconnect is allowed, because it takes over its own
+// stream.
 func TestOneDraftAcrossNodes(t *testing.T) {
 	s := newServer(t, func(_ context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		if req.Resume != nil {
@@ -360,11 +363,11 @@
 	}
 }
 
-// Guards against a caller that lost its connection being refused or kept waiting,
-// and against its two runs taking the engine's stream from each other. The
-// connection breaks without the node noticing, so the node blocks in a write to it
-// and the earlier run still holds the key when the caller reconnects to the same
-// node.
+// TestReconnectSupersedes guards against a caller that lost its connection being refused or
+// kept waiting, and against the caller's two runs taking the engine's stream from each
+// other. The connection breaks without the node noticing, so the node blocks in a write to
+// that connection, and the earlier run still occupies the key when the caller reconnects to
+// the same node.
 func TestReconnectSupersedes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
--- a/callerapi/errors.go
+++ b/callerapi/errors.go
@@ -15,7 +15,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("callerapi")
 
-// Errors that Accounts.Resolve may return.
+// These are the errors that Accounts.Resolve may return.
 var (
 	// ErrUnknownModel means that no such model is configured.
 	ErrUnknownModel = Error.New("unknown model")
@@ -28,7 +28,7 @@
 // cancelled, because the new connection continues it.
 var ErrSuperseded = Error.New("superseded by the caller's reconnect")
 
-// Names of request and response headers.
+// These are the names of request and response headers.
 const (
 	headerKey           = "Idempotency-Key"
 	headerNonIdempotent = "Wigeon-Non-Idempotent"
@@ -102,18 +102,18 @@
 	return &Failure{Status: status, Code: code, Message: message, Outcome: fleet.NotRun}
 }
 
-// weakenForReconnect changes the outcome not-run to unknown when a caller that
-// reconnects for the rest of an answer is refused. This try ran nothing, but the
-// cursor or the text in the request shows that the request did run earlier, even
-// if they can't be verified or turn out to be wrong. A caller that receives
-// not-run would send the request as a new one and get a second generation.
+// weakenForReconnect changes the outcome not-run to unknown when a caller that reconnects
+// for the rest of an answer is refused. This try ran nothing, but the presence of a cursor
+// or a text in the request shows that the request did run earlier, even if the cursor or
+// the text can't be verified or turns out to be wrong. A caller that receives not-run would
+// send the request as a new one and get a second generation.
 func (f *Failure) weakenForReconnect() {
 	if f.Outcome == fleet.NotRun {
 		f.Outcome = fleet.Unknown
 	}
 }
 
-// Codes of refusals that other packages also use.
+// These are the codes of refusals that other packages also use.
 const (
 	CodeNotReady     = "not_ready"
 	CodeOverloaded   = "overloaded"
@@ -121,7 +121,7 @@
 	CodeAccountLimit = "account_limit" // concurrent requests of the account
 )
 
-// Codes of failures that this package sets itself.
+// These are the codes of failures that this package itself sets.
 const (
 	codeBadKey         = "invalid_api_key"
 	codeBadRequest     = "invalid_request"
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// runOnce runs the call and holds its key meanwhile, or replays the answer that is
-// kept under the key.
+// runOnce runs the call and marks its key as running meanwhile, or replays the answer that
+// is kept under the key.
 func (s *Server) runOnce(w http.ResponseWriter, r *http.Request, c *generationCall) *Failure {
 	if f := s.checkOtherNodes(r.Context(), c); f != nil {
 		return f
@@ -109,13 +109,13 @@
 	return f
 }
 
-// lookupTimeout bounds the query to other nodes. An unreachable node must not
-// delay the request, since the lookup only saves work.
+// lookupTimeout bounds the query to other nodes. An unreachable node must not delay the
+// request, since the query only saves work.
 const lookupTimeout = 100 * time.Millisecond
 
-// checkOtherNodes refuses a request whose key is running on another node. A
-// reconnect is allowed: it takes over its own stream from a node that has lost the
-// connection to the caller.
+// checkOtherNodes refuses a request whose key is running on another node. A reconnect is
+// allowed, because it takes over its own stream from a node that has lost the connection to
+// the caller.
 func (s *Server) checkOtherNodes(ctx context.Context, c *generationCall) *Failure {
 	if s.KeyRegistry == nil || c.id.KeyGenerated || c.resumeFrom != nil {
 		return nil
@@ -136,9 +136,9 @@
 	return refuse(http.StatusUnprocessableEntity, codeKeyReused, "this key belongs to a request with another body")
 }
 
-// inProgress returns the refusal of a request whose key is in use. The outcome
-// is that of the request under the key, which has been started: unknown and not
-// not-run.
+// inProgress returns the refusal of a request whose key is in use. The outcome describes
+// the request that is running under the key: that request has been started, so the outcome
+// is unknown and not not-run.
 func inProgress() *Failure {
 	return &Failure{
 		Status:     http.StatusConflict,
@@ -149,10 +149,10 @@
 	}
 }
 
-// acquireKey marks the key as running, or returns the entry of a finished answer.
-// If a reconnect finds its own earlier run still running, because the node has not
-// noticed yet that the connection broke, it ends that run first: two runs would
-// keep taking the engine's stream from each other.
+// acquireKey marks the key as running, or returns the entry of a finished answer. A
+// reconnect may find that its own earlier run is still running, because the node has not
+// noticed yet that the connection broke. acquireKey then ends the earlier run first: two
+// runs would keep taking the engine's stream from each other.
 func (s *Server) acquireKey(ctx context.Context, c *generationCall, cancel context.CancelCauseFunc) (*keyEntry, *Failure) {
 	name := keyName(c.id.Account, c.id.Key)
 	for {
@@ -191,8 +191,8 @@
 	sink := newStreamSink(w, s.Sealer, start, c.form)
 	sink.http2 = c.http2
 	sink.limit = s.KeptAnswerBytes / 4
-	// The text before the cursor is known only if the caller sent it. Without it
-	// the answer can't be kept, so its text isn't collected.
+	// The text before the cursor is known only if the caller sent it. Without that text the
+	// answer can't be kept, so the rest of its text isn't collected either.
 	if c.resumeFrom != nil && c.params.ResumeText != nil {
 		sink.text = []byte(*c.params.ResumeText)
 	}
--- a/callerapi/http2_test.go
+++ b/callerapi/http2_test.go
@@ -38,10 +38,11 @@
 	return clientEnd, nil
 }
 
-// Guards against an HTTP/2 stream being reset in the middle of its answer. Some
-// tokens are flushed, then the engine, or the one that resumes its stream, is silent
-// for longer than the write timeout. In HTTP/2 a passed write deadline resets the
-// stream even if nothing is being written; in HTTP/1.1 it only fails the next write.
+// TestSilentStreamOutlivesWriteDeadline guards against an HTTP/2 stream being reset in the
+// middle of its answer. Some tokens are flushed, then the engine, or the engine that
+// resumes its stream, is silent for longer than the write timeout. In HTTP/2 a passed write
+// deadline resets the stream even if nothing is being written; in HTTP/1.1 it only fails
+// the next write.
 func TestSilentStreamOutlivesWriteDeadline(t *testing.T) {
 	for _, http2 := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/callerapi/identity.go
+++ b/callerapi/identity.go
@@ -16,7 +16,7 @@
 	maxTimeout  = 24 * time.Hour
 )
 
-// identity holds the account of a request and what its headers specify.
+// identity contains the account of a request and the values of its headers.
 type identity struct {
 	Account       string
 	Key           string
--- a/callerapi/keytable.go
+++ b/callerapi/keytable.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// keyTable records the idempotency keys that are running on this node, and keeps
-// finished answers for a short time.
+// keyTable records the idempotency keys that are running on this node, and keeps finished
+// answers for a short time.
 //
-// Callers repeat a request when its answer was lost on the way. Without the
-// table the repeat would run again and produce a second, different answer. With
-// it, a repeat gets the finished answer, or is refused while the first is running.
+// Callers repeat a request when its answer was lost on the way. Without the table the
+// repeated request would run again and produce a second, different answer. With the table,
+// the repeated request gets the finished answer, or is refused while the first one is
+// running.
 type keyTable struct {
 	mu       sync.Mutex
 	entries  map[string]*keyEntry
@@ -61,8 +62,8 @@
 
 func keyName(account, key string) string { return account + "\x00" + key }
 
-// acquire marks the key as running, or returns its existing entry, which may be
-// running or finished.
+// acquire marks the key as running and returns its new entry, or returns the key's existing
+// entry, whose request may be running or finished.
 func (t *keyTable) acquire(name string, hash [16]byte, cancel context.CancelCauseFunc) (entry *keyEntry, acquired bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -75,15 +76,15 @@
 	return e, true
 }
 
-// answer returns the finished answer, or nil while the request runs.
+// answer returns the finished answer of e, or nil while e's request runs.
 func (t *keyTable) answer(e *keyEntry) *finishedAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return e.finished
 }
 
-// release marks the key as no longer running. f is kept unless it is nil or larger
-// than a quarter of the table; the oldest answers are dropped to make room for it.
+// release marks the key as no longer running. f is kept unless it is nil or larger than a
+// quarter of the table's maximum size; the oldest answers are dropped to make room for f.
 func (t *keyTable) release(e *keyEntry, f *finishedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -41,7 +41,8 @@
 	Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error)
 }
 
-// ModelLister is an optional interface of an Accounts, used for /v1/models.
+// ModelLister is an interface that an Accounts may also implement. It is used for
+// /v1/models.
 type ModelLister interface {
 	Models(account string) []string
 }
@@ -51,24 +52,25 @@
 	Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 }
 
-// Gate decides whether the node accepts new requests. Ready returns the reason why
-// it doesn't, or nil. It is not the readiness probe: at a shutdown the probe fails
-// first, and requests are accepted until the load balancer has noticed.
+// Gate decides whether the node accepts new requests. Ready returns the reason why the node
+// doesn't accept any, or nil if it accepts them. Gate is not the readiness probe: at a
+// shutdown the probe fails first, and requests are accepted until the load balancer has
+// noticed.
 type Gate interface {
 	Ready() error
 }
 
-// KeyRegistry records which keys are running, and on which node, and shares this with
-// other nodes. It only saves work and guarantees nothing: a caller that needs a
-// guarantee marks its request as non-idempotent. Locate returns the node only if it
-// is another one and believed to be alive; when in doubt it returns none.
+// KeyRegistry records which keys are running, and on which node, and shares these records
+// with other nodes. It only saves work and guarantees nothing: a caller that needs a
+// guarantee marks its request as non-idempotent. Locate returns the node only if it is
+// another node and is believed to be alive; otherwise, or when in doubt, ok is false.
 type KeyRegistry interface {
 	Locate(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
 	Drop(account, key string)
 }
 
-// Options holds limits and defaults. A zero field takes its default, which is given
+// Options contains limits and defaults. A zero field takes its default, which is given
 // after the semicolon.
 type Options struct {
 	BodyBytes       int64         // size of a request body; 4 MiB
@@ -140,7 +142,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Open returns the number of requests being handled. A shutdown waits for 0.
+// Open returns the number of requests being handled. A shutdown waits until this number is
+// 0.
 func (s *Server) Open() int64 { return s.open.Load() }
 
 const servicesPath = "/services/" // Last-Event-ID has no meaning below this path
@@ -189,9 +192,9 @@
 	return s.Accounts.Authenticate(key)
 }
 
-// countFailure counts a failure by code and outcome. A code may come from a backend
-// server; one that is no valid label is counted as "other", so that it cannot break
-// the metrics page.
+// countFailure counts a failure by code and outcome. A code may come from a backend server;
+// a code that is no valid label is counted as "other", so that it cannot break the metrics
+// page.
 func (s *Server) countFailure(f *Failure) {
 	code := f.Code
 	if !isMetricLabel(code) {
@@ -266,8 +269,8 @@
 // writeTimeout is how long a write may block on a caller that does not read.
 const writeTimeout = 30 * time.Second
 
-// setWriteDeadline bounds the next write. Otherwise a caller that stops reading
-// would keep its connection, and its share of the request limits, forever.
+// setWriteDeadline bounds the next write. Without this deadline, a caller that stops
+// reading would keep its connection, and its share of the request limits, forever.
 func setWriteDeadline(w http.ResponseWriter) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails on test recorders, which don't implement it
--- a/callerapi/service.go
+++ b/callerapi/service.go
@@ -13,10 +13,10 @@
 	"wigeondale/fleet"
 )
 
-// Services forwards calls of services that are not model engines to backend
-// servers. An implementation claims a call that is not idempotent before it sends
-// it, because the key table of this package protects only against repeats at this
-// node. An error should be a *Failure; any other error counts as an unknown outcome.
+// Services forwards calls of services that are not model engines to backend servers. An
+// implementation claims a call that is not idempotent before sending it, because the key
+// table of this package protects only against repeats at this node. An error should be a
+// *Failure; any other error counts as an unknown outcome.
 type Services interface {
 	Do(ctx context.Context, call ServiceCall) (*http.Response, error)
 }
@@ -45,8 +45,8 @@
 	body   []byte
 }
 
-// notForwarded lists the headers that are not passed on. The two key headers would
-// make net/http's transport resend a POST when a connection breaks, so that a
+// notForwarded lists the headers that are not passed on. Two of them, the key headers,
+// would make net/http's transport resend a POST when a connection breaks, so that a
 // non-idempotent call would run twice.
 var notForwarded = []string{
 	"Authorization", "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
@@ -79,8 +79,8 @@
 	return s.serviceOnce(w, r, call)
 }
 
-// idempotentMethod reports whether HTTP defines the method as idempotent. It
-// applies to calls that are not marked by the caller.
+// idempotentMethod reports whether HTTP defines the method as idempotent. This decides only
+// for calls that the caller has not marked.
 func idempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions:
@@ -115,7 +115,7 @@
 	return call
 }
 
-// restOfPath removes /services/{service}/ and keeps the caller's escapes.
+// restOfPath returns path without /services/{service}/ and keeps the caller's escapes.
 func restOfPath(path string) string {
 	parts := strings.SplitN(path, "/", 4)
 	return parts[len(parts)-1]
@@ -144,7 +144,7 @@
 	return [16]byte(h.Sum(nil)[:16])
 }
 
-// serviceOnce runs a call that must not be repeated. It holds the key while the
+// serviceOnce runs a call that must not be repeated. It marks the key as running while the
 // call runs, and then keeps the answer for a caller that did not receive it.
 func (s *Server) serviceOnce(w http.ResponseWriter, r *http.Request, call ServiceCall) *Failure {
 	name := keyName(call.Account, call.Key)
@@ -154,9 +154,9 @@
 	}
 	var kept *finishedAnswer
 	defer func() { s.keys.release(e, kept) }()
-	// The call ends at its deadline, not when the caller disconnects: the backend
-	// server may have run it, and only its answer, kept here, can show that to the
-	// caller when it repeats the call.
+	// The call ends at its deadline, not when the caller disconnects. The backend server
+	// may have run the call, and only the answer that is kept here can show that to the
+	// caller when the caller repeats the call.
 	answer, f := s.callService(context.WithoutCancel(r.Context()), call)
 	if f != nil {
 		return f
--- a/callerapi/service_test.go
+++ b/callerapi/service_test.go
@@ -12,10 +12,10 @@
 	"wigeondale/fleet"
 )
 
-// Guards against a non-idempotent call running twice, or being reported as not-run
-// although it ran. The answer of a call breaks off, the call fails with an untyped
-// error, or the answer is lost on the way to the caller, which repeats the call; or
-// the key header is passed on and makes net/http's transport resend the call.
+// TestServices guards against a non-idempotent call running twice, or being reported as
+// not-run although it ran. The answer of a call breaks off, the call fails with an untyped
+// error, or the answer is lost on the way to the caller, which repeats the call; or the key
+// header is passed on and makes net/http's transport resend the call.
 func TestServices(t *testing.T) {
 	var calls []callerapi.ServiceCall
 	disconnect := func() {}
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -15,8 +15,8 @@
 	"wigeondale/generation"
 )
 
-// collector collects the text of a generation: the answer to a caller that does
-// not stream, and the copy of a streamed answer that is kept for repeats.
+// collector collects the text of a generation. The text is the answer to a caller that does
+// not stream, or the copy of a streamed answer that is kept for repeated requests.
 type collector struct {
 	text        []byte
 	limit       int  // largest text in bytes; a larger one sets discardText
@@ -68,10 +68,10 @@
 // Flush implements generation.Sink.
 func (*bufferSink) Flush() error { return nil }
 
-// rearmBytes is how many bytes may be written before the write deadline is set
-// again. It is smaller than net/http's buffer, which is written to the connection
-// whenever it is full. After a long silence of the engine, that write would
-// otherwise fail on the deadline that was set for the flush before the silence.
+// rearmBytes is how many bytes may be written before the write deadline is set again. It is
+// smaller than net/http's buffer, which is written to the connection whenever it is full.
+// If rearmBytes were larger, such a write after a long silence of the engine would fail on
+// the deadline that was set for the flush before the silence.
 const rearmBytes = 2048
 
 // streamSink implements generation.Sink with server-sent events. Token is called
@@ -189,9 +189,9 @@
 	return s.write(b)
 }
 
-// startResponse writes the response header, unless it is written. It is called just
-// before the first byte of the body, so that any earlier refusal can still set the
-// HTTP status.
+// startResponse writes the response header, unless the header was already written. It is
+// called just before the first byte of the body, so that any earlier refusal can still set
+// the HTTP status.
 func (s *streamSink) startResponse() {
 	if s.started {
 		return
@@ -205,8 +205,8 @@
 	s.w.WriteHeader(http.StatusOK)
 }
 
-// armDeadline sets the deadline of the next writes: writeTimeout from now, or now if
-// the stream was aborted.
+// armDeadline sets the deadline of the next writes to writeTimeout from now, or to now if
+// the stream was aborted, so that the writes fail.
 func (s *streamSink) armDeadline() {
 	setWriteDeadline(s.w)
 	if s.aborted.Load() {
@@ -215,11 +215,10 @@
 	s.unarmedBytes = 0
 }
 
-// abortOn makes writes fail as soon as ctx ends. A write to a connection whose
-// caller is unreachable blocks until its deadline, and the caller, reconnected on
-// another connection, would have to wait that long for its key. release must be
-// called before the handler returns, since the connection must not be used after
-// that.
+// abortOn makes writes fail as soon as ctx ends. A write to a connection whose caller is
+// unreachable blocks until its deadline; without abortOn, the caller, reconnected on
+// another connection, would have to wait that long for its key. release must be called
+// before the handler returns, because the connection must not be used afterwards.
 func (s *streamSink) abortOn(ctx context.Context) (release func()) {
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/callerapi/sink_test.go
+++ b/callerapi/sink_test.go
@@ -36,7 +36,8 @@
 	})
 }
 
-// Token is called for every token of every stream, so it must not allocate.
+// TestTokenDoesNotAllocate checks that Token allocates nothing, because Token is called for
+// every token of every stream.
 func TestTokenDoesNotAllocate(t *testing.T) {
 	var allocs float64
 	text := []byte(" 12.ab.cd\n")
