--- a/client/call.go
+++ b/client/call.go
@@ -25,8 +25,8 @@
 	Priority      fleet.Priority
 }
 
-// CallResult is the result of a call: the answer of the service, or what is known
-// of a call that failed.
+// CallResult is the result of a call: the answer of the service or, if the call failed,
+// what this client knows about its outcome.
 type CallResult struct {
 	Key      string
 	Status   int
@@ -39,8 +39,9 @@
 // maxAnswerBytes bounds the answer of a service.
 const maxAnswerBytes = 16 << 20
 
-// Call calls a service that is not a model engine. A failed try is repeated at the
-// next endpoint only if it certainly did not run or if the call is idempotent.
+// Call calls a service that is not a model engine. A try that broke off is repeated at the
+// next endpoint only if it certainly did not run or if the call is idempotent. A try that a
+// router refused is repeated only if the refusal allows it (Refusal.retryable).
 func (c *Client) Call(ctx context.Context, req CallRequest) (CallResult, error) {
 	if len(c.endpoints) == 0 {
 		return CallResult{Outcome: fleet.NotRun}, Error.Wrap(ErrNoEndpoint)
--- a/client/client.go
+++ b/client/client.go
@@ -1,12 +1,12 @@
-// Package client is the client library for callers of wigeondale. It streams an
-// answer through any of several routers and keeps the state that would be lost with
-// a router: the text delivered so far and the id of the last event.
+// Package client is the client library for callers of wigeondale. It streams an answer
+// through any of several routers and keeps the state that would be lost with a router: the
+// text delivered so far and the id of the last event.
 //
-// A router may crash, freeze or be replaced while it serves a stream. The
-// connection then breaks, ends without its last event, or stays silent. The client
-// reconnects to the next router with the last event id and the text received so
-// far, so that the answer continues with the next token and does not start from the
-// beginning. A final refusal ends the request; a not-run refusal is retried after
+// A router may crash, freeze or be replaced while it serves a stream. The connection then
+// breaks, ends without the last event of the answer, or stays silent. The client reconnects
+// to the next router with the last event id and the text received so far, so that the
+// answer continues with the next token and does not start from the beginning. A final
+// refusal ends the request; after a not-run refusal, the client tries again after
 // Retry-After.
 package client
 
@@ -26,7 +26,7 @@
 // Error is the class of every error that this package returns.
 var Error = errs.Class("client")
 
-// Defaults of Options.
+// These are the defaults of Options.
 const (
 	DefaultMaxTries   = 12
 	DefaultBackoff    = 50 * time.Millisecond
@@ -39,7 +39,7 @@
 	// long.
 	HTTP *http.Client
 	// RootCAs are the CAs of the routers' certificates, for endpoints such as
-	// "https://127.0.0.1:8080"; nil uses the system's CAs. It applies only if HTTP is
+	// "https://127.0.0.1:8080"; nil means the system's CAs. RootCAs is used only if HTTP is
 	// nil.
 	RootCAs *x509.CertPool
 	// MaxTries is the maximum number of times one request is sent, including the
@@ -48,16 +48,16 @@
 	// Backoff is the mean wait before the second try without progress. It doubles
 	// with each further try without progress, up to BackoffMax.
 	Backoff, BackoffMax time.Duration
-	// IdleTimeout ends a connection on which no byte arrives for this long. With
-	// zero, a frozen router is noticed only when the deadline of the request passes.
+	// IdleTimeout is how long a connection may deliver no byte before the client closes it.
+	// With zero, a frozen router is noticed only when the deadline of the request passes.
 	IdleTimeout time.Duration
-	// RoundRobin starts each request at the next endpoint in round-robin order. Without
-	// it each request starts at the first endpoint.
+	// RoundRobin starts each request at the next endpoint in round-robin order. If
+	// RoundRobin is false, each request starts at the first endpoint.
 	RoundRobin bool
 	// OnConnect is called with the endpoint each time a router starts to answer a
 	// request.
 	OnConnect func(endpoint string)
-	// Rand returns values in [0,1) for jitter.
+	// Rand returns values in [0,1) for jitter; nil means math/rand/v2.
 	Rand func() float64
 }
 
@@ -128,7 +128,8 @@
 	t.MaxIdleConnsPerHost = 64
 	return &http.Client{
 		Transport: t,
-		// A redirect would send the request a second time.
+		// Redirects are not followed, because following a redirect would send the request a
+		// second time.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -45,10 +45,10 @@
 
 func fastRetry() Options { return Options{Backoff: time.Millisecond, BackoffMax: 2 * time.Millisecond} }
 
-// Guards against an answer with a token missing or repeated after a router crashed.
-// The router sends three complete events and half of a fourth, then its connection
-// breaks, and the client reconnects to the next router. It must not count the half
-// event, and must send an event id and a text that match.
+// TestGenerateGoesOnAtNextRouter guards against an answer with a token missing or repeated
+// after a router crashed. The router sends three complete events and half of a fourth, then
+// its connection breaks, and the client reconnects to the next router. The client must not
+// count the half event, and must send an event id and a text that match.
 func TestGenerateGoesOnAtNextRouter(t *testing.T) {
 	half := strings.TrimSuffix(chunk(4, " d"), "\n\n")
 	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
@@ -78,9 +78,10 @@
 	}
 }
 
-// Guards against not-run being returned for a request that an engine has run. The
-// first router receives the request and crashes; the second has no record of it and
-// refuses with not-run, which is true only of its own try.
+// TestNotRunAfterLostRouterIsUnknown guards against not-run being returned for a request
+// that an engine has run. The first router receives the request and crashes; the second
+// router has no record of the request and refuses with not-run, which is true only of the
+// second try.
 func TestNotRunAfterLostRouterIsUnknown(t *testing.T) {
 	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) { panic(http.ErrAbortHandler) })
 	second := newRouter(t, func(w http.ResponseWriter, r *http.Request) { refuse(w, 403, fleet.NotRun, 0) })
@@ -127,9 +128,9 @@
 	}
 }
 
-// Guards against a caller waiting for a frozen router until its deadline. The router
-// sends one event and then nothing; the kernel keeps its connection open, so no read
-// fails.
+// TestSilentRouterIsLeft guards against a caller waiting for a frozen router until the
+// deadline of the request. The router sends one event and then nothing; the kernel keeps
+// the router's connection open, so no read fails.
 func TestSilentRouterIsLeft(t *testing.T) {
 	first := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
@@ -147,10 +148,10 @@
 	}
 }
 
-// Guards against one non-idempotent call arriving twice. The router reads the
-// request on a reused connection and closes it without an answer. net/http considers
-// a request with an idempotency key replayable and resends it if its body can be
-// rewound.
+// TestPostIsNotReplayedByTransport guards against one non-idempotent call arriving twice.
+// The router reads the request on a reused connection and closes the connection without an
+// answer. net/http considers a request with an idempotency key replayable and resends the
+// request if its body can be rewound.
 func TestPostIsNotReplayedByTransport(t *testing.T) {
 	var posts atomic.Int32
 	url := newRouter(t, func(w http.ResponseWriter, r *http.Request) {
--- a/client/generate.go
+++ b/client/generate.go
@@ -106,8 +106,8 @@
 	return ErrTriesExhausted
 }
 
-// afterFailure decides what follows a failed try. It returns the wait before the
-// next try, and false if the request has ended.
+// afterFailure decides what happens after a failed try. It returns the wait before the next
+// try, and false if the request has ended.
 func (r *generateRun) afterFailure(err error) (time.Duration, bool) {
 	var ref *Refusal
 	if errors.As(err, &ref) {
@@ -125,8 +125,8 @@
 	}
 	wait := r.c.backoff(r.triesWithoutProgress)
 	if r.lastID != "" && !r.reconnecting {
-		// The stream was running until now, so the next router can resume it at
-		// once.
+		// The stream was running until now, so the next router can resume it without a
+		// wait.
 		r.reconnecting = true
 		r.res.Reconnects++
 		wait = 0
@@ -198,10 +198,10 @@
 	return hreq, nil
 }
 
-// newRequest builds the HTTP request of one try. Its body can't be rewound and is
-// never nil, even when empty. net/http would otherwise resend a request with an
-// idempotency key when a reused connection breaks, and a server would receive the
-// request twice for one try of this package.
+// newRequest builds the HTTP request of one try. The request's body can't be rewound and is
+// never nil, even when empty. Otherwise net/http would resend a request with an idempotency
+// key when a reused connection breaks, and a server would receive the request twice for one
+// try of this package.
 func newRequest(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	hreq, err := http.NewRequestWithContext(ctx, method, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
--- a/client/refusal.go
+++ b/client/refusal.go
@@ -13,7 +13,7 @@
 	"wigeondale/fleet"
 )
 
-// Sentinel errors; test with errors.Is.
+// These are sentinel errors, which callers compare with errors.Is.
 var (
 	// ErrNoEndpoint is returned by a client without endpoints.
 	ErrNoEndpoint = errors.New("no endpoint")
@@ -40,8 +40,8 @@
 	return fmt.Sprintf("refused (status %d, code %s, outcome %s): %s", r.Status, r.Code, r.Outcome, r.Message)
 }
 
-// codeInProgress means that a request with the same key is running on another
-// router, or was until that router crashed. It doesn't mean that the request failed.
+// codeInProgress means that a request with the same key is running on another router, or
+// was running until that router crashed. It doesn't mean that the request failed.
 const codeInProgress = "in_progress"
 
 // A router refuses a reconnect with these codes because of its own state. Another
@@ -51,9 +51,9 @@
 	codeOverloaded = "overloaded"
 )
 
-// retryable reports whether the same request may be sent again with its key: after
-// a refusal by a router that is overloaded or not ready and did not run it, or while
-// an earlier run with the key still counts as running.
+// retryable reports whether the same request may be sent again with its key. It may be sent
+// again after a refusal by a router that is overloaded or not ready and did not run the
+// request, or while an earlier run with the key still counts as running.
 func (r *Refusal) retryable() bool {
 	if r.RetryAfter <= 0 {
 		return false
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -27,8 +27,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("cursor")
 
-// Errors of this package. A cursor is refused before any work is done for the
-// request.
+// These are the errors of this package. A request whose cursor gets one of them is refused
+// before any work is done for it.
 var (
 	// ErrMalformed means that the text is not a valid encoding or has a wrong length.
 	ErrMalformed = Error.New("malformed")
@@ -66,7 +66,7 @@
 	Offset    int    // number of tokens delivered
 	TextBytes int    // bytes of text delivered
 	Digest    uint64 // digest of all delivered text, computed with Extend
-	// Finished is set on the last token. Without it, if a caller missed only the end
+	// Finished is set on the last token. Without Finished, if a caller missed only the end
 	// marker and reconnected, an engine would continue the text beyond its end.
 	Finished bool
 }
--- a/cursor/cursor_test.go
+++ b/cursor/cursor_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against a cursor that changes when it is sealed and opened: the answer
-// would resume at a wrong offset, with tokens missing or repeated.
+// TestOpenReturnsWhatWasSealed guards against a cursor that changes when it is sealed and
+// opened: the answer would resume at a wrong offset, with tokens missing or repeated.
 func TestOpenReturnsWhatWasSealed(t *testing.T) {
 	s := newSealer(t, keyA, nil)
 	rapid.Check(t, func(t *rapid.T) {
@@ -73,9 +73,9 @@
 	})
 }
 
-// Guards against a caller reading or continuing another account's answer. The caller
-// alters a cursor, sends one of another account, or one made with a key that no node
-// has or that was removed. Every check must pass before a cursor is used.
+// TestOpenRefuses guards against a caller reading or continuing another account's answer.
+// The caller alters a cursor, sends a cursor of another account, or a cursor made with a
+// key that no node has or that was removed. Every check must pass before a cursor is used.
 func TestOpenRefuses(t *testing.T) {
 	s := newSealer(t, keyA, nil)
 	text, err := s.Seal(sampleCursor())
@@ -114,9 +114,9 @@
 	}
 }
 
-// The digest must be continuable from its value alone, and must detect a lost,
-// repeated or swapped token. Otherwise an answer spliced from two texts would be
-// accepted.
+// TestDigestFindsAccidents checks that the digest can be continued from its value alone,
+// and that it detects a lost, repeated or swapped token. Otherwise an answer spliced from
+// two texts would be accepted.
 func TestDigestFindsAccidents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tokens := rapid.SliceOfN(rapid.StringMatching(`[ a-f]{1,6}`), 2, 20).Draw(t, "tokens")
--- a/cursor/seal.go
+++ b/cursor/seal.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// The format is: the static part, the tail that changes with each token, the MAC.
-// The static part consists of a head of fixed size, the fields and padding. Its
-// length is a multiple of three bytes, so that its base64 text is independent of the
-// tail and is encoded only once per attempt.
+// A cursor consists of the static part, the tail that changes with each token, and the MAC.
+// The static part consists of a head of fixed size, the fields and padding. The length of
+// the static part is a multiple of three bytes, so that its base64 text is independent of
+// the tail and is encoded only once per attempt.
 const (
 	version       = 1
 	macBytes      = 16
@@ -30,16 +30,17 @@
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// Sealer creates cursors with the current key. It opens cursors of the current key
-// and of the previous one, so that the key can be changed while streams are running.
+// Sealer creates cursors with the current key. It opens cursors that were made with the
+// current key or the previous one, so that the key can be changed while streams are
+// running.
 type Sealer struct {
 	keys   [][]byte // the current key, then the previous one if there is one
 	maxAge time.Duration
 }
 
-// NewSealer returns a Sealer with the current key and the previous one, which may be
-// nil. A cursor whose attempt began more than maxAge ago is refused; 0 means no
-// limit.
+// NewSealer returns a Sealer with the current key and the previous one. previous may be
+// nil, which means that only cursors of the current key are opened. A cursor whose attempt
+// began more than maxAge ago is refused; 0 means no limit.
 func NewSealer(current, previous []byte, maxAge time.Duration) (*Sealer, error) {
 	if len(current) < MinKey {
 		return nil, ErrKey
@@ -96,11 +97,11 @@
 	return encoding.AppendEncode(dst, w.raw[:])
 }
 
-// Open verifies an encoded cursor and decodes it. account is the client account that
-// sent it. The MAC is compared in constant time, before any field of the cursor is
-// used.
+// Open verifies an encoded cursor and decodes it. account is the client account that sent
+// the cursor. The MAC is compared in constant time, before any field of the cursor is used.
 func (s *Sealer) Open(text, account string, now time.Time) (*Cursor, error) {
-	// The decoder skips line ends, so one cursor would have many encodings.
+	// Line ends are refused, because the decoder skips them, so one cursor would have many
+	// encodings.
 	if len(text) > MaxText || strings.ContainsAny(text, "\r\n") {
 		return nil, ErrMalformed
 	}
@@ -142,9 +143,9 @@
 	return found == 1
 }
 
-// newTailMAC returns the hash for the MACs of an attempt's tails. Its key is the MAC
-// of the static part, so that the static part is authenticated without being hashed
-// again for each token.
+// newTailMAC returns the hash that computes the MACs of an attempt's tails. The key of this
+// hash is the MAC of the static part, so that the static part is authenticated without
+// being hashed again for each token.
 func newTailMAC(key, static []byte) hash.Hash {
 	m := hmac.New(sha256.New, key)
 	m.Write(static)
