--- a/listen/listen.go
+++ b/listen/listen.go
@@ -30,8 +30,8 @@
 	idleTimeout   = 120 * time.Second // between two requests of a connection
 )
 
-// Config configures one listener. With BodyBytes 0 the listener sets no limit and
-// the handler has its own.
+// Config configures one listener. If BodyBytes is 0, the listener sets no limit for bodies,
+// and the handler sets its own.
 type Config struct {
 	settings.Listener
 	HeaderBytes  int
@@ -89,19 +89,19 @@
 	return s.srv.Serve(s.ln)
 }
 
-// Drain makes clients send their next request on a new connection, and so through
-// the load balancer to another node. Open requests continue.
+// Drain makes clients send their next request on a new connection, and so through the load
+// balancer to another node. Open requests continue.
 //
-// Closing idle connections at once would abort a request that a client is just
-// sending on one of them: the client would get a reset and could not know whether
-// the request ran. Instead, every answer from now on closes its connection.
+// Closing idle connections immediately would abort a request that a client is just sending
+// on such a connection: the client would get a reset and could not know whether the request
+// ran. Instead, every answer from now on closes its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown drains, keeps accepting requests for the duration of notice (the time
-// that a load balancer needs to notice the failing readiness probe), and then waits
-// until the last request has ended. Requests can be aborted only if ctx ends before
-// that; the daemon's ctx doesn't end. Connections hijacked for WebSocket must be
-// closed by the code that hijacked them.
+// Shutdown drains, keeps accepting requests for the duration of notice (the time that a
+// load balancer needs to notice the failing readiness probe), and then waits until the last
+// request has ended. Requests can be aborted only if ctx ends before the last request does;
+// the daemon's ctx doesn't end. Connections hijacked for WebSocket must be closed by the
+// code that hijacked them.
 func (s *Server) Shutdown(ctx context.Context, notice time.Duration) error {
 	s.Drain()
 	select {
--- a/listen/listen_test.go
+++ b/listen/listen_test.go
@@ -29,10 +29,10 @@
 	return s, s.Addr().String(), ended
 }
 
-// Guards against callers getting a connection reset at a shutdown, after which they
-// can't know whether their request ran. One request is running, and another is sent
-// on an idle connection, when the shutdown starts. Connections must be closed after
-// their next answer and not at once.
+// TestShutdownCutsNothing guards against callers getting a connection reset at a shutdown,
+// after which they can't know whether their request ran. One request is running, and
+// another is sent on an idle connection, when the shutdown starts. The server must close
+// each connection after its next answer and not immediately.
 func TestShutdownCutsNothing(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	s, addr, ended := startServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -59,8 +59,8 @@
 	if err := <-ended; err != nil {
 		t.Fatal(err)
 	}
-	// A Shutdown that returns before the request has ended did not wait for it,
-	// whether or not the request's connection is closed by now. One that waits calls
+	// A Shutdown that returns before the request has ended did not wait for the request,
+	// whether or not the request's connection is closed by now. A Shutdown that waits calls
 	// ctx.Done in each round of its loop.
 	ctx.armed.Store(true)
 	select {
@@ -125,8 +125,8 @@
 	return resp
 }
 
-// A header or body that is too large must fail only its own request, not the
-// listener.
+// TestLimits checks that a header or body that is too large fails only its own request, not
+// the listener.
 func TestLimits(t *testing.T) {
 	_, addr, _ := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
--- a/listen/tls_test.go
+++ b/listen/tls_test.go
@@ -19,8 +19,8 @@
 	"wigeondale/settings"
 )
 
-// selfSigned creates a self-signed certificate that is its own CA, and returns
-// settings with its files.
+// selfSigned creates a self-signed certificate that is its own CA, and returns settings
+// that name the files of the certificate.
 func selfSigned(t *testing.T) *settings.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -56,8 +56,8 @@
 	return out
 }
 
-// If the settings name a client CA, a client without a certificate must not get an
-// answer.
+// TestTLS checks that a client without a certificate gets no answer if the settings name a
+// client CA.
 func TestTLS(t *testing.T) {
 	files := selfSigned(t)
 	cfg := listen.Config{Listener: settings.Listener{Address: "127.0.0.1:0", TLS: files}}
