--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -64,7 +64,7 @@
 	opts CancellerOptions
 
 	mu      sync.Mutex
-	ctx     context.Context // set by Run
+	ctx     context.Context // set by Run; nil while Run isn't running
 	queues  map[string][]queuedCancel
 	pending int
 	wg      sync.WaitGroup
--- a/callerapi/body.go
+++ b/callerapi/body.go
@@ -137,8 +137,8 @@
 	return b.String()
 }
 
-// hashBody returns a hash that identifies the request. It leaves out the fields
-// that a reconnect changes, and includes all others, even those without effect.
+// hashBody returns a hash that identifies the request. It leaves out the fields that a
+// reconnect changes, and includes all other fields, even fields without effect.
 func hashBody(fields map[string]json.RawMessage, form format) [16]byte {
 	rest := make(map[string]json.RawMessage, len(fields))
 	for name, raw := range fields {
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -19,7 +19,7 @@
 // not stream, or the copy of a streamed answer that is kept for repeated requests.
 type collector struct {
 	text        []byte
-	limit       int  // largest text in bytes; a larger one sets discardText
+	limit       int  // largest text in bytes; a larger text sets discardText
 	discardText bool // no text is collected
 	finish      string
 	tokens      int
--- a/client/generate.go
+++ b/client/generate.go
@@ -44,7 +44,7 @@
 	lastID               string
 	lastToken            time.Time
 	reconnecting         bool // a reconnect has started and no token has arrived since
-	mayHaveRun           bool // bytes of an earlier try may have reached a router, so that it may have run
+	mayHaveRun           bool // bytes of an earlier try may have reached a router, so the request may have run
 	triesWithoutProgress int
 	stream               bool
 }
--- a/infra/etcd.go
+++ b/infra/etcd.go
@@ -9,7 +9,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// KVConfig holds the address and the limits of a client of the key-value service.
+// KVConfig contains the address and the limits of a client of the key-value service.
 type KVConfig struct {
 	URL         string        // base URL, such as http://127.0.0.1:2379
 	Timeout     time.Duration // of one call; 0 means DefaultCallTimeout
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -20,7 +20,7 @@
 // readPage is the maximum number of log entries per read of catchUp.
 const readPage = 128
 
-// Keeper holds the newest state that this node knows. Its revision never decreases.
+// Keeper stores the newest state that this node knows. The state's revision never decreases.
 type Keeper struct {
 	cfg   Config
 	clock *pauseClock
--- a/intent/plan.go
+++ b/intent/plan.go
@@ -34,8 +34,8 @@
 	Leaving bool
 }
 
-// Diff shows one object before and after the plan, as JSON; null means that it doesn't
-// exist.
+// Diff shows one object before and after the plan, as JSON; null means that the object
+// doesn't exist.
 type Diff struct {
 	Object string          `json:"object"`
 	Before json.RawMessage `json:"before"`
--- a/intent/run.go
+++ b/intent/run.go
@@ -135,7 +135,7 @@
 	}
 	k.mu.Unlock()
 	if len(added) > maxBroadcasts {
-		return // this node has just started; the others have these already or will fetch them
+		return // this node has just started; other nodes have these revisions or will fetch them
 	}
 	for _, r := range added {
 		k.cfg.PeerClient.Flood(r)
--- a/order/next.go
+++ b/order/next.go
@@ -12,7 +12,7 @@
 // View is what one round knows about the fleet.
 type View struct {
 	Backends []fleet.Backend
-	Status   map[string]Status // by backend server id; those that didn't answer are absent
+	Status   map[string]Status // by backend server id; backend servers that didn't answer are absent
 	Weights  map[string]int64  // size in bytes, by ModelRef.String()
 }
 
--- a/order/order.go
+++ b/order/order.go
@@ -46,8 +46,8 @@
 // Status is a backend server's report on its orders.
 type Status struct {
 	Fence   uint64
-	Desired []fleet.ModelRef // of the last order it received
-	Actual  []fleet.ModelRef // serving
+	Desired []fleet.ModelRef // versions in the last order that the backend server received
+	Actual  []fleet.ModelRef // versions that the backend server serves
 	Loading []fleet.ModelRef
 	Leaving bool
 	Role    string
@@ -86,7 +86,7 @@
 	DefaultUnloadGrace   = 30 * time.Second
 )
 
-// Policy holds the durations and budgets for sending orders. Zero values mean the
+// Policy contains the durations and budgets for sending orders. Zero values mean the
 // defaults.
 type Policy struct {
 	TTL           time.Duration // duration of the lease
--- a/order/round.go
+++ b/order/round.go
@@ -62,7 +62,7 @@
 			defer mu.Unlock()
 			if err != nil {
 				e.schedule.RecordFailure(b.ID)
-				return nil // the schedule makes it due again
+				return nil // the schedule makes the engine due again
 			}
 			e.schedule.RecordAnswer(b.ID, st)
 			return nil
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -70,5 +70,5 @@
 	return deadline, true
 }
 
-// RecordAnswer records that b has answered its last order, so that it may get another one.
+// RecordAnswer records that b has answered its last order, so that b may get another order.
 func (t *Tenure) RecordAnswer(b fleet.Backend) { delete(t.busyUntil, b.ID) }
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -13,8 +13,8 @@
 
 var policy = Policy{TTL: 12 * time.Second, OrderDeadline: 2 * time.Second}
 
-// simulation simulates one engine that checks fencing numbers and one that doesn't, a
-// service that holds the lease, and two routers that send orders.
+// simulation simulates one engine that checks fencing numbers and one engine that doesn't,
+// a service that grants the lease, and two routers that send orders.
 type simulation struct {
 	t           *rapid.T
 	now         time.Time
