--- a/daemon/accounts.go
+++ b/daemon/accounts.go
@@ -16,7 +16,8 @@
 	"wigeondale/intent"
 )
 
-// accounts implements the account lookups of callerapi on the configuration in force.
+// accounts answers the account lookups of package callerapi from the configuration in
+// force.
 type accounts struct {
 	view atomic.Pointer[accountView]
 	dir  *directory.Directory
@@ -48,9 +49,9 @@
 	a.view.Store(v)
 }
 
-// Authenticate finds the client account that owns an API key. The key is looked up by
-// its hash, so that the time it takes reveals nothing about how much of a guessed key
-// is right. The following comparison is in constant time as well.
+// Authenticate finds the client account that owns an API key. The key is looked up by its
+// hash, so that the duration of the lookup reveals nothing about how much of a guessed key
+// is right. The comparison that follows the lookup takes constant time as well.
 func (a *accounts) Authenticate(key string) (string, bool) {
 	h := sha256.Sum256([]byte(key))
 	v := a.view.Load()
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -45,8 +45,9 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// readyz answers the balancer's readiness check. In a shutdown it fails first, while
-// requests are still accepted.
+// readyz answers the balancer's readiness check. When the node shuts down, this check is
+// the first thing to fail, while requests are still accepted, so that the balancer has time
+// to notice.
 func (n *node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if n.leaving.Load() {
 		http.Error(w, "shutting down", http.StatusServiceUnavailable)
--- a/daemon/backends.go
+++ b/daemon/backends.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// policyOf sets the policy values that the settings define; the others keep their
-// defaults.
+// policyOf returns the failure detector's policy: its default policy with the values that
+// the settings define.
 func policyOf(p settings.Policy) health.Policy {
 	out := health.DefaultPolicy()
 	out.ResumeLatencyWeight = p.ResumeLatencyWeight
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -27,8 +27,8 @@
 	hedgeBurst = 10
 )
 
-// Ready returns why this node accepts no new requests, or nil. It implements
-// callerapi's gate.
+// Ready returns nil if this node accepts new requests, and otherwise an error with the
+// reason why it does not. The method implements callerapi's gate.
 func (n *node) Ready() error {
 	if n.drain.noticeOver(time.Now()) {
 		return Error.New("this VM is leaving")
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -60,10 +60,10 @@
 	return false, refusal
 }
 
-// shardOwner determines which router appends the claims of each shard. Routers whose
-// views of the membership differ for a while may both append: the log's conditional
-// create then decides. Owners are cached until the membership changes, because ranking
-// hundreds of members for each claim would cost more than everything else about it.
+// shardOwner determines which router appends the claims of each shard. Routers whose views
+// of the membership differ for a while may both append: the log's conditional create then
+// decides. Owners are cached until the membership changes, because ranking hundreds of
+// members for each claim would cost more than the rest of the work for that claim.
 type shardOwner struct {
 	mesh *peer.Mesh
 	self string
--- a/daemon/claims_test.go
+++ b/daemon/claims_test.go
@@ -19,8 +19,9 @@
 	return once.BatchResult{}, errors.New("no other router to forward to")
 }
 
-// A key used again with a different body must be refused as reused, not as unavailable.
-// Otherwise the caller is told to retry and does so for ever.
+// A request that uses a key again with a different body must be refused because the key was
+// reused, not because the claims are unavailable. Otherwise the response tells the caller
+// to retry, and the caller retries for ever.
 func TestReusedKeyIsNoOutage(t *testing.T) {
 	c := claims{once.New(once.Config{Node: "n1", Incarnation: "i", KV: kvtest.New(), Prefix: "c/", Shards: 1}, soleOwner{})}
 	ctx := context.Background()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -103,8 +103,8 @@
 	return code
 }
 
-// serve runs one daemon. Its log goes to standard output through a buffer, so that a
-// reader that stops reading can't block the daemon.
+// serve runs one daemon. The daemon's log goes to standard output through a buffer, so that
+// a process that stops reading the log can't block the daemon.
 func serve(set *settings.Settings, signalled <-chan os.Signal, stderr io.Writer) int {
 	out := event.NewOutput(os.Stdout, set.Log.LinesPerSecond)
 	defer out.Close()
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -70,26 +70,29 @@
 	return c.Pick(p.router, candidates, req, directory.Load{Requests: 1})
 }
 
-// Standby implements generation.Picker: engines with this protocol keep no copies of
-// runs.
+// Standby implements generation.Picker. It never finds an engine for a copy, since engines
+// with this protocol keep no copies of runs.
 func (p *picker) Standby(generation.PickRequest, fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	return fleet.Backend{}, nil, false
 }
 
-// KeepsCopy implements generation.Picker.
+// KeepsCopy implements generation.Picker. It always returns false, for the same reason as
+// Standby.
 func (p *picker) KeepsCopy(string) bool { return false }
 
-// sharedBudget uses one retry budget for all models.
+// sharedBudget implements generation.RetryBudget with one retry budget for all requests; it
+// ignores the service.
 type sharedBudget struct{ *admission.RetryBudget }
 
 // Take implements generation.RetryBudget.
 func (b sharedBudget) Take(string) bool { return b.RetryBudget.Take() }
 
-// Continue implements generation.RetryBudget. It is only called for opaque answers.
+// Continue implements generation.RetryBudget. It is only called for opaque responses, and
+// always allows the retry.
 func (b sharedBudget) Continue(string) bool { return true }
 
-// admitter applies admission to generations and counts first tries, from which the
-// retry budget earns its share.
+// admitter applies admission control to generations. It also counts first tries, since the
+// retry budget allows a share of their number as retries.
 type admitter struct {
 	ctl   *admission.Controller
 	retry *admission.RetryBudget
@@ -122,9 +125,9 @@
 	return &generation.Unavailable{Code: codeOf[refused.Reason], RetryAfter: refused.RetryAfter, Err: err}
 }
 
-// codeOf maps admission's reasons to the codes of the caller API. With a code that is
-// not in its list, a request over its account's limit would get the status of an
-// overload.
+// codeOf maps admission's reasons to the codes of the caller API. The reasons themselves
+// can't be returned to callers: with a code that is not in the caller API's list, a request
+// over the limit of its client account would get the status of an overload.
 var codeOf = map[admission.Reason]string{
 	admission.ReasonUnknownAccount: callerapi.CodeNotReady, // its limits have not reached this router yet
 	admission.ReasonRate:           callerapi.CodeRateLimited,
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -11,11 +11,11 @@
 
 // drain tracks whether this node's own VM is to leave.
 //
-// Without it, a plan that lets an entry VM leave has no effect on the VM's router, and
-// the VM is removed with requests open. When the VM is to leave, readiness fails at
-// once; new work is refused only after the notice period, so that callers are never
-// refused by a router that the balancer still sends them to; open requests are
-// finished.
+// Without this tracking, a plan that lets an entry VM leave would have no effect on the
+// VM's router, and the VM would be removed with requests open. When the VM is to leave,
+// readiness fails at once; new work is refused only after the notice period, so that
+// callers are never refused by a router that the balancer still sends them to; open
+// requests are finished.
 type drain struct {
 	vm     string
 	notice time.Duration
--- a/daemon/drain_test.go
+++ b/daemon/drain_test.go
@@ -9,11 +9,11 @@
 	"wigeondale/intent"
 )
 
-// A leaving router must keep accepting requests for the notice period after its
-// readiness fails, or callers that the balancer still sends there are refused. A plan
-// may cancel the leaving. But a VM that the list showed as leaving stays so, even if
-// the lagging list shows it as live later: otherwise a VM that was given back to the
-// platform takes work again.
+// A leaving router must keep accepting requests for the notice period after its readiness
+// fails, or callers that the balancer still sends there are refused. A later plan may
+// cancel the leaving. But a VM that the list showed as leaving stays so, even if the
+// lagging list shows it as live later: otherwise a VM that was given back to the platform
+// takes work again.
 func TestDrainGivesNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const notice = 5 * time.Second
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -12,11 +12,11 @@
 	"wigeondale/peer"
 )
 
-// A backend server that readers saw leaving and then live must still be marked as
-// leaving here, even if this router only receives the later record: the list may lag,
-// and the VM is about to be removed. But once "live" has lasted, it counts: an engine
-// may have been started again on that VM, and an old mark would keep work from the new
-// incarnation.
+// A backend server that readers saw leaving and then live must still be marked as leaving
+// here, even if this router only receives the later record: the list may lag, and the VM is
+// about to be removed. But once the "live" record has lasted for a while, it is taken as
+// correct: an engine may have been started again on that VM, and because of the old mark
+// the new incarnation would get no work.
 func TestLiveAfterLeavingIsDoubted(t *testing.T) {
 	now := time.Now().UnixMilli()
 	record := func(at, left int64) inventory.Record {
--- a/daemon/listeners.go
+++ b/daemon/listeners.go
@@ -9,7 +9,7 @@
 	"wigeondale/settings"
 )
 
-// adminWrite limits writing one answer of the admin and peer listeners.
+// adminWrite is the time limit for writing one response on the admin and peer listeners.
 const adminWrite = time.Minute
 
 func (n *node) buildListeners(set *settings.Settings) error {
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -16,9 +16,9 @@
 	"wigeondale/peer"
 )
 
-// The demand of a peer whose link is down must still count until the peer is removed.
-// When links between three routers were cut, each took the others' demand for zero, and
-// a client account got its whole limit at each router.
+// The demand of a peer whose link is down must still count until the peer is removed. When
+// links between three routers were cut, each router took the other routers' demand for
+// zero, and a client account got its whole limit at each router.
 func TestDemandOutlivesTheLink(t *testing.T) {
 	demand := map[string]float64{"acme": 100}
 	member := func(id string, linked bool) peer.Member {
@@ -81,8 +81,8 @@
 	}
 }
 
-// First tries of generations must earn retries; resumes must not. When first tries
-// earned nothing, a router that serves only generations never retried again once its
+// First tries of generations must add to the retry budget; resumes must not. When first
+// tries added nothing, a router that serves only generations never retried again once its
 // initial budget was spent.
 func TestGenerationsEarnRetries(t *testing.T) {
 	ctl := admission.NewController(admission.Config{}, nil, nil)
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -11,8 +11,9 @@
 
 const (
 	orderPrefix = "wigeondale/orders/"
-	// orderCandidates is the number of routers that try to get the order lease. With
-	// two, one may be down, and the key-value service still sees few attempts.
+	// orderCandidates is the number of routers that try to get the order lease. With two
+	// candidates, one may be down and the lease is still taken, and the key-value service
+	// still gets few attempts.
 	orderCandidates = 2
 )
 
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -21,7 +21,8 @@
 	// listInterval is how often the directory reads the inventory even if nothing has
 	// changed, so that it knows which servers are still listed.
 	listInterval = 5 * time.Second
-	// unconfirmedLive is how long a "live" record after a "leaving" one may be outdated.
+	// unconfirmedLive is how long a "live" record that follows a "leaving" record may be
+	// outdated. For this long, the backend server is still shown as leaving.
 	unconfirmedLive = 30 * time.Second
 )
 
@@ -81,11 +82,11 @@
 // showLeaving reports whether a backend server is to be shown as leaving, once for each
 // of its incarnations.
 //
-// Readers may see it leaving and then live again, from a lagging replica of the VM
-// list. A node that received only the later record would send it work until it is removed;
-// the mark set in the directory stays until a new incarnation. Once "live" has lasted
-// for unconfirmedLive, it is taken as correct: an engine may have been started again on
-// that VM.
+// Readers may see it leaving and then live again, from a lagging replica of the VM list. A
+// node that received only the later record would send the server work until the server is
+// removed. The mark set in the directory stays until the server starts a new incarnation.
+// Once the "live" record has lasted for unconfirmedLive, it is taken as correct: an engine
+// may have been started again on that VM.
 func showLeaving(r inventory.Record, now time.Time) bool {
 	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.LeavingAt < unconfirmedLive.Milliseconds()
 }
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -47,15 +47,15 @@
 	until time.Time
 }
 
-// missedAnswers counts a router's consecutive unanswered lookups, and holds the time
-// until which it is skipped because of them.
+// missedAnswers counts the consecutive lookups that a router left unanswered, and stores
+// the time until which that router is skipped because of them.
 type missedAnswers struct {
 	misses int
 	until  time.Time
 }
 
-// pointers publishes which keys run on this router, by storing pointers at two routers
-// that are chosen by rendezvous hash. It saves duplicate work but guarantees nothing:
+// pointers publishes which keys run on this router, by storing pointers at two routers that
+// are chosen by rendezvous hash. The pointers save duplicate work but guarantee nothing:
 // requests that must run at most once are claimed in the log.
 type pointers struct {
 	mesh    *peer.Mesh
@@ -162,14 +162,16 @@
 	if m.Self {
 		return p.find(id, time.Now())
 	}
-	// An unreachable router counts as one without a pointer, which only saves work.
+	// An unreachable router is treated like a router that has no pointer for the key. At
+	// worst this costs duplicate work, since pointers only save work.
 	v, err := peer.Call[pointer, pointer](ctx, p.mesh, m.ID, callGetPointer, pointer{Key: id})
 	p.recordAnswer(m.ID, err, context.Cause(ctx))
 	return v
 }
 
-// recordAnswer records whether a router answered. A lookup that ended early, because its
-// caller disconnected or the other router answered first, is not counted.
+// recordAnswer records whether a router answered. A lookup that ended early, because the
+// caller disconnected or another router answered first, is not counted, since the router
+// may still have answered in time.
 func (p *pointers) recordAnswer(node string, err, ended error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -65,8 +65,8 @@
 }
 
 // Both routers that store a pointer must be queried at the same time. When they were
-// queried one after the other, a new request waited for two round trips. Here each
-// answers only after both have been queried.
+// queried one after the other, a new request waited for two round trips. Here each of the
+// two routers answers only after both have been queried.
 func TestPointersAskHoldersAtOnce(t *testing.T) {
 	var both sync.WaitGroup
 	both.Add(2)
@@ -88,7 +88,7 @@
 	}
 }
 
-// A router that does not answer, or is suspect, must not be queried again by each
+// A router that does not answer, or that is suspect, must not be queried again for each new
 // request. Otherwise each new request waits for the whole timeout while links are cut.
 func TestPointersLeaveSilentHolders(t *testing.T) {
 	var queries atomic.Int32
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -16,8 +16,9 @@
 const (
 	// callHolds requests the quarantined requests from another node.
 	callHolds = "quarantine.held"
-	// holdsInterval is how often a node requests them from a random neighbour, and
-	// holdsRetryInterval how often it retries after its start until one has answered.
+	// holdsInterval is how often a node requests the quarantined requests from a random
+	// neighbour. After its start, the node retries every holdsRetryInterval until a
+	// neighbour has answered.
 	holdsInterval      = time.Minute
 	holdsRetryInterval = 200 * time.Millisecond
 )
@@ -32,8 +33,8 @@
 			_, linked := n.mesh.RandomNeighbour()
 			return !linked && len(n.mesh.Members()) > 1
 		},
-		// A node that misses an update receives the next crash, or fetches the holds
-		// later.
+		// A node that misses an update receives the update for the next crash, or fetches
+		// the holds later.
 		Broadcast: func(m quarantine.Update) { _ = n.mesh.Flood(quarantine.FloodUpdate, m) },
 		Log:       n.log,
 		Set:       n.set,
--- a/daemon/reports.go
+++ b/daemon/reports.go
@@ -39,10 +39,10 @@
 }
 
 // shouldFlood reports whether a router floods that a backend server is leaving. The
-// configuration reaches all routers by itself, and can be rolled back, while the mark
-// that a peer report sets can't. An update from the VM list has already been flooded by
-// its reader to all routers that don't read the list: each of hundreds of routers would
-// flood it once more.
+// configuration reaches all routers by itself, and can be rolled back, while the mark that
+// a peer report sets can't. An update from the VM list has already been flooded, by the
+// router that read the list, to all routers that don't read it. If those flooded the update
+// too, each of hundreds of routers would flood it once more.
 func shouldFlood(source directory.Source, duty inventory.Duty) bool {
 	switch source {
 	case directory.FromPeerReport, directory.FromIntent:
--- a/daemon/revisions.go
+++ b/daemon/revisions.go
@@ -15,7 +15,8 @@
 	floodRevision = "intent.revision"
 	callRevisions = "intent.fetch"
 	// watchersPerDomain is the number of routers of each failure domain that watch the
-	// log themselves. Each costs the key-value service one open watch.
+	// configuration log themselves. Each of these routers costs the key-value service one
+	// open watch.
 	watchersPerDomain = 2
 )
 
@@ -63,12 +64,14 @@
 	_ = s.mesh.Flood(floodRevision, r)
 }
 
-// FetchFrom requests revision from and those after it from a router.
+// FetchFrom requests the revision numbered from, and all later revisions, from another
+// router.
 func (s revisionPeers) FetchFrom(ctx context.Context, node string, from uint64) (intent.Batch, error) {
 	return peer.Call[fetchRevisions, intent.Batch](ctx, s.mesh, node, callRevisions, fetchRevisions{From: from})
 }
 
-// register passes the revisions and requests of other routers to the keeper.
+// register passes the revisions that other routers send, and their requests for revisions,
+// to the keeper.
 func (s revisionPeers) register(k *intent.Keeper) {
 	peer.HandleFlood(s.mesh, floodRevision, k.HandleRevision)
 	peer.HandleCall(s.mesh, callRevisions, func(_ context.Context, _ string, req fetchRevisions) (intent.Batch, error) {
@@ -76,9 +79,9 @@
 	})
 }
 
-// watches reports whether this router watches the log itself. A few routers of each
-// failure domain do; all routers with the same view of the membership choose the same
-// ones.
+// watches reports whether this router watches the configuration log itself. Only a few
+// routers of each failure domain watch it; all routers with the same view of the membership
+// choose the same few.
 func (s revisionPeers) watches(domain string) bool {
 	var local []peer.Member
 	for _, m := range aliveMembers(s.mesh.Members()) {
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -80,7 +80,8 @@
 		return nil, &callerapi.Failure{Status: http.StatusConflict, Code: codeDuplicate,
 			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	}
-	// The process may have been stopped while the claim was in progress.
+	// The deadlines are checked again, since the process may have been stopped while the
+	// claim was in progress. A call whose deadline has passed must not be sent.
 	if once.CheckDeadline(ctx) != nil || expired(call.Deadline) {
 		s.voidClaim(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
@@ -94,8 +95,8 @@
 }
 
 func (s *services) voidClaim(call callerapi.ServiceCall, attempt string) {
-	// If voiding fails the key stays used: the call never runs twice, but can't be
-	// repeated under its key.
+	// If voiding fails, the key stays used. The call then still never runs twice, but the
+	// caller can't repeat it under the same key.
 	_ = s.claims.VoidAsync(call.Account, call.Key, attempt)
 }
 
@@ -104,8 +105,9 @@
 // serviceOf returns the service of a pool.
 func serviceOf(pool string) (name string, ok bool) { return strings.CutPrefix(pool, servicePoolPrefix) }
 
-// send tries up to tries backend servers. A call of which any byte may have been sent
-// is repeated only if it is idempotent and the retry budget allows it.
+// send sends the call to one backend server after another, up to tries in all, until one
+// answers. A call of which any byte may have been sent is repeated only if it is idempotent
+// and the retry budget allows it.
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
@@ -177,9 +179,10 @@
 }
 
 // reportResult reports the result of a try to the failure detector. A try that ran into the
-// caller's deadline counts against its backend server. So does, with less weight, a
-// first try that lost to a second one sent long after it. A second try that lost had
-// less time and says nothing, nor does one that its caller cancelled.
+// caller's deadline counts against its backend server. So does, with less weight, a first
+// try that lost to a second try sent long after it. Nothing is reported for a second try
+// that lost, since it had less time, nor for a try that the caller cancelled: neither shows
+// that the backend server is slow or faulty.
 func (s *services) reportResult(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
@@ -192,7 +195,8 @@
 	}
 }
 
-// releasingBody ends the winning try's context when the answer is closed.
+// releasingBody is the response body of the winning try. Closing it calls release, which
+// ends the context of that try.
 type releasingBody struct {
 	io.ReadCloser
 	release func()
--- a/daemon/services_test.go
+++ b/daemon/services_test.go
@@ -55,10 +55,10 @@
 }
 
 // If one try may have run the call, the outcome must be "unknown", even if a later try
-// could not connect. When the outcome was taken from the last error alone, the caller
-// was told "not-run" of a call that a backend server had run. Here the idempotent call
-// is sent to a server that reads it and disconnects and to one that can't be reached,
-// in either order.
+// could not connect. When the outcome was taken from the last error alone, the caller got
+// the outcome "not-run" for a call that a backend server had run. Here the idempotent call
+// is sent to two servers, in either order: one reads the call and disconnects, and the
+// other can't be reached.
 func TestOutcomeKeepsATryThatMayHaveRun(t *testing.T) {
 	breaks := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
@@ -84,8 +84,8 @@
 	}
 }
 
-// A call that is not idempotent must not be hedged, even if it is slow and a second
-// replica is idle: a booking would be made twice.
+// A call that is not idempotent must not be hedged, even if the call is slow and a second
+// replica is idle. Otherwise a booking, for example, is made twice.
 func TestBookingsAreNotHedged(t *testing.T) {
 	var seen atomic.Int32
 	const booking = 200 * time.Millisecond // many times the hedge delay
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -13,8 +13,9 @@
 	// urgentDivisor sets how many interactive requests, and how many resumes, may always run
 	// from this router: the engines' slots divided by it.
 	urgentDivisor = 4
-	// slotsMaxAge is how long computed figures are reused. They are read several times in
-	// each decision and are based on load reports that are older than this.
+	// slotsMaxAge is how long computed figures are reused. The figures are read several
+	// times in each decision, and reusing them hardly makes a decision less accurate, since
+	// the load reports on which they are based are older than this.
 	slotsMaxAge = 10 * time.Millisecond
 	// poolSizeMaxAge is how long the numbers of routers and of a model's engines are reused.
 	poolSizeMaxAge = time.Second
@@ -100,9 +101,9 @@
 // routersPerEngine returns the number of routers that share each engine. Each router may use its
 // fair share of an engine's slots, no matter how many the others use.
 //
-// Without this, a router at full load refills each slot that it frees at once, while
-// the others only see the free slot in a later load report. A router with many slots
-// would keep them: callers of other routers would be refused while its own, which
+// Without this, a router at full load refills each slot that it frees at once, while the
+// other routers only see the free slot in a later load report. A router with many slots
+// would keep them: callers of other routers would be refused while its own callers, which
 // arrived later, are served.
 func (r *slotCounter) routersPerEngine(pool string, engines int, now time.Time) float64 {
 	all, ok := r.sizes[pool]
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -17,8 +17,8 @@
 	minDemand = 0.5
 )
 
-// summaries exchanges the data in heartbeats: the revision in force, readiness and the
-// demand of each client account.
+// summaries exchanges the data that heartbeats carry between routers: the revision in
+// force, readiness and the demand of each client account.
 type summaries struct {
 	mesh     *peer.Mesh
 	keeper   *intent.Keeper
@@ -58,7 +58,7 @@
 	s.admit.SetPeerDemand(s.received.update(members))
 }
 
-// demands holds the last known demand of each peer.
+// demands maps each peer to its last known demand for each client account.
 //
 // A member's summary is empty as soon as the link to it is down. When links are cut,
 // and before any router is declared dead, each part of the fleet would otherwise take
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -14,9 +14,9 @@
 // triedSet records the backend servers to which a call was sent, possibly two at once,
 // and the outcome.
 //
-// It keeps the first error after which the call may have run. Without it, if one
-// backend server reads a call and disconnects and the next one can't be reached, the
-// caller would be told by the last error that the call did not run.
+// The set keeps the first error after which the call may have run. Without that error, if
+// one backend server reads a call and disconnects and the next server can't be reached, the
+// caller would get the last error, which says that the call did not run.
 type triedSet struct {
 	mu         sync.Mutex
 	ids        map[string]bool
