--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -35,7 +35,8 @@
 	Revisions(ctx context.Context, from uint64, max int) ([]intent.Revision, error)
 }
 
-// Node is the status of one router as known to this one, possibly its own.
+// Node is the status of one router, as known to the router that returns it. The two may be
+// the same router.
 type Node struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
--- a/adminapi/operator.go
+++ b/adminapi/operator.go
@@ -10,7 +10,8 @@
 	"wigeondale/event"
 )
 
-// Role is a set of permissions; each role includes the ones before it.
+// Role is a set of permissions; each role includes the permissions of the roles listed
+// before it.
 type Role int
 
 // The roles.
--- a/adminapi/problem.go
+++ b/adminapi/problem.go
@@ -23,8 +23,8 @@
 	CodeInternal     = "internal"
 )
 
-// retryAfterMS is when to repeat a call that failed because the service or the node was
-// not ready.
+// retryAfterMS is how many milliseconds a caller should wait before it repeats a call that
+// failed because the service or the node was not ready.
 const retryAfterMS = 1000
 
 // Problem is the body of each refusal, under the key "error".
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -21,9 +21,9 @@
 	// RetryBurst the number of retries beyond it at once, by all nodes together.
 	RetryShare float64 `json:"retry_share"`
 	RetryBurst float64 `json:"retry_burst"`
-	// RolloutShare is the share of a service's requests, and RolloutBurst the number
-	// beyond it, that all nodes together may send to a version on trial, in case it is
-	// bad.
+	// RolloutShare is the share of a service's requests, and RolloutBurst the number beyond
+	// it, that all nodes together may send to a version on trial. If that version is bad,
+	// only these requests are affected.
 	RolloutShare float64 `json:"rollout_share"`
 	RolloutBurst float64 `json:"rollout_burst"`
 	// HeartbeatMS is the interval at which replicas renew their store entries.
@@ -38,14 +38,15 @@
 	// read the prompt at PrefillTokensPerSecond.
 	MinPrefillMS           int     `json:"min_prefill_ms"`
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
-	// GCPercent is the garbage collector's target. A small value uses more processor
-	// time and less memory.
+	// GCPercent is the garbage collector's target percentage, as in debug.SetGCPercent. A
+	// small value uses more processor time and less memory.
 	GCPercent int `json:"gc_percent"`
-	// Decisions select how requests are refused.
+	// Decisions selects the policy by which requests are refused.
 	Decisions Decisions `json:"decisions"`
 }
 
-// Decisions select one variant of each decision that has several.
+// Decisions selects one variant for each of the router's decisions that exists in several
+// variants.
 type Decisions struct {
 	RefusalPolicy string `json:"refusing"` // name of a refusal policy of package admission
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -70,8 +70,8 @@
 func parse(data []byte) (*Settings, Problems) {
 	s := Default()
 	problems := decode(data, s)
-	// A field of the wrong type kept its default, so that checking the values reports
-	// the other faults in the same run, each once.
+	// A field of the wrong type has kept its default, so the values of all fields can be
+	// checked all the same. In this way one run reports all faults, and each fault once.
 	reported := map[string]bool{}
 	for _, p := range problems {
 		reported[p.Path] = true
@@ -151,17 +151,18 @@
 	}
 }
 
-// keys are not exported, so that no dump contains them.
+// keys holds the secret keys. Its fields are not exported, so that no dump of the settings
+// contains a key.
 type keys struct {
 	peer, cursor, previous []byte
 }
 
-// PeerKey returns the shared key with which daemons authenticate each other. Set by
-// Load.
+// PeerKey returns the shared key with which daemons authenticate each other. Load reads the
+// key.
 func (s *Settings) PeerKey() []byte { return s.keys.peer }
 
-// CursorKeys returns the current and the previous cursor key (nil if none). Set by
-// Load.
+// CursorKeys returns the current and the previous cursor key (nil if there is none). Load
+// reads both keys.
 func (s *Settings) CursorKeys() (current, previous []byte) {
 	return s.keys.cursor, s.keys.previous
 }
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// join adds a field to a path. The three listeners have the same fields and share rows.
+// join adds a field to a path. The three listeners have the same fields, so they share rows
+// of the page.
 func join(path string, f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	if f.Type == reflect.TypeFor[settings.Listener]() {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -58,7 +58,7 @@
 }
 
 // TLS names PEM files. Relative paths are resolved from the settings file. With
-// ClientCAFile, clients must present a certificate signed by it.
+// ClientCAFile, clients must present a certificate that is signed by the CA in that file.
 type TLS struct {
 	CertFile     string `json:"cert_file"`
 	KeyFile      string `json:"key_file"`
@@ -97,14 +97,15 @@
 	MaxAgeS         int    `json:"max_age_s"`
 }
 
-// Roles of operators. Each role includes the ones before it.
+// Roles of operators. Each role includes the permissions of the roles before it.
 const (
 	Viewer    = "viewer"
 	Editor    = "editor"
 	Confirmer = "confirmer"
 )
 
-// Operator may use the admin interface with the token that has this SHA-256.
+// Operator is a person or program that may use the admin interface, with the token whose
+// SHA-256 is TokenSHA256.
 type Operator struct {
 	Name        string `json:"name"`
 	TokenSHA256 string `json:"token_sha256"` // 64 hex digits
@@ -157,10 +158,10 @@
 	MaxOpenRequests int   `json:"max_open_requests"`
 	Queue           int   `json:"queue"` // requests
 	// RequestsPerEngine is the number of requests that one engine gets at once from all
-	// routers; 0 learns it from the engines' load reports.
+	// routers; 0 means that each router learns the number from the engines' load reports.
 	RequestsPerEngine int `json:"requests_per_engine"`
-	// ReservePercent is the share of an engine's requests that new batch work may not
-	// use. It is reserved for calls and for resumed answers.
+	// ReservePercent is the share of the slots of an engine that new batch work may not
+	// use. This share is reserved for calls and for resumed answers.
 	ReservePercent int `json:"reserve_percent"`
 }
 
