--- a/chart/chart.go
+++ b/chart/chart.go
@@ -86,8 +86,8 @@
 // IsFinal reports whether state is final.
 func (c *Chart) IsFinal(state string) bool { return c.final[state] }
 
-// Next returns the state to which an event leads from a state, or a *NotAllowedError.
-// It serves procedures that store their state elsewhere.
+// Next returns the state to which an event leads from a state, or a *NotAllowedError. Next
+// is for code that stores the state itself instead of using a Machine.
 func (c *Chart) Next(state, event string) (string, error) {
 	for _, e := range c.events {
 		if e.Name == event && slices.Contains(e.Src, state) {
@@ -115,8 +115,8 @@
 // Final reports whether the machine has reached a final state.
 func (m *Machine) Final() bool { return m.chart.final[m.fsm.Current()] }
 
-// Fire makes the transition of event. If the state has none, it stays in the state and
-// returns a *NotAllowedError.
+// Fire makes the transition of event. If the current state has no transition for the event,
+// the machine stays in that state and Fire returns a *NotAllowedError.
 func (m *Machine) Fire(event string) error {
 	state := m.fsm.Current()
 	err := m.fsm.Event(context.Background(), event)
--- a/chart/check.go
+++ b/chart/check.go
@@ -31,7 +31,7 @@
 	return errors.Join(all...)
 }
 
-// sources returns the states that have transitions.
+// sources returns the states from which at least one transition leads.
 func (f *chartFile) sources() map[string]bool {
 	from := map[string]bool{}
 	for _, t := range f.Transitions {
--- a/check/check.go
+++ b/check/check.go
@@ -63,8 +63,9 @@
 	return string(text)
 }
 
-// chainOf gets the digest by value, so that the caller's digest does not include the
-// token.
+// chainOf returns the chain of the token with the random part rnd, where d is the digest of
+// the prompt and all text before the token. It gets the digest by value, so that the
+// caller's digest does not include the token.
 func chainOf(d xxhash.Digest, rnd []byte) uint64 {
 	d.Write(rnd)
 	return d.Sum64() >> 32
--- a/check/check_test.go
+++ b/check/check_test.go
@@ -17,8 +17,8 @@
 func join(tokens []string) string { return strings.Join(tokens, "") }
 
 // Each kind of damage must be detected: missing or repeated tokens, and a text that
-// continues with another generation. It occurs when an engine dies and another one
-// continues, from a wrong position or with its own text, and the parts are joined
+// continues with another generation. Such damage occurs when an engine dies, another engine
+// continues from a wrong position or with a text of its own, and the parts are joined
 // without regard to index or generation.
 func TestAnswerFindsEachDamage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -2,10 +2,10 @@
 // suspended.
 //
 // After a suspension of some seconds the monotonic clock, which stopped meanwhile, is
-// behind by that time. With a deadline measured by it, a backend server would be given
-// more time than the caller has. The wall clock includes the suspension, but it may be
-// set back or ahead by seconds, which would end requests early. The boot clock has
-// neither fault.
+// behind by that time. With a deadline on the monotonic clock, a backend server would be
+// given more time than the caller has. The wall clock includes the suspension, but the wall
+// clock may be set back or ahead by seconds, which would end requests early. The boot clock
+// has neither fault.
 package clock
 
 import (
@@ -18,8 +18,8 @@
 func SinceBoot() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every kernel that Go supports has this clock. The monotonic clock is the best
-		// substitute.
+		// This should not happen, since every kernel that Go supports has the boot clock.
+		// The monotonic clock is the best substitute.
 		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -111,7 +111,7 @@
 
 // confirm sends a plan to one node after another until one knows the outcome. If a node
 // dies after it has appended the plan to the log, the outcome is unknown; the next node
-// reads the log and settles it.
+// then reads the log to find out whether the plan was appended.
 func (c *adminClient) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.ConfirmResult, error) {
 	var acc adminapi.ConfirmResult
 	var last error
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl implements the commands of wigeonctl, the operators' tool. It may call
-// any node. A confirmation may safely be sent to several nodes in turn, since a plan
-// takes effect once.
+// Package ctl implements the commands of wigeonctl, the operators' tool. The tool may call
+// any node. It may safely send a confirmation to several nodes in turn, since a plan takes
+// effect only once.
 package ctl
 
 import (
@@ -46,7 +46,8 @@
 	MaxTokens  int           `arg:"--max-tokens" default:"256"`
 	KeyFile    string        `arg:"--key-file" help:"file with the API key (default: environment WIGEON_API_KEY)"`
 	Timeout    time.Duration `arg:"--stream-timeout" default:"10m"`
-	// RootCAs are read from the file of the option --ca-file; nil without it.
+	// RootCAs are read from the file that the option --ca-file names. Without that option
+	// RootCAs is nil.
 	RootCAs *x509.CertPool `arg:"-"`
 }
 
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -6,7 +6,7 @@
 	"wigeondale/explain"
 )
 
-// explain reads a log; it calls no node.
+// explain runs the explain command, which only reads a log and calls no node.
 func (t *tool) explain(cmd *explainCmd) error {
 	in := t.env.Stdin
 	if cmd.Log != "-" {
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -1,8 +1,8 @@
 // Package signals handles the signals of a daemon: shutdown and reload.
 //
-// A signal without a handler ends a Go process at once, together with every open
-// request. Operators send a hangup to have the settings read again; without a handler it
-// aborted all streams of a router.
+// A signal without a handler ends a Go process at once, together with every open request.
+// Operators send a hangup to have the settings read again; when the hangup had no handler,
+// it aborted all streams of a router.
 package signals
 
 import (
