--- a/soak/checks.go
+++ b/soak/checks.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// recordDenied records that one incarnation of a router rejected a key or account. at names both.
+// recordDenied records that one incarnation of a router rejected a key or account. at names
+// the incarnation together with the key or account.
 func (c *checks) recordDenied(at, request string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +152,8 @@
 	c.outcomes[kind+" "+outcome]++
 }
 
-// workEndTime is how long backend servers may go on with work after its client has left or has its
-// response.
+// workEndTime is how long backend servers may go on with a request after the client of that
+// request has disconnected or has received its response.
 const workEndTime = 5 * time.Second
 
 // finalChecks compares the replicas' records of what ran with the responses that clients got.
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -24,7 +24,9 @@
 	return b.String()
 }
 
-// Each check fails for what it must find, and passes for what is allowed.
+// Each check must report a response that breaks a promise, and must pass a response that is
+// allowed. Otherwise a soak overlooks faults of the routers, or reports faults that do not
+// exist.
 func TestAnswersAreJudged(t *testing.T) {
 	const id = "c1-1"
 	complete := completeDraft(id)
@@ -89,9 +91,9 @@
 	}
 }
 
-// finalChecks finds three faults in the replicas' records: a request that goes on although no client
-// waits for it, a non-idempotent request that ran twice, and a request that ran although its refusal
-// says that it did not.
+// finalChecks must find three faults in the replicas' records: a request that goes on
+// although no client waits for it, a non-idempotent request that ran twice, and a request
+// that ran although its refusal says that it did not.
 func TestRecordOfReplicasIsJudged(t *testing.T) {
 	r := newPlatformRun(Config{})
 	defer r.stop()
@@ -138,7 +140,8 @@
 	}
 }
 
-// checkBookings compares the outcomes that clients got with what ran.
+// checkBookings must report each booking for which the outcome that the client got does not
+// agree with what ran.
 func TestBookingsAreJudged(t *testing.T) {
 	c := newChecks(true)
 	c.recordBooking("a", "c1-1", fleet.NotRun)
@@ -187,7 +190,8 @@
 	}
 }
 
-// A process that exits without a signal, with or without an error, is a violation.
+// A process that exits without having got a signal must count as a violation, whether it
+// exits with or without an error.
 func TestEndsOfProcessesAreJudged(t *testing.T) {
 	for name, c := range map[string]struct {
 		program string
@@ -212,8 +216,9 @@
 	}
 }
 
-// checkCrashing fails when a crashing request goes on reaching replicas, and passes for what is
-// allowed. checkResult fails for any other request that is quarantined.
+// checkCrashing must report a crashing request that goes on reaching replicas, and must
+// pass the arrivals that are allowed. checkResult must report any request that is
+// quarantined although it crashes no replica.
 func TestCrashersAreJudged(t *testing.T) {
 	at := func(ran bool, seconds ...float64) []fakes.Arrival {
 		var out []fakes.Arrival
--- a/soak/command.go
+++ b/soak/command.go
@@ -65,7 +65,7 @@
 		fmt.Fprintf(stderr, "wigeonsoak: --interface is one of %v\n", interfaceNames)
 		return exitUsage
 	}
-	// A signal cancels the run, which then ends its processes.
+	// A signal cancels the run, and the run then ends the processes that it has started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	code, failed := exitOK, []uint64{}
--- a/soak/platform_client.go
+++ b/soak/platform_client.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	// budget is the deadline that a client states. maxAnswerTime is when it must have its final
-	// response at the latest. Routes have a timeout of 8 s.
+	// budget is the time limit that a client states in its request. maxAnswerTime is how
+	// long after the start of the request the client must have its final response at the
+	// latest. Routes have a timeout of 8 s.
 	budget        = 9 * time.Second
 	maxAnswerTime = 14 * time.Second
 	// One in abandonEvery generations is abandoned: its client disconnects before the end.
--- a/soak/platform_crashing.go
+++ b/soak/platform_crashing.go
@@ -25,8 +25,9 @@
 	linkSetupTime = time.Second
 	// quarantinedBody is the body of the router's response to a quarantined request.
 	quarantinedBody = "Internal Server Error\n"
-	// quarantineTime is how long after the third crash all routers must know that a request crashes
-	// replicas. maxArrivalsAfter is how often it may reach replicas after that.
+	// quarantineTime is how long after the third crash all routers must know that a request
+	// crashes replicas. maxArrivalsAfter is how often such a request may reach replicas
+	// after that time.
 	quarantineTime   = 3 * time.Second
 	maxArrivalsAfter = 3
 )
@@ -92,8 +93,9 @@
 	c.run.checks.checkDuration(id, time.Since(startedAt), maxAnswerTime)
 }
 
-// replaceLater replaces a replica that a request crashed, after crashedReplicaDelay. Until then it
-// stays in the list from which faults draw replicas: the service may have no other one.
+// replaceLater replaces a replica that a request crashed, after crashedReplicaDelay. Until
+// then the crashed replica stays in the list from which faults draw replicas, since the
+// service may have no other replica.
 func (r *platformRun) replaceLater(rep *fakes.Replica) {
 	if r.stopped.Load() {
 		return
--- a/soak/platform_faults.go
+++ b/soak/platform_faults.go
@@ -152,8 +152,8 @@
 	return false
 }
 
-// crash crashes a replica. When the fault ends, its entry in the store is removed and a new replica
-// registers.
+// crash crashes a replica. When the fault ends, the crashed replica's entry is removed from
+// the store and a new replica registers.
 func (r *platformRun) crash(rep *fakes.Replica) func() {
 	if !r.removeIfOthersServe(rep) {
 		return func() {}
--- a/soak/platform_restarts.go
+++ b/soak/platform_restarts.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// restartReplica crashes a replica and restarts it under the same id when the fault ends. Its entry
-// stays in the store meanwhile. clockOffset is the error of its clock after the restart.
+// restartReplica crashes a replica and restarts it under the same id when the fault ends.
+// Meanwhile the replica's entry stays in the store. clockOffset is the error of the
+// replica's clock after the restart.
 func (r *platformRun) restartReplica(rep *fakes.Replica, clockOffset time.Duration) func() {
 	if !r.removeIfOthersServe(rep) {
 		return func() {}
--- a/soak/process.go
+++ b/soak/process.go
@@ -122,7 +122,9 @@
 	case endSignal == 0:
 		p.checks.violated("a process ends only when it is told to", "", fmt.Sprintf("%s: %v; its log ends with:\n%s", p.id, err, p.logTail()))
 	case endSignal == syscall.SIGTERM && beforeStart && terminatedBy(err, syscall.SIGTERM):
-		// The program had no requests yet, and may not have run a single instruction.
+		// The process was killed by SIGTERM before it logged its start. This is no
+		// violation, since the program had no requests yet and may not have run a single
+		// instruction.
 	case endSignal == syscall.SIGTERM && err != nil:
 		p.checks.violated("a process that is told to end ends well", "", fmt.Sprintf("%s: %v", p.id, err))
 	}
--- a/soak/product.go
+++ b/soak/product.go
@@ -34,8 +34,9 @@
 
 var productDomains = []string{"d0", "d1", "d2"}
 
-// router is a router on the product's own interface. A relay of its own, which faults can cut,
-// lies between it and the key-value service, the VM list and its peers each.
+// router is a router on the product's own interface. The router has three relays of its
+// own, which faults can cut: one lies between the router and the key-value service, one
+// between the router and the VM list, and one between the router and its peers.
 type router struct {
 	process
 	caller, admin, peer, advertisedPeer string // host:port; advertisedPeer is the relay to peer
--- a/soak/product_client.go
+++ b/soak/product_client.go
@@ -17,8 +17,9 @@
 
 const (
 	productTokens = 60 // length of a generation, which takes 0.3 s
-	// productBudget is the time limit that a client sets for a request. productMaxAnswerTime is when
-	// it must have its final response at the latest.
+	// productBudget is the time limit that a client sets for a request.
+	// productMaxAnswerTime is how long after the start of the request the client must have
+	// its final response at the latest.
 	productBudget        = 8 * time.Second
 	productMaxAnswerTime = 13 * time.Second
 	productIdleTimeout   = 2 * time.Second
@@ -32,7 +33,8 @@
 	name string
 	sent int
 	http *http.Client
-	// incarnations holds the routers' incarnations at the start of the latest request, by endpoint.
+	// incarnations maps the endpoint of each router to the router's incarnation at the
+	// start of the latest request.
 	incarnations map[string]string
 	startedAt    time.Time
 }
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -2,10 +2,11 @@
 // the users' platform (Run) and on the product's own interface (RunProduct). It injects
 // faults from outside the processes and checks what clients and backend servers observe.
 //
-// It finds failures that only a combination causes: signals, restarts, network cuts and
-// configuration changes that follow each other or overlap. The seed determines the faults
-// and requests of a run, but not how the processes interleave. A seed that failed is
-// therefore kept and run again, and a single failure counts.
+// Such runs find failures that only a combination of events causes: signals, restarts,
+// network cuts and configuration changes that follow each other or overlap. The seed
+// determines the faults and requests of a run, but not how the processes interleave. A seed
+// that failed is therefore kept and run again, and one failed run of a seed counts as a
+// failure even if other runs of that seed pass.
 package soak
 
 import (
@@ -23,7 +24,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("soak")
 
-// Config of one run.
+// Config configures one run.
 type Config struct {
 	Seed      uint64
 	Wigeond   string   // path of the wigeond program to start
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -26,25 +26,26 @@
 	productSeeds = []uint64{1}
 )
 
-// Runs on the users' platform. The checks don't depend on timing: a response is complete or
-// recognizably not, requests run at most as often as allowed, refusals are true, no router returns
-// to an older configuration, and work ends when no client waits for it.
+// TestSeeds runs fixed seeds on the users' platform. The checks don't depend on timing: a
+// response is complete or recognizably not, requests run at most as often as allowed,
+// refusals are true, no router returns to an older configuration, and work ends when no
+// client waits for it.
 func TestSeeds(t *testing.T) {
 	for _, seed := range seeds {
 		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
-// As TestSeeds, with replicas that restart under the same id, and with entries of other programs in
-// the store.
+// TestLifetimeSeeds makes the same checks as TestSeeds. In addition to the other faults,
+// replicas restart under the same id, and other programs write entries to the store.
 func TestLifetimeSeeds(t *testing.T) {
 	for _, seed := range []uint64{3} {
 		checkSeed(t, Run, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 4, Clients: 6, FaultTime: 5 * time.Second, Restarts: true})
 	}
 }
 
-// As TestSeeds, with roll-outs of good and bad versions in addition to the faults. These seeds once
-// failed:
+// TestRolloutSeeds makes the same checks as TestSeeds. In addition to the faults, good and
+// bad versions are rolled out. These seeds once failed:
 //
 // 8002: a router that had received no report of a response ended the trial of a bad version, which
 // then got all requests.
@@ -56,19 +57,22 @@
 	}
 }
 
-// As TestSeeds, with requests that crash every replica that runs them.
+// TestCrasherSeeds makes the same checks as TestSeeds. In addition to the faults, clients
+// send requests that crash every replica that runs them.
 func TestCrasherSeeds(t *testing.T) {
 	checkSeed(t, Run, Config{Seed: 9001, Nodes: 3, Engines: 10, Services: 8, Clients: 6, FaultTime: 8 * time.Second, CrashingRequests: true})
 }
 
-// Runs on the product's own interface.
+// TestProductSeeds runs fixed seeds on the product's own interface (not the one of the
+// users' platform).
 func TestProductSeeds(t *testing.T) {
 	for _, seed := range productSeeds {
 		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 3, Engines: 6, Services: 2, Clients: 6, FaultTime: 5 * time.Second})
 	}
 }
 
-// Seeds on the product's own interface that once failed, with the configuration that failed.
+// This test repeats seeds that once failed on the product's own interface, with the
+// configuration with which they failed.
 //
 // 5002: a router that had been killed got SIGTERM within a millisecond of its next start, and its
 // death by the signal counted as a violation.
