--- a/fakes/control/control_test.go
+++ b/fakes/control/control_test.go
@@ -80,8 +80,9 @@
 	}
 }
 
-// The VM list lags behind, so that new work can go to a VM that is already leaving. A VM that is
-// marked as leaving stays live in the list during the lag, and is leaving when the lag is removed.
+// On the platform the VM list lags behind, so that new work can go to a VM that is already
+// leaving. The fake list must be able to lag in the same way: a VM that is marked as
+// leaving stays live in the list during the lag, and is leaving when the lag is removed.
 func TestVMListLags(t *testing.T) {
 	s := start(t, `{"vms":{"lag_ms":3600000},"engines":[{"id":"e1","vm":"vm-1"}]}`)
 	if code := s.post(t, "vms/leave", `{"vm":"vm-1"}`); code != http.StatusOK {
@@ -103,9 +104,10 @@
 	}
 }
 
-// Two faults of a service: with close-after-read it executes a booking and closes the connection, as
-// if it had crashed after the work; with cross it sends the response to another request, as if an
-// intermediary had mixed them up. The record counts both bookings.
+// A fake service must show two faults. With close-after-read the service executes a booking
+// and closes the connection, as if the service had crashed after the work. With cross the
+// service sends the response to another request, as if an intermediary had mixed the two
+// up. The record must count both bookings.
 func TestServiceFaultsAreRecorded(t *testing.T) {
 	s := start(t, `{"services":[{"id":"s1","service":"tags"}]}`)
 	base := "http://" + s.Services[0].Addr()
@@ -137,8 +139,9 @@
 	}
 }
 
-// A cut relay acts like a network partition: a request gets no response and its connection stays open.
-// After heal requests get responses, and after kill connections are refused.
+// A cut relay must act like a network partition: a request gets no response and its
+// connection stays open. After the switch heal, requests must get responses; after kill,
+// connections must be refused.
 func TestRelayCutAndKill(t *testing.T) {
 	target := start(t, `{}`)
 	s := start(t, `{"relays":[{"id":"link","target":"`+target.Addr()+`"}]}`)
--- a/fakes/engine/engine_test.go
+++ b/fakes/engine/engine_test.go
@@ -126,8 +126,10 @@
 	}
 }
 
-// An engine is killed after ten tokens. Another engine gets the prompt and the received tokens and
-// continues with the next one. The killed engine starts again as a new incarnation.
+// When an engine is killed in the middle of a stream, another engine must be able to
+// continue the stream without a gap or a repeated token. Here an engine is killed after ten
+// tokens; another engine gets the prompt and the received tokens and continues with the
+// next token. The killed engine must start again as a new incarnation.
 func TestResumeElsewhereAfterKill(t *testing.T) {
 	a, b := start(t, nil), start(t, nil)
 	first := startStream(t, a, request("r", 1, 1000))
@@ -160,9 +162,9 @@
 	}
 }
 
-// A router that was paused goes on reading a stream that another router has taken over. When a
-// second reader attaches at token 5, it gets everything from token 5 on, and the connection of the
-// first one is closed.
+// A router that was paused may go on reading a stream that another router has taken over.
+// When a second reader attaches at token 5, the second reader must get everything from
+// token 5 on, and the connection of the first reader must be closed.
 func TestSecondReaderTakesOver(t *testing.T) {
 	e := start(t, nil)
 	first := startStream(t, e, request("r", 1, 300))
@@ -204,8 +206,8 @@
 	}
 }
 
-// A frozen engine, like one whose VM is paused, keeps connections open but neither responds nor
-// generates tokens. After Thaw the stream continues to its end.
+// A frozen engine must act like an engine whose VM is paused: it keeps connections open but
+// neither responds nor generates tokens. After Thaw the stream must continue to its end.
 func TestFreezeStopsStepsAndThawContinues(t *testing.T) {
 	e := start(t, nil)
 	r := startStream(t, e, request("r", 1, 500))
@@ -225,8 +227,9 @@
 	checkAnswer(t, r.text.String(), 500)
 }
 
-// An engine behind a network partition (cut) goes on generating until the answer is complete, while
-// a client can't attach to the stream. After heal the client gets every token.
+// An engine behind a network partition (the switch cut) must go on generating until the
+// answer is complete, while no client can attach to the stream. After heal the client must
+// get every token.
 func TestCutLetsStepsGoOn(t *testing.T) {
 	e := start(t, nil)
 	startStream(t, e, request("r", 1, 300)).read(1)
@@ -259,8 +262,9 @@
 	return rd
 }
 
-// Each one-shot fault spoils exactly one chunk of a stream: it has the id of another request, is
-// repeated or is missing, as if mixed up, repeated or lost on the way to the client.
+// Each one-shot fault must spoil exactly one chunk of a stream: the chunk has the id of
+// another request, is repeated or is missing, as if the chunk had been mixed up, repeated
+// or lost on the way to the client.
 func TestOneShotFaultsSpoilOneChunk(t *testing.T) {
 	for name, want := range map[string]check.Report{
 		faultCross:  {Tokens: 100, OK: true},
@@ -282,8 +286,9 @@
 	}
 }
 
-// A stall, like a preemption or a long prefill, stops a single stream. The other stream runs to its
-// end without the stalled one advancing. After the stall the first one runs to its end too.
+// A stall, which imitates a preemption or a long prefill, must stop a single stream. The
+// other stream must run to its end while the stalled stream does not advance. After the
+// stall the stalled stream must run to its end too.
 func TestStallHoldsOneStream(t *testing.T) {
 	e := start(t, nil)
 	stalled := startStream(t, e, request("held", 1, 300))
--- a/fakes/engine/order.go
+++ b/fakes/engine/order.go
@@ -63,7 +63,7 @@
 }
 
 // applyOrder follows an order, or reports false if its fencing number is stale. An engine
-// without ChecksFence follows any order, like some engines in deployments.
+// without ChecksFence follows any order, as some engines in deployments do.
 func (e *Engine) applyOrder(req OrderRequest) (OrderState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/engine/schedule_test.go
+++ b/fakes/engine/schedule_test.go
@@ -9,8 +9,9 @@
 	"wigeondale/fleet"
 )
 
-// When a second reader has taken a stream over and the connection of the first one ends, the linger
-// time must not start: otherwise a stream that another router reads is cancelled.
+// When a second reader has taken a stream over and the connection of the first reader ends,
+// the linger time must not start. Otherwise the stream is cancelled although another router
+// still reads it.
 func TestLingerStartsWithTheLastReader(t *testing.T) {
 	req := request("r", 1, 10)
 	req.Ext.LingerMS = 100
@@ -63,8 +64,9 @@
 	}
 }
 
-// An order with an older fencing number (4) must not undo a newer one (5). It comes from a router
-// that was paused until its lease on orders expired. Engines that don't check the number follow it.
+// An order with an older fencing number (4) must not undo a newer order (5). The older
+// order comes from a router that was paused until its lease on orders expired. Engines that
+// don't check the fencing number follow the older order.
 func TestStaleFence(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e := start(t, func(c *Config) { c.ChecksFence = checks })
--- a/fakes/fault/fault_test.go
+++ b/fakes/fault/fault_test.go
@@ -28,8 +28,9 @@
 	return c
 }
 
-// An HTTP server closes its listener when it notices a kill, which may be after the next Start. That
-// must not close the new socket: otherwise a fake that was killed and started refuses connections.
+// An HTTP server closes its listener when it notices a kill, which may be after the next
+// Start. This late close must not close the new socket: otherwise a fake that was killed
+// and started again refuses connections.
 func TestLateCloseSparesTheNextStart(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	defer l.Kill()
@@ -40,8 +41,8 @@
 	dial(t, l)
 }
 
-// A cut acts like a network partition: the connection stays open and bytes from either side don't
-// arrive until Heal.
+// A cut must act like a network partition: the connection stays open and bytes from either
+// side don't arrive until Heal.
 func TestCutHoldsBothDirections(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	defer l.Kill()
@@ -73,9 +74,10 @@
 	<-arrived
 }
 
-// A listener must not use a port from the kernel's range for outgoing connections: while it is
-// killed, a connection of any process can get the port. The next Start then fails with "address
-// already in use", and the router that uses the fake is never ready.
+// A listener must not use a port from the kernel's range for outgoing connections: while
+// the listener is killed, an outgoing connection of any process can get the port. The next
+// Start then fails with "address already in use", and the router that uses the fake is
+// never ready.
 func TestPortIsKeptOverAKill(t *testing.T) {
 	l := NewListener("127.0.0.1:0")
 	if _, err := l.Start(); err != nil {
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -59,9 +59,9 @@
 }
 
 // Start opens the socket and heals any cut. It returns a listener for the connections of
-// this start, or nil if the socket is open already. Its Close closes the socket of this
-// start only: an HTTP server closes its listener when it notices a kill, which may be after
-// the next Start.
+// this start, or nil if the socket is open already. The Close method of the returned
+// listener closes the socket of this start only, since an HTTP server closes its listener
+// when it notices a kill, which may be after the next Start.
 func (l *Listener) Start() (net.Listener, error) {
 	l.Heal()
 	l.mu.Lock()
@@ -242,7 +242,8 @@
 	}
 }
 
-// Read waits after the bytes have arrived, since a cut may start while it blocks.
+// Read waits after the bytes have arrived and not before, since a cut may start while Read
+// blocks; the bytes must then be stopped.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if waitErr := c.wait(c.owner.inGate); waitErr != nil {
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -83,7 +83,8 @@
 	RepeatChunks bool // sends each chunk of a stream twice
 }
 
-// Start starts the replica. replicaAt returns the replica at an address, for copies of runs.
+// Start starts the replica. replicaAt returns the replica at an address; it is used to
+// store copies of runs at other replicas.
 func (r *Replica) Start(replicaAt func(addr string) *Replica) error {
 	if r.Listen == "" {
 		r.Listen = "127.0.0.1:0"
--- a/fakes/hosted/replica_test.go
+++ b/fakes/hosted/replica_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Two replicas that each start a run with its copy at the other one must not deadlock. Once each held
-// its own lock while it waited for the other's, and no replica responded any more.
+// Two replicas that each start a run with its copy at the other one must not deadlock. When
+// each of them held its own lock while it waited for the lock of the other, neither replica
+// responded any more.
 func TestReplicasKeepEachOthersCopies(t *testing.T) {
 	a, b := &Replica{ID: "a", copies: map[string]bool{}}, &Replica{ID: "b", copies: map[string]bool{}}
 	a.replicaAt = func(string) *Replica { return b }
--- a/fakes/hosted/state.go
+++ b/fakes/hosted/state.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// serveList lists the prompts that the replica has cached: those of all runs.
+// serveList lists the prompts that the replica has cached, which are the prompts of all its
+// runs.
 func (r *Replica) serveList(w http.ResponseWriter, _ *http.Request) {
 	cached := [][]any{}
 	for _, a := range r.Arrivals() {
--- a/fakes/kv/kv_test.go
+++ b/fakes/kv/kv_test.go
@@ -43,9 +43,10 @@
 	}
 }
 
-// If the response to a write is lost, the writer doesn't know whether it was applied: the service
-// crashed or the network failed after the write. With lose-answers a create is applied and its
-// connection closed; the next create of the key fails its compare and returns the first value.
+// If the service crashes or the network fails after a write, the response is lost and the
+// writer doesn't know whether the write was applied. The switch lose-answers must imitate
+// this: a create is applied and its connection is closed; the next create of the key then
+// fails its compare and returns the first value.
 func TestLostAnswerIsApplied(t *testing.T) {
 	s := start(t)
 	if err := s.Fault("lose-answers", json.RawMessage(`{"n":1,"prefix":"log/"}`)); err != nil {
@@ -98,8 +99,9 @@
 	}
 }
 
-// When the owner of a lease is paused for longer than its time to live, the lease expires: its keys
-// are deleted, watches report that, and a later keepalive finds no lease.
+// When the owner of a lease is paused for longer than its time to live, the lease must
+// expire: the keys of the lease are deleted, watches report the deletions, and a later
+// keepalive finds no lease.
 func TestLapsedLeaseDeletesItsKeys(t *testing.T) {
 	s := start(t)
 	var lease leaseResponse
--- a/fakes/kv/server.go
+++ b/fakes/kv/server.go
@@ -13,7 +13,7 @@
 	"wigeondale/fakes/fault"
 )
 
-// Kinds of calls, by which Calls counts.
+// The kinds of calls. Calls returns a separate count for each kind.
 const (
 	kindRange     = "range"
 	kindPut       = "put"
@@ -138,7 +138,8 @@
 	return mux
 }
 
-// keyed is a request that knows its keys. For a range it returns the first one.
+// keyed is a request that returns the keys to which it applies. A request for a range
+// returns only the first key of the range.
 type keyed interface{ keys() [][]byte }
 
 func (r *rangeRequest) keys() [][]byte  { return [][]byte{r.Key} }
--- a/fakes/kv/store.go
+++ b/fakes/kv/store.go
@@ -29,8 +29,8 @@
 	typeDelete = "DELETE"
 )
 
-// store holds the data. The methods txn, eventsSince, grant, keepAlive, revoke, expire and close take
-// the lock; the others expect it to be held.
+// store holds the data. The methods txn, eventsSince, grant, keepAlive, revoke, expire and
+// close take the lock; the other methods expect their caller to hold it.
 type store struct {
 	mu        sync.Mutex
 	revision  int64
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -23,8 +23,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("ports")
 
-// The range of ports that pools use. It lies below the range from which operating systems
-// assign ports to outgoing connections, which ignore reservations.
+// The range of ports that pools use. This range lies below the range from which operating
+// systems assign ports to outgoing connections, since an outgoing connection could get a
+// port in spite of its reservation.
 const (
 	firstPort  = 11000
 	blockSize  = 50
@@ -122,9 +123,9 @@
 
 func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// Listen listens on an address from a pool, also right after a listener there was closed: if
-// a child process that is being started has inherited the socket, it waits until the child has
-// closed it.
+// Listen listens on an address from a pool, also right after another listener on that
+// address was closed: if a child process that is being started has inherited the closed
+// listener's socket, Listen waits until the child has closed the socket as well.
 func Listen(addr string) (net.Listener, error) {
 	deadline := time.Now().Add(maxChildWait)
 	for {
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// version holds the entries of the list from a point in time on.
+// version holds the entries that the list has from a point in time until the next version.
 type version struct {
 	since   time.Time
 	entries []Entry
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -68,7 +68,7 @@
 // Close stops the service.
 func (s *Store) Close() { s.server.Kill() }
 
-// Fault turns a switch of fault.Server.Apply.
+// Fault turns one of the switches that fault.Server.Apply describes.
 func (s *Store) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
--- a/replay/arrivals.go
+++ b/replay/arrivals.go
@@ -13,8 +13,8 @@
 }
 
 // Arrivals returns the times of Poisson arrivals, as offsets from the start, that are drawn
-// from seed at the given rates, which are sorted by From. The last arrival is the first one
-// at or after end.
+// from seed at the given rates. The rates must be sorted by From. The last arrival is the
+// first one at or after end.
 func Arrivals(seed uint64, end time.Duration, rates ...Rate) []time.Duration {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	var out []time.Duration
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -49,8 +49,8 @@
 	cancelled            bool
 }
 
-// NewRun returns a run. Signals has room for all signals of a run, so the engine never blocks
-// on a caller that does not read them.
+// NewRun returns a run. The channel Signals can store all signals of a run, so the engine
+// never blocks on a caller that does not read them.
 func NewRun(prompt, cached, answer int) *Run {
 	return &Run{PromptTokens: prompt, CachedTokens: cached, AnswerTokens: answer, Signals: make(chan Signal, 3), prefilled: cached}
 }
