--- a/bench/load_test.go
+++ b/bench/load_test.go
@@ -36,8 +36,9 @@
 	First   int // number of requests through the daemon, and of requests directly to an engine
 }
 
-// report is an answer to a job. A job with streams gets two: one with Open alone, once every
-// stream has a token, and one with the results at the end.
+// report is an answer to a job. A job with streams gets two reports: the first has only
+// Open set and is sent once every stream has a token; the second has the results and is
+// sent at the end.
 type report struct {
 	Open    bool
 	Tokens  int
--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	// The daemon's log would mix with the results of the benchmarks.
+	// The daemon's log is discarded, since it would mix with the results of the benchmarks.
 	if os.Stderr, err = os.OpenFile(os.DevNull, os.O_WRONLY, 0); err != nil {
 		return err
 	}
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -43,8 +43,8 @@
 }
 
 // BenchmarkFirstToken compares the time to the first token of a request through an idle
-// daemon with that of a request sent directly to an engine.
-// The limit: at most 1 ms added at the 99th percentile.
+// daemon with that of a request sent directly to an engine. The limit is 1 ms of added time
+// at the 99th percentile.
 func BenchmarkFirstToken(b *testing.B) {
 	const requests = 1000
 	d := sharedDeployment(b)
@@ -65,15 +65,16 @@
 
 func micros(d time.Duration) float64 { return float64(d.Nanoseconds()) / 1000 }
 
-// BenchmarkForward measures the tokens that the daemon forwards per second of processor time
-// on one core. The streams are read as fast as they come, so that several tokens share one
-// read and one write. The limit: at least 60,000.
+// BenchmarkForward measures the tokens that the daemon forwards per second of processor
+// time on one core. The streams are read as fast as they come, so that several tokens share
+// one read and one write. The result must be at least 60,000.
 func BenchmarkForward(b *testing.B) {
 	forward(b, job{Model: fastModel, Streams: 64, Tokens: 2000})
 }
 
-// BenchmarkForwardPaced measures the same with 600 streams of one token every 30 ms, the rate
-// of real engines: each token takes its own read and write.
+// BenchmarkForwardPaced measures the same as BenchmarkForward, but with 600 streams that
+// each send one token every 30 ms, which is the rate of real engines. At this rate each
+// token takes a read and a write of its own.
 func BenchmarkForwardPaced(b *testing.B) {
 	forward(b, job{Model: pacedModel, Streams: 600, Tokens: 200})
 }
@@ -82,9 +83,9 @@
 // engine refuses an attempt that it has already received.
 var bareRequests atomic.Int64
 
-// BenchmarkForwardPacedBare measures the same with a bare handler in place of the daemon. The
-// handler copies what it reads and flushes, which shows the cost of net/http and the kernel
-// alone.
+// BenchmarkForwardPacedBare measures the same as BenchmarkForwardPaced, but with a bare
+// handler in place of the daemon. The handler copies what it reads and flushes, which shows
+// the cost of net/http and the kernel alone.
 func BenchmarkForwardPacedBare(b *testing.B) {
 	d := sharedDeployment(b)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -34,7 +34,8 @@
 	deadline        time.Time
 	done            chan struct{}
 
-	// After done:
+	// The fields from status to mayHaveRun describe the result. They may be read only after
+	// done is closed.
 	status            int // 0 if no answer came
 	outcome, code     string
 	hasRetryAfter     bool // the answer has a Retry-After header
@@ -113,7 +114,8 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, c.endpoint+"/services/"+serviceName+c.path, strings.NewReader(c.body))
 	if err == nil {
-		// With GetBody set, the test's own transport could send the call a second time.
+		// GetBody is removed, since with it the test's own transport could send the call a
+		// second time.
 		req.GetBody = nil
 		req.Header.Set("Authorization", "Bearer "+apiKey)
 		req.Header.Set("Idempotency-Key", c.key)
@@ -199,7 +201,8 @@
 	// The range uses a shorter prefix than that of the claims, so that a fault that slows
 	// down only requests for claims does not delay this read.
 	const above = "wigeondale/"
-	// Claims of generations use the request id that engines see.
+	// Claims of generations are recorded under the request id that engines see, and not
+	// under the caller's key.
 	call, gen := once.NewKeyID(account, args[0]), once.NewKeyID(account, load.RequestID(account, args[0]))
 	store := infra.NewEtcdKV(infra.KVConfig{URL: "http://" + f.kv}, nil)
 	return waitUntil("claim of "+args[0], func() bool {
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -22,7 +22,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Script commands for configuration, for VMs that leave, and for orders to engines.
+// This init registers the script commands for configuration, for VMs that leave, and for
+// orders to engines.
 func init() {
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
 		"unfenced": wrap(0, unfenced),        // before up: engines do not check fencing numbers
@@ -131,8 +132,9 @@
 	return nil
 }
 
-// race confirms two plans at the same time and fails unless one or both, as given, were
-// accepted. The new plan that wigeonctl prints for the rejected one is saved as offer.json.
+// race confirms two plans at the same time. Its first argument, "one" or "both", is how
+// many of the plans must be accepted. The new plan that wigeonctl prints in place of a
+// rejected plan is saved as offer.json.
 func race(f *testFleet, ts *testscript.TestScript, args []string) error {
 	type result struct {
 		stdout, stderr bytes.Buffer
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -52,9 +52,9 @@
 	exited                      chan struct{} // closed when the process of cmd has exited
 }
 
-// testFleet is the fleet of one script. The stand-ins of backend servers and platform services
-// run in the test's own process, where their crashes are simulated; routers are real
-// processes, which are killed.
+// testFleet is the fleet of one script. The stand-ins of backend servers and platform
+// services run in the test's own process, where their crashes are simulated. Routers are
+// real processes, and scripts kill these processes.
 type testFleet struct {
 	env     *testscript.Env
 	dir     string
@@ -162,8 +162,9 @@
 	def := settings.Default()
 	policy, peers, directory := def.Policy, def.Peers, def.Directory
 	directory.VMsPollMS, directory.LoadPollMS = 100, 50
-	// Only long silences count as failures: on a busy machine a shorter one is a false
-	// suspicion, whose extra attempt would break scripts that count attempts.
+	// Only long silences count as failures. On a busy machine, an engine that is silent for
+	// a shorter time may well be healthy; suspecting it would start an extra attempt, which
+	// would break scripts that count attempts.
 	policy.MinSuspectMS, policy.MaxSuspectMS = 1000, 3000
 	peers.HeartbeatMS, peers.KeyFile = 100, "peer.key"
 	for _, other := range f.routers {
--- a/scenario/inventory_test.go
+++ b/scenario/inventory_test.go
@@ -10,7 +10,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Script commands for the inventory of VMs.
+// This init registers the script commands for the inventory of VMs.
 func init() {
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
 		"relist":  wrap(1, relist),      // relist ENGINE: adds it to the VM list again
--- a/scenario/orders_test.go
+++ b/scenario/orders_test.go
@@ -71,9 +71,10 @@
 	return nil
 }
 
-// checkFencesRise fails if an engine executed an order after one with a higher fencing number.
-// It may run at any time after the fault: an order that a former lease holder sent late stays
-// on the engine's record even after later orders have corrected its effect.
+// checkFencesRise fails if an engine executed an order after it had executed another order
+// with a higher fencing number. It may run at any time after the fault: an order that a
+// former lease holder sent late stays on the engine's record even after later orders have
+// corrected its effect.
 func checkFencesRise(f *testFleet, _ *testscript.TestScript, _ []string) error {
 	orders := 0
 	for _, e := range f.set.Record().Engines {
--- a/scenario/tls_test.go
+++ b/scenario/tls_test.go
@@ -23,13 +23,14 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Script commands for TLS.
+// This init registers the script commands for TLS.
 func init() {
 	commands["tls"] = wrap(0, enableTLS) // before up: all listeners get certificates; peer listeners require client certificates
 	commands["knock"] = wrap(3, knock)   // knock ROUTER none|other|own TEXT: connects to its peer listener without a certificate, with one of another CA or with the fleet's; TEXT is in the error or the status
 }
 
-// certs holds the certificate files of a fleet with TLS; it is nil for a fleet without.
+// certs holds the certificate files of a fleet with TLS; a nil *certs means that the fleet
+// runs without TLS.
 type certs struct {
 	node, other settings.TLS // other is signed by a CA that the fleet does not trust
 	h2, h1      *http.Transport
@@ -146,7 +147,8 @@
 		if err != nil {
 			return err
 		}
-		// Sends the certificate even if the listener requests one of another CA.
+		// With this function, the client sends the certificate even if the listener
+		// requests a certificate of another CA.
 		cfg.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &pair, nil }
 	}
 	tr := &http.Transport{TLSClientConfig: cfg, DisableKeepAlives: true}
