--- a/load/config.go
+++ b/load/config.go
@@ -21,13 +21,14 @@
 	Rate        float64 // requests per second; zero sends none
 	MaxTokens   int
 	PromptBytes int
-	// Prefixes is the number of distinct documents. Each prompt of the class consists of one
-	// of these as a shared prefix and a last line of its own.
+	// Prefixes is the number of distinct documents. Each prompt of the class consists of
+	// one of these documents, which is a prefix that prompts share, and a last line that no
+	// other prompt has.
 	Prefixes int
 	Priority fleet.Priority
 	Timeout  time.Duration
-	// Service, if set, makes the requests calls of GET Path to this service, which is not a
-	// model engine, instead of generations.
+	// If Service is set, the requests of the class are calls GET Path of that service,
+	// which is not a model engine, instead of generations.
 	Service, Path string
 	// NonIdempotent marks the requests as non-idempotent.
 	NonIdempotent bool
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -38,9 +38,10 @@
 	}
 }
 
-// Guards against a run that reports success although an answer was wrong. The router leaves a
-// token out, or ends the answer a token early: both look complete to a caller that only counts
-// answers. An answer that the router cuts short and marks with an error is not a fault.
+// A run must not report success although an answer was wrong. Here the router leaves a
+// token out, or ends the answer a token early: both answers look complete to a caller that
+// only counts answers. An answer that the router cuts short and marks with an error is not
+// a fault.
 func TestRunFindsWrongAnswers(t *testing.T) {
 	const tokens = 5
 	cases := []struct {
--- a/load/one.go
+++ b/load/one.go
@@ -142,8 +142,9 @@
 	return res, nil
 }
 
-// addRecord adds the losses that the caller could not distinguish from a slow token, because
-// another engine resumed the answer behind the same connection to the router.
+// addRecord adds the losses that only the record shows: the caller could not distinguish
+// such a loss from a slow token, because another engine resumed the answer while the
+// caller's connection to the router stayed the same.
 func (r *OneResult) addRecord(rec *Record, gaps []time.Duration) {
 	for _, at := range rec.Resumes()[r.Request] {
 		known := slices.ContainsFunc(r.Losses, func(l Loss) bool { return l.Token == at })
--- a/load/run.go
+++ b/load/run.go
@@ -107,8 +107,8 @@
 	return got
 }
 
-// addGap records the wait before an event with n tokens: the first token gets the wait, the
-// others, which arrived with it, get none.
+// addGap records the wait before an event with n tokens: the first token gets the wait d,
+// and each other token gets a wait of 0, since it arrived together with the first.
 func (a *answer) addGap(d time.Duration, n int) {
 	a.gaps = append(a.gaps, d)
 	for range n - 1 {
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -21,8 +21,8 @@
 // Name implements Experiment.
 func (detection) Name() string { return "detection" }
 
-// Engines of the detection experiment: a decode step takes 30 ms, and 10,000 prompt tokens are
-// prefilled per second.
+// These constants describe the engines of the detection experiment: a decode step takes 30
+// ms, and 10,000 prompt tokens are prefilled per second.
 const (
 	detectionEngines = 8
 	stepMS           = 30
@@ -67,7 +67,8 @@
 	}
 }
 
-// The sweep sets wide bounds on the threshold, so that the weights determine it.
+// The sweep sets wide bounds on the threshold, so that the weights and not the bounds
+// determine the threshold.
 const (
 	sweepMinMS = 80
 	sweepMaxMS = 8000
@@ -176,8 +177,8 @@
 	if err := <-played; err != nil {
 		return tally{}, err
 	}
-	// Wait until thawed engines have stopped: without a client, they generate until their
-	// linger time has passed.
+	// Wait until thawed engines have stopped generating: without a client, an engine goes
+	// on until the linger time of the stream has passed.
 	if !load.SleepUntil(ctx, time.Now().Add(settleTime)) {
 		return tally{}, Error.Wrap(ctx.Err())
 	}
--- a/measure/domainloss.go
+++ b/measure/domainloss.go
@@ -17,8 +17,9 @@
 // Name implements Experiment.
 func (domainLoss) Name() string { return "domain-loss" }
 
-// Fleet and load of the domain-loss experiment. draftsPerEngine is the number of long generations
-// (drafts) per second that leaves about a tenth of an engine's slots free.
+// These constants describe the fleet and the load of the domain-loss experiment.
+// draftsPerEngine is the number of long generations (drafts) per second that leaves about a
+// tenth of an engine's slots free.
 const (
 	enginesPerDomain = 2
 	draftsPerEngine  = 6
--- a/measure/drive.go
+++ b/measure/drive.go
@@ -25,8 +25,9 @@
 	Timeout     time.Duration
 }
 
-// Classes of the detection experiment: Drafts are long generations of batch priority, Lookups short
-// interactive ones. With a decode step of 30 ms, a draft takes 9 s.
+// These are the classes of the detection experiment. Drafts are long generations of batch
+// priority, and Lookups are short interactive generations. With a decode step of 30 ms, a
+// draft takes 9 s.
 var (
 	Drafts = Class{Name: "draft", Rate: 5, MaxTokens: 300, PromptBytes: 8 << 10, Documents: 64,
 		Priority: fleet.Batch, Timeout: 60 * time.Second}
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -32,8 +32,9 @@
 	restartAfter = 3 * time.Second
 	frozenFor    = 6500 * time.Millisecond
 	preemptedFor = 50 * step
-	// afterFault is the time after the end of a fault in which a loss still counts as caused
-	// by it: data in socket buffers and work until the next tick arrive late.
+	// afterFault is the time after the end of a fault in which a loss still counts as
+	// caused by that fault, since data in socket buffers and work until the next tick
+	// arrive late.
 	afterFault = 300 * time.Millisecond
 )
 
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -23,8 +23,8 @@
 // Name implements Experiment.
 func (hedged) Name() string { return "hedge" }
 
-// Load and fault of the hedge experiment: at random times one answer of a random replica is
-// delayed, as a pause or a lost packet would delay it.
+// These constants describe the load and the fault of the hedge experiment: at random times
+// one answer of a random replica is delayed, as a pause or a lost packet would delay it.
 const (
 	tagService   = "tags"
 	tagReplicas  = 4
--- a/measure/limit.go
+++ b/measure/limit.go
@@ -11,14 +11,16 @@
 )
 
 // limit cuts all links between three routers and measures how much of the load of client
-// accounts is admitted then, relative to the accounts' limits for the complete fleet.
+// accounts is admitted while the links are cut, relative to the accounts' limits for the
+// complete fleet.
 type limit struct{}
 
 // Name implements Experiment.
 func (limit) Name() string { return "limit" }
 
-// Accounts of the limit experiment. Each sends five times its limit: one equally to all
-// routers, the other mostly to the first.
+// These constants describe the two client accounts of the limit experiment. Each account
+// sends five times its limit: evenAccount equally to all routers, skewedAccount mostly to
+// the first router.
 const (
 	evenAccount      = "even"
 	skewedAccount    = "skewed"
--- a/measure/measure_test.go
+++ b/measure/measure_test.go
@@ -13,9 +13,9 @@
 	"wigeondale/settings"
 )
 
-// Guards against a run that fails after minutes, or measures something other than intended,
-// because a process rejects or misreads its settings. The programs that read the files of each
-// fleet must accept them.
+// The programs that read the settings files of each fleet must accept these files. If a
+// process rejects or misreads its settings, a run fails after minutes, or measures
+// something other than intended.
 func TestWrittenSettingsAreTaken(t *testing.T) {
 	for _, x := range experiments() {
 		dir := t.TempDir()
@@ -95,7 +95,8 @@
 	}
 }
 
-// Guards against a policy that appears fast because it skipped, repeated or mixed up tokens.
+// A run must fail if an answer has skipped, repeated or mixed-up tokens. Otherwise a policy
+// can appear fast because it delivers wrong answers.
 func TestWrongAnswersFailTheRun(t *testing.T) {
 	rnd := uint16(0)
 	text := func(n int) string {
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -18,8 +18,8 @@
 // Name implements Experiment.
 func (overload) Name() string { return "overload" }
 
-// The overload experiment has two client accounts: Account, which sends most of the load, and
-// this one.
+// The overload experiment has two client accounts: Account, which sends most of the load,
+// and smallAccount.
 const smallAccount = "small"
 
 // Six engines with 16 slots each and generations of 2 s (drafts) give a capacity of 48 drafts per
@@ -222,11 +222,11 @@
 	return n
 }
 
-// recovery evaluates the requests that arrive in each second after the load is normal again. A
-// second is good if 95 of 100 of its requests complete and get their first token within three
-// times the median from before the overload. It returns the number of seconds until the first
-// good one, and the percentage of such requests in the worst second from there on: 100 means
-// that the latency did not rise a second time.
+// recovery evaluates the requests that arrive in each second after the load is normal
+// again. A second is good if 95 of 100 of its requests complete and get their first token
+// within three times the median from before the overload. It returns the number of seconds
+// until the first good second, and the percentage of requests that meet both conditions in
+// the worst second from there on: 100 means that the latency did not rise a second time.
 func recovery(answers []Answer, before phase, normal, end time.Duration) (after, worst float64) {
 	limit := map[string]time.Duration{}
 	for _, class := range []string{"lookup", "draft"} {
--- a/measure/plan.go
+++ b/measure/plan.go
@@ -171,8 +171,9 @@
 type portPool struct{ used map[int]bool }
 
 // The kernel's ephemeral range starts at 32768 by default. Ports that are chosen before the
-// stand-ins start have a range of their own, since Settings runs in another process and does
-// not know which were chosen. The demonstration's ports, from 19100 on, are not used.
+// stand-ins start have a range of their own, since Settings runs in another process and
+// does not know which ports were chosen. The demonstration's ports, from 19100 on, are not
+// used.
 const (
 	minEnginePort = 10_000
 	maxEnginePort = 19_000
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -18,8 +18,8 @@
 // Name implements Experiment.
 func (routingChoice) Name() string { return "routing" }
 
-// Engines of the routing experiment, and the lag and loss of their load reports and cache
-// events.
+// These constants describe the engines of the routing experiment, and the lag and the loss
+// of their load reports and cache events.
 const (
 	routingEngines = 9
 	reportLagMS    = 1000
--- a/measure/startover.go
+++ b/measure/startover.go
@@ -20,9 +20,10 @@
 	Engine string
 }
 
-// startOver is a client without routers, as the baseline. It sends requests to the engines in
-// turn. When an engine is silent for the timeout or its connection breaks, it discards the
-// text and starts the request over at the next engine.
+// startOver is the client that serves as the baseline: it uses no routers, and sends
+// requests to the engines in turn. When an engine is silent for the timeout or the
+// connection to the engine breaks, the client discards the text and starts the request over
+// at the next engine.
 type startOver struct {
 	r                 *Running
 	engines           []string
--- a/measure/tally.go
+++ b/measure/tally.go
@@ -78,7 +78,7 @@
 }
 
 // addWaits attributes each long wait between two tokens to the fault of the engine that
-// delivered the token before it.
+// delivered the token before the wait.
 func (t *tally) addWaits(a *Answer, attempts []engineAttempt, faults []fault) {
 	for i := 1; i < len(a.Tokens); i++ {
 		from, to := a.Tokens[i-1], a.Tokens[i]
