--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -117,7 +117,7 @@
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
 	Getenv         func(string) string
-	// Stream runs the stream command; nil means that this build does not have it.
+	// Stream runs the stream command; nil means that this build does not have that command.
 	Stream func(ctx context.Context, cmd StreamCmd, apiKey string, stdout io.Writer) error
 }
 
--- a/daemon/inventory.go
+++ b/daemon/inventory.go
@@ -21,7 +21,8 @@
 func (p inventoryPeers) Members() []peer.Member    { return p.mesh.Members() }
 func (p inventoryPeers) Neighbour() (string, bool) { return p.mesh.RandomNeighbour() }
 
-// Flood broadcasts changes. What a flood misses is repaired by comparing digests.
+// Flood broadcasts changes. A router that misses a flood gets the changes later, when
+// routers compare the digests of their inventories.
 func (p inventoryPeers) Flood(d inventory.Delta) { _ = p.mesh.Flood(floodInventory, d) }
 
 func (p inventoryPeers) Compare(ctx context.Context, node string, d inventory.Digest) (inventory.Digest, error) {
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -25,8 +25,8 @@
 	// that the link is cut.
 	maxPointerMisses = 2
 	pointerBackoff   = time.Second
-	// maxPointers limits the pointers stored for other routers, of about 100 bytes
-	// each.
+	// maxPointers limits the number of pointers that are stored for other routers, of about
+	// 100 bytes each. At the limit, a new pointer is not stored.
 	maxPointers = 100_000
 )
 
--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -18,8 +18,8 @@
 	at    time.Time
 }
 
-// cache is a least-recently-used set of prefix blocks. It drops a share of its events on
-// purpose. A dropped event uses up a sequence number, so readers see a gap.
+// cache is a least-recently-used set of prefix blocks. The cache drops a share of its
+// events on purpose. A dropped event uses up a sequence number, so readers see a gap.
 type cache struct {
 	limit       int
 	dropPercent int
--- a/fakes/engine/engine_test.go
+++ b/fakes/engine/engine_test.go
@@ -96,7 +96,7 @@
 }
 
 // read reads until n chunks have been received, or to the end if n is negative. It reports
-// whether it got there before the connection failed.
+// whether it received all of them before the connection failed.
 func (r *streamClient) read(n int) bool {
 	r.t.Helper()
 	for !r.done && (n < 0 || r.chunks < n) && r.scanner.Scan() {
--- a/fakes/fault/args.go
+++ b/fakes/fault/args.go
@@ -14,8 +14,8 @@
 // ErrArgs is returned for invalid arguments.
 var ErrArgs = Error.New("bad arguments")
 
-// Args holds the arguments of a fault switch. The documentation of each switch lists those that it
-// reads.
+// Args holds the arguments of a fault switch. The documentation of each switch lists the
+// arguments that the switch reads.
 type Args struct {
 	MS      float64 `json:"ms"`      // milliseconds
 	N       int     `json:"n"`       // how often the fault applies; 0 means once
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -251,8 +251,8 @@
 	r.serveComplete(w, a, f)
 }
 
-// crashDuring crashes the replica while it runs a request: an engine after it has sent the response
-// header.
+// crashDuring crashes the replica while it runs a request. An engine first sends the
+// response header; other replicas send nothing.
 func (r *Replica) crashDuring(w http.ResponseWriter) {
 	if r.Engine {
 		w.WriteHeader(http.StatusOK)
@@ -278,9 +278,10 @@
 	}
 }
 
-// receive records a request and returns the faults in force and the status of a refusal, or 0.
-// If the request names a replica for its copy, it is copied there without a lock held here: two
-// replicas that keep each other's copies would deadlock.
+// receive records a request and returns the faults in force and the status of a refusal, or
+// 0. If the request names a replica for a copy of the run, receive stores the copy at that
+// replica after it has released the lock of this replica. Otherwise two replicas that store
+// copies for each other would deadlock.
 func (r *Replica) receive(a *Arrival) (f Faults, refuse int) {
 	f, refuse = r.recordArrival(a)
 	if standby := a.Header.Get("X-Kv-Backup"); refuse == 0 && standby != "" {
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// Cancel marks a run whose caller has disconnected; it is removed before the next step.
+// Cancel marks a run whose caller has disconnected; the run is removed before the next
+// step.
 func (e *Engine) Cancel(r *Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/settings/load.go
+++ b/settings/load.go
@@ -89,9 +89,9 @@
 	return s, problems
 }
 
-// Load reads and checks the file at path. Relative paths in it are resolved from its
-// folder. It also reads the keys and certificates, so that a wrong path is found before
-// any socket is opened.
+// Load reads and checks the file at path. Relative paths in the file are resolved from the
+// folder of the file. Load also reads the keys and certificates, so that a wrong path is
+// found before any socket is opened.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -27,7 +27,7 @@
 
 	orderedVersions int // number of versions ordered so far
 	rollouts        map[string]*rolloutOrder
-	// badVersions holds the faults that replicas of each bad version have.
+	// badVersions maps each bad version to the faults that its replicas have.
 	badVersions map[string]fakes.Faults
 	rolloutMu   sync.Mutex
 	watchers    sync.WaitGroup
