--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -40,7 +40,7 @@
 type Node struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
-	Revision      uint64 `json:"revision"` // in force there, as last reported
+	Revision      uint64 `json:"revision"` // revision in force on that node, as last reported
 	Reachable     bool   `json:"heard"`    // false if the membership lists it as dead
 }
 
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -101,7 +101,7 @@
 		engine := d.ports[fmt.Sprint(pacedModel, n%enginesEach)]
 		resp, err := client.Post("http://"+engine+"/v1/completions", "application/json", strings.NewReader(body))
 		if err != nil {
-			return // the same
+			return // as above: the caller receives an answer without tokens
 		}
 		defer resp.Body.Close()
 		copyFlushing(w, resp.Body)
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -47,7 +47,7 @@
 	KeyFile    string        `arg:"--key-file" help:"file with the API key (default: environment WIGEON_API_KEY)"`
 	Timeout    time.Duration `arg:"--stream-timeout" default:"10m"`
 	// RootCAs are read from the file that the option --ca-file names. Without that option
-	// RootCAs is nil.
+	// RootCAs is nil, and Stream calls the routers over HTTP without TLS.
 	RootCAs *x509.CertPool `arg:"-"`
 }
 
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -129,7 +129,7 @@
 // can't be returned to callers: with a code that is not in the caller API's list, a request
 // over the limit of its client account would get the status of an overload.
 var codeOf = map[admission.Reason]string{
-	admission.ReasonUnknownAccount: callerapi.CodeNotReady, // its limits have not reached this router yet
+	admission.ReasonUnknownAccount: callerapi.CodeNotReady, // the account's limits have not reached this router yet
 	admission.ReasonRate:           callerapi.CodeRateLimited,
 	admission.ReasonConcurrency:    callerapi.CodeAccountLimit,
 	admission.ReasonQueueFull:      callerapi.CodeOverloaded,
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -22,8 +22,8 @@
 	log    *event.Log
 
 	mu      sync.Mutex
-	planned bool // by the configuration; a later plan may cancel it
-	listed  bool // by the VM list; a later "live" from the lagging list does not cancel it
+	planned bool // leaving by the configuration; a later plan may cancel this
+	listed  bool // leaving by the VM list; a later "live" from the lagging list does not cancel this
 	since   time.Time
 	entries []intent.EntryVM
 }
--- a/daemon/pointers_test.go
+++ b/daemon/pointers_test.go
@@ -46,7 +46,7 @@
 		out = append(out, m)
 	}
 	t.Cleanup(func() { cancel() })
-	for range n * (n - 1) { // both ends of each link report it
+	for range n * (n - 1) { // both ends of each link report the link
 		<-linked
 	}
 	return out
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -56,7 +56,7 @@
 		Priority: call.Priority, Cost: serviceCost, Deadline: call.Deadline,
 	})
 	if err != nil {
-		return nil, refusalFailure(0, toUnavailable(err)) // its code has a status
+		return nil, refusalFailure(0, toUnavailable(err)) // callerapi sets the status that belongs to the code
 	}
 	defer release(serviceCost)
 	if call.Idempotent {
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -39,7 +39,7 @@
 	status            int // 0 if no answer came
 	outcome, code     string
 	hasRetryAfter     bool // the answer has a Retry-After header
-	matches           bool // the answer is that to this request: its id and digest match
+	matches           bool // the answer belongs to this request: the id and the digest in the answer match
 	earlierAnswers    int  // answers before this one, with -until
 	err               error
 	mayHaveRun        bool // at least one answer did not rule out that the call ran
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -28,24 +28,24 @@
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
 		"unfenced": wrap(0, unfenced),        // before up: engines do not check fencing numbers
 		"weights":  wrap(3, weightStore),     // before up: weights STORE-BYTES/S BUDGET-BYTES/S VERSION=BYTES...
-		"begin":    wrap(1, startNoWait),     // begin ROUTER: starts it again after it has exited, without waiting until it is ready
-		"ready":    wrap(2, waitReady),       // ready ROUTER yes|no [TEXT]: waits until /readyz reports that it is ready or, with no, that it is not, and has TEXT in its body
-		"logged":   wrap(2, logged),          // logged ROUTER TEXT: waits until its log contains TEXT
+		"begin":    wrap(1, startNoWait),     // begin ROUTER: starts the router again after it has exited, without waiting until the router is ready
+		"ready":    wrap(2, waitReady),       // ready ROUTER yes|no [TEXT]: waits until /readyz reports that the router is ready or, with no, that the router is not ready, and has TEXT in its body
+		"logged":   wrap(2, logged),          // logged ROUTER TEXT: waits until the router's log contains TEXT
 		"watches":  wrap(2, watches),         // watches PREFIX N: waits until N watches of the prefix are open
 		"race":     wrap(3, race),            // race one|both PLAN PLAN: confirms the plans at the same time, at r1 and r2
 		"post":     wrap(2, post),            // post NAME ROUTER [TOKENS]: writes a request to the router's socket and returns without waiting for the answer
 		"answered": wrap(2, answered),        // answered NAME STATUS|STATUS... [OUTCOME]: waits for the answer to post and compares it
-		"count":    wrap(1, count),           // count ENGINE: stores how many dispatches it has received
-		"nonew":    wrap(1, noNew),           // nonew ENGINE: fails if it has received a dispatch since count
+		"count":    wrap(1, count),           // count ENGINE: stores how many dispatches the engine has received
+		"nonew":    wrap(1, noNew),           // nonew ENGINE: fails if the engine has received a dispatch since the command count
 		"others":   wrap(1, excludeRouter),   // others ROUTER: from now on wigeonctl connects to all routers except this one
-		"refused":  wrap(1, waitRefused),     // refused ROUTER: waits until it refuses a new request as not run
+		"refused":  wrap(1, waitRefused),     // refused ROUTER: waits until the router refuses a new request as not run
 		"place":    wrap(3, place),           // place FILE ENGINE VERSION...: writes an intent that places the versions on the engine
-		"rising":   wrap(0, checkFencesRise), // fails if an engine executed an order after one with a higher fencing number
-		"looking":  wrap(1, waitOrderRound),  // looking ROUTER: waits until it starts another round over the engines' order status
+		"rising":   wrap(0, checkFencesRise), // fails if an engine executed an order after an order with a higher fencing number
+		"looking":  wrap(1, waitOrderRound),  // looking ROUTER: waits until the router starts another round over the engines' order status
 		"holder":   wrap(1, waitHolder),      // holder VARIABLE [ROUTER]: waits until a router other than ROUTER holds the lease for orders and sets VARIABLE
-		"engine":   wrap(3, engineStatus),    // engine ENGINE dotted.path VALUE|VALUE...: waits until its order status has one of the values
+		"engine":   wrap(3, engineStatus),    // engine ENGINE dotted.path VALUE|VALUE...: waits until the engine's order status has one of the values
 		"atmost":   wrap(1, atMostLoads),     // atmost N: fails if more than N loads from the weight store ran at once
-		"served":   wrap(2, servedVersions),  // served VERSION N|N+: waits until N engines (with +: at least N) serve it
+		"served":   wrap(2, servedVersions),  // served VERSION N|N+: waits until N engines (with +: at least N) serve the version
 	} {
 		commands[name] = c
 	}
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -46,8 +46,8 @@
 type router struct {
 	name, settingsFile, logFile string
 	caller, admin, peer         string // host:port
-	relayAddr                   string // host:port of the relay through which peers dial it
-	tls                         *certs // nil: plain HTTP
+	relayAddr                   string // host:port of the relay through which peers dial this router
+	tls                         *certs // nil means plain HTTP
 	cmd                         *exec.Cmd
 	exited                      chan struct{} // closed when the process of cmd has exited
 }
@@ -62,7 +62,7 @@
 	kv      string
 	routers []*router
 
-	tls              *certs           // nil: plain HTTP
+	tls              *certs           // nil means plain HTTP
 	unfenced         bool             // the engines do not check fencing numbers
 	weightSizes      map[string]int64 // bytes of weights by model version
 	weightStoreRate  float64          // bytes/s that the weight store delivers
--- a/scenario/inventory_test.go
+++ b/scenario/inventory_test.go
@@ -13,9 +13,9 @@
 // This init registers the script commands for the inventory of VMs.
 func init() {
 	for name, c := range map[string]func(*testscript.TestScript, bool, []string){
-		"relist":  wrap(1, relist),      // relist ENGINE: adds it to the VM list again
+		"relist":  wrap(1, relist),      // relist ENGINE: adds the engine to the VM list again
 		"resting": wrap(2, waitResting), // resting VARIABLE READER: waits until all routers but one read the VM list; sets VARIABLE to that one and READER to a reader in its failure domain
-		"unread":  wrap(2, checkUnread), // unread ROUTER N: waits for N more reads of the VM list and fails if this router made one
+		"unread":  wrap(2, checkUnread), // unread ROUTER N: waits for N more reads of the VM list and fails if ROUTER made one of these reads
 	} {
 		commands[name] = c
 	}
--- a/scenario/tls_test.go
+++ b/scenario/tls_test.go
@@ -26,7 +26,7 @@
 // This init registers the script commands for TLS.
 func init() {
 	commands["tls"] = wrap(0, enableTLS) // before up: all listeners get certificates; peer listeners require client certificates
-	commands["knock"] = wrap(3, knock)   // knock ROUTER none|other|own TEXT: connects to its peer listener without a certificate, with one of another CA or with the fleet's; TEXT is in the error or the status
+	commands["knock"] = wrap(3, knock)   // knock ROUTER none|other|own TEXT: connects to the router's peer listener without a certificate, with a certificate of another CA or with the fleet's; TEXT is in the error or the status
 }
 
 // certs holds the certificate files of a fleet with TLS; a nil *certs means that the fleet
--- a/soak/platform_restarts.go
+++ b/soak/platform_restarts.go
@@ -34,7 +34,7 @@
 	return func() {
 		restarted, err := rep.Restart(time.Now().Add(clockOffset).UnixMilli())
 		if err != nil {
-			r.replace(rep) // its port is in use by another listener
+			r.replace(rep) // the replica's port is in use by another listener
 			return
 		}
 		r.mu.Lock()
