--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -203,7 +203,7 @@
 	var out bytes.Buffer
 	code := ctl.Main(context.Background(), []string{"--admin", admin, "apply", "-f", "-", "--yes"}, ctl.Env{
 		Stdin: strings.NewReader(intents), Stdout: &out, Stderr: &out,
-		Getenv: func(string) string { return operator }, // wigeonctl reads only the token from the environment
+		Getenv: func(string) string { return operator }, // apply calls Getenv for the token only
 	})
 	if code != 0 {
 		return fmt.Errorf("wigeonctl apply: exit code %d: %s", code, out.String())
