--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	// The daemon's log would mix with the results of the benchmarks.
+	// The daemon's log is discarded, since it would mix with the results of the benchmarks.
 	if os.Stderr, err = os.OpenFile(os.DevNull, os.O_WRONLY, 0); err != nil {
 		return err
 	}
@@ -203,7 +203,7 @@
 	var out bytes.Buffer
 	code := ctl.Main(context.Background(), []string{"--admin", admin, "apply", "-f", "-", "--yes"}, ctl.Env{
 		Stdin: strings.NewReader(intents), Stdout: &out, Stderr: &out,
-		Getenv: func(string) string { return operator }, // it asks for the token only
+		Getenv: func(string) string { return operator }, // apply calls Getenv for the token only
 	})
 	if code != 0 {
 		return fmt.Errorf("wigeonctl apply: exit code %d: %s", code, out.String())
