--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// isCulprit reports whether the crashes under s are caused by s.
+// isCulprit reports whether the recorded crashes are enough evidence that the request of s
+// makes backend servers crash.
 func (t *Tracker) isCulprit(s *suspect, now time.Duration) bool {
 	counted := t.countedCrashes(s, now)
 	if s.cleared {
@@ -17,9 +18,9 @@
 	return len(counted) >= conclusiveCrashes || t.unsharedCrashes(s, counted, now) >= minUnsharedCrashes && s.crashedRepeatedly(counted)
 }
 
-// crashedRepeatedly reports whether the same submission was running at two of the crashes, one
-// after the other. A request that many clients send at once is present at each crash, whatever
-// its cause, but each time with another submission.
+// crashedRepeatedly reports whether the same submission of s was running at two of the counted
+// crashes, one after the other. A request that many clients send at once is running at each
+// crash, whatever the cause of the crash, but each time with another submission.
 func (s *suspect) crashedRepeatedly(counted []string) bool {
 	seen := map[uint64]bool{}
 	for _, c := range s.crashes {
@@ -52,8 +53,9 @@
 }
 
 // countedCrashes returns the incarnations whose crashes count against s. Of crashes at the same
-// moment only one counts, unless the request was sent to the later one after the earlier crash:
-// a request that runs at many backend servers loses several of them to one cause.
+// moment only the first counts, unless the request was sent to the backend server that crashed
+// later only after the first crash: one cause can end several of the many backend servers at
+// which a request runs.
 func (t *Tracker) countedCrashes(s *suspect, now time.Duration) []string {
 	var out []string
 	var last Crash
--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -29,19 +29,21 @@
 // Loss is an attempt that ended before its answer was complete.
 type Loss struct {
 	Backend fleet.Backend
-	// Chunks is the number of tokens or chunks that the attempt had delivered; SinceFirst is how
-	// long ago the first of them came.
+	// Chunks is the number of tokens or chunks that the attempt had delivered; SinceFirst is the
+	// time from the first of them to the loss.
 	Chunks     int
 	Ran        time.Duration // since the attempt was sent
 	SinceFirst time.Duration
-	// Cause is how the loss was noticed.
+	// Cause states for the log how the router noticed the loss.
 	Cause string
 
 	incarnation string
 	at          time.Duration
 }
 
-// examine finds out what caused a loss, and counts a crash against the request.
+// examine probes the backend server of a lost attempt. If the backend server exited on its own,
+// before the first token or chunk or less than earlyWindow after it, examine counts the crash
+// against the request; after a longer run it only records the exit.
 func (g *Guard) examine(s *Submission, l Loss) {
 	state := g.probe(l.Backend)
 	onItsOwn := state == Exited && !g.domainExited(l)
@@ -60,8 +62,9 @@
 	}
 }
 
-// recordExit records the exit of a backend server, and broadcasts it if it was not known. The
-// exit counts against no request.
+// recordExit records the exit of a backend server, and broadcasts the exit if it was not known.
+// The exit counts against no request, but may show that other exits at the same moment have a
+// common cause.
 func (g *Guard) recordExit(l Loss) {
 	var added bool
 	g.withTracker(func(t *Tracker, _ time.Duration) { added = t.Exited(l.incarnation, l.at) })
@@ -90,11 +93,12 @@
 	return g.cfg.Prober.Probe(ctx, b)
 }
 
-// domainExited reports whether all other backend servers of the failure domain exited together
-// with the backend server of l: then no request that was running there is the cause. Backend
-// servers that had exited on their own earlier, or before the request was sent to the backend
-// server of l, are not evidence: crashes under the same request may have left only few of the
-// domain running.
+// domainExited reports whether the other backend servers of the failure domain (a sample of up
+// to maxNeighbours) exited together with the backend server of l: then no request that was
+// running at the backend server of l is the cause. Backend servers that had exited on their own
+// earlier, or before the request was sent to the backend server of l, are not evidence: crashes
+// under the same request may have left only few of the domain running. With fewer than
+// minNeighbours backend servers as evidence the result is false.
 func (g *Guard) domainExited(l Loss) bool {
 	moment := l.at - min(l.Ran, simultaneousWindow)
 	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, maxNeighbours), func(b fleet.Backend) bool {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -33,8 +33,8 @@
 	wrongHolds map[string]bool          // other requests that were refused by a quarantine
 }
 
-// background is the mean time between crashes that no request causes, in addition to crashes
-// of whole failure domains.
+// background holds the mean times between crashes that no request causes, by the kind of crash,
+// in addition to crashes of whole failure domains.
 type background struct {
 	partial time.Duration // between crashes of 15 in 100 servers at one moment
 	single  time.Duration // between crashes of single servers
@@ -108,7 +108,8 @@
 	heap.Push(&m.queue, modelEvent{m.now + d, do})
 }
 
-// repeat calls do at random times, with the given mean time between calls.
+// repeat calls do at random times on the simulated clock, with the given mean time between
+// calls.
 func (m *fleetModel) repeat(mean time.Duration, do func()) {
 	m.after(time.Duration(m.rng.ExpFloat64()*float64(mean)), func() {
 		do()
@@ -266,7 +267,7 @@
 	m.after(5*time.Millisecond, func() { m.send(r) })
 }
 
-// examined has a router record the cause of a loss and broadcast it.
+// examined has a router record the crash found after a loss, and broadcast the crash.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
 		if m.routers[router].Exited(c.Incarnation, c.At) {
@@ -384,8 +385,8 @@
 	}
 }
 
-// maxLateRuns is how often a request may still reach servers, over all routers, when more than
-// modelWindow has passed since the third crash under the request.
+// maxLateRuns is how often, over all routers, a request that crashes its servers may still be
+// sent to servers when more than modelWindow has passed since the third crash under the request.
 const maxLateRuns = 3
 
 func fleetCount(routers int) int {
@@ -397,7 +398,7 @@
 
 // A request that crashes its backend servers must not be sent again and again through one
 // router after the other, and no other request must be quarantined for crashes with other
-// causes. The test counts both in simulated fleets of several sizes.
+// causes. The test counts both faults in simulated fleets of several sizes.
 func TestCrashersAreHeldAndOthersAreNot(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
 		sum := simulateFleets(fleetCount(routers), routers, normalCrashRates)
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -37,9 +37,11 @@
 	Isolated func() bool
 	// Broadcast sends an update to all other routers; it must not block. With nil nothing is sent.
 	Broadcast func(Update)
-	// OnHold is called for each request that is newly quarantined, with found true if this
-	// router found it. OnLift is called for each hold that this router ended because it was
-	// wrong or because an operator lifted it. They must not block.
+	// OnHold is called for each request that is newly quarantined at this router; found is true
+	// if this router itself saw the last of the crashes, and false if this router only received
+	// a report of the crash or of the hold. OnLift is called for each hold that this router
+	// ended because the hold was wrong or because an operator lifted it. Neither function may
+	// block.
 	OnHold func(h HoldUpdate, found bool)
 	OnLift func(d Digest)
 	// Now reads a clock that also advances while the machine is suspended. If it is nil, the
@@ -87,13 +89,13 @@
 	mu      sync.Mutex
 	tracker *Tracker
 	outbox  outbox
-	// decided is closed at each decision, which wakes the requests that wait for one, and
-	// replaced by a new channel.
+	// decided is closed whenever a decision about any request was made, which wakes the requests
+	// that wait for a decision; the channel is then replaced by a new one. mu guards the field.
 	decided chan struct{}
 }
 
-// NewGuard returns a Guard. Until SetKey sets the key that all routers share, it uses a random
-// key, so that other routers can't match the digests in its updates.
+// NewGuard returns a Guard. Until SetKey sets the key that all routers share, the Guard uses a
+// random key of its own, so that other routers can't match the digests in its updates.
 func NewGuard(cfg Config) *Guard {
 	cfg = cfg.withDefaults()
 	g := &Guard{cfg: cfg, tracker: NewTracker(), decided: make(chan struct{})}
@@ -104,8 +106,9 @@
 	return g
 }
 
-// SetKey sets the key of digests, which all routers must share. Suspects that this router found
-// with another key are of no use any more and are dropped; holds that it received are kept.
+// SetKey sets the key of digests, which all routers must share. Requests that are suspected
+// because of crashes are dropped, since their digests were made with another key; holds that
+// this router only received are kept.
 func (g *Guard) SetKey(key []byte) {
 	if g == nil || bytes.Equal(key, *g.key.Load()) {
 		return
@@ -114,7 +117,8 @@
 	g.withTracker(func(t *Tracker, _ time.Duration) { t.ForgetCrashes() })
 }
 
-// Track starts to track one submission of a request.
+// Track returns the Submission that stands for one submission of a request by a client. It is
+// nil, and the request isn't tracked, if the Guard is nil.
 func (g *Guard) Track(s Subject) *Submission {
 	if g == nil {
 		return nil
@@ -132,8 +136,9 @@
 	g.nonEmpty.Store(!g.tracker.Empty())
 }
 
-// crashed records a crash under a request. If the crash makes a decision due, the decision
-// follows after decisionDelay. added is false if the crash was known or doesn't count.
+// crashed records that a backend server crashed while it ran a request. If the recorded crashes
+// are then enough to quarantine the request, the decision follows after decisionDelay. added is
+// false if the crash was known already or doesn't count.
 func (g *Guard) crashed(d Digest, account string, c Crash) (added bool) {
 	var pending bool
 	var crashes int
@@ -177,8 +182,9 @@
 	}
 }
 
-// decision reports whether a request is quarantined. If a decision about it is due, decided
-// is a channel that is closed at the next decision.
+// decision reports whether a request is quarantined. If a decision about the request is due,
+// decided is a channel that is closed at the next decision about any request; otherwise decided
+// is nil.
 func (g *Guard) decision(d Digest) (quarantined bool, decided <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -199,8 +205,8 @@
 	g.decided = make(chan struct{})
 }
 
-// announce calls OnHold for a newly quarantined request, and broadcasts the hold if it was
-// found here.
+// announce calls OnHold for a newly quarantined request, and broadcasts the hold if foundHere
+// is true, which means that this router saw the last of the crashes.
 func (g *Guard) announce(n HoldUpdate, foundHere bool) {
 	if foundHere {
 		g.broadcast(Update{Holds: []HoldUpdate{n}})
@@ -208,7 +214,9 @@
 	g.cfg.OnHold(n, foundHere)
 }
 
-// answered records an answer to a request.
+// answered records that a request was answered at the time at. If crashes under the request are
+// dropped because of the answer, answered also broadcasts the answer, so that the other routers
+// drop them too.
 func (g *Guard) answered(d Digest, at time.Duration) {
 	var suspected, lifted bool
 	g.withTracker(func(t *Tracker, now time.Duration) { suspected, lifted = t.Answered(d, at, now) })
@@ -309,7 +317,8 @@
 	return hold, quarantined
 }
 
-// RebroadcastHold broadcasts the hold of a request once more.
+// RebroadcastHold broadcasts the hold of a request once more, if the request is still
+// quarantined.
 func (g *Guard) RebroadcastHold(d Digest) {
 	if hold, quarantined := g.HoldOf(d); quarantined {
 		g.broadcast(Update{Holds: []HoldUpdate{hold}})
@@ -322,8 +331,8 @@
 	return out
 }
 
-// broadcast sends an update to the other routers, in one message with the other updates of the
-// next milliseconds.
+// broadcast sends an update to the other routers, in one message with the other updates that
+// arise until the message goes out. The update is dropped if too many updates already wait.
 func (g *Guard) broadcast(n Update) {
 	g.mu.Lock()
 	wait, arm, kept := g.outbox.put(n, g.cfg.Now())
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,9 +1,10 @@
-// Package quarantine stops sending requests under which backend servers crash (poison
-// requests), over all repeats by their clients and all routers.
+// Package quarantine stops sending requests that make backend servers crash (poison requests),
+// also when clients repeat them and at every router.
 //
-// A Guard, one per router, examines lost attempts and reports backend servers that crashed
-// under a request to the other routers. A tracker decides, by the same rules at each router,
-// which request caused the crashes. A quarantined request gets its final answer at once.
+// A Guard, one per router, examines lost attempts. If a backend server crashed while it ran a
+// request ("a crash under the request"), the Guard reports the crash to the other routers. A
+// Tracker decides, by the same rules at each router, which request caused the crashes. A
+// quarantined request is refused at once, with ErrQuarantined.
 package quarantine
 
 import (
@@ -38,7 +39,7 @@
 	return "unreachable"
 }
 
-// Prober probes backend servers.
+// Prober finds out whether the known incarnation of a backend server still runs.
 type Prober interface {
 	Probe(ctx context.Context, b fleet.Backend) State
 }
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -7,7 +7,8 @@
 const maxAnswers = 1024
 
 // answerTimes remembers when requests were answered last, in two generations of at most limit
-// entries each, so that its memory is bounded at any rate of answers.
+// entries each, so that its memory is bounded at any rate of answers: when current is full, it
+// replaces previous, whose entries are forgotten.
 type answerTimes struct {
 	limit             int
 	current, previous map[Digest]time.Duration
--- a/quarantine/submission.go
+++ b/quarantine/submission.go
@@ -15,7 +15,8 @@
 	submission uint64 // random id that distinguishes the submissions of one request
 }
 
-// DigestString returns the digest of the request as text, empty if it isn't tracked.
+// DigestString returns the digest of the request as hexadecimal text, or an empty string if the
+// request isn't tracked.
 func (s *Submission) DigestString() string {
 	if s == nil {
 		return ""
@@ -46,7 +47,8 @@
 	}
 }
 
-// Suspected reports whether one more crash may be enough to quarantine the request.
+// Suspected reports whether one more crash of a backend server that runs the request may be
+// enough to quarantine the request.
 func (s *Submission) Suspected() bool {
 	if s == nil || !s.guard.nonEmpty.Load() {
 		return false
@@ -56,8 +58,9 @@
 	return s.guard.tracker.Suspected(s.digest, s.guard.cfg.Now())
 }
 
-// Lost records that an attempt was lost. It finds out in the background whether the backend
-// server has crashed, and closes the channel examined when that is known.
+// Lost examines a lost attempt in the background: it finds out whether the backend server has
+// crashed, and then closes the channel examined. If the request isn't tracked, or the backend
+// server is leaving the fleet, the loss isn't examined and the channel is closed at once.
 func (s *Submission) Lost(l Loss) (examined <-chan struct{}) {
 	done := make(chan struct{})
 	if s == nil || s.guard.cfg.Leaving(l.Backend.ID) {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// minCrashes is how many backend servers must have crashed under a request before it is
-	// quarantined.
+	// minCrashes is how many backend servers must have crashed while they ran a request before
+	// the request is quarantined.
 	minCrashes = 3
 	// minUnsharedCrashes is the least number of these crashes at which no other suspected
 	// request was running. With conclusiveCrashes crashes or more this isn't required.
@@ -23,7 +23,7 @@
 	// by chance.
 	backgroundExits  = 5
 	backgroundWindow = 10 * time.Second
-	// crashTTL is how long a crash counts.
+	// crashTTL is how long a crash counts against the request that was running.
 	crashTTL = 10 * time.Minute
 	// answerGrace is how long crashes under a request don't count after an answer to it: a
 	// request that many clients send is answered again and again while backend servers crash
@@ -73,7 +73,7 @@
 		exits: exitTimes{at: map[string]time.Duration{}}}
 }
 
-// Empty reports whether no request is suspected.
+// Empty reports whether the tracker has no entry: no request is suspected or quarantined.
 func (t *Tracker) Empty() bool { return len(t.suspects) == 0 }
 
 // Exited records that a backend server exited on its own, not with its failure domain,
@@ -104,9 +104,9 @@
 }
 
 // Confirm quarantines a pending request if the reports received since still attribute the
-// crashes to it. An isolated router knows few of the other exits, so it requires
-// conclusiveCrashes. cleared lists requests that were quarantined until now, and that the
-// crashes of this one show to have only run alongside it.
+// crashes to the request. An isolated router knows few of the other exits, so it requires
+// conclusiveCrashes. cleared lists the requests whose hold Confirm ended, because they turned
+// out to have only run alongside the request d at the crashes.
 func (t *Tracker) Confirm(d Digest, now time.Duration, isolated bool) (quarantined bool, cleared []Digest) {
 	s := t.suspects[d]
 	if s == nil || !s.pending {
@@ -138,8 +138,9 @@
 }
 
 // Answered records that the request was answered. Crashes from before the answer, or up to
-// answerGrace after it, are dropped; later ones stay. suspected reports whether anything was
-// dropped, and lifted whether the request was quarantined until now.
+// answerGrace after the answer, are dropped; later crashes stay. If no crash stays and the
+// answer isn't older than the start of the hold, the hold ends too. suspected reports whether
+// anything was dropped, lifted whether a hold ended.
 func (t *Tracker) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
 	t.answers.add(d, at)
 	s := t.suspects[d]
@@ -196,7 +197,8 @@
 	return wasQuarantined
 }
 
-// ForgetCrashes drops all requests that are suspected because of crashes.
+// ForgetCrashes drops the entries of all requests for which crashes are recorded, including
+// their holds. Entries without crashes stay: they are holds that this router received.
 func (t *Tracker) ForgetCrashes() {
 	for _, s := range t.suspects {
 		if len(s.crashes) > 0 {
@@ -259,7 +261,8 @@
 	return Report{Digest: d.String()}
 }
 
-// List returns what is recorded of all suspected requests, for operators.
+// List returns what is recorded of all suspected requests, for operators: first the requests
+// that stay quarantined longest.
 func (t *Tracker) List(now time.Duration) []Report {
 	out := make([]Report, 0, len(t.suspects))
 	for _, s := range t.suspects {
@@ -280,7 +283,8 @@
 	}
 }
 
-// suspect returns the entry of a request, and adds an entry if the request has none.
+// suspect returns the entry of a request, and adds an entry if the request has none. If the
+// table or the share of the client account is full, the new entry replaces the weakest.
 func (t *Tracker) suspect(d Digest, account string, now time.Duration) *suspect {
 	if s := t.suspects[d]; s != nil {
 		return s
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FloodUpdate is the kind of the messages in which routers broadcast updates.
+// FloodUpdate is the kind of the flooded messages in which routers broadcast an Update.
 const FloodUpdate = "quarantine.news"
 
 // Update is what routers broadcast about suspected requests. Each part can be applied more than
@@ -15,7 +15,8 @@
 	Exits   []ExitUpdate   `cbor:"5,keyasint,omitempty"`
 }
 
-// CrashUpdate reports that a backend server exited on its own under a request.
+// CrashUpdate reports that a backend server exited on its own while it ran a request, AgeMS
+// milliseconds before the update was made.
 type CrashUpdate struct {
 	Digest      Digest `cbor:"1,keyasint"`
 	Account     string `cbor:"2,keyasint"`
@@ -25,20 +26,22 @@
 	RanMS       int64  `cbor:"6,keyasint"` // since the request was sent there
 }
 
-// ExitUpdate reports that a backend server exited on its own.
+// ExitUpdate reports that a backend server exited on its own, AgeMS milliseconds before the
+// update was made. The exit counts against no request.
 type ExitUpdate struct {
 	Incarnation string `cbor:"1,keyasint"`
 	AgeMS       int64  `cbor:"2,keyasint"`
 }
 
-// HoldUpdate reports that a request is quarantined.
+// HoldUpdate reports that a request is quarantined, for RemainingMS more milliseconds.
 type HoldUpdate struct {
 	Digest      Digest `cbor:"1,keyasint"`
 	Account     string `cbor:"2,keyasint"`
 	RemainingMS int64  `cbor:"3,keyasint"`
 }
 
-// AnswerUpdate reports that a suspected request was answered.
+// AnswerUpdate reports that a suspected request was answered, AgeMS milliseconds before the
+// update was made, so that earlier crashes no longer count against the request.
 type AnswerUpdate struct {
 	Digest Digest `cbor:"1,keyasint"`
 	AgeMS  int64  `cbor:"2,keyasint"`
@@ -71,8 +74,8 @@
 	maxPending = 256
 )
 
-// outbox batches updates, so that many that arise at once cost few messages. The caller holds
-// a lock around put and take.
+// outbox collects updates until the next message goes out, so that many updates that arise at
+// once cost few messages. The caller holds a lock around put and take.
 type outbox struct {
 	pending Update
 	armed   bool
@@ -81,8 +84,8 @@
 	nextFree time.Duration
 }
 
-// put adds an update. If arm is true, the caller must call take when the time wait has passed.
-// kept is false if the update was dropped.
+// put adds an update. If arm is true, the caller must call take when the time wait has passed,
+// and send what take returns. kept is false if the update was dropped because too many wait.
 func (o *outbox) put(n Update, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
