--- a/health/domain.go
+++ b/health/domain.go
@@ -98,7 +98,7 @@
 	return len(d.members)
 }
 
-// list returns the members of the domain.
+// list returns a copy of the list of the domain's members.
 func (d *domain) list() []*engine {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -316,7 +316,8 @@
 	})
 }
 
-// survival returns the share of an engine's gaps that are longer than d.
+// survival returns the probability that a healthy gap between tokens of an engine is longer
+// than d, estimated from the engine's recorded gaps and the prior.
 func (m *Monitor) survival(e *engine, d time.Duration) float64 {
 	s := e.gaps.Shares().WithPrior(m.priorShares())
 	return s.survival(m.policy.TailExponent)[bucketOf(d)]
--- a/health/dump.go
+++ b/health/dump.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// BackendDump is the state of one backend server in a dump.
+// BackendDump is what Monitor.Dump returns about one backend server. PeerReported is true while
+// another router's report that the backend server fails is current.
 type BackendDump struct {
 	State        string        `json:"state"`
 	Streams      int           `json:"streams"`
--- a/health/engine.go
+++ b/health/engine.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// eject moves the engine to Suspect or Down and sets when it may be probed.
+// eject moves the engine to Suspect or Down, and sets the backoff after which the engine may be
+// probed: MinBackoff at first, doubled up to MaxBackoff by each ejection before a recovery.
 func (e *engine) eject(state State, now int64, p *Policy) {
 	if e.state == Healthy {
 		e.stateSince = now
@@ -159,15 +160,16 @@
 	}
 }
 
-// suspectSince reports whether the engine was suspected less than d ago.
+// suspectSince reports whether the engine is suspected and was ejected less than d ago. Further
+// ejections before the engine recovers don't count anew.
 func (e *engine) suspectSince(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state == Suspect && t-e.stateSince < int64(d)
 }
 
-// needsCheck reports whether ticks have to check e: e has open streams, or was suspected less
-// than d ago.
+// needsCheck reports whether ticks have to check e: e has open streams, or e is suspected and
+// was ejected less than d ago.
 func (e *engine) needsCheck(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/health.go
+++ b/health/health.go
@@ -42,7 +42,8 @@
 	// ErrRestarted means that the engine has restarted and has lost the runs that it had
 	// before.
 	ErrRestarted error = &Cause{"engine has started again"}
-	// ErrNoFirstToken means that the wait for the first token exceeded its bound.
+	// ErrNoFirstToken means that the stream has waited for its first token for longer than the
+	// bound that Policy.PrefillBound sets for the prompt.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
 )
 
@@ -82,6 +83,7 @@
 	PeerReportSuspect PeerReportKind = iota
 	// PeerReportDown means that the backend server refuses another router's connections.
 	PeerReportDown
-	// PeerReportAlive withdraws earlier reports.
+	// PeerReportAlive means that the backend server has recovered as seen by another router.
+	// All earlier peer reports about the backend server end.
 	PeerReportAlive
 )
--- a/health/monitor.go
+++ b/health/monitor.go
@@ -14,7 +14,8 @@
 // Monitor tracks the health of the backend servers that one process uses.
 type Monitor struct {
 	// OnChange, set before use, is called when a backend server is ejected or
-	// recovers, so that other routers can be notified. It must not block.
+	// recovers, so that other routers can be notified. It must not block. With nil no router
+	// is notified.
 	OnChange func(backend, incarnation string, kind PeerReportKind)
 
 	// RunQuerier, set before use, queries an engine before the engine is suspected for its
@@ -119,8 +120,8 @@
 	}
 }
 
-// Restarted cancels the streams of a backend server that has restarted: its runs are
-// lost, however short their silence.
+// Restarted cancels all streams of a backend server that has restarted, with ErrRestarted: the
+// runs of the backend server are lost, even if their streams fell silent only a moment ago.
 func (m *Monitor) Restarted(backend string) {
 	m.mu.RLock()
 	e := m.engines[backend]
@@ -156,7 +157,7 @@
 	return s
 }
 
-// watch has the following ticks check e.
+// watch adds e to the engines that each tick checks for silence.
 func (m *Monitor) watch(e *engine) {
 	m.watchMu.Lock()
 	defer m.watchMu.Unlock()
@@ -194,7 +195,8 @@
 	}
 }
 
-// watchOpen ticks until no stream is open. It returns false when ctx ends.
+// watchOpen calls Tick at the policy's interval until no stream is open, and then returns true.
+// It returns false when ctx ends.
 func (m *Monitor) watchOpen(ctx context.Context) bool {
 	tick := time.NewTicker(m.policy.Tick)
 	defer tick.Stop()
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -271,10 +271,10 @@
 }
 
 // An engine that pauses now and then must not be suspected at each pause for ever. The engine
-// falls silent for longer than its threshold, its streams are cancelled, and it answers again
-// as the same incarnation; the gap must be recorded although no stream was left to receive the
-// engine's next token. The silence before a new incarnation was a crash and must not count as
-// a pause.
+// falls silent for longer than its threshold, its streams are cancelled, and the engine answers
+// again as the same incarnation; the gap must be recorded although no stream was left to receive
+// the engine's next token. The silence before a new incarnation was a crash and must not count
+// as a pause.
 func TestSuspectedPauseIsLearned(t *testing.T) {
 	for _, restarted := range []bool{false, true} {
 		run(t, func(m *Monitor) {
--- a/health/policy.go
+++ b/health/policy.go
@@ -10,7 +10,8 @@
 	// ExtraWorkWeight is the cost of one second that one stream of an engine
 	// loses to prefill that would not be needed without failures.
 	ExtraWorkWeight float64 `json:"extra_work_weight"`
-	// FailuresPerHour is the prior rate of real failures of one engine.
+	// FailuresPerHour is the assumed number of real failures of one engine per hour. From it
+	// follows the prior probability that a gap between tokens is a failure.
 	FailuresPerHour float64 `json:"failures_per_hour"`
 	// PrefillBytesPerSecond is the engine's prefill rate in bytes of text.
 	PrefillBytesPerSecond float64 `json:"prefill_bytes_per_second"`
@@ -72,7 +73,8 @@
 	PauseGrace time.Duration `json:"pause_grace"`
 }
 
-// DefaultPolicy gives the same weight to a caller's second and to an engine's second.
+// DefaultPolicy returns a policy that gives the same weight to one second for which a caller
+// waits and to one second that a stream of an engine loses to additional prefill.
 func DefaultPolicy() Policy {
 	return Policy{
 		ResumeLatencyWeight:   1,
@@ -144,7 +146,8 @@
 	return nil
 }
 
-// prefill returns the engine time to prefill text of the given size, in seconds.
+// prefill returns the engine time to prefill text of the given size, in seconds; 0 if no
+// prefill rate is set.
 func (p *Policy) prefill(bytes float64) float64 {
 	if p.PrefillBytesPerSecond <= 0 {
 		return 0
@@ -152,7 +155,8 @@
 	return bytes / p.PrefillBytesPerSecond
 }
 
-// PrefillBound returns how long a stream may wait for its first token.
+// PrefillBound returns how long a stream may wait for its first token. engineAlive reports
+// whether other streams of the engine receive tokens, which allows a longer wait.
 func (p *Policy) PrefillBound(promptBytes int, engineAlive bool) time.Duration {
 	expected := p.prefill(float64(promptBytes)) * p.PrefillFactor
 	bound := p.MinPrefill + time.Duration(expected*float64(time.Second))
--- a/health/query.go
+++ b/health/query.go
@@ -86,9 +86,10 @@
 	return notQueried
 }
 
-// silenceConfirmed reports whether a silence of e is to be acted on at t. If e was not queried
-// within runReportTTL, it starts a query and returns false; a later tick decides by the
-// result. The caller holds e.mu.
+// silenceConfirmed reports whether a silence of e is to be acted on at t: engines can't be
+// queried, e has not answered its query in time, or the silence has reached
+// maxConfirmedSilence. If e was not queried within runReportTTL, silenceConfirmed starts a query
+// and returns false; a later tick decides by the result of the query. The caller holds e.mu.
 func (m *Monitor) silenceConfirmed(e *engine, silence time.Duration, t int64) bool {
 	if m.RunQuerier == nil || silence >= maxConfirmedSilence {
 		return true
@@ -104,7 +105,8 @@
 	return false
 }
 
-// queryRuns queries e and applies its report.
+// queryRuns queries e about its runs, records the report or the lack of one, and cancels the
+// streams whose runs are lost according to the report.
 func (m *Monitor) queryRuns(e *engine, sentAt int64) {
 	ctx, stop := context.WithTimeout(context.Background(), queryTimeout)
 	defer stop()
--- a/health/state.go
+++ b/health/state.go
@@ -32,14 +32,14 @@
 }
 
 // Late reports a call to a service that is not a model engine that was abandoned because another
-// backend server, to which it was sent long after, answered first. It is weak evidence, since
-// some answers of a healthy server are late too: only several in a row, over some time and with
-// no answer in between, make it suspect.
+// backend server, to which the call was sent long after, answered first. A late answer is weak
+// evidence, since some answers of a healthy server are late too: only several late answers in a
+// row, over some time and with no answer in time in between, make the server suspect.
 //
 // Without this evidence, a replica that accepts calls but never answers would lose each race
-// and stay healthy, since a cancelled call gives no result. Its share of all calls would be
-// late, and each of them would cost a second attempt until the budget is spent and callers
-// wait for their deadlines.
+// and stay healthy, since a cancelled call gives no result. The replica's share of all calls
+// would be late, and each of these calls would cost a second attempt until the budget for second
+// attempts is spent and callers wait for their deadlines.
 func (m *Monitor) Late(backend string) {
 	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
@@ -48,7 +48,8 @@
 	}
 }
 
-// success makes e healthy after an answer.
+// success makes e healthy after an answer. If e was ejected, success also records the pause that
+// ended with the answer, and reports the recovery through OnChange.
 func (m *Monitor) success(e *engine) {
 	e.mu.Lock()
 	previous := e.state
--- a/health/stream.go
+++ b/health/stream.go
@@ -76,7 +76,8 @@
 // attempts.
 func (s *Stream) received() int { return s.work.Received + int(s.tokens.Load()) }
 
-// SetCopied sets whether a copy of the run's state is kept elsewhere.
+// SetCopied sets whether a copy of the run's state is kept elsewhere. While one is, less silence
+// is accepted, since the run can be resumed from the copy with little prefill.
 func (s *Stream) SetCopied(copied bool) { s.resumable.Store(copied) }
 
 // Close ends the monitoring of the attempt. The caller calls it as soon as the last token was
--- a/health/threshold.go
+++ b/health/threshold.go
@@ -90,7 +90,8 @@
 	best, least        float64
 }
 
-// search evaluates the silences of one bucket that lie within the bounds.
+// search computes the cost of several silences of one bucket that lie between low and high, and
+// records the silence of least cost in c.
 func (c *costs) search(b bucket, low, high float64) {
 	width, mass := b.to-b.from, b.survivalFrom-b.survivalTo
 	if b.to >= low {
@@ -105,7 +106,8 @@
 	c.waited += c.waitedIn(mass, b.from, b.to)
 }
 
-// waitedIn returns the cost of waiting out a share of the gaps.
+// waitedIn returns the cost of waiting out the given share of the healthy gaps, whose lengths
+// are evenly distributed between from and to.
 func (c *costs) waitedIn(share, from, to float64) float64 {
 	return c.latency * (1 - c.f) * share * (from + to) / 2
 }
--- a/health/tick.go
+++ b/health/tick.go
@@ -285,8 +285,8 @@
 	return one != nil
 }
 
-// applyEvaluation ejects the engine if it is suspect, and cancels the selected streams. No
-// lock is held meanwhile, since a cancel function is code of the caller.
+// applyEvaluation ejects the engine if the engine is suspect, and cancels the selected streams.
+// No lock is held while the cancel functions run, since they are code of the caller.
 func (m *Monitor) applyEvaluation(v evaluation, t int64) {
 	if v.suspect {
 		m.eject(v.engine, Suspect, t)
@@ -316,8 +316,8 @@
 	}
 }
 
-// priorShares returns the prior that all engines share: the recorded gaps of all engines, with
-// a synthetic prior added while fewer than priorSamples gaps are recorded.
+// priorShares returns the prior that all engines share: a sample of the gaps of all engines
+// (see priorInterval), with a synthetic prior added while it has fewer than priorSamples gaps.
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -267,7 +267,8 @@
 	m.after(5*time.Millisecond, func() { m.send(r) })
 }
 
-// examined has a router record the crash found after a loss, and broadcast the crash.
+// examined has a router record the crash found after a loss, and broadcast the crash. Unless
+// the loss came early in the run, only the exit of the server is recorded, not against d.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
 		if m.routers[router].Exited(c.Incarnation, c.At) {
