--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// slowBuckets is how many latency buckets an answer must lie above the median of the old
-	// version to count as slow.
+	// slowBuckets is how many latency buckets an answer must lie above the median latency of the
+	// old version to count as slow.
 	slowBuckets = 4
-	// minBaseline is the number of timed answers of the old version from which its median is used.
+	// minBaseline is how many answers of the old version with a known latency are needed before
+	// their median is used. With fewer answers no answer counts as slow.
 	minBaseline = 8
 	// The old version is assumed to have given priorAnswers more answers than were counted,
-	// priorBad of them bad. This prior stands for its share of bad answers until enough
-	// answers are counted.
+	// priorBad of them bad. This prior stands for the old version's share of bad answers until
+	// enough answers are counted.
 	priorBad     = 1.0
 	priorAnswers = 25.0
 	// A version is bad if its share of bad answers exceeds that of the old version by badShare.
@@ -22,15 +23,16 @@
 	toleranceFactor = 1.25
 	toleranceAdd    = 0.03
 	maxBadShare     = 0.97
-	// badEvidence is the evidence from which a version counts as bad. Evidence is the log
-	// likelihood ratio of a bad version against a healthy version, as a cumulative sum that
+	// badEvidence is the amount of evidence from which a version counts as bad. Evidence is the
+	// log likelihood ratio of a bad version against a healthy version, as a cumulative sum that
 	// never falls below zero (CUSUM), so that a version that turns bad after a while is found
 	// as fast as a version that is bad from the start.
 	badEvidence = 11.0
 	// maxDomainShare is the part of badEvidence that one failure domain can contribute.
 	maxDomainShare = 0.5
-	// From maxOtherEvidence on a trial does not pass. The evidence of the failure domain that
-	// contributes most is left out, so that one failing domain can't block the trial.
+	// A trial does not pass if its evidence against the new version is maxOtherEvidence or more.
+	// Where there are several failure domains, the evidence of the one that contributes most is
+	// left out, so that one failing domain can't block the trial.
 	maxOtherEvidence = 1.0
 	// minAnswers is how many answers of the new version are needed to pass a trial, unless
 	// fewer than fewRequests requests arrived during the trial.
@@ -46,7 +48,7 @@
 	all    bool
 }
 
-// Verdict is an evaluation of the evidence about the new version.
+// Verdict is the result of evaluating the evidence that the new version is bad.
 type Verdict struct {
 	Bad           bool
 	Route         string // route with the strongest evidence; empty for all routes together
@@ -65,7 +67,7 @@
 	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadAnswers, v.Answers)
 }
 
-// baseline describes the answers of the old version, by one route and aspect.
+// baseline describes the answers of the old version on one route, measured by one aspect.
 type baseline struct {
 	known    bool  // whether there are enough answers to know the median time
 	slowFrom Grade // bucket from which an answer counts as slow
@@ -131,8 +133,8 @@
 	g[key][domain] += added
 }
 
-// add evaluates answers of the new version that became known together, against the given answers of
-// the old version.
+// add compares answers of the new version that became known together with the given answers of
+// the old version, and adds the resulting evidence to the sums.
 func (e *evaluator) add(answers map[CountKey]uint32, old map[CountKey]uint32) {
 	baselines := map[evidenceKey]baseline{}
 	g := evidenceGains{}
@@ -172,9 +174,9 @@
 }
 
 // verdict evaluates the accumulated evidence. domains is the number of failure domains in
-// which the new version has replicas, or 0 if it is not known yet. Unless it is 1, the
-// evidence of one domain is not sufficient: a domain that crashes, or one replica that fails,
-// is not a fault of the version.
+// which the new version has replicas, or 0 if the number is not known yet. Unless the number
+// is 1, the evidence of one domain is not sufficient: a domain that crashes, or one replica that
+// fails, is not a fault of the version.
 func (e *evaluator) verdict(domains int) Verdict {
 	v := Verdict{Answers: e.answers, BadAnswers: e.badAnswers}
 	domainMax := badEvidence
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Aspect is the property of an answer that the versions are compared by.
+// Aspect is the kind of time that was measured of an answer, and by which the old and the new
+// version are compared.
 type Aspect uint8
 
 // The aspects. Each aspect has its own baseline on each route.
@@ -42,7 +43,8 @@
 	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeRatio), lastGrade))
 }
 
-// CountKey identifies a kind of answers that are counted together.
+// CountKey identifies the answers that are counted together: those on one route, measured by one
+// aspect, from one failure domain, and with the same grade.
 type CountKey struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
@@ -50,7 +52,7 @@
 	Grade  Grade  `cbor:"4,keyasint,omitempty"`
 }
 
-// Count is a kind of answers with the number of answers of this kind.
+// Count is the number N of answers with the same CountKey.
 type Count struct {
 	CountKey
 	N uint32 `cbor:"5,keyasint"`
@@ -69,15 +71,17 @@
 	// Old counts the answers of the old version within the last baselineWindow. They are the
 	// baseline for the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
-	// Bad reports that the router considers the new version bad.
+	// Bad reports that the router considers the new version bad. A router that receives such a
+	// report stops sending requests to the new version, too.
 	Bad bool `cbor:"7,keyasint,omitempty"`
 }
 
-// baselineWindow is how long answers of the old version count. Load and failures change within
-// seconds, and both versions must be compared under the same conditions.
+// baselineWindow is how long an answer of the old version counts in the baseline. Load and
+// failures change within seconds, and both versions must be compared under the same conditions.
 const baselineWindow = 4 * time.Second
 
-// window counts the answers of the last baselineWindow, in a ring of time slots.
+// window counts the answers of the last baselineWindow by their CountKey, in a ring of time
+// slots.
 type window struct {
 	slots  [windowSlots]map[CountKey]uint32
 	latest int64 // number of the latest slot that was started
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -330,7 +330,7 @@
 	return took, GradeOf(took)
 }
 
-// countBad counts a bad answer of the new version, and notes when the fiftieth was given.
+// countBad counts a bad answer of the new version, and records when the fiftieth was given.
 func (s *simulation) countBad() {
 	s.out.badAnswers++
 	if s.out.badAnswers == 50 {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -4,19 +4,19 @@
 // The design guards against these failures:
 //
 //   - A bad version that gets its share of requests as soon as its replicas register fails half of
-//     all requests. It therefore gets no requests before a trial, and a small share during the
-//     trial.
+//     all requests. A new version therefore gets no requests before a trial, and a small share
+//     during the trial.
 //   - A version that is bad on one route only, turns bad after a while, or is only slow does not
 //     stand out in the sum of all answers. Answers of both versions from the same period are
 //     therefore compared by route and by kind of measurement, over all routers.
 //   - One failing replica or failure domain is not a fault of the version. Where there are several
-//     failure domains, one of them alone is not sufficient evidence.
+//     failure domains, bad answers from only one of them are not sufficient evidence.
 //   - A router that decides on its own observations sees too few answers, and a single deciding
-//     router may be cut off. Routers therefore broadcast what the new version answered, and each of
-//     them may stop sending to it; only the progress from stage to stage is written to one place,
-//     the store, with a conditional write.
-//   - The old replicas stop as soon as a roll-out is recorded as completed. Their runs are
-//     therefore moved before the completion is written.
+//     router may be cut off. Routers therefore broadcast how the new version answered, and each
+//     router may stop sending requests to the new version; only the progress from stage to stage
+//     is written to one place, the store, with a conditional write.
+//   - The old replicas stop as soon as a roll-out is recorded as completed. The runs at the old
+//     replicas are therefore moved to new replicas before the completion is written.
 //
 // The package does no input or output. Times are read by the caller, on one clock.
 package rollout
@@ -61,7 +61,8 @@
 	RolledBack Stage = "rolled-back"
 )
 
-// Open reports whether the roll-out has started and not ended.
+// Open reports whether the trial has started and the roll-out has neither completed nor been
+// rolled back.
 func (s Stage) Open() bool { return s == Trial || s == Moving }
 
 //go:embed rollout.json
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// badReportDelay is how soon after the previous report a bad answer is reported to the
-	// other routers, goodReportDelay how soon any other answer is reported.
+	// badReportDelay is how long after its previous report a router reports a bad answer of the
+	// new version to the other routers at the earliest, goodReportDelay the same for any other
+	// answer of the new version.
 	badReportDelay  = 200 * time.Millisecond
 	goodReportDelay = time.Second
-	// oldReportInterval is how often some routers report the answers of the old version, and
-	// oldReporters the expected number of those routers. The baseline must be known before the
-	// first answers of the new version.
+	// oldReportInterval is how often some routers report the answers of the old version even if
+	// they have seen no answer of the new version, and oldReporters the expected number of these
+	// routers. The baseline must be known before the first answers of the new version.
 	oldReportInterval = time.Second
 	oldReporters      = 8
-	// verdictInterval is how often the report that the new version is bad is repeated, since a
-	// message may be lost.
+	// verdictInterval is how often a router repeats its report that the new version is bad, since
+	// a message may be lost.
 	verdictInterval = 500 * time.Millisecond
 )
 
@@ -77,7 +78,8 @@
 	r.evaluate()
 }
 
-// Overdue reports whether an answer that has not come after the given time counts as bad already.
+// Overdue reports whether a request that has waited this long for its answer is already so slow,
+// compared with the old version, that the answer will count as bad.
 func (r *Rollout) Overdue(route string, aspect Aspect, waited, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,7 +87,9 @@
 	return b.known && GradeOf(waited) >= b.slowFrom
 }
 
-// HandleReport applies a report from another router.
+// HandleReport adds the answers that another router reports to the evidence. If that router
+// considers the new version bad, this router does so too. Reports about another order are
+// ignored.
 func (r *Rollout) HandleReport(from string, rep Report, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +161,7 @@
 }
 
 // recentOld returns the recent answers of the old version that this router has seen or other
-// routers have reported, or frozenOld if it is set.
+// routers have reported, or frozenOld unless it is nil.
 func (e *evidence) recentOld(now time.Duration) map[CountKey]uint32 {
 	if e.frozenOld != nil {
 		return e.frozenOld
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -57,8 +57,8 @@
 	return r.endTrial(now, ready)
 }
 
-// endTrial decides the result of a trial whose time has passed. It returns no event while the
-// trial can still pass later.
+// endTrial decides the result of a trial whose time has passed: eventPassed or eventFailed. It
+// returns an empty event before that time, and while the trial can still pass later.
 func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.orderedAt
 	if elapsed < r.order.trialEnd() {
@@ -74,10 +74,11 @@
 	return "", ""
 }
 
-// enoughReady is the ratio of new to old replicas from which all work can move to the new ones.
+// enoughReady is the least ratio of new to old replicas with which all work can move to the new
+// replicas.
 const enoughReady = 0.7
 
-// trialBlocker returns why a trial can't pass now, or "" if it can.
+// trialBlocker returns the reason why the trial can't pass now, or "" if the trial can pass.
 func (r *Rollout) trialBlocker(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
@@ -97,9 +98,10 @@
 
 // lowTraffic reports whether the service has so few requests that a trial may get no answers.
 //
-// It counts the requests at this router, not the answers reported by other routers: a router
-// that has just started, or whose links are slow, knows of few answers and would pass a trial
-// that other routers know to fail. The bad version would then get all requests for a second.
+// The estimate is the number of requests at this router during the trial times the number of
+// routers, and doesn't use the answers reported by other routers: a router that has just
+// started, or whose links are slow, knows of few answers and would pass a trial that other
+// routers know to fail. The bad version would then get all requests for a second.
 func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
 // TrialBlocker returns why a trial whose time has passed does not pass, or "" if the trial
--- a/rollout/quota.go
+++ b/rollout/quota.go
@@ -18,8 +18,9 @@
 }
 
 const (
-	// usedShare and usedBurst are the parts of the limits that a trial uses. The rest is reserved
-	// for requests sent between the first bad answers and the moment the last router stops.
+	// usedShare and usedBurst are the parts of Limits.Share and Limits.Burst that a trial uses.
+	// The rest is reserved for requests sent to the new version between its first bad answers
+	// and the moment the last router stops sending to it.
 	usedShare = 0.6
 	usedBurst = 0.7
 	// firstShare is the part of the used share that the new version gets at the start of a
@@ -27,9 +28,9 @@
 	firstShare = 0.25
 	firstFor   = 1500 * time.Millisecond
 	// trialReplicaFactor is the ratio between the share of the new replicas that take part in
-	// a trial and the share of the requests that they get. It is above 1 since the requests of
-	// the burst come on top of the share, and new replicas with more load than the old
-	// replicas would appear slow.
+	// a trial and the share of the requests that they get. The ratio is above 1 since the
+	// requests of Limits.Burst come on top of the share, and new replicas with more load than
+	// the old replicas would appear slow.
 	trialReplicaFactor = 3
 )
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -57,7 +57,8 @@
 	return &Rollout{cfg: cfg, assigned: map[string]assignment{}}
 }
 
-// SetOrder sets the order in force. A new revision discards all evidence about the previous order.
+// SetOrder sets the order in force. If the order has another revision than the previous order,
+// all evidence collected under the previous order is discarded.
 func (r *Rollout) SetOrder(o Order, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +74,7 @@
 	r.epoch++
 }
 
-// WithdrawOrder removes the order in force.
+// WithdrawOrder removes the order in force. A roll-out that is open is then rolled back.
 func (r *Rollout) WithdrawOrder() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -186,7 +187,8 @@
 	return trial
 }
 
-// MarkSent drops the assignment of a request that was sent.
+// MarkSent drops the assignment of a request that was sent, since the assignment is needed only
+// while the request waits.
 func (r *Rollout) MarkSent(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +212,7 @@
 
 // Tick updates the roll-out at the given time. current reports whether this router's copy of the
 // store is up to date; domains is the number of failure domains with replicas of the new version.
-// It returns the report to broadcast to the other routers, or nil.
+// It returns the report to broadcast to the other routers, or nil if no report is due.
 func (r *Rollout) Tick(now time.Duration, current bool, domains int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -115,7 +115,7 @@
 }
 
 // A router whose copy of the store is out of date must not go on with a trial, since other
-// routers may have ended the trial meanwhile.
+// routers may have ended the trial since the copy was current.
 func TestTrialEndsWhereTheStoreIsNotHeard(t *testing.T) {
 	r := newRollout(t)
 	newer, old := fleet.Backend{Version: "v2"}, fleet.Backend{Version: "v1"}
@@ -274,9 +274,9 @@
 	}
 }
 
-// Enough replicas must take part in a trial for its requests. If a trial uses only two engines
-// out of sixty in a domain, prompts wait for each other there, so that a healthy version of
-// engines appears slow and is rolled back.
+// Enough replicas must take part in a trial for the requests that the trial gets. If a trial
+// uses only two engines out of sixty in a failure domain, prompts wait for each other at these
+// two, so that a healthy version of engines appears slow and is rolled back.
 func TestTrialHasReplicasEnough(t *testing.T) {
 	limits := Limits{Share: 0.1, Burst: 50}
 	for _, each := range []int{1, 3, 60, 1000} {
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -19,7 +19,7 @@
 	// other versions created before it have stopped.
 	CompletedRevision int64
 	// Stale reports that this router's copy of the store is out of date: the roll-out may have
-	// advanced or ended meanwhile.
+	// advanced or ended without this router knowing.
 	Stale bool
 }
 
@@ -33,8 +33,8 @@
 	case Waiting, Trial, RolledBack:
 		return !isNew
 	case Moving:
-		// If this router's copy of the store is out of date, the roll-out may have completed
-		// or been rolled back meanwhile: replicas of both versions may be used.
+		// If this router's copy of the store is out of date, the roll-out may have completed or
+		// been rolled back since the copy was current: replicas of both versions may be used.
 		return isNew || r.Stale
 	case Completed:
 		return isNew || b.Started > r.CompletedRevision
@@ -47,7 +47,8 @@
 	return r.Stage == Trial && !r.Stale && b.Version == r.Target && !slices.Contains(r.Barred, b.Version)
 }
 
-// MovesRuns reports whether runs at a replica have to continue elsewhere.
+// MovesRuns reports whether runs at a replica have to continue elsewhere: while all work moves
+// to the new version, the runs at old replicas, and after a roll-back the runs at new replicas.
 func (r *Rule) MovesRuns(b *fleet.Backend) bool {
 	if r.Stale || (r.Stage != Moving && r.Stage != RolledBack) {
 		return false
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -13,8 +13,8 @@
 	// MoveGrace is how long runs stay where they are after the decision that they move, so that a
 	// copy of each can be made at the replica where it continues.
 	MoveGrace = 600 * time.Millisecond
-	// marginShare of an order's duration, and minMargin at least, is reserved for a slow store and
-	// for a router that takes over from another one.
+	// marginShare of an order's duration, and minMargin at least, is reserved for a store that
+	// answers slowly and for the case that another router has to take over writing the record.
 	marginShare = 0.12
 	minMargin   = 1500 * time.Millisecond
 	// minTrialShare of an order's duration goes to the trial, however short the duration is.
