--- a/cachelookup/cachelookup.go
+++ b/cachelookup/cachelookup.go
@@ -7,8 +7,9 @@
 // still has it cached: prefill would be paid for twice after each loss of a router, and
 // answers would continue a second late. What a router remembers is lost when that router, or
 // all routers, are lost, but the backend servers know what they have cached, so the backend
-// servers are queried. This is done only for clients that reconnected, and at most once per
-// backend server while a result may be reused, because queries cost the backend servers work.
+// servers are queried. They are queried only for clients that reconnected, and a backend server
+// is queried again only when its latest result is older than Config.MaxAge, because queries cost
+// the backend servers work.
 package cachelookup
 
 import (
@@ -33,8 +34,8 @@
 // Config configures a Finder. Zero values select the defaults.
 type Config struct {
 	MaxAge        time.Duration // how long the result of a query is reused
-	Timeout       time.Duration // of one query
-	MaxCandidates int           // most candidates to query at once, drawn at random
+	Timeout       time.Duration // bound on the wait for the result of one query
+	MaxCandidates int           // most candidates that one call of Find queries; of more candidates a random sample is queried
 	Set           *metrics.Set
 }
 
@@ -59,7 +60,8 @@
 	queries, hits *metrics.Counter
 }
 
-// cachedParts is the result of querying one backend server. A failure counts as an empty cache.
+// cachedParts is the result of querying one backend server. A query that failed counts as if the
+// backend server had nothing cached.
 type cachedParts struct {
 	at     time.Time
 	tokens map[string]int
@@ -106,8 +108,8 @@
 	return id, tokens
 }
 
-// sample returns the candidates, or a random sample of them if there are more than
-// MaxCandidates.
+// sample returns the candidates, or, if there are more than MaxCandidates, a random sample of
+// MaxCandidates of them.
 func (f *Finder) sample(candidates []fleet.Backend) []fleet.Backend {
 	if len(candidates) <= f.cfg.MaxCandidates {
 		return candidates
--- a/cachelookup/cachelookup_test.go
+++ b/cachelookup/cachelookup_test.go
@@ -12,8 +12,8 @@
 	"wigeondale/fleet"
 )
 
-// fakeLister is a Lister that answers from a table. A backend server without an entry gives an
-// error.
+// fakeLister is a Lister that answers from the table cached, after a delay. Querying a backend
+// server without an entry gives an error.
 type fakeLister struct {
 	mu      sync.Mutex
 	cached  map[string]map[string]int
@@ -83,8 +83,8 @@
 	})
 }
 
-// A client that reconnected must not wait for an engine that doesn't answer, beyond the
-// timeout of one query.
+// A client that reconnected must not wait longer than the timeout of one query for an engine
+// that doesn't answer.
 func TestSilentOneIsNotWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{"a": {"p": 1}}, delay: time.Hour}
@@ -96,8 +96,8 @@
 	})
 }
 
-// When a client reconnects to a large fleet, a node must not query every replica: it would
-// open thousands of connections at once.
+// When a client reconnects to a large fleet, its router must not query every replica: the router
+// would open thousands of connections at once.
 func TestFewAreAskedInALargeFleet(t *testing.T) {
 	l := &fakeLister{queries: map[string]int{}, cached: map[string]map[string]int{}}
 	var all []fleet.Backend
--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -19,14 +19,15 @@
 	"wigeondale/fleet"
 )
 
-// ErrUnchanged reports that the known replica still has its address and has not restarted.
+// ErrUnchanged is the result of Identify if the replica that was last known at the address still
+// answers there and has not restarted.
 var ErrUnchanged = errors.New("no other replica has the address")
 
 // Replica is a replica that answered at the address of a lost replica.
 type Replica struct {
 	fleet.Incarnation
-	MemoryTokens int  // tokens that fit into its engine's memory
-	Leaving      bool // it accepts no more work
+	MemoryTokens int  // number of tokens that fit into the memory of the replica's engine
+	Leaving      bool // the replica accepts no more work
 }
 
 // Prober finds out which replica has the address of a given replica now.
@@ -41,26 +42,27 @@
 	// probeInterval is the least time between two probes of an address. The start of a replica
 	// takes about as long.
 	probeInterval = time.Second
-	// probeTimeout bounds one probe. It can be short because a running replica answers at
-	// once.
+	// probeTimeout bounds the wait for the answer to one probe. The bound can be short because a
+	// running replica answers at once.
 	probeTimeout = 300 * time.Millisecond
-	// maxProbes bounds the number of concurrent probes.
+	// maxProbes bounds the number of probes that one call of Find has under way at a time.
 	maxProbes = 16
 )
 
-// Finder probes the addresses of lost replicas. It isn't safe for concurrent use.
+// Finder probes the addresses of lost replicas, to find the replicas that have taken these
+// addresses. It isn't safe for concurrent use.
 type Finder struct {
 	prober   Prober
 	probedAt map[string]time.Time // by address
 }
 
-// New returns a Finder.
+// New returns a Finder that probes addresses through prober.
 func New(prober Prober) *Finder { return &Finder{prober: prober, probedAt: map[string]time.Time{}} }
 
 // Find returns the replicas that have taken the addresses of lost replicas. Each has the
 // failure domain and the other fields of the lost replica whose address it has. fits decides,
 // by what a replica reports of itself, whether the replica serves what the lost one served.
-// Addresses that were probed recently are skipped.
+// Addresses that were probed less than probeInterval ago are skipped.
 func (s *Finder) Find(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Replica) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
@@ -73,7 +75,7 @@
 			ctx, stop := context.WithTimeout(ctx, probeTimeout)
 			defer stop()
 			f, err := s.prober.Identify(ctx, b, checkPath)
-			// If the probe of an address gives no result, the address is probed again later.
+			// An address at which no fitting replica was found is probed again by a later call.
 			if err != nil || f.Leaving || f.Name == "" || !fits(b, f) {
 				return
 			}
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -11,7 +11,8 @@
 	"wigeondale/fleet"
 )
 
-// fakeProber is a Prober with a table of the replicas that answer at each address.
+// fakeProber is a Prober with a table of the replicas that answer at each address. An address
+// without an entry doesn't answer; an address whose entry has no name refuses connections.
 type fakeProber struct {
 	mu       sync.Mutex
 	replicas map[string]Replica
@@ -61,8 +62,8 @@
 	})
 }
 
-// While the registry is unavailable, nodes must not probe dead machines all the time. That
-// happens if each search probes an address again that didn't answer.
+// While the registry is unavailable, routers must not probe dead machines all the time. They do
+// if each call of Find probes an address again that has just been probed.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{"h:1": {}}}
