--- a/health/state.go
+++ b/health/state.go
@@ -67,10 +67,11 @@
 	m.notifyChange(e.id, incarnation, PeerReportAlive)
 }
 
-// recordPause records the gap that a suspicion cut short, once the same incarnation answers
-// again. Otherwise only pauses that were waited out would be recorded: an engine that often
-// pauses for longer than its threshold would be suspected each time, and the threshold would
-// never adapt.
+// recordPause records, when an engine that was suspected answers again as the same incarnation,
+// the time since its last token before the suspicion as a gap. Without such gaps, only pauses
+// that were waited out would be recorded: an engine that often pauses for longer than its
+// threshold would be suspected each time, and the threshold would never adapt. lastToken is 0,
+// and no gap is recorded, if no such token is known.
 func (m *Monitor) recordPause(e *engine, lastToken int64) {
 	if lastToken == 0 {
 		return
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -96,8 +96,9 @@
 	return n
 }
 
-// shared reports whether another suspected request was running at the backend server when it
-// crashed, so that it is unknown which of the two requests caused the crash.
+// shared reports whether another suspected request, with minCrashes-1 counted crashes or more,
+// was running at the backend server when the backend server crashed, so that it is unknown which
+// of the two requests caused the crash.
 func (t *Tracker) shared(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && len(t.countedCrashes(t.suspects[d], now)) >= minCrashes-1
--- a/quarantine/submission.go
+++ b/quarantine/submission.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// PastEarlyWindow reports whether a run has lasted long enough past its first token or chunk to show
-// that the request doesn't crash its backend server.
+// PastEarlyWindow reports whether a run has lasted long enough past its first token or chunk to
+// show that the request doesn't crash its backend server.
 func PastEarlyWindow(sinceFirst time.Duration) bool { return sinceFirst >= earlyWindow }
 
 // Answered records that the request was answered completely, or that a run has lasted longer
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -14,8 +14,8 @@
 	// request was running. With conclusiveCrashes crashes or more this isn't required.
 	minUnsharedCrashes = 2
 	conclusiveCrashes  = 5
-	// earlyWindow is how long after its first token or chunk a run may still be what made its
-	// backend server crash. Runs that last longer are assumed not to have caused the
+	// earlyWindow is how long after its first token or chunk a run may still be the cause if its
+	// backend server crashes. Runs that have lasted longer are assumed not to have caused the
 	// crash (bystanders).
 	earlyWindow = time.Second
 	// If backgroundExits other backend servers exited within backgroundWindow, the required
@@ -25,9 +25,9 @@
 	backgroundWindow = 10 * time.Second
 	// crashTTL is how long a crash counts against the request that was running.
 	crashTTL = 10 * time.Minute
-	// answerGrace is how long crashes under a request don't count after an answer to it: a
-	// request that many clients send is answered again and again while backend servers crash
-	// for other reasons.
+	// answerGrace is how long after an answer to a request crashes under this request don't
+	// count: a request that many clients send is answered again and again while backend servers
+	// crash for other reasons.
 	answerGrace = 10 * time.Second
 	// decisionDelay is how long after a crash reports that explain it may still arrive: exits of
 	// other backend servers at the same moment, or answers at other routers. A request that is
@@ -169,7 +169,8 @@
 	return answered, ok && crash < answered+answerGrace
 }
 
-// Hold quarantines a request that another router has quarantined, until the time to.
+// Hold quarantines a request that another router has quarantined, until the time to, but for
+// HoldTime at most. added is false if the request was quarantined already or to has passed.
 func (t *Tracker) Hold(d Digest, account string, to, now time.Duration) (added bool) {
 	if to <= now {
 		return false
@@ -183,8 +184,8 @@
 	return added
 }
 
-// Lift ends the hold of a request. Its crashes are kept, so that fewer more are needed to
-// quarantine it again.
+// Lift ends the hold of a request. The crashes recorded for the request are kept, so that fewer
+// further crashes are needed to quarantine the request again.
 func (t *Tracker) Lift(d Digest, now time.Duration) (wasQuarantined bool) {
 	s := t.suspects[d]
 	if s == nil {
