--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -21,13 +21,15 @@
 // engine, is a replica of this service. Addresses are reused by other services, and a request
 // must not run at a replica of another service.
 const (
-	// adoptInterval is the interval of the search.
+	// adoptInterval is the interval at which a node searches for replacements of unreachable
+	// replicas while the store is unavailable.
 	adoptInterval = 500 * time.Millisecond
 	// adoptedInterval is how often the adopted replicas are broadcast again: messages get lost, and
 	// nodes start while the store is unavailable.
 	adoptedInterval = 4 * time.Second
-	// listedWithin is how long after the store's return an adopted replica may be missing from
-	// the store. Expired entries are listed again within about two seconds.
+	// listedWithin is how long, after the store is available again, an adopted replica may
+	// still be missing from the store. An entry that expired during the outage is in the store
+	// again within about two seconds.
 	listedWithin = 3 * time.Second
 	floodAdopted = "hosted.adopted"
 )
@@ -114,8 +116,9 @@
 	}
 }
 
-// confirm is called while the copy of the store is up to date. From listedWithin after the
-// store's return on, it removes the adopted replicas that the store still does not list.
+// confirm is called while the copy of the store is up to date. Once the copy has been up to
+// date for listedWithin, confirm removes the adopted replicas that the store still does not
+// list.
 func (a *adopter) confirm(now time.Time) {
 	if a.currentSince.IsZero() {
 		a.currentSince = now
@@ -136,8 +139,9 @@
 	return s, ok && s.Memory > 0
 }
 
-// unreachable returns the replicas of a service that seem to have crashed while the store still
-// lists them.
+// unreachable returns the replicas of a service that seem to have crashed although no update
+// of the store says so: the directory has marked the replica as leaving, or the failure
+// detector does not consider it healthy.
 func (v *view) unreachable(service string) []fleet.Backend {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -153,7 +157,9 @@
 	return out
 }
 
-// adopt adds replicas that were found at the addresses of unreachable replicas.
+// adopt adds to the view the replicas that were found at the addresses of unreachable
+// replicas. Replicas that the view already knows, or whose address it doesn't know, are
+// ignored.
 func (v *view) adopt(found []adoptedReplica) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -181,8 +187,9 @@
 	}
 	b := old
 	b.ID, b.Incarnation, b.VM, b.Leaving = inc.ID(), inc, inc.Name, false
-	// The adopted replica started after all replicas in the store; its creation revision
-	// becomes known when the store lists it.
+	// The adopted replica started after all replicas in the store. The revision at which its
+	// entry is created becomes known only when the store lists it; until then the next revision
+	// after the latest start stands in.
 	b.Started = v.latestStart() + 1
 	v.log.Emit(event.ReplicaAdopted, "backend", b.ID, "service", b.Service, "domain", b.FailureDomain, "addr", b.Addr, "after", old.ID)
 	v.replicas[b.ID] = b
@@ -192,7 +199,8 @@
 	v.changed = true
 }
 
-// latestStart returns the store revision of the latest start of a known replica.
+// latestStart returns the store revision of the latest start of a known replica, or 0 if no
+// replica is known.
 func (v *view) latestStart() int64 {
 	var last int64
 	for _, b := range v.replicas {
@@ -212,7 +220,7 @@
 	return out
 }
 
-// dropAdopted removes the adopted replicas that the store has not listed.
+// dropAdopted removes from the view the adopted replicas that the store has not listed.
 func (v *view) dropAdopted() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// adoptingView returns a view that knows the engine i-a at one address.
+// adoptingView returns a view of a configuration that has the named services of engines. The
+// view knows one engine, i-a.
 func adoptingView(engines ...string) *view {
 	v := newTestView()
 	cfg := &route.Config{Version: 2, Services: []route.Service{{Name: "app"}}}
--- a/hosted/budgets.go
+++ b/hosted/budgets.go
@@ -29,11 +29,11 @@
 const budgetMargin = 0.8
 
 const (
-	// minBurst is the least burst of a node. It lets a node retry a request even if there are
-	// many nodes.
+	// minBurst is the least burst of a node. It lets a node retry a request even if the
+	// platform's burst, divided among many nodes, would be less than one retry.
 	minBurst = 2
-	// continueDepth is how far started responses may overdraw the budget: the crash of a
-	// failure domain interrupts several responses at one node.
+	// continueDepth is the number of retries that started responses may draw beyond the budget,
+	// as a debt: the crash of a failure domain interrupts several responses at one node.
 	continueDepth = 6
 )
 
--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -19,8 +19,8 @@
 	PrefillPerSecond: 4000, Chunk: 200, Step: 6940 * time.Microsecond, StepPerRun: 320 * time.Microsecond, Memory: 52800,
 }}
 
-// overload returns the load of a fleet whose normal rate is perSecond. The rate is times as
-// high for nine seconds, during which two failure domains crash.
+// overload returns the load of a fleet whose normal rate is perSecond. For nine seconds,
+// during which two failure domains crash, the rate is perSecond multiplied by times.
 func overload(perSecond, times float64) load {
 	return load{
 		end:     24 * time.Second,
@@ -29,8 +29,9 @@
 	}
 }
 
-// slowSeeds is larger than the other numbers of seeds: routers choose at random, and the
-// number of requests served in time varies most with slow engines.
+// slowSeeds is the number of seeds for the fleet with slow engines. It is larger than for the
+// other fleets: routers choose at random, and the number of requests served in time varies
+// most with slow engines.
 const slowSeeds = 18
 
 // overloadedFleets are fleets of three kinds to which more prompts are sent than their engines
--- a/hosted/fleet_test.go
+++ b/hosted/fleet_test.go
@@ -60,7 +60,8 @@
 	return r
 }
 
-// startEngines starts n engines in two failure domains.
+// startEngines starts n engines, alternately in two failure domains. Each response has the
+// given number of chunks, with the time gap between two chunks.
 func (f *testFleet) startEngines(n, chunks int, gap time.Duration) []*fakes.Replica {
 	var out []*fakes.Replica
 	for i := range n {
@@ -241,7 +242,8 @@
 	return s
 }
 
-// running returns the engine on which the request runs now.
+// running returns the engine on which the request with the given id runs now, or nil if the
+// request runs on none of the engines.
 func running(engines []*fakes.Replica, id string) *fakes.Replica {
 	for _, e := range engines {
 		for _, a := range e.Arrivals() {
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -20,9 +20,9 @@
 	// holdTimeout bounds one write; holdRetry is the pause after a failed write.
 	holdTimeout = time.Second
 	holdRetry   = 2 * time.Second
-	// A node writes a hold that another node found, and that isn't in the store yet, after
-	// peerHoldWait and a random part of peerHoldSpread. By then the node that found the hold
-	// has usually written it.
+	// If another node has quarantined a request and the record of the hold isn't in the store
+	// yet, this node writes the record after peerHoldWait and a random part of peerHoldSpread.
+	// By then the other node has usually written the record.
 	peerHoldWait   = 3 * time.Second
 	peerHoldSpread = 5 * time.Second
 	// expirySpread is the time over which the nodes spread their removals of a record whose
@@ -69,8 +69,9 @@
 	}
 }
 
-// quarantined schedules the write of a hold that may not be in the store yet. local is true if
-// this node found the hold.
+// quarantined schedules the write of the record of a hold, unless the store has an unexpired
+// record of the same request. local is true if this node itself quarantined the request, and
+// false if another node reported the hold.
 func (h *holds) quarantined(hold quarantine.HoldUpdate, local bool) {
 	due := time.Now()
 	if !local {
@@ -83,8 +84,8 @@
 	case !known:
 		h.add(hold.Digest, &holdTask{due: due, local: local})
 	case !time.Now().Before(until):
-		// The expired record prevents the creation of a new record. Its removal triggers the
-		// creation.
+		// The expired record prevents the creation of a new record under the same key, so the
+		// expired record is removed first. Its removal triggers the creation.
 		h.add(hold.Digest, &holdTask{due: due, local: local, remove: true})
 	}
 }
@@ -108,7 +109,9 @@
 	}
 }
 
-// put applies an item of the store and reports whether the item is the record of a hold.
+// put reports whether an item of the store is the record of a hold. If it is, put quarantines
+// the request, and schedules the removal of the record for some time after the hold ends. An
+// unreadable record is only logged.
 func (h *holds) put(item infra.Value) bool {
 	name, ok := strings.CutPrefix(item.Key, holdPrefix)
 	if !ok || h == nil {
@@ -182,8 +185,8 @@
 	}
 }
 
-// nextTask returns the task that is due first, and the time until then; first is nil if there
-// is no task.
+// nextTask returns the task that is due first, and the time until the task is due. If there is
+// no task, first is nil.
 func (h *holds) nextTask() (d quarantine.Digest, first *holdTask, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -203,7 +206,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.tasks[d] != t {
-		return // replaced meanwhile by an item of the store or a lift
+		return // during the write, an item of the store or a lift has replaced the task
 	}
 	if err == nil {
 		delete(h.tasks, d)
@@ -225,7 +228,7 @@
 	}
 	hold, ok := h.guard.HoldOf(d)
 	if !ok {
-		return nil // lifted meanwhile
+		return nil // the hold was lifted before this write
 	}
 	left := time.Duration(hold.RemainingMS) * time.Millisecond
 	data, err := json.Marshal(holdRecord{Account: hold.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -66,7 +66,8 @@
 	front, ready, stats *listen.Server
 }
 
-// Run serves until one of the signals has ended the process gracefully.
+// Run runs one node: it serves requests until a signal from sigs tells it to stop, and then
+// lets the open requests finish.
 func Run(set *settings.Settings, sigs <-chan os.Signal, log *event.Log) error {
 	n, err := newNode(set, log)
 	if err != nil {
@@ -224,8 +225,8 @@
 	return g.Run()
 }
 
-// untilSignal waits for a signal that ends the process, and then until
-// all open requests have ended, but not longer than grace.
+// untilSignal waits for a signal that ends the process, and then until all open requests have
+// ended, but not longer than the time that grace returns.
 func (n *node) untilSignal(sigs <-chan os.Signal, stop <-chan struct{}) error {
 	if signals.Wait(sigs, stop, n.set, n.log) {
 		n.shutdown()
--- a/hosted/hosted_test.go
+++ b/hosted/hosted_test.go
@@ -15,8 +15,10 @@
 	"wigeondale/settings"
 )
 
-// A node without a configuration must not deny a request, since the client would not come
-// back. It must refuse the request with a time to come back, and must not be ready.
+// A node that has no configuration yet does not know the routes and keys. It must not answer a
+// request as if the route or the key were wrong, since the client would not try again. The
+// node must refuse the request with a time after which to try again, and must not report
+// ready.
 func TestWithoutConfigurationARequestIsRefused(t *testing.T) {
 	f := newFleet(t)
 	n := f.startNode("n1")
@@ -58,7 +60,7 @@
 }
 
 // A generation must not be cut off when its engine crashes, or falls silent without closing
-// the connection, in the middle of a stream whose copy is in the other failure domain.
+// the connection, in the middle of a stream. A copy of the run is in the other failure domain.
 func TestDraftOutlivesItsEngine(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// apply puts a single item into the view.
+// apply puts a single item of the store into the view, as a batch of its own.
 func (v *view) apply(item infra.Value) {
 	v.Put(item)
 	v.BatchDone()
--- a/hosted/incarnations.go
+++ b/hosted/incarnations.go
@@ -39,8 +39,9 @@
 	outdated                  // an earlier incarnation
 )
 
-// update records a reported incarnation. It returns the incarnation that was current before,
-// and how the reported incarnation relates to it.
+// update records a reported incarnation. It returns the incarnation of the same name that was
+// current before (the zero value if the name was not known), and how the reported incarnation
+// relates to that one. An outdated incarnation does not become current.
 func (l *incarnations) update(reported fleet.Incarnation) (before fleet.Incarnation, rel relation) {
 	known, ok := l.current[reported.Name]
 	switch {
@@ -71,7 +72,8 @@
 	return inc, ok
 }
 
-// forget drops a name whose entry was removed.
+// forget drops a name whose entry was removed from the store, with all incarnations of the
+// name.
 func (l *incarnations) forget(name string) {
 	delete(l.current, name)
 	delete(l.replaced, name)
--- a/hosted/load_query.go
+++ b/hosted/load_query.go
@@ -33,7 +33,9 @@
 	// queryMaxWait bounds the wait for the responses, which take a few ms. To wait longer, for
 	// a lost packet, would cost more time than a badly placed prompt.
 	queryMaxWait = 80 * time.Millisecond
-	// queryTimeout ends a query. A response that arrives later is outdated.
+	// queryTimeout ends the query of one engine. A response that arrives after queryMaxWait but
+	// before queryTimeout is still recorded, for later choices; a response that arrives even
+	// later would be outdated.
 	queryTimeout = 250 * time.Millisecond
 	// queryInterval is how often engines are queried for the requests that wait at this
 	// router, for all of these requests together. More frequent queries would do harm: between
@@ -56,8 +58,8 @@
 	queried, responded *metrics.Counter
 }
 
-// querySteps select the engines to query: engines that could be chosen and did not respond
-// just now.
+// querySteps select the engines to query: the usable engines whose last load report is missing
+// or no longer recent.
 var querySteps = withCommonSteps(
 	routing.StepConfig{Name: routing.FilterUsable},
 	routing.StepConfig{Name: routing.FilterStale},
@@ -92,8 +94,8 @@
 	}
 }
 
-// query queries engines and waits for their responses, at most queryMaxWait. It returns how
-// many engines responded.
+// query queries the drawn engines for their loads and waits for the responses, at most
+// queryMaxWait. It returns how many engines responded in that time.
 func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.RequestSize) (answered int) {
 	answers := make(chan bool, len(drawn))
 	for _, c := range drawn {
@@ -132,7 +134,8 @@
 	return true
 }
 
-// queryGate limits how often the requests that wait for a service have engines queried.
+// queryGate limits how often engines are queried for their loads on behalf of the requests
+// that wait for one service.
 type queryGate struct {
 	mu   sync.Mutex
 	next time.Time
@@ -150,8 +153,9 @@
 	return true
 }
 
-// queryEngines queries engines for a request near the head of the queue, which has waited for the
-// given time.
+// queryEngines queries engines for their loads on behalf of a request that is near the head of
+// the queue and has waited for the given time. It does nothing if other routers broadcast
+// their loads, or if no query is due.
 func (p *picker) queryEngines(ctx context.Context, a generation.PickRequest, q *queue, waited time.Duration) {
 	if !p.loadQuerier.needed() || !q.queryGate.due(waited == 0, time.Now()) {
 		return
@@ -165,7 +169,9 @@
 		"asked", len(drawn), "answered", answered, "took_ms", time.Since(startedAt).Milliseconds())
 }
 
-// preferredKey returns the key that determines a request's preferred engines.
+// preferredKey returns the key that determines a request's preferred engines: the hash of the
+// part of the prompt that no other request shares, or of the request's id if that part isn't
+// known.
 func preferredKey(a generation.PickRequest) uint64 {
 	if a.UniquePart == "" {
 		return xxhash.Sum64String(a.RequestID)
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -40,7 +40,8 @@
 // loadsMessage holds all loads of a router, or the loads that changed.
 type loadsMessage struct {
 	Loads directory.PeerLoads `cbor:"1,keyasint"`
-	// All reports that the router has no other open requests.
+	// All reports that Loads is complete: the router has no open requests at replicas that
+	// Loads doesn't list.
 	All bool `cbor:"2,keyasint,omitempty"`
 }
 
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -96,7 +96,8 @@
 	return run
 }
 
-// observe counts one rated answer of the attempt.
+// observe adds one rating of the attempt to the roll-out's counts: the grade of the given
+// aspect. It does nothing if the attempt doesn't count for a roll-out.
 func (r *observedRun) observe(s *rollouts, aspect rollout.Aspect, grade rollout.Grade) {
 	if r.rollout == nil {
 		return
@@ -107,8 +108,9 @@
 		r.b.Version == rule.Target, clock.SinceBoot())
 }
 
-// observeTime counts the time to the answer, or to its first chunk, unless the attempt was
-// already rated by its time.
+// observeTime rates the time since the attempt started. It is called when the answer, or the
+// first chunk of the answer, has arrived, and does nothing if the time of the attempt was
+// already rated.
 func (r *observedRun) observeTime(s *rollouts, aspect rollout.Aspect) {
 	if r.rollout != nil && !r.timeCounted.Swap(true) {
 		r.observe(s, aspect, rollout.GradeOf(clock.SinceBoot()-r.startedAt))
@@ -126,7 +128,9 @@
 	}
 }
 
-// observeFailure counts the end of the attempt and returns the error to pass on.
+// observeFailure rates an attempt that ended with err, and returns the error to pass on. A
+// failure that the replica itself returned is counted at once. If the answer was cut off, the
+// rating waits for cutOffCheck.
 func (r *observedRun) observeFailure(s *rollouts, err error) error {
 	if errors.Is(context.Cause(r.ctx), generation.ErrMoved) {
 		return Error.Wrap(generation.ErrMoved)
@@ -157,8 +161,8 @@
 	r.observe(s, r.aspect, rollout.Failed)
 }
 
-// crashed probes whether a replica has crashed. The failure detector finds out about a crash
-// only with the next attempts at the replica.
+// crashed probes a replica and reports whether the replica has crashed. The failure detector
+// finds out about a crash only with the next attempts at the replica.
 func (s *rollouts) crashed(b fleet.Backend) bool {
 	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
@@ -261,7 +265,8 @@
 	return out
 }
 
-// move ends the runs of a service that have to continue elsewhere, and returns their number.
+// move ends the resumable runs of a service that the rule moves to another version, so that
+// they continue there. It returns the number of these runs.
 func (k *runSet) move(service string, rule *rollout.Rule) (n int) {
 	if rule.Stage != rollout.Moving && rule.Stage != rollout.RolledBack {
 		return 0
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -97,7 +97,7 @@
 // broadcastRemoved broadcasts that a replica's address turned out to belong to another
 // replica. The registry distributes this removal too, but not while the store is unavailable:
 // then each router would find out only by sending a request to this address, and each such
-// request counts as one more arrival.
+// request counts as one more arrival of the request at a replica.
 func (p *peers) broadcastRemoved(id, _ string, source directory.Source) {
 	if source != directory.FromRefusal {
 		return
@@ -126,7 +126,8 @@
 	}
 }
 
-// put applies an item of the store that belongs to this program's links.
+// put applies an item of the store if it is the key of the links or the address of a node; it
+// ignores all other items.
 func (p *peers) put(item infra.Value) {
 	if item.Key == peerKeyKey {
 		p.setKey(item.Data)
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -167,7 +167,8 @@
 	return chooser.Pick(router, among, req, load)
 }
 
-// replicaWithCopy returns the replica that has a copy of the run, if it accepts work.
+// replicaWithCopy returns the replica that has a copy of the lost run, if that replica is
+// healthy and may get the attempt, and then records the loss of the run.
 func (p *picker) replicaWithCopy(a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
 	if a.Prefer == "" || a.Exclude[a.Prefer] || p.dir.Leaving(a.Prefer) || !p.allowed(a.Prefer) {
 		return fleet.Backend{}, nil, false
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -35,8 +35,8 @@
 	// observed. It is longer than at an engine without other work, and shorter than while a
 	// prompt is read.
 	typicalGap = 60 * time.Millisecond
-	// tick is the interval at which the failure detector evaluates; it adds to the time of
-	// each detection.
+	// tick is the interval at which the failure detector evaluates the replicas. It can delay
+	// each detection by up to one interval.
 	tick = 10 * time.Millisecond
 )
 
@@ -58,7 +58,9 @@
 	return p
 }
 
-// runQuerier queries replicas for their runs. It implements health.RunQuerier.
+// runQuerier queries a replica for the runs that the replica has. It returns an error if the
+// replica has restarted, since the earlier runs are lost then. It implements
+// health.RunQuerier.
 type runQuerier struct {
 	dir      *directory.Directory
 	replicas generation.RunQuerier
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -23,8 +23,8 @@
 	// have read the prompts sent to it. The rest of this time is for the wait at the router,
 	// where a request can still go to another engine.
 	readingShare = 0.5
-	// retryInterval is how often the first request of the queue tries again; the requests
-	// behind it try less often, by their position.
+	// retryInterval is how often the first request of the queue tries to get an engine; the
+	// requests behind it try less often, by their position.
 	retryInterval = 10 * time.Millisecond
 	// maxRetryFactor bounds the interval of the requests further back: it is at most
 	// 1+maxRetryFactor times retryInterval.
@@ -76,8 +76,9 @@
 	return q.reading.TokensWithin(time.Duration(readingShare * float64(a.FirstChunkTarget)))
 }
 
-// pickEngine chooses an engine for a request that is near the head of the queue. Otherwise, or
-// if no engine can take the request, it returns when to try again, or a refusal.
+// pickEngine chooses an engine for a request that is near the head of the queue. If the
+// request is further back, or if no engine can take it, pickEngine returns an error that
+// either states when to try again or refuses the request.
 func (p *picker) pickEngine(ctx context.Context, a generation.PickRequest) (fleet.Backend, generation.LoadShare, error) {
 	q := p.queues.of(a.Service)
 	rank := admission.RankNew
@@ -160,7 +161,8 @@
 	return admission.WaitState{Position: pos, Expected: expect, Target: a.FirstChunkTarget, CallerTimeLeft: a.TimeLeft}
 }
 
-// refuse returns a refusal with the time after which the client should come back.
+// refuse returns a refusal with the time after which the client should come back: retryAfter,
+// made longer by a random part (see adviceSpread).
 func (p *picker) refuse(a generation.PickRequest, w admission.WaitState, retryAfter time.Duration) error {
 	advice := retryAfter + time.Duration(adviceSpread*rand.Float64()*float64(retryAfter))
 	p.log.Emit(event.RequestOverload, "request", a.RequestID, "service", a.Service, "ahead", w.Ahead,
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -47,7 +47,9 @@
 	floodRollout = "hosted.rollout"
 )
 
-// rolloutWriter writes a roll-out's record and reports the state to the operator.
+// rolloutWriter writes a roll-out's record and reports the state to the operator. WriteRollout
+// returns false if the record no longer has the given revision, since another node has changed
+// it.
 type rolloutWriter interface {
 	WriteRollout(ctx context.Context, service, key string, rec rollout.Record, revision int64) (bool, error)
 }
@@ -134,7 +136,8 @@
 	return ro
 }
 
-// put applies an item of the store; it returns false if the item is not about roll-outs.
+// put applies an item of the store that is an operator's order or the record of a roll-out; it
+// returns false if the item is neither. An unreadable item is only logged.
 func (s *rollouts) put(item infra.Value) bool {
 	if s == nil {
 		return false
@@ -167,8 +170,8 @@
 	s.forService(service).SetOrder(order, clock.SinceBoot())
 }
 
-// removed handles the removal of an item from the store: the removal of an order withdraws the
-// order.
+// removed handles the removal of an item from the store: the removal of an operator's order
+// withdraws the order, any other removal has no effect.
 func (s *rollouts) removed(key string) {
 	if s == nil {
 		return
@@ -183,7 +186,8 @@
 	}
 }
 
-// handleReport applies a report from another node.
+// handleReport passes the report of another node to the roll-out of the service, or drops the
+// report if the service never had a roll-out at this node.
 func (s *rollouts) handleReport(from string, rep rollout.Report) {
 	if ro := s.of(rep.Service); ro != nil {
 		ro.HandleReport(from, rep, clock.SinceBoot())
--- a/hosted/rollouts_progress.go
+++ b/hosted/rollouts_progress.go
@@ -44,7 +44,9 @@
 		stage == o.Record().Stage
 }
 
-// update updates one roll-out.
+// update does for one roll-out what is due: it broadcasts this node's report, rates overdue
+// answers, moves runs and writes the next record. current reports whether this node's copy of
+// the store is not older than rolloutMaxAge.
 func (s *rollouts) update(ro *serviceRollout, now time.Duration, current bool) {
 	ready := s.ready(ro)
 	if report := ro.Tick(now, current, ready.Domains); report != nil {
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -129,7 +129,8 @@
 	return age
 }
 
-// tick sends this node's state if syncInterval has passed since the last time.
+// tick broadcasts how current this node's copy of the store is, if syncInterval has passed
+// since the last broadcast.
 func (n *storeSync) tick(now time.Time) {
 	n.mu.Lock()
 	due := now.Sub(n.lastSent) >= syncInterval
@@ -148,8 +149,8 @@
 	n.lastSent = now
 	n.mu.Unlock()
 	if mesh != nil {
-		// The state is sent again soon. A neighbour that misses several messages reads the
-		// store itself.
+		// The message is sent again after syncInterval. A neighbour that misses several messages
+		// reads the store itself.
 		_ = mesh.SendToLinked(msgSync, m)
 	}
 }
--- a/hosted/typical_size.go
+++ b/hosted/typical_size.go
@@ -6,8 +6,8 @@
 	"wigeondale/directory"
 )
 
-// typicalSize estimates the typical size of a service's requests from the requests that were
-// sent to an engine.
+// typicalSize estimates the typical size of a service's requests from the requests for which
+// this router chose an engine.
 type typicalSize struct {
 	mu   sync.Mutex
 	mean directory.RequestSize
@@ -28,7 +28,8 @@
 	u.mean.Answer += sizeWeight * (float64(answer) - u.mean.Answer)
 }
 
-// get returns the estimate, or a default before the first request.
+// get returns the estimate; before the first request, it returns typicalPrompt and
+// typicalAnswer.
 func (u *typicalSize) get() directory.RequestSize {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/hosted/versions.go
+++ b/hosted/versions.go
@@ -86,7 +86,8 @@
 	return s
 }
 
-// candidates returns the replicas that the next attempt of a request may use.
+// candidates returns the replicas that the next attempt of a request may use: all replicas of
+// the service if it never had a roll-out.
 func (p *picker) candidates(a generation.PickRequest) []routing.Candidate {
 	all := p.dir.Service(a.Service)
 	ro := p.rollouts.of(a.Service)
@@ -109,7 +110,8 @@
 	return all
 }
 
-// allowed reports whether an attempt that is not part of a trial may use a replica.
+// allowed reports whether an attempt that is not part of a trial may use a replica; it returns
+// false for an unknown replica.
 func (p *picker) allowed(id string) bool {
 	b, ok := p.dir.Backend(id)
 	if !ok {
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -121,7 +121,8 @@
 	v.addReplica(b, item, rel)
 }
 
-// addReplica records the replica that a valid entry describes.
+// addReplica records in the view the replica that a valid entry of the store describes. If the
+// replica was adopted, it counts as listed by the store from now on.
 func (v *view) addReplica(b fleet.Backend, item infra.Value, rel relation) {
 	old, known := v.replicas[b.ID]
 	b.Started = item.CreateRev
@@ -179,8 +180,8 @@
 	}
 }
 
-// retryUnknownServices applies again the entries whose services were not in the previous
-// configuration.
+// retryUnknownServices applies again the entries of replicas whose services were not in the
+// previous configuration, or that were read before the first configuration.
 func (v *view) retryUnknownServices() {
 	for name, item := range v.unknownServices {
 		v.putReplica(name, item)
@@ -196,7 +197,7 @@
 }
 
 // replaceAtAddress records that a replica has its address. If another replica has the same
-// address, the replica that started earlier is marked as leaving.
+// address, the one with the earlier start (by store revision) is marked as leaving.
 func (v *view) replaceAtAddress(b fleet.Backend, revision int64) {
 	other, taken := v.replicas[v.byAddr[b.Addr]]
 	if taken && other.ID != b.ID && other.Addr == b.Addr {
@@ -228,7 +229,8 @@
 	}
 }
 
-// drop removes a replica.
+// drop marks a replica as leaving, for the given reason, and removes it from the view and from
+// the failure detector.
 func (v *view) drop(id, reason string) {
 	v.markLeaving(id, reason, 0)
 	if b := v.replicas[id]; v.byAddr[b.Addr] == id {
