--- a/admission/account.go
+++ b/admission/account.go
@@ -23,7 +23,8 @@
 }
 
 // rate returns this router's part of the account's rate limit, in tokens per second. burst
-// returns its part of the limit on bursts.
+// returns this router's part of the account's limit on bursts, in tokens; if no such limit is
+// set, the tokens of one second at the rate limit take its place.
 func (a *account) rate() float64 { return a.limit.TokensPerSecond * a.fraction }
 
 func (a *account) burst() float64 {
@@ -40,8 +41,8 @@
 	return int(float64(a.limit.MaxConcurrent)*a.fraction + 0.999)
 }
 
-// updateFraction recomputes this router's part of the limit from the demand here and at the
-// peers.
+// updateFraction recomputes this router's part of the account's limit from the account's
+// demand at this router and at the peers.
 func (a *account) updateFraction(now time.Time, halfLife time.Duration) {
 	localDemand := a.demand.perSecond(now, halfLife)
 	limit := a.limit.TokensPerSecond
@@ -49,14 +50,15 @@
 		limit = max(localDemand, 1) // only MaxConcurrent is divided
 	}
 	localDemand = min(localDemand, limit)
-	// The level was accumulated at the old fraction, so the bucket is refilled at the old rate
-	// before the fraction changes.
+	// The level of the token bucket was accumulated at the old fraction, so the bucket is
+	// refilled at the old rate before the fraction changes.
 	a.tokens.refill(a.rate(), a.burst(), now)
 	a.fraction = limitShare(limit, localDemand, a.reachable, a.unreachable) / limit
 }
 
-// charge draws a ticket's cost. If the level is too low, it draws nothing and returns how long
-// to wait until it suffices.
+// charge draws a ticket's cost from the account's token bucket. If the level of the bucket is
+// too low, charge draws nothing and returns how long to wait until the level suffices. An
+// account without a rate limit is not charged.
 func (a *account) charge(cost float64, now time.Time) (ok bool, wait time.Duration) {
 	if a.limit.TokensPerSecond <= 0 {
 		return true, 0
@@ -64,8 +66,9 @@
 	return a.tokens.take(cost, a.rate(), a.burst(), now)
 }
 
-// settle corrects the charge when the actual cost is known: it returns what was charged too
-// much, or draws what was charged too little.
+// settle corrects the charge for a ticket when the actual cost is known: it returns to the
+// token bucket what was charged too much, or draws from the bucket what was charged too
+// little.
 func (a *account) settle(estimated, actual float64) {
 	if a.limit.TokensPerSecond > 0 {
 		a.tokens.give(estimated - actual)
--- a/admission/admission.go
+++ b/admission/admission.go
@@ -87,9 +87,10 @@
 	// slot, an interactive request would wait until one of them has ended.
 	BatchCapacity func(pool string) int
 	// MinUrgentSlots returns how many interactive requests this router may run whatever else
-	// runs, and how many resumes it may run beyond Capacity. A nil function means none.
-	// Engines serve such requests first, so that behind batch requests that were sent already
-	// they wait for one free slot, not for all of those batch requests to end.
+	// runs, and how many resumes it may run beyond Capacity. A nil function means none. Engines
+	// serve interactive requests and resumes first: even behind batch requests that were sent
+	// earlier, such a request waits only for one free slot, not until all of those batch
+	// requests have ended.
 	MinUrgentSlots func(pool string) int
 }
 
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -15,7 +15,8 @@
 // no ticket was released, since the capacity function can't notify the controller.
 const recheckInterval = 50 * time.Millisecond
 
-// Controller admits requests on one router.
+// Controller decides, on one router, which tickets are admitted at once, which wait and which
+// are refused.
 type Controller struct {
 	cfg Config
 	log *event.Log
@@ -32,8 +33,8 @@
 // whether a new request is refused.
 const waitSafetyFactor = 1.1
 
-// maxQueueShare is the part of the slack until its deadline that new batch work may spend in
-// the queue.
+// maxQueueShare is the part of its slack that new batch work may spend in the queue. The slack
+// of a ticket is the time until its deadline minus the time that its work is expected to take.
 //
 // Without this limit, above capacity the queue grows until each ticket waits as long as its
 // deadline allows. Such a queue serves no more tickets than a short queue, since the slots are
@@ -42,7 +43,8 @@
 // as well.
 const maxQueueShare = 0.4
 
-// NewController returns a Controller without accounts: call SetLimits.
+// NewController returns a Controller that knows no accounts, and so refuses all tickets until
+// SetLimits is called.
 func NewController(cfg Config, log *event.Log, set *metrics.Set) *Controller {
 	if set == nil {
 		set = metrics.NewSet()
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -129,10 +129,10 @@
 }
 
 // A caller must not wait in a queue for an answer that comes too late anyway. Service takes
-// 100 ms on one slot, ten tickets wait, and a caller has 300 ms. It must be refused at once,
-// with a time to come back. A resume may be refused for its deadline too, but never because
-// the queue is full or for lack of tokens. An interactive request with the same deadline must
-// be served.
+// 100 ms on one slot, ten tickets wait, and a caller has 300 ms. The ticket of this caller
+// must be refused at once, with a time to come back. A resume may be refused for its deadline
+// too, but never because the queue is full or for lack of tokens. An interactive request with
+// the same deadline must be served.
 func TestHopelessIsRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(1, map[string]Limit{"a": noLimit})
@@ -250,8 +250,8 @@
 }
 
 // An account must not exceed its limit by stating a lower cost than it uses, and a long
-// generation must be admitted at some time. Costs are settled at the end of the work, and
-// debts are included.
+// generation must be admitted eventually. Costs are settled at the end of the work, and debts
+// are included.
 func TestBucketSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(9, map[string]Limit{"a": {TokensPerSecond: 100, Burst: 200}})
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -5,7 +5,9 @@
 	"time"
 )
 
-// wait blocks until the ticket is admitted, its deadline passes or ctx ends.
+// wait blocks until the ticket is admitted, and then returns nil, or until the ticket is
+// refused: because the time left until its deadline no longer suffices, because its pool has
+// been without capacity for too long, because the full queue drops it, or because ctx ends.
 func (c *Controller) wait(ctx context.Context, w *waiter) *Refused {
 	var deadline <-chan time.Time
 	if d := w.ticket.Deadline; !d.IsZero() {
@@ -37,8 +39,9 @@
 	return w.requiredTime(time.Now(), c.cfg.MinService)
 }
 
-// giveUp takes a waiter out of the queue. If the waiter was admitted at the same moment,
-// giveUp returns nil and the caller must release the waiter's slot.
+// giveUp takes a waiter out of its queue and returns a refusal with the given reason. If the
+// waiter was admitted at the same moment, giveUp returns nil and the caller must release the
+// waiter's slot.
 func (c *Controller) giveUp(w *waiter, reason Reason) *Refused {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,7 +53,7 @@
 }
 
 // drainTime estimates how long it takes until all tickets of w's priority that wait now have
-// been served.
+// been served; 0 means that the time is unknown.
 func (c *Controller) drainTime(w *waiter) time.Duration {
 	of := w.ticket.Priority
 	return w.pool.waitFor(w.pool.queued(of), of, &c.cfg, time.Now())
@@ -64,8 +67,8 @@
 }
 
 // recheck admits a pool's tickets in case the pool's capacity has grown. It does so at most
-// once per interval, however many tickets wait. It reports whether the pool has been without
-// capacity for too long.
+// once per recheckInterval, however many tickets wait. It reports whether the pool has been
+// without capacity for too long.
 func (c *Controller) recheck(p *pool) (dead bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -78,7 +81,8 @@
 	return p.unavailable(&c.cfg, now)
 }
 
-// dispatch admits a pool's tickets while there is capacity.
+// dispatch admits a pool's waiting tickets, in their order, while there is capacity. A ticket
+// that can no longer finish by its deadline is refused instead.
 func (c *Controller) dispatch(p *pool, now time.Time) {
 	for q := p.next(&c.cfg); q != nil; q = p.next(&c.cfg) {
 		w := q.pop()
--- a/admission/dump.go
+++ b/admission/dump.go
@@ -54,7 +54,7 @@
 }
 
 // meanService returns the mean service time over both priorities, weighted by the numbers of
-// requests that run now.
+// requests that run now; it returns 0 if none runs.
 func (p *pool) meanService() time.Duration {
 	if p.running == 0 {
 		return 0
--- a/admission/losses.go
+++ b/admission/losses.go
@@ -6,7 +6,8 @@
 )
 
 // LossHistory records when a run was last lost with its engine, and derives from that time how
-// much of an engine's memory copies may use.
+// much of an engine's memory may be used for copies: the saved state of runs of other engines,
+// from which those runs can continue.
 //
 // It balances the use of scarce memory. If the run of a copy is lost, the copy saves reading
 // the prompt again; if not, the copy takes the space of another run. When failure domains
@@ -32,14 +33,17 @@
 // crash comes without a warning. If no loss follows for a while, copies get less memory.
 func NewLossHistory(now time.Time) *LossHistory { return &LossHistory{last: now} }
 
-// RecordLoss records that a run was lost.
+// RecordLoss records that a run was lost, because its engine crashed or its connection broke.
+// Recent losses raise the part of the memory that copies may use; see CopyShare.
 func (l *LossHistory) RecordLoss(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last = now
 }
 
-// CopyShare returns the part of an engine's memory up to which copies are kept there.
+// CopyShare returns the part of an engine's memory up to which copies are kept there:
+// maxCopyShare until recentLossAge after the latest loss, minCopyShare from oldLossAge on, and
+// a linear transition in between.
 func (l *LossHistory) CopyShare(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -14,8 +14,8 @@
 // batch requests must run even while interactive ones want every slot. Neither may batch
 // requests get the last slots, nor may they get none in order to reserve slots for interactive
 // requests. In the first part more batch requests than slots arrive, then an interactive one
-// and a resume; in the second part, interactive requests fill every slot, then more of both
-// arrive.
+// and a resume; in the second part, interactive requests fill every slot, then more requests
+// of both priorities arrive.
 func TestDraftsLeaveRoomForLookups(t *testing.T) {
 	interactive := Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}
 	batch := Ticket{Account: "a", Cost: 1}
@@ -174,7 +174,7 @@
 }
 
 // Interactive requests must not queue behind batch requests that run for minutes. Interactive
-// requests want more than every slot, and so do batch requests, which don't end. Batch
+// requests need more slots than there are, and so do batch requests, which don't end. Batch
 // requests must not get their whole share while interactive requests wait.
 func TestDraftsYieldWhileLookupsWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -47,7 +47,8 @@
 }
 
 const (
-	// serviceTimeWeight is the weight of the latest service time in the averages.
+	// serviceTimeWeight is the weight of the latest service time in the moving averages of
+	// classLoad.
 	serviceTimeWeight = 1.0 / 16
 	// estimateHalfLife is the time without a release after which the estimated service times
 	// count only half. Otherwise service times that rose during a failure would cause every
@@ -147,7 +148,8 @@
 	}
 }
 
-// unavailable reports whether the pool has been without capacity for too long to keep waiting.
+// unavailable reports whether the pool has been without capacity for at least MaxCapacityWait,
+// so that its tickets should not wait any longer.
 //
 // Without this check, when all replicas of a model are leaving or down, requests for the model
 // queue until the callers' deadlines, minutes later, although no replica exists that could run
@@ -168,8 +170,9 @@
 	return p.running < capacity+cfg.minUrgentSlots(p.name)
 }
 
-// hasBatchSlot reports whether new batch work leaves enough capacity for other work. One slot
-// in batchEvery is available to batch work even if interactive requests use all others.
+// hasBatchSlot reports whether one more new batch request would leave enough capacity for
+// other work. One slot in batchEvery is available to batch work even if interactive requests
+// use all others.
 //
 // The capacity that batch work leaves free counts running interactive requests as well as
 // future ones. Otherwise the running requests would also use part of the batch share, and near
@@ -229,10 +232,10 @@
 	return time.Duration(float64(n) / rate * float64(time.Second))
 }
 
-// waitForBatch estimates the wait from the expected ends of the running batch requests. After
-// an idle time batch requests start together and so end together. If a mean rate were used
-// instead, requests that arrive behind such a group would be queued although they can't be
-// served in time.
+// waitForBatch is waitFor for batch tickets. It estimates the time until n of them have been
+// served from the expected ends of the running batch requests. After an idle time batch
+// requests start together and so end together. If a mean rate were used instead, requests that
+// arrive behind such a group would be queued although they can't be served in time.
 func (p *pool) waitForBatch(n int, cfg *Config, now time.Time) time.Duration {
 	slots := len(p.batchRunning)
 	mean := p.load[fleet.Batch].mean
@@ -268,7 +271,7 @@
 }
 
 // rate returns the number of running requests of this priority that are expected to end per
-// second.
+// second; it returns 0 before the first release.
 func (l *classLoad) rate() float64 {
 	if l.mean <= 0 {
 		return 0
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -107,10 +107,10 @@
 	return w.seq < o.seq
 }
 
-// expired reports whether a ticket can no longer finish in time. If a batch request were
-// started anyway, it would be cut at its caller's deadline, after it had used a slot for
-// minutes. Resumes need only the minimum service time, since they represent work already paid
-// for.
+// expired reports whether a ticket can no longer finish by its deadline; a ticket without a
+// deadline always can. If a batch request were started anyway, it would be cut at its caller's
+// deadline, after it had used a slot for minutes. Resumes need only the minimum service time,
+// since they represent work already paid for.
 func (w *waiter) expired(now time.Time, minService time.Duration) bool {
 	d := w.ticket.Deadline
 	return !d.IsZero() && now.Add(w.requiredTime(now, minService)).After(d)
@@ -125,7 +125,7 @@
 
 // maxQueueWait returns how long a ticket may wait; bounded is false if there is no limit.
 // Interactive requests need no such limit, since they are served first and their deadline is
-// near.
+// near. Resumes and tickets without a deadline have no limit either.
 func (w *waiter) maxQueueWait(now time.Time, minService time.Duration) (d time.Duration, bounded bool) {
 	t := &w.ticket
 	if t.Resume || t.Priority != fleet.Batch || t.Deadline.IsZero() {
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -30,9 +30,9 @@
 }
 
 const (
-	// waitShare is the part of the target for the first chunk that a request may be expected
-	// to wait here. The time that remains after reading the prompt is kept for waits that last
-	// longer than expected, since half of the waits do.
+	// waitShare is the part of the target for the first chunk that a request may be expected to
+	// wait at this router. The time that remains after reading the prompt is kept for waits
+	// that last longer than expected, since half of the waits do.
 	waitShare = 0.3
 	// uselessFactor is how many times the target for the first chunk a caller waits at most.
 	uselessFactor = 3
@@ -49,13 +49,17 @@
 	CallerTimeLeft time.Duration // remaining time of its caller; 0 if not known
 }
 
-// maxWaitInTime returns how long a request may wait here and still be in time.
+// maxWaitInTime returns how long a request may wait at this router so that its first chunk is
+// still expected in time.
 func (w WaitState) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
-// InTime reports whether the request's first chunk is still expected in time.
+// InTime reports whether the request's first chunk is still expected in time. It always is if
+// Target is 0.
 func (w WaitState) InTime() bool { return w.Target <= 0 || w.Waited+w.Expected <= w.maxWaitInTime() }
 
-// servable reports whether the request can still be answered.
+// servable reports whether the request can still be answered: its whole wait is not longer
+// than uselessFactor times Target, and the rest of its wait leaves answerShare of the caller's
+// remaining time for the answer.
 func (w WaitState) servable() bool {
 	if w.Waited+w.Expected > uselessFactor*w.Target {
 		return false
@@ -74,7 +78,8 @@
 	return max(w.Expected, w.Waited), true
 }
 
-// MaxWait returns how long a request may wait, whatever wait is expected.
+// MaxWait returns how long a request may wait, whatever wait is expected: uselessFactor times
+// the target for the first chunk under RefuseUnservable, else half of the target.
 func (r RefusalPolicy) MaxWait(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
 		return uselessFactor * target
--- a/admission/retry.go
+++ b/admission/retry.go
@@ -33,9 +33,9 @@
 	b.level = min(b.level+b.share, b.burst)
 }
 
-// Overdraw draws one retry even if none is left, down to a debt of depth. It is meant for work
-// that is already paid for. A debt must be made up by first tries before other retries can
-// draw.
+// Overdraw draws one retry even if none is left, down to a debt of depth retries. It is meant
+// for work that is already paid for. A debt must be made up by first tries before other
+// retries can draw.
 func (b *RetryBudget) Overdraw(depth float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -56,7 +56,8 @@
 	// times the longest interval between two polls. If the process pauses for longer, only the
 	// order of the queue is lost.
 	dropAfter = 400 * time.Millisecond
-	// intervalWeight is the weight of the latest interval in grantInterval.
+	// intervalWeight is the weight of the latest interval between two grants in their moving
+	// average, grantInterval.
 	intervalWeight = 0.2
 	// intervalMaxAge is the time since the last grant after which grantInterval is no longer
 	// valid, since it was measured in an earlier burst.
@@ -134,9 +135,9 @@
 	delete(l.waiters, id)
 }
 
-// ExpectedWait returns how long a request with so many others ahead is expected to wait. The
-// bool is false while the wait can't be estimated. While no slot is granted, the expected wait
-// grows with the time since the last grant.
+// ExpectedWait returns the expected time until as many requests as ahead states have been
+// granted a slot. The bool is false while the wait can't be estimated. While no slot is
+// granted, the expected wait grows with the time since the last grant.
 func (l *WaitQueue) ExpectedWait(ahead int, now time.Time) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
