--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -172,7 +172,9 @@
 	return min(max(x.opts.Linger, time.Until(x.req.Deadline)), maxNonIdempotentLinger)
 }
 
-// engineLost reports whether the failure detector ended the attempt.
+// engineLost reports whether the attempt with the context ctx was cancelled so that its answer
+// is continued: by the failure detector, or because the backend server reported that it
+// doesn't have the run.
 func engineLost(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrEngineLost) {
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -74,8 +74,9 @@
 	return standby
 }
 
-// copiesFor reports whether the run continues from a copy stored at b, and consumes the record of
-// that copy.
+// copiesFor returns from which copy the run is to continue at b, or the zero value if b
+// doesn't keep the copy of the lost attempt. It clears the record of that copy, so that only
+// one attempt can use the copy.
 func (x *run) copiesFor(b fleet.Backend) backend.Copies {
 	lost := x.lostCopy
 	x.lostCopy = lostAttemptCopy{}
@@ -273,7 +274,8 @@
 	return x.opts.MaxTokenlessAttempts
 }
 
-// resume attaches to the run that the engine still keeps.
+// resume attaches to the run of the lost attempt, which its engine may still keep. If this
+// router has made no attempt yet, the run is the one named by the request's ResumePoint.
 func (x *run) resume() string {
 	if x.current == nil {
 		x.current = x.attemptFromResume()
--- a/generation/end.go
+++ b/generation/end.go
@@ -37,7 +37,9 @@
 	return x.end("fail", code, err)
 }
 
-// incompleteState is the final state of a run that can't complete.
+// incompleteState returns the final state of a run that can't complete: "refused" if no
+// backend server can have run the request, "unknown" if one may have and the request is not
+// idempotent, else "failed".
 func (x *run) incompleteState() string {
 	switch {
 	case !x.mayHaveRun:
@@ -83,8 +85,8 @@
 
 // retryAfter returns how long the caller should wait before it comes back. If the cause was
 // expected to pass soon, the time stated with the cause is only the interval until the
-// router's own next try. Those tries have failed by now, so the caller is told to wait for the
-// default time at least.
+// router's own next try. The router's tries have failed by now, so the caller is told to wait
+// at least for Options.RetryAfter.
 func (x *run) retryAfter(u *Unavailable) time.Duration {
 	if u.Retryable {
 		return max(u.RetryAfter, x.opts.RetryAfter)
--- a/generation/fake_test.go
+++ b/generation/fake_test.go
@@ -34,7 +34,7 @@
 }
 
 // behavior is what an engine does with one request: it sends a number of tokens, then fails as
-// described by fault.
+// described by fault. If fault is empty, the engine sends all tokens of the answer.
 type behavior struct {
 	tokens int
 	fault  string
@@ -50,7 +50,8 @@
 	} `json:"ext"`
 }
 
-// fakeEngine applies its behaviors in order, and repeats the last one.
+// fakeEngine applies one of its behaviors to each request, in order, and repeats the last
+// behavior.
 type fakeEngine struct {
 	srv       *httptest.Server
 	mu        sync.Mutex
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -42,7 +42,7 @@
 	ErrDeadline = errors.New("deadline passed")
 	// ErrCallerDisconnected means that the caller no longer accepts the answer.
 	ErrCallerDisconnected = errors.New("caller is gone")
-	// ErrDuplicate means that the key of the request is already claimed.
+	// ErrDuplicate means that another run has already claimed the key of the request.
 	ErrDuplicate = errors.New("key is claimed already")
 	// ErrMoved means that an attempt was ended so that the answer is continued elsewhere. It is
 	// not a fault of the backend server.
@@ -130,7 +130,8 @@
 	Copies           Copying       // standby copies of the run
 }
 
-// Copying states how the backend servers of a service copy the state of a run to another one.
+// Copying states how the backend servers of a service copy the state of a run to another
+// backend server.
 type Copying struct {
 	KeptUpToDate bool // they keep a copy up to date from the start of a run
 	OnDemand     bool // they make a copy on request
@@ -162,7 +163,8 @@
 	Begin(p Position, head *backend.Head) error
 	// Token receives the token at index. text is valid only during the call.
 	Token(index int, text []byte, finish string) error
-	// Flush is called when no further token is buffered.
+	// Flush is called when no further token can be delivered without waiting, so that the
+	// caller gets the tokens delivered so far.
 	Flush() error
 }
 
@@ -174,7 +176,7 @@
 	RetryAfter time.Duration
 	Tokens     int // delivered by this run
 	Resumes    int
-	Digest     string // identifies the request and its repeats; empty if crashes under it aren't tracked
+	Digest     string // identifies the request and its repeats; empty if crashes of backend servers that ran it aren't tracked
 	// TimeToFirstToken is the time until the first token was delivered. LongestPause is the
 	// longest time between two consecutive tokens.
 	TimeToFirstToken time.Duration
@@ -192,7 +194,8 @@
 	Resume   bool // continues an answer that was started through another router
 }
 
-// Admitter applies the limits of client accounts.
+// Admitter applies the limits of client accounts. The returned release, if it is not nil, is
+// called at the end of the run.
 type Admitter interface {
 	Admit(ctx context.Context, t Ticket) (release func(), err error)
 }
--- a/generation/pause.go
+++ b/generation/pause.go
@@ -14,7 +14,8 @@
 // through another router, which takes over the engine's stream. When this process resumes, it
 // finds both connections closed. If it notices the closed connection of the engine first, it
 // would start the answer on another engine for a caller that has left, and cancel the run that
-// the other router is reading. The symptom would be attempts without a failed engine.
+// the other router is reading. The symptom would be further attempts although no engine
+// failed.
 //
 // A break in a flowing stream needs no wait, since its caller was connected a moment ago.
 func (x *run) awaitCallerDisconnect() {
--- a/generation/runner.go
+++ b/generation/runner.go
@@ -231,7 +231,9 @@
 	return x.filter.next > 0
 }
 
-// canContinueElsewhere reports whether another backend server may continue the answer.
+// canContinueElsewhere reports whether another backend server may continue the answer: for an
+// opaque request if it is idempotent, for any other request if this router keeps the accepted
+// text.
 func (x *run) canContinueElsewhere() bool {
 	if x.req.Opaque != nil {
 		return !x.req.NonIdempotent
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -47,7 +47,8 @@
 	return "admitted"
 }
 
-// cost is the work of the request in tokens.
+// cost returns the work of the request in tokens: the estimated tokens of its prompt plus the
+// largest number of tokens that its answer may have.
 func (x *run) cost() float64 {
 	if o := x.req.Opaque; o != nil {
 		return float64(o.PromptTokens + o.MaxAnswerTokens)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -20,11 +20,13 @@
 	"wigeondale/routing"
 )
 
-// maxTries bounds how often a backend server is chosen. The choice is repeated when the chosen
-// backend server became unavailable meanwhile.
+// maxTries bounds how often a backend server is chosen. The choice is repeated if the chosen
+// backend server has started leaving, or accepts no attempt according to its health, by the
+// time of the check before the sending.
 const maxTries = 4
 
-// Chooser chooses a backend server among candidates.
+// Chooser chooses a backend server for an attempt among candidates, and checks again before
+// the sending that the backend server may get the attempt.
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
@@ -60,7 +62,7 @@
 	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.RetryAfter, Err: err}
 }
 
-// WithID returns a copy of set with one more id.
+// WithID returns a copy of set with one more id; set itself is not changed.
 func WithID(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k, v := range set {
@@ -70,7 +72,8 @@
 	return out
 }
 
-// Watcher registers attempts with the failure detector.
+// Watcher registers attempts and their results with the failure detector, and marks a backend
+// server as leaving in the directory if a refusal shows that it is.
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
