--- a/mirror/config.go
+++ b/mirror/config.go
@@ -12,38 +12,44 @@
 
 // Store is the part of the platform's store that a Mirror reads.
 type Store interface {
-	// Page reads items under prefix whose keys come after the given key. If stale is
-	// true, the data may be seconds old; the store can serve such data at far less
-	// cost.
+	// Page reads the next page of the items under prefix whose keys come after the given
+	// key, in the order of their keys; an empty key reads the first page. If stale is
+	// true, the data may be seconds old; the store can serve such data at far less cost.
 	Page(ctx context.Context, prefix, after string, stale bool) (infra.Page, error)
-	// Changes waits up to wait for changes after a revision. It fails with
-	// infra.ErrCompacted if the store no longer has these changes.
+	// Changes returns the changes under prefix that were made after the revision after,
+	// and the revision up to which they are complete. If there are none yet, Changes waits
+	// up to wait for one. It fails with infra.ErrCompacted if the store no longer has
+	// these changes.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) (events []infra.WatchEvent, at int64, err error)
 	// Reset drops all connections, so that the next call opens a new one.
 	Reset()
 }
 
-// Receiver is notified of the items in the mirror. The Mirror calls its methods one at
-// a time and with its lock held, so these methods must not call the Mirror.
+// Receiver is notified of each item that the Mirror adds, changes or removes in its copy.
+// The Mirror calls its methods one at a time and with its lock held, so these methods must
+// not call the Mirror.
 type Receiver interface {
 	// Put is called for a new or changed item.
 	Put(v infra.Value)
-	// Removed is called when the item has been removed.
+	// Removed is called when the item with this key has been removed from the Mirror's
+	// copy; an unconfirmed removal does not count yet.
 	Removed(key string)
-	// BatchDone is called after each batch of Put and Removed calls.
+	// BatchDone is called after each batch of Put and Removed calls, so that the receiver
+	// can act once on the changes that arrived together.
 	BatchDone()
 }
 
 // Config configures a Mirror. Zero durations mean the defaults.
 type Config struct {
 	Prefix string
-	// Wait is how long one call may wait for a change. It bounds the age of a reader's
-	// state, and so the age of the state that the reader sends to other nodes.
+	// Wait is how long one call of the store may wait for a change. It bounds the age of a
+	// reader's state, and so the age of the state that the reader sends to other nodes.
 	Wait time.Duration
-	// Slack is the time that the response of a call may take in addition to Wait.
+	// Slack is the time that the response of a call may take in addition to Wait; a call
+	// that takes longer counts as failed.
 	Slack time.Duration
-	// Pause is the time between two calls. It makes changes that come in quick
-	// succession arrive in one batch.
+	// Pause is the time between two calls of the store. It makes changes that come in
+	// quick succession arrive in one batch.
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
@@ -51,8 +57,9 @@
 	// than the time for which the store keeps its history of changes, because the
 	// changes made since the first page are fetched from that history.
 	PageMaxAge time.Duration
-	// ConfirmAfter is how long after an outage of the store a missing item may still come
-	// back.
+	// ConfirmAfter is the time after an outage of the store during which an item that is
+	// missing because of the outage may be written again by its owner. Until then, the
+	// removal of a missing item is unconfirmed.
 	ConfirmAfter time.Duration
 	// IsReader reports whether this node reads the store; nil means always. A node that
 	// has not yet received all items once reads the store in any case.
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,20 +1,21 @@
 // Package mirror keeps a copy of all items under a prefix of the platform's store, and
 // notifies a Receiver of each change.
 //
-// While a call waits for changes, a node can lose contact with the store without
-// noticing: the store drops its history; a connection stays silent for good while new
-// connections work; or the store is down, or rejects this node and serves other nodes.
-// So each call has a timeout of its own, the call after a failed call uses a new
-// connection, and after a loss of history the whole prefix is read again. Entries that
-// expired during an outage of the store come back soon after the store does. Therefore
-// items that are missing after an outage are unconfirmed removals for a while, and
-// count as removed only if they have not come back after that time.
+// While a call waits for changes, a node can lose contact with the store without noticing:
+// the store drops its history; a connection stays silent for good while new connections
+// work; or the store is down, or rejects this node and serves other nodes. So each call of
+// the store has a timeout of its own, the call after a failed call uses a new connection,
+// and after a loss of history the whole prefix is read again. Items that expired during an
+// outage of the store are written again by their owners soon after the store works again.
+// Therefore items that are missing after an outage are unconfirmed removals for a while
+// (Config.ConfirmAfter), and count as removed only if they have not been written again by
+// then.
 //
-// Few nodes read the store; the others get changes from their neighbours (Delta,
-// Merge). In this way a node that the store rejects gets the changes, too. Age reports
-// how long ago the store last answered this node, which is how old the node's state may
-// be without changes from neighbours, so that a node that gets no such changes can read
-// the store itself.
+// Few nodes read the store; the others get changes from their neighbours (Delta, Merge).
+// In this way a node that the store rejects gets the changes as well. Age reports how long
+// ago the store last answered this node, which is how old the node's state may be without
+// changes from neighbours, so that a node that gets no such changes can read the store
+// itself.
 package mirror
 
 import (
@@ -66,7 +67,8 @@
 	}
 }
 
-// Run keeps the copy up to date until ctx ends.
+// Run keeps the copy up to date until ctx ends: it calls the store while this node reads
+// the store, and removes the items whose unconfirmed removal has ended.
 func (m *Mirror) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause := idlePoll
@@ -115,7 +117,8 @@
 	return nil
 }
 
-// apply applies the changes up to a revision.
+// apply applies changes that the store returned, which are complete up to the revision
+// upTo.
 func (m *Mirror) apply(events []infra.WatchEvent, upTo int64) {
 	m.lastAnswer = time.Now()
 	for _, e := range events {
@@ -128,7 +131,7 @@
 	m.state.advance(upTo)
 }
 
-// CatchUp makes Run call the store once soon, even if IsReader reports that this node
+// CatchUp makes Run read the store once, soon, even if IsReader reports that this node
 // doesn't read the store.
 func (m *Mirror) CatchUp() { m.callRequested.Store(true) }
 
@@ -162,8 +165,8 @@
 	return m.state.newest
 }
 
-// Age returns how long ago the store last answered this node, or neverAnswered if it
-// never did.
+// Age returns how long ago the store last answered this node, or neverAnswered if the
+// store never did.
 func (m *Mirror) Age(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -197,9 +200,9 @@
 	})
 }
 
-// confirmRemovals removes the items whose removal has been unconfirmed until its end.
-// Once the time after the last outage has passed, items that go missing later are
-// removed at once again.
+// confirmRemovals removes the items whose removal has been unconfirmed until its end. Once
+// the time after the last outage has passed, items that go missing later are removed at
+// once again, as before the outage.
 func (m *Mirror) confirmRemovals(now time.Time) {
 	m.update(func() {
 		if !m.missingPolicy.until.IsZero() && !now.Before(m.missingPolicy.until) {
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -32,9 +32,9 @@
 }
 
 // TestLapsedEntriesMayComeBack guards against counting all replicas as removed after an
-// outage of the store, so that every request is refused. Entries expire during the
-// outage and come back within two seconds after it. Items missing from the first read
-// after the outage must not be removed at once.
+// outage of the store, so that every request is refused. Replicas' entries expire during
+// the outage and are written again within two seconds after it. Items missing from the
+// first read after the outage must not be removed at once.
 func TestLapsedEntriesMayComeBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -13,15 +13,16 @@
 // neighbour that lags by more removals has to read all items.
 const defaultMaxRemovals = 256
 
-// Removal records that an item was missing at the revision Rev.
+// Removal reports to a neighbour that the item with the given Key was missing at the
+// revision Rev.
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Unconfirmed marks an item that is missing since an outage of the store and may
-	// come back.
+	// Unconfirmed is set if the item has been missing since an outage of the store and its
+	// owner may write it again, so that it doesn't count as removed yet.
 	Unconfirmed bool `cbor:"3,keyasint,omitempty"`
-	// UnconfirmedMS is for how many more milliseconds the item may come back; 0 means
-	// that this time isn't known yet, because the outage lasts.
+	// UnconfirmedMS is the number of milliseconds for which the removal stays unconfirmed;
+	// 0 means that this number isn't known yet, because the outage of the store continues.
 	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -62,21 +63,22 @@
 const pageBytes = 256 << 10
 
 // removalPolicy defines how missing items are treated: as removed, or as unconfirmed
-// removals until the given time. A zero time means that the end isn't known yet,
-// because the outage of the store lasts.
+// removals until the given time. A zero time means that the end isn't known yet, because
+// the outage of the store continues.
 type removalPolicy struct {
 	unconfirmed bool
 	until       time.Time
 }
 
-// unconfirmedRemoval is an item that went missing and may come back.
+// unconfirmedRemoval records that an item is missing because of an outage of the store and
+// may be written again by its owner.
 type unconfirmedRemoval struct {
 	rev   int64 // revision at which the item was missing
 	until time.Time
 }
 
-// remainingMS returns for how many more milliseconds the item may come back, or 0 if
-// that time isn't known yet.
+// remainingMS returns the number of milliseconds for which the removal stays unconfirmed,
+// or 0 if that number isn't known yet.
 func (d unconfirmedRemoval) remainingMS() int64 {
 	if d.until.IsZero() {
 		return 0
@@ -84,8 +86,8 @@
 	return max(time.Until(d.until).Milliseconds(), 1)
 }
 
-// state is the known content of the prefix. An item never goes back to an earlier
-// revision, in whatever order changes arrive.
+// state is a node's copy of the items under the prefix. An item never goes back to an
+// earlier revision, in whatever order changes arrive.
 type state struct {
 	receiver      Receiver
 	items         map[string]infra.Value
@@ -121,8 +123,8 @@
 	s.receiver.Put(v)
 }
 
-// remove removes an item that was missing at rev. An item that may come back becomes an
-// unconfirmed removal instead.
+// remove removes an item that was missing at rev. If d is unconfirmed, the item stays and
+// an unconfirmed removal is recorded instead.
 func (s *state) remove(key string, rev int64, d removalPolicy) {
 	current, ok := s.items[key]
 	if current.ModRev > rev {
@@ -161,8 +163,8 @@
 	}
 }
 
-// replace applies the complete list of items at a revision. Items that are not in the
-// list are removed as d says.
+// replace applies the complete list of items at a revision. Items that are not in the list
+// are removed, or become unconfirmed removals, as d defines.
 func (s *state) replace(items []infra.Value, at int64, d removalPolicy) {
 	if s.newest == 0 {
 		s.removalsFloor = at
@@ -190,7 +192,7 @@
 	}
 }
 
-// confirmExpired removes the items that did not come back before the end of their
+// confirmExpired removes the items that were not written again before the end of their
 // unconfirmed removal.
 func (s *state) confirmExpired(now time.Time) {
 	for key, d := range s.unconfirmed {
@@ -200,7 +202,9 @@
 	}
 }
 
-// delta responds to a neighbour that has all changes up to the requested revision.
+// delta responds to a neighbour that has all changes up to the revision req.After: with
+// the later changes or, if this node no longer knows all later removals, with a page of
+// all items (if req.All is set) or with RemovalsUnknown.
 func (s *state) delta(req DeltaRequest) Delta {
 	if req.After >= s.removalsFloor {
 		return s.changesAfter(req.After)
@@ -234,9 +238,9 @@
 	return d
 }
 
-// unconfirmedRemovals returns the unconfirmed removals after a revision. They must be
-// sent with the other changes, because a node that has a newer revision never requests
-// them again.
+// unconfirmedRemovals returns the unconfirmed removals after a revision. They must be sent
+// with the other changes, because a neighbour that has a newer revision never requests
+// changes of earlier revisions again.
 func (s *state) unconfirmedRemovals(after, upTo int64) []Removal {
 	var out []Removal
 	for key, d := range s.unconfirmed {
@@ -296,14 +300,14 @@
 	return len(items)
 }
 
-// merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the
-// time that the neighbour gives, or until end if it gives none.
+// merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the time
+// that the neighbour gives, or until end if it gives none.
 //
 // If merge used end in any case, each node would hold a removal as unconfirmed for the
-// whole time again. When the store has been back for a while and a replica leaves, one
-// reader may still hold that removal as unconfirmed for a moment and be the first to
-// send it to the other nodes. The other nodes would then go on sending work to the
-// replica for two seconds.
+// whole time again. When the store has been working again for a while and a replica
+// leaves, one reader may still hold that removal as unconfirmed for a moment and be the
+// first to send it to the other nodes. The other nodes would then go on sending work to
+// the replica for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
 	if d.Newest <= s.newest || d.RemovalsUnknown {
 		return
