--- a/inventory/bench_test.go
+++ b/inventory/bench_test.go
@@ -39,8 +39,8 @@
 	return float64(len(data))
 }
 
-// BenchmarkReading measures the cost of a reading for a reader, without fetching and
-// parsing the list, when one entry changed.
+// BenchmarkReading measures the cost for a reader of applying one reading in which one
+// entry changed, without fetching and parsing the list.
 func BenchmarkReading(b *testing.B) {
 	list := targetList()
 	s, o, now := targetState(list)
@@ -66,8 +66,8 @@
 	b.ReportMetric(encoded(b, d), "B/delta")
 }
 
-// BenchmarkDigest measures a digest round between two nodes with equal inventories,
-// counting the work of both nodes.
+// BenchmarkDigest measures a digest round (one comparison by digests) between two nodes
+// with equal inventories, counting the work of both nodes.
 func BenchmarkDigest(b *testing.B) {
 	s, _, _ := targetState(targetList())
 	var request, answer Digest
@@ -79,7 +79,8 @@
 	b.ReportMetric(encoded(b, request)+encoded(b, answer), "B/round")
 }
 
-// BenchmarkExchange measures a digest round in which one record differs.
+// BenchmarkExchange measures a digest round between two nodes whose inventories differ in
+// one record.
 func BenchmarkExchange(b *testing.B) {
 	list := targetList()
 	s, _, now := targetState(list)
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// testFleet is a set of nodes on a fake clock. The first fleetReaders nodes read the
-// list, each through a replica with a lag of its own.
+// testFleet is a set of nodes on a fake clock. The first fleetReaders nodes read the VM
+// list, each through a replica of the list with a lag of its own.
 type testFleet struct {
 	*rapid.T
 	now     time.Time
@@ -109,8 +109,8 @@
 }
 
 // settleAll leaves the list unchanged until each reader has seen the list's final state
-// and every mismatch with it has lasted longer than mismatchTimeout, so that the
-// readers have put the final state into force.
+// and every mismatch with it has lasted longer than mismatchTimeout, so that the readers
+// have merged the final state into their inventories.
 func (w *testFleet) settleAll() {
 	for _, pause := range []time.Duration{time.Second, time.Second, mismatchTimeout, mismatchTimeout} {
 		w.now = w.now.Add(pause)
@@ -164,10 +164,10 @@
 	return list
 }
 
-// TestShrunkReadingIsHeldBack guards against losing all backend servers of the fleet.
-// The service of the VM list restarts and shows nothing at first, then a part of the
-// list; a reading that lacks more than half of the entries must not be applied at once.
-// Each row lists readings that are 6 s apart.
+// TestShrunkReadingIsHeldBack guards against losing all backend servers of the fleet. The
+// service that serves the VM list restarts and returns nothing at first, then a part of
+// the list; a reading that lacks more than half of the entries must not be applied at
+// once. Each row lists readings that are 6 s apart.
 func TestShrunkReadingIsHeldBack(t *testing.T) {
 	for name, tc := range map[string]struct {
 		shown []int // entries of each reading, 6 s apart
@@ -200,8 +200,9 @@
 
 // TestLaggingReaderUndoesNothing guards against a change that is undone and repeated on
 // all nodes for as long as one replica of the list lags. r1 sees a removal; r2, through
-// the lagging replica, still lists the VM in each of its readings; then r2 restarts.
-// The failure occurs if a reader puts whatever it reads into force.
+// the lagging replica, still lists the VM in each of its readings; then r2 restarts. The
+// failure occurs if a reader reports every difference between its reading and the
+// inventory as a change.
 func TestLaggingReaderUndoesNothing(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
@@ -255,8 +256,8 @@
 
 // TestLeavingIsKeptBesideAnotherChange guards against sending new work to a VM that is
 // about to stop, as TestLeavingIsNotUndone does. Here r2 still sees the VM live and
-// reports another change of the VM before it receives r1's report that the VM is
-// leaving. The mark must be kept.
+// reports another change of the VM before it receives r1's report that the VM is leaving.
+// The record must still show that the VM is leaving.
 func TestLeavingIsKeptBesideAnotherChange(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	changesOf := func(reader string, at time.Duration, change func(*Item)) []Record {
--- a/inventory/dump.go
+++ b/inventory/dump.go
@@ -58,8 +58,8 @@
 	Reader   string `json:"reader"`
 }
 
-// Dump returns the state. The keys of its records are b/ID for backend servers and e/ID
-// for entry VMs.
+// Dump returns the state of the Inventory as a Dump. The keys of its records are b/ID for
+// backend servers and e/ID for entry VMs.
 func (v *Inventory) Dump() any {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/inventory/exchange.go
+++ b/inventory/exchange.go
@@ -17,7 +17,7 @@
 	// Record.bytes. The bound is far below the maximum message size of package peer, so
 	// that no message closes a link.
 	maxExchange = 256 << 10
-	// overhead is the maximum encoded size of a record without its texts.
+	// overhead is the maximum encoded size of a record without its texts, in bytes.
 	overhead = 60
 )
 
@@ -59,11 +59,12 @@
 	return d.Sum64()
 }
 
-// Digest summarises the whole state in a few bytes.
+// Digest returns a summary of the whole state that takes a few bytes: one hash over all
+// buckets and the times of the newest readings.
 func (s *State) Digest() Digest { return Digest{Root: s.root(), Newest: s.newest} }
 
-// Answer returns the digest of this state for a node that sent its own, with the hash
-// of each bucket if the two differ.
+// Answer returns the digest of this state for a node that sent the digest theirs, with the
+// hash of each bucket if the roots of the two digests differ.
 func (s *State) Answer(theirs Digest) Digest {
 	d := s.Digest()
 	if d.Root != theirs.Root {
@@ -72,7 +73,8 @@
 	return d
 }
 
-// Differing lists the buckets in which a node's answer differs from this state.
+// Differing lists the buckets whose hash in a node's answer differs from the hash in this
+// state.
 func (s *State) Differing(answer Digest) []uint16 {
 	if len(answer.Buckets) != bucketCount {
 		return nil
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,18 +1,18 @@
 // Package inventory keeps a copy of the VM list on every node while few nodes read it.
 //
-// Two nodes of each failure domain read the list. They flood the changes between two
-// readings; digests between neighbours deliver the changes to nodes that a flood
-// missed.
+// Two nodes of each failure domain read the list. They flood to all nodes what changed
+// between two of their readings; digests that neighbours compare deliver the changes to
+// nodes that a flood missed.
 //
-// If each of hundreds of nodes read a list of thousands of entries every second, the
-// list would be the first service to fail, and each node would spend its budget on
-// parsing it. With few readers, these failures must be handled. Readers lag by
-// different times, and messages arrive out of order; therefore records are merged by
-// the time of their reading, whatever the order of arrival (Merge, Observer). A flood
-// is lost, a partition heals or a node starts; digests then repair the difference
+// If each of hundreds of nodes read a list of thousands of entries every second, the list
+// would be the first service to fail, and each node would spend its budget on parsing the
+// list. When only a few nodes read the list, the following failures must be handled.
+// Readers lag by different times, and messages arrive out of order; therefore records are
+// merged by the time of their reading, whatever the order of arrival (Merge, Observer). A
+// flood is lost, a partition heals or a node starts; digests then repair the difference
 // (State.Differing). The readers crash or can't read the list; other nodes then notice
-// that no updates arrive and read the list themselves (Choose). The list is down, empty
-// or half empty; such a reading then removes no records (Observer.evaluate).
+// that no updates arrive and read the list themselves (Choose). The list is down, empty or
+// half empty; such a reading then removes no records (Observer.evaluate).
 package inventory
 
 import (
@@ -42,12 +42,12 @@
 	fallbackInterval = 30 * time.Second
 	// callTimeout bounds one call to a neighbour.
 	callTimeout = 2 * time.Second
-	// jitterShare is the share of its length by which each interval is lengthened or
-	// shortened at most.
+	// jitterShare is the maximum share by which an interval is lengthened or shortened at
+	// random, so that nodes don't act in step.
 	jitterShare = 0.25
 )
 
-// Peers connects to the other nodes.
+// Peers gives an Inventory access to the other nodes.
 type Peers interface {
 	// Members lists the visible nodes, this one included.
 	Members() []peer.Member
@@ -63,7 +63,7 @@
 	Node          string
 	FailureDomain string
 	ReadInterval  time.Duration // mean time between a reader's readings
-	// Read reads the platform's list.
+	// Read reads the platform's VM list.
 	Read    func(ctx context.Context) ([]Item, error)
 	Peers   Peers
 	Events  *event.Log
@@ -104,7 +104,8 @@
 	return v
 }
 
-// Run reads the list when it is this node's task, and compares digests, until ctx ends.
+// Run reads the VM list while this node's duty is to read it, and compares digests with
+// random neighbours, until ctx ends.
 func (v *Inventory) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { every(ctx, v.cfg.ReadInterval, v.readIfDue); return nil })
@@ -112,7 +113,8 @@
 	return group.Wait()
 }
 
-// every calls f at jittered intervals, counted from start to start.
+// every calls f until ctx ends. The jittered intervals are counted from the start of one
+// call to the start of the next.
 func every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	for ctx.Err() == nil {
 		next := time.Now().Add(jitter(interval))
@@ -128,7 +130,8 @@
 	return time.Duration(float64(d) * (1 + jitterShare*(2*rand.Float64()-1)))
 }
 
-// Changed receives a value after the known records have changed.
+// Changed returns a channel that gets a value after the known records have changed.
+// Several changes may result in one value.
 func (v *Inventory) Changed() <-chan struct{} { return v.changed }
 
 // MembersChanged makes the next check of this node's duty read the members from Peers
@@ -149,7 +152,8 @@
 	return v.duty
 }
 
-// readIfDue reads the list if it is this node's task now.
+// readIfDue reads the VM list if this node is due to read it now (see due), applies the
+// reading and floods the changes.
 func (v *Inventory) readIfDue(ctx context.Context) {
 	if !v.due(time.Now()) {
 		return
@@ -189,8 +193,8 @@
 	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.lastReadingAt), v.fallbackActive})
 	if v.duty == FallbackReader && before != FallbackReader {
 		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.lastReadingAt).String())
-		// All nodes notice the silence at the same time, so the first fallback reading
-		// of each node is at a random time.
+		// All nodes notice at the same time that no updates about readings arrive, so the
+		// first fallback reading of each node is at a random time.
 		v.nextFallback = now.Add(time.Duration(rand.Float64() * float64(fallbackInterval)))
 	}
 	if v.duty == NotReader && before != NotReader {
@@ -228,8 +232,8 @@
 	return out
 }
 
-// recordReading records this reading as the newest reading. It returns true if the
-// reading is the first since this node became an active fallback reader.
+// recordReading records this reading as the newest reading. It returns true if the reading
+// is the first since this node became a fallback reader.
 func (v *Inventory) recordReading(started time.Time) (first bool) {
 	h := NewestReadings{Reading: v.state.nextStamp(started)}
 	if v.duty == Reader {
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -60,7 +60,7 @@
 	w.largest = max(w.largest, len(b))
 }
 
-// set changes the list.
+// set calls change, which changes the VM list, with the lock held.
 func (w *fakeNetwork) set(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,9 +139,9 @@
 }
 
 // TestLeavingIsKnownWithinItsBound guards against sending new work to a leaving VM for
-// longer than LeavingBound, by routers that don't read the list. The readers see the VM
-// leaving and must send that update at once. Then another VM leaves while all floods
-// are lost, and digests must deliver the update.
+// longer than LeavingBound, by routers that don't read the VM list. The readers see the VM
+// leaving and must send that update at once. Then another VM leaves while all floods are
+// lost, and digests must deliver the update.
 func TestLeavingIsKnownWithinItsBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeNetwork(10, engines(20))
--- a/inventory/merge_test.go
+++ b/inventory/merge_test.go
@@ -44,9 +44,9 @@
 }
 
 // TestLeavingIsNotUndone guards against sending new work to a VM that is about to stop.
-// One reader sees the VM leaving; an older reading, or a later reading through a
-// lagging replica, shows it live; the two messages arrive out of order. The message
-// that arrives last must not undo the mark.
+// One reader sees the VM leaving; an older reading, or a later reading through a lagging
+// replica, shows it live; the two messages arrive out of order. The merged record must
+// still show that the VM is leaving.
 func TestLeavingIsNotUndone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaving := genRecord.Draw(t, "leaving")
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -4,8 +4,8 @@
 
 const (
 	// mismatchTimeout is how long the inventory may differ from a reader's unchanged
-	// reading before the reader puts its reading into force. Before that time, the
-	// reading may come from a lagging replica of the list.
+	// reading before the reader changes the inventory to match its reading. Before that
+	// time, the reading may come from a lagging replica of the list.
 	mismatchTimeout = 30 * time.Second
 	// confirmAfter is the minimum time between a reading that is much smaller than the
 	// inventory and the reading that confirms it. Every reading between them must be as
@@ -34,13 +34,14 @@
 	lastMissing int                 // number of entries that the last withheld small reading lacked
 }
 
-// mismatch is a record that differs from this reader's reading.
+// mismatch is a record that differs from this reader's reading, and the time since when it
+// has differed.
 type mismatch struct {
 	record Record
 	since  time.Time
 }
 
-// Decision is the decision on a reading.
+// Decision states whether a reading may change the inventory.
 type Decision int
 
 // The decisions of Observe.
@@ -53,12 +54,13 @@
 // NewObserver returns the Observer of the reader with the id self.
 func NewObserver(self string) *Observer { return &Observer{self: self} }
 
-// Reset forgets the last reading. Otherwise a node that reads again after a while would
-// report changes that were made long ago as changes made now.
+// Reset forgets the last reading, the mismatches and since when small readings have been
+// withheld. Otherwise a node that reads again after a while would report changes that were
+// made long ago as changes made now.
 func (o *Observer) Reset() { o.last, o.mismatches, o.smallSince = nil, nil, time.Time{} }
 
-// Observe returns the records to be merged into s after a reading that started at
-// started.
+// Observe evaluates the reading list, which started at started, and returns the records to
+// be merged into s because of it. A withheld reading gives no records.
 func (o *Observer) Observe(s *State, list []Item, started time.Time) ([]Record, Decision) {
 	reading := make(map[string]Item, len(list))
 	for _, i := range list {
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -17,7 +17,7 @@
 	silence = time.Minute
 )
 
-// Duty says whether a node reads the VM list, and why.
+// Duty states whether a node reads the VM list, and why.
 type Duty int
 
 // The duties of a node.
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -104,14 +104,15 @@
 	return a
 }
 
-// MarkedLeaving reports whether a reader has seen this incarnation of the VM leaving.
-// It does so even if the newest reading shows the VM live again, because that reading
+// MarkedLeaving reports whether a reader has seen this incarnation of the VM leaving. It
+// returns true even if the newest reading shows the VM live again, because that reading
 // may have seen older data.
 func (r Record) MarkedLeaving() bool {
 	return !r.Removed && (r.Item.Leaving || r.LeavingAt > 0 && r.LeavingAt >= r.FirstSeen)
 }
 
-// matches reports whether the record has the state that a reading shows.
+// matches reports whether the record shows the same state of the entry as the item i of a
+// reading.
 func (r Record) matches(i Item) bool { return !r.Removed && r.Item == i }
 
 // hash covers all fields, so that two nodes whose records differ in any field notice
@@ -138,9 +139,10 @@
 	return d.Sum64()
 }
 
-// valid checks a record that a peer sent. A time far ahead would prevail over every
-// later reading, and after a time near the maximum there would be no greater time for a
-// later reading.
+// valid reports whether a record that a peer sent may be merged: it has an id, its texts
+// are at most maxNameBytes long, and its times are neither negative nor more than maxAhead
+// ahead of this node's clock. A time far ahead would prevail over every later reading, and
+// after a time near the maximum there would be no greater time for a later reading.
 func (r Record) valid(now time.Time) bool {
 	if ahead := max(r.At, r.FirstSeen, r.LeavingAt) - now.UnixMilli(); ahead > maxAhead.Milliseconds() {
 		return false
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -41,7 +41,9 @@
 
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % bucketCount) }
 
-// Merge merges records and returns those that changed the state.
+// Merge merges records into the state and returns the records that changed it. It ignores
+// invalid records, removals of unknown entries that are older than tombstoneKeep, and
+// unknown entries beyond maxRecords.
 func (s *State) Merge(in []Record, now time.Time) []Record {
 	var changed []Record
 	for _, r := range in {
@@ -82,7 +84,8 @@
 	s.clock = max(s.clock, next.At)
 }
 
-// Expire removes old tombstones.
+// Expire drops the records of entries that were removed from the VM list longer ago than
+// tombstoneKeep.
 func (s *State) Expire(now time.Time) {
 	for key, r := range s.records {
 		if expired(r, now) {
@@ -116,7 +119,7 @@
 	return s.clock
 }
 
-// Live returns the records that are on the list.
+// Live returns the records of the entries that are on the VM list.
 func (s *State) Live() []Record {
 	out := make([]Record, 0, len(s.records))
 	for _, r := range s.records {
--- a/inventory/sync.go
+++ b/inventory/sync.go
@@ -7,7 +7,8 @@
 	"wigeondale/event"
 )
 
-// HandleFlood handles a flood.
+// HandleFlood merges the records of a reader's flood and records the times of the newest
+// readings that it contains.
 func (v *Inventory) HandleFlood(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -15,7 +16,9 @@
 	v.merge(d.Records, v.met.byFlood)
 }
 
-// recordReadings records updates about readings. Callers hold v.mu.
+// recordReadings records the times of the newest readings known to this or another node.
+// If one of the times is newer than the time known here, that counts as an update about a
+// reading; a newer reading by a chosen reader also ends fallbackActive. Callers hold v.mu.
 func (v *Inventory) recordReadings(h NewestReadings) {
 	reading, chosen := v.state.RecordReadings(h, time.Now())
 	if reading {
@@ -44,8 +47,8 @@
 }
 
 // digestRound compares digests with a random neighbour. It also makes the next check of
-// the duty read the members again, in case no notification of a change arrived, and
-// removes old tombstones.
+// the duty read the members again, in case no notification of a change arrived, and drops
+// the records of entries that were removed long ago (State.Expire).
 func (v *Inventory) digestRound(ctx context.Context) {
 	v.MembersChanged()
 	v.mu.Lock()
