--- a/directory/batch.go
+++ b/directory/batch.go
@@ -8,11 +8,13 @@
 )
 
 const (
-	// defaultBatch is the estimate until an engine's reports have shown a value.
+	// defaultBatch is the estimated number of requests that an engine runs at once, until
+	// the engine's reports have shown a value.
 	defaultBatch = 64
 	minBatch     = 4
 	maxBatch     = 4096
-	// shrinkFactor bounds how much one report can reduce the estimate.
+	// shrinkFactor bounds how much one report can reduce the estimate: to this share of
+	// its last value.
 	shrinkFactor = 0.75
 	// An engine that has no queue and runs at least growShare of the estimate may be
 	// able to run more requests than estimated. The estimate then becomes growFactor
@@ -65,8 +67,8 @@
 
 // restart keeps the estimate for a new incarnation of the engine, because the new
 // incarnation usually runs on the same VM. If each estimate returned to the default, a
-// whole failure domain that comes back would be overloaded. restart clears the time of
-// the last queue, so that the estimate may grow at once.
+// whole failure domain whose engines start again would be overloaded. restart clears the
+// time of the last queue, so that the estimate may grow at once.
 func (b *batchSize) restart() { *b = batchSize{learned: b.learned} }
 
 func (b *batchSize) value() float64 {
@@ -87,8 +89,9 @@
 }
 
 // LearnedCapacity is like Capacity, but uses as the limit of each candidate the given
-// share of the number of requests that its reports showed. A share below 1 leaves the
-// rest of the slots for more urgent work.
+// share of the number of requests that its reports showed it to run at once (defaultBatch
+// until they have shown one). A share below 1 leaves the rest of the slots for more urgent
+// work.
 func LearnedCapacity(candidates []routing.Candidate, share float64, now time.Time) int {
 	return capacity(candidates, now, func(r *record) float64 { return r.requestLimit(share) })
 }
@@ -99,8 +102,9 @@
 	return r.batch.limit(share)
 }
 
-// capacity sums, over the candidates that are not leaving, the limit minus the load of
-// other routers. The sum counts as at least 1 if any candidate accepts work.
+// capacity sums, over the candidates that are not leaving, the limit of each candidate
+// minus the load of other routers at it, or 0 if that load is higher. The result is at
+// least 1 if any candidate is not leaving, and 0 otherwise.
 func capacity(candidates []routing.Candidate, now time.Time, limit func(*record) float64) int {
 	var sum float64
 	accepting := false
@@ -121,8 +125,8 @@
 }
 
 // Slots sums the slots of all candidates that are not leaving, including the slots that
-// other routers use now. Each candidate counts with perBackend slots or, if perBackend
-// is 0, with the number that its reports showed.
+// other routers use now. Each candidate counts with perBackend slots or, if perBackend is
+// 0, with the limit on requests that follows from its reports (batchSize.limit).
 func Slots(candidates []routing.Candidate, perBackend float64) int {
 	var sum float64
 	for _, c := range candidates {
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// BenchmarkRoundAt10000 measures the cost of a polling round without the polls: the
-// round chooses the engines to poll twice, before and after the polls.
+// BenchmarkRoundAt10000 measures the cost of a polling round (Poller.PollEngines) without
+// the polls themselves: in each round, the engines to poll are chosen twice, before and
+// after the polls.
 func BenchmarkRoundAt10000(b *testing.B) {
 	const subset, explore = 32, 8
 	d, _ := bigFleet(500)
--- a/directory/cache.go
+++ b/directory/cache.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// relearnTime is how long an engine's cache map isn't used after a gap in the
-	// engine's events. Meanwhile the map fills again, because the engine reports a
-	// stored block again when the block is used again.
+	// relearnTime is how long an engine's cache map isn't used after a gap in the engine's
+	// events. In that time the map fills again, because the engine reports a stored block
+	// again when the block is used again.
 	relearnTime = 20 * time.Second
 	// maxBlocks bounds the memory of one engine's map. Blocks beyond this number are
 	// not recorded; the only cost is that prompts with these blocks may not be routed
@@ -40,7 +40,8 @@
 	trustedFrom time.Time
 }
 
-// lastSeq is the sequence number after which the next poll continues.
+// lastSeq returns the sequence number of the last event applied, after which the next poll
+// for cache events continues.
 func (c *cacheMap) lastSeq() uint64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -101,7 +102,8 @@
 	return len(blocks)
 }
 
-// CacheEvents applies a batch of an engine's cache events.
+// CacheEvents applies a batch of an engine's cache events to the map of that engine's
+// cache, and logs a gap in the events. A batch of an unknown engine is ignored.
 func (d *Directory) CacheEvents(id string, b CacheBatch, now time.Time) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -112,8 +114,9 @@
 	}
 }
 
-// CacheAfter is the sequence number of the last cache event applied, after which the
-// next poll continues.
+// CacheAfter returns the sequence number of the last cache event of the engine that was
+// applied, after which the next poll continues; 0 means that the poll starts with the
+// first event.
 func (d *Directory) CacheAfter(id string) uint64 {
 	r := d.table.Load().byID[id]
 	if r == nil {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -33,13 +33,13 @@
 // PeerReportDelay bounds how long a peer report takes to reach every router.
 const PeerReportDelay = time.Second
 
-// LeavingBound is the time after which a leaving backend server gets no new work,
-// counted from when the VM list, a load report or an engine's refusal would first show
-// it to any router that polls: the bound is one poll with its jitter plus one flood,
-// either of a peer report or, for the VM list, of a reader's update. The readers of the
-// list poll at different times, so the first reader usually sees the change sooner. The
-// lag of the platform's VM list comes on top. If a flood is lost, digests deliver the
-// update later, within some rounds.
+// LeavingBound is the time after which a leaving backend server gets no new work from any
+// router, counted from when the VM list, a load report or an engine's refusal would first
+// show it to any router that polls: the bound is one polling interval with its jitter plus
+// the time of one flood, either of a peer report or, for the VM list, of a reader's
+// update. The readers of the list poll at different times, so the first reader usually
+// sees the change sooner. The lag of the platform's VM list is to be added. If a flood is
+// lost, the nodes' digests deliver the update later, within some digest rounds.
 const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
 // missingGrace is how long a backend server may be missing from the VM list before it
@@ -73,8 +73,9 @@
 	table     atomic.Pointer[table]
 	anyReport atomic.Bool
 	loads     loadTracker
-	// OnLeaving, set before use, is called once for each incarnation that turns out to
-	// be leaving, so that this router can broadcast a peer report. It may be nil.
+	// OnLeaving, set before the Directory is used, is called once for each incarnation
+	// that turns out to be leaving, so that this router can broadcast a peer report. If it
+	// is nil, no report is broadcast.
 	OnLeaving func(id, incarnation string, source Source)
 
 	mu     sync.Mutex // held by writers, one at a time; readers use table
@@ -89,9 +90,9 @@
 	return d
 }
 
-// Update applies a reading of the VM list. Backend servers missing from the list are
-// kept for missingGrace, and for as long as they have requests of this router in
-// progress.
+// Update applies a reading of the VM list. Backend servers missing from the list are kept
+// for missingGrace after they were last listed, and for as long as they have requests of
+// this router in progress.
 func (d *Directory) Update(list []fleet.Backend, now time.Time) {
 	d.mu.Lock()
 	old := d.table.Load()
@@ -105,10 +106,10 @@
 		if r.applyListEntry(b, now) {
 			nowLeaving = append(nowLeaving, r)
 		}
-		// The configuration in force may be older than this entry of the list, so its
-		// intent is applied to new entries too. Otherwise a router that was started
-		// after that revision of the configuration would send work to a VM that should
-		// leave.
+		// The configuration in force may be older than this entry of the list, so its list
+		// of VMs that should leave (SetIntent) is applied to new entries as well.
+		// Otherwise a router that was started after that revision of the configuration
+		// would send work to a VM that should leave.
 		if r.setIntent(d.intent[b.VM]) {
 			nowIntended = append(nowIntended, r)
 		}
@@ -129,7 +130,9 @@
 	}
 }
 
-// Report applies an engine's load report.
+// Report applies an engine's load report: it updates which models the engine serves, its
+// load, the estimate of how many requests it runs at once, and whether it is leaving. A
+// report of an unknown engine is ignored.
 func (d *Directory) Report(id string, rep fleet.LoadReport, now time.Time) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -147,9 +150,9 @@
 	}
 }
 
-// Select restricts snapshots to a subset of the engines; nil means all engines. Engines
-// outside the subset are left out because this router does not poll them often enough
-// to know their state.
+// Select restricts the candidates that Snapshot returns to a subset of the engines; nil
+// means all engines. Engines outside the subset are left out because this router does not
+// poll them often enough to know their state.
 func (d *Directory) Select(subset map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,8 +187,8 @@
 	d.table.Store(t)
 }
 
-// Snapshot returns the engines that serve ref. The slice is shared and must only be
-// read. A call costs one atomic load and one map look-up.
+// Snapshot returns the engines of the subset (Select) that serve ref. The slice is shared
+// and must only be read. A call costs one atomic load and one map look-up.
 func (d *Directory) Snapshot(ref fleet.ModelRef) []routing.Candidate {
 	return d.table.Load().byRef[ref]
 }
@@ -202,16 +205,17 @@
 	return n
 }
 
-// Service returns the backend servers of a service that is not a model engine. The
-// slice must only be read.
+// Service returns the backend servers of a service that is not a model engine. The slice
+// is shared and must only be read.
 func (d *Directory) Service(name string) []routing.Candidate {
 	return d.table.Load().services[name]
 }
 
-// FleetKnown reports whether any engine has sent a report yet.
+// FleetKnown reports whether this router has received a load report of any engine yet.
 func (d *Directory) FleetKnown() bool { return d.anyReport.Load() }
 
-// Backend returns a backend server by its id.
+// Backend returns the backend server with the given id, as last listed in the VM list. The
+// bool is false if no such backend server is known.
 func (d *Directory) Backend(id string) (fleet.Backend, bool) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -230,12 +234,13 @@
 	return r.currentIncarnation()
 }
 
-// IDs lists the known backend servers in order.
+// IDs returns the ids of the known backend servers in ascending order.
 func (d *Directory) IDs() []string {
 	return slices.Sorted(maps.Keys(d.table.Load().byID))
 }
 
-// MarkLeaving records that one incarnation is leaving. The mark holds until the backend
+// MarkLeaving records that one incarnation of a backend server is leaving, and announces
+// that if the backend server was not leaving before. The mark holds until the backend
 // server reports a new incarnation. An empty incarnation means the current incarnation.
 func (d *Directory) MarkLeaving(id, incarnation string, source Source) {
 	r := d.table.Load().byID[id]
--- a/directory/dump.go
+++ b/directory/dump.go
@@ -7,7 +7,7 @@
 	"wigeondale/routing"
 )
 
-// BackendDump is one backend server in a dump.
+// BackendDump is what this router knows about one backend server, in a dump for operators.
 type BackendDump struct {
 	Backend      fleet.Backend    `json:"backend"`
 	Report       fleet.LoadReport `json:"report"`
--- a/directory/leaving.go
+++ b/directory/leaving.go
@@ -33,8 +33,8 @@
 	return r.updateLeaving()
 }
 
-// setIntent sets whether the VM should leave by the configuration. It returns true if
-// the backend server was not leaving before and is leaving now.
+// setIntent sets whether the backend server's VM should leave by the configuration. It
+// returns true if the backend server was not leaving before and is leaving now.
 func (r *record) setIntent(leaving bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -9,11 +9,11 @@
 // This file records the state that an engine reports when it is queried, and adds the
 // requests that this router has started since that report was made.
 //
-// In a fleet with too many routers to send each other their loads, each router knows
-// only its own requests. Without the engines' own reports, every engine seems to have
-// free capacity, nothing waits, nothing is refused, and prompts crowd each other out of
-// memory. In a burst, generations then take half as long again, and no generation is
-// refused.
+// In a fleet with too many routers to send each other their loads, each router knows only
+// its own requests. Without the engines' own reports, every engine seems to have free
+// capacity, nothing waits, nothing is refused, and prompts displace each other from the
+// engines' memory. In a burst, generations then take half as long again, and no generation
+// is refused.
 
 // reportLag is the assumed age of an engine's report when it arrives. A request that
 // this router started within that time may be missing from the report, so its load is
@@ -40,7 +40,9 @@
 	load Load
 }
 
-// Observe applies an engine's report of its state.
+// Observe applies an engine's report of its state: it derives the load of other routers
+// from the report. size is the size of a typical request of the engine's service. A report
+// of an unknown engine is ignored.
 func (d *Directory) Observe(id string, s fleet.EngineState, size RequestSize, now time.Time) {
 	if r := d.table.Load().byID[id]; r != nil {
 		r.observe(loadFromState(s, size), now)
@@ -95,8 +97,8 @@
 	r.recentStarts = append(kept, recentStart{now, l})
 }
 
-// ReportedAt returns the time when the engine's last report of its state arrived, or
-// the zero time if none did.
+// ReportedAt returns the time when the engine's last report of its state arrived, or the
+// zero time if none has arrived.
 func (r *record) ReportedAt() time.Time {
 	if o := r.observed.Load(); o != nil {
 		return o.at
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -17,8 +17,8 @@
 // PeerLoads is the load that routers have in progress, by backend server.
 type PeerLoads map[string]Load
 
-// loadCounter is a Load that can be changed with every request without a lock. Its
-// counters are in thousandths.
+// loadCounter is a Load that can be changed with every request without a lock. Each
+// counter holds the field of Load of the same name in thousandths.
 type loadCounter struct {
 	requests, reading, running, memory atomic.Int64
 }
@@ -56,14 +56,16 @@
 	peerLoads PeerLoads            // the sum that SetPeerLoads set last, plus the changes added since
 }
 
-// markBusy records that a request of this router is in progress at r.
+// markBusy records that a request of this router is in progress at r, so that LocalLoads
+// visits r.
 func (p *loadTracker) markBusy(r *record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busy[r] = struct{}{}
 }
 
-// LocalLoads returns the load of this router's requests.
+// LocalLoads returns the load of this router's requests, by backend server. Backend
+// servers without such load are left out.
 func (d *Directory) LocalLoads() PeerLoads {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
@@ -97,9 +99,9 @@
 	}
 }
 
-// SetPeerLoads replaces the load of other routers, summed over them. A nil sum means
-// that the other routers don't send their loads; the engines' reports are then used
-// again.
+// SetPeerLoads replaces the load of other routers by sum, which is summed over these
+// routers. A nil sum means that the other routers don't send their loads; the engines'
+// reports are then used again.
 func (d *Directory) SetPeerLoads(sum PeerLoads) {
 	d.loads.mu.Lock()
 	defer d.loads.mu.Unlock()
--- a/directory/poll.go
+++ b/directory/poll.go
@@ -83,8 +83,8 @@
 // minListGap is the minimum time between two reads of the VM list.
 const minListGap = 100 * time.Millisecond
 
-// loop runs f at jittered intervals, counted from start to start, and whenever it
-// receives a value from wake.
+// loop runs f until ctx ends: at jittered intervals, counted from the start of one run to
+// the start of the next, and whenever it receives a value from wake.
 func loop(ctx context.Context, every time.Duration, wake <-chan struct{}, f func(context.Context)) {
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -107,7 +107,8 @@
 	return time.Duration(float64(d) * (1 + PollJitter*(2*u-1)))
 }
 
-// PollEngines polls the engines of the subset, and a few engines outside it, once.
+// PollEngines polls once the engines of this router's subset and a few engines outside the
+// subset, and then restricts snapshots to the subset that follows from their reports.
 func (p *Poller) PollEngines(ctx context.Context) {
 	var group errgroup.Group
 	group.SetLimit(p.cfg.Concurrency)
@@ -127,7 +128,8 @@
 	p.dir.Select(p.dir.Members(p.cfg.Router, p.cfg.SubsetSize))
 }
 
-// ReadList reads the VM list once.
+// ReadList reads the VM list once and applies it to the Directory. A failed read and an
+// empty list change nothing.
 func (p *Poller) ReadList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, p.cfg.Timeout)
 	defer cancel()
--- a/directory/record.go
+++ b/directory/record.go
@@ -20,7 +20,7 @@
 	// engine must not look idle only because its reports stopped.
 	fadeTime  = 10 * time.Second
 	fadeFloor = 0.5
-	// maxMarks is how many leaving incarnations are remembered.
+	// maxMarks is how many leaving incarnations are remembered for each backend server.
 	maxMarks = 4
 )
 
@@ -75,7 +75,9 @@
 	return r.updateLeaving()
 }
 
-// keepUnlisted reports whether a backend server missing from the VM list is kept.
+// keepUnlisted reports whether a backend server missing from the VM list is kept: because
+// it was last listed less than missingGrace ago, or because requests of this router are in
+// progress there.
 func (r *record) keepUnlisted(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +162,8 @@
 	return local + peers*(1-fade)
 }
 
-// Reported returns the load that the last load report showed, without any correction.
+// Reported returns the number of running and waiting requests in the last load report,
+// without any correction.
 func (r *record) Reported() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,7 +182,7 @@
 // to be in the engine's prefix cache.
 func (r *record) Hits(blocks []uint64, now time.Time) int { return r.cache.hits(blocks, now) }
 
-// addLocal changes the load of this router's requests.
+// addLocal adds change, which may be negative, to the load of this router's requests.
 func (r *record) addLocal(change Load) {
 	now := time.Now()
 	r.mu.Lock()
@@ -193,10 +196,10 @@
 	}
 }
 
-// Reading is the estimated number of prompt tokens that are yet to be read.
+// Reading is the estimated number of prompt tokens that the engine has yet to read.
 func (r *record) Reading() float64 { return r.estimatedLoad().Reading }
 
-// Running is the number of runs that are generating tokens.
+// Running is the estimated number of runs that are generating tokens at the engine.
 func (r *record) Running() float64 { return r.estimatedLoad().Running }
 
 // Memory is the estimated number of tokens that take memory at the engine: runs count
--- a/directory/subset.go
+++ b/directory/subset.go
@@ -68,8 +68,8 @@
 }
 
 // LeastRecentlyReported returns up to n engines outside members, to be polled for the
-// models that they serve. Engines that never sent a report come first, in an order of
-// this router's own; then come the other engines, the oldest report first, so that
+// models that they serve. Engines that never sent a report come first, in an order that
+// differs between routers; then come the other engines, the oldest report first, so that
 // changes of placement are noticed.
 func (d *Directory) LeastRecentlyReported(router string, members map[string]bool, n int) []string {
 	key := xxhash.Sum64String(router)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -34,7 +34,7 @@
 	Interactive
 )
 
-// String returns the name used in requests and settings.
+// String returns the name of the priority that is used in requests and settings.
 func (p Priority) String() string {
 	if p == Interactive {
 		return "interactive"
@@ -42,7 +42,7 @@
 	return "batch"
 }
 
-// ParsePriority parses a name returned by String.
+// ParsePriority returns the priority whose String is s.
 func ParsePriority(s string) (Priority, error) {
 	switch s {
 	case "batch":
@@ -53,15 +53,16 @@
 	return Batch, fmt.Errorf("priority %q: want interactive or batch", s)
 }
 
-// Outcome is the result of a request, in terms on which the client may act.
+// Outcome states how a request ended, so that the client can decide whether to send it
+// again.
 type Outcome string
 
 const (
 	// Complete means that the whole answer was delivered.
 	Complete Outcome = "complete"
-	// NotRun means that no backend server has run any part of the request. It may be reported
-	// only while no byte of the request can have reached a backend server, or when every
-	// backend server that was reached refused the request before starting it.
+	// NotRun means that no backend server has run any part of the request. NotRun may be
+	// reported only while no byte of the request can have reached a backend server, or
+	// when every backend server that was reached refused the request before starting it.
 	NotRun Outcome = "not-run"
 	// Failed means that the request ran at least in part and will not complete.
 	Failed Outcome = "failed"
@@ -103,7 +104,8 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Name returns the name by which the backend server is addressed.
+// Name returns the name by which the backend server is addressed, which all its
+// incarnations have in common.
 func (b *Backend) Name() string {
 	if b.Incarnation.Name != "" {
 		return b.Incarnation.Name
@@ -124,7 +126,7 @@
 	Serves      []ModelRef `json:"serves"`
 }
 
-// AsOf returns the time that the report describes.
+// AsOf returns the time, by the engine's clock, of the load that the report describes.
 func (r LoadReport) AsOf() time.Time { return time.UnixMilli(r.AsOfUnixMS) }
 
 // EngineState is an engine's report of its work and memory, made when the engine is queried.
--- a/fleet/incarnation.go
+++ b/fleet/incarnation.go
@@ -2,14 +2,15 @@
 
 import "strconv"
 
-// Incarnation is one run of a backend server's process, from start to exit. A backend server
-// may restart under the same name; it has then lost all its state.
+// Incarnation is one run of a backend server's process, from start to exit. A backend
+// server may restart under the same name; the new process then has none of the state of
+// the earlier process.
 //
-// If a name stood for all incarnations of a backend server, a generation would wait for a run
-// that ended with the earlier process, routers would rely on copies that no longer exist, and
-// a mark of leaving or a suspicion about the earlier process would keep a healthy backend
-// server without work. So everything known of a backend server is recorded under ID, which
-// consists of the name and the start time.
+// If a name stood for all incarnations of a backend server, a generation would wait for a
+// run that ended with the earlier process, routers would rely on copies that no longer
+// exist, and a mark of leaving or a suspicion about the earlier process would keep a
+// healthy backend server without work. So everything known of a backend server is recorded
+// under ID, which consists of the name and the start time.
 type Incarnation struct {
 	Name      string // under which the backend server is addressed
 	StartedAt int64  // Unix milliseconds of its start by its own clock; 0 when it does not report it
