--- a/route/current.go
+++ b/route/current.go
@@ -12,8 +12,8 @@
 // Get returns the table in force, or nil before the first table is installed.
 func (c *Current) Get() *Table { return c.table.Load() }
 
-// Install puts a newer table into force. It returns false, and changes nothing, if the table
-// isn't newer than the one in force.
+// Install puts a newer table into force. It returns false, and changes nothing, if the
+// version of t isn't higher than the version of the table in force.
 func (c *Current) Install(t *Table) bool {
 	for {
 		old := c.table.Load()
--- a/route/route.go
+++ b/route/route.go
@@ -1,10 +1,11 @@
 // Package route holds the routes, services and client accounts of one version of the
 // configuration, and finds the route and the account of a request.
 //
-// It guards against handling a request by a version that is older than a version whose effect
-// has already been seen: a revoked access would work again, or a route's requests would go to
-// a service from which the route has been moved away. A Table is therefore immutable, a
-// request uses one Table from start to end, and Current only ever moves to a higher version.
+// It guards against handling a request by a version of the configuration that is older
+// than a version whose effect has already been seen: a revoked API key would work again,
+// or a route's requests would go to a service from which the route has been moved away. A
+// Table is therefore immutable, a request uses one Table from start to end, and Current
+// only ever moves to a higher version.
 package route
 
 import (
@@ -65,12 +66,14 @@
 	Open        bool // no key is needed
 }
 
-// Replayable reports whether more than one backend server may run a request.
+// Replayable reports whether more than one backend server may run the same request of this
+// route.
 func (r *Route) Replayable() bool {
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Pick chooses the service of one request by the random number n.
+// Pick returns the service for one request, chosen by the random number n: each service of
+// Split in proportion to its weight, or Service if Split has no weight.
 func (r *Route) Pick(n uint64) string {
 	total := 0
 	for _, s := range r.Split {
@@ -93,12 +96,13 @@
 type Service struct {
 	Name       string
 	HealthPath string // where its replicas answer health checks
-	// Engine reports that the service's replicas are model engines. Each replica has memory
-	// for Memory tokens of the requests that it runs.
+	// Engine is true if the service's replicas are model engines. Each replica then has
+	// memory for Memory tokens of the requests that it runs.
 	Engine bool
 	Memory int
-	// KeepsCopies reports that a replica keeps an up-to-date copy of a run at another replica
-	// from the start of the run. MakesCopies reports that a replica makes a copy on request.
+	// KeepsCopies is true if a replica keeps an up-to-date copy of each run at another
+	// replica from the start of the run. MakesCopies is true if a replica makes a copy of
+	// a run on request.
 	KeepsCopies, MakesCopies bool
 }
 
@@ -122,7 +126,8 @@
 	Routes   []Route
 	Services []Service
 	Accounts []Account
-	// Keyless reports that the configuration has no accounts, so that no request needs a key.
+	// Keyless is true if the configuration has no accounts, so that no request needs a
+	// key.
 	Keyless bool
 	Limits  Limits
 }
@@ -165,8 +170,8 @@
 	return t
 }
 
-// Match returns the route of the host whose prefix is the longest one with which the path
-// begins.
+// Match returns the route of the host that has the longest prefix with which the path
+// begins. The bool is false if no route of the host has such a prefix.
 func (t *Table) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for _, r := range t.hosts[hostOf(host)] {
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -23,12 +23,13 @@
 	// Memory is the number of tokens that runs and copies of runs occupy in the engine's
 	// memory.
 	Memory() float64
-	// ReportedAt is when the engine last reported its load. It is zero if the engine never
-	// did.
+	// ReportedAt is when the engine last reported its load. It is the zero time if the
+	// engine never reported its load.
 	ReportedAt() time.Time
 }
 
-// idleEngine is the load that is assumed for candidates about which nothing is known.
+// idleEngine is the load that is assumed for candidates about which nothing is known: no
+// prompt to read, no run and no tokens in memory.
 type idleEngine struct{}
 
 func (idleEngine) Reading() float64      { return 0 }
@@ -43,20 +44,21 @@
 	return idleEngine{}
 }
 
-// delayPerRun is the share of a prompt's reading time by which each concurrent run is delayed.
-// It is high because an engine step that reads a chunk of a prompt takes several times as long
-// as a step that only generates a token.
+// delayPerRun is the share of a prompt's reading time by which the prompt delays each run
+// that generates tokens at the same engine. It is high because an engine step that reads a
+// chunk of a prompt takes several times as long as a step that only generates a token.
 const delayPerRun = 0.8
 
-// delayScorer rates candidates by the delay that the prompt causes, expressed as the number of
-// tokens that an engine reads in that time: the prompt's own wait behind prompts that the
-// engine has yet to read, plus the slowdown of the runs that generate tokens there.
+// delayScorer rates candidates by the delay that the prompt causes, expressed as the
+// number of tokens that an engine reads in that time: the prompt's own wait behind prompts
+// that the engine has yet to read, plus the slowdown of the runs that generate tokens
+// there.
 //
-// A count of requests is not enough: it gives a stored copy, a run that generates tokens and a
-// prompt that is being read the same weight, although only a prompt takes time from the
-// others. Prompts would then be sent to engines that are reading a prompt while other engines
-// read none, and under normal load the first chunks would arrive after twice the time that a
-// prompt takes.
+// A count of requests is not enough: it gives a stored copy, a run that generates tokens
+// and a prompt that is being read the same weight, although only reading a prompt slows
+// the other requests at the engine. Prompts would then be sent to engines that are reading
+// a prompt while other engines read none, and under normal load the first chunks would
+// arrive after twice the time that reading a prompt takes.
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
@@ -86,7 +88,8 @@
 	return req.Backlog <= 0 || reading == 0 || reading+float64(req.PromptTokens) <= req.Backlog
 }
 
-// memoryScorer rates candidates by their free memory.
+// memoryScorer rates candidates by the free share of their memory: 1 if all of it is free.
+// If the capacity isn't known, all candidates get 0.
 type memoryScorer struct{}
 
 func (memoryScorer) Score(v View, out []float64) {
@@ -98,11 +101,12 @@
 	}
 }
 
-// fitsMemory reports whether an engine has enough free memory to finish the request.
+// fitsMemory reports whether an engine has enough free memory to finish the request. If
+// the capacity isn't known, it returns true.
 //
 // Without this filter, an engine runs out of memory in the middle of its runs. Runs are
-// then preempted and read their prompts again later, for which other runs are
-// preempted. Prefill work is wasted, and answers are late long after a burst has ended.
+// then preempted and read their prompts again later, for which other runs are preempted in
+// turn. Prefill work is wasted, and answers are late long after a burst has ended.
 func fitsMemory(c *Candidate, req *PickRequest) bool {
 	return req.Capacity <= 0 || c.engineLoad().Memory()+float64(req.MemoryTokens) <= float64(req.Capacity)
 }
--- a/routing/delay_test.go
+++ b/routing/delay_test.go
@@ -66,8 +66,8 @@
 }
 
 // A prompt that alone is longer than the bound on the backlog must not be refused for ever
-// although engines are idle. That happens if the bound includes the new prompt even at an idle
-// engine.
+// although engines are idle. That happens if the new prompt counts towards the bound even
+// at an engine that has no other prompt to read.
 func TestIdleEngineTakesAnyPrompt(t *testing.T) {
 	req := PickRequest{FleetKnown: true, PromptTokens: 30000, MemoryTokens: 31000, Capacity: 55000, Backlog: 10000}
 	if _, _, err := promptRouter(t).Pick(engines(fakeEngine{}), req); err != nil {
--- a/routing/errors.go
+++ b/routing/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Reason states why no candidate was left.
+// Reason states why the filters left no candidate for the attempt.
 type Reason string
 
 // Reasons of NoCandidate.
--- a/routing/fresh.go
+++ b/routing/fresh.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxReportAge is how long an engine's load report is used. In that time an engine reads
-	// half a prompt of typical size; what other routers send to that engine meanwhile isn't
-	// known.
+	// maxReportAge is how long an engine's load report is used. In that time an engine
+	// reads half a prompt of typical size; what other routers send to that engine during
+	// that time isn't known.
 	maxReportAge = 600 * time.Millisecond
 	// queryAgainAfter is the age of a report from which its engine should be queried again: an
 	// engine's report changes a few times a second.
--- a/routing/hosted_test.go
+++ b/routing/hosted_test.go
@@ -7,8 +7,8 @@
 	"wigeondale/fleet"
 )
 
-// A copy must not be kept in the failure domain of its run: otherwise a crash of that domain
-// loses both.
+// A copy must not be kept in the failure domain of its run: otherwise both the run and the
+// copy are lost when that domain crashes.
 func TestCopyLiesInAnotherDomain(t *testing.T) {
 	r, err := New([]StepConfig{
 		{Name: FilterServes}, {Name: FilterLeaving}, {Name: FilterExclude}, {Name: FilterOtherDomain}, {Name: FilterHealthy},
@@ -34,8 +34,8 @@
 	}
 }
 
-// Among equally good engines, the choice must be random. Otherwise prompts are read one after
-// the other at one engine while the other engines are idle.
+// Among engines with about equal scores, the choice must be random. Otherwise prompts are
+// read one after the other at one engine while the other engines are idle.
 func TestBestTakesAnIdleOneAtRandom(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	n := map[int]int{}
--- a/routing/pickers.go
+++ b/routing/pickers.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// Picker chooses the index of a candidate by the scores. affinity holds, for each candidate,
-// the part of its score that comes from affinity, such as a cached prefix.
+// Picker chooses a candidate by the scores and returns its index in score. affinity holds,
+// for each candidate, the part of its score that comes from affinity, such as a cached
+// prefix.
 type Picker interface {
 	Choose(score, affinity []float64, rng *rand.Rand) int
 }
@@ -39,8 +40,9 @@
 	return best
 }
 
-// argmax takes the first candidate with the highest score. All routers with the same view make
-// the same choice, so argmax serves as a baseline.
+// argmax takes the first candidate with the highest score. All routers with the same view
+// make the same choice, so as a configured picker argmax serves as a baseline for
+// comparison with other pickers.
 type argmax struct{}
 
 func (argmax) Choose(score, _ []float64, _ *rand.Rand) int {
@@ -78,7 +80,8 @@
 	return chosen
 }
 
-// random ignores the scores; it serves as a baseline.
+// random chooses any candidate and ignores the scores; it serves as a baseline for
+// comparison with other pickers.
 type random struct{}
 
 func (random) Choose(score, _ []float64, rng *rand.Rand) int { return rng.IntN(len(score)) }
--- a/routing/preferred.go
+++ b/routing/preferred.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// PreferredEngines returns the n candidates with the highest rendezvous weight for a key. All
-// routers that see the same candidates get the same result. If a candidate is removed, the
-// result changes only for the keys for which that candidate was returned.
+// PreferredEngines returns the n candidates with the highest rendezvous weight for a key,
+// or all candidates if there are at most n. All routers that see the same candidates get
+// the same result. If a candidate is removed, the result changes only for the keys for
+// which that candidate was returned.
 func PreferredEngines(all []Candidate, key uint64, n int) []Candidate {
 	if n >= len(all) {
 		return all
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,12 +1,13 @@
 // Package routing chooses a backend server for one attempt: filters remove candidates that
-// must not get it, scorers rate the remaining candidates, and a picker chooses one of these.
-// Each step is a small pure type; the settings name the steps and their weights.
+// must not get the attempt, scorers rate the remaining candidates, and a picker chooses
+// one of these. Each step is a small pure type; the settings name the steps and their
+// weights.
 //
-// Load reports lag, so all routers may see the same idle engine and send requests to it at the
-// same time. The default picker therefore compares a few candidates drawn at random instead of
-// taking the best of all. The loss of a failure domain makes hundreds of streams resume at the
-// same moment; a separate scorer spreads these streams, and a prompt prefix that they have in
-// common doesn't draw them to one engine.
+// Load reports lag, so all routers may see the same idle engine and send requests to it at
+// the same time. The default picker therefore compares a few candidates drawn at random
+// instead of taking the best of all. The loss of a failure domain makes hundreds of
+// streams resume at the same moment; a separate scorer spreads these streams, and a prompt
+// prefix that they have in common doesn't draw them to one engine.
 package routing
 
 import (
@@ -26,7 +27,7 @@
 // Live provides the figures of a candidate that change with every request. Its methods
 // are called at the time of the choice and must be cheap.
 type Live interface {
-	// Load is the estimated number of requests running and waiting.
+	// Load is the estimated number of requests running and waiting at the backend server.
 	Load(now time.Time) float64
 	// Leaving reports whether the backend server accepts no new work.
 	Leaving() bool
@@ -101,7 +102,7 @@
 	Healthy func(id string) bool
 }
 
-// Removed counts the candidates that one filter removed.
+// Removed is the number of candidates that the filter of the given name removed.
 type Removed struct {
 	Filter string
 	Count  int
@@ -115,7 +116,8 @@
 	Score      float64
 }
 
-// Router applies the configured steps. Pick may be called concurrently.
+// Router applies the configured filters, scorers and picker. Pick may be called
+// concurrently.
 type Router struct {
 	filters []Filter
 	scorers []weightedScorer
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -89,7 +89,8 @@
 }
 
 // Work must not be sent to an engine that is leaving, has failed, was tried before or runs
-// another version. Whatever the scores are, the chosen candidate must pass every filter.
+// another version. Whatever the scores are, the chosen candidate must be one that every
+// filter keeps.
 func TestPickNeverPassesAFilter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := candidates(rapid.IntRange(1, 20).Draw(t, "n"))
@@ -157,9 +158,9 @@
 	}
 }
 
-// After the loss of a failure domain all routers resume their streams at the same moment, and
-// must not resume all of them on the one engine that looks idle. Here 300 requests with one
-// prompt prefix see the same lagging snapshot.
+// After the loss of a failure domain all routers resume their streams at the same moment,
+// and must not resume all of these streams on the one engine that looks idle. Here 300
+// requests with one prompt prefix see the same lagging snapshot.
 func TestResumesSpread(t *testing.T) {
 	all := candidates(24)
 	for i := range all {
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -22,7 +22,8 @@
 	return sum / float64(len(v.loads))
 }
 
-// Scorer rates each candidate from 0 (worst) to 1 (best) into out.
+// Scorer rates each candidate from 0 (worst) to 1 (best) and stores the rating in out,
+// whose values are 0 before the call.
 type Scorer interface {
 	Score(v View, out []float64)
 }
@@ -43,7 +44,8 @@
 // outweigh a cached prefix.
 const loadSlack = 4
 
-// loadScorer prefers the least loaded candidate. It compares loads by their ratio.
+// loadScorer prefers the least loaded candidate, which gets 1. The other candidates get
+// the ratio of the least load to their own load, each with loadSlack added.
 type loadScorer struct{}
 
 func (loadScorer) Score(v View, out []float64) {
@@ -56,16 +58,16 @@
 	}
 }
 
-// Reporter is implemented by a Live that also knows the load as stated in the last report,
-// without what was sent since.
+// Reporter is implemented by a Live that also knows the load that the last report stated,
+// without the requests that were sent since that report.
 type Reporter interface {
 	// Reported is the number of requests that were running and waiting according to the last
 	// report.
 	Reported() float64
 }
 
-// reportedScorer rates candidates by the last report alone and ignores what was sent since
-// then. It serves as a baseline.
+// reportedScorer rates candidates by the last report alone and ignores the requests that
+// were sent since that report. It serves as a baseline for comparison with other scorers.
 type reportedScorer struct{}
 
 func (reportedScorer) Score(v View, out []float64) {
@@ -106,18 +108,20 @@
 // report.
 const fullShare = 0.9
 
-// isFull reports whether a candidate is known to have no free slot. Prefix affinity then draws
-// no work to the candidate.
+// isFull reports whether a candidate is known to have no free slot. Prefix affinity then
+// draws no work to the candidate.
 //
-// Without this check, near full load the loads of two engines differ by little, so the prefix
-// outweighs the difference. Requests then wait at one engine for a long generation to end, to
-// save some milliseconds of prefill, while other engines have free slots.
+// Without this check, near full load the loads of two engines differ by little, so a
+// cached prefix outweighs the difference. Requests then wait at one engine for a long
+// generation to end, to save some milliseconds of prefill, while other engines have free
+// slots.
 func (v *View) isFull(k int) bool {
 	slots := v.slots(k)
 	return slots > 0 && v.loads[k] >= fullShare*slots
 }
 
-// prefixScorer prefers the candidate whose cache is known to contain most of the prompt.
+// prefixScorer rates candidates by the share of the prompt's blocks that their cache is
+// known to contain. Overloaded and full candidates get 0.
 type prefixScorer struct{}
 
 func (prefixScorer) Score(v View, out []float64) {
@@ -138,9 +142,9 @@
 // that have these blocks in common go to the same engine.
 const leadingBlocks = 2
 
-// rendezvousScorer sends equal prefixes to equal engines without needing any report: the
-// candidate with the highest hash gets 1, the next one 0.5. Overloaded and full candidates are
-// skipped.
+// rendezvousScorer sends requests with the same prompt prefix to the same engine without
+// needing any report: the candidate with the highest rendezvous weight for the prefix gets
+// 1, the next candidate 0.5. Overloaded and full candidates are skipped.
 type rendezvousScorer struct{}
 
 func (rendezvousScorer) Score(v View, out []float64) {
@@ -174,7 +178,8 @@
 	}
 }
 
-// Rendezvous returns the weight of a member for a key, for highest-random-weight hashing.
+// Rendezvous returns the weight of the member id for a key in rendezvous hashing: the
+// member with the highest weight is chosen for the key.
 func Rendezvous(key uint64, id string) uint64 {
 	// The finalizer of SplitMix64 mixes the key and the id's hash without another pass over
 	// id.
@@ -186,7 +191,8 @@
 	return x ^ x>>31
 }
 
-// domainScorer prefers candidates in the router's own failure domain.
+// domainScorer gives 1 to candidates in the router's own failure domain and 0 to all
+// others.
 type domainScorer struct{}
 
 func (domainScorer) Score(v View, out []float64) {
@@ -211,8 +217,9 @@
 	}
 }
 
-// slotsScorer gives 1 to a backend server that has a free slot, and less for each
-// request that would wait there ahead of this one.
+// slotsScorer gives 1 to a backend server that has a free slot or whose number of slots is
+// unknown, and less for each request that would wait there for a slot, including this
+// request.
 type slotsScorer struct{}
 
 func (slotsScorer) Score(v View, out []float64) {
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -12,8 +12,9 @@
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// weightedScorer is a scorer with its weight. affinity marks scorers that draw a request to
-// particular candidates.
+// weightedScorer is a scorer with its weight. affinity is set for scorers that draw a
+// request to particular candidates, such as candidates that may have its prompt prefix
+// cached.
 type weightedScorer struct {
 	scorer   Scorer
 	weight   float64
@@ -48,9 +49,9 @@
 	ScoreSlots:      {scorer: slotsScorer{}, affinity: true},
 }
 
-// DefaultSteps returns the steps that are used when the settings name none. ScorePrefix is not
-// included: ScoreRendezvous sends equal prompts to equal engines without the polling for cache
-// events that ScorePrefix needs.
+// DefaultSteps returns the steps that are used when the settings name none. ScorePrefix is
+// not included: ScoreRendezvous sends requests with the same prompt prefix to the same
+// engine without the polling for cache events that ScorePrefix needs.
 func DefaultSteps() []StepConfig {
 	return []StepConfig{
 		{Name: FilterServes},
