--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -1,12 +1,13 @@
 // Package hedge sends a second try of a slow idempotent call to another backend server and
 // uses whichever answer arrives first.
 //
-// It is made for calls that are slow because one replica stalls (a long pause, a lost packet,
-// a full queue) while the others answer in milliseconds. The second try is sent only after a
-// delay derived from the observed latencies, so that few calls cause a second try. It is sent
-// only within a budget that is a share of first tries: when all replicas are slow, every call
-// is slow, and hedging each of them would double the load that made the replicas slow. A call
-// that is not idempotent is never hedged, since two backend servers could both run it.
+// Hedging is meant for calls that are slow because one replica stalls (a long pause, a
+// lost packet, a full queue) while the others answer in milliseconds. The second try is
+// sent only after a delay derived from the observed latencies, so that few calls cause a
+// second try. A second try is sent only within a budget that is a share of first tries:
+// when all replicas are slow, every call is slow, and hedging each of them would double
+// the load that made the replicas slow. A call that is not idempotent is never hedged,
+// since two backend servers could both run it.
 package hedge
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Budget limits second tries to a share of first tries.
+// Budget limits the number of second tries to a share of the number of first tries.
 type Budget interface {
 	First()     // counts a first try
 	Take() bool // draws one second try; false means that none is left
@@ -41,7 +42,8 @@
 	return c
 }
 
-// Hedger decides when second tries are sent. It is safe for concurrent use.
+// Hedger decides whether and when the second try of a call is sent. It is safe for
+// concurrent use.
 type Hedger struct {
 	cfg    Config
 	budget Budget
@@ -99,8 +101,9 @@
 	l.rotated = now
 }
 
-// delay returns the percentile of the newer histogram, or of the older histogram while the
-// newer one has too few values. ok is false while both have too few.
+// delay returns the given percentile of the latencies in the newer histogram or, while the
+// newer histogram has fewer than minSamples values, in the older histogram. ok is false
+// while both histograms have fewer than minSamples values.
 func (l *latencies) delay(percentile float64, minSamples int64) (time.Duration, bool) {
 	h := l.older
 	if l.newer.TotalCount() >= minSamples {
@@ -133,8 +136,8 @@
 // cost. ok is false if no second try may be sent, because the call may not be repeated,
 // hedging is off or too few latencies are known.
 func (h *Hedger) Delay(pool string, idempotent bool) (time.Duration, bool) {
-	// Without this check a slow booking is booked twice: the slower answer is dropped here,
-	// but both backend servers have run the call.
+	// Without this check, a slow call that makes a booking, for example, would book twice:
+	// the slower answer is dropped here, but both backend servers have run the call.
 	if !idempotent {
 		return 0, false
 	}
--- a/hedge/hedge_test.go
+++ b/hedge/hedge_test.go
@@ -35,7 +35,8 @@
 	return h
 }
 
-// fakeBackends stands in for two backend servers: each try takes its time or fails.
+// fakeBackends stands in for two backend servers: each try takes the time in took and then
+// answers or, if fails is set, returns an error.
 type fakeBackends struct {
 	took      [2]time.Duration
 	fails     [2]bool
@@ -70,10 +71,11 @@
 	}
 }
 
-// A call that may not be repeated must not be hedged: otherwise a slot is booked twice. A call
-// that may be repeated must be hedged: otherwise it is slow although another replica is idle.
-// The first try is slower than 95 of 100 calls were; a second try is sent after that delay,
-// and the faster answer is used.
+// A call that may not be repeated must not be hedged: otherwise both backend servers run
+// it, and a call that books a slot books it twice. A call that may be repeated must be
+// hedged: otherwise it is slow although another replica is idle. The first try is slower
+// than 95 of 100 calls were; a second try is sent after that delay, and the faster answer
+// is used.
 func TestSecondTries(t *testing.T) {
 	const long, short = 10 * time.Second, 10 * time.Millisecond
 	rows := []struct {
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -43,9 +43,9 @@
 	pending int
 }
 
-// Do makes the call and returns the first answer; the other try is cancelled. If both tries
-// fail, err is the error of the first try. release cancels the context of the try that
-// answered first: call it when the answer has been read.
+// Do makes the call and returns the first answer; the other try is cancelled. If both
+// tries fail, err is the error of the first try. release cancels the context of the try
+// that answered first: the caller must call release when it has read the answer.
 func Do[T any](ctx context.Context, h *Hedger, call Call[T]) (value T, release func(), err error) {
 	if call.Idempotent {
 		h.budget.First()
@@ -166,7 +166,8 @@
 	r.start(true)
 }
 
-// drain disposes of the answer of the slower try, in case it arrived despite the cancellation.
+// drain waits for the slower try and discards its answer, in case the try answered despite
+// its cancellation.
 func (r *race[T]) drain() {
 	for ; r.pending > 0; r.pending-- {
 		if got := <-r.results; got.err == nil {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,13 +1,14 @@
-// Package relay forwards requests with an opaque body to the service of their route, and gives
-// each request its one final, true answer.
+// Package relay forwards requests with an opaque body to the service of their route, and
+// gives each request its one final, true answer.
 //
-// A router that has no configuration yet, or an outdated one, must not report that a route or
-// a key doesn't exist: it refuses the request with the time to come back. A refusal means that
-// nothing of the request ran. It is given at once, and only while it is certain that nothing
-// ran (package generation decides this). A request that ran and whose answer is lost gets a
-// status that doesn't state whether it ran (502, or 504 after the deadline), or a broken
-// connection if its answer has started. At the route's timeout the final answer is given, even
-// if an attempt is still running.
+// A router that has no configuration yet, or an outdated one, must not report that a route
+// or a key doesn't exist: it refuses the request and states after which time the client
+// should send the request again. A refusal means that no part of the request ran. It is
+// given at once, and only while it is certain that nothing ran (package generation decides
+// this). A request that ran and whose answer is lost gets a status that doesn't state
+// whether it ran (502, or 504 after the deadline), or a broken connection if its answer
+// has started. At the route's timeout the final answer is given, even if an attempt is
+// still running.
 package relay
 
 import (
@@ -51,7 +52,7 @@
 	PromptParts      []string // ids of the prompt's parts, in order
 }
 
-// Result is how a request ended.
+// Result states what still has to be sent to the client when a request has ended.
 type Result struct {
 	// Status is the status of the answer that still has to be sent to the client; 0 if the
 	// backend server's answer was delivered.
@@ -67,8 +68,8 @@
 	Run(ctx context.Context, req generation.Request, sink generation.Sink) generation.Result
 }
 
-// Budgets counts the first tries of each service. The number of retries is limited to a share
-// of the first tries.
+// Budgets counts the first tries of requests, by service. The number of retries is limited
+// to a share of the first tries.
 type Budgets interface {
 	First(service string)
 }
@@ -106,13 +107,14 @@
 	startGrace = 500 * time.Millisecond
 	// startPoll is how often a waiting request checks whether there is a configuration.
 	startPoll = 5 * time.Millisecond
-	// noConfigRetryAfter is the time after which refused clients are told to come back if
-	// there is no configuration after startGrace. The store is unreachable then, and a client
-	// that comes back too soon is refused again.
+	// noConfigRetryAfter is the time after which refused clients are told to send their
+	// request again if there is no configuration after startGrace. The store is
+	// unreachable then, and a client that sends its request again too soon is refused
+	// again.
 	noConfigRetryAfter = 2 * time.Second
-	// retryAfterDivisor limits the time after which a client is told to come back to a third
-	// of the client's remaining time, since a client that came back later could not be served
-	// any more.
+	// retryAfterDivisor limits the time after which a client is told to send its request
+	// again to a third of the client's remaining time, since a request sent again later
+	// could not be served in time any more.
 	retryAfterDivisor = 3
 )
 
@@ -141,13 +143,14 @@
 	return v
 }
 
-// table returns the route table in force, or nil if there is none. Just after the start of the
-// router it waits for the first table.
+// table returns the route table in force, or nil if there is none. Just after the start of
+// the router it waits for the first table.
 //
-// Without the wait, after all routers were killed, clients come back before the routers have
-// read the store. They would be told to come back two seconds later because of a configuration
-// that is available after a tenth of a second. The symptom is refusals for lack of a
-// configuration right after a start.
+// After all routers were killed and started again, clients send their requests again
+// before the routers have read the store. Without the wait, the clients would be told to
+// send their requests again two seconds later because of a configuration that is available
+// after a tenth of a second. The symptom is refusals for lack of a configuration right
+// after a start.
 func (r *Relay) table(ctx context.Context) *route.Table {
 	for {
 		t := r.cfg.Table.Get()
@@ -198,7 +201,8 @@
 	return j
 }
 
-// timeoutOf returns the shorter of the client's and the route's timeout.
+// timeoutOf returns the shorter of the client's and the route's timeout. A timeout of 0 or
+// less means no limit.
 func timeoutOf(req *Request, rt *route.Route) time.Duration {
 	switch {
 	case req.ClientTimeout <= 0:
@@ -209,10 +213,11 @@
 	return min(req.ClientTimeout, rt.Timeout)
 }
 
-// age estimates how long ago the client made its first try. The estimate is the route's
-// timeout minus the client's remaining time, since it assumes that clients wait for about as
-// long as the route allows. It is used only to order waiting requests, since a client may have
-// set a shorter timeout from the start.
+// age estimates how long ago the client sent the request for the first time. The estimate
+// is the route's timeout minus the client's remaining time, since it assumes that clients
+// wait for about as long as the route allows. If the client or the route has no timeout,
+// the estimate is 0. The estimate is used only to order waiting requests, since a client
+// may have set a shorter timeout from the start.
 func (j *job) age() time.Duration {
 	if j.req.ClientTimeout <= 0 || j.route.Timeout <= 0 {
 		return 0
@@ -220,9 +225,9 @@
 	return max(j.route.Timeout-j.req.ClientTimeout, 0)
 }
 
-// maxWait returns how long a request waits for a backend server. By default it waits for half
-// of the time until its answer is late, since the other half is needed to run the request. For
-// streams, the configuration may set another time.
+// maxWait returns how long a request waits for a backend server. By default it waits for
+// half of the route's target time, after which its answer is late, since the other half is
+// needed to run the request. For streams, the configuration may set another time.
 func (j *job) maxWait() time.Duration {
 	if j.route.Kind == route.Stream && j.cfg.StreamMaxWait != nil {
 		return j.cfg.StreamMaxWait(j.route.Target)
@@ -281,7 +286,7 @@
 	return generation.Copying{KeptUpToDate: j.engine.KeepsCopies, OnDemand: j.engine.MakesCopies}
 }
 
-// result derives what still has to be sent to the client from the outcome.
+// result derives from the outcome of a run what still has to be sent to the client.
 func (j *job) result(res generation.Result) Result {
 	switch {
 	case res.Outcome == fleet.Complete:
@@ -298,8 +303,8 @@
 	return Result{Status: http.StatusBadGateway}
 }
 
-// retryAfter limits the advised time to come back to a third of the client's remaining time,
-// for the reason stated at retryAfterDivisor.
+// retryAfter limits the time after which the client is advised to send the request again
+// to a third of the client's remaining time, for the reason stated at retryAfterDivisor.
 func (j *job) retryAfter(advice time.Duration) time.Duration {
 	if j.req.ClientTimeout <= 0 {
 		return advice
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -43,9 +43,9 @@
 	return r.Serve(t.Context(), req, nil), got
 }
 
-// A refusal states that nothing ran, so that the client may send the request again. It may be
-// sent only with an outcome for which that is true: otherwise a request that had run would run
-// twice. An answer that was cut must not look complete.
+// A refusal states that nothing ran, so that the client may send the request again. A
+// refusal may be sent only with an outcome for which that is true: otherwise a request
+// that had run would run twice. An answer that was cut must not look complete.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
@@ -65,8 +65,8 @@
 	}
 }
 
-// A client must not be told to wait for longer than a third of its remaining time: it would
-// come back when its time is over.
+// A client must not be told to wait for longer than a third of its remaining time:
+// otherwise it would send its request again when its time is over.
 func TestAdviceFitsTheClientsTime(t *testing.T) {
 	res := generation.Result{Outcome: fleet.NotRun, RetryAfter: 5 * time.Second}
 	v, _ := serve(t, res, &Request{Host: "h", Path: "/p/x", Key: "k", ClientTimeout: 3 * time.Second}, nil)
@@ -115,9 +115,10 @@
 }
 
 // All routers were killed; a request arrives before its router has read the configuration,
-// which the router does a tenth of a second later. If a start were treated like an unreachable
-// store, clients that come back right after a start would be told to wait for two seconds. If
-// the store really is unreachable, the clients must be told to wait for two seconds.
+// which the router does a tenth of a second later. If a start were treated like an
+// unreachable store, clients that send their requests again right after a start would be
+// told to wait for two seconds. If the store really is unreachable, the clients must be
+// told to wait for two seconds.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	for name, c := range map[string]struct {
 		known time.Duration // after the start
--- a/relay/report.go
+++ b/relay/report.go
@@ -23,7 +23,9 @@
 	m.set.GetOrCreateHistogram(`wigeon_relay_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 }
 
-// refuse answers a request without sending it to a backend server.
+// refuse returns the Result for a request that is not sent to any backend server, and
+// records the refusal in metrics and the log. With status 503, the client is told to try
+// again after at most a third of its timeout, see retryAfterDivisor.
 func (r *Relay) refuse(req *Request, table *route.Table, status int, reason string, retry time.Duration) Result {
 	version := int64(0)
 	if table != nil {
