--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -122,7 +122,7 @@
 	degree[a][b] = true
 }
 
-// BenchmarkMember measures the memory per member.
+// BenchmarkMember measures the memory that a mesh needs per member.
 func BenchmarkMember(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/peer/call.go
+++ b/peer/call.go
@@ -38,9 +38,9 @@
 
 // Call sends a request to a node and waits for the reply until ctx ends. If there is no
 // link to the node, Call dials the node; if that fails, it sends the request through a
-// linked node, which relays it. Errors: ErrNoRoute, ErrStopped and ErrTooLarge (the
-// callee did not run the call), ErrLinkLost (the callee may have run the call),
-// *RemoteError (the callee answered that the call failed).
+// linked node, which relays it. Call returns ErrNoRoute, ErrStopped or ErrTooLarge if the
+// callee did not run the call, ErrLinkLost if the callee may have run the call, and a
+// *RemoteError if the callee or a relay replied with an error.
 func Call[Req, Rep any](ctx context.Context, m *Mesh, node, kind string, req Req) (Rep, error) {
 	var rep Rep
 	body, err := encMode.Marshal(req)
@@ -75,9 +75,10 @@
 	return m.relay(ctx, node, f)
 }
 
-// relay sends the call through linked nodes, each of which may forward it by one hop.
-// It tries the next linked node only if it is certain that the call has not reached the
-// callee, so that the callee does not run the call twice.
+// relay sends the call through one linked node after the other; a linked node may forward
+// the call to the callee, but to no other relay. It tries the next linked node only if it
+// is certain that the call has not reached the callee, so that the callee does not run the
+// call twice.
 func (m *Mesh) relay(ctx context.Context, node string, f frame) (cbor.RawMessage, error) {
 	f.To = node
 	links := m.shuffledLinks(node)
@@ -201,7 +202,8 @@
 	return errorReply(codeRelayNoRoute, "no route from the relay")
 }
 
-// serve runs the handler of a call and returns the reply.
+// serve runs the handler of a call and returns the reply, which is an error reply if there
+// is no handler, the handler fails or panics, or its result is too large.
 func (m *Mesh) serve(ctx context.Context, f frame) frame {
 	m.mu.Lock()
 	h := m.callHandlers[f.Kind]
--- a/peer/config.go
+++ b/peer/config.go
@@ -44,7 +44,7 @@
 // minKeyBytes is the shortest shared key that New accepts.
 const minKeyBytes = 16
 
-// Limits that are not configurable.
+// These limits are not configurable.
 const (
 	linkQueueLength        = 256
 	maxConcurrentDials     = 8
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -42,7 +42,8 @@
 // it refuses the connection because it is busy.
 var errUnreachable = errors.New("no answer")
 
-// dialState holds the backoff of the dials to one address.
+// dialState holds, for one address, whether a dial is in progress, the delay until the
+// next dial and the time of that dial.
 type dialState struct {
 	busy  bool
 	delay time.Duration
@@ -244,8 +245,8 @@
 	return nil, Error.Wrap(errDuplicateLink)
 }
 
-// registerLink adds an authenticated link to the mesh. It may replace an existing
-// link to the same node.
+// registerLink adds an authenticated link to the mesh. If a link to the same node exists,
+// replaces decides which of the two links is kept.
 func (m *Mesh) registerLink(l *link, rec Record) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/dialpolicy.go
+++ b/peer/dialpolicy.go
@@ -151,8 +151,9 @@
 	return out
 }
 
-// linkTo returns a link to a node for a call and dials the node if needed.
-// Errors: ErrNoRoute, ErrStopped.
+// linkTo returns a link to a node for a call and dials the node if needed. linkTo returns
+// ErrNoRoute if it can't get a link to the node, and ErrStopped if the mesh is not
+// running.
 func (m *Mesh) linkTo(ctx context.Context, node string) (*link, error) {
 	m.mu.Lock()
 	if !m.running {
--- a/peer/evaluate.go
+++ b/peer/evaluate.go
@@ -23,13 +23,14 @@
 type Decision uint8
 
 const (
-	// Keep leaves the record as it is.
+	// Keep leaves the member's record as it is.
 	Keep Decision = iota
 	// MakeSuspect marks the member suspect and reports that to the fleet.
 	MakeSuspect
 	// MakeDead marks the member dead, because it did not refute the suspicion in time.
 	MakeDead
-	// Forget drops the member's record.
+	// Forget drops the member's record, because the member has been dead for longer than
+	// Policy.ForgetAfter.
 	Forget
 )
 
--- a/peer/flood.go
+++ b/peer/flood.go
@@ -24,7 +24,7 @@
 	return &seenSet{limit: limit, current: make(map[uint64]struct{})}
 }
 
-// add adds the key and reports whether the key is new to the set.
+// add adds the key of a flood and reports whether the key is new to the set.
 func (s *seenSet) add(key uint64) bool {
 	if _, ok := s.current[key]; ok {
 		return false
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,8 +12,8 @@
 	"wigeondale/event"
 )
 
-// outgoing is an encoded message in a link's queue. A nil payload makes the
-// writer close the link after it has written the messages queued before.
+// outgoing is an encoded message in a link's queue. A nil payload makes the writer close
+// the link after it has written the messages that were queued before it.
 type outgoing struct {
 	kind    frameType
 	payload []byte
--- a/peer/members.go
+++ b/peer/members.go
@@ -78,7 +78,8 @@
 	return out
 }
 
-// SetSummary updates this node's summary, which is sent with the next heartbeat.
+// SetSummary updates this node's summary. The next heartbeats send its revision and
+// changed demand; if Ready changed, the next tick sends this node's record.
 func (m *Mesh) SetSummary(s Summary) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -92,9 +92,10 @@
 	}
 }
 
-// TestTableDigestsAgree guards against digests that never become equal and dropped
-// members that return forever. The failure occurs if the digests depend on the order in
-// which records are merged or on dead records that only some nodes have dropped.
+// TestTableDigestsAgree guards against digests that never become equal and members whose
+// records were dropped but are received again forever. The failure occurs if the digests
+// depend on the order in which records are merged or on dead records that only some nodes
+// have dropped.
 func TestTableDigestsAgree(t *testing.T) {
 	now := time.Unix(1, 0)
 	a, b := newTable(), newTable()
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -216,10 +216,10 @@
 	m.onLink = append(m.onLink, fn)
 }
 
-// OnChange registers fn to be called after changes of the membership, on the goroutine
-// of the flood handlers. fn must not block, because floods wait meanwhile. Several
-// changes in quick succession may result in one call of fn. OnChange must be called
-// before Run.
+// OnChange registers fn to be called after changes of the membership, on the goroutine of
+// the flood handlers. fn must not block, because no flood is handled until fn returns.
+// Several changes in quick succession may result in one call of fn. OnChange must be
+// called before Run.
 func (m *Mesh) OnChange(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/message.go
+++ b/peer/message.go
@@ -10,7 +10,7 @@
 // could misinterpret each other's messages.
 const protocolVersion = 1
 
-// Limits that the decoder enforces in addition to the size of the message.
+// The decoder enforces these limits in addition to the limit on the size of the message.
 const (
 	maxArrayElements = 1 << 16
 	maxMapPairs      = 1 << 16
@@ -63,7 +63,8 @@
 	Demand   map[string]float64
 }
 
-// recordBatch is the body of typeRecords.
+// recordBatch is the body of typeRecords: member records that have changed or that differ
+// from the digest that the receiver has sent.
 type recordBatch struct {
 	_       struct{} `cbor:",toarray"`
 	Records []Record
@@ -72,7 +73,8 @@
 	More bool
 }
 
-// syncDigest is the body of typeSync: the sender's membership digest.
+// syncDigest is the body of typeSync: the sender's membership digest, one hash for each
+// bucket of member records.
 type syncDigest struct {
 	_       struct{} `cbor:",toarray"`
 	Buckets []uint64
@@ -86,7 +88,8 @@
 	Reached  []byte // bit i is set if the i-th member, ordered by id, has reached Revision
 }
 
-// revisionDigest is the body of typeRevisions.
+// revisionDigest is the body of typeRevisions: which members have reached the highest
+// revisions that the sender knows of.
 type revisionDigest struct {
 	_      struct{} `cbor:",toarray"`
 	IDs    uint64   // hash of the ordered ids and incarnations that the bits of Levels refer to
--- a/peer/metrics.go
+++ b/peer/metrics.go
@@ -23,7 +23,7 @@
 	dialFails *metrics.Counter
 }
 
-// Reasons for rejecting a message or a connection.
+// These constants are the reasons for rejecting a message or a connection.
 const (
 	rejectMalformed = "malformed"
 	rejectOversized = "oversized"
@@ -31,7 +31,7 @@
 	rejectBusy      = "busy"
 )
 
-// Reasons for closing a link.
+// These constants are the reasons for closing a link.
 const (
 	lostClosed    = "closed"
 	lostSilent    = "silent"
@@ -71,8 +71,8 @@
 	return m
 }
 
-// Sizes in bytes of a WebSocket header without a mask, for a 7-bit, a 16-bit and a
-// 64-bit payload length, and of the mask.
+// These constants are the sizes in bytes of a WebSocket header without a mask, for a
+// 7-bit, a 16-bit and a 64-bit payload length, and of the mask.
 const (
 	headerShort  = 2
 	headerMedium = 4
--- a/peer/revisions.go
+++ b/peer/revisions.go
@@ -16,7 +16,8 @@
 // incarnation had reached is not attributed to a restarted node, which has no revision
 // in force yet.
 
-// buildRevisionDigest returns the digest of the highest revisions known.
+// buildRevisionDigest returns the digest of the highest revisions, at most maxLevels, that
+// this node knows any live member to have reached.
 func (t *table) buildRevisionDigest(reply bool) revisionDigest {
 	ids, hash := t.live()
 	var revs []uint64
--- a/peer/tick.go
+++ b/peer/tick.go
@@ -9,7 +9,7 @@
 	"wigeondale/event"
 )
 
-// Intervals relative to the heartbeat interval.
+// These constants define intervals relative to the heartbeat interval.
 const (
 	ticksPerHeartbeat     = 4
 	heartbeatsPerProbe    = 30 // heartbeats between dials of a random member without a link
@@ -155,7 +155,8 @@
 	}
 }
 
-// chooseNeighbours chooses the neighbours again after a change of the membership.
+// chooseNeighbours chooses the neighbours again after a change of the membership, and
+// signals the OnChange callbacks.
 func (m *Mesh) chooseNeighbours(now time.Time) {
 	m.neighboursOutdated = false
 	peers := make([]Record, 0, len(m.table.byID))
