--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -77,8 +77,9 @@
 	digits  = 2
 )
 
-// latencies holds the latencies of one pool of backend servers in two histograms. After half a
-// window, the older histogram is reset and becomes the newer one.
+// latencies holds the latencies of one pool of backend servers in two histograms.
+// Latencies are recorded in the newer histogram. After half of Config.Window, the older
+// histogram is reset and becomes the newer one.
 type latencies struct {
 	rotated      time.Time
 	older, newer *hdrhistogram.Histogram
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -11,8 +11,8 @@
 	// inventory and the reading that confirms it. Every reading between them must be as
 	// small.
 	confirmAfter = 10 * time.Second
-	// missingDivisor: a reading that lacks more than 1/missingDivisor of the entries is
-	// withheld.
+	// missingDivisor defines when a reading is withheld: when it lacks more than
+	// 1/missingDivisor of the entries in the inventory.
 	missingDivisor = 2
 )
 
@@ -127,7 +127,7 @@
 	return Confirmed
 }
 
-// findings collects the changes that one reading makes.
+// findings collects the changes to the inventory that one reading causes.
 type findings struct {
 	*Observer
 	state         *State
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -58,8 +58,8 @@
 	// changes made since the first page are fetched from that history.
 	PageMaxAge time.Duration
 	// ConfirmAfter is the time after an outage of the store during which an item that is
-	// missing because of the outage may be written again by its owner. Until then, the
-	// removal of a missing item is unconfirmed.
+	// missing because of the outage may be written again by its owner. During that time,
+	// the removal of a missing item is unconfirmed.
 	ConfirmAfter time.Duration
 	// IsReader reports whether this node reads the store; nil means always. A node that
 	// has not yet received all items once reads the store in any case.
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -42,8 +42,8 @@
 // it refuses the connection because it is busy.
 var errUnreachable = errors.New("no answer")
 
-// dialState holds, for one address, whether a dial is in progress, the delay until the
-// next dial and the time of that dial.
+// dialState holds, for one address, whether a dial is in progress, the current backoff
+// delay and the earliest time of the next dial.
 type dialState struct {
 	busy  bool
 	delay time.Duration
--- a/peer/merge_test.go
+++ b/peer/merge_test.go
@@ -93,9 +93,9 @@
 }
 
 // TestTableDigestsAgree guards against digests that never become equal and members whose
-// records were dropped but are received again forever. The failure occurs if the digests
-// depend on the order in which records are merged or on dead records that only some nodes
-// have dropped.
+// dropped records are received again and again. The failure occurs if the digests depend
+// on the order in which records are merged or on dead records that only some nodes have
+// dropped.
 func TestTableDigestsAgree(t *testing.T) {
 	now := time.Unix(1, 0)
 	a, b := newTable(), newTable()
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,8 +17,9 @@
 // Path is the URL path at which the peer listener accepts links.
 const Path = "/peer/v1"
 
-// Mesh maintains one node's links and its view of the membership. Its methods may
-// be called from any goroutine. It is the http.Handler of the peer listener.
+// Mesh maintains the links of one node and the node's view of the membership. The methods
+// of a Mesh may be called from any goroutine. A Mesh is the http.Handler of the peer
+// listener.
 type Mesh struct {
 	cfg     Config
 	key     []byte
--- a/relay/report.go
+++ b/relay/report.go
@@ -24,8 +24,9 @@
 }
 
 // refuse returns the Result for a request that is not sent to any backend server, and
-// records the refusal in metrics and the log. With status 503, the client is told to try
-// again after at most a third of its timeout, see retryAfterDivisor.
+// records the refusal in metrics and the log. With status 503, a client that stated its
+// timeout is told to try again after at most a third of that timeout, see
+// retryAfterDivisor.
 func (r *Relay) refuse(req *Request, table *route.Table, status int, reason string, retry time.Duration) Result {
 	version := int64(0)
 	if table != nil {
--- a/route/route.go
+++ b/route/route.go
@@ -120,7 +120,7 @@
 	BodyBytes int64
 }
 
-// Config is one version of the configuration, as it was written.
+// Config is the content of one version of the configuration.
 type Config struct {
 	Version  int64
 	Routes   []Route
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -39,8 +39,8 @@
 	FilterUsable  = "usable"
 	FilterExclude = "exclude"
 	FilterRole    = "role"
-	// FilterHealthy removes backend servers that are under suspicion of the health
-	// monitor; otherwise the request would serve as a health probe for them.
+	// FilterHealthy removes backend servers that the health monitor suspects; otherwise
+	// the request would serve as a health probe for them.
 	FilterHealthy = "healthy"
 	// FilterOtherDomain removes the backend servers in the failure domain of a run
 	// (PickRequest.OtherDomain), so that the copy of the run is kept in another failure
