--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,8 +17,9 @@
 // Path is the URL path at which the peer listener accepts links.
 const Path = "/peer/v1"
 
-// Mesh maintains one node's links and its view of the membership. Its methods may
-// be called from any goroutine. It is the http.Handler of the peer listener.
+// Mesh maintains the links of one node and the node's view of the membership. The methods
+// of a Mesh may be called from any goroutine. A Mesh is the http.Handler of the peer
+// listener.
 type Mesh struct {
 	cfg     Config
 	key     []byte
@@ -216,10 +217,10 @@
 	m.onLink = append(m.onLink, fn)
 }
 
-// OnChange registers fn to be called after changes of the membership, on the goroutine
-// of the flood handlers. fn must not block, because floods wait meanwhile. Several
-// changes in quick succession may result in one call of fn. OnChange must be called
-// before Run.
+// OnChange registers fn to be called after changes of the membership, on the goroutine of
+// the flood handlers. fn must not block, because no flood is handled until fn returns.
+// Several changes in quick succession may result in one call of fn. OnChange must be
+// called before Run.
 func (m *Mesh) OnChange(fn func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
