--- a/intent/change.go
+++ b/intent/change.go
@@ -133,7 +133,8 @@
 	}
 }
 
-// Current returns the object that a change would replace, or nil.
+// Current returns the object that a change would replace, or nil if the state has no such
+// object.
 func (s *State) Current(c Change) any {
 	switch c.Kind {
 	case KindAccount:
@@ -158,7 +159,8 @@
 	return v
 }
 
-// Refs returns the model versions that changes refer to.
+// Refs returns the model versions that the traffic splits and placements in changes refer
+// to.
 func Refs(changes []Change) []fleet.ModelRef {
 	var refs []fleet.ModelRef
 	for _, c := range changes {
--- a/intent/clock.go
+++ b/intent/clock.go
@@ -6,8 +6,8 @@
 )
 
 // pauseClock detects that the process was suspended and resumed. Without pauseClock, a
-// router that resumes after minutes would route by a configuration that was replaced in the
-// meantime, and send requests to a VM that has left or to a version that was withdrawn.
+// router that resumes after minutes would route by a configuration that was replaced during
+// the pause, and send requests to a VM that has left or to a version that was withdrawn.
 // pauseClock compares both the monotonic and the wall clock, because the monotonic clock
 // stands still in a suspended VM.
 type pauseClock struct {
@@ -23,12 +23,15 @@
 	return &pauseClock{maxTickGap: maxTickGap, contactTimeout: contactTimeout, lastTick: time.Now()}
 }
 
-// elapsed returns the larger of the differences of the monotonic and the wall clock.
+// elapsed returns the time between from and to: the larger of the difference by the
+// monotonic clock and the difference by the wall clock.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// tick records that the process is running, and reports whether it was paused before.
+// tick records that the process is running at now, and reports whether the process was
+// paused since the last tick, because the two ticks are more than maxTickGap apart. After a
+// pause the revision is unconfirmed.
 func (c *pauseClock) tick(now time.Time) (paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,16 +43,18 @@
 	return paused
 }
 
-// recordContact records that a message from a peer or the service arrived.
+// recordContact records that a message from a peer or the key-value service arrived at now.
+// A node whose last contact is older than contactTimeout isn't ready.
 func (c *pauseClock) recordContact(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastContact = now
 }
 
-// confirm records that an exchange, which started at startedAt, found the revision to be
-// the newest. An exchange that started before a pause proves nothing, because the revision
-// may have been replaced during the pause.
+// confirm records that this node has read the log or a peer's state, in a call that started
+// at startedAt, and that the node's revision is the newest one found there. A call that
+// started before a pause proves nothing, because the revision may have been replaced during
+// the pause, so confirm then does nothing.
 func (c *pauseClock) confirm(startedAt, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/intent/codec.go
+++ b/intent/codec.go
@@ -33,8 +33,8 @@
 }
 
 // entryRevision decodes a log entry. An entry that can't be decoded counts as a revision
-// without changes, so that every node arrives at the same state and the entry doesn't block
-// any node for good.
+// without changes, so that every node arrives at the same state and no node stops at the
+// entry forever. The result is false for such an entry.
 func entryRevision(e LogEntry) (Revision, bool) {
 	r, err := DecodeRevision(e.Data)
 	if err != nil {
--- a/intent/confirm.go
+++ b/intent/confirm.go
@@ -9,7 +9,7 @@
 	"wigeondale/event"
 )
 
-// MaxConfirm is the time limit of one call of Confirm.
+// MaxConfirm is the time limit of one call of Confirm, including all its tries.
 const MaxConfirm = 15 * time.Second
 
 // settleWait is the delay before Confirm tries again to find out the outcome of an
--- a/intent/errors.go
+++ b/intent/errors.go
@@ -24,9 +24,12 @@
 	// ErrStaleSnapshot means that the log already has a snapshot of the same or a later
 	// revision.
 	ErrStaleSnapshot = errors.New("a snapshot as new is in place")
-	// ErrGap means that a revision isn't the one directly after the state.
+	// ErrGap means that the number of a revision isn't the state's revision plus 1, so the
+	// revision can't be applied to the state.
 	ErrGap = errors.New("revision doesn't follow the state")
-	// ErrNotReady means that the node has no state that it may act on.
+	// ErrNotReady means that the node has no state that it may act on: it has loaded none,
+	// has not confirmed the state since a start or pause, or has had no recent contact with
+	// the service or a peer.
 	ErrNotReady = errors.New("no confirmed state")
 )
 
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -13,8 +13,8 @@
 	"wigeondale/event"
 )
 
-// recentRevisions is the number of revisions that a Keeper stores for peers that are
-// behind.
+// recentRevisions is the number of newest revisions that a Keeper keeps in memory, for
+// peers that have an older state.
 const recentRevisions = 256
 
 // readPage is the maximum number of log entries per read of catchUp.
@@ -73,7 +73,9 @@
 	return ok
 }
 
-// Ready reports whether this node may act on its state, and the reason if not.
+// Ready reports whether this node may act on its state, and the reason if not: no state is
+// loaded, the state has not been confirmed since a start or pause, or neither the service
+// nor a peer was in contact recently.
 func (k *Keeper) Ready() (bool, string) {
 	if !k.loaded.Load() {
 		return false, "no state yet: neither the key-value service nor a peer has given one"
@@ -116,7 +118,8 @@
 }
 
 // BatchFrom returns the revisions from number from on, for a peer that has all earlier
-// revisions.
+// revisions. If revision from is no longer in memory, the batch contains the complete state
+// instead.
 func (k *Keeper) BatchFrom(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
@@ -154,7 +157,8 @@
 	return true
 }
 
-// installState replaces the state by a snapshot if the snapshot is newer.
+// installState replaces the state by a snapshot if the snapshot is newer, and reports
+// whether it did.
 func (k *Keeper) installState(s *State) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/intent/run.go
+++ b/intent/run.go
@@ -15,11 +15,11 @@
 // may take a whole timeout; the next Sync starts with a random peer again.
 const peersPerSync = 3
 
-// maxBroadcasts bounds the revisions that a watcher broadcasts after one read of the
-// log.
+// maxBroadcasts bounds the revisions that a watcher (a node that follows the log)
+// broadcasts to its peers after one read of the log.
 const maxBroadcasts = 16
 
-// Run keeps the state up to date until ctx ends.
+// Run keeps the state up to date from the log and the peers, until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.tickLoop(ctx) })
@@ -48,8 +48,9 @@
 	}
 }
 
-// syncLoop confirms the revision when the last contact is too old or a pause was detected.
-// It also polls at a low rate, because broadcasts and watches may fail without an error.
+// syncLoop confirms the revision with the service or a peer when no state is loaded, the
+// last contact is too old or a pause was detected. It also polls at a low rate, because
+// broadcasts and watches may fail without an error.
 func (k *Keeper) syncLoop(ctx context.Context) error {
 	poll := time.Now()
 	for ctx.Err() == nil {
@@ -121,7 +122,7 @@
 
 // broadcastSince broadcasts the revisions that a watcher itself read from the log. Other
 // nodes don't broadcast what they read, because many may read the same revisions at once,
-// for example when the service comes back.
+// for example when the service is available again after an outage.
 func (k *Keeper) broadcastSince(before uint64) {
 	if !k.cfg.IsWatcher() {
 		return
@@ -177,7 +178,8 @@
 	}
 }
 
-// followLoop follows the log while this node is one of the watchers.
+// followLoop follows the log while this node is one of the watchers, the nodes that read
+// new revisions from the log and broadcast them to the others.
 func (k *Keeper) followLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if k.loaded.Load() && k.cfg.IsWatcher() {
--- a/once/agree.go
+++ b/once/agree.go
@@ -22,7 +22,8 @@
 // shardCountSuffix is the last part of the key that stores the number of shards.
 const shardCountSuffix = "shards"
 
-// ErrInvalidShardCount means that the key-value service has an invalid number of shards.
+// ErrInvalidShardCount means that the number of shards that is stored in the key-value
+// service is not a number between 1 and maxShards.
 var ErrInvalidShardCount = errors.New("invalid number of shards in the key-value service")
 
 // shardAgreement holds the shards, whose number all nodes agree on.
@@ -123,9 +124,9 @@
 	return list
 }
 
-// inCooldown reports whether the last failure to read the number of shards was less
-// than Config.Cooldown ago. Claims are then refused without another try, for the reason
-// given at shard.inCooldown.
+// inCooldown reports whether the last failure to read the number of shards was less than
+// Config.Cooldown ago. Claims are then refused without another try to read the number, for
+// the reason given at shard.inCooldown.
 func (a *shardAgreement) inCooldown() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/once/batcher.go
+++ b/once/batcher.go
@@ -6,15 +6,16 @@
 	"sync"
 )
 
-// waiter is one operation whose result a caller waits for.
+// waiter is one operation in a batcher's queue or in the batch that is being sent; the
+// goroutine that submitted the operation waits for its result.
 type waiter struct {
 	op   Op
 	done chan Result // capacity 1, so that run does not block if the caller has stopped waiting
 }
 
-// batcher collects operations while the previous batch is being sent, and sends them as
-// the next batch, so that the number of writes depends on the elapsed time and not on
-// the number of operations.
+// batcher collects operations while the previous batch is being sent, and sends them as the
+// next batch, so that at most one batch is being sent at a time, and the number of writes
+// depends on the elapsed time and not on the number of operations.
 type batcher struct {
 	send     func([]Op) []Result
 	maxOps   int
--- a/once/claims.go
+++ b/once/claims.go
@@ -30,9 +30,9 @@
 	maxQueue       = 20_000
 	maxNameBytes   = 128
 	maxQueuedVoids = 50_000
-	// logWindow is the number of recent log entries in which repeated appends are
-	// detected. A batch is never appended again after its call has returned, so
-	// the window only needs to cover the duration of one call.
+	// logWindow is the number of recent log entries in which the log detects that an entry
+	// was appended before. A batch is never appended again after the call that wrote it has
+	// returned, so the window only needs to cover the entries appended during one call.
 	logWindow = 256
 )
 
@@ -98,7 +98,8 @@
 	voids     *voidQueue
 }
 
-// New returns the node's claims. It does no I/O; Run does the background work.
+// New returns the node's access to the claims. New does no I/O; Run voids abandoned
+// attempts and compacts the logs in the background.
 func New(cfg Config, fwd Forwarder) *Claims {
 	cfg.setDefaults()
 	return &Claims{cfg: cfg, fwd: fwd, voids: newVoidQueue(maxQueuedVoids)}
@@ -207,9 +208,10 @@
 	return nil
 }
 
-// execute forwards op to the shard's owner. If the owner's answer is missing or not
-// definite, this node writes op itself and returns the state of the key in the log. The
-// second write is safe because a repeated operation takes effect once.
+// execute forwards op to the shard's owner. If this node is the owner, or the owner's
+// answer is missing or is not CodeDone, this node writes op to the log itself and returns
+// the state of the key in the log. The second write is safe, because an operation that is
+// in the log twice takes effect once.
 func (c *Claims) execute(ctx context.Context, op Op) Result {
 	shards, err := c.openShards(ctx)
 	if err != nil {
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -23,7 +23,7 @@
 	return BatchResult{}, errLinkCut
 }
 
-// downStore is a store whose creates fail while down is set.
+// downStore is a key-value store whose creates fail while down is set.
 type downStore struct {
 	*kvtest.Store
 	down  bool
@@ -92,7 +92,8 @@
 	})
 }
 
-// lostAnswerStore loses the answer to the first create.
+// lostAnswerStore is a key-value store that applies the first create but returns an error,
+// as when the answer is lost.
 type lostAnswerStore struct {
 	*kvtest.Store
 	lost bool
--- a/once/shard.go
+++ b/once/shard.go
@@ -27,9 +27,10 @@
 	incomplete bool   // an entry is missing from table because its position was skipped
 }
 
-// observe applies the log's entries in order. The log starts some entries before
-// the snapshot's position, because it needs their ids to detect repeated
-// appends; observe skips them.
+// observe applies entry e to the table; the log calls it for each entry in order. The log
+// starts reading some entries before the snapshot's position, because it needs the ids of
+// these entries to detect repeated appends; observe skips these entries, which the snapshot
+// already contains.
 func (v *view) observe(e kvlog.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -119,7 +120,8 @@
 	case err == nil && !v.isIncomplete():
 		return CodeDone
 	case err == nil:
-		// The entry is written, but this view lacks entries that precede it.
+		// The entry is in the log, but this view lacks entries that precede it, so the view
+		// cannot show which attempt holds each key.
 		s.discardView(v)
 		return CodeUnknown
 	case errors.Is(err, kvlog.ErrUnsettled), errors.Is(err, kvlog.ErrExpired):
@@ -253,16 +255,17 @@
 	}
 }
 
-// inCooldown reports whether the last failure was less than Config.Cooldown ago.
-// Without the cooldown, each claim during an outage would wait for a timeout
-// before it is refused.
+// inCooldown reports whether the last failed batch of this shard was less than
+// Config.Cooldown ago; batches are then refused without a try. Without the cooldown, each
+// claim during an outage would wait for a timeout before it is refused.
 func (s *shard) inCooldown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Before(s.cooldownUntil)
 }
 
-// recordFailure starts the cooldown if an operation of a batch failed.
+// recordFailure starts the cooldown if any operation of a batch was not written to the log
+// or may not have been written.
 func (s *shard) recordFailure(results []Result) {
 	for _, r := range results {
 		if r.Code == CodeDone {
--- a/once/table.go
+++ b/once/table.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// entry is the data of one log entry.
+// entry is the data of one log entry: either a batch of operations or the removal of
+// expired claims.
 type entry struct {
 	Ops []Op `cbor:"1,keyasint,omitempty"`
 	// AtUnix is the wall clock of the writer, in seconds since the epoch.
