--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -106,7 +106,8 @@
 	return e, nil
 }
 
-// find returns the position at which id is known to be in the log.
+// find returns the position at which id is known to be in the log; the result is false if
+// this Log knows no such position.
 func (l *Log) find(id string) (uint64, bool) {
 	n, ok := l.unsettled.takeAppended(id)
 	if ok {
@@ -169,9 +170,10 @@
 
 // checkFloor checks after a create that its position is not below the floor. Without this
 // check, a process that was paused while others appended, took a snapshot and truncated
-// would create an entry at a position that no reader reads, and acknowledge the entry. A
-// create can't succeed at a deleted position before the floor in the pointer has risen
-// above that position, so the pointer that is read after the create shows such a case.
+// would create an entry at a position that no reader reads, and report the entry to its
+// caller as appended. A create can't succeed at a deleted position before the floor in the
+// pointer has risen above that position, so the pointer that is read after the create shows
+// such a case.
 func (l *Log) checkFloor(ctx context.Context, e Entry, id string) (Entry, error) {
 	p, err := l.readPointer(ctx)
 	if err != nil {
@@ -197,8 +199,9 @@
 	return e, nil
 }
 
-// resetPosition drops the position and the known ids, so that the next call starts reading
-// at the floor.
+// resetPosition drops this Log's position and the known ids, because the log was truncated
+// beyond that position; the next call starts reading at the floor. Ids with an unknown
+// outcome below the floor are marked as expired.
 func (l *Log) resetPosition(p pointer) {
 	l.next = 0
 	l.ids = newIDWindow(l.opts.Window)
@@ -224,7 +227,7 @@
 	}
 }
 
-// catchUp reads entries until the end of the log.
+// catchUp reads the entries from l.next to the end of the log and records them.
 func (l *Log) catchUp(ctx context.Context) error {
 	if l.next == 0 {
 		p, err := l.readPointer(ctx)
@@ -268,8 +271,9 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrUnsettled, withoutUnavailable(err)))
 }
 
-// withoutUnavailable returns an error with the text of err that doesn't match
-// ErrUnavailable, because ErrUnavailable would state that nothing was appended.
+// withoutUnavailable returns an error that has the text of err but doesn't match
+// ErrUnavailable, because ErrUnavailable would state that nothing was appended, which isn't
+// known here.
 func withoutUnavailable(err error) error { return errors.New(err.Error()) }
 
 func (l *Log) waitBeforeRetry(ctx context.Context) bool {
--- a/kvlog/kvlog.go
+++ b/kvlog/kvlog.go
@@ -50,7 +50,8 @@
 	// ErrStaleSnapshot means that the log already has a snapshot of the same or a later
 	// position.
 	ErrStaleSnapshot = errors.New("a newer snapshot is in place")
-	// ErrCorrupt means that a stored value can't be decoded or fails verification.
+	// ErrCorrupt means that a stored value can't be decoded or fails verification: an entry
+	// is missing or at a wrong position, or a snapshot is incomplete.
 	ErrCorrupt = errors.New("stored value corrupt")
 )
 
@@ -183,7 +184,8 @@
 
 func (l *Log) unlock() { <-l.appendLock }
 
-// Head returns the position of the last entry, or 0 for an empty log.
+// Head reads to the end of the log and returns the position of the last entry, or 0 for an
+// empty log.
 func (l *Log) Head(ctx context.Context) (uint64, error) {
 	if err := l.lock(ctx); err != nil {
 		return 0, err
@@ -195,8 +197,8 @@
 	return l.next - 1, nil
 }
 
-// unavailable wraps the error of a failed call as ErrUnavailable, unless it is already
-// an error of this package.
+// unavailable wraps err, the error of a failed call of the key-value service, as
+// ErrUnavailable, unless err is already an error of this package.
 func unavailable(err error) error {
 	if Error.Has(err) {
 		return err
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -101,9 +101,9 @@
 
 // TestLandedPastTheWindow guards against an entry that is in the log twice, or is reported
 // as not appended. The response to an append is lost, other processes append more entries
-// than the window has ids, and the appender reads on for another append and then calls
-// Append for the first id again. The appender found the first id in the log while reading,
-// and must remember the id although it is outside the window.
+// than the window has ids, and the appender reads these entries for another append and then
+// calls Append for the first id again. The appender found the first id in the log while
+// reading, and must remember the id although it is outside the window.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := kvtest.NewController()
--- a/kvlog/kvtest/controller.go
+++ b/kvlog/kvtest/controller.go
@@ -7,7 +7,8 @@
 	"wigeondale/infra"
 )
 
-// Fault is the outcome of a blocked call.
+// Fault is the outcome that a test chooses for a blocked call: whether the call is applied,
+// and whether its caller gets the answer.
 type Fault int
 
 // Outcomes of a blocked call that a test can choose.
@@ -39,7 +40,7 @@
 // NewController returns a Controller with an empty store.
 func NewController() *Controller { return &Controller{Store: New()} }
 
-// Blocked returns the number of blocked calls.
+// Blocked returns the number of calls that wait for a Release.
 func (b *Controller) Blocked() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/kvlog/kvtest/store.go
+++ b/kvlog/kvtest/store.go
@@ -43,7 +43,7 @@
 // New returns an empty store.
 func New() *Store { return &Store{data: make(map[string]infra.Value)} }
 
-// Calls returns the number of writes and reads applied.
+// Calls returns how many writes and reads the store has executed since New.
 func (s *Store) Calls() (writes, reads int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -141,8 +141,8 @@
 	}()
 }
 
-// burst appends more entries than the small window and truncates, while all other
-// processes are paused.
+// burst appends more entries than the test's small window holds, stores a snapshot and
+// truncates the log, while all other processes are paused.
 func (h *harness) burst() {
 	log := h.directLog()
 	var n uint64
@@ -197,7 +197,8 @@
 	synctest.Wait()
 }
 
-// finish lets all calls complete, then compares the log with the reported results.
+// finish lets all blocked calls complete, then compares the log with the results that the
+// appenders got.
 func (h *harness) finish(applyDelayedFirst bool) {
 	for applyDelayedFirst && h.controller.DelayedWrites() > 0 {
 		h.controller.ApplyDelayed(0)
--- a/kvlog/snapshot.go
+++ b/kvlog/snapshot.go
@@ -21,7 +21,8 @@
 	loadTries = 4
 )
 
-// pointer identifies the current snapshot. Entries below Floor are invalid.
+// pointer is the stored value that identifies the current snapshot. Entries at positions
+// below Floor are invalid, even if they are still or again in the store.
 type pointer struct {
 	UpTo   uint64 `cbor:"1,keyasint"`
 	Floor  uint64 `cbor:"2,keyasint"`
@@ -165,8 +166,9 @@
 	return l.kv.CompareAndSwap(ctx, l.pointerKey(), rev, data)
 }
 
-// truncate deletes what p made obsolete. Failures are ignored: no process reads below the
-// floor, and the next snapshot deletes what this one left.
+// truncate deletes the entries below p's floor and the chunks of snapshots up to lower
+// positions than p's. Failures are ignored: no process reads below the floor, and the
+// truncation after the next snapshot deletes what is left.
 func (l *Log) truncate(ctx context.Context, p pointer) {
 	l.deleteRange(ctx, l.entryKey(0), l.entryKey(p.Floor))
 	l.deleteRange(ctx, l.prefix+chunkPart, l.chunkPrefix(p.UpTo))
--- a/order/executor.go
+++ b/order/executor.go
@@ -20,7 +20,7 @@
 //go:embed executor.json
 var executorChart []byte
 
-// parallelCalls bounds the concurrent calls to backend servers.
+// parallelCalls bounds the concurrent calls to backend servers in one round.
 const parallelCalls = 16
 
 // Config configures an Executor.
@@ -99,7 +99,7 @@
 
 // Run sends orders until ctx ends, then gives the lease up. A separate goroutine renews the
 // lease, because a round may wait long for engines that don't answer; if the lease expired
-// in the meantime, the next tenure would have to wait before its first orders.
+// during such a round, the next tenure would have to wait before its first orders.
 func (e *Executor) Run(ctx context.Context) error {
 	var g errgroup.Group
 	g.Go(func() error { return e.runEvery(ctx, e.keepLease) })
@@ -296,8 +296,9 @@
 	e.cfg.Events.Emit(event.OrderSent, "backend", s.Backend.ID, "fence", fence, "plan", s.Order.Plan, "desired", fmt.Sprint(s.Order.Desired))
 }
 
-// permit reports whether an order may be sent now, and returns the order's deadline and
-// fencing number.
+// permit reports whether an order to b may be sent now, and returns the order's deadline
+// and fencing number. It returns false when this router has no tenure or Tenure.PermitSend
+// refuses the order.
 func (e *Executor) permit(b fleet.Backend) (time.Time, uint64, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/order/next.go
+++ b/order/next.go
@@ -9,7 +9,7 @@
 	"wigeondale/intent"
 )
 
-// View is what one round knows about the fleet.
+// View is the information about the fleet from which one round determines its orders.
 type View struct {
 	Backends []fleet.Backend
 	Status   map[string]Status // by backend server id; backend servers that didn't answer are absent
@@ -22,15 +22,17 @@
 	Order   Order
 }
 
-// Progress records, for each model, the time since which all its new versions are served.
+// Progress records, for each model, the time since which every placed version of the model
+// is served by every backend server that is to have the version. A model without an entry
+// has no placed version, or has one that is not served everywhere yet.
 type Progress struct {
 	since map[string]time.Time
 }
 
 // Next returns the orders of one round. An order contains the complete set of versions that
 // the backend server is to have now: the versions that it has and may keep, and the loads
-// of the current wave. A backend server whose desired state is already the same gets no
-// order.
+// of the current wave. A backend server that already reports the state that the order would
+// request gets no order.
 func Next(s *intent.State, v View, p Policy, progress *Progress, now time.Time) []Step {
 	progress.update(s, v, now)
 	wave := currentWave(s, v, p)
@@ -139,7 +141,8 @@
 }
 
 // update records, for each model, the time since which all its placed versions are served.
-// A backend server that doesn't answer counts as not serving, unless it is leaving.
+// A backend server that doesn't answer counts as not serving; a backend server that is
+// leaving doesn't count at all.
 func (p *Progress) update(s *intent.State, v View, now time.Time) {
 	if p.since == nil {
 		p.since = map[string]time.Time{}
@@ -170,7 +173,7 @@
 }
 
 // unloadAllowed returns a function that reports whether a model's old versions may be
-// unloaded.
+// unloaded: all its placed versions have been served for UnloadGrace.
 func (p *Progress) unloadAllowed(policy Policy, now time.Time) func(model string) bool {
 	return func(model string) bool {
 		since, ok := p.since[model]
--- a/order/order.go
+++ b/order/order.go
@@ -28,7 +28,7 @@
 // Error is the class of the errors of this package.
 var Error = errs.Class("order")
 
-// ErrLeaseLost means that this router no longer holds the lease.
+// ErrLeaseLost means that this router no longer holds the lease for orders.
 var ErrLeaseLost = errors.New("lease lost")
 
 // ErrStale means that a backend server has seen a higher fencing number.
--- a/order/round.go
+++ b/order/round.go
@@ -11,7 +11,8 @@
 	"wigeondale/intent"
 )
 
-// round sends the orders that are due.
+// round queries the engines that are due and sends the orders that follow from the answers,
+// if this router has a tenure and its desired state is up to date.
 func (e *Executor) round(ctx context.Context) {
 	fence, ok := e.fence()
 	if !ok || !e.cfg.UpToDate() {
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -71,7 +71,8 @@
 	return due
 }
 
-// RecordAnswer records the answer of an engine that was due.
+// RecordAnswer records the answer of an engine that was due. It ends the engine's sequence
+// of failures.
 func (c *Schedule) RecordAnswer(id string, st Status) {
 	if k, ok := c.known[id]; ok {
 		k.failures = 0
@@ -79,7 +80,9 @@
 	}
 }
 
-// RecordFailure records that an engine that was due didn't answer.
+// RecordFailure records that an engine that was due didn't answer. The engine's last answer
+// is dropped, so that Next sends the engine no order, and the delay before the next query
+// may grow (see backoff).
 func (c *Schedule) RecordFailure(id string) {
 	if k, ok := c.known[id]; ok {
 		k.failures++
@@ -121,8 +124,9 @@
 	return p.Role != k.placement.Role || !slices.Equal(p.Desired, k.placement.Desired)
 }
 
-// recordQuery records what is known before the query is sent: a change that happens while
-// the query is running must count as a change in the next round.
+// recordQuery records the placement, leaving state and incarnation that are known for b
+// before b is queried: a change of these that happens while the query is running must count
+// as a change in the next round.
 func (c *Schedule) recordQuery(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
 	k, ok := c.known[b.ID]
 	if !ok {
@@ -162,7 +166,8 @@
 	return out
 }
 
-// removeUnlisted removes the engines that are no longer in the list.
+// removeUnlisted removes the records and last answers of the engines that are no longer in
+// the list.
 func (c *Schedule) removeUnlisted(list []fleet.Backend) {
 	if len(c.known) == 0 {
 		return
@@ -179,7 +184,8 @@
 	}
 }
 
-// hasWork reports whether b hasn't reached its goal yet, or is still loading.
+// hasWork reports whether b hasn't reached the state that its placement and its VM's
+// leaving state request, or is still loading.
 func hasWork(s *intent.State, b fleet.Backend, st Status) bool {
 	if len(st.Loading) > 0 || (s.Leaving(b.VM) && !st.Leaving) {
 		return true
@@ -212,7 +218,8 @@
 	return true
 }
 
-// backoff returns the delay before the next query after consecutive failures.
+// backoff returns the delay before the next query of an engine after the given number of
+// consecutive failed queries.
 func backoff(failures int) time.Duration {
 	if failures <= promptRetries {
 		return 0
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -30,7 +30,8 @@
 	return t
 }
 
-// RecordRenewal records a renewal whose call started at startedAt.
+// RecordRenewal records a renewal of the lease whose call started at startedAt; the tenure
+// then ends one TTL, less the margin for clock drift, after startedAt.
 func (t *Tenure) RecordRenewal(startedAt time.Time) {
 	t.validUntil = startedAt.Add(t.policy.TTL - t.policy.margin())
 	t.renewAt = startedAt.Add(t.policy.TTL / 3)
