--- a/backend/backend.go
+++ b/backend/backend.go
@@ -94,7 +94,8 @@
 	Leaving bool             `json:"leaving"`
 }
 
-// OrderStatus is an engine's report of its desired and actual state.
+// OrderStatus is an engine's report of the state that the last order requested (Desired)
+// and of the model versions that the engine serves (Actual) and is loading (Loading).
 type OrderStatus struct {
 	Fence   uint64           `json:"fence"`
 	Desired []fleet.ModelRef `json:"desired"`
@@ -109,8 +110,8 @@
 	Block string `json:"block"` // 16 hexadecimal digits
 }
 
-// CacheEvents is one page of an engine's cache events. Sequence numbers may
-// have gaps.
+// CacheEvents is one page of the cache events of one incarnation of an engine. The sequence
+// numbers of the events may have gaps.
 type CacheEvents struct {
 	Incarnation string       `json:"incarnation"`
 	Events      []CacheEvent `json:"events"`
--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -114,7 +114,8 @@
 }
 
 // Add queues the cancel of an attempt. It never blocks. If the queue is full, the cancel is
-// dropped and counted; the engine then ends the attempt after its linger time.
+// dropped and counted; the engine then ends the attempt after the attempt's linger time,
+// during which an unread attempt can be attached to.
 func (c *Canceller) Add(a AbandonedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,14 +133,15 @@
 	}
 }
 
-// Pending returns the number of attempts whose cancel is not finished.
+// Pending returns the number of queued attempts, whose cancel is not finished yet.
 func (c *Canceller) Pending() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
 }
 
-// Run sends cancels until ctx ends, then waits for its goroutines.
+// Run sends the queued cancels until ctx ends, then waits until the goroutines that send
+// the cancels have returned.
 func (c *Canceller) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.ctx = ctx
@@ -181,8 +183,9 @@
 	}
 }
 
-// peek returns the attempt to cancel next. It removes an empty queue under the same lock,
-// so that for Add the existence of a queue shows whether a worker serves it.
+// peek returns the attempt to cancel next at engine id; the result is false if there is
+// none. peek removes the engine's queue when the queue is empty, under the same lock, so
+// that Add knows from the existence of a queue whether a worker serves the queue.
 func (c *Canceller) peek(id string) (queuedCancel, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,8 +209,9 @@
 	return clock.Sleep(ctx, jittered)
 }
 
-// tryCancel sends one cancel for q if it is still needed, and reports whether q
-// is finished: acknowledged, unknown to the engine, or given up.
+// tryCancel sends one cancel for q if it is still needed, and reports whether q is
+// finished: the engine has acknowledged the cancel, doesn't have the attempt or has
+// restarted, or the cancel is dropped because q is older than cancelMaxAge.
 func (c *Canceller) tryCancel(ctx context.Context, q queuedCancel) bool {
 	if q.restarted(c.opts.Incarnation(q.Backend.ID)) {
 		c.done.Inc()
--- a/backend/client.go
+++ b/backend/client.go
@@ -116,7 +116,7 @@
 	return res, err
 }
 
-// Load fetches the engine's load report.
+// Load fetches the engine's report of its current load.
 func (c *Client) Load(ctx context.Context, b fleet.Backend) (fleet.LoadReport, error) {
 	var r fleet.LoadReport
 	err := c.get(ctx, b, "/v1/load", &r)
@@ -159,7 +159,8 @@
 	return OrderStatus{Fence: stale.Fence}, Error.Wrap(ErrStaleFence)
 }
 
-// OrderStatus fetches an engine's desired and actual state.
+// OrderStatus fetches an engine's desired state (as of its last order) and its actual
+// state.
 func (c *Client) OrderStatus(ctx context.Context, b fleet.Backend) (OrderStatus, error) {
 	var s OrderStatus
 	err := c.get(ctx, b, "/v1/orders", &s)
--- a/backend/send.go
+++ b/backend/send.go
@@ -21,7 +21,8 @@
 	readBufferBytes = 8 << 10
 )
 
-// DialConfig configures how connections are opened and when they are given up.
+// DialConfig configures how connections to backend servers are opened, and when an
+// unresponsive connection is closed.
 type DialConfig struct {
 	Timeout time.Duration // for opening a connection
 	// UnackedTimeout is how long sent bytes, or keep-alive probes on an idle connection,
@@ -122,8 +123,9 @@
 	writtenBefore int64
 }
 
-// sendTracker records the connections that the transport assigned to one
-// request.
+// sendTracker records the connections that the transport assigned to one request, and how
+// many bytes each had written before, so that it can be determined whether a byte of the
+// request was sent.
 type sendTracker struct {
 	mu         sync.Mutex
 	conns      []usedConn
--- a/backend/service.go
+++ b/backend/service.go
@@ -53,8 +53,8 @@
 	echo := resp.Header.Get(requestIDHeader)
 	if echo != "" && echo != call.RequestID {
 		// The body is closed without being read to its end, so that the connection isn't
-		// reused: its answers are out of step with its requests, and the next answer would
-		// be wrong too.
+		// reused: the answers on the connection no longer correspond to its requests, so
+		// the next answer would be wrong too.
 		resp.Body.Close()
 		return nil, Error.Wrap(ErrMismatch)
 	}
--- a/backend/stream.go
+++ b/backend/stream.go
@@ -92,8 +92,8 @@
 // Head returns nil: the chunks of this protocol carry all information.
 func (s *Stream) Head() *Head { return nil }
 
-// Close stops reading. The engine keeps the attempt for its linger time, so that it can be
-// attached to.
+// Close closes the connection. The engine keeps the attempt for the attempt's linger time,
+// so that a router can attach to the attempt again.
 func (s *Stream) Close() error { return s.body.Close() }
 
 // Buffered reports whether another complete line is already in the read buffer,
--- a/infra/client.go
+++ b/infra/client.go
@@ -93,9 +93,9 @@
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrUnavailable, err))
 }
 
-// statusError converts a response whose status isn't 200 into an error. Only the
-// statuses that the service returns before it proposes a write (400, 404 and 429) prove
-// that nothing was applied; a 5xx may come while a proposal is still under way.
+// statusError converts a response whose status isn't 200 into an error. Only the statuses
+// that the service returns before it proposes a write (400, 404 and 429) prove that nothing
+// was applied; a 5xx response may be sent while the service is still applying the write.
 func statusError(e effect, resp *http.Response) error {
 	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBytes))
 	err := fmt.Errorf("status %d: %s", resp.StatusCode, bytes.TrimSpace(text))
@@ -138,7 +138,8 @@
 	return "rejected"
 }
 
-// poster makes JSON calls with a timeout and a bound on the calls in flight.
+// poster sends JSON calls to a service, with a timeout and a bound on the number of
+// concurrent calls.
 type poster struct {
 	base    string
 	client  *http.Client
@@ -197,8 +198,8 @@
 	return nil
 }
 
-// read sends a request that has no body and doesn't change stored data. The caller closes
-// the response body.
+// read sends one request that has no body and doesn't change stored data, and returns the
+// response. The caller closes the response body.
 func read(ctx context.Context, client *http.Client, method, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
--- a/infra/etcd.go
+++ b/infra/etcd.go
@@ -160,7 +160,8 @@
 	return ok, v, err
 }
 
-// CompareAndSwap writes key if its revision is still modRev.
+// CompareAndSwap writes key if its revision is still modRev; otherwise CompareAndSwap
+// returns the current value.
 func (c *EtcdKV) CompareAndSwap(ctx context.Context, key string, modRev int64, data []byte) (bool, Value, error) {
 	rev := fmt.Sprint(modRev)
 	cmp := compare{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRev: &rev}
@@ -186,7 +187,8 @@
 	return false, out.Responses[0].Range.KVs[0].value(), nil
 }
 
-// Put writes key, whether it exists or not.
+// Put writes key, whether the key exists or not, and attaches the key to lease; 0 means no
+// lease.
 func (c *EtcdKV) Put(ctx context.Context, key string, data []byte, lease LeaseID) error {
 	in := putRequest{Key: []byte(key), Value: data, Lease: int64(lease)}
 	return c.call(ctx, "put", "/v3/kv/put", writes, in, &emptyResponse{})
@@ -211,8 +213,8 @@
 	return LeaseID(out.ID), err
 }
 
-// KeepAlive renews lease and returns the time it has left; ErrLeaseNotFound means that
-// it has expired.
+// KeepAlive renews lease and returns the time until the lease expires; ErrLeaseNotFound
+// means that the lease has expired or never existed.
 func (c *EtcdKV) KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error) {
 	var out keepAliveResponse
 	err := c.call(ctx, "keepalive", "/v3/lease/keepalive", writes, leaseRequest{ID: int64(lease)}, &out)
--- a/infra/kv.go
+++ b/infra/kv.go
@@ -78,7 +78,7 @@
 	Put(ctx context.Context, key string, data []byte, lease LeaseID) error
 	Delete(ctx context.Context, key string) error
 	Grant(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews the lease and returns the time it has left.
+	// KeepAlive renews the lease and returns the time until the lease expires.
 	KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error)
 	Revoke(ctx context.Context, lease LeaseID) error
 	// Watch reports changes under prefix from revision fromRev on (0 means from now
--- a/infra/lists.go
+++ b/infra/lists.go
@@ -44,8 +44,8 @@
 	Leaving       bool
 }
 
-// VMList reads the platform's list of VMs. The list may be out of date, because it shows
-// changes late.
+// VMList reads the platform's list of VMs. The list may be out of date, because the
+// platform adds changes to the list with a delay.
 type VMList struct {
 	url     string
 	client  *http.Client
--- a/infra/platform_test.go
+++ b/infra/platform_test.go
@@ -32,7 +32,8 @@
 // TestWriteIsNeverReplayed guards against the key-value service receiving one write twice.
 // The service reads a write on a reused connection and closes the connection. net/http then
 // resends the request by itself if the request has GetBody and looks idempotent; a header
-// such as Idempotency-Key, if it were added later, would make it look so.
+// such as Idempotency-Key, if a later change added it to writes, would make a write look
+// idempotent.
 func TestWriteIsNeverReplayed(t *testing.T) {
 	var seen atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/infra/watch.go
+++ b/infra/watch.go
@@ -35,9 +35,9 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// Watch opens a stream of changes. Once the stream is open it has no timeout: on a broken
-// connection the stream delivers nothing and reports no error, so the caller also polls at
-// a low rate.
+// Watch opens a stream of the changes under prefix. Once the stream is open it has no
+// timeout: on a broken connection the stream delivers nothing and reports no error, so the
+// caller also polls at a low rate.
 func (c *EtcdKV) Watch(ctx context.Context, prefix string, fromRev int64) (<-chan WatchEvent, error) {
 	start := time.Now()
 	resp, cancel, err := c.openWatch(ctx, prefix, fromRev)
