--- a/callerapi/answer.go
+++ b/callerapi/answer.go
@@ -105,7 +105,8 @@
 	})
 }
 
-// replay sends an answer that this node recently finished and still keeps.
+// replay sends an answer that this node has recently completed and still keeps; a
+// reconnecting caller gets only the text after its cursor.
 func (s *Server) replay(w http.ResponseWriter, c *generationCall, f *finishedAnswer) *Failure {
 	if !c.params.Stream {
 		s.writeCompletion(w, c, f)
--- a/callerapi/body.go
+++ b/callerapi/body.go
@@ -76,7 +76,8 @@
 	return out, p.failure
 }
 
-// fieldReader decodes fields of a body and records the first failure.
+// fieldReader decodes the fields of a request body and records the first field that is
+// invalid as a Failure.
 type fieldReader struct {
 	fields  map[string]json.RawMessage
 	failure *Failure
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// runOnce runs the call and marks its key as running meanwhile, or replays the answer that
-// is kept under the key.
+// runOnce marks the call's key as running while it runs the call. If this node keeps a
+// finished answer under the key, runOnce sends that answer instead.
 func (s *Server) runOnce(w http.ResponseWriter, r *http.Request, c *generationCall) *Failure {
 	if f := s.checkOtherNodes(r.Context(), c); f != nil {
 		return f
@@ -109,8 +109,9 @@
 	return f
 }
 
-// lookupTimeout bounds the query to other nodes. An unreachable node must not delay the
-// request, since the query only saves work.
+// lookupTimeout bounds the query to other nodes whether the key is running there. An
+// unreachable node must not delay the request, since the query only prevents unnecessary
+// work and is not needed for correctness.
 const lookupTimeout = 100 * time.Millisecond
 
 // checkOtherNodes refuses a request whose key is running on another node. A reconnect is
--- a/callerapi/keytable.go
+++ b/callerapi/keytable.go
@@ -33,7 +33,8 @@
 	element    *list.Element
 }
 
-// finishedAnswer is a complete answer.
+// finishedAnswer is a complete answer that is kept, so that a repeated request gets the
+// same answer.
 type finishedAnswer struct {
 	text    []byte
 	finish  string
@@ -84,7 +85,8 @@
 }
 
 // release marks the key as no longer running. f is kept unless it is nil or larger than a
-// quarter of the table's maximum size; the oldest answers are dropped to make room for f.
+// quarter of the table's maximum size; the oldest answers are dropped until f fits into the
+// table's maximum size.
 func (t *keyTable) release(e *keyEntry, f *finishedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -193,8 +193,8 @@
 }
 
 // countFailure counts a failure by code and outcome. A code may come from a backend server;
-// a code that is no valid label is counted as "other", so that it cannot break the metrics
-// page.
+// a code that is no valid label is counted as "other", so that the code cannot make the
+// metrics page unreadable.
 func (s *Server) countFailure(f *Failure) {
 	code := f.Code
 	if !isMetricLabel(code) {
@@ -218,7 +218,8 @@
 	KeptBytes int   `json:"kept_bytes"`
 }
 
-// State returns only counts, because keys and texts are private to the callers.
+// State returns the counts of open requests, running keys and kept answers. It returns no
+// keys or texts, because these are private to the callers.
 func (s *Server) State() State {
 	live, kept, bytes := s.keys.counts()
 	return State{Open: s.open.Load(), LiveKeys: live, Kept: kept, KeptBytes: bytes}
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -68,10 +68,10 @@
 // Flush implements generation.Sink.
 func (*bufferSink) Flush() error { return nil }
 
-// rearmBytes is how many bytes may be written before the write deadline is set again. It is
-// smaller than net/http's buffer, which is written to the connection whenever it is full.
-// If rearmBytes were larger, such a write after a long silence of the engine would fail on
-// the deadline that was set for the flush before the silence.
+// rearmBytes is how many bytes may be written to the caller before the write deadline is
+// set again. It is smaller than net/http's buffer, which is written to the connection
+// whenever it is full. If rearmBytes were larger, such a write after a long silence of the
+// engine would fail on the deadline that was set for the flush before the silence.
 const rearmBytes = 2048
 
 // streamSink implements generation.Sink with server-sent events. Token is called
--- a/callerapi/sink_test.go
+++ b/callerapi/sink_test.go
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// stream runs a streamed request and calls f with its sink.
+// stream sends a streamed request to a server whose runner calls f with the sink of the
+// request.
 func stream(t testing.TB, f func(generation.Sink)) {
 	s := newServer(t, func(_ context.Context, _ generation.Request, sink generation.Sink) generation.Result {
 		tokens(sink, 0, "one ")
--- a/client/client.go
+++ b/client/client.go
@@ -54,8 +54,8 @@
 	// RoundRobin starts each request at the next endpoint in round-robin order. If
 	// RoundRobin is false, each request starts at the first endpoint.
 	RoundRobin bool
-	// OnConnect is called with the endpoint each time a router starts to answer a
-	// request.
+	// OnConnect, if not nil, is called with the endpoint each time a router starts to
+	// answer a request.
 	OnConnect func(endpoint string)
 	// Rand returns values in [0,1) for jitter; nil means math/rand/v2.
 	Rand func() float64
@@ -107,7 +107,8 @@
 	Duration     time.Duration
 }
 
-// Result is the result of a request. It is also filled if an error is returned.
+// Result is the result of a Request, over all its tries. Result is also filled if an error
+// is returned.
 type Result struct {
 	Key              string
 	Text             string
--- a/client/idle.go
+++ b/client/idle.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// idleTimer calls a function when no byte arrives within the timeout. A frozen
-// router keeps its connection open and sends nothing, so no read ever fails.
+// idleTimer calls a function when no byte arrives on a connection within the timeout. It is
+// needed because a frozen router keeps its connection open and sends nothing, so no read
+// ever fails. With timeout 0 it does nothing.
 type idleTimer struct {
 	timeout time.Duration
 	timer   *time.Timer
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -32,17 +32,19 @@
 var (
 	// ErrMalformed means that the text is not a valid encoding or has a wrong length.
 	ErrMalformed = Error.New("malformed")
-	// ErrVersion means that the format version is not supported.
+	// ErrVersion means that the cursor's format version is not supported.
 	ErrVersion = Error.New("unknown version")
-	// ErrForged means that the MAC does not match under any known key.
+	// ErrForged means that the cursor's MAC does not match under the current or the
+	// previous sealing key.
 	ErrForged = Error.New("authentication failed")
 	// ErrForeign means that the cursor was issued to another client account.
 	ErrForeign = Error.New("belongs to another client account")
-	// ErrExpired means that the cursor is older than the settings allow.
+	// ErrExpired means that the attempt of the cursor began longer ago than the settings
+	// allow.
 	ErrExpired = Error.New("expired")
 	// ErrText means that the text sent back is not the text that was delivered.
 	ErrText = Error.New("text is not the delivered text")
-	// ErrField means that a field is too long to be encoded.
+	// ErrField means that a field of a Cursor is too long to be encoded.
 	ErrField = Error.New("field too long")
 	// ErrKey means that the sealing key is too short.
 	ErrKey = Error.New("key shorter than 32 bytes")
--- a/cursor/seal.go
+++ b/cursor/seal.go
@@ -22,9 +22,9 @@
 	headBytes     = 1 + 1 + 4 + 8 + 16
 	fieldCount    = 7
 	maxFieldBytes = 255 // bytes of one field
-	// MaxText is the length of the longest cursor, in characters.
+	// MaxText is the length of the longest encoded cursor, in characters.
 	MaxText = (headBytes + fieldCount*(1+maxFieldBytes) + 2 + tailBytes + macBytes + 2) / 3 * 4
-	// MinKey is the length of the shortest key, in bytes.
+	// MinKey is the length of the shortest sealing key that NewSealer accepts, in bytes.
 	MinKey = 32
 )
 
--- a/listen/listen.go
+++ b/listen/listen.go
@@ -97,11 +97,11 @@
 // ran. Instead, every answer from now on closes its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown drains, keeps accepting requests for the duration of notice (the time that a
-// load balancer needs to notice the failing readiness probe), and then waits until the last
-// request has ended. Requests can be aborted only if ctx ends before the last request does;
-// the daemon's ctx doesn't end. Connections hijacked for WebSocket must be closed by the
-// code that hijacked them.
+// Shutdown calls Drain, keeps accepting requests for the duration of notice (the time that
+// a load balancer needs to notice the failing readiness probe), and then waits until the
+// last request has ended. If ctx ends earlier, Shutdown returns while requests are still
+// running, and these may then be aborted; the daemon passes a ctx that doesn't end.
+// Connections hijacked for WebSocket must be closed by the code that hijacked them.
 func (s *Server) Shutdown(ctx context.Context, notice time.Duration) error {
 	s.Drain()
 	select {
--- a/listen/listen_test.go
+++ b/listen/listen_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// doneSpy is a context that reports a call of Done. A loop that waits for something
-// else calls Done in each iteration.
+// doneSpy is a context that reports calls of Done, so that a test can see that Shutdown is
+// still waiting: its loop calls Done in each iteration.
 type doneSpy struct {
 	context.Context
 	armed  atomic.Bool
