--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -46,9 +46,10 @@
 }
 
 // TestFreshAfterPause guards against a router that was paused and routes by a configuration
-// that was replaced during the pause. The router is paused for longer than the bound,
-// resumes, and handles a request before any timer has run. The router must check the clock,
-// and a peer that was paused as well must not confirm the router's state.
+// that was replaced during the pause. The router is paused for longer than the maximum gap
+// between two ticks of its clock check, resumes, and handles a request before any timer has
+// run. The router must check the clock, and a peer that was paused as well must not confirm
+// the router's state.
 func TestFreshAfterPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
--- a/intent/ports.go
+++ b/intent/ports.go
@@ -35,7 +35,7 @@
 	Snapshot(ctx context.Context, upTo uint64, data []byte) error
 }
 
-// Batch is the data that a node sends to a peer that is behind.
+// Batch is the data that a node sends to a peer whose state is older than the node's.
 type Batch struct {
 	// Snapshot is an encoded state. It is set if the sender no longer has the requested
 	// revisions one by one.
--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -13,8 +13,9 @@
 // window, no matter how often and by how many processes Append is called with that id.
 //
 // Errors: ErrUnavailable (this call did not append the entry), ErrUnsettled (call again
-// with the same id and data), ErrExpired, ErrTooLarge, *TruncatedError (this Log was behind
-// a truncation; nothing was appended, and the next call starts reading at the floor).
+// with the same id and data), ErrExpired, ErrTooLarge, *TruncatedError (the log was
+// truncated beyond the position that this Log had reached; nothing was appended, and the
+// next call starts reading at the floor).
 func (l *Log) Append(ctx context.Context, id string, data []byte) (uint64, error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -270,8 +270,9 @@
 	if v, err := claim(reader, "key1", "late2"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
 	}
-	// The truncation must not grant a key twice either if the reading router has
-	// already built its table and falls behind.
+	// The truncation must not grant a key twice either if the reading router has already
+	// built its table, and the log is then truncated beyond the position that this table
+	// has reached.
 	claimSome(2*logWindow, 4*logWindow)
 	if v, err := claim(reader, "key0", "late3"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
