--- a/once/once_test.go
+++ b/once/once_test.go
@@ -23,7 +23,7 @@
 	return BatchResult{}, errLinkCut
 }
 
-// downStore is a store whose creates fail while down is set.
+// downStore is a key-value store whose creates fail while down is set.
 type downStore struct {
 	*kvtest.Store
 	down  bool
@@ -92,7 +92,8 @@
 	})
 }
 
-// lostAnswerStore loses the answer to the first create.
+// lostAnswerStore is a key-value store that applies the first create but returns an error,
+// as when the answer is lost.
 type lostAnswerStore struct {
 	*kvtest.Store
 	lost bool
@@ -269,8 +270,9 @@
 	if v, err := claim(reader, "key1", "late2"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
 	}
-	// The truncation must not grant a key twice either if the reading router has
-	// already built its table and falls behind.
+	// The truncation must not grant a key twice either if the reading router has already
+	// built its table, and the log is then truncated beyond the position that this table
+	// has reached.
 	claimSome(2*logWindow, 4*logWindow)
 	if v, err := claim(reader, "key0", "late3"); v.Granted || v.Attempt != "other" || err != nil {
 		t.Error(v, err)
