--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi implements the HTTP API for operators. Nodes store no plans: a plan
-// is complete and signed with a key that all nodes share, so that any node can confirm
-// it, even if the one that made it has died.
+// Package adminapi implements the HTTP API for operators. Nodes store no plans: a plan is
+// complete and signed with a key that all nodes share, so that an operator can confirm the
+// plan at any node, even if the node that made it has died.
 package adminapi
 
 import (
@@ -44,7 +44,7 @@
 	Reachable     bool   `json:"heard"`    // false if the membership lists it as dead
 }
 
-// Members lists the routers.
+// Members lists the routers that the membership knows, reachable or not.
 type Members interface {
 	Nodes() []Node
 }
@@ -116,7 +116,8 @@
 	a.mux.ServeHTTP(w, r)
 }
 
-// Status reports on which nodes a revision is in force.
+// Status reports on how many nodes the revision of the answering node, or a later one, is
+// in force.
 type Status struct {
 	Node        string   `json:"node"`
 	Revision    uint64   `json:"revision"` // in force on the answering node
--- a/adminapi/plans.go
+++ b/adminapi/plans.go
@@ -20,7 +20,7 @@
 	Signature string      `json:"signature"` // HMAC-SHA-256, hex
 }
 
-// ConfirmResult is the answer to a confirmation.
+// ConfirmResult is the response to an operator's confirmation of a plan.
 type ConfirmResult struct {
 	PlanID   string `json:"plan_id"`
 	Revision uint64 `json:"revision"`
--- a/adminapi/quarantine.go
+++ b/adminapi/quarantine.go
@@ -11,7 +11,8 @@
 	Digest string `json:"digest"`
 }
 
-// Quarantine manages the requests under which backend servers crashed.
+// Quarantine lists the requests that are quarantined because backend servers crashed while
+// they ran them, and lifts the quarantine of single requests.
 type Quarantine interface {
 	List() []quarantine.Report
 	// Lift ends the quarantine of a request on all routers. It reports whether the
--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -18,8 +18,8 @@
 	"wigeondale/fleet"
 )
 
-// do sends a job to the load process and returns its result. It calls open once all streams
-// of the job have a token.
+// do sends a job to the load process and returns the report with its results. It calls open
+// once all streams of the job have a token.
 func (d *deployment) do(b *testing.B, j job, open func()) report {
 	if j.URL == "" {
 		j.URL = d.caller
--- a/chart/chart.go
+++ b/chart/chart.go
@@ -20,7 +20,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("chart")
 
-// NotAllowedError reports that a state has no transition for an event.
+// NotAllowedError is the error for an event for which the current state of a chart has no
+// transition.
 type NotAllowedError struct {
 	Chart, State, Event string
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock measures time with the boot clock, which continues while the machine is
 // suspended.
 //
-// After a suspension of some seconds the monotonic clock, which stopped meanwhile, is
-// behind by that time. With a deadline on the monotonic clock, a backend server would be
-// given more time than the caller has. The wall clock includes the suspension, but the wall
-// clock may be set back or ahead by seconds, which would end requests early. The boot clock
-// has neither fault.
+// The monotonic clock stops during a suspension, and is behind by the suspension's duration
+// afterwards. With a deadline on the monotonic clock, a backend server would be given more
+// time than the caller has. The wall clock includes the suspension, but the wall clock may
+// be set back or ahead by seconds, which would end requests early. The boot clock has
+// neither fault.
 package clock
 
 import (
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -26,7 +26,7 @@
 	dialTimeout    = 2 * time.Second
 )
 
-// adminClient calls the administration API at the first address that answers.
+// adminClient calls the administration API of one node after another, until a node answers.
 type adminClient struct {
 	addrs  []string
 	token  string
@@ -34,7 +34,8 @@
 	scheme string
 }
 
-// refusal is an error that a node returned for a call.
+// refusal is the error that a node returned in response to a call of the administration
+// API.
 type refusal struct {
 	problem adminapi.Problem
 }
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -38,7 +38,7 @@
 	ErrUnsettled   = errors.New("unsettled")
 )
 
-// StreamCmd streams one completion as a caller.
+// StreamCmd streams one completion from the routers, as a client does.
 type StreamCmd struct {
 	Routers    string        `arg:"--routers,env:WIGEON_ROUTERS" help:"caller addresses of routers, separated by commas"`
 	Model      string        `arg:"--model,required"`
@@ -82,8 +82,8 @@
 	Pause time.Duration `arg:"--pause" default:"700ms" help:"when a pause between pieces is too long"`
 }
 
-// quarantineCmd lists the requests under which backend servers crashed, or lifts the
-// quarantine of one.
+// quarantineCmd lists the requests that are quarantined because backend servers crashed
+// while they ran them, or lifts the quarantine of one request.
 type quarantineCmd struct {
 	Lift string `arg:"--lift" help:"digest of a request that is to be sent on again"`
 }
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -21,7 +21,7 @@
 	"wigeondale/quarantine"
 )
 
-// memLog is a log in memory. It fails while down is set.
+// memLog is the configuration log in memory. Its calls fail while down is set.
 type memLog struct {
 	mu      sync.Mutex
 	entries []intent.LogEntry
@@ -70,7 +70,8 @@
 
 func (m members) Nodes() []adminapi.Node { return m }
 
-// testNodes runs two nodes on one log; the first may lose its answers.
+// testNodes runs two nodes on one configuration log. If loseAnswers is set, the first node
+// executes a confirmation but does not answer.
 type testNodes struct {
 	t           *testing.T
 	log         *memLog
@@ -208,9 +209,9 @@
 	b.expect(ExitRefused, "signature", "carl", "confirm", file)
 }
 
-// If any node may have executed the confirmation, the outcome must be reported as
-// unsettled. Here the first node executes it and dies, and the refused connection to
-// the second must not hide that.
+// If any node may have executed the confirmation of a plan, the outcome must be reported as
+// unsettled. Here the first node executes it and dies, and the refused connection to the
+// second must not hide that.
 func TestDoubtIsReported(t *testing.T) {
 	b := newTestNodes(t)
 	plan := filepath.Join(t.TempDir(), "plan.json")
--- a/daemon/accounts.go
+++ b/daemon/accounts.go
@@ -23,7 +23,8 @@
 	dir  *directory.Directory
 }
 
-// accountView is a configuration state with an index of its API keys.
+// accountView is a configuration state with an index that maps the hash of each API key to
+// its client account.
 type accountView struct {
 	state *intent.State
 	byKey map[[sha256.Size]byte]string
@@ -67,8 +68,8 @@
 	return "", false
 }
 
-// Resolve picks the version of a model for one request. The choice depends on sticky,
-// so that a repeated request gets the same version.
+// Resolve picks the version of a model for one request by a hash of sticky, so that requests
+// with the same sticky value get the same version while the same versions serve.
 func (a *accounts) Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error) {
 	s := a.view.Load().state
 	t, ok := s.Traffic[model]
@@ -116,7 +117,8 @@
 	return names
 }
 
-// refs lists the versions that receive a model's traffic.
+// refs lists the versions of a model among which the configuration in force splits the
+// model's traffic.
 func (a *accounts) refs(model string) []fleet.ModelRef {
 	t := a.view.Load().state.Traffic[model]
 	refs := make([]fleet.ModelRef, 0, len(t.Weights))
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -47,7 +47,7 @@
 
 // readyz answers the balancer's readiness check. When the node shuts down, this check is
 // the first thing to fail, while requests are still accepted, so that the balancer has time
-// to notice.
+// to notice and to send new requests to other nodes.
 func (n *node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if n.leaving.Load() {
 		http.Error(w, "shutting down", http.StatusServiceUnavailable)
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// claims adapts the at-most-once claims to package generation.
+// claims adapts once.Claims, the at-most-once claims of keys, to the interface that package
+// generation expects.
 type claims struct{ *once.Claims }
 
 // Claim claims a key. If it remains unknown whether the claim was written, the claim is
@@ -84,7 +85,8 @@
 	clear(o.owners)
 }
 
-// Owner picks the owner by rendezvous hash among the alive members.
+// Owner returns the router that appends the claims of a shard, chosen by rendezvous hash
+// among the alive members, and reports whether it is this router.
 func (o *shardOwner) Owner(shard int) (string, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +107,7 @@
 	return best[0].ID
 }
 
-// Forward sends a batch to the owner over the peer links.
+// Forward sends a batch of claims over the peer links to the router that owns their shard.
 func (o *shardOwner) Forward(ctx context.Context, node string, b once.Batch) (once.BatchResult, error) {
 	return peer.Call[once.Batch, once.BatchResult](ctx, o.mesh, node, callClaims, b)
 }
--- a/daemon/dispatch.go
+++ b/daemon/dispatch.go
@@ -20,7 +20,8 @@
 const (
 	// prefixBlocks is the number of leading blocks of a prompt that routing considers.
 	prefixBlocks = 64
-	// replicaRetryAfter is the Retry-After of answers when a replica is expected back soon.
+	// replicaRetryAfter is the Retry-After of responses that refuse a request when a
+	// replica is expected back soon.
 	replicaRetryAfter = time.Second
 )
 
@@ -32,7 +33,7 @@
 	domain string
 }
 
-// Lookup finds an engine in the directory, leaving or not.
+// Lookup finds an engine in the directory, whether or not the engine is leaving.
 func (p *picker) Lookup(id string) (fleet.Backend, bool) { return p.dir.Backend(id) }
 
 // Pick chooses an engine. At the moment of dispatch it checks again that the engine is
@@ -71,7 +72,7 @@
 }
 
 // Standby implements generation.Picker. It never finds an engine for a copy, since engines
-// with this protocol keep no copies of runs.
+// that speak the product's own protocol (not the platform's) keep no copies of runs.
 func (p *picker) Standby(generation.PickRequest, fleet.Backend) (fleet.Backend, generation.LoadShare, bool) {
 	return fleet.Backend{}, nil, false
 }
@@ -81,7 +82,7 @@
 func (p *picker) KeepsCopy(string) bool { return false }
 
 // sharedBudget implements generation.RetryBudget with one retry budget for all requests; it
-// ignores the service.
+// ignores the service that its methods are given.
 type sharedBudget struct{ *admission.RetryBudget }
 
 // Take implements generation.RetryBudget.
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -36,7 +36,8 @@
 	d.update("intent")
 }
 
-// setListed records the entry VMs of a reading of the VM list.
+// setListed records the entry VMs that the VM list showed when it was last read. Once the
+// list has shown this VM as leaving, the VM counts as leaving for good.
 func (d *drain) setListed(entries []intent.EntryVM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -11,9 +11,10 @@
 
 const (
 	orderPrefix = "wigeondale/orders/"
-	// orderCandidates is the number of routers that try to get the order lease. With two
-	// candidates, one may be down and the lease is still taken, and the key-value service
-	// still gets few attempts.
+	// orderCandidates is the number of routers that try to get the order lease, which
+	// allows its holder alone to send orders to backend servers. With two candidates, one
+	// may be down and the lease is still taken, and the key-value service still gets few
+	// attempts.
 	orderCandidates = 2
 )
 
@@ -36,7 +37,8 @@
 	return err
 }
 
-// isOrderCandidate reports whether this router tries to get the order lease.
+// isOrderCandidate reports whether this router is one of the orderCandidates routers that
+// try to get the order lease. They are chosen by rendezvous hash among the alive routers.
 func (n *node) isOrderCandidate() bool {
 	return peer.ContainsSelf(peer.Rendezvous("orders", aliveMembers(n.mesh.Members()), orderCandidates))
 }
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -48,7 +48,8 @@
 	shownLeaving map[string]int64 // start time of each backend server that was shown as leaving
 }
 
-// Backends lists the backend servers.
+// Backends lists the backend servers of the inventory, and passes its entry VMs to the mesh
+// (as seeds) and to drain. It returns nil while the inventory is still empty.
 func (v *vms) Backends(context.Context) ([]fleet.Backend, error) {
 	var backends []fleet.Backend
 	var seeds []string
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -13,7 +13,8 @@
 const (
 	callGetPointer = "pointer.get"
 	callSetPointer = "pointer.set"
-	// pointerCopies is the number of routers that store the pointer of a key.
+	// pointerCopies is the number of routers that store the pointer of a key, which names
+	// the router on which the request with that key runs.
 	pointerCopies = 2
 	// pointerTTL is how long a pointer is valid without renewal.
 	pointerTTL = 10 * time.Minute
@@ -145,7 +146,9 @@
 	return "", [16]byte{}, false
 }
 
-// responsive leaves out the routers that are not expected to answer in time.
+// responsive leaves out the routers that are not expected to answer in time: those that are
+// suspect, and those that are skipped because of missed answers. This router itself always
+// stays in the list.
 func (p *pointers) responsive(nodes []peer.Member, now time.Time) []peer.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// callHolds requests the quarantined requests from another node.
+	// callHolds is the peer call that fetches the list of quarantined requests from another
+	// node.
 	callHolds = "quarantine.held"
-	// holdsInterval is how often a node requests the quarantined requests from a random
-	// neighbour. After its start, the node retries every holdsRetryInterval until a
+	// holdsInterval is how often a node fetches the list of quarantined requests from a
+	// random neighbour. After its start, the node retries every holdsRetryInterval until a
 	// neighbour has answered.
 	holdsInterval      = time.Minute
 	holdsRetryInterval = 200 * time.Millisecond
--- a/daemon/reports.go
+++ b/daemon/reports.go
@@ -12,7 +12,9 @@
 	floodLeaving = "backend.leaving"
 )
 
-// peerReport is a report about one incarnation of a backend server.
+// peerReport is another router's report about one incarnation of a backend server. In a
+// floodHealth message it reports that the server is suspect, down or alive, as Kind says.
+// In a floodLeaving message it reports that the server is leaving, and Kind is not used.
 type peerReport struct {
 	Backend     string                `cbor:"1,keyasint"`
 	Incarnation string                `cbor:"2,keyasint"`
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -102,7 +102,8 @@
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// serviceOf returns the service of a pool.
+// serviceOf returns the name of the service that a pool belongs to. ok is false if the pool
+// is one of a model.
 func serviceOf(pool string) (name string, ok bool) { return strings.CutPrefix(pool, servicePoolPrefix) }
 
 // send sends the call to one backend server after another, up to tries in all, until one
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -37,13 +37,14 @@
 	sizes map[string]poolSize
 }
 
-// poolSize is the number of routers and engines of a pool at a point in time.
+// poolSize is the number of routers and of a pool's engines as counted at the time at.
 type poolSize struct {
 	at               time.Time
 	routers, engines int
 }
 
-// poolSlots are the capacities of one pool at a point in time.
+// poolSlots are the figures for one pool that admission.Config describes as Capacity (all),
+// BatchCapacity (batch) and MinUrgentSlots (urgent), as computed at the time at.
 type poolSlots struct {
 	at                 time.Time
 	all, batch, urgent int
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -27,7 +27,8 @@
 	received demands
 }
 
-// run updates the summary and applies those of the peers until ctx ends.
+// run updates this router's summary every summaryInterval and applies the summaries of the
+// peers, until ctx ends.
 func (s *summaries) run(ctx context.Context) error {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
--- a/dump/dump.go
+++ b/dump/dump.go
@@ -23,7 +23,8 @@
 // DefaultTimeout is the default time limit of a dump.
 const DefaultTimeout = 2 * time.Second
 
-// Registry holds the parts of one process. The zero value is ready for use.
+// Registry holds the parts of one process whose state a dump shows. The zero value is ready
+// for use.
 type Registry struct {
 	// Timeout is how long a dump waits for its sections; 0 means DefaultTimeout.
 	Timeout time.Duration
@@ -72,7 +73,8 @@
 	return out
 }
 
-// awaitAnswer returns the answer if it is available, even if the time limit has passed.
+// awaitAnswer waits until a part has returned its state or ctx ends. A state that is
+// already available is returned even if the time limit has passed.
 func awaitAnswer(ctx context.Context, answer <-chan singleflight.Result) json.RawMessage {
 	select {
 	case res := <-answer:
--- a/event/output.go
+++ b/event/output.go
@@ -58,8 +58,9 @@
 	return len(line), nil
 }
 
-// queue queues or drops the line. At the first line of a second it returns the number
-// of lines dropped before.
+// queue queues the line, or drops it if the queue is full, the rate is reached or the
+// Output is closed. At the first line of a second it returns the number of lines that were
+// dropped before, and starts to count again from 0. At other lines it returns 0.
 func (o *Output) queue(line []byte, now int64) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/event/page_test.go
+++ b/event/page_test.go
@@ -34,7 +34,7 @@
 
 `
 
-// ranges names the packages that write the events of each hundred.
+// ranges names, for each hundred of event numbers, the packages that write those events.
 var ranges = []struct {
 	hundred  int
 	title    string
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -23,13 +23,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("explain")
 
-// Limits define when an answer is late.
+// Limits are the times after which an answer counts as late.
 type Limits struct {
 	FirstChunk time.Duration // time to the first chunk of a stream, or to a complete answer
 	ChunkPause time.Duration // time between two chunks
 }
 
-// Cause is one row: the requests with the same outcome for the same reason.
+// Cause is one row of a Report: the requests with the same outcome for the same reason.
 type Cause struct {
 	Outcome string // in time, late, refused, failed, or gone (the client disconnected)
 	Reason  string
@@ -44,13 +44,14 @@
 	Causes       []Cause
 }
 
-// request collects what was logged about one request before its end.
+// request collects what the log lines of one request say before the line that reports its
+// end.
 type request struct {
 	waited    bool
 	lostCause string // cause of the last attempt that ended early
 }
 
-// maxLine limits the length of one log line.
+// maxLine is the maximum length of one log line in bytes.
 const maxLine = 1 << 20
 
 var (
@@ -58,7 +59,8 @@
 	field     = regexp.MustCompile(`([a-z_]+)=("(?:[^"\\]|\\.)*"|\S+)`)
 )
 
-// Read groups the requests of a log.
+// Read reads a log and groups its requests by outcome and reason. limits decide which
+// answers are late.
 func Read(r io.Reader, limits Limits) (Report, error) {
 	s := logReader{limits: limits, requests: map[string]*request{}, rows: map[[2]string]*Cause{}}
 	lines := bufio.NewScanner(r)
--- a/fakes/control/config.go
+++ b/fakes/control/config.go
@@ -19,7 +19,8 @@
 // anyPort is a loopback address whose port package fault replaces by a free one.
 const anyPort = "127.0.0.1:0"
 
-// Config describes the set. An empty address means any free loopback port.
+// Config describes a set of fakes. An empty address means any free loopback port. A nil KV,
+// VMs or Weights means that the set has no such fake.
 type Config struct {
 	Control      AddrConfig       `json:"control"`
 	KV           *AddrConfig      `json:"kv"`
@@ -31,19 +32,21 @@
 	Relays       []RelayConfig    `json:"relays"`
 }
 
-// AddrConfig describes a fake that needs only an address.
+// AddrConfig describes a fake that needs no configuration except its address.
 type AddrConfig struct {
 	Addr string `json:"addr"`
 }
 
-// VMsConfig describes the VM list. Engines and services are added to it automatically.
+// VMsConfig describes the fake of the platform's VM list. The engines and services of the
+// set are added to the list automatically. Extra holds further entries.
 type VMsConfig struct {
 	Addr  string      `json:"addr"`
 	LagMS float64     `json:"lag_ms"`
 	Extra []vms.Entry `json:"extra"`
 }
 
-// WeightsConfig describes the weight store. Sizes are in bytes.
+// WeightsConfig describes the fake of the platform's weight store. Sizes are in bytes,
+// keyed as in weights.New.
 type WeightsConfig struct {
 	Addr           string           `json:"addr"`
 	BytesPerSecond float64          `json:"bytes_per_second"`
@@ -59,7 +62,8 @@
 	Engine         engine.Config `json:"engine"` // configuration of all engines of the group
 }
 
-// RelayConfig describes a TCP relay.
+// RelayConfig describes a TCP relay that listens on the address Listen and forwards
+// connections to the address Target.
 type RelayConfig struct {
 	ID     string `json:"id"`
 	Listen string `json:"listen"`
--- a/fakes/control/control.go
+++ b/fakes/control/control.go
@@ -45,7 +45,7 @@
 	stopped    chan struct{}
 }
 
-// New prepares the set. Nothing listens before Start.
+// New prepares a set of fakes. No fake listens before Start.
 func New(cfg Config) (*Set, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// lookUpAndStore stores the blocks and returns how many leading ones were cached before.
+// lookUpAndStore stores the blocks and returns how many of the leading blocks were cached
+// before.
 func (c *cache) lookUpAndStore(blocks []uint64, now time.Time) int {
 	hits := 0
 	for i, b := range blocks {
--- a/fakes/engine/engine.go
+++ b/fakes/engine/engine.go
@@ -173,8 +173,9 @@
 	}
 }
 
-// runStep advances every running stream by one token. It reports whether there is work, and
-// while the engine is frozen returns the channel that Thaw closes.
+// runStep advances every running stream by one token. It reports whether there is work.
+// While the engine is frozen, it advances no stream, reports true and returns the channel
+// that Thaw closes.
 func (e *Engine) runStep(ctx context.Context, now time.Time) (busy bool, frozen <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -242,8 +243,8 @@
 	}
 }
 
-// cancelStream cancels a stream and removes it from the batch and the queue. It returns how many
-// tokens the stream generated.
+// cancelStream cancels a stream and removes it from the batch and the queue. It returns how
+// many tokens the stream had generated.
 func (e *Engine) cancelStream(s *stream, reason string, now time.Time) int {
 	isStream := func(other *stream) bool { return other == s }
 	e.running = slices.DeleteFunc(e.running, isStream)
--- a/fakes/engine/fault.go
+++ b/fakes/engine/fault.go
@@ -16,7 +16,7 @@
 	faultSkip   = "skip"
 )
 
-// chunkFaults holds the one-shot faults that are armed.
+// chunkFaults holds the one-shot faults that are armed, each for one chunk of a request.
 type chunkFaults struct {
 	count atomic.Int64 // length of list; lets take return without the lock if no fault is armed
 	mu    sync.Mutex
--- a/fakes/engine/follow.go
+++ b/fakes/engine/follow.go
@@ -7,8 +7,8 @@
 
 const typicalChunkBytes = 256 // about one rendered chunk
 
-// serveStream writes the stream to one reader, starting with its n-th token. All tokens that
-// are ready are written with a single flush.
+// serveStream writes the stream to one reader, starting with the stream's n-th token. All
+// tokens that are ready are written with a single flush.
 func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request, s *stream, rd *reader, incarnation string, n int) {
 	defer func() { s.detach(rd, time.Now()) }()
 	w.Header().Set("Content-Type", "text/event-stream")
--- a/fakes/engine/http.go
+++ b/fakes/engine/http.go
@@ -29,7 +29,7 @@
 	Ext       Ext    `json:"ext"`
 }
 
-// Ext is the engines' extension of the completions protocol.
+// Ext holds the fields that model engines add to the body of the completions protocol.
 type Ext struct {
 	RequestID    string `json:"request_id"`
 	Attempt      int    `json:"attempt"`
--- a/fakes/engine/order.go
+++ b/fakes/engine/order.go
@@ -20,7 +20,8 @@
 	Leaving bool             `json:"leaving"`
 }
 
-// OrderState is the response to an order: the latest order and how far the engine has followed it.
+// OrderState is the response to an order: the latest order and which versions the engine
+// has loaded and is loading now.
 type OrderState struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
--- a/fakes/engine/stream.go
+++ b/fakes/engine/stream.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// attach makes r the only reader of the stream and disconnects the one before.
+// attach makes r the only reader of the stream and disconnects the reader that was attached
+// before.
 func (s *stream) attach(r *reader) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +76,8 @@
 	r.notify()
 }
 
-// detach starts the linger time, unless another reader has attached.
+// detach starts the linger time, after which a stream without a reader is cancelled, unless
+// another reader than r has attached.
 func (s *stream) detach(r *reader, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -188,7 +188,8 @@
 	delete(l.conns, c)
 }
 
-// addConn records a connection that ln accepted, unless ln has been killed meanwhile.
+// addConn records a connection that ln accepted, unless the Listener has been killed since.
+// It reports whether it recorded the connection.
 func (l *Listener) addConn(ln net.Listener, c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,7 +200,7 @@
 	return true
 }
 
-// startedListener accepts connections on the socket of one start.
+// startedListener accepts connections on the socket that one call of Start opened.
 type startedListener struct {
 	net.Listener
 	owner *Listener
--- a/fakes/hosted/operator.go
+++ b/fakes/hosted/operator.go
@@ -88,7 +88,8 @@
 	s.PutJSON("servers/"+r.ID, r.Entry(state))
 }
 
-// Unregister removes the entry of a replica, as if its lease had expired.
+// Unregister removes the entry of a replica, as if the lease to which the entry is attached
+// had expired.
 func (s *Store) Unregister(r *Replica) { s.Delete("servers/" + r.ID) }
 
 // ClientRequest describes one request as a client of the platform sends it.
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -152,7 +152,8 @@
 	return f.FailShare == 0 || float64(xxhash.Sum64String(id)%1000) < 1000*f.FailShare
 }
 
-// Entry returns the value of the replica's entry in the store.
+// Entry returns the value of the replica's entry in the store, with the given state (ready
+// or draining).
 func (r *Replica) Entry(state string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Addr(), "zone": r.Domain, "version": cmp.Or(r.Version, "v1"),
@@ -161,7 +162,8 @@
 	return r.withStartTime(entry)
 }
 
-// withStartTime adds the replica's start time to an entry or a report, unless it is not published.
+// withStartTime adds the replica's start time to an entry or a report, unless StartedAt is
+// 0, which means that the replica publishes no start time.
 func (r *Replica) withStartTime(values map[string]any) map[string]any {
 	if r.StartedAt != 0 {
 		values["born"] = r.StartedAt
--- a/fakes/hosted/store.go
+++ b/fakes/hosted/store.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Item is one item of the store, or the event of its deletion.
+// Item is one item of the store or, if Deleted is set, the event of its deletion.
 type Item struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value,omitempty"`
@@ -59,10 +59,11 @@
 	return s
 }
 
-// Addr returns the address without a scheme.
+// Addr returns the store's address without a scheme.
 func (s *Store) Addr() string { return strings.TrimPrefix(s.URL, "http://") }
 
-// Endpoint is an additional address of the store, which can be closed on its own.
+// Endpoint is an additional address of the store, which can be disabled while the store's
+// other addresses still work.
 type Endpoint struct {
 	*httptest.Server
 	closed atomic.Bool
@@ -81,10 +82,11 @@
 	return e
 }
 
-// Addr returns the address without a scheme.
+// Addr returns the endpoint's address without a scheme.
 func (e *Endpoint) Addr() string { return strings.TrimPrefix(e.URL, "http://") }
 
-// Disable makes calls at this address fail with 503 and closes the connections of those in progress.
+// Disable makes calls at this address fail with 503 and closes the connections of the calls
+// in progress.
 func (e *Endpoint) Disable() {
 	e.closed.Store(true)
 	e.CloseClientConnections()
@@ -152,7 +154,8 @@
 	return s.revision
 }
 
-// Delete removes an item.
+// Delete removes an item and records its deletion as an event. It does nothing if there is
+// no such item.
 func (s *Store) Delete(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +172,7 @@
 	s.notifyChanged()
 }
 
-// Get returns an item.
+// Get returns an item, and whether the store has it.
 func (s *Store) Get(key string) (Item, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fakes/kv/server.go
+++ b/fakes/kv/server.go
@@ -179,7 +179,7 @@
 	return false
 }
 
-// handle returns a handler that counts a kind of call and applies the faults to it.
+// handle returns a handler that counts a kind of call and applies the fault switches to it.
 func handle[Req any, P interface {
 	*Req
 	keyed
@@ -213,8 +213,9 @@
 	s.calls[kind]++
 }
 
-// applyFaults applies the delay and the outage of a prefix. It reports whether it has refused
-// the call.
+// applyFaults applies the switches slow and outage to a call if one of its keys has the
+// prefix that was set with the switch (an empty prefix matches every call). It reports
+// whether it has refused the call.
 func (s *Server) applyFaults(w http.ResponseWriter, r *http.Request, req keyed) bool {
 	s.mu.Lock()
 	delay := s.delay
--- a/fakes/ports/ports.go
+++ b/fakes/ports/ports.go
@@ -3,9 +3,10 @@
 // A program that must choose the address of a process before it starts the process can't
 // listen on the address itself. If it merely finds a free port, the port stays free until
 // the process listens on it, and again during each restart of the process. Another test
-// program on the same machine can choose the same port meanwhile, and one of the two
+// program on the same machine can choose the same port during that time, and one of the two
 // processes exits at its start. A Pool therefore reserves a block of ports: it listens on
-// the first one, the guard, until it is closed, and no other Pool uses the rest of the block.
+// the first one, the guard, until it is closed, and no other Pool uses the rest of the
+// block.
 package ports
 
 import (
@@ -32,7 +33,8 @@
 	blockCount = 400
 )
 
-// Pool returns addresses from the blocks that it has reserved. The zero Pool is ready to use.
+// Pool returns addresses from the blocks of ports that it has reserved. The zero Pool is
+// ready to use.
 type Pool struct {
 	mu     sync.Mutex
 	guards []net.Listener // on the first port of each reserved block
@@ -82,8 +84,8 @@
 // probeTimeout bounds the connection attempt of inUse. On loopback it takes microseconds.
 const probeTimeout = time.Second
 
-// reserveBlock reserves a block that no pool has. It starts at a random block, so that programs that
-// start at the same time rarely try the same ones.
+// reserveBlock reserves a block that no pool has. It starts at a random block, so that
+// programs that start at the same time rarely try the same blocks.
 func (p *Pool) reserveBlock() error {
 	from := rand.IntN(blockCount)
 	for i := range blockCount {
--- a/fakes/ports/ports_test.go
+++ b/fakes/ports/ports_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// An address must be free when a process is being started meanwhile. A child process inherits every
-// socket until it executes its program. If FreeAddr listened to find out whether a port is free, a
-// child could keep that socket open after it was closed here, and a fake could not listen on the
-// address.
+// An address that FreeAddr returns must be free even if the program is starting child
+// processes at the same time. A child process inherits every socket until it executes its
+// program. If FreeAddr listened to find out whether a port is free, a child could keep that
+// socket open after it was closed here, and a fake could not listen on the address.
 func TestAddressIsFreeWhileProcessesAreStarted(t *testing.T) {
 	const starters, started, addresses = 8, 2, 4000
 	var work sync.WaitGroup
--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -18,7 +18,7 @@
 
 const dialTimeout = 5 * time.Second
 
-// Relay forwards the bytes of each connection to its target and back.
+// Relay forwards the bytes of each connection to the relay's target and back.
 type Relay struct {
 	id       string
 	target   string
--- a/fakes/service/service.go
+++ b/fakes/service/service.go
@@ -104,7 +104,7 @@
 // Close stops the replica.
 func (s *Service) Close() { s.server.Kill() }
 
-// Digest returns the digest by which answers and records identify bodies and keys.
+// Digest returns the digest that stands for a body or a key in answers and records.
 func Digest(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
 
 // Record returns a copy of the counts, which are kept over kill and start.
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -65,7 +65,7 @@
 	entries []Entry
 }
 
-// List is the fake service.
+// List is the fake of the VM list.
 type List struct {
 	server *fault.Server
 
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -27,7 +27,7 @@
 	retryAfterSeconds = "1"
 )
 
-// Store is the fake service.
+// Store is the fake of the weight store.
 type Store struct {
 	server  *fault.Server
 	sizes   map[string]int64
@@ -101,7 +101,8 @@
 	return s.maxLoading
 }
 
-// readAtRate calls chunk for size bytes in chunks, at the store's rate.
+// readAtRate calls chunk with the length of one chunk after another, size bytes in all, at
+// the store's rate.
 func (s *Store) readAtRate(ctx context.Context, size int64, chunk func(n int) error) error {
 	for size > 0 {
 		n := int(min(size, chunkBytes))
--- a/load/arrivals.go
+++ b/load/arrivals.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// arrival is one request of the schedule.
+// arrival is one request of the schedule of a run.
 type arrival struct {
 	at     time.Duration // after the start of the run
 	class  int
--- a/load/one.go
+++ b/load/one.go
@@ -22,7 +22,8 @@
 	MS    float64 `json:"resume_latency_ms"`
 }
 
-// OneResult is the result of a single generation.
+// OneResult is the result of a single generation. Losses are the waits that crashes caused,
+// and Extra is the extra work of engines, or nil if the stand-ins' record was not read.
 type OneResult struct {
 	Request    string        `json:"request"`
 	Key        string        `json:"key"`
--- a/load/record.go
+++ b/load/record.go
@@ -93,7 +93,8 @@
 	Prefilled int `json:"prefilled"` // prompt tokens prefilled again
 }
 
-// Extra returns the extra work for one request whose answer has the given number of tokens.
+// Extra returns the extra work of all engines for one request whose answer has the given
+// number of tokens.
 func (r *Record) Extra(request string, tokens int) Extra {
 	var x Extra
 	first := 0
--- a/load/result.go
+++ b/load/result.go
@@ -18,7 +18,7 @@
 	histDigits = 3
 )
 
-// Quantiles summarises one histogram, in milliseconds.
+// Quantiles summarises one histogram of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
--- a/load/run.go
+++ b/load/run.go
@@ -12,7 +12,7 @@
 	"wigeondale/fleet"
 )
 
-// answer is the result of one request.
+// answer is the result of one request of a run.
 type answer struct {
 	class      int
 	id         string // request id as engines see it; empty for a call to a service
@@ -27,8 +27,9 @@
 	retryAfter bool
 }
 
-// Run sends the requests of the schedule and waits until all have ended. If ctx ends first, it
-// sends no more requests and returns the results so far.
+// Run sends the requests of the schedule that cfg and its seed determine, and waits until
+// all have ended. If ctx ends first, it sends no more requests and returns the results so
+// far.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -74,7 +74,8 @@
 	sweepMaxMS = 8000
 )
 
-// thresholdWeights holds the policy settings from which the silence threshold is computed.
+// thresholdWeights holds the policy settings from which routers compute the silence after
+// which an engine counts as failed.
 type thresholdWeights struct{ latency, extra, failuresPerHour, tail float64 }
 
 func fixedTimeout(ms int) func(*settings.Policy) {
@@ -111,7 +112,7 @@
 	return out
 }
 
-// detectionPlan sets the number and length of the runs and the times of the faults.
+// detectionPlan sets the number of runs (seeds), their length and the times of the faults.
 type detectionPlan struct {
 	seeds    int
 	duration time.Duration
--- a/measure/faults.go
+++ b/measure/faults.go
@@ -54,7 +54,8 @@
 	return preemptedFor
 }
 
-// fault is one event on one engine.
+// fault is one fault that is set on one engine at the time at and ends after a time that
+// depends on the kind.
 type fault struct {
 	kind   faultKind
 	engine string
@@ -63,8 +64,9 @@
 
 func (f fault) end() time.Duration { return f.at + f.kind.duration() }
 
-// detectionFaults assigns the kinds to the engines in turn. The increment of three engines
-// gives each engine another kind in each round.
+// detectionFaults returns the faults of one run of the detection experiment. It assigns the
+// kinds of faults to the engines in turn. The increment of three engines gives each engine
+// another kind in each round.
 func detectionFaults(p detectionPlan) []fault {
 	ids := engineIDs()
 	var out []fault
@@ -77,7 +79,8 @@
 	}
 }
 
-// playFaults sets and clears all faults at their times. Faults may overlap.
+// playFaults sets and clears all faults at their times, which are offsets from start.
+// Faults may overlap.
 func playFaults(ctx context.Context, start time.Time, r *Running, faults []fault) error {
 	errs := make(chan error, len(faults))
 	for _, f := range faults {
--- a/measure/overload.go
+++ b/measure/overload.go
@@ -96,7 +96,8 @@
 	ReportLagMS: 200, EventsLagMS: 300, EventsDropPercent: 5,
 }
 
-// overloadTimes holds the times at which the load changes.
+// overloadTimes holds the times at which the overload starts (over), the load returns to
+// normal (normal) and the load ends (end).
 type overloadTimes struct{ over, normal, end time.Duration }
 
 func (t overloadTimes) phases() []phase {
--- a/measure/parts.go
+++ b/measure/parts.go
@@ -206,7 +206,8 @@
 	return 100 * float64(a) / float64(b)
 }
 
-// durations is a sample whose quantiles are returned in milliseconds.
+// durations is a sample of durations. Its method at returns a quantile in milliseconds, or
+// -1 if the sample is empty.
 type durations []time.Duration
 
 func (d durations) at(q float64) float64 {
--- a/measure/report.go
+++ b/measure/report.go
@@ -33,8 +33,9 @@
 	return env.SavePlot("curve", "Resume latency against extra work", "extra tokens per 1000 delivered", "mean resume latency, ms", points)
 }
 
-// figures holds medians over runs. Times are in milliseconds, except waited, which is in
-// seconds.
+// figures holds the results of one fleet over its runs, mostly as medians. Times are in
+// milliseconds, except waited, which is in seconds. extra is the number of extra tokens for
+// each 1,000 tokens delivered.
 type figures struct {
 	complete                 string
 	lost, p50, p99, mean     float64
--- a/measure/tally.go
+++ b/measure/tally.go
@@ -121,8 +121,9 @@
 	}
 }
 
-// lossSpan returns the time span in which an attempt was lost: from the last token before the
-// loss to the first token after it.
+// lossSpan returns the time span in which an attempt was lost: from the last token before
+// the loss to the first token after it. For an attempt of the start-over client, which
+// records its losses, the span is the firstTokenLimit before the client noticed the loss.
 func lossSpan(a *Answer, next engineAttempt, i int) (from, to time.Duration) {
 	if i-1 < len(a.Losses) {
 		return a.Losses[i-1].At - firstTokenLimit, a.Losses[i-1].At
@@ -171,7 +172,7 @@
 	return sum
 }
 
-// losses merges the waits that killed and frozen engines caused.
+// losses merges the waits that killed and frozen engines caused into one histogram.
 func (t *tally) losses() *hdrhistogram.Histogram {
 	h := newHist()
 	h.Merge(t.waits[killed])
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Cancel marks a run whose caller has disconnected; the run is removed before the next
-// step.
+// Cancel marks a run whose caller has disconnected. The engine removes the run before its
+// next step.
 func (e *Engine) Cancel(r *Run) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,8 +185,9 @@
 	return d, true
 }
 
-// nextChunk returns how many tokens of the first queued prompt are prefilled in the next step:
-// none while there is not enough memory for them.
+// nextChunk returns how many tokens of the first queued prompt are prefilled in the next
+// step: none while there is not enough memory for them and a run is being decoded, whose
+// end will free memory.
 func (e *Engine) nextChunk() int {
 	if len(e.waiting) == 0 {
 		return 0
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -48,9 +48,9 @@
 	until             string
 }
 
-// call sends one call of the service in the background: NAME ROUTER
-// [-key k] [-body text|none] [-lookup] [-timeout d] [-until outcome]. With -until it
-// repeats the call under the same key, as a caller would, until that outcome.
+// call sends one call of the service in the background: NAME ROUTER [-key k] [-body
+// text|none] [-lookup] [-timeout d] [-until outcome]. With -until it repeats the call under
+// the same key, as a caller would, until the call has that outcome.
 func (f *testFleet) call(args []string) error {
 	args = slices.DeleteFunc(slices.Clone(args), func(s string) bool { return s == "&" })
 	r, err := f.mustRouter(args[1])
@@ -235,7 +235,7 @@
 	})
 }
 
-// executions returns how many times the services ran bookings under the key.
+// executions returns how many times the services ran bookings under the idempotency key.
 func (f *testFleet) executions(key string) int {
 	n, id := 0, load.RequestID(account, key)
 	for _, s := range f.set.Record().Services {
--- a/scenario/config_test.go
+++ b/scenario/config_test.go
@@ -175,7 +175,8 @@
 	return nil
 }
 
-// postedRequest is a request whose bytes were written to the router's socket by the command post.
+// postedRequest is a request whose bytes were written to the router's socket by the script
+// command post.
 type postedRequest struct {
 	done   chan struct{}
 	answer *http.Response
--- a/scenario/generate_test.go
+++ b/scenario/generate_test.go
@@ -92,7 +92,8 @@
 	g.changed = make(chan struct{})
 }
 
-// await returns once the answer has n tokens.
+// await returns nil once the answer has n tokens, or an error if the generation ends before
+// or hangTimeout passes.
 func (g *gen) await(n int) error {
 	deadline := time.After(hangTimeout)
 	for {
@@ -121,7 +122,8 @@
 	}
 }
 
-// field returns a value for the command expect. It may be called only once done is closed.
+// field returns the value of the named property of a generation, which the script command
+// expect compares. It may be called only once done is closed.
 func (g *gen) field(name string) string {
 	switch name {
 	case "outcome":
--- a/scenario/raw_test.go
+++ b/scenario/raw_test.go
@@ -14,8 +14,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cursorRecorder records the id of each event that passes to the client, for the command
-// reconnect, which reconnects in ways that the client library does not.
+// cursorRecorder records the id of each event that passes to the client, for the script
+// command reconnect, which reconnects in ways that the client library does not.
 type cursorRecorder struct {
 	g    *gen
 	next http.RoundTripper
--- a/settings/check.go
+++ b/settings/check.go
@@ -20,7 +20,7 @@
 	maxSuspectMS    = 16000             // longest silence that package health can resolve
 )
 
-// checker collects the problems that it finds in the values.
+// checker collects the problems that it finds in the values of the settings.
 type checker struct {
 	problems Problems
 }
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -12,9 +12,9 @@
 // defaulter is an optional section that sets its own defaults when it is present.
 type defaulter interface{ SetDefaults() }
 
-// decoder decodes the JSON text field by field along the Go value. encoding/json alone
-// stops at the first fault, reports no path, and silently uses the last of two fields
-// with the same name.
+// decoder decodes the JSON text field by field into the Go value that has the same
+// structure. encoding/json alone stops at the first fault, reports no path, and silently
+// uses the last of two fields with the same name.
 type decoder struct {
 	problems Problems
 }
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -17,25 +17,26 @@
 	StoreAddress     string `json:"store_address"`
 	// GraceMS is the time between the shutdown signal and the platform's kill.
 	GraceMS int `json:"grace_ms"`
-	// RetryShare is the share of a service's requests that may be retried, and
-	// RetryBurst the number of retries beyond it at once, by all nodes together.
+	// RetryShare is the share of a service's requests that may be retried, and RetryBurst
+	// the number of retries that may be made at once beyond that share. Both apply to all
+	// nodes together.
 	RetryShare float64 `json:"retry_share"`
 	RetryBurst float64 `json:"retry_burst"`
-	// RolloutShare is the share of a service's requests, and RolloutBurst the number beyond
-	// it, that all nodes together may send to a version on trial. If that version is bad,
-	// only these requests are affected.
+	// RolloutShare is the share of a service's requests, and RolloutBurst the number of
+	// requests beyond that share, that all nodes together may send to a version on trial.
+	// If that version is bad, only these requests are affected.
 	RolloutShare float64 `json:"rollout_share"`
 	RolloutBurst float64 `json:"rollout_burst"`
 	// HeartbeatMS is the interval at which replicas renew their store entries.
 	HeartbeatMS int `json:"heartbeat_ms"`
 	// FailuresPerHour is the assumed failure rate of a replica before any is observed.
 	FailuresPerHour float64 `json:"failures_per_hour"`
-	// MinSilenceMS and MaxSilenceMS limit the silence of a replica after which its
-	// streams are continued elsewhere.
+	// MinSilenceMS and MaxSilenceMS are the shortest and the longest silence of a replica
+	// after which the router continues the replica's streams at another one.
 	MinSilenceMS int `json:"min_silence_ms"`
 	MaxSilenceMS int `json:"max_silence_ms"`
-	// MinPrefillMS is the minimum wait for a first chunk, in addition to the time to
-	// read the prompt at PrefillTokensPerSecond.
+	// MinPrefillMS is the minimum time that a router waits for the first chunk of a stream,
+	// in addition to the time to read the prompt at PrefillTokensPerSecond.
 	MinPrefillMS           int     `json:"min_prefill_ms"`
 	PrefillTokensPerSecond float64 `json:"prefill_tokens_per_second"`
 	// GCPercent is the garbage collector's target percentage, as in debug.SetGCPercent. A
@@ -91,7 +92,7 @@
 	c.oneOf("hosted.decisions.refusing", h.Decisions.RefusalPolicy, admission.RefusalPolicies())
 }
 
-// oneOf reports a value that is not among the names.
+// oneOf adds a problem if the value of a field is not one of the names.
 func (c *checker) oneOf(field, value string, names []string) {
 	if !slices.Contains(names, value) {
 		c.addProblem(field, fmt.Sprintf("one of %q", names), strconv.Quote(value))
--- a/settings/load.go
+++ b/settings/load.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// keys holds the secret keys. Its fields are not exported, so that no dump of the settings
-// contains a key.
+// keys holds the peer key and the current and previous cursor key. Its fields are not
+// exported, so that no dump of the settings contains a key.
 type keys struct {
 	peer, cursor, previous []byte
 }
@@ -205,8 +205,8 @@
 	}
 }
 
-// Config reads the files and returns a listener's TLS configuration, or nil without
-// TLS.
+// Config reads the certificate and key files and returns the TLS configuration of a
+// listener. It returns nil if t is nil, which means no TLS.
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -87,8 +87,9 @@
 	HeartbeatMS      int      `json:"heartbeat_ms"`
 }
 
-// Cursor configures the ids of streamed events. The previous key is still accepted, so
-// that the key can be changed without losing running streams.
+// Cursor configures the ids of streamed events. The ids are authenticated with a key. Ids
+// made with the previous key are still accepted, so that the key can be changed without
+// losing running streams.
 type Cursor struct {
 	KeyFile         string `json:"key_file"`
 	KeyEnv          string `json:"key_env"`
@@ -112,7 +113,8 @@
 	Role        string `json:"role"`
 }
 
-// Policy weighs latency against extra work for this deployment.
+// Policy weighs, for this deployment, the latency that a silent backend server causes
+// against the extra work of resuming its streams elsewhere.
 type Policy struct {
 	ResumeLatencyWeight float64 `json:"resume_latency_weight"`
 	ExtraWorkWeight     float64 `json:"extra_work_weight"`
@@ -165,13 +167,15 @@
 	ReservePercent int `json:"reserve_percent"`
 }
 
-// Claims configures the at-most-once claims.
+// Claims configures the claims of keys, by which a request that must not be repeated runs
+// at most once.
 type Claims struct {
 	Shards  int `json:"shards"`
 	WindowS int `json:"window_s"` // how long a key protects against a second run
 }
 
-// Directory configures how backend servers are observed.
+// Directory configures how often backend servers are observed, and how many of them this
+// node uses.
 type Directory struct {
 	VMsPollMS  int `json:"vms_poll_ms"`
 	LoadPollMS int `json:"load_poll_ms"`
@@ -187,7 +191,8 @@
 // Log configures the log on standard output.
 type Log struct {
 	Verbosity int `json:"verbosity"` // klog's -v
-	// LinesPerSecond is the rate beyond which lines are dropped and counted.
+	// LinesPerSecond is the number of log lines per second beyond which further lines are
+	// dropped. The number of dropped lines is logged.
 	LinesPerSecond int `json:"lines_per_second"`
 }
 
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -14,7 +14,8 @@
 	"wigeondale/settings"
 )
 
-// pendingSignals is the number of signals that are queued while one is handled.
+// pendingSignals is the number of signals that are queued while Wait handles an earlier
+// one.
 const pendingSignals = 4
 
 // Notify returns a channel of the signals that Wait handles.
--- a/soak/checks.go
+++ b/soak/checks.go
@@ -24,7 +24,8 @@
 	bookings   bookings
 }
 
-// denial is a response that rejects an API key as unknown.
+// denial is a response in which a router rejects an API key or an account that it does not
+// know.
 type denial struct {
 	request string
 	at      time.Time
@@ -40,7 +41,8 @@
 	c.violations = append(c.violations, Violation{promise, request, detail})
 }
 
-// checkResult counts one response and checks it.
+// checkResult counts one response and records a violation for each promise that the
+// response breaks.
 func (c *checks) checkResult(r result) {
 	c.countOutcome(r.kind, r.outcome())
 	c.mu.Lock()
@@ -78,7 +80,8 @@
 	return strconv.Itoa(r.status)
 }
 
-// brokenPromise returns the promise that a response breaks, or "".
+// brokenPromise returns the promise that the body of a successful response breaks, or "" if
+// it breaks none. It checks no other responses.
 func (r *result) brokenPromise() string {
 	if r.status != http.StatusOK {
 		return ""
@@ -100,8 +103,8 @@
 	return ""
 }
 
-// checkKey finds a router that returns to an older configuration. During a run API keys are only
-// removed, so a router that has rejected a key must not accept it again.
+// checkKey records a violation if a router returns to an older configuration. During a run
+// API keys are only removed, so a router that has rejected a key must not accept it again.
 func (c *checks) checkKey(r result) {
 	if r.incarnation == "" || r.err != nil {
 		return
@@ -115,7 +118,8 @@
 	}
 }
 
-// checkDuration finds a request whose response ended after the bound.
+// checkDuration records a violation if the response to a request took as long as bound or
+// longer. It does nothing unless Config.CheckTimes is set.
 func (c *checks) checkDuration(request string, took, bound time.Duration) {
 	if c.checkTimes && took >= bound {
 		c.violated("every request has its final answer soon after its time is over", request, took.String())
@@ -132,9 +136,10 @@
 	}
 }
 
-// checkAccepted finds an accepted request whose key or account the same incarnation rejected
-// before. A request that started before the rejection may succeed: it is served with the
-// configuration that was in force when it started.
+// checkAccepted records a violation if a request was accepted although the same incarnation
+// of the router had already rejected its key or account when the request started. A request
+// that started before the rejection may succeed: it is served with the configuration that
+// was in force when it started.
 func (c *checks) checkAccepted(at, request string, startedAt time.Time) {
 	c.mu.Lock()
 	first, rejected := c.denied[at]
@@ -156,7 +161,8 @@
 // request has disconnected or has received its response.
 const workEndTime = 5 * time.Second
 
-// finalChecks compares the replicas' records of what ran with the responses that clients got.
+// finalChecks compares the replicas' records of the requests that ran with the responses
+// that clients got, and records a violation for each contradiction.
 func (r *platformRun) finalChecks() {
 	r.mu.Lock()
 	all := append([]*fakes.Replica(nil), r.formerReplicas...)
@@ -191,7 +197,8 @@
 	r.checkIdle(all)
 }
 
-// checkIdle finds replicas that go on with requests although no client waits any more.
+// checkIdle records a violation if a replica goes on with a request for longer than
+// workEndTime although no client waits for a response any more.
 func (r *platformRun) checkIdle(all []*fakes.Replica) {
 	deadline := time.Now().Add(workEndTime)
 	for _, rep := range all {
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -28,7 +28,8 @@
 	minReplicas = 2
 )
 
-// processFaults returns the faults of a router's process. random draws the process.
+// processFaults returns the faults of a router's process. random picks the router that a
+// fault affects.
 func processFaults(random func() *process) []fault {
 	return []fault{
 		{"kill and restart", func() func() {
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -102,7 +102,8 @@
 	chunkGap   = 12 * time.Millisecond
 	firstKeys  = 40
 	account    = "acc"
-	// routeTimeout is the time limit of each route.
+	// routeTimeout is the time limit for a request that each route of the operator's
+	// configuration sets.
 	routeTimeout = 8 * time.Second
 )
 
--- a/soak/platform_crashing.go
+++ b/soak/platform_crashing.go
@@ -121,8 +121,9 @@
 	return out
 }
 
-// checkCrashing finds crashing requests that reached replicas too often after quarantineTime had
-// passed since their third crash.
+// checkCrashing records a violation for each crashing request that reached replicas more
+// than maxArrivalsAfter times after quarantineTime had passed since the third crash that it
+// caused.
 func (c *checks) checkCrashing(arrivals map[string][]fakes.Arrival) {
 	for body, list := range arrivals {
 		slices.SortFunc(list, func(a, b fakes.Arrival) int { return a.At.Compare(b.At) })
--- a/soak/platform_faults.go
+++ b/soak/platform_faults.go
@@ -51,7 +51,8 @@
 	{Refuse: true}, {FailStatus: 500}, {WrongID: true}, {NoSeal: true}, {Truncated: true}, {NoLength: true}, {NoResponse: true}, {RepeatChunks: true},
 }
 
-// clearMisbehaviour clears the faults of a replica, except those of its version.
+// clearMisbehaviour clears the fault switches of a replica, except the faults that all
+// replicas of its version have because that version is bad.
 func (r *platformRun) clearMisbehaviour(rep *fakes.Replica) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,8 +97,8 @@
 	}
 }
 
-// linkFault turns a switch of the router's link to the store, and returns the function that turns it
-// back.
+// linkFault turns the switch name of the relay between a router and the store, and returns
+// the function that turns the switch back.
 func (r *platformRun) linkFault(n *node, name, back string) func() {
 	r.setLinkFault(n, name, "")
 	return func() { r.setLinkFault(n, back, "") }
@@ -123,8 +124,8 @@
 	return out
 }
 
-// removeIfOthersServe removes a replica from the serving ones if at least minReplicas of its version
-// remain. It reports whether it did.
+// removeIfOthersServe removes a replica from the serving ones if at least minReplicas of
+// its version remain. It reports whether it removed the replica.
 func (r *platformRun) removeIfOthersServe(rep *fakes.Replica) bool {
 	r.mu.Lock()
 	sameVersion := 0
@@ -137,7 +138,8 @@
 	return sameVersion > minReplicas && r.remove(rep)
 }
 
-// remove removes a replica from the serving ones. It reports whether it was one of them.
+// remove removes a replica from the serving ones. It reports whether the replica was one of
+// them.
 func (r *platformRun) remove(rep *fakes.Replica) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/platform_restarts.go
+++ b/soak/platform_restarts.go
@@ -23,8 +23,8 @@
 }
 
 // restartReplica crashes a replica and restarts it under the same id when the fault ends.
-// Meanwhile the replica's entry stays in the store. clockOffset is the error of the
-// replica's clock after the restart.
+// Between the crash and the restart the replica's entry stays in the store. clockOffset is
+// the error of the replica's clock after the restart.
 func (r *platformRun) restartReplica(rep *fakes.Replica, clockOffset time.Duration) func() {
 	if !r.removeIfOthersServe(rep) {
 		return func() {}
@@ -45,7 +45,9 @@
 	}
 }
 
-// addForeignEntry writes an entry as another program would, with a replica's address and another key.
+// addForeignEntry writes an entry as another program would, under a key that is not the
+// replica's own. The value is one of foreignBytes for a random replica. The entry is
+// deleted when the fault ends.
 func (r *platformRun) addForeignEntry() func() {
 	rep := r.randomReplica()
 	key := fmt.Sprintf("servers/x-%d", r.rng.IntN(4))
@@ -53,8 +55,9 @@
 	return func() { r.store.Delete(key) }
 }
 
-// overwriteEntry overwrites a replica's entry as another program would. When the fault ends, the
-// replica writes its entry again.
+// overwriteEntry overwrites a replica's entry in the store with a value of foreignBytes, as
+// another program would. When the fault ends, the replica writes its entry again if it
+// still serves.
 func (r *platformRun) overwriteEntry(rep *fakes.Replica) func() {
 	r.store.Put("servers/"+rep.ID, foreignBytes(rep, r.rng.IntN(foreignKinds)))
 	return func() {
--- a/soak/platform_rollouts.go
+++ b/soak/platform_rollouts.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// rolloutTime is the duration that an order sets for a roll-out.
+	// rolloutTime is the time within which an order asks the routers to complete a
+	// roll-out.
 	rolloutTime = 5 * time.Second
 	// rolloutGrace is how much longer a roll-out may take after all faults have ended.
 	rolloutGrace = 15 * time.Second
@@ -159,7 +160,8 @@
 	r.endRollout(o)
 }
 
-// checkExposure checks the bound on the requests that reached a bad version.
+// checkExposure records a violation if more requests reached a bad version than
+// exposureShare and exposureBurst allow.
 func (r *platformRun) checkExposure(o *rolloutOrder) {
 	if !o.bad {
 		return
--- a/soak/process.go
+++ b/soak/process.go
@@ -50,7 +50,7 @@
 func (p *process) settingsPath() string { return filepath.Join(p.cfg.Dir, p.id+".json") }
 func (p *process) logPath() string      { return filepath.Join(p.cfg.Dir, p.id+".log") }
 
-// logTailBytes is how much of a log is shown with a failure.
+// logTailBytes is how many bytes of the end of a router's log are shown with a failure.
 const logTailBytes = 4 << 10
 
 // logTail returns the end of the log. Failures include it since the log file may be deleted with the
@@ -98,7 +98,8 @@
 	}
 }
 
-// awaitRecovery waits until the process is ready, after all faults have ended.
+// awaitRecovery waits until the process is ready, after all faults have ended. It records a
+// violation if that takes longer than settleTime.
 func (p *process) awaitRecovery() {
 	for deadline := time.Now().Add(settleTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		if p.isReady(context.Background()) {
--- a/soak/product_checks.go
+++ b/soak/product_checks.go
@@ -25,8 +25,8 @@
 	c.bookings.outcomes[digest] = bookingOutcome{request, o}
 }
 
-// checkBookings compares how often each request ran with the outcome that its client got. ran is
-// keyed by the digest of the body.
+// checkBookings compares how often each request that may run at most once ran with the
+// outcome that its client got. ran is keyed by the digest of the body.
 func (c *checks) checkBookings(ran map[string]int) {
 	c.bookings.mu.Lock()
 	defer c.bookings.mu.Unlock()
--- a/soak/product_client.go
+++ b/soak/product_client.go
@@ -129,8 +129,9 @@
 	return string(o)
 }
 
-// checkKey finds a router that returns to an older configuration. During a run accounts are only
-// removed, so a router that has rejected one must not accept it again.
+// checkKey records a violation if a router returns to an older configuration. During a run
+// accounts are only removed, so a router that has rejected an account must not accept that
+// account again.
 func (c *productClient) checkKey(request string, account int, endpoint string, err error) {
 	incarnation := c.incarnations[endpoint]
 	for _, rt := range c.run.routers {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -71,11 +71,11 @@
 	}
 }
 
-// This test repeats seeds that once failed on the product's own interface, with the
-// configuration with which they failed.
+// TestSeedsThatFailedOnTheProductsInterface repeats seeds that once failed on the product's
+// own interface, with the configuration with which they failed.
 //
-// 5002: a router that had been killed got SIGTERM within a millisecond of its next start, and its
-// death by the signal counted as a violation.
+// 5002: a router that had been killed got SIGTERM within a millisecond of its next start,
+// and its death by the signal counted as a violation.
 func TestSeedsThatFailedOnTheProductsInterface(t *testing.T) {
 	for _, seed := range []uint64{5002} {
 		checkSeed(t, RunProduct, Config{Seed: seed, Nodes: 4, Engines: 6, Services: 4, Clients: 12, FaultTime: 8 * time.Second})
