--- a/check/check.go
+++ b/check/check.go
@@ -20,13 +20,15 @@
 	hexDigits   = "0123456789abcdef"
 )
 
-// Chain generates the tokens of one answer. Its zero value is not usable.
+// Chain generates the tokens of one answer. The zero value is not usable; NewChain returns
+// a Chain.
 type Chain struct {
 	digest xxhash.Digest
 	next   int
 }
 
-// NewChain continues the answer to prompt after text, which contains next tokens.
+// NewChain returns a Chain that continues the answer to prompt after text, which consists
+// of the first next tokens of the answer.
 func NewChain(prompt, text string, next int) Chain {
 	c := Chain{next: next}
 	c.digest.Reset()
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -98,7 +98,8 @@
 	return pool, nil
 }
 
-// call tries the addresses in order until one answers other than "try again later".
+// call calls the addresses in order. It tries the next address only if a node can't be
+// reached or responds that it is unavailable, not ready or has an internal error.
 func (c *adminClient) call(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for _, addr := range c.addrs {
--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// progress describes where a revision is in force, and reports whether it is on all
-// nodes.
+// progress describes where a revision is in force, and reports whether the revision is in
+// force on all nodes.
 func progress(s adminapi.Status, revision uint64) (string, bool) {
 	inForce := 0
 	var behind, notHeard []string
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// maxCallsPerReplica is the number of calls that this router has open at one replica of a
-	// service that is not a model engine. Further calls queue here, where their
-	// deadlines are known.
+	// maxCallsPerReplica is the number of calls that this router has open at one replica of
+	// a service that is not a model engine. Further calls queue in this router, which knows
+	// their deadlines.
 	maxCallsPerReplica = 64
 	// retryBurst is the number of retries in a full retry budget.
 	retryBurst = 20
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -40,9 +40,9 @@
 // generation expects.
 type claims struct{ *once.Claims }
 
-// Claim claims a key. If it remains unknown whether the claim was written, the claim is
-// voided in the background, so that a request that was refused does not leave its key
-// used.
+// Claim claims a key for an attempt, and reports whether the attempt got the key. If it
+// remains unknown whether the claim was written, package once voids the claim in the
+// background, so that a request that was refused does not leave its key used.
 func (c claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (bool, error) {
 	v, err := c.Claims.Claim(ctx, account, key, body, attempt)
 	if err == nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -160,7 +160,7 @@
 }
 
 // waitForShutdown waits for the shutdown signal and then until all requests have ended. The
-// group stops when it returns.
+// daemon's group of parts stops when waitForShutdown returns.
 func (n *node) waitForShutdown(signalled <-chan os.Signal, stop <-chan struct{}) error {
 	if !signals.Wait(signalled, stop, n.config, n.log) {
 		return nil
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -12,11 +12,11 @@
 	"wigeondale/peer"
 )
 
-// A backend server that readers saw leaving and then live must still be marked as leaving
-// here, even if this router only receives the later record: the list may lag, and the VM is
-// about to be removed. But once the "live" record has lasted for a while, it is taken as
-// correct: an engine may have been started again on that VM, and because of the old mark
-// the new incarnation would get no work.
+// A backend server that the routers which read the VM list saw leaving and then live must
+// still be marked as leaving here, even if this router only receives the later record: the
+// list may lag, and the VM is about to be removed. But once the "live" record has lasted
+// for a while, it is taken as correct: an engine may have been started again on that VM,
+// and because of the old mark the new incarnation would get no work.
 func TestLiveAfterLeavingIsDoubted(t *testing.T) {
 	now := time.Now().UnixMilli()
 	record := func(at, left int64) inventory.Record {
@@ -58,8 +58,9 @@
 	}
 }
 
-// A router must not flood what it only received by a flood. When each router repeated a
-// reader's update as a peer report of its own, one leaving VM cost hundreds of floods.
+// A router must not flood that a backend server is leaving if it only received that by a
+// flood. When each router repeated the update of a router that reads the VM list as a peer
+// report of its own, one leaving VM cost hundreds of floods.
 func TestWhoSpreadsLeaving(t *testing.T) {
 	for source, want := range map[directory.Source][2]bool{ // for a node that does not read the VM list, and for one that does
 		directory.FromVMList:     {false, true},
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -173,7 +173,8 @@
 	return resp, err
 }
 
-// quarantinedFailure is the final answer to a call under which backend servers crashed.
+// quarantinedFailure is the final response to a call that is quarantined because backend
+// servers crashed while they ran it.
 func quarantinedFailure() *callerapi.Failure {
 	return &callerapi.Failure{Status: http.StatusInternalServerError, Code: generation.CodeQuarantined,
 		Message: "backend servers crashed under this call: it is not sent on", Outcome: fleet.Failed}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,8 +1,8 @@
-// Package explain groups the requests in routers' logs by outcome and reason, so that
-// an operator on call sees in one table where service was lost.
+// Package explain groups the requests in routers' logs by outcome and reason, so that an
+// operator on call sees in one table where service was lost.
 //
-// It only needs the lines that a request's decisions left in the log (events 14xx and
-// 19xx). Lines of other programs and truncated lines are counted and skipped.
+// It only needs the lines that routers log about their decisions on a request (events 14xx
+// and 19xx). Lines of other programs and truncated lines are counted and skipped.
 package explain
 
 import (
--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// eventsAfter returns the events with a sequence number above seq that happened at until or before.
+// eventsAfter returns the events with a sequence number above seq that happened no later
+// than until.
 func (c *cache) eventsAfter(seq uint64, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
--- a/fakes/fault/args.go
+++ b/fakes/fault/args.go
@@ -31,7 +31,7 @@
 // Enabled reports whether to turn the switch on.
 func (a Args) Enabled() bool { return a.On == nil || *a.On }
 
-// Times returns N, but at least 1.
+// Times returns how many times a fault applies: N, but at least 1.
 func (a Args) Times() int { return max(a.N, 1) }
 
 // Millis converts a number of milliseconds to a duration.
--- a/load/record.go
+++ b/load/record.go
@@ -9,7 +9,8 @@
 	"wigeondale/fleet"
 )
 
-// RequestID returns the id under which engines see a request.
+// RequestID returns the id by which engines know the request that a client account sends
+// with an idempotency key.
 func RequestID(account, key string) string { return fleet.RequestID(account, key) }
 
 // Record is the part of the stand-ins' record that load reads.
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -36,12 +36,13 @@
 	MaxRunning: 64, CacheBlocks: 1024, ReportLagMS: 200, EventsLagMS: 300, EventsDropPercent: 5,
 }
 
-// baselineFleet is the fleet whose results are the denominators of all ratios.
+// baselineFleet is the fleet whose results are the denominators of all ratios in the
+// results.
 const baselineFleet = "fixed-1s"
 
-// candidate is one policy under comparison. In the names of the sweep, t is the tail exponent,
-// f the failures per hour (0.1 if absent), and the last part the weights of resume latency and
-// extra work.
+// candidate is one policy under comparison. In the names of the policies with a learned
+// threshold (the sweep), t is the tail exponent, f the failures per hour (0.1 if absent),
+// and the last part the weights of resume latency and extra work.
 type candidate struct {
 	name      string
 	startOver time.Duration // if above 0, clients connect to engines directly, with this timeout
--- a/measure/plan.go
+++ b/measure/plan.go
@@ -164,10 +164,10 @@
 	return s
 }
 
-// portPool allocates addresses for routers and engines. A port stays unbound until its process
-// starts. Meanwhile the kernel may give a port of its ephemeral range to a new connection,
-// and the process would fail with "address in use". So ports below that range are allocated,
-// each once per run.
+// portPool allocates addresses for routers and engines. A port stays unbound until its
+// process starts. Until then the kernel may give a port of its ephemeral range to a new
+// connection, and the process would fail with "address in use". So ports below that range
+// are allocated, each once per run.
 type portPool struct{ used map[int]bool }
 
 // The kernel's ephemeral range starts at 32768 by default. Ports that are chosen before the
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -198,8 +198,8 @@
 }
 
 func waitClaimed(f *testFleet, _ *testscript.TestScript, args []string) error {
-	// The range uses a shorter prefix than that of the claims, so that a fault that slows
-	// down only requests for claims does not delay this read.
+	// The call of Range reads a shorter prefix than that of the claims, so that a fault
+	// that slows down only requests for claims does not delay this read.
 	const above = "wigeondale/"
 	// Claims of generations are recorded under the request id that engines see, and not
 	// under the caller's key.
--- a/soak/platform_client.go
+++ b/soak/platform_client.go
@@ -41,7 +41,7 @@
 // result holds what a client observed of one request.
 type result struct {
 	id, kind, key string
-	incarnation   string // of the router to which the request was sent; empty if the router restarted meanwhile
+	incarnation   string // of the router to which the request was sent; empty if the router restarted during the request
 	status        int
 	body          string
 	err           error // the connection failed before the response was complete
--- a/soak/platform_rollouts.go
+++ b/soak/platform_rollouts.go
@@ -178,8 +178,8 @@
 	o.ended = true
 }
 
-// dropEndedRollouts forgets roll-outs that have ended, so that their services can be rolled
-// out again. It returns the number of roll-outs that are still open.
+// dropEndedRollouts removes from rollouts those that have ended, so that their services can
+// be rolled out again. It returns the number of roll-outs that are still open.
 func (r *platformRun) dropEndedRollouts() (open int) {
 	r.rolloutMu.Lock()
 	defer r.rolloutMu.Unlock()
--- a/soak/process.go
+++ b/soak/process.go
@@ -63,7 +63,7 @@
 	return string(data[max(0, len(data)-logTailBytes):])
 }
 
-// start starts a process unless one is running.
+// start starts the router's next process, unless one is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
