--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -75,7 +75,7 @@
 	Metrics    *metrics.Set
 }
 
-// API serves /admin/v1/.
+// API is the handler of the paths under /admin/v1/.
 type API struct {
 	cfg     Config
 	mux     *http.ServeMux
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -27,6 +27,7 @@
 )
 
 // adminClient calls the administration API of one node after another, until a node answers.
+// See the method call for the responses after which it tries the next node.
 type adminClient struct {
 	addrs  []string
 	token  string
@@ -98,8 +99,9 @@
 	return pool, nil
 }
 
-// call calls the addresses in order. It tries the next address only if a node can't be
-// reached or responds that it is unavailable, not ready or has an internal error.
+// call sends one call of the administration API to the addresses in order. It tries the
+// next address only if a node can't be reached or responds that it is unavailable, not
+// ready or has an internal error.
 func (c *adminClient) call(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for _, addr := range c.addrs {
--- a/event/page_test.go
+++ b/event/page_test.go
@@ -87,8 +87,8 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// TestPage compares the whole page with the catalogue, so that a missing row, a row
-// without an event, and a wrong name, severity or text are all found.
+// TestPage compares docs/EVENTS.md with the catalogue, so that a missing row, a row without
+// an event, and a wrong name, severity or text are all found.
 func TestPage(t *testing.T) {
 	want := render()
 	if *update {
--- a/fakes/kv/store.go
+++ b/fakes/kv/store.go
@@ -29,8 +29,9 @@
 	typeDelete = "DELETE"
 )
 
-// store holds the data. The methods txn, eventsSince, grant, keepAlive, revoke, expire and
-// close take the lock; the other methods expect their caller to hold it.
+// store holds the keys, leases and history of the fake service. The methods txn,
+// eventsSince, grant, keepAlive, revoke, expire and close take the lock; the other methods
+// expect their caller to hold it.
 type store struct {
 	mu        sync.Mutex
 	revision  int64
@@ -181,7 +182,8 @@
 	s.changed = make(chan struct{})
 }
 
-// txn applies one branch as a single revision, or nothing if there is an error.
+// txn evaluates the compares of a transaction and applies the branch that they select as a
+// single revision. If there is an error, it applies nothing.
 func (s *store) txn(r *txnRequest) (*txnResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -62,11 +62,12 @@
 	Set func(*settings.Settings)
 }
 
-// Experiment is one comparison.
+// Experiment is one comparison of policies under the same load and faults.
 type Experiment interface {
 	// Name is the experiment's name on the command line and in the names of output files.
 	Name() string
-	// Fleets returns the fleets that must run. Every call returns the same list.
+	// Fleets returns the fleets whose processes must be running before Run is called. Every
+	// call returns the same list.
 	Fleets(Mode) []Fleet
 	// Run runs the experiment on fleets that are ready, in the order of Fleets.
 	Run(context.Context, *Env) error
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -26,7 +26,7 @@
 	Memory           int           // capacity in tokens, for runs and stored copies
 }
 
-// Signal is an event in the progress of a run.
+// Signal is an event in the progress of a run. The engine sends it to Run.Signals.
 type Signal uint8
 
 const (
@@ -34,7 +34,7 @@
 	FirstToken Signal = iota
 	// Done is sent when the last token is generated.
 	Done
-	// Lost is sent when the engine crashes.
+	// Lost is sent when the engine crashes before the run is done.
 	Lost
 )
 
--- a/settings/decode.go
+++ b/settings/decode.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// defaulter is an optional section that sets its own defaults when it is present.
+// defaulter is an optional section that sets its own defaults when it is present in the
+// file; an absent section stays nil.
 type defaulter interface{ SetDefaults() }
 
 // decoder decodes the JSON text field by field into the Go value that has the same
--- a/settings/hosted.go
+++ b/settings/hosted.go
@@ -29,7 +29,8 @@
 	RolloutBurst float64 `json:"rollout_burst"`
 	// HeartbeatMS is the interval at which replicas renew their store entries.
 	HeartbeatMS int `json:"heartbeat_ms"`
-	// FailuresPerHour is the assumed failure rate of a replica before any is observed.
+	// FailuresPerHour is the assumed failure rate of a replica before any failure is
+	// observed.
 	FailuresPerHour float64 `json:"failures_per_hour"`
 	// MinSilenceMS and MaxSilenceMS are the shortest and the longest silence of a replica
 	// after which the router continues the replica's streams at another one.
@@ -46,8 +47,8 @@
 	Decisions Decisions `json:"decisions"`
 }
 
-// Decisions selects one variant for each of the router's decisions that exists in several
-// variants.
+// Decisions selects one variant for each kind of decision of the router that the program
+// implements in several variants.
 type Decisions struct {
 	RefusalPolicy string `json:"refusing"` // name of a refusal policy of package admission
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -60,8 +60,8 @@
 	return Error.Wrap(p)
 }
 
-// Parse decodes settings over the defaults and checks them, without reading the files
-// that they name. errors.As extracts the Problems.
+// Parse decodes settings over the defaults and checks them, without reading the files that
+// they name. A caller gets the Problems from the error with errors.As.
 func Parse(data []byte) (*Settings, error) {
 	s, problems := parse(data)
 	return s, problems.err()
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -13,7 +13,8 @@
 
 const settingsPage = "../docs/OPERATIONS.md"
 
-// unset is shown in the page for a field without a default.
+// unset is what the page of settings (settingsPage) shows as the default of a field without
+// one.
 const unset = "–"
 
 // fields maps each field's JSON path to its default as the page shows it.
@@ -69,8 +70,8 @@
 
 var row = regexp.MustCompile("(?m)^\\| `([a-z0-9_.*\\[\\]]+)` \\| ([^|]+) \\| ([^|]+) \\| (.+) \\|$")
 
-// The page must list every setting with the program's default. A row for a removed
-// field would lead operators to write a file that is rejected at start.
+// The page for operators (settingsPage) must list every setting with the program's default.
+// A row for a removed field would lead operators to write a file that is rejected at start.
 func TestPageNamesEachField(t *testing.T) {
 	want := map[string]string{}
 	fields("", reflect.ValueOf(settings.Default()).Elem(), want)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -120,10 +120,11 @@
 	ExtraWorkWeight     float64 `json:"extra_work_weight"`
 	MinSuspectMS        int     `json:"min_suspect_ms"`
 	MaxSuspectMS        int     `json:"max_suspect_ms"`
-	// FailuresPerHour is the assumed failure rate of an engine before any is observed.
+	// FailuresPerHour is the assumed failure rate of an engine before any failure is
+	// observed.
 	FailuresPerHour float64 `json:"failures_per_hour"`
 	// TailExponent sets how fast the probability of a healthy pause falls beyond the
-	// longest observed one: a pause twice as long is 2^TailExponent times as rare.
+	// longest observed pause: a pause twice as long is 2^TailExponent times as rare.
 	TailExponent float64 `json:"tail_exponent"`
 	// PrefillBytesPerSecond is the engines' prefill rate in bytes of text.
 	PrefillBytesPerSecond float64 `json:"prefill_bytes_per_second"`
