--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// lookUpAndStore stores the blocks and returns how many leading ones were cached before.
+// lookUpAndStore stores the blocks and returns how many of the leading blocks were cached
+// before.
 func (c *cache) lookUpAndStore(blocks []uint64, now time.Time) int {
 	hits := 0
 	for i, b := range blocks {
@@ -79,7 +80,8 @@
 	}
 }
 
-// eventsAfter returns the events with a sequence number above seq that happened at until or before.
+// eventsAfter returns the events with a sequence number above seq that happened no later
+// than until.
 func (c *cache) eventsAfter(seq uint64, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
--- a/load/record.go
+++ b/load/record.go
@@ -9,7 +9,8 @@
 	"wigeondale/fleet"
 )
 
-// RequestID returns the id under which engines see a request.
+// RequestID returns the id by which engines know the request that a client account sends
+// with an idempotency key.
 func RequestID(account, key string) string { return fleet.RequestID(account, key) }
 
 // Record is the part of the stand-ins' record that load reads.
@@ -93,7 +94,8 @@
 	Prefilled int `json:"prefilled"` // prompt tokens prefilled again
 }
 
-// Extra returns the extra work for one request whose answer has the given number of tokens.
+// Extra returns the extra work of all engines for one request whose answer has the given
+// number of tokens.
 func (r *Record) Extra(request string, tokens int) Extra {
 	var x Extra
 	first := 0
--- a/settings/load.go
+++ b/settings/load.go
@@ -60,8 +60,8 @@
 	return Error.Wrap(p)
 }
 
-// Parse decodes settings over the defaults and checks them, without reading the files
-// that they name. errors.As extracts the Problems.
+// Parse decodes settings over the defaults and checks them, without reading the files that
+// they name. A caller gets the Problems from the error with errors.As.
 func Parse(data []byte) (*Settings, error) {
 	s, problems := parse(data)
 	return s, problems.err()
@@ -151,8 +151,8 @@
 	}
 }
 
-// keys holds the secret keys. Its fields are not exported, so that no dump of the settings
-// contains a key.
+// keys holds the peer key and the current and previous cursor key. Its fields are not
+// exported, so that no dump of the settings contains a key.
 type keys struct {
 	peer, cursor, previous []byte
 }
@@ -205,8 +205,8 @@
 	}
 }
 
-// Config reads the files and returns a listener's TLS configuration, or nil without
-// TLS.
+// Config reads the certificate and key files and returns the TLS configuration of a
+// listener. It returns nil if t is nil, which means no TLS.
 func (t *TLS) Config() (*tls.Config, error) {
 	if t == nil {
 		return nil, nil
