--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -19,8 +19,9 @@
 }
 
 // crashedRepeatedly reports whether the same submission of s was running at two of the counted
-// crashes, one after the other. A request that many clients send at once is running at each
-// crash, whatever the cause of the crash, but each time with another submission.
+// crashes, one after the other. Crashes at which different submissions were running are weaker
+// evidence: a request that many clients send at once is running at each crash, whatever the
+// cause of the crash, but each time with another submission.
 func (s *suspect) crashedRepeatedly(counted []string) bool {
 	seen := map[uint64]bool{}
 	for _, c := range s.crashes {
@@ -52,10 +53,10 @@
 	return min(n/backgroundExits, 1)
 }
 
-// countedCrashes returns the incarnations whose crashes count against s. Of crashes at the same
-// moment only the first counts, unless the request was sent to the backend server that crashed
-// later only after the first crash: one cause can end several of the many backend servers at
-// which a request runs.
+// countedCrashes returns the incarnations whose crashes count against s. Of crashes at the
+// same moment only the first counts, since one cause can end several of the many backend
+// servers at which a request runs. Exception: a later one of these crashes counts too if the
+// request was sent to its backend server only after the first crash.
 func (t *Tracker) countedCrashes(s *suspect, now time.Duration) []string {
 	var out []string
 	var last Crash
@@ -80,10 +81,11 @@
 	})
 }
 
-// simultaneousExits counts the backend servers that exited at the same moment as c and at which
-// neither s nor a quarantined request is known to have been running. For a request with
-// manyCrashes the result is 0, so that such exits can't clear it: not all backend servers where
-// it was running may be known.
+// simultaneousExits counts the backend servers that exited at the same moment as c and at
+// which neither s nor a quarantined request is known to have been running. Many such exits
+// clear s of the crash c. Exception: for a request with manyCrashes the result is 0. The exits
+// must not clear such a request, since this router may not know all backend servers where the
+// request was running.
 func (t *Tracker) simultaneousExits(s *suspect, c Crash, now time.Duration) (n int) {
 	if len(s.crashes) >= manyCrashes {
 		return 0
@@ -116,9 +118,10 @@
 	return n
 }
 
-// clearBystanders ends the hold of each quarantined request that turns out to have only run
-// alongside s: of the crashes under that request, fewer than minUnsharedCrashes happened where
-// s was not running. It returns the digests of the requests whose hold it ended.
+// clearBystanders ends the hold of each quarantined request that turns out to be a bystander,
+// which only ran alongside s: fewer than minUnsharedCrashes of the crashes under the bystander
+// happened at backend servers where s was not running. The result holds the digests of the
+// bystanders.
 func (t *Tracker) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
 	for _, c := range s.crashes {
 		for _, d := range slices.Clone(t.suspectsByCrash[c.Incarnation]) {
--- a/quarantine/examine.go
+++ b/quarantine/examine.go
@@ -94,11 +94,11 @@
 }
 
 // domainExited reports whether the other backend servers of the failure domain (a sample of up
-// to maxNeighbours) exited together with the backend server of l: then no request that was
-// running at the backend server of l is the cause. Backend servers that had exited on their own
-// earlier, or before the request was sent to the backend server of l, are not evidence: crashes
-// under the same request may have left only few of the domain running. With fewer than
-// minNeighbours backend servers as evidence the result is false.
+// to maxNeighbours) exited together with the backend server of l. If so, no request that was
+// running at the backend server of l is the cause. Backend servers that had exited on their
+// own earlier, or before the request was sent to the backend server of l, are not evidence:
+// earlier crashes under the same request may have ended them, and may have left only few of
+// the domain running. If fewer than minNeighbours backend servers remain, the result is false.
 func (g *Guard) domainExited(l Loss) bool {
 	moment := l.at - min(l.Ran, simultaneousWindow)
 	others := slices.DeleteFunc(g.cfg.Neighbours(l.Backend, maxNeighbours), func(b fleet.Backend) bool {
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -169,9 +169,9 @@
 	}
 }
 
-// When an operator lifts the hold of a request at one router, all routers must send the
-// request again. The fault is that the lift reaches only one router, or that the request can
-// never be sent again. One more crash under the request must quarantine it anew.
+// When an operator ends the hold of a request at one router, all routers must send the request
+// again. The fault is that only this router ends the hold, or that the request can never be
+// sent again. One more crash under the request must quarantine it anew.
 func TestLiftReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(2, 20*time.Millisecond)
@@ -225,9 +225,10 @@
 	})
 }
 
-// When a request has crashed most servers of a small failure domain, its next crash must still
-// count against it. The fault is to take the servers that are down for a crash of the whole
-// domain, so that the request keeps being sent.
+// When a request has crashed most servers of a small failure domain, the next crash under the
+// request must still count against the request. The fault is that the router takes the servers
+// that crashed earlier as a sign that the whole domain crashed, so that the request keeps
+// being sent.
 func TestSmallDomainIsNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(1, 0)
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// maxAnswers is how many answered requests are remembered at least: the times of the latest
-// answers of so many requests are kept.
+// maxAnswers is the least number of requests whose latest answers are remembered: the time of
+// the latest answer is kept for at least the maxAnswers requests that were answered last.
 const maxAnswers = 1024
 
-// answerTimes remembers when requests were answered last, in two generations of at most limit
-// entries each, so that its memory is bounded at any rate of answers: when current is full, it
-// replaces previous, whose entries are forgotten.
+// answerTimes remembers when requests were last answered. It has two generations, current and
+// previous, of at most limit entries each, so that its memory is bounded at any rate of
+// answers. When current is full, the entries of previous are forgotten, current becomes
+// previous, and a new current starts empty.
 type answerTimes struct {
 	limit             int
 	current, previous map[Digest]time.Duration
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -68,9 +68,9 @@
 	// connections of all routers.
 	sendBurst    = 8
 	sendInterval = 100 * time.Millisecond
-	// maxPending bounds the updates that wait for their message. Updates beyond this bound are
-	// dropped, which does little harm: a router that misses the report of one crash receives
-	// the report of the next.
+	// maxPending is the largest number of updates that may wait for the next message. Further
+	// updates are dropped. This does little harm: a router that misses the report of one crash
+	// under a request still receives the reports of later crashes under the same request.
 	maxPending = 256
 )
 
@@ -84,8 +84,9 @@
 	nextFree time.Duration
 }
 
-// put adds an update. If arm is true, the caller must call take when the time wait has passed,
-// and send what take returns. kept is false if the update was dropped because too many wait.
+// put adds an update. If arm is true, the caller must call take after the duration wait, and
+// send what take returns. kept is false if the update was dropped because too many updates
+// wait.
 func (o *outbox) put(n Update, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
