--- a/health/confirm.go
+++ b/health/confirm.go
@@ -8,9 +8,10 @@
 	"wigeondale/event"
 )
 
-// Where engines can be queried, a failure domain is suspected only after its members were
-// queried: what looks like a crash of all members may be pauses of slow engines, or resets of
-// some connections.
+// reasonCommonSilence is the reason logged when a failure domain is suspected because its
+// members are silent together. Where engines can be queried, the domain is suspected only
+// after its members were queried: what looks like a crash of all members may be pauses of slow
+// engines, or resets of some connections.
 
 const reasonCommonSilence = "common silence"
 
@@ -23,11 +24,11 @@
 // suspected only if most of the silent members give no answer.
 //
 // Without the query, domains of slow engines would be suspected although the engines work. The
-// probability that a common silence is chance is estimated from the gaps seen so far; engines
-// that read prompts slowly pause their runs for longer than any gap before, several at once
-// when several prompts arrive. Their runs would be started again elsewhere, and the engines
-// would get no work for some seconds. Where the domain is down, the query delays the detection
-// by its duration.
+// Monitor estimates from the gaps seen so far how probable it is that a common silence is
+// chance. Engines that read prompts slowly pause their runs for longer than any gap before,
+// and several engines pause at once when several prompts arrive. The runs of these engines
+// would be started again elsewhere, and the engines would get no work for some seconds. Where
+// the domain is down, the query delays the detection by its duration.
 func (m *Monitor) confirmSilence(d *domain, silent []*engine) {
 	answered := m.queryAlive(silent)
 	noAnswer := len(silent) - len(answered)
@@ -74,9 +75,8 @@
 }
 
 // majorityWorks reports whether most of the members that failed or were queried work. down is
-// the number of members that failed, queried the number of results that the channel will
-// deliver. The method doesn't wait for the remaining results once they can't change the
-// answer.
+// the number of members that failed, and queried is the number of results that the channel
+// will deliver. The method returns as soon as the remaining results can't change the answer.
 func (m *Monitor) majorityWorks(results <-chan queryResult, down, queried int) bool {
 	all, working := down+queried, 0
 	for 2*down < all && 2*working <= all {
--- a/health/domain.go
+++ b/health/domain.go
@@ -37,11 +37,11 @@
 	// common silence counts. Shorter pauses are normal: a prompt is read between two decode
 	// steps.
 	minDomainSilence = 220 * time.Millisecond
-	// maxChance is the probability that all decoding members are silent by chance below which
-	// their common silence is taken for a crash.
+	// maxChance bounds the probability that all decoding members are silent by chance. If the
+	// probability is maxChance or less, the common silence is taken for a crash.
 	maxChance = 1e-4
-	// crashedStreamSilence is the silence from which a stream of a crashed domain is resumed
-	// elsewhere. Other streams are evaluated as usual.
+	// crashedStreamSilence is the least silence after which a stream of a crashed domain is
+	// resumed elsewhere because of the crash. All other streams are evaluated as usual.
 	crashedStreamSilence = 150 * time.Millisecond
 	// domainCrashWindow is how long after a crash further failures of the domain belong to the
 	// same crash: crashed replicas seldom work again sooner, so a second crash is unlikely.
@@ -110,9 +110,10 @@
 }
 
 // recordFailure records that e failed at t, and reports whether the caller must confirm that
-// the domain crashed. The result is true for each failure that makes at least
-// minDomainFailures members fail within domainFailureWindow, except while a confirmation is
-// under way or when the crash is already known.
+// the domain crashed. The result is true if, with this failure, at least minDomainFailures
+// members have failed within domainFailureWindow. Exception: the result is false if the domain
+// has fewer than minDomainSize members, while a confirmation is under way, or when the crash
+// is already known.
 func (d *domain) recordFailure(e *engine, t int64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,9 +175,9 @@
 	delete(d.failed, e)
 }
 
-// recordFailure records one failure of e. If failures of several members at the same moment
-// suggest that the domain crashed, it has the crash confirmed by a query, or handles the crash
-// at once where engines can't be queried.
+// recordFailure records one failure of e. Failures of several members at the same moment
+// suggest that the domain crashed. Where engines can be queried, recordFailure then starts a
+// query to confirm the crash; where they can't, it handles the crash at once.
 func (m *Monitor) recordFailure(e *engine, t int64) {
 	d := e.domain.Load()
 	if d == nil || !d.recordFailure(e, t) {
@@ -252,9 +253,10 @@
 	return true
 }
 
-// evaluateDomains suspects all silent members of a domain in which several members decode and none
-// has produced a token for longer than chance explains. inUse holds all engines with open
-// streams.
+// evaluateDomains finds the domains whose members are silent together: several members decode,
+// and none of these has produced a token for longer than chance explains. Where engines can't
+// be queried, such a domain is suspected at once; elsewhere its members are queried first.
+// inUse holds all engines with open streams.
 func (m *Monitor) evaluateDomains(inUse []*engine, t int64) {
 	byDomain := map[*domain][]*engine{}
 	for _, e := range inUse {
--- a/health/gaps.go
+++ b/health/gaps.go
@@ -63,7 +63,8 @@
 	return min(max(i, 0), buckets-1)
 }
 
-// firstBucketBit is the position of the highest bit of 1 ms in microseconds (512..1023 us).
+// firstBucketBit is the position of the highest bit of 1000, which is 1 ms in microseconds.
+// The numbers with this highest bit are 512 to 1023.
 const firstBucketBit = 9
 
 // bucketBound returns the upper bound of bucket i.
--- a/health/health.go
+++ b/health/health.go
@@ -37,7 +37,7 @@
 var (
 	// ErrSuspect means that the whole engine fell silent.
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
-	// ErrStalled means that one stream fell silent while others of its engine did not.
+	// ErrStalled means that one stream fell silent while other streams of its engine did not.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
 	// ErrRestarted means that the engine has restarted and has lost the runs that it had
 	// before.
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -116,10 +116,10 @@
 }
 
 // After the VM of this process was frozen, the streams must not all be resumed at once
-// although no engine failed. Tokens arrive, this process sleeps for ten seconds, then ticks
-// before any reader has run, so that silence is measured over a time in which nothing could be
-// received. The pause must also not enter the histogram of gaps, or later failures would be
-// waited out.
+// although no engine failed. Tokens arrive, and this process sleeps for ten seconds. Then a
+// tick runs before any reader has run, so that silence is measured over a time in which
+// nothing could be received. The pause must also not enter the histogram of gaps: otherwise
+// the Monitor would accept such a long silence after later failures.
 func TestOwnPauseIsForgiven(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMonitor(DefaultPolicy(), nil, nil)
--- a/health/policy.go
+++ b/health/policy.go
@@ -26,8 +26,8 @@
 	// FixedTimeout, if above 0, replaces the evaluation of silence: a stream that is silent
 	// for this long is cancelled, whatever the engine's other streams do.
 	FixedTimeout time.Duration `json:"fixed_timeout"`
-	// MinSilence and MaxSilence are the least and the greatest threshold of silence from which
-	// an engine is suspected.
+	// MinSilence and MaxSilence bound the threshold: the silence from which an engine is
+	// suspected.
 	MinSilence time.Duration `json:"min_silence"`
 	MaxSilence time.Duration `json:"max_silence"`
 	// StallFactor times the engine's threshold, at least MinStall and at most MaxStall, is how
@@ -35,10 +35,10 @@
 	StallFactor float64       `json:"stall_factor"`
 	MinStall    time.Duration `json:"min_stall"`
 	MaxStall    time.Duration `json:"max_stall"`
-	// MinPrefill plus PrefillFactor times the expected prefill, at most
-	// MaxPrefill, bounds the wait for a first token. QueueFactor multiplies the
-	// bound while the engine's other streams are alive, since the request is then
-	// queued behind them.
+	// MinPrefill plus PrefillFactor times the expected prefill bounds the wait for a first
+	// token. While the engine's other streams are alive, this bound is multiplied by
+	// QueueFactor, since the request is then queued behind them. The bound is never above
+	// MaxPrefill.
 	MinPrefill    time.Duration `json:"min_prefill"`
 	MaxPrefill    time.Duration `json:"max_prefill"`
 	PrefillFactor float64       `json:"prefill_factor"`
@@ -65,9 +65,9 @@
 	// MassSilence is the silence from which an engine is suspected while more than
 	// MaxEjectedShare of the engines in use are silent together.
 	MassSilence time.Duration `json:"mass_silence"`
-	// Tick is the interval of evaluation. A gap between ticks longer than
-	// PauseGap is a pause of this process. PauseGrace is added to the pause before it
-	// is excluded from silences, so that tokens waiting in sockets are read first.
+	// Tick is the interval of evaluation. A gap between ticks longer than PauseGap is a pause
+	// of this process. Pauses are excluded from silences. PauseGrace is excluded in addition
+	// to the pause, so that tokens waiting in sockets are read first.
 	Tick       time.Duration `json:"tick"`
 	PauseGap   time.Duration `json:"pause_gap"`
 	PauseGrace time.Duration `json:"pause_grace"`
@@ -166,7 +166,8 @@
 	return min(bound, p.MaxPrefill)
 }
 
-// stallBound returns how long one stream may be silent while others of its engine are alive.
+// stallBound returns how long one stream may be silent while other streams of its engine are
+// alive.
 func (p *Policy) stallBound(threshold time.Duration) time.Duration {
 	bound := time.Duration(float64(threshold) * p.StallFactor)
 	return min(max(bound, p.MinStall), p.MaxStall)
--- a/health/query.go
+++ b/health/query.go
@@ -26,10 +26,10 @@
 	// queries. It has to be this long since a preempted run continues only when its prompt has
 	// been read again.
 	maxConfirmedSilence = 4 * time.Second
-	// confirmedPrefillBounds times the bound on a first token is how long a first token is
-	// waited for while the engine answers queries. An answer doesn't allow a longer wait,
-	// because an engine can't name the runs whose prompts are still to be read, but only count
-	// them.
+	// confirmedPrefillBounds limits the wait for a first token while the engine answers
+	// queries: the longest wait is confirmedPrefillBounds times Policy.PrefillBound. Answers
+	// to queries don't allow a longer wait, because an engine can't name the runs whose
+	// prompts are still to be read, but only count them.
 	confirmedPrefillBounds = 2
 )
 
--- a/health/query_test.go
+++ b/health/query_test.go
@@ -210,8 +210,8 @@
 }
 
 // The crash of a domain must be noticed at once. The fault is that the Monitor waits for one
-// member that is still running and takes long to answer, or that it relies on a query from
-// when only few members had failed.
+// member that is still running and takes long to answer, or that it relies on the result of an
+// earlier query, sent when only few members had failed.
 func TestLostDomainIsNoticedAtOnce(t *testing.T) {
 	runWithLongBounds(t, func(m *Monitor) {
 		addDomains(m, 8, "a")
--- a/health/state.go
+++ b/health/state.go
@@ -31,15 +31,16 @@
 	m.recordFailure(e, t)
 }
 
-// Late reports a call to a service that is not a model engine that was abandoned because another
-// backend server, to which the call was sent long after, answered first. A late answer is weak
-// evidence, since some answers of a healthy server are late too: only several late answers in a
-// row, over some time and with no answer in time in between, make the server suspect.
+// Late reports that a call to a service that is not a model engine was abandoned: the call was
+// sent to another backend server long after it was sent to this one, and the other backend
+// server answered first. Such a late answer is weak evidence, since some answers of a healthy
+// server are late too. Only several late answers in a row, over some time and with no answer
+// in time in between, make the server suspect.
 //
 // Without this evidence, a replica that accepts calls but never answers would lose each race
 // and stay healthy, since a cancelled call gives no result. The replica's share of all calls
-// would be late, and each of these calls would cost a second attempt until the budget for second
-// attempts is spent and callers wait for their deadlines.
+// would be late, and each of these calls would cost a second attempt until the budget for
+// second attempts is spent and callers wait for their deadlines.
 func (m *Monitor) Late(backend string) {
 	t := m.sinceEpoch(time.Now())
 	e := m.engine(backend)
@@ -67,11 +68,11 @@
 	m.notifyChange(e.id, incarnation, PeerReportAlive)
 }
 
-// recordPause records, when an engine that was suspected answers again as the same incarnation,
-// the time since its last token before the suspicion as a gap. Without such gaps, only pauses
-// that were waited out would be recorded: an engine that often pauses for longer than its
-// threshold would be suspected each time, and the threshold would never adapt. lastToken is 0,
-// and no gap is recorded, if no such token is known.
+// recordPause is called when an engine that was suspected answers again as the same
+// incarnation. It records the time since the engine's last token before the suspicion as a
+// gap. Without such gaps, only pauses that were waited out would be recorded: an engine that
+// often pauses for longer than its threshold would be suspected each time, and the threshold
+// would never adapt. lastToken is 0, and no gap is recorded, if no such token is known.
 func (m *Monitor) recordPause(e *engine, lastToken int64) {
 	if lastToken == 0 {
 		return
--- a/health/tick.go
+++ b/health/tick.go
@@ -181,8 +181,8 @@
 	return h
 }
 
-// copiedShare divides a prompt: a run that is resumed from a copy of its state is assumed to cost
-// as much as reading 1/copiedShare of its prompt, for what the copy lacked and for the wait.
+// copiedShare sets the assumed cost of a run that is resumed from a copy of its state: reading
+// 1/copiedShare of the run's prompt. This accounts for what the copy lacks and for the wait.
 const copiedShare = 4
 
 // evaluateStreams evaluates each stream of an engine; decoding is true if some stream of the
@@ -317,7 +317,8 @@
 }
 
 // priorShares returns the prior that all engines share: a sample of the gaps of all engines
-// (see priorInterval), with a synthetic prior added while it has fewer than priorSamples gaps.
+// (see priorInterval). While the sample has fewer than priorSamples gaps, a synthetic prior is
+// added.
 func (m *Monitor) priorShares() Shares {
 	s := m.prior.Shares()
 	if s.Samples < priorSamples {
