--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -17,8 +17,9 @@
 	// enough answers are counted.
 	priorBad     = 1.0
 	priorAnswers = 25.0
-	// A version is bad if its share of bad answers exceeds that of the old version by badShare.
-	// toleranceFactor and toleranceAdd allow for the difference between two healthy versions.
+	// A version is bad if its share of bad answers exceeds the old version's share of bad
+	// answers by badShare. toleranceFactor and toleranceAdd allow for the difference between
+	// two healthy versions.
 	badShare        = 0.22
 	toleranceFactor = 1.25
 	toleranceAdd    = 0.03
@@ -202,9 +203,9 @@
 	return v
 }
 
-// weight returns the evidence of one answer: the logarithm of how much more likely it comes from a
-// bad version than from a healthy one, given that the share badRate of the old version's answers is
-// bad.
+// weight returns the evidence of one answer: the logarithm of a ratio. The ratio states how
+// much more likely such an answer is from a bad version than from a healthy version. badRate
+// is the share of bad answers among the old version's answers.
 func weight(badRate float64, bad bool) float64 {
 	healthy := min(badRate*toleranceFactor+toleranceAdd, maxBadShare-toleranceAdd)
 	worse := min(healthy+badShare, maxBadShare)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -23,9 +23,9 @@
 type Grade uint8
 
 const (
-	// Failed marks an answer that reports a failure, that does not belong to the request, or that
-	// was cut off by a replica which goes on working. An answer that was cut off by a crash is not
-	// rated.
+	// Failed marks three kinds of answers: an answer that reports a failure, an answer that
+	// does not belong to the request, and an answer that breaks off although its replica goes
+	// on working. An answer that breaks off because its replica crashed is not rated.
 	Failed Grade = 255
 
 	// gradeRatio is the ratio between the bounds of adjacent latency buckets; gradeUnit is the
@@ -43,8 +43,8 @@
 	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeRatio), lastGrade))
 }
 
-// CountKey identifies the answers that are counted together: those on one route, measured by one
-// aspect, from one failure domain, and with the same grade.
+// CountKey identifies the answers that are counted together: all answers on one route,
+// measured by one aspect, from one failure domain, and with the same grade.
 type CountKey struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
--- a/rollout/fleet_test.go
+++ b/rollout/fleet_test.go
@@ -108,7 +108,7 @@
 	heap.Push(&s.events, simEvent{s.now + d, lastSeq, do})
 }
 
-// cutOff marks an answer that was cut off by a crash.
+// cutOff marks an answer that broke off because its replica crashed.
 const cutOff Grade = 200
 
 const (
@@ -330,7 +330,8 @@
 	return took, GradeOf(took)
 }
 
-// countBad counts a bad answer of the new version, and records when the fiftieth was given.
+// countBad counts a bad answer of the new version, and records the time of the fiftieth bad
+// answer.
 func (s *simulation) countBad() {
 	s.out.badAnswers++
 	if s.out.badAnswers == 50 {
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -12,7 +12,7 @@
 //   - One failing replica or failure domain is not a fault of the version. Where there are several
 //     failure domains, bad answers from only one of them are not sufficient evidence.
 //   - A router that decides on its own observations sees too few answers, and a single deciding
-//     router may be cut off. Routers therefore broadcast how the new version answered, and each
+//     router may be isolated. Routers therefore broadcast how the new version answered, and each
 //     router may stop sending requests to the new version; only the progress from stage to stage
 //     is written to one place, the store, with a conditional write.
 //   - The old replicas stop as soon as a roll-out is recorded as completed. The runs at the old
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// badReportDelay is how long after its previous report a router reports a bad answer of the
-	// new version to the other routers at the earliest, goodReportDelay the same for any other
-	// answer of the new version.
+	// After each report a router waits before it reports further answers of the new version to
+	// the other routers. badReportDelay is the least wait if one of these answers is bad, and
+	// goodReportDelay is the least wait if none is.
 	badReportDelay  = 200 * time.Millisecond
 	goodReportDelay = time.Second
-	// oldReportInterval is how often some routers report the answers of the old version even if
-	// they have seen no answer of the new version, and oldReporters the expected number of these
-	// routers. The baseline must be known before the first answers of the new version.
+	// Some routers report the answers of the old version every oldReportInterval, even if they
+	// have seen no answer of the new version: the baseline must be known before the first
+	// answers of the new version. oldReporters is the expected number of these routers.
 	oldReportInterval = time.Second
 	oldReporters      = 8
 	// verdictInterval is how often a router repeats its report that the new version is bad, since
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -33,8 +33,9 @@
 
 func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
-		// The order may become known later than the record that the order caused. So unless the
-		// order was withdrawn, the roll-out fails only after settleTime.
+		// Without an order, an open roll-out fails: at once if the order was withdrawn, and
+		// otherwise only after settleTime, since this router may receive the record before the
+		// order that caused the record.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
 			return eventFailed, "the order was withdrawn"
 		}
--- a/rollout/quota.go
+++ b/rollout/quota.go
@@ -62,8 +62,8 @@
 }
 
 // admit counts one request and reports whether the request goes to the new version. elapsed is
-// the part of the trial that has elapsed, 0 to 1: the requests in addition to the share are
-// spread over the trial, since a version may turn bad after a while.
+// the part of the trial that has elapsed, from 0 to 1. The requests allowed in addition to the
+// share become available evenly over the trial, since a version may turn bad after a while.
 func (q *quota) admit(share, elapsed float64) bool {
 	q.allowed += share
 	if float64(q.sent+1) > q.allowed+q.extra*min(elapsed, 1) {
@@ -77,9 +77,9 @@
 // after all.
 func (q *quota) undo() { q.sent-- }
 
-// TrialReplicas chooses the replicas of the new version that take part in a trial: at least
-// one in each failure domain, and so few that each replica has about as much load as it will
-// have after the roll-out, so that a version that fails only under load fails during the
+// TrialReplicas chooses the replicas of the new version that take part in a trial, at least
+// one in each failure domain. It chooses so few replicas that each has about as much load as
+// it will have after the roll-out: a version that fails only under load then fails during the
 // trial. All routers choose the same replicas.
 func TrialReplicas(replicas []fleet.Backend, l Limits) map[string]bool {
 	byDomain := map[string][]string{}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -115,10 +115,10 @@
 	return r.stage()
 }
 
-// stage returns the recorded stage, except that a roll-back takes effect at once: a router
-// that found the new version bad, or whose order was withdrawn, does not wait until the
-// roll-back is written to the store. Until the record for a new order is written, the stage is
-// Waiting.
+// stage returns the recorded stage, with two exceptions. First, a roll-back takes effect at
+// once: a router that found the new version bad, or whose order was withdrawn, does not wait
+// until the roll-back is written to the store. Second, until the record for a new order is
+// written, the stage is Waiting.
 func (r *Rollout) stage() Stage {
 	switch {
 	case r.order == nil && r.record.Stage.Open():
--- a/rollout/schedule.go
+++ b/rollout/schedule.go
@@ -19,18 +19,21 @@
 	minMargin   = 1500 * time.Millisecond
 	// minTrialShare of an order's duration goes to the trial, however short the duration is.
 	minTrialShare = 0.4
-	// minTrialAfterStart is the minimum duration of a trial, or minTrialAfterStartShare of the
-	// order's duration if that is less. If the trial starts late because the store answered late,
-	// the time until the planned end may be too short to see an answer.
+	// minTrialAfterStart is the least time from the actual start of a trial until the trial
+	// may pass. If minTrialAfterStartShare of the order's duration is less, that share is used
+	// instead. If the trial starts late because the store answered late, the time until the
+	// planned end may be too short to see an answer.
 	minTrialAfterStart      = 2 * time.Second
 	minTrialAfterStartShare = 0.25
-	// rollbackMargin is how long before the end of an order's duration a roll-out whose trial
-	// has not passed is rolled back.
+	// rollbackMargin is the time that is left of an order's duration when a roll-out whose
+	// trial has not passed is rolled back.
 	rollbackMargin = settleTime + 200*time.Millisecond
 )
 
-// trialEnd returns the time from the order to the end of the trial. A version that turns bad after
-// a while is found only during the trial, so the trial takes all the time there is.
+// trialEnd returns the time from the order to the planned end of the trial. A version that
+// turns bad after a while is found only during the trial, so the trial takes all of the
+// order's duration except the margin and settleTime, and at least minTrialShare of the
+// duration.
 func (o Order) trialEnd() time.Duration {
 	margin := max(minMargin, time.Duration(marginShare*float64(o.Duration)))
 	least := time.Duration(minTrialShare * float64(o.Duration))
