--- a/replacement/replacement.go
+++ b/replacement/replacement.go
@@ -59,10 +59,11 @@
 // New returns a Finder that probes addresses through prober.
 func New(prober Prober) *Finder { return &Finder{prober: prober, probedAt: map[string]time.Time{}} }
 
-// Find returns the replicas that have taken the addresses of lost replicas. Each has the
-// failure domain and the other fields of the lost replica whose address it has. fits decides,
-// by what a replica reports of itself, whether the replica serves what the lost one served.
-// Addresses that were probed less than probeInterval ago are skipped.
+// Find returns the replicas that have taken the addresses of lost replicas. A returned replica
+// has the failure domain and the other fields of the lost replica whose address it has taken.
+// The function fits decides, by what a replica reports of itself, whether the replica serves
+// what the lost replica served. Addresses that were probed less than probeInterval ago are
+// skipped.
 func (s *Finder) Find(ctx context.Context, lost []fleet.Backend, checkPath string, fits func(lost fleet.Backend, f Replica) bool) []fleet.Backend {
 	var mu sync.Mutex
 	var found []fleet.Backend
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -49,16 +49,16 @@
 // chunk of a prompt takes several times as long as a step that only generates a token.
 const delayPerRun = 0.8
 
-// delayScorer rates candidates by the delay that the prompt causes, expressed as the
-// number of tokens that an engine reads in that time: the prompt's own wait behind prompts
-// that the engine has yet to read, plus the slowdown of the runs that generate tokens
-// there.
+// delayScorer rates candidates by the delay that the prompt causes. The delay is the prompt's
+// own wait behind prompts that the engine has yet to read, plus the slowdown of the runs that
+// generate tokens there. It is expressed as the number of tokens that an engine reads in that
+// time.
 //
-// A count of requests is not enough: it gives a stored copy, a run that generates tokens
-// and a prompt that is being read the same weight, although only reading a prompt slows
-// the other requests at the engine. Prompts would then be sent to engines that are reading
-// a prompt while other engines read none, and under normal load the first chunks would
-// arrive after twice the time that reading a prompt takes.
+// A count of requests is not enough: it gives a stored copy, a run that generates tokens and a
+// prompt that is being read the same weight, although only reading a prompt slows the other
+// requests at the engine. Prompts would then be sent to engines that are reading a prompt
+// while other engines read none, and under normal load the first chunks would arrive after
+// twice the time that reading a prompt takes.
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
--- a/routing/filters.go
+++ b/routing/filters.go
@@ -6,9 +6,9 @@
 	"wigeondale/health"
 )
 
-// Filter removes candidates that must not get the attempt. left holds the indices in all of
-// the remaining candidates. Keep removes indices from left in place and returns the indices
-// that are kept.
+// Filter removes candidates that must not get the attempt. The remaining candidates are listed
+// in left, by their indices in the slice all. Keep removes indices from left in place and
+// returns the indices that are kept.
 type Filter interface {
 	Name() string
 	Keep(all []Candidate, left []int32, req *PickRequest, sc *scratch) []int32
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -39,7 +39,7 @@
 	ScoreSlots      = "free-places"
 )
 
-// loadSlack is added to loads before they are compared. A continuous batch accepts that many
+// loadSlack is added to loads before they are compared. A continuous batch accepts loadSlack
 // more requests at little cost, so on an idle fleet a difference of one request must not
 // outweigh a cached prefix.
 const loadSlack = 4
@@ -103,18 +103,18 @@
 	return p.Slots()
 }
 
-// fullShare is the share of its slots in use from which a backend server counts as full. It is
-// below 1 because requests that other routers sent to the backend server show only in the next
-// report.
+// fullShare is the least share of a backend server's slots that must be in use for the backend
+// server to count as full. The share is below 1 because requests that other routers sent to
+// the backend server show only in the next report.
 const fullShare = 0.9
 
-// isFull reports whether a candidate is known to have no free slot. Prefix affinity then
-// draws no work to the candidate.
+// isFull reports whether a candidate counts as full: at least fullShare of its slots are in
+// use. If the number of slots isn't known, isFull returns false. Prefix affinity draws no work
+// to a full candidate.
 //
-// Without this check, near full load the loads of two engines differ by little, so a
-// cached prefix outweighs the difference. Requests then wait at one engine for a long
-// generation to end, to save some milliseconds of prefill, while other engines have free
-// slots.
+// Without this check, near full load the loads of two engines differ by little, so a cached
+// prefix outweighs the difference. Requests then wait at one engine for a long generation to
+// end, to save some milliseconds of prefill, while other engines have free slots.
 func (v *View) isFull(k int) bool {
 	slots := v.slots(k)
 	return slots > 0 && v.loads[k] >= fullShare*slots
@@ -203,8 +203,9 @@
 	}
 }
 
-// spreadScorer gives each resumed request an order of the candidates of its own, so that
-// routers that resume requests at the same time don't all choose the same idle engine.
+// spreadScorer rates the candidates for a resumed request in an order that is different for
+// each request, so that routers that resume requests at the same time don't all choose the
+// same idle engine.
 type spreadScorer struct{}
 
 func (spreadScorer) Score(v View, out []float64) {
--- a/routing/steps.go
+++ b/routing/steps.go
@@ -12,8 +12,8 @@
 	Weight float64 `json:"weight,omitempty"`
 }
 
-// weightedScorer is a scorer with its weight. affinity is set for scorers that draw a
-// request to particular candidates, such as candidates that may have its prompt prefix
+// weightedScorer is a scorer with its weight. affinity is set for scorers that draw a request
+// to particular candidates, such as candidates that may have the request's prompt prefix
 // cached.
 type weightedScorer struct {
 	scorer   Scorer
