--- a/cachelookup/cachelookup.go
+++ b/cachelookup/cachelookup.go
@@ -5,11 +5,12 @@
 // which knows nothing of the answer and would send the request to any backend server. A prompt
 // of thousands of tokens would be read once more while the backend server that read it first
 // still has it cached: prefill would be paid for twice after each loss of a router, and
-// answers would continue a second late. What a router remembers is lost when that router, or
-// all routers, are lost, but the backend servers know what they have cached, so the backend
-// servers are queried. They are queried only for clients that reconnected, and a backend server
-// is queried again only when its latest result is older than Config.MaxAge, because queries cost
-// the backend servers work.
+// answers would continue a second late.
+//
+// What a router remembers is lost with the router, and all routers may be lost at once. The
+// backend servers know what they have cached, so the backend servers are queried. Because
+// queries cost the backend servers work, they are sent only for clients that reconnected, and
+// a backend server is queried again only when its latest result is older than Config.MaxAge.
 package cachelookup
 
 import (
--- a/health/monitor_test.go
+++ b/health/monitor_test.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// decode advances all streams by n steps.
+// decode simulates n decode steps: in each step, every stream receives a token.
 func decode(n int, streams ...*attempt) {
 	for range n {
 		time.Sleep(step)
--- a/health/query_test.go
+++ b/health/query_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// startThenSilence has two runs at one engine produce some tokens and then none for d.
+// startThenSilence starts two runs at one engine. The runs produce some tokens and then none
+// for the time d.
 func startThenSilence(m *Monitor, q *fakeQuerier, d time.Duration) [2]*attempt {
 	m.RunQuerier = q
 	var streams [2]*attempt
@@ -127,7 +128,8 @@
 	}
 }
 
-// aliveSet answers queries for the engines that are alive.
+// aliveSet is a fake RunQuerier: engines in the set answer queries, and queries of all other
+// engines fail.
 type aliveSet map[string]bool
 
 func (l aliveSet) QueryRuns(_ context.Context, backend string) (RunReport, error) {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -210,7 +210,9 @@
 	})
 }
 
-// pastEarlyWindow has the router record that a run did not crash its server.
+// pastEarlyWindow has the router record the request of a run as answered, if the run is still
+// running at the same incarnation of its server: the run has then lasted for earlyWindow or
+// longer without crashing the server.
 func (m *fleetModel) pastEarlyWindow(r *modelRun, s *server, incarnation int) {
 	if r.server != s || s.incarnation != incarnation {
 		return
@@ -267,8 +269,9 @@
 	m.after(5*time.Millisecond, func() { m.send(r) })
 }
 
-// examined has a router record the crash found after a loss, and broadcast the crash. Unless
-// the loss came early in the run, only the exit of the server is recorded, not against d.
+// examined has a router record the crash that it found after a loss, and broadcast the crash.
+// Exception: if the loss did not come early in the run, the router records and broadcasts only
+// the exit of the server, which doesn't count against the request d.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
 		if m.routers[router].Exited(c.Incarnation, c.At) {
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -81,7 +81,8 @@
 
 func subject(name string) Subject { return Subject{Account: "acc", Body: []byte(name)} }
 
-// exitDuring has a backend server exit while it runs a submission of a request.
+// exitDuring makes a backend server exit while it runs a submission of a request. It waits
+// until the loss has been examined, and then for one more second.
 func (w *fakeRouters) exitDuring(c *Submission, id string) {
 	w.set(id, Exited)
 	<-c.Lost(Loss{Backend: fleet.Backend{ID: id, FailureDomain: "d"}, Ran: time.Second})
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -14,9 +14,9 @@
 	// request was running. With conclusiveCrashes crashes or more this isn't required.
 	minUnsharedCrashes = 2
 	conclusiveCrashes  = 5
-	// earlyWindow is how long after its first token or chunk a run may still be the cause if its
-	// backend server crashes. Runs that have lasted longer are assumed not to have caused the
-	// crash (bystanders).
+	// earlyWindow bounds how long a run counts as a possible cause of a crash of its backend
+	// server: from the start of the run until earlyWindow after its first token or chunk. Runs
+	// that have lasted longer are assumed not to have caused the crash (bystanders).
 	earlyWindow = time.Second
 	// If backgroundExits other backend servers exited within backgroundWindow, the required
 	// number of crashes is one higher, since some requests are then running at three crashes
@@ -25,13 +25,13 @@
 	backgroundWindow = 10 * time.Second
 	// crashTTL is how long a crash counts against the request that was running.
 	crashTTL = 10 * time.Minute
-	// answerGrace is how long after an answer to a request crashes under this request don't
-	// count: a request that many clients send is answered again and again while backend servers
-	// crash for other reasons.
+	// Crashes under a request don't count if they happen less than answerGrace after an answer
+	// to the request. A request that many clients send is answered again and again while
+	// backend servers crash for other reasons.
 	answerGrace = 10 * time.Second
-	// decisionDelay is how long after a crash reports that explain it may still arrive: exits of
-	// other backend servers at the same moment, or answers at other routers. A request that is
-	// about to be quarantined waits that long.
+	// decisionDelay is how long a request that is about to be quarantined waits for the
+	// decision. Reports that explain the latest crash may arrive in that time: exits of other
+	// backend servers at the same moment, or answers at other routers.
 	decisionDelay = 250 * time.Millisecond
 	// simultaneousWindow is the largest difference between the times at which crashes with a
 	// common cause are noticed. massExits other exits within it make a common cause likely.
@@ -140,7 +140,7 @@
 // Answered records that the request was answered. Crashes from before the answer, or up to
 // answerGrace after the answer, are dropped; later crashes stay. If no crash stays and the
 // answer isn't older than the start of the hold, the hold ends too. suspected reports whether
-// anything was dropped, lifted whether a hold ended.
+// anything was dropped, and lifted reports whether a hold ended.
 func (t *Tracker) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
 	t.answers.add(d, at)
 	s := t.suspects[d]
@@ -162,8 +162,9 @@
 	return true, lifted
 }
 
-// ClearedByAnswer reports whether an answer of the request rules out that it caused a crash at the
-// given time, and when the answer was given.
+// ClearedByAnswer reports whether the latest known answer to the request rules out that the
+// request caused a crash at the given time. It does if the crash happened before the answer or
+// less than answerGrace after the answer. answered is the time of the answer.
 func (t *Tracker) ClearedByAnswer(d Digest, crash time.Duration) (answered time.Duration, clears bool) {
 	answered, ok := t.answers.at(d)
 	return answered, ok && crash < answered+answerGrace
