--- a/hosted/adopt.go
+++ b/hosted/adopt.go
@@ -24,12 +24,14 @@
 	// adoptInterval is the interval at which a node searches for replacements of unreachable
 	// replicas while the store is unavailable.
 	adoptInterval = 500 * time.Millisecond
-	// adoptedInterval is how often the adopted replicas are broadcast again: messages get lost, and
-	// nodes start while the store is unavailable.
+	// adoptedInterval is the interval at which the adopted replicas are broadcast again while
+	// the store is unavailable. The repetition reaches nodes that missed an earlier message
+	// and nodes that have started since.
 	adoptedInterval = 4 * time.Second
-	// listedWithin is how long, after the store is available again, an adopted replica may
-	// still be missing from the store. An entry that expired during the outage is in the store
-	// again within about two seconds.
+	// listedWithin is how long a node's copy of the store must have been up to date before the
+	// node removes the adopted replicas that the store does not list. An earlier removal would
+	// affect working replicas: after an outage it takes about two seconds until entries that
+	// expired during the outage are in the store again.
 	listedWithin = 3 * time.Second
 	floodAdopted = "hosted.adopted"
 )
--- a/hosted/adopt_test.go
+++ b/hosted/adopt_test.go
@@ -59,8 +59,9 @@
 	return v
 }
 
-// A replica that was adopted and exited before the store was available again must get no work
-// any more. The store has precedence, for removals and for additions.
+// A replica is adopted, and exits before the store is available again. Once the store is
+// available, this replica must get no more work, since the store does not list the replica. An
+// adopted replica that the store lists must stay.
 func TestAdoptedReplicaNeedsTheStoresWord(t *testing.T) {
 	v := adoptingView("llm")
 	v.adopt([]adoptedReplica{{Name: "i-b", Addr: "10.0.0.1:80"}, {Name: "i-x", Addr: "10.0.0.9:80"}})
--- a/hosted/budgets.go
+++ b/hosted/budgets.go
@@ -32,8 +32,9 @@
 	// minBurst is the least burst of a node. It lets a node retry a request even if the
 	// platform's burst, divided among many nodes, would be less than one retry.
 	minBurst = 2
-	// continueDepth is the number of retries that started responses may draw beyond the budget,
-	// as a debt: the crash of a failure domain interrupts several responses at one node.
+	// continueDepth is the largest debt of a retry budget, in retries. Only retries of started
+	// responses may put the budget into debt. They need the debt because the crash of a
+	// failure domain interrupts several responses at one node at the same time.
 	continueDepth = 6
 )
 
--- a/hosted/decisions_test.go
+++ b/hosted/decisions_test.go
@@ -46,9 +46,9 @@
 	{"linked routers", replaySize{routers: 6, engines: 12, domains: 4, seeds: 3}, overload(3, 4)},
 }
 
-// A client must not get a refusal where a late answer would do. For nine seconds more prompts
-// arrive than the engines read; if requests that would be late are refused, the engines idle
-// afterwards. A request that can't be in time can still be served.
+// A client must not be refused if it can still get a late answer. For nine seconds more
+// prompts arrive than the engines can read. If requests that would be late were refused, the
+// engines would idle afterwards although they could have served these requests.
 func TestLateAnswersAreBetterThanNone(t *testing.T) {
 	for _, c := range overloadedFleets {
 		var got [2]figures
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -25,8 +25,9 @@
 	// By then the other node has usually written the record.
 	peerHoldWait   = 3 * time.Second
 	peerHoldSpread = 5 * time.Second
-	// expirySpread is the time over which the nodes spread their removals of a record whose
-	// hold has ended: one removal is enough.
+	// expirySpread is the time over which the nodes spread their removals of a record after
+	// its hold has ended. One removal is enough: a node that sees the record removed cancels
+	// its own removal.
 	expirySpread = time.Minute
 )
 
@@ -90,8 +91,8 @@
 	}
 }
 
-// lifted handles the lift of a hold: it cancels a pending write, and schedules the removal of
-// the record if the store has one.
+// lifted handles the update that a hold was lifted. It cancels a pending write of the hold's
+// record. If the store has the record, lifted schedules its removal.
 func (h *holds) lifted(d quarantine.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -225,8 +225,9 @@
 	return g.Run()
 }
 
-// untilSignal waits for a signal that ends the process, and then until all open requests have
-// ended, but not longer than the time that grace returns.
+// untilSignal waits for a signal that ends the process, and then lets the open requests
+// finish. It returns when all open requests have ended, but at the latest after the time that
+// grace returns.
 func (n *node) untilSignal(sigs <-chan os.Signal, stop <-chan struct{}) error {
 	if signals.Wait(sigs, stop, n.set, n.log) {
 		n.shutdown()
--- a/hosted/incarnation_test.go
+++ b/hosted/incarnation_test.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// No requests may go to an incarnation that has ended. The faults arise when a heartbeat from
-// before the crash is written after the first heartbeat of the next start, or when the
-// machine's clock was set back so that the later start has the earlier start time. Reports
-// must not be ordered by start time.
+// No requests may go to an incarnation that has ended, so reports must not be ordered by start
+// time. That order is wrong if the machine's clock was set back: then the later start has the
+// earlier start time. The order of arrival alone is wrong if a heartbeat from before the crash
+// is written after the first heartbeat of the next start.
 func TestNewerWordWins(t *testing.T) {
 	v := newTestView()
 	v.Put(entryStartedAt("i", 2000, 5, "ready"))
@@ -178,10 +178,10 @@
 	}
 }
 
-// Another program overwrites the entry of a replica, and some seconds later the replica's own
-// heartbeat restores the entry. A broken rewrite must withhold new work, and only until the
-// entry is valid again: the replica must neither get requests because of an entry that isn't
-// its own, nor be left without requests for good.
+// Another program overwrites the entry of a replica with an invalid entry, and some seconds
+// later the replica's own heartbeat restores the valid entry. While the entry is invalid, the
+// replica must get no new work, since the entry isn't its own. Once the entry is valid again,
+// the replica must get new work.
 func TestBrokenRewriteWithholdsWork(t *testing.T) {
 	broken := invalidEntries()
 	broken["no start time"] = string(replicaEntry("i", "10.0.0.1:80", 6).Data)
--- a/hosted/incarnations.go
+++ b/hosted/incarnations.go
@@ -10,18 +10,18 @@
 //
 // Reports arrive late and out of order: an old page of the store, an update from a neighbour,
 // or a heartbeat that was in flight when the replica crashed. Start times don't show the order
-// of reports, since the clock of a machine may be set back between two starts. So the report
-// received last counts, and reports from the store are received in the order of their
-// revisions. But an incarnation that another incarnation has replaced never becomes current
-// again.
+// of reports, since the clock of a machine may be set back between two starts. So the rule is
+// that the report received last counts; reports from the store are received in the order of
+// their revisions. Exception: an incarnation that another incarnation has replaced never
+// becomes current again, even if a late report names it.
 type incarnations struct {
 	current  map[string]fleet.Incarnation   // current incarnation by name
 	replaced map[string][]fleet.Incarnation // replaced incarnations by name, the latest last
 }
 
-// maxReplaced is the number of replaced incarnations that are remembered for a name. A report
-// older than maxReplaced starts does not arrive any more: the history of the store covers
-// fewer starts.
+// maxReplaced is the number of replaced incarnations that are remembered for a name. No more
+// are needed: the history of the store covers fewer than maxReplaced starts, so no report of
+// an older incarnation arrives any more.
 const maxReplaced = 16
 
 func newIncarnations() incarnations {
--- a/hosted/load_query.go
+++ b/hosted/load_query.go
@@ -30,8 +30,9 @@
 	// instead of all engines. With fewer preferred engines, the crash of a failure domain
 	// leaves too few to choose from.
 	preferredEngines = 8
-	// queryMaxWait bounds the wait for the responses, which take a few ms. To wait longer, for
-	// a lost packet, would cost more time than a badly placed prompt.
+	// queryMaxWait bounds the wait for the responses, which usually take a few ms. A response
+	// that takes longer is delayed by a lost packet, for example. Waiting for it would cost
+	// more time than placing the prompt badly.
 	queryMaxWait = 80 * time.Millisecond
 	// queryTimeout ends the query of one engine. A response that arrives after queryMaxWait but
 	// before queryTimeout is still recorded, for later choices; a response that arrives even
--- a/hosted/loads.go
+++ b/hosted/loads.go
@@ -46,8 +46,8 @@
 }
 
 // broadcastLoop broadcasts this router's loads whenever they change, as long as this router is
-// linked to all other routers, and applies the loads that the other routers sent. It calls
-// after at the end of each round.
+// linked to all other routers, and applies the loads that the other routers sent. At the end
+// of each round it calls after, which the caller uses for its other regular work.
 func (p *peers) broadcastLoop(ctx context.Context, send func(loadsMessage), after func(now time.Time)) {
 	tick := time.NewTicker(loadsInterval)
 	defer tick.Stop()
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -22,9 +22,9 @@
 	// that ends sooner is rated at its end, if it has at least minPaceChunks chunks.
 	paceChunks    = 20
 	minPaceChunks = 5
-	// cutOffCheck is the delay between the cut-off of an answer and the check whether the
-	// answer's replica still works. If the replica works, the answer counts as a failure.
-	// After this delay the crash of a replica is known.
+	// cutOffCheck is the delay between the moment at which an answer is truncated and the
+	// check whether the answer's replica still works. If the replica works, the answer counts
+	// as a failure. The delay is needed because a crash of the replica is not known earlier.
 	cutOffCheck = 1500 * time.Millisecond
 )
 
@@ -129,8 +129,8 @@
 }
 
 // observeFailure rates an attempt that ended with err, and returns the error to pass on. A
-// failure that the replica itself returned is counted at once. If the answer was cut off, the
-// rating waits for cutOffCheck.
+// failure that the replica itself returned is counted at once. An answer that was truncated is
+// rated after cutOffCheck, since the replica may have crashed.
 func (r *observedRun) observeFailure(s *rollouts, err error) error {
 	if errors.Is(context.Cause(r.ctx), generation.ErrMoved) {
 		return Error.Wrap(generation.ErrMoved)
@@ -152,8 +152,8 @@
 	return err
 }
 
-// observeCutOff counts an answer that was cut off as a failure, if its replica goes on
-// working.
+// observeCutOff counts a truncated answer as a failure if its replica still works. If the
+// replica is leaving or has crashed, the answer is not counted.
 func (r *observedRun) observeCutOff(s *rollouts) {
 	if s.dir.Leaving(r.b.ID) || s.mon.State(r.b.ID) != health.Healthy || s.crashed(r.b) {
 		return
--- a/hosted/peers.go
+++ b/hosted/peers.go
@@ -146,7 +146,9 @@
 	}
 }
 
-// settled is called when a series of calls of put and removed is complete.
+// settled applies the items of a complete series of calls of put and removed: it passes
+// changed addresses of nodes to the mesh. Its first call reports to the registration of this
+// node that the store has been read.
 func (p *peers) settled() {
 	p.firstRead.Do(func() { close(p.storeRead) })
 	p.mu.Lock()
--- a/hosted/picker.go
+++ b/hosted/picker.go
@@ -69,8 +69,9 @@
 	return p, nil
 }
 
-// memoryWeight lets free memory decide between engines with equal delay: one more copy at an
-// engine weighs slightly more than the difference that counts as equal, and less than one more
+// memoryWeight is the weight of free memory in the choice of an engine. With this weight, free
+// memory decides between engines with equal delay: one more copy at an engine weighs slightly
+// more than the largest difference in delay that counts as equal. It weighs less than one more
 // run.
 //
 // Without this weight, work goes to engines that keep many copies. Where a router knows only
@@ -80,8 +81,8 @@
 // nonEngineSteps choose the replica of a service that is not a model engine. anyEngineSteps
 // and preferredSteps choose the engine that runs an attempt, preferredSteps among the
 // preferred engines of the request. standbySteps choose the engine that keeps the copy of a
-// run. A copy is never used as the probe of a suspected replica: a copy that could not be made
-// would be noticed only when it is needed.
+// run. A copy is never used as the probe of a suspected replica: if the copy could not be
+// made, the router would notice that only when it needs the copy.
 var (
 	nonEngineSteps = withCommonSteps(
 		routing.StepConfig{Name: routing.FilterUsable},
@@ -167,8 +168,9 @@
 	return chooser.Pick(router, among, req, load)
 }
 
-// replicaWithCopy returns the replica that has a copy of the lost run, if that replica is
-// healthy and may get the attempt, and then records the loss of the run.
+// replicaWithCopy returns the replica that has a copy of the lost run, and records the loss of
+// the run. If that replica is not healthy or may not get the attempt, replicaWithCopy returns
+// false and records nothing.
 func (p *picker) replicaWithCopy(a generation.PickRequest) (fleet.Backend, generation.LoadShare, bool) {
 	if a.Prefer == "" || a.Exclude[a.Prefer] || p.dir.Leaving(a.Prefer) || !p.allowed(a.Prefer) {
 		return fleet.Backend{}, nil, false
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -19,16 +19,18 @@
 	refusedRetry = 600 * time.Millisecond
 	// maxFruitless is how many attempts in a row may end without delivering a chunk.
 	maxFruitless = 8
-	// killMargin is how long before the platform kills the process the process exits on its
-	// own.
+	// killMargin is the time between the moment at which the process exits on its own and the
+	// moment at which the platform would kill it.
 	killMargin = 300 * time.Millisecond
 	// expiryHeartbeats is the number of missed heartbeats after which an entry expires, as the
-	// platform documents. A suspected replica gets its first request again after that time: a
-	// crashed replica is out of the registry by then, and its successor is another incarnation.
+	// platform documents. A suspected replica gets no request before that time has passed. By
+	// then a crashed replica has been removed from the registry and its successor is another
+	// incarnation, so the crashed replica gets no request.
 	expiryHeartbeats = 3
-	// prefillFactor and queueFactor extend the bound on the time to a first chunk, since
-	// prompts are read one after the other. A longer bound does little harm: a replica that
-	// lost the run is found by querying the replica.
+	// prefillFactor and queueFactor extend the bound on the time to a first chunk, since an
+	// engine reads prompts one after the other. A longer bound does little harm: the router
+	// detects that a replica has lost a run by querying the replica, and need not wait for the
+	// bound.
 	prefillFactor = 5
 	queueFactor   = 2
 	// typicalGap is the time between the chunks of one stream that is assumed before any was
@@ -78,6 +80,6 @@
 	return report, err
 }
 
-// bytesPerToken converts the sizes of prompts: package generation states them in bytes, with
-// this number of bytes for each token.
+// bytesPerToken converts a rate in tokens to a rate in bytes. Package generation states the
+// sizes of prompts in bytes, with bytesPerToken bytes for each token.
 const bytesPerToken = 4
--- a/hosted/queue.go
+++ b/hosted/queue.go
@@ -172,7 +172,8 @@
 
 // sentBefore reports whether the request was sent to an engine that was lost, or was moved
 // from an engine to another version. In both cases it is no longer certain that the request
-// has not run, so a refusal would be a failure without a time to come back.
+// has not run. Therefore a refusal would reach the client as a failure without a time to come
+// back.
 func sentBefore(a generation.PickRequest) bool { return a.MayHaveRun || a.Resume || a.LostDomain != "" }
 
 var errOverloaded = Error.New("all engines have as much work as they can take")
--- a/hosted/replay_fleet_test.go
+++ b/hosted/replay_fleet_test.go
@@ -62,9 +62,9 @@
 	return s.work
 }
 
-// fewRouters is a fleet whose routers are all linked to each other. Routers that choose at the
-// same moment choose at random; with fewer seeds the bounds on the sums would be met in some
-// runs and not in others.
+// fewRouters is a fleet whose routers are all linked to each other. The results of a seed are
+// partly random, since routers that choose at the same moment choose at random. With fewer
+// seeds, the sums of the results would meet their bounds in some runs and not in others.
 var fewRouters = replaySize{routers: replayRouters, engines: 12, domains: 4, seeds: 12}
 
 // replayFleet is a simulated fleet under load.
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -31,18 +31,19 @@
 	rolloutPrefix = "wigeondale/rollouts/"
 	// rolloutTick is how often roll-outs are updated.
 	rolloutTick = 100 * time.Millisecond
-	// rolloutMaxAge is the age of a node's copy of the store up to which the node continues a
-	// trial.
+	// rolloutMaxAge is the largest age of a node's copy of the store with which the node
+	// continues a trial.
 	rolloutMaxAge = 3 * time.Second
-	// takeOverAfter is how long a change may be due before the next node in rank order writes it,
-	// and takeOverRanks how many nodes take part.
+	// If a change is due and not written, each node waits takeOverAfter longer than the node
+	// before it in rank order, and then writes the change. Only the first takeOverRanks nodes
+	// in this order write changes.
 	takeOverAfter = 600 * time.Millisecond
 	takeOverRanks = 12
 	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed write.
 	rolloutWrite = time.Second
 	rolloutRetry = 400 * time.Millisecond
-	// rolloutEcho is how long after a write the node waits until the change comes back from the
-	// store.
+	// rolloutEcho is how long a node waits after a write for the change to come back from the
+	// store. During this time the node doesn't write again.
 	rolloutEcho  = 1500 * time.Millisecond
 	floodRollout = "hosted.rollout"
 )
@@ -200,7 +201,8 @@
 	s.rank = func(service string) int { return rankIn(p.liveNodes(), p.set.Node.ID, service) }
 	s.flood = func(rep rollout.Report) {
 		if mesh := p.currentMesh(); mesh != nil {
-			// A lost report is followed by one that contains at least the same counts.
+			// A lost report does no harm, since the next report contains at least the same
+			// counts.
 			_ = mesh.Flood(floodRollout, rep)
 		}
 	}
--- a/hosted/rollouts_test.go
+++ b/hosted/rollouts_test.go
@@ -60,9 +60,9 @@
 
 const rolloutTime = 6 * time.Second
 
-// The operator must be notified of the result of a roll-out, and the new replicas must not get
-// half of all requests from the start: the order comes first, then replicas of the version
-// start.
+// The operator orders a roll-out, and then replicas of the new version start. The new replicas
+// must not get half of all requests from the start, and the operator must be notified of the
+// result of the roll-out.
 func TestGoodVersionCompletes(t *testing.T) {
 	f := newFleet(t)
 	f.startVersion("app", "v1", 2)
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -19,9 +19,9 @@
 	readersPerDomain = 1
 	// syncInterval is how often a node broadcasts how current its copy of the store is.
 	syncInterval = 400 * time.Millisecond
-	// staleAfter is the age of its copy from which a node reads the store itself. It is more
-	// than the age that the copy reaches while a reader works, and less than the time within
-	// which a configuration has to be in force.
+	// A node reads the store itself once its copy is older than staleAfter. staleAfter is
+	// longer than the age that copies reach while a reader works, and shorter than the time
+	// within which a configuration has to be in force.
 	staleAfter = 1700 * time.Millisecond
 	// pullTimeout bounds one query to a neighbour. The response, a page of the store, shares
 	// the network link with the requests.
@@ -39,10 +39,11 @@
 	AgeMS  int64 `cbor:"2,keyasint"` // time since the store last confirmed the copy, directly or through other nodes
 }
 
-// storeSync distributes the contents of the store, which only a few nodes read. A node sends
-// to its neighbours how current its copy is, at once when its copy changes; a neighbour with
-// an older copy requests the difference and sends its own state in turn, so that updates pass
-// through any set of links.
+// storeSync distributes the contents of the store, which only a few nodes read. At intervals,
+// and at once when its copy changes, a node sends to its neighbours how current its copy is. A
+// neighbour with an older copy requests the difference. The neighbour's copy has changed then,
+// so the neighbour sends its own state in turn. In this way updates pass through any set of
+// links.
 //
 // If all nodes read the store, the number of calls, which are priced and limited, would grow
 // with the number of nodes. With few readers, a node could rely on a reader that is cut off
--- a/hosted/store_sync_size_test.go
+++ b/hosted/store_sync_size_test.go
@@ -165,8 +165,9 @@
 	return n
 }
 
-// syncBound is the largest allowed delay until a node has a change that some neighbour which
-// it reaches has. A configuration has to be in force two seconds after it was accepted.
+// syncBound is the largest allowed delay between a change in the store and the receipt of the
+// change by a node, including the nodes that the store rejects. A configuration has to be in
+// force two seconds after it was accepted.
 const syncBound = 2 * time.Second
 
 // Nodes must not go on with revoked keys. The store rejects a third of the nodes for nine
--- a/hosted/view.go
+++ b/hosted/view.go
@@ -41,9 +41,9 @@
 	changed         bool
 }
 
-// maxLogged is the largest number of replicas added together that are logged one by one. A
-// router that starts reads thousands of replicas, whose log lines would crowd out all other
-// lines.
+// maxLogged is the largest number of replicas that are logged one by one when they are added
+// in the same batch. Of a larger batch only the number is logged: a router that starts reads
+// thousands of replicas, whose log lines would crowd out all other lines.
 const maxLogged = 20
 
 func newView(table *route.Current, dir *directory.Directory, mon *health.Monitor, p *peers, ro *rollouts, log *event.Log) *view {
