--- a/admission/admission.go
+++ b/admission/admission.go
@@ -81,10 +81,11 @@
 	// now. A nil function means no bound. It is called with a lock held and must return
 	// quickly.
 	Capacity func(pool string) int
-	// BatchCapacity returns how many of these requests may be new work of batch priority. The
-	// rest of the capacity is left for interactive requests and resumes. A nil function means
-	// the same bound as Capacity. Batch generations run for minutes: if they could fill every
-	// slot, an interactive request would wait until one of them has ended.
+	// BatchCapacity returns how many of the requests that Capacity allows may be new work of
+	// batch priority. The rest of the capacity is left for interactive requests and resumes. A
+	// nil function means the same bound as Capacity. Batch generations run for minutes: if
+	// they could fill every slot, an interactive request would wait until one of them has
+	// ended.
 	BatchCapacity func(pool string) int
 	// MinUrgentSlots returns how many interactive requests this router may run whatever else
 	// runs, and how many resumes it may run beyond Capacity. A nil function means none. Engines
--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -26,8 +26,9 @@
 }
 
 // take draws cost. If the level is too low, it draws nothing, and wait is the time until the
-// level suffices (the longest time.Duration if the rate is zero). A full bucket admits a cost
-// above the burst and goes into debt: otherwise a long generation could never run.
+// level suffices (the longest time.Duration if the rate is zero). Exception: a full bucket
+// admits a cost above the burst and goes into debt, since otherwise a long generation could
+// never run.
 func (b *bucket) take(cost, rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	b.refill(rate, burst, now)
 	need := min(cost, burst)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -157,15 +157,16 @@
 	return nil
 }
 
-// checkQueue refuses a ticket that can't finish in time at the rate at which the queues drain,
-// or that would wait longer than is useful. If the queue is full, it refuses the new ticket or
-// drops the waiting ticket with the highest start tag, whichever would be served later.
-// Resumes are not refused because the queue is full.
+// checkQueue refuses a ticket that can't finish in time, given its estimated wait. It also
+// refuses a ticket whose estimated wait is longer than maxQueueWait. If the queue is full,
+// checkQueue refuses the new ticket or drops the waiting ticket with the highest start tag,
+// whichever would be served later. Exception: a resume is not refused because the queue is
+// full.
 func (c *Controller) checkQueue(w *waiter, now time.Time) *Refused {
 	p := w.pool
 	wait := p.waitFor(p.ahead(w), w.ticket.Priority, &c.cfg, now)
-	// A ticket that can't finish in time is refused either now or after a useless wait. The
-	// estimated wait is increased so that such a ticket is refused now.
+	// If a ticket that can't finish in time were queued, it would be refused later, after a
+	// useless wait. The estimated wait is increased so that such a ticket is refused now.
 	if w.expired(now.Add(time.Duration(float64(wait)*waitSafetyFactor)), c.cfg.MinService) {
 		return c.cfg.refuse(ReasonDeadline, wait)
 	}
--- a/admission/controller_test.go
+++ b/admission/controller_test.go
@@ -50,7 +50,8 @@
 
 // The requests of a small account must not wait behind hundreds of requests of a large
 // account. The large account queues up to 200 tickets, then small accounts queue one each.
-// Whatever the costs are, each small ticket must be served within one ticket of each account.
+// Whatever the tickets cost, all small tickets must have been served after at most one more
+// ticket of the large account.
 func TestLargeAccountDoesNotStarveSmall(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		small := rapid.IntRange(1, 5).Draw(rt, "small accounts")
@@ -250,8 +251,8 @@
 }
 
 // An account must not exceed its limit by stating a lower cost than it uses, and a long
-// generation must be admitted eventually. Costs are settled at the end of the work, and debts
-// are included.
+// generation must be admitted eventually. When the work ends, the router charges its actual
+// cost. A resulting debt must delay the account's next new request.
 func TestBucketSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestController(9, map[string]Limit{"a": {TokensPerSecond: 100, Burst: 200}})
@@ -280,8 +281,8 @@
 
 // In a partition, the parts of the fleet must not each grant the whole limit. For any demands
 // and any partition of the fleet into parts that reach only their own members, the sum of the
-// parts' shares stays within the stated overshoot. If no peer is unreachable, the sum is the
-// limit itself.
+// parts' shares must be at most MaxOvershoot times the limit. If no peer is unreachable, the
+// sum must be the limit itself.
 func TestShareOvershootIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "nodes")
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// wait blocks until the ticket is admitted, and then returns nil, or until the ticket is
-// refused: because the time left until its deadline no longer suffices, because its pool has
-// been without capacity for too long, because the full queue drops it, or because ctx ends.
+// wait blocks until the ticket is admitted or refused, and returns nil if it is admitted. A
+// waiting ticket is refused in four cases: the time left until its deadline no longer
+// suffices, its pool has been without capacity for too long, the full queue drops the ticket,
+// or ctx ends.
 func (c *Controller) wait(ctx context.Context, w *waiter) *Refused {
 	var deadline <-chan time.Time
 	if d := w.ticket.Deadline; !d.IsZero() {
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -11,11 +11,11 @@
 )
 
 // Interactive requests must not miss their deadlines while batch requests run for minutes, and
-// batch requests must run even while interactive ones want every slot. Neither may batch
-// requests get the last slots, nor may they get none in order to reserve slots for interactive
-// requests. In the first part more batch requests than slots arrive, then an interactive one
-// and a resume; in the second part, interactive requests fill every slot, then more requests
-// of both priorities arrive.
+// batch requests must run even while interactive ones want every slot. Batch requests must not
+// get the last slots. But they must not be left without any slot either, in order to reserve
+// slots for interactive requests. In the first part more batch requests than slots arrive,
+// then an interactive one and a resume; in the second part, interactive requests fill every
+// slot, then more requests of both priorities arrive.
 func TestDraftsLeaveRoomForLookups(t *testing.T) {
 	interactive := Ticket{Account: "a", Cost: 1, Priority: fleet.Interactive}
 	batch := Ticket{Account: "a", Cost: 1}
@@ -66,10 +66,10 @@
 }
 
 // Callers must not be refused only after they have waited for seconds, and started batch
-// requests must not be cut at their deadline. Both happen if the wait is estimated from the
-// rate at which all work ends, including interactive requests, and if the time that a batch
-// request needs is ignored. Batch requests of two seconds, with a deadline of five, arrive at
-// twice the rate at which they can be served, and interactive requests run alongside.
+// requests must not be cut at their deadline. Both happen if the router estimates the wait
+// from the rate at which all work ends, including interactive requests, and ignores the time
+// that a batch request needs. Batch requests of two seconds, with a deadline of five, arrive
+// at twice the rate at which they can be served, and interactive requests run alongside.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const service, deadline = 2 * time.Second, 5 * time.Second
@@ -154,8 +154,9 @@
 
 // Near full load, batch requests must not queue for ever while slots stay empty. Two
 // interactive requests run within the reserve of two slots, and batch requests arrive. The
-// router must not count the interactive requests against the batch share and keep the reserve
-// empty in addition.
+// running interactive requests use the reserve, so the batch requests may use all other slots.
+// The fault is that the router keeps the reserve empty although interactive requests already
+// use as many slots.
 func TestReserveHoldsLookupsThatRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		defer time.Sleep(time.Minute)
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -174,10 +174,10 @@
 // other work. One slot in batchEvery is available to batch work even if interactive requests
 // use all others.
 //
-// The capacity that batch work leaves free counts running interactive requests as well as
-// future ones. Otherwise the running requests would also use part of the batch share, and near
-// full load batch requests would queue for ever while slots stay empty. Only while interactive
-// requests wait is the whole reserve left free.
+// Batch work leaves a reserve of capacity for interactive requests. The interactive requests
+// that run count as users of this reserve. Otherwise they would also use part of the batch
+// share, and near full load batch requests would queue for ever while slots stay empty.
+// Exception: while interactive requests wait, the whole reserve is left free.
 func (p *pool) hasBatchSlot(cfg *Config) bool {
 	capacity, running := cfg.batchCapacity(p.name), p.load[fleet.Batch].running
 	if len(p.queues[interactiveNew].items) == 0 && running < capacity {
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -34,7 +34,8 @@
 	// wait at this router. The time that remains after reading the prompt is kept for waits
 	// that last longer than expected, since half of the waits do.
 	waitShare = 0.3
-	// uselessFactor is how many times the target for the first chunk a caller waits at most.
+	// A caller is assumed to wait for the first chunk for at most uselessFactor times the
+	// target. A first chunk that arrives later is useless.
 	uselessFactor = 3
 	// answerShare is the part of a caller's remaining time that is reserved for the answer
 	// itself.
@@ -68,9 +69,9 @@
 }
 
 // Refuses reports whether a request is refused now, and after what time its client should come
-// back. That time is not shorter than the wait until the request would have been granted a
-// slot. A request that has waited without a slot should come back only after at least as long
-// as it has waited, since it would not be granted a slot sooner.
+// back. That time is the expected wait for a slot, but at least the time that the request has
+// waited already: since no slot was granted to it in that time, it is not expected to be
+// granted one sooner when it comes back.
 func (r RefusalPolicy) Refuses(w WaitState) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
--- a/admission/waitqueue.go
+++ b/admission/waitqueue.go
@@ -100,9 +100,9 @@
 	return Position{Ahead: l.countAhead(id, w, now), Waited: now.Sub(w.queuedAt), Late: true}
 }
 
-// RecordGrant records that a request was granted a slot, and takes it out of the queue.
-// grantInterval is measured only from grants to requests that had to wait, during an interval
-// throughout which requests were waiting.
+// RecordGrant records that a request was granted a slot, and takes it out of the queue. The
+// interval between two grants counts for grantInterval only if the granted requests had to
+// wait, and if requests were waiting during the whole interval.
 //
 // If other intervals counted, then at a router with little traffic the measure would be the
 // interval at which requests arrive, not the one at which engines have free slots, and a
@@ -135,7 +135,7 @@
 	delete(l.waiters, id)
 }
 
-// ExpectedWait returns the expected time until as many requests as ahead states have been
+// ExpectedWait returns the expected time until the given number of requests, ahead, have been
 // granted a slot. The bool is false while the wait can't be estimated. While no slot is
 // granted, the expected wait grows with the time since the last grant.
 func (l *WaitQueue) ExpectedWait(ahead int, now time.Time) (time.Duration, bool) {
