--- a/generation/attempt.go
+++ b/generation/attempt.go
@@ -50,8 +50,9 @@
 func (x *run) watchAttempt(a *attempt) {
 	a.ctx, a.cancel = context.WithCancelCause(x.ctx)
 	if x.isLastAttempt() {
-		// No other attempt may follow: if this attempt were ended because it is silent, an
-		// answer that may still arrive would be lost, and nothing would be gained.
+		// No other attempt may follow. If the failure detector ended this attempt because of a
+		// silence, an answer that may still arrive would be lost, and no other attempt could
+		// deliver it.
 		a.watch = noWatch{}
 		return
 	}
@@ -162,9 +163,10 @@
 	})
 }
 
-// linger returns how long the engine keeps an attempt without a reader. For a request that is
-// not idempotent the engine keeps it until the deadline (at most maxNonIdempotentLinger): such
-// a request may run only once, so its run must outlast a long silence.
+// linger returns how long the engine keeps an attempt without a reader, in general
+// Options.Linger. Exception: for a request that is not idempotent the engine keeps the attempt
+// until the deadline, but at most for maxNonIdempotentLinger. Such a request may run only
+// once, so its run must outlast a long silence.
 func (x *run) linger() time.Duration {
 	if !x.req.NonIdempotent || x.req.Deadline.IsZero() {
 		return x.opts.Linger
@@ -173,8 +175,8 @@
 }
 
 // engineLost reports whether the attempt with the context ctx was cancelled so that its answer
-// is continued: by the failure detector, or because the backend server reported that it
-// doesn't have the run.
+// is continued. An attempt is cancelled for this purpose by the failure detector, and when the
+// backend server reports that it doesn't have the run.
 func engineLost(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, ErrEngineLost) {
--- a/generation/copy.go
+++ b/generation/copy.go
@@ -15,7 +15,7 @@
 	// wait for other copies.
 	copyTimeout = 1500 * time.Millisecond
 	// copyRefreshAge is the age at which a copy that was made on demand is brought up to date.
-	// Backend servers drop a copy that isn't updated for longer.
+	// Backend servers drop copies that are not updated, and do so only at a higher age.
 	copyRefreshAge = 2500 * time.Millisecond
 )
 
@@ -44,8 +44,9 @@
 	}
 }
 
-// maintainCopy makes or refreshes the standby copy of the attempt in the background, when
-// there is no copy, the copy was lost or it is due for a refresh.
+// maintainCopy checks the standby copy of the attempt every copyCheckInterval. If there is no
+// copy, or the copy was lost or is due for a refresh, maintainCopy makes or refreshes the copy
+// in the background.
 //
 // If a lost copy were not replaced, a run whose copy is lost with the failure domain of the
 // copy would continue without any copy. If the failure domain of the run crashes some seconds
--- a/generation/dispatch.go
+++ b/generation/dispatch.go
@@ -74,9 +74,9 @@
 	return standby
 }
 
-// copiesFor returns from which copy the run is to continue at b, or the zero value if b
-// doesn't keep the copy of the lost attempt. It clears the record of that copy, so that only
-// one attempt can use the copy.
+// copiesFor returns the copy from which the run is to continue at b. If b doesn't keep the
+// copy of the lost attempt, copiesFor returns the zero value. In both cases it clears the
+// record of that copy, so that only the next attempt can use the copy.
 func (x *run) copiesFor(b fleet.Backend) backend.Copies {
 	lost := x.lostCopy
 	x.lostCopy = lostAttemptCopy{}
@@ -116,9 +116,9 @@
 	a.closeReader()
 	x.attemptsSent--
 	if isRefusal && refused.Code == codeAttemptExists {
-		// Another router runs this same request. The stored pointer to that run is soft state
-		// and was lost. It would be untrue to report that the request was refused and has not
-		// run.
+		// Another router already runs this request. This router doesn't know of that run,
+		// since the stored pointer to the run is soft state and was lost. It would be untrue
+		// to report that the request was refused and has not run.
 		return x.end("lose", CodeDuplicate, ErrDuplicate)
 	}
 	if x.mustEnd() {
@@ -216,9 +216,9 @@
 }
 
 // suspect decides how to continue an answer whose attempt was lost. If the accepted text is
-// available, another engine continues the answer and the old attempt is cancelled. Otherwise
-// (the request is not idempotent, or this router never received the text) only the run of the
-// old attempt can deliver the rest.
+// available, another engine continues the answer and the old attempt is cancelled. If the
+// request is not idempotent, or this router never received the text, only the run of the old
+// attempt can deliver the rest, so the router re-attaches to that run.
 func (x *run) suspect() string {
 	x.tracked.AwaitExamination(x.ctx, x.lossExamined)
 	if x.mustEnd() {
@@ -235,8 +235,8 @@
 		return x.giveUp(CodeEngineLost, x.waitErr)
 	}
 	x.callerSlow = false
-	// The engine may be available again in a moment, and callers wait for a few seconds at
-	// most.
+	// The engine may be available again in a moment, so the router tries again to re-attach.
+	// It stops after StartedMaxWait, since callers wait for a few seconds at most.
 	if x.fruitlessTries > 1 && time.Since(x.lostAt) > x.opts.StartedMaxWait {
 		return x.giveUp(CodeEngineLost, errors.Join(ErrNoResume, x.waitErr))
 	}
--- a/generation/generation.go
+++ b/generation/generation.go
@@ -7,8 +7,8 @@
 //   - An engine is lost in mid-answer: the answer is continued elsewhere from the accepted text,
 //     by the same model, version and adapter only.
 //   - Tokens arrive late, twice, out of order or with a gap (type tokenFilter).
-//   - A request that is not idempotent runs twice: it is claimed before dispatch, and after that
-//     only re-attached to its one run.
+//   - A request that is not idempotent runs twice: therefore the request is claimed before
+//     dispatch, and after that the router only re-attaches to the request's one run.
 //   - An untrue "not-run": it is reported only while no byte can have reached an engine, or if
 //     every engine that was reached refused before it started.
 //
@@ -47,8 +47,9 @@
 	// ErrMoved means that an attempt was ended so that the answer is continued elsewhere. It is
 	// not a fault of the backend server.
 	ErrMoved = errors.New("answer is to go on elsewhere")
-	// ErrNoResume means that no remaining run and no known text can continue the answer
-	// without changing the answer.
+	// ErrNoResume means that the answer can't be continued: no remaining run can deliver the
+	// rest, and no text is known from which another run could continue without changing the
+	// answer.
 	ErrNoResume = errors.New("answer can't be continued")
 )
 
@@ -163,8 +164,8 @@
 	Begin(p Position, head *backend.Head) error
 	// Token receives the token at index. text is valid only during the call.
 	Token(index int, text []byte, finish string) error
-	// Flush is called when no further token can be delivered without waiting, so that the
-	// caller gets the tokens delivered so far.
+	// Flush sends the tokens delivered so far to the caller. The runner calls Flush whenever
+	// it has to wait for the next token.
 	Flush() error
 }
 
--- a/generation/maxwait_test.go
+++ b/generation/maxwait_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// The machine is busy: the engine paused before, so that its next silence is tolerated for 4.3
-// s, while a started answer may wait for 4 s. If the silence counted as part of the wait, the
-// answer would be cut with "no replica" as soon as the silence is detected, though its engine
-// would take the next attempt.
+// The machine is busy. The engine paused before, so the failure detector tolerates the
+// engine's next silence for 4.3 s. A started answer may wait for only 4 s. If the silence
+// counted as part of this wait, the answer would be truncated with "no replica" as soon as the
+// silence is detected, although its engine would accept the next attempt.
 func TestSilenceIsNoWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Runner{opts: Options{StartedMaxWait: 4 * time.Second}}
--- a/generation/opaque_test.go
+++ b/generation/opaque_test.go
@@ -374,8 +374,10 @@
 	}
 }
 
-// Each attempt is refused or lost. If started answers drew on no budget, a service that has
-// lost half of its replicas would receive several times as many arrivals as requests.
+// Each attempt is refused or lost, so the runner wants one more attempt again and again.
+// Attempts that continue started answers must draw on the retry budget too. Otherwise a
+// service that has lost half of its replicas would receive several times as many arrivals as
+// requests.
 func TestNoArrivalBeyondTheBudget(t *testing.T) {
 	synctestRun(t, func() {
 		refused := &backend.Refused{Status: 421}
@@ -419,9 +421,9 @@
 	}
 }
 
-// Many nodes share the budget, and the part of one node is spent. If a started answer could
-// draw no more for its continuation than a call for a retry, generations would be cut at a
-// crash though the service has budget left.
+// Many nodes share the budget of a service, and one node has spent its part. A started answer
+// must be able to overdraw the node's part in order to continue. Otherwise generations would
+// be truncated at a crash although the service has budget left.
 func TestStartedAnswerMayOverdraw(t *testing.T) {
 	synctestRun(t, func() {
 		w := &fakeFleet{chunks: 9, overdraft: 1, scripts: []script{{lastChunk: 2, err: errBroken}}}
@@ -435,9 +437,9 @@
 	})
 }
 
-// On VMs whose wall clock is set ahead, requests must not end early. They would if the
-// deadline were measured on the wall clock, for the reason that it counts suspensions; the
-// boot clock counts suspensions as well and is never set.
+// On VMs whose wall clock is set ahead, requests must not end early. They would end early if
+// the deadline were measured on the wall clock. The wall clock is not needed in order to count
+// suspensions: the boot clock counts them as well and is never set.
 func TestOpaqueDeadlineIsOnTheBootClock(t *testing.T) {
 	early := func(r *Request) {
 		r.Deadline = time.Now().Add(time.Hour)
--- a/generation/pause.go
+++ b/generation/pause.go
@@ -6,16 +6,16 @@
 // during which a loss is still attributed to that pause.
 const afterPauseWindow = time.Second
 
-// awaitCallerDisconnect waits for up to CallerGrace for a possible disconnect of the caller to
-// be noticed, when a stream breaks during or just after a silence that may have been a pause
-// of this process.
+// awaitCallerDisconnect is used when a stream breaks. If the break comes during or just after
+// a silence that may have been a pause of this process, awaitCallerDisconnect waits for up to
+// CallerGrace. In that time the router can notice that the caller has disconnected too.
 //
 // It guards against this sequence: this process is paused in mid-stream. Its caller continues
 // through another router, which takes over the engine's stream. When this process resumes, it
-// finds both connections closed. If it notices the closed connection of the engine first, it
-// would start the answer on another engine for a caller that has left, and cancel the run that
-// the other router is reading. The symptom would be further attempts although no engine
-// failed.
+// finds both connections closed. If this process handled the engine's closed connection first,
+// it would continue the answer on another engine for a caller that has left, and cancel the
+// run that the other router is reading. The symptom would be further attempts although no
+// engine failed.
 //
 // A break in a flowing stream needs no wait, since its caller was connected a moment ago.
 func (x *run) awaitCallerDisconnect() {
--- a/generation/runquery.go
+++ b/generation/runquery.go
@@ -65,13 +65,14 @@
 // Resume reports that the answer is to be continued on another backend server.
 func (runNotFound) Resume() bool { return true }
 
-// pollRun queries the backend server at intervals for an attempt that waits long for its first
-// chunk, until stop is called.
+// pollRun starts to query the backend server at intervals whether it has the run of an attempt
+// that waits long for its first chunk. If the backend server doesn't have the run, the attempt
+// is cancelled so that the answer is continued elsewhere. The queries end when stop is called.
 //
 // It detects a backend server that loses an answer, or accepts requests and never works on
-// them, while its other streams continue. Silence alone can't tell such a fault from a queue,
-// which is why the time limit for the first chunk is long. Without the query the answer would
-// be late by many times the duration of the run.
+// them, while its other streams continue. From the silence alone, the router can't distinguish
+// such a fault from a queue. Therefore the time limit for the first chunk is long, and without
+// the queries the answer would be late by many times the duration of the run.
 func (x *run) pollRun(a *attempt) (stop func()) {
 	if x.RunQuerier == nil || x.req.Opaque == nil || !x.req.Opaque.Streaming || x.isLastAttempt() {
 		return func() {}
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -158,8 +158,8 @@
 	return a
 }
 
-// wait sleeps until the next pick, within the caller's deadline and the maximum wait. If the
-// delay is longer than the time left by either of these, wait ends the run at once.
+// wait sleeps until the next pick. If the delay until then is longer than the time left until
+// the caller's deadline, or than the rest of the maximum wait, wait ends the run at once.
 func (x *run) wait() string {
 	if x.mustEnd() {
 		return x.giveUp(CodeDeadline, x.endCause())
@@ -180,14 +180,14 @@
 }
 
 // waitLeft returns how much longer the request may wait for a backend server. The maximum wait
-// of a started answer is counted from when its loss is noticed; the maximum wait of an opaque
-// answer is counted from its last chunk, since its client leaves after a pause, whatever
-// caused the pause.
+// of a started answer is counted from the time at which the loss of its attempt is noticed.
+// Exception: for an opaque answer it is counted from the last chunk, since the client of an
+// opaque answer leaves after a pause, whatever caused the pause.
 //
-// If the wait of a started answer were counted from its last token, a silence could use it up:
-// after earlier pauses the failure detector tolerates an engine's silence for longer. The
-// answer would be cut at the moment at which the silence is detected, though another engine
-// could continue it.
+// If the maximum wait were always counted from the last token, a silence could use up the
+// whole wait, since after earlier pauses the failure detector tolerates an engine's silence
+// for longer. The answer would be truncated at the moment at which the silence is detected,
+// although another engine could continue it.
 func (x *run) waitLeft() time.Duration {
 	maxWait, since := x.opts.MaxWait, x.lastToken
 	if o := x.req.Opaque; o != nil {
