--- a/hedge/hedge.go
+++ b/hedge/hedge.go
@@ -117,9 +117,9 @@
 }
 
 // Observe records how long a call of the pool took until its answer started. For a call whose
-// second try won, took must be the whole wait from the first try. That wait is a lower bound
-// of what the first try would have taken, and it is above the percentile, so that answers made
-// faster by hedging don't shorten the delay of later calls.
+// second try won, took must be the whole wait from the first try. The first try would have
+// taken at least as long as this wait. The wait is above the percentile from which the delay
+// is derived, so calls that became faster by hedging don't shorten the delay of later calls.
 func (h *Hedger) Observe(pool string, took time.Duration, now time.Time) {
 	us := min(max(took.Microseconds(), lowest), highest)
 	h.mu.Lock()
@@ -134,11 +134,11 @@
 }
 
 // Delay returns how long to wait for the first try of a call before a second try is worth its
-// cost. ok is false if no second try may be sent, because the call may not be repeated,
-// hedging is off or too few latencies are known.
+// cost. ok is false if no second try may be sent. The reason is that the call may not be
+// repeated, that hedging is off or that too few latencies are known.
 func (h *Hedger) Delay(pool string, idempotent bool) (time.Duration, bool) {
-	// Without this check, a slow call that makes a booking, for example, would book twice:
-	// the slower answer is dropped here, but both backend servers have run the call.
+	// Without this check, a slow call that makes a booking, for example, would book twice: the
+	// router drops the slower answer, but both backend servers have run the call.
 	if !idempotent {
 		return 0, false
 	}
--- a/hedge/run.go
+++ b/hedge/run.go
@@ -126,8 +126,8 @@
 }
 
 // firstResult waits for the first answer, or for the failure of all tries. If the first try
-// fails before the delay is over, no second try is sent: that would be a retry, and the caller
-// of Do has to decide whether to retry.
+// fails before the delay is over, no second try is sent: a try after a failure would be a
+// retry, and the caller of Do has to decide whether to retry.
 func (r *race[T]) firstResult(delay time.Duration) outcome[T] {
 	t := time.NewTimer(delay)
 	defer t.Stop()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -20,9 +20,9 @@
 	"wigeondale/routing"
 )
 
-// maxTries bounds how often a backend server is chosen. The choice is repeated if the chosen
-// backend server has started leaving, or accepts no attempt according to its health, by the
-// time of the check before the sending.
+// maxTries is the largest number of choices for one attempt. Each chosen backend server is
+// checked before the sending. The choice is repeated if the backend server has started leaving
+// by then, or may get no attempt because of its health.
 const maxTries = 4
 
 // Chooser chooses a backend server for an attempt among candidates, and checks again before
@@ -35,9 +35,9 @@
 	RetryAfter time.Duration
 }
 
-// Pick chooses a backend server with the router, and counts the attempt with its load at that
-// backend server until the returned share is ended. If no backend server can be chosen, the
-// error is a *generation.Unavailable.
+// Pick chooses a backend server with the router, and adds the attempt's load to the load of
+// that backend server. The load is removed when the caller ends the returned share. If no
+// backend server can be chosen, the error is a *generation.Unavailable.
 func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range maxTries {
 		req.Now = time.Now()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,13 +1,13 @@
 // Package relay forwards requests with an opaque body to the service of their route, and
 // gives each request its one final, true answer.
 //
-// A router that has no configuration yet, or an outdated one, must not report that a route
-// or a key doesn't exist: it refuses the request and states after which time the client
-// should send the request again. A refusal means that no part of the request ran. It is
-// given at once, and only while it is certain that nothing ran (package generation decides
-// this). A request that ran and whose answer is lost gets a status that doesn't state
-// whether it ran (502, or 504 after the deadline), or a broken connection if its answer
-// has started. At the route's timeout the final answer is given, even if an attempt is
+// A router that has no configuration yet, or an outdated one, must not report that a route or
+// a key doesn't exist: it refuses the request and states after which time the client should
+// send the request again. A refusal means that no part of the request ran. The refusal is
+// given at once, and only while it is certain that nothing ran; package generation decides
+// whether that is certain. A request that ran and whose answer is lost gets a status that
+// doesn't state whether it ran (502, or 504 after the deadline), or a broken connection if its
+// answer has started. At the route's timeout the final answer is given, even if an attempt is
 // still running.
 package relay
 
@@ -112,9 +112,9 @@
 	// unreachable then, and a client that sends its request again too soon is refused
 	// again.
 	noConfigRetryAfter = 2 * time.Second
-	// retryAfterDivisor limits the time after which a client is told to send its request
-	// again to a third of the client's remaining time, since a request sent again later
-	// could not be served in time any more.
+	// A client is told to send its request again after at most its remaining time divided by
+	// retryAfterDivisor. A request that is sent again later could not be served in time any
+	// more.
 	retryAfterDivisor = 3
 )
 
@@ -146,11 +146,10 @@
 // table returns the route table in force, or nil if there is none. Just after the start of
 // the router it waits for the first table.
 //
-// After all routers were killed and started again, clients send their requests again
-// before the routers have read the store. Without the wait, the clients would be told to
-// send their requests again two seconds later because of a configuration that is available
-// after a tenth of a second. The symptom is refusals for lack of a configuration right
-// after a start.
+// After all routers have crashed and started again, clients send their requests again before
+// the routers have read the store. Without the wait, the clients would be told to send their
+// requests again two seconds later because of a configuration that is available after a tenth
+// of a second. The symptom is refusals for lack of a configuration right after a start.
 func (r *Relay) table(ctx context.Context) *route.Table {
 	for {
 		t := r.cfg.Table.Get()
@@ -225,9 +224,10 @@
 	return max(j.route.Timeout-j.req.ClientTimeout, 0)
 }
 
-// maxWait returns how long a request waits for a backend server. By default it waits for
-// half of the route's target time, after which its answer is late, since the other half is
-// needed to run the request. For streams, the configuration may set another time.
+// maxWait returns how long a request waits for a backend server. An answer is late if it comes
+// after the route's target time. By default a request waits for half of this time, since the
+// other half is needed to run the request. For streams, the configuration may set another
+// time.
 func (j *job) maxWait() time.Duration {
 	if j.route.Kind == route.Stream && j.cfg.StreamMaxWait != nil {
 		return j.cfg.StreamMaxWait(j.route.Target)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -43,9 +43,9 @@
 	return r.Serve(t.Context(), req, nil), got
 }
 
-// A refusal states that nothing ran, so that the client may send the request again. A
-// refusal may be sent only with an outcome for which that is true: otherwise a request
-// that had run would run twice. An answer that was cut must not look complete.
+// A refusal states that nothing ran, so that the client may send the request again. Therefore
+// the relay may send a refusal only for outcomes of which this is true: otherwise a request
+// that had run would run twice. An answer that was truncated must not look complete.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		res  generation.Result
@@ -114,11 +114,11 @@
 	}
 }
 
-// All routers were killed; a request arrives before its router has read the configuration,
-// which the router does a tenth of a second later. If a start were treated like an
-// unreachable store, clients that send their requests again right after a start would be
-// told to wait for two seconds. If the store really is unreachable, the clients must be
-// told to wait for two seconds.
+// All routers have crashed and start again. A request arrives before its router has read the
+// configuration, which the router does a tenth of a second later. The request must wait for
+// the configuration and then be served: if the router treated its own start like an
+// unreachable store, the client would be told to wait for two seconds. Only if the store
+// really is unreachable must the client be told to wait for two seconds.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	for name, c := range map[string]struct {
 		known time.Duration // after the start
