--- a/admission/controller.go
+++ b/admission/controller.go
@@ -38,7 +38,7 @@
 //
 // Without this limit, above capacity the queue grows until each ticket waits as long as its
 // deadline allows. Such a queue serves no more tickets than a short queue, since the slots are
-// full either way. But each ticket starts late and ends just before its deadline or is cut
+// full either way. But each ticket starts late and ends just before its deadline or is aborted
 // there, and when capacity is back the backlog makes all requests of the next ten seconds late
 // as well.
 const maxQueueShare = 0.4
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -8,7 +8,8 @@
 	Node   string
 	Demand map[string]float64
 	// Unreachable is true while the peer is unreachable but still in the VM list: it may have
-	// crashed or be cut off. Peers that are known to have been removed must be left out.
+	// crashed, or may still run and only be unreachable from here. Peers that are known to
+	// have been removed must be left out.
 	Unreachable bool
 }
 
--- a/admission/overload_test.go
+++ b/admission/overload_test.go
@@ -66,7 +66,7 @@
 }
 
 // Callers must not be refused only after they have waited for seconds, and started batch
-// requests must not be cut at their deadline. Both happen if the router estimates the wait
+// requests must not be aborted at their deadline. Both happen if the router estimates the wait
 // from the rate at which all work ends, including interactive requests, and ignores the time
 // that a batch request needs. Batch requests of two seconds, with a deadline of five, arrive
 // at twice the rate at which they can be served, and interactive requests run alongside.
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -108,9 +108,9 @@
 }
 
 // expired reports whether a ticket can no longer finish by its deadline; a ticket without a
-// deadline always can. If a batch request were started anyway, it would be cut at its caller's
-// deadline, after it had used a slot for minutes. Resumes need only the minimum service time,
-// since they represent work already paid for.
+// deadline always can. If a batch request were started anyway, it would be aborted at its
+// caller's deadline, after it had used a slot for minutes. Resumes need only the minimum
+// service time, since they represent work already paid for.
 func (w *waiter) expired(now time.Time, minService time.Duration) bool {
 	d := w.ticket.Deadline
 	return !d.IsZero() && now.Add(w.requiredTime(now, minService)).After(d)
--- a/admission/share.go
+++ b/admission/share.go
@@ -6,11 +6,11 @@
 // received.
 const MaxOvershoot = 1.25
 
-// unreachableWeight is the share of an unreachable peer's demand that is still reserved for it.
-// The peer may have crashed or only be cut off. Reserving all of its demand would penalize the
-// caller, whose requests now arrive here; reserving nothing would let every part of a partitioned
-// fleet use the whole limit. With weight w, nodes of demands d that all can't reach each other
-// use in sum
+// unreachableWeight is the share of an unreachable peer's demand that is still reserved for
+// it. The peer may have crashed, or may still run and only be unreachable. Reserving all of
+// its demand would penalize the caller, whose requests now arrive here; reserving nothing
+// would let every part of a partitioned fleet use the whole limit. With weight w, nodes of
+// demands d that all can't reach each other use in sum
 //
 //	Σ d/(d + w(D-d))  <=  Σ d/(wD)  =  1/w
 //
--- a/generation/generation_test.go
+++ b/generation/generation_test.go
@@ -177,7 +177,7 @@
 
 // After a router crashed, another router receives the cursor; each row states what is left of
 // the old run. The answer may be continued only by the same run or from the very text that was
-// delivered: otherwise the caller's answer would be cut or would mix two generations.
+// delivered: otherwise the caller's answer would be truncated or would mix two generations.
 func TestAnswerOutlivesItsRouter(t *testing.T) {
 	point := ResumePoint{Backend: "e0", Incarnation: "i1", Attempt: 3, Offset: 3, Text: answerText(3), HaveText: true}
 	with := func(f func(*ResumePoint)) *ResumePoint { p := point; f(&p); return &p }
--- a/generation/steps.go
+++ b/generation/steps.go
@@ -110,7 +110,7 @@
 
 // drawBudget draws from the retry budget for one more attempt that arrives at a backend
 // server. The first try to continue a started answer may use more of the budget than other
-// retries, since the answer is cut if it can't be continued.
+// retries, since the answer is truncated if it can't be continued.
 func (x *run) drawBudget() bool {
 	if x.firstAfterLoss {
 		return x.Budget.Continue(x.service())
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// grace returns how long open requests may take to finish after a signal; the platform kills the
-// process killMargin later.
+// grace returns how long open requests may take to finish after a signal. The platform ends
+// the process by force killMargin later.
 func (n *node) grace() time.Duration {
 	return millis(n.set.Hosted.GraceMS) - killMargin
 }
--- a/hosted/hosted_test.go
+++ b/hosted/hosted_test.go
@@ -59,8 +59,9 @@
 	}
 }
 
-// A generation must not be cut off when its engine crashes, or falls silent without closing
-// the connection, in the middle of a stream. A copy of the run is in the other failure domain.
+// A generation must not be truncated when its engine crashes in the middle of a stream, or
+// falls silent there without closing the connection. A copy of the run is in the other failure
+// domain.
 func TestDraftOutlivesItsEngine(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -166,7 +167,7 @@
 	})
 }
 
-// A rolling restart must not cut off generations: when the signal comes while a stream is
+// A rolling restart must not truncate generations: when the signal comes while a stream is
 // open, the node must be unready at once, finish the stream, and then exit.
 func TestShutdownCutsNothing(t *testing.T) {
 	f := newFleet(t)
--- a/hosted/policy.go
+++ b/hosted/policy.go
@@ -20,7 +20,7 @@
 	// maxFruitless is how many attempts in a row may end without delivering a chunk.
 	maxFruitless = 8
 	// killMargin is the time between the moment at which the process exits on its own and the
-	// moment at which the platform would kill it.
+	// moment at which the platform would end the process by force.
 	killMargin = 300 * time.Millisecond
 	// expiryHeartbeats is the number of missed heartbeats after which an entry expires, as the
 	// platform documents. A suspected replica gets no request before that time has passed. By
--- a/hosted/rollouts_test.go
+++ b/hosted/rollouts_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Generations must not be cut off when a roll-out completes. They run at old replicas, which
+// Generations must not be truncated when a roll-out completes. They run at old replicas, which
 // stop when the completion is written, so they must be moved before.
 func TestRunsMoveBeforeTheOldVersionStops(t *testing.T) {
 	f := newFleet(t)
--- a/hosted/store_sync.go
+++ b/hosted/store_sync.go
@@ -46,10 +46,10 @@
 // links.
 //
 // If all nodes read the store, the number of calls, which are priced and limited, would grow
-// with the number of nodes. With few readers, a node could rely on a reader that is cut off
-// from the store without noticing, and revoked keys would go on working. Therefore each copy
-// has an age; a node whose copy is stale reads the store itself, and so does a node that the
-// other nodes can't reach.
+// with the number of nodes. With few readers, a node could rely on a reader that no longer
+// reaches the store and doesn't notice this, and revoked keys would go on working. Therefore
+// each copy has an age; a node whose copy is stale reads the store itself, and so does a node
+// that the other nodes can't reach.
 type storeSync struct {
 	id, domain string
 	mirror     *mirror.Mirror // set before join
