--- a/directory/batch.go
+++ b/directory/batch.go
@@ -13,8 +13,8 @@
 	defaultBatch = 64
 	minBatch     = 4
 	maxBatch     = 4096
-	// shrinkFactor bounds how much one report can reduce the estimate: to this share of
-	// its last value.
+	// shrinkFactor bounds how much one report can reduce the estimate: the new estimate is
+	// at least shrinkFactor times the old estimate.
 	shrinkFactor = 0.75
 	// An engine that has no queue and runs at least growShare of the estimate may be
 	// able to run more requests than estimated. The estimate then becomes growFactor
@@ -53,7 +53,8 @@
 		b.queueSeenAt = now
 		if running < before && !wasQueued {
 			// The waiting requests may be a burst that the engine starts to run at its next
-			// step.
+			// step. So a first report with a queue does not show that the engine can't run
+			// more requests, and the estimate is not reduced.
 			return
 		}
 		b.learned = max(running, b.learned*shrinkFactor)
--- a/directory/cache.go
+++ b/directory/cache.go
@@ -48,9 +48,10 @@
 	return c.seq
 }
 
-// apply applies a batch and reports whether events were missing, in which case it
-// clears the map. Otherwise a lost "removed" event would make this router send prompts
-// to a cache that no longer contains their blocks, for as long as the engine runs.
+// apply applies a batch and reports whether events were missing. If events were missing,
+// apply clears the map, because a "removed" event may be lost: without the clearing, this
+// router would send prompts to a cache that no longer contains their blocks, for as long
+// as the engine runs.
 func (c *cacheMap) apply(b CacheBatch, now time.Time) (gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -33,12 +33,16 @@
 // PeerReportDelay bounds how long a peer report takes to reach every router.
 const PeerReportDelay = time.Second
 
-// LeavingBound is the time after which a leaving backend server gets no new work from any
-// router, counted from when the VM list, a load report or an engine's refusal would first
-// show it to any router that polls: the bound is one polling interval with its jitter plus
-// the time of one flood, either of a peer report or, for the VM list, of a reader's
-// update. The readers of the list poll at different times, so the first reader usually
-// sees the change sooner. The lag of the platform's VM list is to be added. If a flood is
+// LeavingBound is the maximum time for which any router still sends new work to a leaving
+// backend server. The time starts when a poll of the VM list or of the engine would first
+// show that the backend server is leaving, or when the engine would first refuse work.
+//
+// The bound is the sum of two times. Within one polling interval with its jitter, some
+// router finds out that the backend server is leaving. Then one flood reaches all other
+// routers: a flood of a peer report or, for the VM list, of a reader's update. The readers
+// of the list poll at different times, so the first reader usually sees the change sooner.
+//
+// Exceptions: the lag of the platform's VM list comes on top of the bound. If a flood is
 // lost, the nodes' digests deliver the update later, within some digest rounds.
 const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
@@ -239,9 +243,10 @@
 	return slices.Sorted(maps.Keys(d.table.Load().byID))
 }
 
-// MarkLeaving records that one incarnation of a backend server is leaving, and announces
-// that if the backend server was not leaving before. The mark holds until the backend
-// server reports a new incarnation. An empty incarnation means the current incarnation.
+// MarkLeaving marks one incarnation of a backend server as leaving. If the backend server
+// was not leaving before, MarkLeaving also logs the change and calls OnLeaving. The mark
+// counts until the backend server reports a new incarnation. An empty incarnation means
+// the current incarnation.
 func (d *Directory) MarkLeaving(id, incarnation string, source Source) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -252,9 +257,9 @@
 	}
 }
 
-// SetIntent sets the VMs that should leave by the configuration in force. Unlike
-// MarkLeaving, it does not mark incarnations: a VM that is not in the set at the next
-// call gets work again, unless another source reports it as leaving.
+// SetIntent sets which VMs should leave according to the configuration in force. Unlike
+// MarkLeaving, SetIntent does not mark incarnations. A VM that is missing from the set at
+// a later call gets work again, unless another source reports that VM as leaving.
 func (d *Directory) SetIntent(leavingVMs map[string]bool) {
 	d.mu.Lock()
 	d.intent = maps.Clone(leavingVMs)
--- a/directory/observed.go
+++ b/directory/observed.go
@@ -106,8 +106,9 @@
 	return time.Time{}
 }
 
-// peerLoad returns the load of other routers' requests: as these routers send it or, if
-// they don't send their loads, as derived from the engine's last report.
+// peerLoad returns the load of other routers' requests. If these routers send their loads,
+// it returns the sum of these loads. Otherwise it returns the load derived from the
+// engine's last report.
 func (r *record) peerLoad() Load {
 	if r.peersSendLoads.Load() {
 		return r.peers.load()
--- a/directory/record.go
+++ b/directory/record.go
@@ -15,9 +15,10 @@
 	// milli is the number of fixed-point units in one request or token. Loads are
 	// counted in these units so that additions and subtractions cancel out exactly.
 	milli = 1000
-	// fadeTime is the age of a report from which the other routers' load in the report
-	// counts only with the factor fadeFloor. An old load is less reliable, but an
-	// engine must not look idle only because its reports stopped.
+	// The other routers' load in a report counts less the older the report is. The factor
+	// falls from 1 for a new report to fadeFloor for a report of the age fadeTime or more.
+	// An old load is less reliable, but an engine must not look idle only because its
+	// reports stopped.
 	fadeTime  = 10 * time.Second
 	fadeFloor = 0.5
 	// maxMarks is how many leaving incarnations are remembered for each backend server.
@@ -146,8 +147,9 @@
 }
 
 // Load estimates the number of requests that run and wait: this router's current load
-// plus the load of other routers, as they send it or, if they don't, by the last
-// report, faded by the report's age.
+// plus the load of other routers. If the other routers send their loads, Load uses these
+// loads. Otherwise it derives the other routers' load from the engine's last report, and
+// counts that load less the older the report is (fadeTime).
 func (r *record) Load(now time.Time) float64 {
 	local := float64(r.local.requests.Load()) / milli
 	if r.peersSendLoads.Load() {
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -228,10 +228,10 @@
 }
 
 // TestLateReading guards against a change that is undone for a moment or arrives half a
-// minute late. r1, whose clock is ahead, reports that an engine has moved; a reading of
-// r2 that started before r1's reading shows an older move; the list then moves the
-// engine again. The failure occurs if a reading that was answered late counts as a new
-// reading, or if what that reading showed counts as already reported.
+// minute late. The clock of r1 is ahead, and r1 reports that an engine has moved. A reading
+// of r2 started before r1's reading, is answered later, and shows an older move. Then the
+// engine moves again in the list. The failure occurs if the late reading of r2 counts as a
+// new reading, or if the change that it showed counts as already reported.
 func TestLateReading(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
--- a/inventory/exchange.go
+++ b/inventory/exchange.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxFlood is the maximum number of records in one flood, maxFloods the maximum
+	// maxFlood is the maximum number of records in one flood. maxFloods is the maximum
 	// number of floods after one reading. Changes that don't fit into these floods
 	// reach the other nodes by digests.
 	maxFlood  = 256
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -8,11 +8,12 @@
 // would be the first service to fail, and each node would spend its budget on parsing the
 // list. When only a few nodes read the list, the following failures must be handled.
 // Readers lag by different times, and messages arrive out of order; therefore records are
-// merged by the time of their reading, whatever the order of arrival (Merge, Observer). A
-// flood is lost, a partition heals or a node starts; digests then repair the difference
-// (State.Differing). The readers crash or can't read the list; other nodes then notice
-// that no updates arrive and read the list themselves (Choose). The list is down, empty or
-// half empty; such a reading then removes no records (Observer.evaluate).
+// merged by the time of their reading, whatever the order of arrival (Merge, Observer). When
+// a flood was lost, a partition has ended or a node starts, the inventories of nodes differ;
+// digests then repair the difference (State.Differing). When the readers crash or can't
+// read the list, other nodes notice that no updates arrive and read the list themselves
+// (Choose). When the list is down, empty or half empty, the reading removes no records
+// (Observer.evaluate).
 package inventory
 
 import (
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -137,9 +137,10 @@
 	outdated      []string // keys whose record is newer than this reading
 }
 
-// compare compares an entry with its record. listed reports whether this reading
-// contains the entry, same whether this reader's previous reading showed the entry as
-// this reading does.
+// compare compares what this reading shows of an entry with the entry's record, and adds a
+// change to f.changes if the record must change because of this reading. listed means that
+// this reading contains the entry. same means that this reader's previous reading showed
+// the entry as this reading does.
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
--- a/inventory/readers.go
+++ b/inventory/readers.go
@@ -8,8 +8,8 @@
 
 const (
 	// readersPerDomain is how many nodes of each failure domain read the list. One
-	// reader would not be enough, since it may be down or cut off before its peers
-	// notice.
+	// reader would not be enough: after it crashes or loses contact, no node of the failure
+	// domain would read the list until the other nodes notice that.
 	readersPerDomain = 2
 	// silence is how long a node waits for an update about any reader's reading before
 	// it reads the list itself. It is several times as long as such an update takes to
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -75,7 +75,8 @@
 	FirstSeen, LeavingAt int64
 }
 
-// compare is a total order of everything but LeavingAt, the newest reading last.
+// compare orders records by all fields except LeavingAt. The record of the newest reading
+// comes last.
 func (r Record) compare(o Record) int {
 	return cmp.Or(
 		cmp.Compare(r.At, o.At),
@@ -90,11 +91,13 @@
 // fields but LeavingAt, which becomes the greater value of the two records.
 //
 // Readers see the list through replicas that lag by different times, and messages
-// arrive out of order: without the order by time, a node would keep whatever record
-// arrived last, and two nodes would differ for ever. Without LeavingAt, a node that
-// missed the record that shows the VM leaving, and then receives only a record that
-// shows it live, from a reading that is newer by its time but saw outdated data, would
-// send new work to a VM that is about to stop.
+// arrive out of order. Without the order by time, a node would keep whatever record
+// arrived last, and two nodes would differ for ever.
+//
+// A reading that is newer by its time may have seen outdated data, and then shows a leaving
+// VM as live. Without LeavingAt, a node that missed the record that shows the VM leaving
+// would receive only the record of that reading, and would send new work to a VM that is
+// about to stop.
 func Merge(a, b Record) Record {
 	left := max(a.LeavingAt, b.LeavingAt)
 	if a.compare(b) < 0 {
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -11,9 +11,9 @@
 	// is large, so that for each part that differs only a few records are sent each
 	// way.
 	bucketCount = 256
-	// tombstoneKeep is how long a removal is remembered. A node that was cut off for
-	// longer brings the removed entry back, and a reader then removes the entry again,
-	// see Observer.
+	// tombstoneKeep is how long a removal is remembered. A node that was disconnected for
+	// longer still has the removed entry and sends it to the other nodes, which accept it.
+	// A reader then removes the entry again, see Observer.
 	tombstoneKeep = time.Hour
 	// maxRecords is the maximum number of records; it bounds the memory that faulty
 	// peers can fill.
--- a/mirror/config.go
+++ b/mirror/config.go
@@ -32,18 +32,20 @@
 	// Put is called for a new or changed item.
 	Put(v infra.Value)
 	// Removed is called when the item with this key has been removed from the Mirror's
-	// copy; an unconfirmed removal does not count yet.
+	// copy. For an unconfirmed removal, Removed is called only if the item has not been
+	// written again by the end of the unconfirmed removal.
 	Removed(key string)
-	// BatchDone is called after each batch of Put and Removed calls, so that the receiver
-	// can act once on the changes that arrived together.
+	// BatchDone reports the end of a batch of Put and Removed calls. A receiver uses it to
+	// act once on all changes of the batch, instead of once on each change.
 	BatchDone()
 }
 
 // Config configures a Mirror. Zero durations mean the defaults.
 type Config struct {
 	Prefix string
-	// Wait is how long one call of the store may wait for a change. It bounds the age of a
-	// reader's state, and so the age of the state that the reader sends to other nodes.
+	// Wait is how long one call of the store may wait for a change. A call that sees no
+	// change returns after Wait and shows that the reader's state is still current. So Wait
+	// bounds the age of that state, and of the state that the reader sends to other nodes.
 	Wait time.Duration
 	// Slack is the time that the response of a call may take in addition to Wait; a call
 	// that takes longer counts as failed.
@@ -53,9 +55,10 @@
 	Pause time.Duration
 	// Timeout bounds the read of one page.
 	Timeout time.Duration
-	// PageMaxAge is how long the pages of a failed read may be used. It must be less
-	// than the time for which the store keeps its history of changes, because the
-	// changes made since the first page are fetched from that history.
+	// PageMaxAge is how long after the start of a read of all items the pages of that read
+	// may be used, if an attempt failed and a later attempt continues the read. PageMaxAge
+	// must be less than the time for which the store keeps its history of changes, because
+	// the changes made since the first page are fetched from that history.
 	PageMaxAge time.Duration
 	// ConfirmAfter is the time after an outage of the store during which an item that is
 	// missing because of the outage may be written again by its owner. During that time,
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -200,9 +200,10 @@
 	})
 }
 
-// confirmRemovals removes the items whose removal has been unconfirmed until its end. Once
-// the time after the last outage has passed, items that go missing later are removed at
-// once again, as before the outage.
+// confirmRemovals removes the items that were not written again before the end of their
+// unconfirmed removal. When Config.ConfirmAfter has passed since the last outage,
+// confirmRemovals also ends the special treatment of missing items: items that are missing
+// from then on are removed at once.
 func (m *Mirror) confirmRemovals(now time.Time) {
 	m.update(func() {
 		if !m.missingPolicy.until.IsZero() && !now.Before(m.missingPolicy.until) {
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -44,8 +44,9 @@
 	Last string `cbor:"3,keyasint,omitempty"`
 }
 
-// Delta holds the changes between two revisions. A long Delta is cut between two
-// revisions; the node that applies the first part then requests the rest.
+// Delta holds the changes between two revisions. If the changes don't fit into one Delta,
+// the Delta holds only the changes up to an earlier revision. The node that applies that
+// Delta then requests the changes after that revision.
 type Delta struct {
 	Newest  int64         `cbor:"1,keyasint"`
 	Full    bool          `cbor:"2,keyasint,omitempty"` // set if the Delta is a page of all items
@@ -57,9 +58,13 @@
 	More            bool `cbor:"6,keyasint,omitempty"` // set if more pages follow
 }
 
-// pageBytes is the size from which a Delta is cut. A page of this size occupies a slow
-// network link only for a moment, and is far smaller than the maximum message between
-// nodes.
+// pageBytes is the maximum size, in bytes of keys and data, of the items in one Delta. If
+// there are more items, the Delta is truncated, and the neighbour requests the rest with
+// its next request. A page of this size occupies a slow network link only for a moment,
+// and is far smaller than the maximum message between nodes.
+//
+// Exception: a single item is sent even if it is larger than pageBytes, and a Delta of
+// changes contains at least all items of its first revision.
 const pageBytes = 256 << 10
 
 // removalPolicy defines how missing items are treated: as removed, or as unconfirmed
@@ -97,7 +102,8 @@
 	newest        int64                         // all changes up to this revision are known
 	removalsFloor int64                         // removals up to this revision may be missing from removed
 	maxRemovals   int                           // maximum length of removed
-	// pageBytes is the size from which a Delta is cut.
+	// pageBytes is the maximum size of the items in one Delta: the constant pageBytes, or
+	// a smaller value in tests.
 	pageBytes int
 	dirty     bool // set if the receiver was notified since the last flush
 }
@@ -182,7 +188,8 @@
 	s.advance(at)
 }
 
-// setUnconfirmedEnd sets the end of the unconfirmed removals whose end wasn't known.
+// setUnconfirmedEnd sets the end of each unconfirmed removal whose end wasn't known
+// because the outage of the store continued.
 func (s *state) setUnconfirmedEnd(end time.Time) {
 	for key, d := range s.unconfirmed {
 		if d.until.IsZero() {
@@ -251,8 +258,10 @@
 	return out
 }
 
-// cutAtRevision returns the position of a cut near n that doesn't split the items of
-// one revision and leaves at least one revision before the cut.
+// cutAtRevision returns how many leading items to send if n of them fit into one Delta. The
+// items of one revision are always sent together. So if n would separate items of one
+// revision, the result is the number of items before that revision. Exception: if that
+// revision is the first one, the result includes all its items, so that the result is not 0.
 func cutAtRevision(items []infra.Value, n int) int {
 	if n == len(items) {
 		return n
--- a/mirror/state_test.go
+++ b/mirror/state_test.go
@@ -117,10 +117,10 @@
 
 // TestDoubtEndsEverywhereAtOnce guards against sending work to a replica more than two
 // seconds after the store acknowledged its removal. The store has been working again for a
-// second and a half when a replica leaves; a reader that had lost contact with the store
-// holds that removal as unconfirmed for half a second more, and sends it to its neighbours
-// before another reader does. The neighbours must not hold the removal as unconfirmed for
-// the whole time again.
+// second and a half when the replica leaves. One reader had lost contact with the store, so
+// it treats the removal as unconfirmed for half a second more. This reader is the first to
+// send the removal to its neighbours. The neighbours must also treat the removal as
+// unconfirmed for only that half second, not for the whole time again.
 func TestDoubtEndsEverywhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const remaining, full = 500 * time.Millisecond, 2 * time.Second
--- a/once/batcher.go
+++ b/once/batcher.go
@@ -13,9 +13,9 @@
 	done chan Result // capacity 1, so that run does not block if the caller has stopped waiting
 }
 
-// batcher collects operations while the previous batch is being sent, and sends them as the
-// next batch, so that at most one batch is being sent at a time, and the number of writes
-// depends on the elapsed time and not on the number of operations.
+// batcher collects operations while the previous batch is being sent, and then sends the
+// collected operations as the next batch. At most one batch is being sent at a time. So the
+// number of writes depends on the elapsed time and not on the number of operations.
 type batcher struct {
 	send     func([]Op) []Result
 	maxOps   int
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -210,9 +210,9 @@
 }
 
 // TestVoidBeforeClaim guards against a key that stays held although no attempt uses it.
-// The failure occurs if a forwarded claim is delayed, its router gives up and voids the
-// attempt through another router, the claim is then written, and the void of a claim
-// that was not in the log yet has been ignored.
+// A forwarded claim is delayed, so its router gives up and voids the attempt through
+// another router. The claim is written after the void. The failure occurs if the void is
+// ignored because its claim was not in the log yet.
 func TestVoidBeforeClaim(t *testing.T) {
 	table := newTable()
 	op := func(kind OpKind, attempt string) Op { return Op{Kind: kind, Attempt: attempt} }
--- a/once/property_test.go
+++ b/once/property_test.go
@@ -26,8 +26,8 @@
 var errLinkCut = errors.New("link cut")
 
 // testFleet is a set of routers that share one store. Calls of the store wait until the
-// test releases them. The actions of a test case cut the links between the routers and
-// make the routers disagree on the owner of the shard.
+// test releases them. The actions of a test case disconnect the routers from each other
+// and make the routers disagree on the owner of the shard.
 type testFleet struct {
 	mu             sync.Mutex // guards the fields below, except kv and attempts
 	kv             *kvtest.Controller
--- a/peer/call.go
+++ b/peer/call.go
@@ -202,8 +202,9 @@
 	return errorReply(codeRelayNoRoute, "no route from the relay")
 }
 
-// serve runs the handler of a call and returns the reply, which is an error reply if there
-// is no handler, the handler fails or panics, or its result is too large.
+// serve runs the handler of a call and returns the reply. It returns an error reply if
+// there is no handler, if the handler fails or panics, or if the handler's result is too
+// large.
 func (m *Mesh) serve(ctx context.Context, f frame) frame {
 	m.mu.Lock()
 	h := m.callHandlers[f.Kind]
--- a/peer/link.go
+++ b/peer/link.go
@@ -65,9 +65,9 @@
 func (l *link) markUsed() { l.lastUsed.Store(time.Now().UnixNano()) }
 
 // close closes the link. It does not wait for a closing handshake, which a dead
-// peer would never answer. The first reason is kept, except that any other reason
-// replaces lostClosed: the writer may fail before the reader, which knows the
-// actual reason, reports it.
+// peer would never answer. If close is called several times, the first reason is kept.
+// Exception: any other reason replaces lostClosed. The writer may fail with lostClosed
+// first, and only the reader, which reports later, knows the actual reason.
 func (l *link) close(reason string) {
 	l.mu.Lock()
 	if l.reason == "" || l.reason == lostClosed {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -210,7 +210,8 @@
 }
 
 // OnLink registers fn to be called with the id of the remote node whenever a link comes
-// up. Each call of fn runs in its own goroutine. OnLink must be called before Run.
+// up. Callers use it to get from the remote node what was lost while there was no link.
+// Each call of fn runs in its own goroutine. OnLink must be called before Run.
 func (m *Mesh) OnLink(fn func(node string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// settle advances the fake time by d and waits until all goroutines are blocked.
+// settle advances the fake time by d and waits until all goroutines are blocked. Tests call
+// it before they check a result, so that the nodes have finished what is due until then.
 func settle(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -124,12 +125,11 @@
 	}
 }
 
-// TestCutAndHeal guards against a node that stays out of the fleet after a pause or
-// network cut, or loses its state in the fleet. The failure occurs if the silence is
+// TestCutAndHeal guards against a node that stays out of the fleet, or loses its state in
+// the fleet, after a pause or a loss of its network. The failure occurs if the silence is
 // not detected, if the node does not refute the reports about it, or if no node dials
-// again because each side considers the other side dead. The test drops all bytes to
-// and from n02 for a minute while the connections stay open, and removes the seeds
-// before.
+// again because each side considers the other side dead. The test first removes the seeds.
+// Then it drops all bytes to and from n02 for a minute while the connections stay open.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -430,7 +430,7 @@
 // TestSparseMesh guards against floods that miss nodes, crashes that not all nodes
 // detect, and too many links per node in a large fleet. The failure occurs if the
 // sparse graph of links is not connected or records do not spread. The test runs 40
-// nodes, more than the full-mesh limit, sends a flood and cuts off one node without an
+// nodes, more than the full-mesh limit, sends a flood and disconnects one node without an
 // announcement.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/peer/peertest/network.go
+++ b/peer/peertest/network.go
@@ -10,9 +10,9 @@
 	"sync"
 )
 
-// Network is an in-memory network for use in synctest bubbles. A connection that
-// was open when one of its directions was cut stays silent in that direction
-// forever, even after the cut is healed, and is not closed.
+// Network is an in-memory network for use in synctest bubbles. If Cut blocks one direction
+// of an open connection, the connection is not closed, but stays silent in that direction
+// forever, even when new connections work again.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
@@ -38,8 +38,9 @@
 	}
 }
 
-// Isolate cuts an address off from all other addresses in both directions if on is
-// true. If on is false, Isolate ends these cuts.
+// Isolate calls Cut with on for both directions between an address and each other address.
+// So if on is true, Isolate disconnects the address, and if on is false, new connections of
+// the address work again.
 func (f *Network) Isolate(addr string, on bool) {
 	f.mu.Lock()
 	peers := make([]string, 0, len(f.listeners))
@@ -53,9 +54,9 @@
 	}
 }
 
-// Dial returns a dial function for connections from the given address. While a
-// direction between the two addresses is cut, the function blocks until its
-// context ends.
+// Dial returns a dial function for connections from the given address. While either
+// direction between the two addresses is blocked by Cut, the function waits until its
+// context ends, and then fails.
 func (f *Network) Dial(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, hostPort string) (net.Conn, error) {
 		to, _, _ := strings.Cut(hostPort, ":")
@@ -84,8 +85,8 @@
 	}
 }
 
-// pipeConn is one end of a connection. It discards writes after its direction has
-// been cut.
+// pipeConn is one end of a connection. It discards all writes after Cut has blocked its
+// direction.
 type pipeConn struct {
 	net.Conn
 	from, to string
--- a/peer/receive.go
+++ b/peer/receive.go
@@ -64,8 +64,9 @@
 	for _, r := range b.Records {
 		changed = m.mergeRecord(r) || changed
 	}
-	// Request the rest only if this part changed the table. Otherwise two nodes would
-	// exchange records that this node does not store again and again without a pause.
+	// Request the rest only if this part changed the table. If this node does not store the
+	// records of this part, the digests stay different, and two nodes would exchange the
+	// same records again and again without a pause.
 	if b.More && changed {
 		l.sendBody(typeSync, m.digest(true))
 	}
