--- a/directory/batch.go
+++ b/directory/batch.go
@@ -89,10 +89,10 @@
 	return b.value() * share
 }
 
-// LearnedCapacity is like Capacity, but uses as the limit of each candidate the given
-// share of the number of requests that its reports showed it to run at once (defaultBatch
-// until they have shown one). A share below 1 leaves the rest of the slots for more urgent
-// work.
+// LearnedCapacity is like Capacity, but with a limit for each candidate instead of
+// perBackend. The limit is the given share of the number of requests that the candidate
+// runs at once according to its reports. Until the reports have shown that number,
+// defaultBatch is used. A share below 1 leaves the rest of the slots for more urgent work.
 func LearnedCapacity(candidates []routing.Candidate, share float64, now time.Time) int {
 	return capacity(candidates, now, func(r *record) float64 { return r.requestLimit(share) })
 }
@@ -103,9 +103,10 @@
 	return r.batch.limit(share)
 }
 
-// capacity sums, over the candidates that are not leaving, the limit of each candidate
-// minus the load of other routers at it, or 0 if that load is higher. The result is at
-// least 1 if any candidate is not leaving, and 0 otherwise.
+// capacity sums the capacity of the candidates that are not leaving. The capacity of a
+// candidate is its limit minus the load of other routers there, and 0 if that load is
+// higher than the limit. The result is at least 1 if any candidate is not leaving, and 0
+// otherwise.
 func capacity(candidates []routing.Candidate, now time.Time, limit func(*record) float64) int {
 	var sum float64
 	accepting := false
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -279,9 +279,9 @@
 	return len(changed)
 }
 
-// deltas splits changes into floods. Records with At 0, whose entry no node saw change,
-// are not flooded: every node that starts makes the same records from the list, and
-// digests send them to nodes that can't read it.
+// deltas splits changes into floods. Records with At 0 are not flooded: no node has seen
+// their entries change, so every node that starts makes the same records from the list.
+// Nodes that can't read the list get these records by digests.
 func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
 	d := Delta{Newest: h}
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -13,8 +13,8 @@
 //
 // Few nodes read the store; the others get changes from their neighbours (Delta, Merge).
 // In this way a node that the store rejects gets the changes as well. Age reports how long
-// ago the store last answered this node, which is how old the node's state may be without
-// changes from neighbours, so that a node that gets no such changes can read the store
+// ago the store last answered this node. The state of a node that gets no changes from
+// neighbours may be as old as that, so such a node can decide by Age to read the store
 // itself.
 package mirror
 
--- a/mirror/read.go
+++ b/mirror/read.go
@@ -23,11 +23,11 @@
 // the pages of that call and continues after them, unless they are older than
 // PageMaxAge.
 //
-// If a failure discarded the pages, or if many nodes that start together exceeded the
-// store's rate of reads, no node would get all pages in time, each node would start
-// again, and no node would be ready for half a minute. So the first read accepts stale
-// pages, which the store serves without a rate limit, and then fetches the changes made
-// since these pages, before any of the items is used.
+// Many nodes that start together may exceed the store's rate of reads, so that no node gets
+// all pages in one attempt. If each attempt started again, no node would be ready for half
+// a minute. Two measures prevent that. A failed read keeps its pages. And the first read
+// accepts stale pages, which the store serves without a rate limit. It then fetches the
+// changes made since these pages, before any of the items is used.
 func (m *Mirror) readAll(ctx context.Context) error {
 	if m.partial == nil || time.Since(m.partial.startedAt) > m.cfg.PageMaxAge {
 		m.partial = &fullRead{startedAt: time.Now(), stale: !m.Synced()}
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -26,8 +26,8 @@
 	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// unconfirmedUntil returns the time until which the removal is unconfirmed, or unknown
-// if the removal doesn't contain that time.
+// unconfirmedUntil returns the time until which the removal is unconfirmed. If the removal
+// doesn't contain that time, unconfirmedUntil returns its argument unknown.
 func (r Removal) unconfirmedUntil(unknown time.Time) time.Time {
 	if r.UnconfirmedMS == 0 {
 		return unknown
@@ -209,9 +209,9 @@
 	}
 }
 
-// delta responds to a neighbour that has all changes up to the revision req.After: with
-// the later changes or, if this node no longer knows all later removals, with a page of
-// all items (if req.All is set) or with RemovalsUnknown.
+// delta responds to a neighbour that has all changes up to the revision req.After. If this
+// node knows all later removals, delta returns the later changes. Otherwise it returns a
+// page of all items if req.All is set, and a Delta with RemovalsUnknown if not.
 func (s *state) delta(req DeltaRequest) Delta {
 	if req.After >= s.removalsFloor {
 		return s.changesAfter(req.After)
--- a/once/once.go
+++ b/once/once.go
@@ -141,8 +141,8 @@
 	CodeUnknown
 )
 
-// Result is the result of one Op: the attempt that holds the key according to
-// the log.
+// Result is the result of one Op: whether the operation is in the log (Code) and, if Code
+// is CodeDone, the state of the key in the log after the operation.
 type Result struct {
 	Code    Code     `cbor:"1,keyasint"`
 	Holder  string   `cbor:"2,keyasint,omitempty"`
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -241,10 +241,10 @@
 	return v, ok, err
 }
 
-// TestTruncatedWhileBeingRead guards against a key that is granted twice. The failure
-// occurs if a router reads a snapshot and pauses, other routers claim the key, store a
-// newer snapshot and truncate the log, and the first router continues reading the log
-// with the truncated entries missing from its table.
+// TestTruncatedWhileBeingRead guards against a key that is granted twice. A router reads a
+// snapshot and pauses. Meanwhile other routers claim the key, store a newer snapshot and
+// truncate the log. The failure occurs if the first router then continues reading the log
+// although the truncated entries are missing from its table.
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
 	other := newSoleOwner(store)
--- a/once/upkeep.go
+++ b/once/upkeep.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// compact appends an entry that removes the claims that are older than the window, and
-// stores a snapshot of the table. It does nothing until Config.CompactEvery entries were
-// applied since the last snapshot.
+// compact removes the claims that are older than the window: it appends an entry to the log
+// that removes them, and then stores a snapshot of the table. It does nothing until
+// Config.CompactEvery entries were applied since the last snapshot.
 func (s *shard) compact(ctx context.Context, now time.Time) error {
 	v := s.currentView()
 	if v == nil || !v.needsCompaction(s.cfg.CompactEvery) {
--- a/peer/dial.go
+++ b/peer/dial.go
@@ -162,7 +162,9 @@
 	m.requestTick()
 }
 
-// linkClosed updates the entry of the remote node after its link has closed.
+// linkClosed updates the entry of the remote node after its link has closed: it records
+// when this node last received from the remote node, and drops the remote node's demand,
+// which is known for linked nodes only.
 func (m *Mesh) linkClosed(l *link) {
 	e, ok := m.table.byID[l.node]
 	if !ok {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -218,8 +218,9 @@
 	m.onLink = append(m.onLink, fn)
 }
 
-// OnChange registers fn to be called after changes of the membership, on the goroutine of
-// the flood handlers. fn must not block, because no flood is handled until fn returns.
+// OnChange registers fn to be called after changes of the membership. Callers use it to
+// discard what they have derived from the earlier membership. fn is called on the goroutine
+// of the flood handlers and must not block, because no flood is handled until fn returns.
 // Several changes in quick succession may result in one call of fn. OnChange must be
 // called before Run.
 func (m *Mesh) OnChange(fn func()) {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -163,10 +163,9 @@
 }
 
 // TestOneWayCutRelays guards against a link that appears healthy at one end but is
-// unusable. The failure occurs if the bytes from n00 to n01 are lost and the bytes from
-// n01 to n00 are not, so that only n01 can detect the loss. n01 must close the link for
-// both nodes. Both must stay members through the third node, which also relays calls
-// between them.
+// unusable. The bytes from n00 to n01 are lost, and the bytes from n01 to n00 are not. Only
+// n01 can detect the loss, so n01 must close the link for both nodes. Both must stay
+// members through the third node, which also relays calls between them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
