--- a/directory/record.go
+++ b/directory/record.go
@@ -204,8 +204,9 @@
 // Running is the estimated number of runs that are generating tokens at the engine.
 func (r *record) Running() float64 { return r.estimatedLoad().Running }
 
-// Memory is the estimated number of tokens that take memory at the engine: runs count
-// with the size that they will have at their end, and copies count as well.
+// Memory is the estimated number of tokens that take memory at the engine. A run counts
+// with the size that it will have at its end. The copies of other engines' runs, which the
+// engine keeps, count as well.
 func (r *record) Memory() float64 { return r.estimatedLoad().Memory }
 
 func (r *record) serves(ref fleet.ModelRef) bool {
--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// settleAll leaves the list unchanged until each reader has seen the list's final state
-// and every mismatch with it has lasted longer than mismatchTimeout, so that the readers
-// have merged the final state into their inventories.
+// settleAll advances the clock while the list stays unchanged. Tests call it so that the
+// readers merge the list's final state into their inventories: each reader sees that state,
+// and every mismatch between the list and an inventory lasts longer than mismatchTimeout.
 func (w *testFleet) settleAll() {
 	for _, pause := range []time.Duration{time.Second, time.Second, mismatchTimeout, mismatchTimeout} {
 		w.now = w.now.Add(pause)
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -23,9 +23,11 @@
 // different times. If a reader compared its reading with the inventory alone, the
 // reader whose replica is behind would undo each change that the other reader makes,
 // and the other reader would make the change again, for as long as the lag lasts. So
-// only a change between two readings of the same reader counts; a lasting difference
-// without such a change (a reader that crashed before it sent all its updates) counts
-// only after mismatchTimeout.
+// only a change between two readings of the same reader counts.
+//
+// Exception: a difference between reading and inventory that has lasted for mismatchTimeout
+// counts without such a change. Such a difference arises if a reader crashes before it has
+// sent all its updates.
 type Observer struct {
 	self        string
 	last        map[string]Item     // this reader's last reading; nil before the first
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -226,7 +226,8 @@
 	}
 }
 
-// hookStore runs hook once, right after the first chunk of a snapshot is read.
+// hookStore runs hook once, right after the first chunk of a snapshot is read. A test uses
+// it to let other routers write to the store while a router is still reading the snapshot.
 type hookStore struct {
 	*kvtest.Store
 	hook func()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -250,8 +250,8 @@
 }
 
 // TestRestartWithNewIncarnation guards against a restarted node that its peers confuse
-// with its previous incarnation. The failure occurs if n01 stops and starts again
-// without a configuration in force, and the state of its old incarnation is kept.
+// with its previous incarnation. n01 stops and starts again without a configuration in
+// force. The failure occurs if its peers keep the state of its old incarnation.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -299,8 +299,8 @@
 }
 
 // TestReflectedProofIsRefused guards against a process without the key that is accepted
-// as a node. The failure occurs if a node dials the process, which sends its own hello
-// and then returns the node's proof, and the proofs are the same in both directions.
+// as a node. A node dials the process. The process sends its own hello and then sends the
+// node's proof back. The failure occurs if the proofs of both sides are the same.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
