--- a/inventory/converge_test.go
+++ b/inventory/converge_test.go
@@ -108,9 +108,9 @@
 	}
 }
 
-// settleAll leaves the list unchanged until each reader has seen the list's final state
-// and every mismatch with it has lasted longer than mismatchTimeout, so that the readers
-// have merged the final state into their inventories.
+// settleAll advances the clock while the list stays unchanged. Tests call it so that the
+// readers merge the list's final state into their inventories: each reader sees that state,
+// and every mismatch between the list and an inventory lasts longer than mismatchTimeout.
 func (w *testFleet) settleAll() {
 	for _, pause := range []time.Duration{time.Second, time.Second, mismatchTimeout, mismatchTimeout} {
 		w.now = w.now.Add(pause)
@@ -228,10 +228,10 @@
 }
 
 // TestLateReading guards against a change that is undone for a moment or arrives half a
-// minute late. r1, whose clock is ahead, reports that an engine has moved; a reading of
-// r2 that started before r1's reading shows an older move; the list then moves the
-// engine again. The failure occurs if a reading that was answered late counts as a new
-// reading, or if what that reading showed counts as already reported.
+// minute late. The clock of r1 is ahead, and r1 reports that an engine has moved. A reading
+// of r2 started before r1's reading, is answered later, and shows an older move. Then the
+// engine moves again in the list. The failure occurs if the late reading of r2 counts as a
+// new reading, or if the change that it showed counts as already reported.
 func TestLateReading(t *testing.T) {
 	s, now := NewState(), time.Unix(1_000_000, 0)
 	r1, r2 := NewObserver("r1"), NewObserver("r2")
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -8,11 +8,12 @@
 // would be the first service to fail, and each node would spend its budget on parsing the
 // list. When only a few nodes read the list, the following failures must be handled.
 // Readers lag by different times, and messages arrive out of order; therefore records are
-// merged by the time of their reading, whatever the order of arrival (Merge, Observer). A
-// flood is lost, a partition heals or a node starts; digests then repair the difference
-// (State.Differing). The readers crash or can't read the list; other nodes then notice
-// that no updates arrive and read the list themselves (Choose). The list is down, empty or
-// half empty; such a reading then removes no records (Observer.evaluate).
+// merged by the time of their reading, whatever the order of arrival (Merge, Observer). When
+// a flood was lost, a partition has ended or a node starts, the inventories of nodes differ;
+// digests then repair the difference (State.Differing). When the readers crash or can't
+// read the list, other nodes notice that no updates arrive and read the list themselves
+// (Choose). When the list is down, empty or half empty, the reading removes no records
+// (Observer.evaluate).
 package inventory
 
 import (
@@ -278,9 +279,9 @@
 	return len(changed)
 }
 
-// deltas splits changes into floods. Records with At 0, whose entry no node saw change,
-// are not flooded: every node that starts makes the same records from the list, and
-// digests send them to nodes that can't read it.
+// deltas splits changes into floods. Records with At 0 are not flooded: no node has seen
+// their entries change, so every node that starts makes the same records from the list.
+// Nodes that can't read the list get these records by digests.
 func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
 	d := Delta{Newest: h}
--- a/inventory/observe.go
+++ b/inventory/observe.go
@@ -23,9 +23,11 @@
 // different times. If a reader compared its reading with the inventory alone, the
 // reader whose replica is behind would undo each change that the other reader makes,
 // and the other reader would make the change again, for as long as the lag lasts. So
-// only a change between two readings of the same reader counts; a lasting difference
-// without such a change (a reader that crashed before it sent all its updates) counts
-// only after mismatchTimeout.
+// only a change between two readings of the same reader counts.
+//
+// Exception: a difference between reading and inventory that has lasted for mismatchTimeout
+// counts without such a change. Such a difference arises if a reader crashes before it has
+// sent all its updates.
 type Observer struct {
 	self        string
 	last        map[string]Item     // this reader's last reading; nil before the first
@@ -137,9 +139,10 @@
 	outdated      []string // keys whose record is newer than this reading
 }
 
-// compare compares an entry with its record. listed reports whether this reading
-// contains the entry, same whether this reader's previous reading showed the entry as
-// this reading does.
+// compare compares what this reading shows of an entry with the entry's record, and adds a
+// change to f.changes if the record must change because of this reading. listed means that
+// this reading contains the entry. same means that this reader's previous reading showed
+// the entry as this reading does.
 func (f *findings) compare(key string, i Item, listed, same bool) {
 	r, known := f.state.records[key]
 	switch {
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -13,8 +13,8 @@
 //
 // Few nodes read the store; the others get changes from their neighbours (Delta, Merge).
 // In this way a node that the store rejects gets the changes as well. Age reports how long
-// ago the store last answered this node, which is how old the node's state may be without
-// changes from neighbours, so that a node that gets no such changes can read the store
+// ago the store last answered this node. The state of a node that gets no changes from
+// neighbours may be as old as that, so such a node can decide by Age to read the store
 // itself.
 package mirror
 
@@ -200,9 +200,10 @@
 	})
 }
 
-// confirmRemovals removes the items whose removal has been unconfirmed until its end. Once
-// the time after the last outage has passed, items that go missing later are removed at
-// once again, as before the outage.
+// confirmRemovals removes the items that were not written again before the end of their
+// unconfirmed removal. When Config.ConfirmAfter has passed since the last outage,
+// confirmRemovals also ends the special treatment of missing items: items that are missing
+// from then on are removed at once.
 func (m *Mirror) confirmRemovals(now time.Time) {
 	m.update(func() {
 		if !m.missingPolicy.until.IsZero() && !now.Before(m.missingPolicy.until) {
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -210,9 +210,9 @@
 }
 
 // TestVoidBeforeClaim guards against a key that stays held although no attempt uses it.
-// The failure occurs if a forwarded claim is delayed, its router gives up and voids the
-// attempt through another router, the claim is then written, and the void of a claim
-// that was not in the log yet has been ignored.
+// A forwarded claim is delayed, so its router gives up and voids the attempt through
+// another router. The claim is written after the void. The failure occurs if the void is
+// ignored because its claim was not in the log yet.
 func TestVoidBeforeClaim(t *testing.T) {
 	table := newTable()
 	op := func(kind OpKind, attempt string) Op { return Op{Kind: kind, Attempt: attempt} }
@@ -226,7 +226,8 @@
 	}
 }
 
-// hookStore runs hook once, right after the first chunk of a snapshot is read.
+// hookStore runs hook once, right after the first chunk of a snapshot is read. A test uses
+// it to let other routers write to the store while a router is still reading the snapshot.
 type hookStore struct {
 	*kvtest.Store
 	hook func()
@@ -241,10 +242,10 @@
 	return v, ok, err
 }
 
-// TestTruncatedWhileBeingRead guards against a key that is granted twice. The failure
-// occurs if a router reads a snapshot and pauses, other routers claim the key, store a
-// newer snapshot and truncate the log, and the first router continues reading the log
-// with the truncated entries missing from its table.
+// TestTruncatedWhileBeingRead guards against a key that is granted twice. A router reads a
+// snapshot and pauses. Meanwhile other routers claim the key, store a newer snapshot and
+// truncate the log. The failure occurs if the first router then continues reading the log
+// although the truncated entries are missing from its table.
 func TestTruncatedWhileBeingRead(t *testing.T) {
 	store := kvtest.New()
 	other := newSoleOwner(store)
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -210,15 +210,17 @@
 }
 
 // OnLink registers fn to be called with the id of the remote node whenever a link comes
-// up. Each call of fn runs in its own goroutine. OnLink must be called before Run.
+// up. Callers use it to get from the remote node what was lost while there was no link.
+// Each call of fn runs in its own goroutine. OnLink must be called before Run.
 func (m *Mesh) OnLink(fn func(node string)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onLink = append(m.onLink, fn)
 }
 
-// OnChange registers fn to be called after changes of the membership, on the goroutine of
-// the flood handlers. fn must not block, because no flood is handled until fn returns.
+// OnChange registers fn to be called after changes of the membership. Callers use it to
+// discard what they have derived from the earlier membership. fn is called on the goroutine
+// of the flood handlers and must not block, because no flood is handled until fn returns.
 // Several changes in quick succession may result in one call of fn. OnChange must be
 // called before Run.
 func (m *Mesh) OnChange(fn func()) {
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// settle advances the fake time by d and waits until all goroutines are blocked.
+// settle advances the fake time by d and waits until all goroutines are blocked. Tests call
+// it before they check a result, so that the nodes have finished what is due until then.
 func settle(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -124,12 +125,11 @@
 	}
 }
 
-// TestCutAndHeal guards against a node that stays out of the fleet after a pause or
-// network cut, or loses its state in the fleet. The failure occurs if the silence is
+// TestCutAndHeal guards against a node that stays out of the fleet, or loses its state in
+// the fleet, after a pause or a loss of its network. The failure occurs if the silence is
 // not detected, if the node does not refute the reports about it, or if no node dials
-// again because each side considers the other side dead. The test drops all bytes to
-// and from n02 for a minute while the connections stay open, and removes the seeds
-// before.
+// again because each side considers the other side dead. The test first removes the seeds.
+// Then it drops all bytes to and from n02 for a minute while the connections stay open.
 func TestCutAndHeal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -163,10 +163,9 @@
 }
 
 // TestOneWayCutRelays guards against a link that appears healthy at one end but is
-// unusable. The failure occurs if the bytes from n00 to n01 are lost and the bytes from
-// n01 to n00 are not, so that only n01 can detect the loss. n01 must close the link for
-// both nodes. Both must stay members through the third node, which also relays calls
-// between them.
+// unusable. The bytes from n00 to n01 are lost, and the bytes from n01 to n00 are not. Only
+// n01 can detect the loss, so n01 must close the link for both nodes. Both must stay
+// members through the third node, which also relays calls between them.
 func TestOneWayCutRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -251,8 +250,8 @@
 }
 
 // TestRestartWithNewIncarnation guards against a restarted node that its peers confuse
-// with its previous incarnation. The failure occurs if n01 stops and starts again
-// without a configuration in force, and the state of its old incarnation is kept.
+// with its previous incarnation. n01 stops and starts again without a configuration in
+// force. The failure occurs if its peers keep the state of its old incarnation.
 func TestRestartWithNewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -300,8 +299,8 @@
 }
 
 // TestReflectedProofIsRefused guards against a process without the key that is accepted
-// as a node. The failure occurs if a node dials the process, which sends its own hello
-// and then returns the node's proof, and the proofs are the same in both directions.
+// as a node. A node dials the process. The process sends its own hello and then sends the
+// node's proof back. The failure occurs if the proofs of both sides are the same.
 func TestReflectedProofIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := peertest.NewNetwork()
@@ -430,7 +429,7 @@
 // TestSparseMesh guards against floods that miss nodes, crashes that not all nodes
 // detect, and too many links per node in a large fleet. The failure occurs if the
 // sparse graph of links is not connected or records do not spread. The test runs 40
-// nodes, more than the full-mesh limit, sends a flood and cuts off one node without an
+// nodes, more than the full-mesh limit, sends a flood and disconnects one node without an
 // announcement.
 func TestSparseMesh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
