--- a/intent/check.go
+++ b/intent/check.go
@@ -191,9 +191,10 @@
 }
 
 // lostReplicas finds models that would lose their last replica, and a fleet that would lose
-// its last router. Two plans that each remove a different one of two VMs change no common
-// object; if both were accepted, a model would have no replica. A plan therefore lists the
-// VMs that it relies on, and is refused if all of them are leaving by now.
+// its last router. When a model has replicas on two VMs and each of two plans removes one of
+// the VMs, the plans change no common object, but together they would remove every replica.
+// A plan therefore lists the VMs that it needs to stay, and is refused if all of these VMs
+// are leaving by now.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
--- a/intent/confirm.go
+++ b/intent/confirm.go
@@ -51,8 +51,8 @@
 // confirmOnce looks for the plan in the log and, if the plan isn't there, tries to create
 // it as the entry after the last one. An append whose response was lost is repeated at the
 // same position as long as that position is free, so that the delayed append and the new
-// one are the same entry. confirmOnce moves on to a higher position only when an entry of
-// another plan has the former position, because then the delayed append can't take effect.
+// one are the same entry. confirmOnce moves on to a higher position only when the entry of
+// another plan is at that position, because then the delayed append can't take effect.
 func (k *Keeper) confirmOnce(ctx context.Context, p Plan) (r Revision, done bool, err error) {
 	startedAt := time.Now()
 	if !k.loaded.Load() && !k.syncLog(ctx) {
--- a/intent/confirm_test.go
+++ b/intent/confirm_test.go
@@ -73,9 +73,9 @@
 // operator's change without notice, is lost after it was acknowledged, or takes effect
 // after it was refused. Operators confirm plans made at the same revision at several nodes,
 // while responses are lost, writes take effect late and the same plan is confirmed again at
-// another node. The faults would be: accepting a plan without looking for it in the log or
-// without comparing the objects changed since its base, or trying again at another position
-// than the position whose outcome is unknown.
+// another node. A node must look for the plan in the log and compare the objects changed
+// since the plan's base before it accepts the plan. When the outcome of an append is unknown,
+// a node must repeat the append at the same position.
 func TestOperatorsRace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &race{t: t, log: newFakeLog(), outcomes: map[string]uint64{}}
--- a/intent/keeper_test.go
+++ b/intent/keeper_test.go
@@ -91,8 +91,8 @@
 
 // TestOutage guards against an outage of the service that stops traffic, and against a
 // router without any contact that continues with an old configuration. The service becomes
-// unavailable, a router starts, then its last peer is lost. Readiness must depend on both
-// the service and the peers.
+// unavailable, a router starts, then its last peer is lost. A router must be ready while it
+// has contact with the service or a peer, and must not be ready without either.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -121,7 +121,7 @@
 	})
 }
 
-// cutLink is a connection to the peers that a test can cut.
+// cutLink is a connection to the peers that a test can interrupt.
 type cutLink struct {
 	fakePeers
 	cut atomic.Bool
--- a/intent/plan_test.go
+++ b/intent/plan_test.go
@@ -112,9 +112,10 @@
 	}
 }
 
-// TestUnknownSizeLoadsAlone guards against loads that together request far more than the
-// weight store's rate for minutes. The store returns no size for a version that is placed
-// on many engines, and an unknown size must not count as 0.
+// TestUnknownSizeLoadsAlone guards against loads that run at the same time and together
+// need far more than the weight store's rate for minutes. The store returns no size for a
+// version that is placed on many engines. If the unknown size counted as 0, all of these
+// loads would be in one wave.
 func TestUnknownSizeLoadsAlone(t *testing.T) {
 	const rate, hosts = 10, 100
 	loads := []Load{{Backend: "a", Bytes: 1}, {Backend: "b"}, {Backend: "c"}, {Backend: "d", Bytes: 1}, {Backend: "e", Bytes: 1}}
--- a/kvlog/append.go
+++ b/kvlog/append.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// AppendAt adds an entry at position n only. won is true when the entry with this id is in
-// the log; existing is then the entry with this id, at n or at the position where an
-// earlier append of the same id put it. Otherwise existing is the entry at n. AppendAt
-// returns the same errors as Append, and ErrGap.
+// AppendAt adds an entry at position n only. won is true when an entry with this id is in
+// the log, at n or at the position where an earlier append of the same id put it; existing
+// is then that entry. won is false when another entry is at n; existing is then the entry at
+// n. AppendAt returns the same errors as Append, and ErrGap if a position below n is free.
 func (l *Log) AppendAt(ctx context.Context, n uint64, id string, data []byte) (won bool, existing Entry, err error) {
 	value, err := encodeEntry(id, data)
 	if err != nil {
--- a/kvlog/kvlog_test.go
+++ b/kvlog/kvlog_test.go
@@ -15,9 +15,10 @@
 )
 
 // TestFollowWithoutWatch guards against a follower that stays at an old entry while the log
-// has newer ones. The watch closes, or stays open and delivers nothing, or the log is
-// truncated past a follower that was not running; a follower that relies on the watch
-// alone, or skips truncated entries, misses newer entries.
+// has newer ones. In one case the watch closes or stays open and delivers nothing: a follower
+// that relies on the watch alone misses newer entries. In another case the log is truncated
+// beyond the position at which a follower that was not running starts again: Follow must
+// return a *TruncatedError, because a follower that skips truncated entries misses them.
 func TestFollowWithoutWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := kvtest.New()
@@ -100,10 +101,11 @@
 }
 
 // TestLandedPastTheWindow guards against an entry that is in the log twice, or is reported
-// as not appended. The response to an append is lost, other processes append more entries
-// than the window has ids, and the appender reads these entries for another append and then
-// calls Append for the first id again. The appender found the first id in the log while
-// reading, and must remember the id although it is outside the window.
+// as not appended although it is in the log. The response to the append of a first id is
+// lost. Other processes then append more entries than the window has ids. The appender reads
+// all of these entries while it appends a second id, and sees the first id among them. Then
+// it calls Append for the first id again. The appender must still know the first id's
+// position, although the first id is outside the window by then.
 func TestLandedPastTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := kvtest.NewController()
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -257,10 +257,10 @@
 
 // TestEveryEntryOnceInOneOrder guards against an entry that is in the log twice, is missing
 // after it was acknowledged, or is present after its appender got "not appended". Appenders
-// race for positions while responses are lost, writes take effect late, processes pause
-// before or after their call takes effect or exit, and snapshots truncate the log. The
-// faults would be: moving past a position where the appender's own create may still take
-// effect, returning a final result while that create may, or trusting a truncated position.
+// race for positions. Meanwhile responses are lost, writes take effect late, processes pause
+// or exit, and snapshots truncate the log. An entry goes wrong if its appender moves on, or
+// returns a final result, while the appender's own create at that position may still take
+// effect. An entry also goes wrong if its appender uses a truncated position as valid.
 func TestEveryEntryOnceInOneOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
--- a/order/next_test.go
+++ b/order/next_test.go
@@ -18,7 +18,7 @@
 )
 
 // fakeFleet is a set of engines that follow orders and record them. A load completes when
-// the test says so.
+// the test calls completeLoads.
 type fakeFleet struct {
 	mu         sync.Mutex
 	list       []fleet.Backend
--- a/order/order.go
+++ b/order/order.go
@@ -3,16 +3,17 @@
 // number is the create revision of the lease's key, so each new holder has a higher fencing
 // number than the holders before.
 //
-// The package guards against this failure: a holder is paused, its lease expires, another
-// router takes over, and the first one resumes and sends an order of an old plan, which
-// makes an engine unload a version that traffic has just moved to. Backend servers that
-// check the fencing number reject such an order. For backend servers that don't check it,
-// each order must end well before the lease does by the holder's own clock, which is
-// checked directly before the order is sent; and a new holder waits for the duration of a
-// whole lease plus the deadline of an order before it sends its first order to them. No
-// clock can exclude a pause between that check and the write to the connection. Therefore
-// an order states the complete desired state, and the holder reads each backend server's
-// status and repeats the order until the backend server reports that state.
+// The package guards against this failure: a holder is paused, its lease expires and another
+// router takes over. Then the first holder resumes and sends an order of an old plan, and an
+// engine unloads a version that traffic has just moved to. Backend servers that check the
+// fencing number reject such an order. For backend servers that don't check the fencing
+// number there are two rules. The holder checks its own clock directly before it sends an
+// order, and sends the order only if the order's deadline is well before the end of the
+// lease. A new holder waits for the duration of a whole lease plus the deadline of an order
+// before it sends its first order. No clock can exclude a pause between the check and the
+// write to the connection. Therefore an order states the complete desired state, and the
+// holder reads each backend server's status and repeats the order until the backend server
+// reports that state.
 package order
 
 import (
--- a/order/schedule_test.go
+++ b/order/schedule_test.go
@@ -71,9 +71,9 @@
 }
 
 // TestScheduleAsksInTime guards against an engine that restarted or lost a version and is
-// never corrected, and against a change that waits for a minute, in any sequence of
-// changes, failures and unannounced losses. The faults would be a schedule that delays an
-// engine, or a schedule that uses an old answer as the current one.
+// never corrected, and against a change that waits for a minute. It runs random sequences of
+// changes, failures and unannounced losses. The schedule must not query an engine too late,
+// and must not use an old answer as the current one.
 func TestScheduleAsksInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newScheduleRunner(6)
