--- a/backend/canceller.go
+++ b/backend/canceller.go
@@ -20,9 +20,10 @@
 	cancelBackoffMin  = 100 * time.Millisecond
 	cancelBackoffMax  = 15 * time.Second
 	cancelMaxAge      = time.Hour
-	// incarnationLag is how long the known incarnation of an engine may lag behind its
-	// actual one. If the known incarnation differs from the attempt's, but was already
-	// known when the attempt was abandoned, it counts as a restart only after this time.
+	// incarnationLag is how long the reported incarnation of an engine may lag behind the
+	// engine's actual incarnation. When an attempt is abandoned, the reported incarnation
+	// may differ from the attempt's only because of this lag. If the report still differs
+	// after this time, the engine counts as restarted.
 	incarnationLag = 10 * time.Second
 )
 
@@ -114,8 +115,9 @@
 }
 
 // Add queues the cancel of an attempt. It never blocks. If the queue is full, the cancel is
-// dropped and counted; the engine then ends the attempt after the attempt's linger time,
-// during which an unread attempt can be attached to.
+// dropped and counted. The engine then ends the attempt after the attempt's linger time:
+// this is how long an engine keeps an attempt that no router reads, so that a router can
+// still attach to the attempt.
 func (c *Canceller) Add(a AbandonedAttempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/backend/priority.go
+++ b/backend/priority.go
@@ -15,10 +15,11 @@
 
 // priorityOf ranks a resumed answer above all new requests.
 //
-// Without this rank, when the engines of a failure domain crash, their streams would queue
-// at the remaining engines, which have no free slot, behind new generations and new short
-// requests, and callers would see their answers stall for a second or more. Few streams are
-// resumed on any one engine, so short requests wait only a little longer.
+// When the engines of a failure domain crash, their streams are resumed on the remaining
+// engines, which have no free slot. Without this rank, the streams would queue there behind
+// new generations and new short requests, and callers would see their answers stall for a
+// second or more. Few streams are resumed on any one engine, so short requests wait only a
+// little longer.
 func priorityOf(r StartRequest) enginePriority {
 	p := newBatch
 	if r.Priority == fleet.Interactive {
--- a/backend/service.go
+++ b/backend/service.go
@@ -85,9 +85,10 @@
 // the transport sees the connection end without an answer. The transport resends the
 // request if it considers the request replayable: a GET without a body, or any request with
 // an idempotency header. The server then runs the request twice, which is visible only in
-// the server's own records. A body that can't be rewound makes a GET unreplayable (an empty
-// body adds no bytes), and without the idempotency headers, which ForbidReplay removes, no
-// other request is replayable.
+// the server's own records. ForbidReplay therefore does two things. It gives a GET (or
+// another method that counts as replayable) without a body an empty body that can't be
+// rewound, which adds no bytes. It removes the idempotency headers, without which no other
+// request is replayable.
 func ForbidReplay(req *http.Request) {
 	req.Header.Del("Idempotency-Key")
 	req.Header.Del("X-Idempotency-Key")
--- a/client/refusal.go
+++ b/client/refusal.go
@@ -44,8 +44,8 @@
 // was running until that router crashed. It doesn't mean that the request failed.
 const codeInProgress = "in_progress"
 
-// A router refuses a reconnect with these codes because of its own state. Another
-// router may resume the answer, although the outcome in the refusal is unknown.
+// A router refuses a reconnect with these codes because of the router's own state. The
+// refusal then contains the outcome "unknown", but another router may resume the answer.
 const (
 	codeNotReady   = "not_ready"
 	codeOverloaded = "overloaded"
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -13,7 +13,8 @@
 // digest need not resist attacks, because a caller that sends a wrong text with a
 // valid cursor corrupts only its own answer. A router that re-attaches to a run
 // without the text continues from the digest in the cursor, so the digest must be
-// continuable from its value alone; hence a CRC and not a hash with internal state.
+// continuable from its value alone. Therefore the digest is a CRC and not a hash with
+// internal state.
 package cursor
 
 import (
@@ -68,8 +69,9 @@
 	Offset    int    // number of tokens delivered
 	TextBytes int    // bytes of text delivered
 	Digest    uint64 // digest of all delivered text, computed with Extend
-	// Finished is set on the last token. Without Finished, if a caller missed only the end
-	// marker and reconnected, an engine would continue the text beyond its end.
+	// Finished is set on the last token. A caller that missed only the end marker reconnects
+	// with the cursor of the last token. Without Finished, an engine would then continue the
+	// text beyond its end.
 	Finished bool
 }
 
--- a/cursor/cursor_test.go
+++ b/cursor/cursor_test.go
@@ -74,8 +74,8 @@
 }
 
 // TestOpenRefuses guards against a caller reading or continuing another account's answer.
-// The caller alters a cursor, sends a cursor of another account, or a cursor made with a
-// key that no node has or that was removed. Every check must pass before a cursor is used.
+// The caller alters a cursor, sends a cursor of another account, or sends a cursor made with
+// a key that no node has or that was removed. Open must refuse each of these cursors.
 func TestOpenRefuses(t *testing.T) {
 	s := newSealer(t, keyA, nil)
 	text, err := s.Seal(sampleCursor())
--- a/infra/client.go
+++ b/infra/client.go
@@ -84,8 +84,8 @@
 
 // wrapFailure returns err as ErrUnknownOutcome if the call is a write that may have reached
 // the service, else as ErrUnavailable. connected is false when the call never had a
-// connection or the service refused it before it could take effect, so that nothing can
-// have been applied.
+// connection, or when the service refused the call before the call could take effect: in
+// both cases nothing can have been applied.
 func wrapFailure(e effect, connected bool, err error) error {
 	if e == writes && connected {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
--- a/infra/kv.go
+++ b/infra/kv.go
@@ -3,9 +3,9 @@
 //
 // When the response to a write is lost, the service may have applied the write, may apply
 // it much later, or may never have received it. The errors therefore distinguish the cases:
-// ErrUnavailable means that nothing was applied, ErrUnknownOutcome that the write may have
-// been applied or may still be. Nothing in this package sends a write a second time; the
-// callers decide whether to repeat it.
+// ErrUnavailable means that nothing was applied; ErrUnknownOutcome means that the write may
+// have been applied or may still be applied later. Nothing in this package sends a write a
+// second time; the callers decide whether to repeat the write.
 package infra
 
 import (
--- a/infra/platform_test.go
+++ b/infra/platform_test.go
@@ -31,9 +31,8 @@
 
 // TestWriteIsNeverReplayed guards against the key-value service receiving one write twice.
 // The service reads a write on a reused connection and closes the connection. net/http then
-// resends the request by itself if the request has GetBody and looks idempotent; a header
-// such as Idempotency-Key, if a later change added it to writes, would make a write look
-// idempotent.
+// resends the request by itself if the request has GetBody and looks idempotent. A write
+// would look idempotent if a later change added a header such as Idempotency-Key to it.
 func TestWriteIsNeverReplayed(t *testing.T) {
 	var seen atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -64,9 +63,9 @@
 }
 
 // TestErrorsTellWhatMayBeApplied guards against reporting "not applied" for a write that
-// was applied. The connection or the response is lost or the call times out after the write
-// was sent, and an error that doesn't show whether the write was applied is treated as a
-// refusal.
+// was applied. After the write was sent, the connection or the response is lost, or the call
+// times out. The resulting error doesn't show whether the write was applied, so the client
+// must not return the error that means "not applied".
 func TestErrorsTellWhatMayBeApplied(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
--- a/intent/check.go
+++ b/intent/check.go
@@ -45,7 +45,8 @@
 	return next.checkReferences()
 }
 
-// checkReferences finds access rules whose client account doesn't exist.
+// checkReferences returns an *InvalidError if the client account of an access rule doesn't
+// exist.
 func (s *State) checkReferences() error {
 	for key, a := range s.Access {
 		if _, ok := s.Accounts[a.Account]; !ok {
--- a/intent/clock.go
+++ b/intent/clock.go
@@ -66,8 +66,8 @@
 }
 
 // contactDue reports whether the node should contact the service or a peer now: its
-// revision isn't confirmed, or half of the time has passed after which the last contact is
-// too old.
+// revision isn't confirmed, or more than half of contactTimeout has passed since the last
+// contact.
 func (c *pauseClock) contactDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/intent/confirm.go
+++ b/intent/confirm.go
@@ -67,10 +67,11 @@
 		return p.Revision(n), true, nil
 	}
 	if conflicts := s.Conflicts(p); len(conflicts) > 0 {
-		// After this refusal, no append of this plan whose response was lost can take
-		// effect. Such an append was tried because the plan had no conflict in the earlier
-		// state; there is a conflict now only because new revisions were installed, and the
-		// first of them has the position at which the append was tried.
+		// After this refusal, no earlier append of this plan whose response was lost can
+		// take effect. That append was tried because the plan had no conflict in the earlier
+		// state. The plan has a conflict now only because new revisions were installed. The
+		// first of these revisions is at the position of that append, so the position is
+		// taken.
 		k.cfg.Events.Emit(event.PlanConflict, "plan", p.ID, "head", s.Revision)
 		return Revision{}, true, &ConflictError{Base: p.Base, Head: s.Revision, Conflicts: conflicts}
 	}
--- a/order/executor.go
+++ b/order/executor.go
@@ -30,8 +30,8 @@
 	State    func() *intent.State
 	UpToDate func() bool            // whether State may be acted on
 	List     func() []fleet.Backend // the backend servers
-	// Sizes returns the size in bytes of the weights of all placements, by
-	// ModelRef.String().
+	// Sizes returns the size in bytes of the weights of each placed model version. The keys
+	// are the results of ModelRef.String().
 	Sizes func(context.Context) map[string]int64
 	// Candidate reports whether this router should try to acquire the lease; nil means that
 	// the router always tries. A few candidates are enough, and each try costs the service
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -62,7 +62,9 @@
 	}
 }
 
-// keepLease does what the executor does before each round.
+// keepLease acquires or renews the lease for holder i, or ends the holder's tenure, as an
+// executor does before each round. Holder i then has the newest plan, unless the answer of
+// its renewal was lost.
 func (sim *simulation) keepLease(i int) {
 	h := sim.holders[i]
 	if h.tenure != nil && h.tenure.Expired(sim.now) {
@@ -85,8 +87,8 @@
 	h.plan = sim.newest
 }
 
-// order sends an order without renewing the lease first, as a holder does that was paused
-// after its last renewal.
+// order sends an order without renewing the lease first. A holder that was paused after its
+// last renewal does the same.
 func (sim *simulation) order(i int, e *engine) {
 	h := sim.holders[i]
 	if h.tenure == nil {
