--- a/callerapi/callerapi_test.go
+++ b/callerapi/callerapi_test.go
@@ -293,10 +293,10 @@
 	}
 }
 
-// TestOneDraftPerKey guards against two generations of one request. The caller repeats a
-// request while the first is running, after it has finished and its answer was lost, and
-// with another body. The node must mark the key as running while its request runs, and keep
-// the key afterwards.
+// TestOneDraftPerKey guards against two generations of one request. The caller repeats the
+// request while the first one is running, and again after the first one has finished and its
+// answer was lost. The caller also sends another body with the same key. The node must mark
+// the key as running while the first request runs, and keep the key afterwards.
 func TestOneDraftPerKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var runs atomic.Int32
@@ -340,8 +340,8 @@
 }
 
 // TestOneDraftAcrossNodes guards against the same failure as TestOneDraftPerKey when the
-// first request runs on another node. A reconnect is allowed, because it takes over its own
-// stream.
+// first request runs on another node. A reconnect is allowed, because it continues the
+// caller's earlier stream and starts no second generation.
 func TestOneDraftAcrossNodes(t *testing.T) {
 	s := newServer(t, func(_ context.Context, req generation.Request, sink generation.Sink) generation.Result {
 		if req.Resume != nil {
@@ -365,8 +365,8 @@
 
 // TestReconnectSupersedes guards against a caller that lost its connection being refused or
 // kept waiting, and against the caller's two runs taking the engine's stream from each
-// other. The connection breaks without the node noticing, so the node blocks in a write to
-// that connection, and the earlier run still occupies the key when the caller reconnects to
+// other. The connection breaks, and the node doesn't notice and blocks in a write to that
+// connection. The earlier run therefore still occupies the key when the caller reconnects to
 // the same node.
 func TestReconnectSupersedes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/callerapi/generate.go
+++ b/callerapi/generate.go
@@ -109,14 +109,14 @@
 	return f
 }
 
-// lookupTimeout bounds the query to other nodes whether the key is running there. An
-// unreachable node must not delay the request, since the query only prevents unnecessary
+// lookupTimeout bounds the query that finds out whether the key is running on another node.
+// An unreachable node must not delay the request, since the query only prevents unnecessary
 // work and is not needed for correctness.
 const lookupTimeout = 100 * time.Millisecond
 
-// checkOtherNodes refuses a request whose key is running on another node. A reconnect is
-// allowed, because it takes over its own stream from a node that has lost the connection to
-// the caller.
+// checkOtherNodes refuses a request whose key is running on another node. Exception: a
+// reconnect is allowed, because it takes over the caller's earlier stream from a node that
+// has lost the connection to the caller.
 func (s *Server) checkOtherNodes(ctx context.Context, c *generationCall) *Failure {
 	if s.KeyRegistry == nil || c.id.KeyGenerated || c.resumeFrom != nil {
 		return nil
--- a/callerapi/service.go
+++ b/callerapi/service.go
@@ -79,8 +79,8 @@
 	return s.serviceOnce(w, r, call)
 }
 
-// idempotentMethod reports whether HTTP defines the method as idempotent. This decides only
-// for calls that the caller has not marked.
+// idempotentMethod reports whether HTTP defines the method as idempotent. The result is used
+// only for calls that the caller has not marked as idempotent or non-idempotent.
 func idempotentMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions:
--- a/callerapi/service_test.go
+++ b/callerapi/service_test.go
@@ -13,9 +13,10 @@
 )
 
 // TestServices guards against a non-idempotent call running twice, or being reported as
-// not-run although it ran. The answer of a call breaks off, the call fails with an untyped
-// error, or the answer is lost on the way to the caller, which repeats the call; or the key
-// header is passed on and makes net/http's transport resend the call.
+// not-run although it ran. There are four causes. The answer of a call breaks off. The call
+// fails with an untyped error. The answer is lost on the way to the caller, and the caller
+// repeats the call. The key header is passed on, and net/http's transport therefore resends
+// the call.
 func TestServices(t *testing.T) {
 	var calls []callerapi.ServiceCall
 	disconnect := func() {}
--- a/callerapi/sink.go
+++ b/callerapi/sink.go
@@ -70,8 +70,9 @@
 
 // rearmBytes is how many bytes may be written to the caller before the write deadline is
 // set again. It is smaller than net/http's buffer, which is written to the connection
-// whenever it is full. If rearmBytes were larger, such a write after a long silence of the
-// engine would fail on the deadline that was set for the flush before the silence.
+// whenever it is full. If rearmBytes were larger, a full buffer could be written before the
+// deadline is set again. After a long silence of the engine, that write would fail on the
+// deadline that was set for the flush before the silence.
 const rearmBytes = 2048
 
 // streamSink implements generation.Sink with server-sent events. Token is called
@@ -216,9 +217,10 @@
 }
 
 // abortOn makes writes fail as soon as ctx ends. A write to a connection whose caller is
-// unreachable blocks until its deadline; without abortOn, the caller, reconnected on
-// another connection, would have to wait that long for its key. release must be called
-// before the handler returns, because the connection must not be used afterwards.
+// unreachable blocks until the write's deadline. Without abortOn, a caller that reconnects on
+// another connection would have to wait until that deadline, because the blocked run still
+// occupies the caller's key. release must be called before the handler returns, because the
+// connection must not be used afterwards.
 func (s *streamSink) abortOn(ctx context.Context) (release func()) {
 	done := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
