--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -62,8 +62,9 @@
 
 // KeyRegistry records which keys are running, and on which node, and shares these records
 // with other nodes. It only saves work and guarantees nothing: a caller that needs a
-// guarantee marks its request as non-idempotent. Locate returns the node only if it is
-// another node and is believed to be alive; otherwise, or when in doubt, ok is false.
+// guarantee marks its request as non-idempotent. Locate returns the node on which the key is
+// running if that node is another node and is believed to be alive. Otherwise, and whenever
+// this isn't certain, ok is false.
 type KeyRegistry interface {
 	Locate(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
--- a/cursor/cursor_test.go
+++ b/cursor/cursor_test.go
@@ -75,7 +75,8 @@
 
 // TestOpenRefuses guards against a caller reading or continuing another account's answer.
 // The caller alters a cursor, sends a cursor of another account, or sends a cursor made with
-// a key that no node has or that was removed. Open must refuse each of these cursors.
+// a key that no node has or that was removed. Open must refuse each of these cursors: every
+// check must pass before a cursor is used.
 func TestOpenRefuses(t *testing.T) {
 	s := newSealer(t, keyA, nil)
 	text, err := s.Seal(sampleCursor())
--- a/intent/check.go
+++ b/intent/check.go
@@ -194,8 +194,9 @@
 // lostReplicas finds models that would lose their last replica, and a fleet that would lose
 // its last router. When a model has replicas on two VMs and each of two plans removes one of
 // the VMs, the plans change no common object, but together they would remove every replica.
-// A plan therefore lists the VMs that it needs to stay, and is refused if all of these VMs
-// are leaving by now.
+// A plan that changes the number of a model's replicas therefore lists the VMs of which at
+// least one must stay for the model; a plan that removes routers lists such VMs for the
+// routers. The plan is refused if all VMs of one of these lists are leaving by now.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -197,8 +197,9 @@
 	synctest.Wait()
 }
 
-// finish lets all blocked calls complete, then compares the log with the results that the
-// appenders got.
+// finish completes all blocked calls and applies all delayed writes, then compares the log
+// with the results that the appenders got. If applyDelayedFirst is true, the writes that are
+// already delayed are applied before the blocked calls complete.
 func (h *harness) finish(applyDelayedFirst bool) {
 	for applyDelayedFirst && h.controller.DelayedWrites() > 0 {
 		h.controller.ApplyDelayed(0)
@@ -257,10 +258,11 @@
 
 // TestEveryEntryOnceInOneOrder guards against an entry that is in the log twice, is missing
 // after it was acknowledged, or is present after its appender got "not appended". Appenders
-// race for positions. Meanwhile responses are lost, writes take effect late, processes pause
-// or exit, and snapshots truncate the log. An entry goes wrong if its appender moves on, or
-// returns a final result, while the appender's own create at that position may still take
-// effect. An entry also goes wrong if its appender uses a truncated position as valid.
+// race for positions. Meanwhile responses are lost, writes take effect late, and snapshots
+// truncate the log. Processes exit, or pause before or after their call takes effect. There
+// are two faults to detect. An appender moves past a position, or returns a final result,
+// while its own create at that position may still take effect. Or an appender trusts a
+// position that has been truncated.
 func TestEveryEntryOnceInOneOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
--- a/order/next_test.go
+++ b/order/next_test.go
@@ -97,8 +97,8 @@
 
 // TestWavesKeepOldVersions guards against a model without a replica while its new version
 // loads, and against requests beyond the weight store's rate. A plan replaces v1 by v2 on
-// four engines. The faults would be ordering all loads at once, or unloading v1 when v2 is
-// ordered.
+// four engines. The holder must not order all loads at once, and must not unload v1 as soon
+// as v2 is ordered.
 func TestWavesKeepOldVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("a", "b", "c", "d")
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// sweepDue reports whether the engine's time in the periodic sweep has come since the
-// engine was last queried. A hash of the engine's id determines this time, which never
-// moves, so no change of the list can delay an engine.
+// sweepDue reports whether the engine's time in the periodic sweep has come since last, the
+// time of the engine's last query. A hash of the engine's id determines the engine's time,
+// which is the same in every sweep, so no change of the list can delay an engine.
 func (c *Schedule) sweepDue(id string, last, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(id) % uint64(SweepInterval))
 	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + SweepInterval - phase) / SweepInterval) }
--- a/order/tenure.go
+++ b/order/tenure.go
@@ -23,9 +23,9 @@
 func NewTenure(p Policy, fence uint64, startedAt, now time.Time) *Tenure {
 	t := &Tenure{Fence: fence, policy: p, busyUntil: map[string]time.Time{}}
 	t.RecordRenewal(startedAt)
-	// The former holder may consider its lease valid for one TTL after its last
-	// renewal, even if the service has lost the lease earlier, and an order sent at the
-	// end of that time takes up to the deadline of an order.
+	// The former holder may consider its lease valid for one TTL after its last renewal,
+	// even if the service has lost the lease earlier. An order that the former holder sends
+	// at the end of that time may take until the order's deadline to arrive.
 	t.quietUntil = now.Add(p.TTL + p.OrderDeadline)
 	return t
 }
