--- a/callerapi/server.go
+++ b/callerapi/server.go
@@ -63,8 +63,8 @@
 // KeyRegistry records which keys are running, and on which node, and shares these records
 // with other nodes. It only saves work and guarantees nothing: a caller that needs a
 // guarantee marks its request as non-idempotent. Locate returns the node on which the key is
-// running if that node is another node and is believed to be alive. Otherwise, and whenever
-// this isn't certain, ok is false.
+// running if that node is another node and is believed to be alive. Otherwise ok is false;
+// ok is also false in case of doubt.
 type KeyRegistry interface {
 	Locate(ctx context.Context, account, key string) (node string, bodyHash [16]byte, ok bool)
 	Announce(account, key string, bodyHash [16]byte)
--- a/client/client.go
+++ b/client/client.go
@@ -5,9 +5,9 @@
 // A router may crash, freeze or be replaced while it serves a stream. The connection then
 // breaks, ends without the last event of the answer, or stays silent. The client reconnects
 // to the next router with the last event id and the text received so far, so that the
-// answer continues with the next token and does not start from the beginning. A final
-// refusal ends the request; after a not-run refusal, the client tries again after
-// Retry-After.
+// answer continues with the next token and does not start from the beginning. A refusal by a
+// router ends the request. Exception: after a refusal that allows another try
+// (Refusal.retryable), the client tries again after Retry-After.
 package client
 
 import (
