--- a/intent/check.go
+++ b/intent/check.go
@@ -45,7 +45,8 @@
 	return next.checkReferences()
 }
 
-// checkReferences finds access rules whose client account doesn't exist.
+// checkReferences returns an *InvalidError if the client account of an access rule doesn't
+// exist.
 func (s *State) checkReferences() error {
 	for key, a := range s.Access {
 		if _, ok := s.Accounts[a.Account]; !ok {
@@ -191,9 +192,11 @@
 }
 
 // lostReplicas finds models that would lose their last replica, and a fleet that would lose
-// its last router. Two plans that each remove a different one of two VMs change no common
-// object; if both were accepted, a model would have no replica. A plan therefore lists the
-// VMs that it relies on, and is refused if all of them are leaving by now.
+// its last router. When a model has replicas on two VMs and each of two plans removes one of
+// the VMs, the plans change no common object, but together they would remove every replica.
+// A plan that changes the number of a model's replicas therefore lists the VMs of which at
+// least one must stay for the model; a plan that removes routers lists such VMs for the
+// routers. The plan is refused if all VMs of one of these lists are leaving by now.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
