--- a/ctl/commands.go
+++ b/ctl/commands.go
@@ -123,9 +123,9 @@
 	t.printPlan(*r.problem.NewPlan)
 }
 
-// wait prints on how many nodes a revision is in force until it is in force on all of
-// them. The limit applies to the waiting but does not cut off a status query: if it
-// did, the error would not say which nodes are unreachable.
+// wait prints on how many nodes a revision is in force until it is in force on all of them.
+// The limit ends the waiting between two status queries, but does not abort a query. If a
+// query were aborted, the error would not say which nodes are unreachable.
 func (t *tool) wait(parent context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(parent, limit)
 	defer cancel()
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -210,8 +210,9 @@
 }
 
 // If any node may have executed the confirmation of a plan, the outcome must be reported as
-// unsettled. Here the first node executes it and dies, and the refused connection to the
-// second must not hide that.
+// unsettled. Here the first node executes the confirmation and dies, and the second node
+// refuses the connection. This refusal must not hide that the first node may have executed
+// the confirmation.
 func TestDoubtIsReported(t *testing.T) {
 	b := newTestNodes(t)
 	plan := filepath.Join(t.TempDir(), "plan.json")
--- a/daemon/accounts.go
+++ b/daemon/accounts.go
@@ -68,8 +68,9 @@
 	return "", false
 }
 
-// Resolve picks the version of a model for one request by a hash of sticky, so that requests
-// with the same sticky value get the same version while the same versions serve.
+// Resolve picks the version of a model for one request by a hash of sticky. Requests with
+// the same sticky value get the same version as long as the model's traffic split and the
+// set of its versions with engines stay the same.
 func (a *accounts) Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error) {
 	s := a.view.Load().state
 	t, ok := s.Traffic[model]
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -9,12 +9,12 @@
 	"wigeondale/intent"
 )
 
-// drain tracks whether this node's own VM is to leave.
+// drain tracks whether this node's own VM is to leave the fleet.
 //
-// Without this tracking, a plan that lets an entry VM leave would have no effect on the
-// VM's router, and the VM would be removed with requests open. When the VM is to leave,
-// readiness fails at once; new work is refused only after the notice period, so that
-// callers are never refused by a router that the balancer still sends them to; open
+// Without this tracking, a plan under which an entry VM leaves would have no effect on the
+// VM's router, and the VM would be removed while requests are open. When the VM is to
+// leave, readiness fails at once. New work is refused only after the notice period, so that
+// callers are never refused by a router that the balancer still sends them to. Open
 // requests are finished.
 type drain struct {
 	vm     string
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -12,11 +12,11 @@
 	"wigeondale/peer"
 )
 
-// A backend server that the routers which read the VM list saw leaving and then live must
-// still be marked as leaving here, even if this router only receives the later record: the
-// list may lag, and the VM is about to be removed. But once the "live" record has lasted
-// for a while, it is taken as correct: an engine may have been started again on that VM,
-// and because of the old mark the new incarnation would get no work.
+// The routers that read the VM list may see a backend server as leaving and then as live,
+// since the list may lag although the VM is about to be removed. This router must mark the
+// server as leaving even if it only receives the later record, "live". But once the "live"
+// record has lasted for a while, it is taken as correct: an engine may have been started
+// again on that VM, and the old mark would keep all work from the new incarnation.
 func TestLiveAfterLeavingIsDoubted(t *testing.T) {
 	now := time.Now().UnixMilli()
 	record := func(at, left int64) inventory.Record {
--- a/daemon/load_test.go
+++ b/daemon/load_test.go
@@ -17,8 +17,8 @@
 )
 
 // The demand of a peer whose link is down must still count until the peer is removed. When
-// links between three routers were cut, each router took the other routers' demand for
-// zero, and a client account got its whole limit at each router.
+// the links between three routers were down, each router assumed that the others had no
+// demand, and a client account got its whole limit at each router.
 func TestDemandOutlivesTheLink(t *testing.T) {
 	demand := map[string]float64{"acme": 100}
 	member := func(id string, linked bool) peer.Member {
@@ -50,10 +50,11 @@
 	}
 }
 
-// Routers share the slots of engines evenly, so that callers of one router are not
-// refused while those of another are served: here the other router fills both engines,
-// and this one must not be limited to the slots left free. Slots of an engine that is
-// down must not be counted, or they would be filled at the remaining engines.
+// Routers share the slots of engines evenly, so that callers of one router are not refused
+// while those of another are served. Here the other router fills both engines. This router
+// must still get its share and not only the slots that are left free. Slots of an engine
+// that is down must not be counted: the requests admitted for these slots would go to the
+// remaining engines.
 func TestRoomIsSharedFairly(t *testing.T) {
 	const slots = 20
 	ref := fleet.ModelRef{Model: "m", Version: "v1"}
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -22,8 +22,8 @@
 	// failure domains takes about a millisecond.
 	pointerTimeout = 25 * time.Millisecond
 	// maxPointerMisses is the number of consecutive lookups that a router may leave
-	// unanswered before it is skipped for pointerBackoff. One slow answer does not mean
-	// that the link is cut.
+	// unanswered before it is skipped for pointerBackoff. One slow answer does not mean that
+	// the link is down.
 	maxPointerMisses = 2
 	pointerBackoff   = time.Second
 	// maxPointers limits the number of pointers that are stored for other routers, of about
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -34,8 +34,8 @@
 			_, linked := n.mesh.RandomNeighbour()
 			return !linked && len(n.mesh.Members()) > 1
 		},
-		// A node that misses an update receives the update for the next crash, or fetches
-		// the holds later.
+		// A node that misses this update learns of the quarantine later: from the update that
+		// is sent after the next crash, or from the list that it fetches from a neighbour.
 		Broadcast: func(m quarantine.Update) { _ = n.mesh.Flood(quarantine.FloodUpdate, m) },
 		Log:       n.log,
 		Set:       n.set,
--- a/daemon/reports.go
+++ b/daemon/reports.go
@@ -40,11 +40,13 @@
 	})
 }
 
-// shouldFlood reports whether a router floods that a backend server is leaving. The
-// configuration reaches all routers by itself, and can be rolled back, while the mark that
-// a peer report sets can't. An update from the VM list has already been flooded, by the
-// router that read the list, to all routers that don't read it. If those flooded the update
-// too, each of hundreds of routers would flood it once more.
+// shouldFlood reports whether a router that learns that a backend server is leaving floods
+// this to the others. A router that learns it from the configuration does not: the
+// configuration reaches all routers by itself, and it can be rolled back, while the mark
+// that a peer report sets can't. A router that learns it from the VM list floods it only if
+// the router reads the list itself. The routers that don't read the list have received the
+// update by a flood: if they flooded it too, each of hundreds of routers would flood it
+// once more.
 func shouldFlood(source directory.Source, duty inventory.Duty) bool {
 	switch source {
 	case directory.FromPeerReport, directory.FromIntent:
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -29,8 +29,9 @@
 	codeDuplicate     = "duplicate_key"
 	codeLost          = "connection_lost"
 	codeDeadline      = "deadline"
-	// unknownRetryAfter is the Retry-After when it is unknown whether a call ran. Repeating
-	// it under the same key is safe, but an earlier repeat would give the same answer.
+	// unknownRetryAfter is the Retry-After of a response which says that it is unknown
+	// whether a call ran. Repeating the call under the same key is safe, but a call that is
+	// repeated earlier would get the same response.
 	unknownRetryAfter = 5 * time.Second
 )
 
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// urgentDivisor sets how many interactive requests, and how many resumes, may always run
-	// from this router: the engines' slots divided by it.
+	// urgentDivisor sets how many interactive requests, and how many resumes, this router
+	// may always run. Each of the two numbers is the number of slots of the engines divided
+	// by urgentDivisor.
 	urgentDivisor = 4
 	// slotsMaxAge is how long computed figures are reused. The figures are read several
 	// times in each decision, and reusing them hardly makes a decision less accurate, since
@@ -124,9 +125,10 @@
 	return max(float64(all.routers*engines)/float64(all.engines), 1)
 }
 
-// usable leaves out engines that are down, since requests for their slots would go to
-// the remaining engines. If all are down it returns all, so that requests proceed and
-// fail with the reason why there is no replica, instead of waiting for a slot.
+// usable returns the engines that are not down. Slots of an engine that is down must not be
+// counted, since requests for these slots would go to the remaining engines. Exception: if
+// all engines are down, usable returns all of them, so that requests proceed and fail with
+// the reason why there is no replica, instead of waiting for a slot.
 func (r *slotCounter) usable(engines []routing.Candidate) []routing.Candidate {
 	var up []routing.Candidate
 	for _, c := range engines {
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -61,10 +61,10 @@
 
 // demands maps each peer to its last known demand for each client account.
 //
-// A member's summary is empty as soon as the link to it is down. When links are cut,
-// and before any router is declared dead, each part of the fleet would otherwise take
-// the others' demand for zero, and each client account would get its whole limit from
-// each part.
+// The last known demand is kept because a member's summary is empty as soon as the link to
+// the member is down. Suppose that links fail and split the fleet into parts. Until routers
+// are declared dead, each part would otherwise assume that the other parts have no demand,
+// and each client account would get its whole limit from each part.
 type demands map[string]map[string]float64
 
 func (d demands) update(members []peer.Member) []admission.PeerDemand {
--- a/daemon/tried.go
+++ b/daemon/tried.go
@@ -11,12 +11,13 @@
 	"wigeondale/placement"
 )
 
-// triedSet records the backend servers to which a call was sent, possibly two at once,
-// and the outcome.
+// triedSet records the backend servers to which a call was sent, possibly two at once, and
+// the first error after which the call may have run.
 //
-// The set keeps the first error after which the call may have run. Without that error, if
-// one backend server reads a call and disconnects and the next server can't be reached, the
-// caller would get the last error, which says that the call did not run.
+// That error is kept for calls that are sent to several servers. Suppose that one server
+// reads the call and disconnects, and that the next server can't be reached. The last error
+// says that the call did not run. Without the first error, the caller would get this last
+// one, although the first server may have run the call.
 type triedSet struct {
 	mu         sync.Mutex
 	ids        map[string]bool
--- a/dump/dump.go
+++ b/dump/dump.go
@@ -1,8 +1,8 @@
-// Package dump collects the state of the parts of a process and shows it on request. A
-// part that hangs must not hide the others, least of all when it is the one that the
-// operator is looking for: each section is collected separately, with a time limit and
-// its own recover, and a part that fails or does not answer is shown with an error
-// instead of its state.
+// Package dump collects the state of the parts of a process and shows it on request. A part
+// that hangs must not hide the state of the other parts, and must itself appear in the
+// dump, since it may be the part that the operator is looking for. Each section is
+// therefore collected separately, with a time limit and its own recover. A part that fails
+// or does not answer is shown with an error instead of its state.
 package dump
 
 import (
--- a/fakes/control/control_test.go
+++ b/fakes/control/control_test.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// A cut relay must act like a network partition: a request gets no response and its
-// connection stays open. After the switch heal, requests must get responses; after kill,
-// connections must be refused.
+// The control command cut must make a relay act like a network partition: a request gets no
+// response, and its connection stays open. After the control command heal, requests must
+// get responses again. After the control command kill, connections must be refused.
 func TestRelayCutAndKill(t *testing.T) {
 	target := start(t, `{}`)
 	s := start(t, `{"relays":[{"id":"link","target":"`+target.Addr()+`"}]}`)
--- a/fakes/engine/engine.go
+++ b/fakes/engine/engine.go
@@ -252,9 +252,9 @@
 	return s.cancel(reason, now)
 }
 
-// recordLoad adds a load report, unless the latest one is recent. It drops the reports before the
-// newest one that is at least as old as the report lag, which GET /v1/load returns. It also expires
-// ended streams.
+// recordLoad adds a load report, unless the latest one is recent. GET /v1/load returns the
+// newest report that is at least as old as the report lag; recordLoad drops the reports
+// before that one. It also expires ended streams.
 func (e *Engine) recordLoad(now time.Time) {
 	lag := fault.Millis(e.cfg.ReportLagMS)
 	if n := len(e.loadReports); n > 0 && now.Sub(e.loadReports[n-1].AsOf()) < max(lag/4, idleInterval) {
--- a/fakes/engine/engine_test.go
+++ b/fakes/engine/engine_test.go
@@ -227,9 +227,9 @@
 	checkAnswer(t, r.text.String(), 500)
 }
 
-// An engine behind a network partition (the switch cut) must go on generating until the
-// answer is complete, while no client can attach to the stream. After heal the client must
-// get every token.
+// The switch cut puts an engine behind a network partition. The engine must go on
+// generating until the answer is complete, while no client can attach to the stream. After
+// the switch heal the client must get every token.
 func TestCutLetsStepsGoOn(t *testing.T) {
 	e := start(t, nil)
 	startStream(t, e, request("r", 1, 300)).read(1)
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -58,10 +58,11 @@
 	return &Listener{addr: addr, conns: make(map[*conn]struct{}), in: openGate(), out: openGate()}
 }
 
-// Start opens the socket and heals any cut. It returns a listener for the connections of
-// this start, or nil if the socket is open already. The Close method of the returned
-// listener closes the socket of this start only, since an HTTP server closes its listener
-// when it notices a kill, which may be after the next Start.
+// Start opens the socket and ends any cut, as Heal does. It returns a listener for the
+// connections of this start, or nil if the socket is open already. The Close method of the
+// returned listener closes the socket of this start only. The reason: an HTTP server closes
+// its listener when it notices a kill, and by then the next Start may have opened a new
+// socket.
 func (l *Listener) Start() (net.Listener, error) {
 	l.Heal()
 	l.mu.Lock()
@@ -243,8 +244,8 @@
 	}
 }
 
-// Read waits after the bytes have arrived and not before, since a cut may start while Read
-// blocks; the bytes must then be stopped.
+// Read waits for the delay and the gate after the bytes have arrived, not before. A cut may
+// start while Read blocks, and bytes that arrive during the cut must be stopped.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if waitErr := c.wait(c.owner.inGate); waitErr != nil {
--- a/fakes/fault/server.go
+++ b/fakes/fault/server.go
@@ -20,7 +20,8 @@
 	return &Server{Listener: NewListener(addr), handler: handler}
 }
 
-// Start starts the server, also after a Kill. If it is running, only its cuts are healed.
+// Start starts the server, also after a Kill. If the server is running already, Start only
+// ends its cuts, as Heal does.
 func (s *Server) Start() error {
 	ln, err := s.Listener.Start()
 	if err != nil || ln == nil {
--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is a TCP relay. Tests cut either or both of its directions to separate two
-// processes that both keep running.
+// Package relay is a TCP relay between two processes. With the switches cut, cut-in and
+// cut-out, tests stop the bytes in both directions or in one, to separate two processes
+// that both keep running.
 package relay
 
 import (
