--- a/bench/path_test.go
+++ b/bench/path_test.go
@@ -79,8 +79,8 @@
 	forward(b, job{Model: pacedModel, Streams: 600, Tokens: 200})
 }
 
-// bareRequests counts the bare handler's requests over all rounds, for unique request ids: an
-// engine refuses an attempt that it has already received.
+// bareRequests counts the bare handler's requests over all rounds. The count makes each
+// request id unique, since an engine refuses an attempt that it has already received.
 var bareRequests atomic.Int64
 
 // BenchmarkForwardPacedBare measures the same as BenchmarkForwardPaced, but with a bare
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -80,14 +80,15 @@
 	return backends, nil
 }
 
-// showLeaving reports whether a backend server is to be shown as leaving, once for each of
-// its incarnations.
+// showLeaving reports whether a record says that its backend server is to be shown as
+// leaving. The caller shows each incarnation of a server as leaving only once, since the
+// mark that this sets in the directory stays until the server starts a new incarnation.
 //
-// The routers that read the VM list may see the server leaving and then live again, from a
-// lagging replica of the list. A node that received only the later record would send the
-// server work until the server is removed. The mark set in the directory stays until the
-// server starts a new incarnation. Once the "live" record has lasted for unconfirmedLive,
-// it is taken as correct: an engine may have been started again on that VM.
+// The routers that read the VM list may see the server as leaving and then as live again,
+// from a lagging replica of the list. A node that received only the later record would send
+// the server work until the server is removed. Once the "live" record has lasted for
+// unconfirmedLive, it is taken as correct: an engine may have been started again on that
+// VM.
 func showLeaving(r inventory.Record, now time.Time) bool {
 	return r.Item.Leaving || r.MarkedLeaving() && now.UnixMilli()-r.LeavingAt < unconfirmedLive.Milliseconds()
 }
--- a/event/output.go
+++ b/event/output.go
@@ -18,9 +18,9 @@
 // Output the next request that logs a line blocks: all requests of the node stop at the
 // same moment. Lines beyond the queue or the rate are dropped and counted.
 type Output struct {
-	// OnDropped, if set before use, is called at most once a second with the number of
-	// lines dropped since its last call, if any. The number does not include the
-	// line that it logs itself.
+	// OnDropped, if set before use, is called at most once a second with the number of lines
+	// dropped since its last call, if any. The number does not include the line that
+	// OnDropped logs itself.
 	OnDropped func(n int)
 
 	lines chan []byte
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -35,7 +35,8 @@
 	Header http.Header
 	Body   string
 	Ran    bool
-	// Completed is set when the run has completed. It stays false for a run that was cut off.
+	// Completed is set when the run has completed. It stays false for a run that was
+	// aborted.
 	Completed bool
 }
 
@@ -140,8 +141,9 @@
 	r.faults, r.faultsSetAt = f, time.Now()
 }
 
-// failsRequest reports whether the replica responds to a request with FailStatus. A share of the
-// requests is selected by a hash of the id.
+// failsRequest reports whether the replica responds to a request with FailStatus. If
+// FailShare is set, only that share of the requests fails, selected by a hash of the
+// request's id.
 func (r *Replica) failsRequest(f Faults, id string) bool {
 	r.mu.Lock()
 	since := time.Since(r.faultsSetAt)
--- a/fakes/service/service.go
+++ b/fakes/service/service.go
@@ -107,7 +107,8 @@
 // Digest returns the digest that stands for a body or a key in answers and records.
 func Digest(b []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(b)) }
 
-// Record returns a copy of the counts, which are kept over kill and start.
+// Record returns a copy of the counts. They remain when the replica is killed and started
+// again.
 func (s *Service) Record() Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// change applies f to every entry of the VM, from the last to the first.
+// change applies f to every entry of the VM, from the last to the first, so that f can
+// delete an entry without shifting the entries to which it is applied next.
 func (l *List) change(vm string, f func([]Entry, int) []Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/load/curves.go
+++ b/load/curves.go
@@ -8,12 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ticksPerHalfDistance is the number of points of a curve each time the distance to 100%
-// halves.
+// ticksPerHalfDistance is the number of points of a percentile curve between one percentile
+// and the next one that is half as far from 100%: from 0% to 50%, from 50% to 75%, and so
+// on.
 const ticksPerHalfDistance = 5
 
-// WriteCurves writes the percentile curve of each class and measure as CSV: class, measure,
-// percentile, value in milliseconds, number of values up to it.
+// WriteCurves writes the percentile curve of each class and measure as CSV. The columns are
+// the class, the measure, the percentile, its value in milliseconds, and the number of
+// samples up to that value.
 func (r *Result) WriteCurves(w io.Writer) error {
 	out := csv.NewWriter(w)
 	rows := [][]string{{"class", "measure", "percentile", "ms", "count"}}
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -40,8 +40,8 @@
 
 // A run must not report success although an answer was wrong. Here the router leaves a
 // token out, or ends the answer a token early: both answers look complete to a caller that
-// only counts answers. An answer that the router cuts short and marks with an error is not
-// a fault.
+// only counts answers. Exception: an answer that the router truncates and marks with an
+// error is not a fault.
 func TestRunFindsWrongAnswers(t *testing.T) {
 	const tokens = 5
 	cases := []struct {
--- a/load/run.go
+++ b/load/run.go
@@ -136,8 +136,8 @@
 }
 
 // Check checks the text of one answer. The text of an answer that ended with an error is
-// checked too: it may be cut short, but its tokens must be right. A complete answer must also
-// have a finish reason, and with the finish reason length all its tokens.
+// checked too: it may be truncated, but its tokens must be right. A complete answer must
+// also have a finish reason. If that reason is length, the answer must have all its tokens.
 func Check(prompt string, maxTokens int, res client.Result) check.Report {
 	rep := check.Answer(prompt, res.Text)
 	if res.Outcome != fleet.Complete {
--- a/measure/detection.go
+++ b/measure/detection.go
@@ -13,9 +13,10 @@
 	"wigeondale/settings"
 )
 
-// detection compares policies for the silence after which an engine counts as failed: resume
-// latency against extra work, over several weights of the learned threshold, with fixed
-// timeouts, and with clients that start over without resume.
+// detection compares policies for the silence after which an engine counts as failed. A
+// shorter silence reduces the latency of resumes but causes more extra work. The policies
+// are the learned threshold with several weights, fixed timeouts, and clients that start
+// requests over without resume.
 type detection struct{}
 
 // Name implements Experiment.
--- a/measure/drive.go
+++ b/measure/drive.go
@@ -106,7 +106,7 @@
 }
 
 // checkAll fails on the first answer that is not the text of a single generation. An answer
-// that ended with an error may be cut short, but its tokens must be right.
+// that ended with an error may be truncated, but its tokens must be right.
 func checkAll(answers []Answer) error {
 	for i := range answers {
 		a := &answers[i]
--- a/measure/hedged.go
+++ b/measure/hedged.go
@@ -16,8 +16,9 @@
 	"wigeondale/settings"
 )
 
-// hedged compares budgets for hedged calls of a service that is not a model engine: lower
-// latency at the high percentiles against executions in excess of the calls.
+// hedged compares budgets for hedged calls of a service that is not a model engine. A
+// budget is to lower the latency at the high percentiles, and its cost is the number of
+// executions in excess of the calls.
 type hedged struct{}
 
 // Name implements Experiment.
--- a/measure/limit.go
+++ b/measure/limit.go
@@ -10,9 +10,9 @@
 	"wigeondale/intent"
 )
 
-// limit cuts all links between three routers and measures how much of the load of client
-// accounts is admitted while the links are cut, relative to the accounts' limits for the
-// complete fleet.
+// limit disconnects three routers from each other. It measures how much of the load of
+// client accounts is admitted while no link between the routers works, relative to the
+// accounts' limits for the complete fleet.
 type limit struct{}
 
 // Name implements Experiment.
@@ -86,7 +86,7 @@
 	return [][]row{rows}, nil
 }
 
-// limitScript cuts all links between routers and later restores them.
+// limitScript interrupts all links between routers and later restores them.
 func limitScript(r *Running, each time.Duration) Script {
 	var script Script
 	for i, fault := range []string{"cut", "heal"} {
--- a/replay/engine.go
+++ b/replay/engine.go
@@ -186,8 +186,8 @@
 }
 
 // nextChunk returns how many tokens of the first queued prompt are prefilled in the next
-// step: none while there is not enough memory for them and a run is being decoded, whose
-// end will free memory.
+// step. Exception: it returns 0 while there is not enough memory for these tokens and a run
+// is being decoded, since the end of that run will free memory.
 func (e *Engine) nextChunk() int {
 	if len(e.waiting) == 0 {
 		return 0
--- a/scenario/calls_test.go
+++ b/scenario/calls_test.go
@@ -262,9 +262,9 @@
 
 func checkRun(f *testFleet, _ *testscript.TestScript, _ []string) error { return f.checkRun() }
 
-// checkRun compares the answers to all calls with the services' own record: no booking ran
-// twice; a booking whose answers were all not-run did not run; a booking with a complete
-// answer ran, and the answer is that to this booking.
+// checkRun compares the answers to all calls with the services' own record. No booking may
+// have run twice. A booking whose answers were all not-run must not have run. A booking
+// with a complete answer must have run, and the answer must be the one to this booking.
 func (f *testFleet) checkRun() error {
 	mayHaveRun := make(map[string]bool) // by body, since the record counts executions by body too
 	for _, c := range f.allCalls() {
--- a/scenario/fleet_test.go
+++ b/scenario/fleet_test.go
@@ -142,7 +142,7 @@
 			ID: r.name, VM: "vm-" + r.name, Role: "entry", Addr: r.relayAddr, FailureDomain: domains[i%len(domains)],
 		})
 		// Each router connects to the key-value service and the VM list through its own
-		// relays, so that a script can cut off a single router.
+		// relays, so that a script can disconnect a single router from them.
 		cfg.Relays = append(cfg.Relays, control.RelayConfig{ID: "kv-" + r.name, Target: f.kv})
 		cfg.Relays = append(cfg.Relays, control.RelayConfig{ID: "vms-" + r.name, Target: list})
 		// Peers dial each router through a relay. Cutting the relays of all routers but one
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// fault is one kind of fault. inject starts the fault and returns the function that ends
-// the fault, or nil if there is nothing to end. end is called after a random time, during
-// which other faults are injected.
+// fault is one kind of fault. inject starts the fault. It returns the function that ends
+// the fault, or nil if there is nothing to end. A run calls the returned function after a
+// random time, during which other faults are injected.
 type fault struct {
 	name   string
 	inject func() (end func())
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -112,7 +112,8 @@
 	return err
 }
 
-// startReplica starts and registers a replica of a version, which is empty for the first one.
+// startReplica starts and registers a replica of a version of a service. An empty version
+// stands for the service's first version.
 func (r *platformRun) startReplica(service string, domain int, engine bool, version string) (*fakes.Replica, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/product_faults.go
+++ b/soak/product_faults.go
@@ -41,8 +41,9 @@
 	)
 }
 
-// switchFault returns a fault that turns a switch of a fake: name with args when it is injected, back
-// with backArgs when it ends. If back is empty, nothing ends it. id draws the fake at the injection.
+// switchFault returns a fault that turns switches of a fake. When the fault is injected, id
+// draws the fake, and the switch name is turned with args. When the fault ends, the switch
+// back is turned with backArgs. If back is empty, nothing ends the fault.
 func (r *productRun) switchFault(title string, id func() string, name, args, back, backArgs string) fault {
 	return fault{title, func() func() {
 		target := id()
--- a/soak/soak.go
+++ b/soak/soak.go
@@ -87,8 +87,8 @@
 	return slices.Clone(h.lines)
 }
 
-// Second seed values of the random generators: with one seed the two interfaces get different
-// faults.
+// These are the second seed values of the random generators. They differ so that the two
+// interfaces get different faults with the same seed.
 const (
 	platformStream = 1
 	productStream  = 2
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -9,7 +9,8 @@
 	"wigeondale/daemon"
 )
 
-// childEnv makes the test's own program run as a router.
+// childEnv is the environment variable that makes this test program run as a router instead
+// of running its tests.
 const childEnv = "WIGEON_SOAK_CHILD"
 
 func TestMain(m *testing.M) {
