--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -66,7 +66,7 @@
 	// FleetView returns the state of the fleet, including the weight sizes of refs.
 	FleetView func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
 	Backends  func() []BackendStatus
-	// Quarantine lists and lifts the quarantined requests.
+	// Quarantine lists the quarantined requests and ends the quarantine of single requests.
 	Quarantine Quarantine
 	Operators  []Operator
 	PlanKey    []byte // signs plans; the same on all nodes
--- a/daemon/inventory_test.go
+++ b/daemon/inventory_test.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// A router must not flood that a backend server is leaving if it only received that by a
-// flood. When each router repeated the update of a router that reads the VM list as a peer
-// report of its own, one leaving VM cost hundreds of floods.
+// A router must not flood that a backend server is leaving if it has learned this only by a
+// flood. Once, a router that read the VM list flooded such an update, and each other router
+// then flooded a peer report of its own: one leaving VM cost hundreds of floods.
 func TestWhoSpreadsLeaving(t *testing.T) {
 	for source, want := range map[directory.Source][2]bool{ // for a node that does not read the VM list, and for one that does
 		directory.FromVMList:     {false, true},
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -118,12 +118,12 @@
 }
 
 // Locate queries the routers that store the key's pointer, all at once. It returns a node
-// only if that node is still considered alive: a caller must not be turned away because
-// its key ran on a router that is dead.
+// only if that node is still considered alive: a caller must not be turned away because its
+// key ran on a router that is dead.
 //
-// Suspect routers, and for a while routers that did not answer recently, are not
-// queried. Otherwise, while links are cut and the failure is not yet detected, each new
-// request would wait for the whole timeout, once for each of these routers.
+// Suspect routers, and for a while routers that did not answer recently, are not queried.
+// Otherwise, while links are down and the failure is not yet detected, each new request
+// whose key is stored at such a router would wait for the whole timeout.
 func (p *pointers) Locate(ctx context.Context, account, key string) (string, [16]byte, bool) {
 	id := once.NewKeyID(account, key)
 	members := aliveMembers(p.mesh.Members())
--- a/fakes/engine/stream.go
+++ b/fakes/engine/stream.go
@@ -76,8 +76,9 @@
 	r.notify()
 }
 
-// detach starts the linger time, after which a stream without a reader is cancelled, unless
-// another reader than r has attached.
+// detach detaches the reader r and starts the linger time. A stream that still has no
+// reader at the end of this time is cancelled. Exception: if another reader has replaced r,
+// detach does nothing.
 func (s *stream) detach(r *reader, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/platform_crashing.go
+++ b/soak/platform_crashing.go
@@ -121,9 +121,9 @@
 	return out
 }
 
-// checkCrashing records a violation for each crashing request that reached replicas more
-// than maxArrivalsAfter times after quarantineTime had passed since the third crash that it
-// caused.
+// checkCrashing counts, for each crashing request, the arrivals at replicas later than
+// quarantineTime after the third crash that the request caused. It records a violation if
+// there are more than maxArrivalsAfter such arrivals.
 func (c *checks) checkCrashing(arrivals map[string][]fakes.Arrival) {
 	for body, list := range arrivals {
 		slices.SortFunc(list, func(a, b fakes.Arrival) int { return a.At.Compare(b.At) })
