--- a/directory/observed.go
+++ b/directory/observed.go
@@ -120,7 +120,9 @@
 }
 
 // estimatedLoad returns the load of this router's requests plus the load of other
-// routers' requests, with negative values raised to zero.
+// routers' requests. If a field of the sum is negative, estimatedLoad returns zero for this
+// field. The sum can be negative because the peers' load in an observation can be negative,
+// and this router's load may have fallen since that observation.
 func (r *record) estimatedLoad() Load {
 	sum := r.local.load().Plus(r.peerLoad())
 	return Load{
--- a/intent/clock.go
+++ b/intent/clock.go
@@ -30,8 +30,8 @@
 }
 
 // tick records that the process is running at now, and reports whether the process was
-// paused since the last tick, because the two ticks are more than maxTickGap apart. After a
-// pause the revision is unconfirmed.
+// paused since the last tick. The process counts as paused if more than maxTickGap has passed
+// since the last tick. After a pause, tick marks the revision as unconfirmed.
 func (c *pauseClock) tick(now time.Time) (paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/inventory/record.go
+++ b/inventory/record.go
@@ -15,7 +15,9 @@
 const (
 	// maxNameBytes bounds each text of an Item received from a peer.
 	maxNameBytes = 256
-	// maxAhead is how far a reader's clock may be ahead of this node's clock.
+	// maxAhead limits the times that a peer sends. If a time is more than maxAhead ahead of
+	// this node's clock, this node ignores the record or the newest readings that contain
+	// the time.
 	maxAhead = 24 * time.Hour
 )
 
--- a/order/next.go
+++ b/order/next.go
@@ -116,8 +116,10 @@
 	return out
 }
 
-// missingLoads returns the loads that are running, the loads that haven't been started, and
-// the number of engines that answered.
+// missingLoads returns the loads of the placed versions that their engines don't serve yet,
+// and the number of engines whose status is in v. A load is running if the engine reports
+// that it is loading the version, or if the engine's last order contains the version. The
+// other loads are waiting. A leaving VM has no loads, but its engines are counted.
 func missingLoads(s *intent.State, v View) (running, waiting []intent.Load, hosts int) {
 	for _, b := range v.Backends {
 		st, ok := v.Status[b.ID]
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -124,9 +124,9 @@
 	return p.Role != k.placement.Role || !slices.Equal(p.Desired, k.placement.Desired)
 }
 
-// recordQuery records the placement, leaving state and incarnation that are known for b
-// before b is queried: a change of these that happens while the query is running must count
-// as a change in the next round.
+// recordQuery records what is known about b before b is queried: the desired placement,
+// whether the backend server is leaving, and its incarnation. A change of these values while
+// the query is running must count as a change in the next round.
 func (c *Schedule) recordQuery(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
 	k, ok := c.known[b.ID]
 	if !ok {
@@ -184,8 +184,8 @@
 	}
 }
 
-// hasWork reports whether b hasn't reached the state that its placement and its VM's
-// leaving state request, or is still loading.
+// hasWork reports whether b is still loading, differs from its placement, or doesn't report
+// yet that its VM is leaving.
 func hasWork(s *intent.State, b fleet.Backend, st Status) bool {
 	if len(st.Loading) > 0 || (s.Leaving(b.VM) && !st.Leaving) {
 		return true
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -170,8 +170,9 @@
 	})
 }
 
-// endFaults ends the faults: one holder continues, and both engines must reach its
-// plan.
+// endFaults ends the faults and the tenure of holder 1. Then only holder 0 keeps the lease
+// and sends orders, for 60 seconds of simulated time. endFaults fails the test if an engine
+// is not at the newest plan after that time.
 func (sim *simulation) endFaults() {
 	sim.faultsEnded = true
 	sim.holders[1].tenure = nil
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -58,8 +58,8 @@
 	return r.endTrial(now, ready)
 }
 
-// endTrial decides the result of a trial whose time has passed: eventPassed or eventFailed. It
-// returns an empty event before that time, and while the trial can still pass later.
+// endTrial decides the result of a trial whose time is over: eventPassed or eventFailed. It
+// returns an empty event before that time, and while the trial can still succeed later.
 func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.orderedAt
 	if elapsed < r.order.trialEnd() {
@@ -79,7 +79,8 @@
 // replicas.
 const enoughReady = 0.7
 
-// trialBlocker returns the reason why the trial can't pass now, or "" if the trial can pass.
+// trialBlocker returns the reason why the trial can't succeed now, or "" if the trial can
+// succeed now.
 func (r *Rollout) trialBlocker(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
@@ -105,8 +106,9 @@
 // routers know to fail. The bad version would then get all requests for a second.
 func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
-// TrialBlocker returns why a trial whose time has passed does not pass, or "" if the trial
-// passes or its time has not passed.
+// TrialBlocker returns the reason why the trial can't succeed now, although the time of the
+// trial is over. It returns "" if the trial can succeed now, if the time of the trial is not
+// over, or if no trial is in progress.
 func (r *Rollout) TrialBlocker(now time.Duration, ready ReplicaCounts) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
