--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -1,6 +1,6 @@
-// Package adminapi implements the HTTP API for operators. Nodes store no plans: a plan
-// is complete and signed with a key that all nodes share, so that any node can confirm
-// it, even if the one that made it has died.
+// Package adminapi implements the HTTP API for operators. Nodes store no plans: a plan is
+// complete and signed with a key that all nodes share, so that an operator can confirm the
+// plan at any node, even if the node that made it has died.
 package adminapi
 
 import (
@@ -35,15 +35,16 @@
 	Revisions(ctx context.Context, from uint64, max int) ([]intent.Revision, error)
 }
 
-// Node is the status of one router as known to this one, possibly its own.
+// Node is the status of one router, as known to the router that returns it. The two may be
+// the same router.
 type Node struct {
 	ID            string `json:"id"`
 	FailureDomain string `json:"failure_domain"`
-	Revision      uint64 `json:"revision"` // in force there, as last reported
-	Reachable     bool   `json:"heard"`    // false if it was not heard from recently
+	Revision      uint64 `json:"revision"` // revision in force on that node, as last reported
+	Reachable     bool   `json:"heard"`    // false if the membership lists it as dead
 }
 
-// Members lists the routers.
+// Members lists the routers that the membership knows, reachable or not.
 type Members interface {
 	Nodes() []Node
 }
@@ -65,7 +66,7 @@
 	// FleetView returns the state of the fleet, including the weight sizes of refs.
 	FleetView func(ctx context.Context, refs []fleet.ModelRef) (intent.FleetView, error)
 	Backends  func() []BackendStatus
-	// Quarantine lists and lifts the quarantined requests.
+	// Quarantine lists the quarantined requests and ends the quarantine of single requests.
 	Quarantine Quarantine
 	Operators  []Operator
 	PlanKey    []byte // signs plans; the same on all nodes
@@ -74,7 +75,7 @@
 	Metrics    *metrics.Set
 }
 
-// API serves /admin/v1/.
+// API is the handler of the paths under /admin/v1/.
 type API struct {
 	cfg     Config
 	mux     *http.ServeMux
@@ -115,14 +116,15 @@
 	a.mux.ServeHTTP(w, r)
 }
 
-// Status reports on which nodes a revision is in force.
+// Status reports on how many nodes the revision of the answering node, or a later one, is
+// in force.
 type Status struct {
 	Node        string   `json:"node"`
 	Revision    uint64   `json:"revision"` // in force on the answering node
 	Ready       bool     `json:"ready"`
 	Reason      string   `json:"reason,omitempty"`
 	InForce     int      `json:"in_force"`  // reachable nodes at this revision or later
-	Unreachable []string `json:"not_heard"` // known nodes that were not heard from recently
+	Unreachable []string `json:"not_heard"` // known nodes that are not reachable, see Node.Reachable
 	Nodes       []Node   `json:"nodes"`
 }
 
--- a/admission/dispatch.go
+++ b/admission/dispatch.go
@@ -5,7 +5,10 @@
 	"time"
 )
 
-// wait blocks until the ticket is admitted, its deadline passes or ctx ends.
+// wait blocks until the ticket is admitted or refused, and returns nil if it is admitted. A
+// waiting ticket is refused in four cases: the time left until its deadline no longer
+// suffices, its pool has been without capacity for too long, the full queue drops the ticket,
+// or ctx ends.
 func (c *Controller) wait(ctx context.Context, w *waiter) *Refused {
 	var deadline <-chan time.Time
 	if d := w.ticket.Deadline; !d.IsZero() {
@@ -37,8 +40,9 @@
 	return w.requiredTime(time.Now(), c.cfg.MinService)
 }
 
-// giveUp takes a waiter out of the queue. If it was admitted at the same moment, giveUp returns
-// nil and the caller must release it.
+// giveUp takes a waiter out of its queue and returns a refusal with the given reason. If the
+// waiter was admitted at the same moment, giveUp returns nil and the caller must release the
+// waiter's slot.
 func (c *Controller) giveUp(w *waiter, reason Reason) *Refused {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +53,8 @@
 	return <-w.ready
 }
 
-// drainTime estimates when all tickets of w's priority that wait now will have been served.
+// drainTime estimates how long it takes until all tickets of w's priority that wait now have
+// been served; 0 means that the time is unknown.
 func (c *Controller) drainTime(w *waiter) time.Duration {
 	of := w.ticket.Priority
 	return w.pool.waitFor(w.pool.queued(of), of, &c.cfg, time.Now())
@@ -62,8 +67,9 @@
 	w.ready <- r
 }
 
-// recheck admits a pool's tickets in case its capacity grew, at most once per interval however
-// many wait. It reports whether the pool has been without capacity for too long.
+// recheck admits a pool's tickets in case the pool's capacity has grown. It does so at most
+// once per recheckInterval, however many tickets wait. It reports whether the pool has been
+// without capacity for too long.
 func (c *Controller) recheck(p *pool) (dead bool) {
 	now := time.Now()
 	c.mu.Lock()
@@ -76,7 +82,8 @@
 	return p.unavailable(&c.cfg, now)
 }
 
-// dispatch admits a pool's tickets while there is capacity.
+// dispatch admits a pool's waiting tickets, in their order, while there is capacity. A ticket
+// that can no longer finish by its deadline is refused instead.
 func (c *Controller) dispatch(p *pool, now time.Time) {
 	for q := p.next(&c.cfg); q != nil; q = p.next(&c.cfg) {
 		w := q.pop()
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// RefusalPolicy is a policy that decides which of the requests that wait for an engine are refused.
+// RefusalPolicy is a policy that decides which of the requests that wait for an engine are
+// refused.
 //
-// It applies when for some seconds more prompts arrive than engines read. Which policy is better
-// depends on how much a late answer is worth to its caller, which only the operator knows:
-// serving late answers makes some others late that would have been in time.
+// It applies when for some seconds more prompts arrive than engines read. Which policy is
+// better depends on how much a late answer is worth to its caller, which only the operator
+// knows: serving late answers makes some others late that would have been in time.
 type RefusalPolicy string
 
 const (
-	// RefuseLate refuses requests that would be late. Requests in time are not delayed by them,
-	// and the refused clients are told when to come back.
+	// RefuseLate refuses requests that would be late. Requests that can be in time are not
+	// delayed by late ones, and the refused clients are told when to come back.
 	RefuseLate RefusalPolicy = "late"
 	// RefuseUnservable refuses only requests that can't be answered any more. A request that
-	// would be late goes behind all that can be in time, and only to an engine that reads no
-	// prompt.
+	// would be late goes behind all requests that can be in time, and only to an engine that
+	// is not reading any prompt.
 	//
 	// With RefuseLate, refused clients come back into the same overload, are late by then, and
 	// are refused again. The symptom is callers without any answer in a burst, after which the
@@ -29,11 +30,12 @@
 }
 
 const (
-	// waitShare is the part of the time until the first chunk is late that a request may be
-	// expected to wait here. What remains after reading the prompt is for waits that last longer
-	// than expected, which half of them do.
+	// waitShare is the part of the target for the first chunk that a request may be expected to
+	// wait at this router. The time that remains after reading the prompt is kept for waits
+	// that last longer than expected, since half of the waits do.
 	waitShare = 0.3
-	// uselessFactor is how many times that time a caller waits for a first chunk at most.
+	// A caller is assumed to wait for the first chunk for at most uselessFactor times the
+	// target. A first chunk that arrives later is useless.
 	uselessFactor = 3
 	// answerShare is the part of a caller's remaining time that is reserved for the answer
 	// itself.
@@ -48,13 +50,17 @@
 	CallerTimeLeft time.Duration // remaining time of its caller; 0 if not known
 }
 
-// maxWaitInTime is how long a request may wait here and still be in time.
+// maxWaitInTime returns how long a request may wait at this router so that its first chunk is
+// still expected in time.
 func (w WaitState) maxWaitInTime() time.Duration { return time.Duration(waitShare * float64(w.Target)) }
 
-// InTime reports whether its first chunk is still expected in time.
+// InTime reports whether the request's first chunk is still expected in time. It always is if
+// Target is 0.
 func (w WaitState) InTime() bool { return w.Target <= 0 || w.Waited+w.Expected <= w.maxWaitInTime() }
 
-// servable reports whether it can still be answered.
+// servable reports whether the request can still be answered: its whole wait is not longer
+// than uselessFactor times Target, and the rest of its wait leaves answerShare of the caller's
+// remaining time for the answer.
 func (w WaitState) servable() bool {
 	if w.Waited+w.Expected > uselessFactor*w.Target {
 		return false
@@ -62,9 +68,10 @@
 	return w.CallerTimeLeft <= 0 || w.Expected <= time.Duration((1-answerShare)*float64(w.CallerTimeLeft))
 }
 
-// Refuses reports whether a request is refused now, and when it should come back: not before it
-// would have been granted a slot. A request that has waited in vain should stay away for at least
-// as long as it waited, since it would not be granted one sooner.
+// Refuses reports whether a request is refused now, and after what time its client should come
+// back. That time is the expected wait for a slot, but at least the time that the request has
+// waited already: since no slot was granted to it in that time, it is not expected to be
+// granted one sooner when it comes back.
 func (r RefusalPolicy) Refuses(w WaitState) (back time.Duration, refused bool) {
 	if w.InTime() || (r == RefuseUnservable && w.servable()) {
 		return 0, false
@@ -72,7 +79,8 @@
 	return max(w.Expected, w.Waited), true
 }
 
-// MaxWait is how long a request may wait, whatever wait is expected.
+// MaxWait returns how long a request may wait, whatever wait is expected: uselessFactor times
+// the target for the first chunk under RefuseUnservable, else half of the target.
 func (r RefusalPolicy) MaxWait(target time.Duration) time.Duration {
 	if r == RefuseUnservable {
 		return uselessFactor * target
--- a/bench/main_test.go
+++ b/bench/main_test.go
@@ -1,8 +1,8 @@
-// Package bench measures the whole path of a daemon: the performance bar of
-// docs/CAPACITY.md. The daemon runs in the test's process with everything that
-// it has when deployed, and is configured through its administration
-// interface. Stand-ins and callers run in a second process of the same test
-// binary, so that the processor time of this process is that of the daemon.
+// Package bench measures the complete request path of a daemon against the performance
+// limits of docs/CAPACITY.md. The daemon runs in the test process with all components that
+// it has in a deployment, and is configured through its administration API. Stand-ins and
+// callers run in a second process of the same test binary, so that the processor time of the
+// test process is that of the daemon.
 package bench
 
 import (
@@ -33,9 +33,10 @@
 	loadEnv  = "WIGEON_BENCH_LOAD" // set in the process of stand-ins and callers
 	apiKey   = "bench-key"
 	operator = "bench-operator"
-	// patient keeps the failure detector out of the measurement: on a busy
-	// machine it would resume streams whose engines merely wait for a processor.
-	patient = 16_000 // ms, the longest that package health takes
+	// suspectMS is a suspicion threshold that keeps the failure detector out of the
+	// measurement: on a busy machine a shorter one would resume streams whose engines merely
+	// wait for a processor.
+	suspectMS = 16_000 // ms, the maximum that package health accepts
 )
 
 func TestMain(m *testing.M) {
@@ -51,8 +52,8 @@
 	os.Exit(code)
 }
 
-// path is a running daemon and the process of its stand-ins and callers.
-type path struct {
+// deployment is a running daemon and the load process with its stand-ins and callers.
+type deployment struct {
 	cmd    *exec.Cmd
 	send   *json.Encoder
 	recv   *json.Decoder
@@ -62,15 +63,15 @@
 	dir    string
 }
 
-// shared serves all benchmarks: a daemon in this process can't be ended.
-var shared path
+// shared is used by all benchmarks, since a daemon in this process cannot be shut down.
+var shared deployment
 
 var (
 	startOnce sync.Once
 	openErr   error
 )
 
-func thePath(b *testing.B) *path {
+func sharedDeployment(b *testing.B) *deployment {
 	startOnce.Do(func() {
 		openErr = shared.open()
 	})
@@ -80,80 +81,80 @@
 	return &shared
 }
 
-func (p *path) close() {
-	if p.cmd == nil {
+func (d *deployment) close() {
+	if d.cmd == nil {
 		return
 	}
-	p.cmd.Process.Kill()
-	p.cmd.Wait()
-	os.RemoveAll(p.dir)
+	d.cmd.Process.Kill()
+	d.cmd.Wait()
+	os.RemoveAll(d.dir)
 }
 
-func (p *path) open() error {
-	if err := p.startLoad(); err != nil {
+func (d *deployment) open() error {
+	if err := d.startLoad(); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "wigeon-bench")
 	if err != nil {
 		return err
 	}
-	p.dir = dir
+	d.dir = dir
 	caller, admin := freeAddr(), freeAddr()
-	file, err := p.writeSettings(caller, admin)
+	file, err := d.writeSettings(caller, admin)
 	if err != nil {
 		return err
 	}
-	// The daemon's log would stand between the benchmarks' results.
+	// The daemon's log is discarded, since it would mix with the results of the benchmarks.
 	if os.Stderr, err = os.OpenFile(os.DevNull, os.O_WRONLY, 0); err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
+	exited := make(chan error, 1)
 	go func() {
 		var out bytes.Buffer
 		code := daemon.Main([]string{"--config", file}, &out, &out)
-		ended <- fmt.Errorf("the daemon ended with exit code %d: %s", code, out.String())
+		exited <- fmt.Errorf("the daemon exited with code %d: %s", code, out.String())
 	}()
-	p.caller, p.admin = "http://"+caller, admin
-	return configure(admin, ended)
+	d.caller, d.admin = "http://"+caller, admin
+	return configure(admin, exited)
 }
 
-func (p *path) startLoad() error {
-	p.cmd = exec.Command(os.Args[0])
-	p.cmd.Env = append(os.Environ(), loadEnv+"=1")
-	p.cmd.Stderr = os.Stderr
-	in, err := p.cmd.StdinPipe()
+func (d *deployment) startLoad() error {
+	d.cmd = exec.Command(os.Args[0])
+	d.cmd.Env = append(os.Environ(), loadEnv+"=1")
+	d.cmd.Stderr = os.Stderr
+	in, err := d.cmd.StdinPipe()
 	if err != nil {
 		return err
 	}
-	out, err := p.cmd.StdoutPipe()
+	out, err := d.cmd.StdoutPipe()
 	if err != nil {
 		return err
 	}
-	p.send, p.recv = json.NewEncoder(in), json.NewDecoder(out)
-	if err := p.cmd.Start(); err != nil {
+	d.send, d.recv = json.NewEncoder(in), json.NewDecoder(out)
+	if err := d.cmd.Start(); err != nil {
 		return err
 	}
-	return p.recv.Decode(&p.ports)
+	return d.recv.Decode(&d.ports)
 }
 
-func (p *path) writeSettings(caller, admin string) (string, error) {
+func (d *deployment) writeSettings(caller, admin string) (string, error) {
 	for _, key := range []string{"peer.key", "cursor.key"} {
-		err := os.WriteFile(filepath.Join(p.dir, key), []byte(strings.Repeat(key+"-of-a-test-", 4)), 0o600)
+		err := os.WriteFile(filepath.Join(d.dir, key), []byte(strings.Repeat(key+"-of-a-test-", 4)), 0o600)
 		if err != nil {
 			return "", err
 		}
 	}
 	def := settings.Default()
 	policy, peers, limits := def.Policy, def.Peers, def.Limits
-	policy.MinSuspectMS, policy.MaxSuspectMS = patient-1000, patient
+	policy.MinSuspectMS, policy.MaxSuspectMS = suspectMS-1000, suspectMS
 	peers.KeyFile = "peer.key"
 	limits.RequestsPerEngine = runningPerEngine
 	data, err := json.Marshal(map[string]any{
 		"node":   settings.Node{ID: "r1", VM: "vm-r1", FailureDomain: "d1", Region: "r", Incarnation: "auto"},
 		"listen": map[string]any{"caller": address(caller), "admin": address(admin), "peer": address(freeAddr())},
 		"platform": settings.Platform{
-			KVURL: "http://" + p.ports["kv"], VMsURL: "http://" + p.ports["vms"],
-			WeightsURL: "http://" + p.ports["weights"], CallTimeoutMS: 5000,
+			KVURL: "http://" + d.ports["kv"], VMsURL: "http://" + d.ports["vms"],
+			WeightsURL: "http://" + d.ports["weights"], CallTimeoutMS: 5000,
 		},
 		"peers":     peers,
 		"cursor":    map[string]string{"key_file": "cursor.key"},
@@ -164,7 +165,7 @@
 	if err != nil {
 		return "", err
 	}
-	file := filepath.Join(p.dir, "settings.json")
+	file := filepath.Join(d.dir, "settings.json")
 	return file, os.WriteFile(file, data, 0o600)
 }
 
@@ -175,7 +176,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func configure(admin string, ended <-chan error) error {
+func configure(admin string, exited <-chan error) error {
 	changes := []string{fmt.Sprintf(`{"kind":"account","op":"set","account":{"id":"bench","key_hashes":[%q],`+
 		`"tokens_per_second":1000000000,"burst":1000000000,"max_concurrent":100000}}`, digest(apiKey))}
 	for _, model := range []string{fastModel, pacedModel} {
@@ -190,7 +191,7 @@
 			return nil
 		}
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return err
 		case <-time.After(50 * time.Millisecond):
 		}
@@ -202,7 +203,7 @@
 	var out bytes.Buffer
 	code := ctl.Main(context.Background(), []string{"--admin", admin, "apply", "-f", "-", "--yes"}, ctl.Env{
 		Stdin: strings.NewReader(intents), Stdout: &out, Stderr: &out,
-		Getenv: func(string) string { return operator }, // it asks for the token only
+		Getenv: func(string) string { return operator }, // apply calls Getenv for the token only
 	})
 	if code != 0 {
 		return fmt.Errorf("wigeonctl apply: exit code %d: %s", code, out.String())
@@ -219,11 +220,12 @@
 	if resp.StatusCode == http.StatusNoContent {
 		return nil
 	}
-	why, _ := io.ReadAll(resp.Body) // only for the message
+	why, _ := io.ReadAll(resp.Body) // used only in the error message
 	return fmt.Errorf("status %d: %s", resp.StatusCode, why)
 }
 
-// freeAddr returns an address that was free a moment ago.
+// freeAddr returns a loopback address that was free when it was checked; another process may
+// take it before it is used.
 func freeAddr() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/check/check.go
+++ b/check/check.go
@@ -20,13 +20,15 @@
 	hexDigits   = "0123456789abcdef"
 )
 
-// Chain generates the tokens of one answer. Its zero value is not usable.
+// Chain generates the tokens of one answer. The zero value is not usable; NewChain returns
+// a Chain.
 type Chain struct {
 	digest xxhash.Digest
 	next   int
 }
 
-// NewChain continues the answer to prompt after text, which contains next tokens.
+// NewChain returns a Chain that continues the answer to prompt after text, which consists
+// of the first next tokens of the answer.
 func NewChain(prompt, text string, next int) Chain {
 	c := Chain{next: next}
 	c.digest.Reset()
@@ -63,8 +65,9 @@
 	return string(text)
 }
 
-// chainOf gets the digest by value, so that the caller's digest does not include the
-// token.
+// chainOf returns the chain of the token with the random part rnd, where d is the digest of
+// the prompt and all text before the token. It gets the digest by value, so that the
+// caller's digest does not include the token.
 func chainOf(d xxhash.Digest, rnd []byte) uint64 {
 	d.Write(rnd)
 	return d.Sum64() >> 32
--- a/ctl/caller.go
+++ b/ctl/caller.go
@@ -26,7 +26,8 @@
 	dialTimeout    = 2 * time.Second
 )
 
-// adminClient calls the administration API at the first address that answers.
+// adminClient calls the administration API of one node after another, until a node answers.
+// See the method call for the responses after which it tries the next node.
 type adminClient struct {
 	addrs  []string
 	token  string
@@ -34,7 +35,8 @@
 	scheme string
 }
 
-// refusal is an error that a node returned for a call.
+// refusal is the error that a node returned in response to a call of the administration
+// API.
 type refusal struct {
 	problem adminapi.Problem
 }
@@ -97,7 +99,9 @@
 	return pool, nil
 }
 
-// call tries the addresses in order until one answers other than "try again later".
+// call sends one call of the administration API to the addresses in order. It tries the
+// next address only if a node can't be reached or responds that it is unavailable, not
+// ready or has an internal error.
 func (c *adminClient) call(ctx context.Context, method, path string, in, out any) error {
 	var last error
 	for _, addr := range c.addrs {
@@ -111,7 +115,7 @@
 
 // confirm sends a plan to one node after another until one knows the outcome. If a node
 // dies after it has appended the plan to the log, the outcome is unknown; the next node
-// reads the log and settles it.
+// then reads the log to find out whether the plan was appended.
 func (c *adminClient) confirm(ctx context.Context, sp adminapi.SignedPlan) (adminapi.ConfirmResult, error) {
 	var acc adminapi.ConfirmResult
 	var last error
--- a/ctl/ctl.go
+++ b/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl implements the commands of wigeonctl, the operators' tool. It may call
-// any node. A confirmation may safely be sent to several nodes in turn, since a plan
-// takes effect once.
+// Package ctl implements the commands of wigeonctl, the operators' tool. The tool may call
+// any node. It may safely send a confirmation to several nodes in turn, since a plan takes
+// effect only once.
 package ctl
 
 import (
@@ -38,7 +38,7 @@
 	ErrUnsettled   = errors.New("unsettled")
 )
 
-// StreamCmd streams one completion as a caller.
+// StreamCmd streams one completion from the routers, as a client does.
 type StreamCmd struct {
 	Routers    string        `arg:"--routers,env:WIGEON_ROUTERS" help:"caller addresses of routers, separated by commas"`
 	Model      string        `arg:"--model,required"`
@@ -46,7 +46,8 @@
 	MaxTokens  int           `arg:"--max-tokens" default:"256"`
 	KeyFile    string        `arg:"--key-file" help:"file with the API key (default: environment WIGEON_API_KEY)"`
 	Timeout    time.Duration `arg:"--stream-timeout" default:"10m"`
-	// RootCAs are read from the file of the option --ca-file; nil without it.
+	// RootCAs are read from the file that the option --ca-file names. Without that option
+	// RootCAs is nil, and Stream calls the routers over HTTP without TLS.
 	RootCAs *x509.CertPool `arg:"-"`
 }
 
@@ -81,8 +82,8 @@
 	Pause time.Duration `arg:"--pause" default:"700ms" help:"when a pause between pieces is too long"`
 }
 
-// quarantineCmd lists the requests under which backend servers crashed, or lifts the
-// quarantine of one.
+// quarantineCmd lists the requests that are quarantined because backend servers crashed
+// while they ran them, or lifts the quarantine of one request.
 type quarantineCmd struct {
 	Lift string `arg:"--lift" help:"digest of a request that is to be sent on again"`
 }
@@ -116,7 +117,7 @@
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
 	Getenv         func(string) string
-	// Stream runs the stream command; nil means that this build does not have it.
+	// Stream runs the stream command; nil means that this build does not have that command.
 	Stream func(ctx context.Context, cmd StreamCmd, apiKey string, stdout io.Writer) error
 }
 
--- a/cursor/cursor.go
+++ b/cursor/cursor.go
@@ -13,7 +13,8 @@
 // digest need not resist attacks, because a caller that sends a wrong text with a
 // valid cursor corrupts only its own answer. A router that re-attaches to a run
 // without the text continues from the digest in the cursor, so the digest must be
-// continuable from its value alone; hence a CRC and not a hash with internal state.
+// continuable from its value alone. Therefore the digest is a CRC and not a hash with
+// internal state.
 package cursor
 
 import (
@@ -27,22 +28,24 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("cursor")
 
-// Errors of this package. A cursor is refused before any work is done for the
-// request.
+// These are the errors of this package. A request whose cursor gets one of them is refused
+// before any work is done for it.
 var (
 	// ErrMalformed means that the text is not a valid encoding or has a wrong length.
 	ErrMalformed = Error.New("malformed")
-	// ErrVersion means that the format version is not supported.
+	// ErrVersion means that the cursor's format version is not supported.
 	ErrVersion = Error.New("unknown version")
-	// ErrForged means that the MAC does not match under any known key.
+	// ErrForged means that the cursor's MAC does not match under the current or the
+	// previous sealing key.
 	ErrForged = Error.New("authentication failed")
 	// ErrForeign means that the cursor was issued to another client account.
 	ErrForeign = Error.New("belongs to another client account")
-	// ErrExpired means that the cursor is older than the settings allow.
+	// ErrExpired means that the attempt of the cursor began longer ago than the settings
+	// allow.
 	ErrExpired = Error.New("expired")
 	// ErrText means that the text sent back is not the text that was delivered.
 	ErrText = Error.New("text is not the delivered text")
-	// ErrField means that a field is too long to be encoded.
+	// ErrField means that a field of a Cursor is too long to be encoded.
 	ErrField = Error.New("field too long")
 	// ErrKey means that the sealing key is too short.
 	ErrKey = Error.New("key shorter than 32 bytes")
@@ -66,8 +69,9 @@
 	Offset    int    // number of tokens delivered
 	TextBytes int    // bytes of text delivered
 	Digest    uint64 // digest of all delivered text, computed with Extend
-	// Finished is set on the last token. Without it, if a caller missed only the end
-	// marker and reconnected, an engine would continue the text beyond its end.
+	// Finished is set on the last token. A caller that missed only the end marker reconnects
+	// with the cursor of the last token. Without Finished, an engine would then continue the
+	// text beyond its end.
 	Finished bool
 }
 
--- a/daemon/accounts.go
+++ b/daemon/accounts.go
@@ -16,13 +16,15 @@
 	"wigeondale/intent"
 )
 
-// accounts implements the account lookups of callerapi on the configuration in force.
+// accounts answers the account lookups of package callerapi from the configuration in
+// force.
 type accounts struct {
 	view atomic.Pointer[accountView]
 	dir  *directory.Directory
 }
 
-// accountView is a configuration state with an index of its API keys.
+// accountView is a configuration state with an index that maps the hash of each API key to
+// its client account.
 type accountView struct {
 	state *intent.State
 	byKey map[[sha256.Size]byte]string
@@ -48,9 +50,9 @@
 	a.view.Store(v)
 }
 
-// Authenticate finds the client account that owns an API key. The key is looked up by
-// its hash, so that the time it takes reveals nothing about how much of a guessed key
-// is right. The following comparison is in constant time as well.
+// Authenticate finds the client account that owns an API key. The key is looked up by its
+// hash, so that the duration of the lookup reveals nothing about how much of a guessed key
+// is right. The comparison that follows the lookup takes constant time as well.
 func (a *accounts) Authenticate(key string) (string, bool) {
 	h := sha256.Sum256([]byte(key))
 	v := a.view.Load()
@@ -66,8 +68,9 @@
 	return "", false
 }
 
-// Resolve picks the version of a model for one request. The choice depends on sticky,
-// so that a repeated request gets the same version.
+// Resolve picks the version of a model for one request by a hash of sticky. Requests with
+// the same sticky value get the same version as long as the model's traffic split and the
+// set of its versions with engines stay the same.
 func (a *accounts) Resolve(account, model, sticky string) (fleet.ModelRef, fleet.Priority, error) {
 	s := a.view.Load().state
 	t, ok := s.Traffic[model]
@@ -115,7 +118,8 @@
 	return names
 }
 
-// refs lists the versions that receive a model's traffic.
+// refs lists the versions of a model among which the configuration in force splits the
+// model's traffic.
 func (a *accounts) refs(model string) []fleet.ModelRef {
 	t := a.view.Load().state.Traffic[model]
 	refs := make([]fleet.ModelRef, 0, len(t.Weights))
--- a/daemon/callers.go
+++ b/daemon/callers.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// maxCallsPerReplica is the number of calls that this router has open at one replica of a
-	// service that is not a model engine. Further calls queue here, where their
-	// deadlines are known.
+	// maxCallsPerReplica is the number of calls that this router has open at one replica of
+	// a service that is not a model engine. Further calls queue in this router, which knows
+	// their deadlines.
 	maxCallsPerReplica = 64
 	// retryBurst is the number of retries in a full retry budget.
 	retryBurst = 20
@@ -27,8 +27,8 @@
 	hedgeBurst = 10
 )
 
-// Ready returns why this node accepts no new requests, or nil. It implements
-// callerapi's gate.
+// Ready returns nil if this node accepts new requests, and otherwise an error with the
+// reason why it does not. The method implements callerapi's gate.
 func (n *node) Ready() error {
 	if n.drain.noticeOver(time.Now()) {
 		return Error.New("this VM is leaving")
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -36,12 +36,13 @@
 	return nil
 }
 
-// claims adapts the at-most-once claims to package generation.
+// claims adapts once.Claims, the at-most-once claims of keys, to the interface that package
+// generation expects.
 type claims struct{ *once.Claims }
 
-// Claim claims a key. If it remains unknown whether the claim was written, the claim is
-// voided in the background, so that a request that was refused does not leave its key
-// used.
+// Claim claims a key for an attempt, and reports whether the attempt got the key. If it
+// remains unknown whether the claim was written, package once voids the claim in the
+// background, so that a request that was refused does not leave its key used.
 func (c claims) Claim(ctx context.Context, account, key string, body [16]byte, attempt string) (bool, error) {
 	v, err := c.Claims.Claim(ctx, account, key, body, attempt)
 	if err == nil {
@@ -60,10 +61,10 @@
 	return false, refusal
 }
 
-// shardOwner determines which router appends the claims of each shard. Routers whose
-// views of the membership differ for a while may both append: the log's conditional
-// create then decides. Owners are cached until the membership changes, because ranking
-// hundreds of members for each claim would cost more than everything else about it.
+// shardOwner determines which router appends the claims of each shard. Routers whose views
+// of the membership differ for a while may both append: the log's conditional create then
+// decides. Owners are cached until the membership changes, because ranking hundreds of
+// members for each claim would cost more than the rest of the work for that claim.
 type shardOwner struct {
 	mesh *peer.Mesh
 	self string
@@ -84,7 +85,8 @@
 	clear(o.owners)
 }
 
-// Owner picks the owner by rendezvous hash among the alive members.
+// Owner returns the router that appends the claims of a shard, chosen by rendezvous hash
+// among the alive members, and reports whether it is this router.
 func (o *shardOwner) Owner(shard int) (string, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +107,7 @@
 	return best[0].ID
 }
 
-// Forward sends a batch to the owner over the peer links.
+// Forward sends a batch of claims over the peer links to the router that owns their shard.
 func (o *shardOwner) Forward(ctx context.Context, node string, b once.Batch) (once.BatchResult, error) {
 	return peer.Call[once.Batch, once.BatchResult](ctx, o.mesh, node, callClaims, b)
 }
--- a/daemon/drain.go
+++ b/daemon/drain.go
@@ -9,21 +9,21 @@
 	"wigeondale/intent"
 )
 
-// drain tracks whether this node's own VM is to leave.
+// drain tracks whether this node's own VM is to leave the fleet.
 //
-// Without it, a plan that lets an entry VM leave has no effect on the VM's router, and
-// the VM is removed with requests open. When the VM is to leave, readiness fails at
-// once; new work is refused only after the notice period, so that callers are never
-// refused by a router that the balancer still sends them to; open requests are
-// finished.
+// Without this tracking, a plan under which an entry VM leaves would have no effect on the
+// VM's router, and the VM would be removed while requests are open. When the VM is to
+// leave, readiness fails at once. New work is refused only after the notice period, so that
+// callers are never refused by a router that the balancer still sends them to. Open
+// requests are finished.
 type drain struct {
 	vm     string
 	notice time.Duration
 	log    *event.Log
 
 	mu      sync.Mutex
-	planned bool // by the configuration; a later plan may cancel it
-	listed  bool // by the VM list; a later "live" from the lagging list does not cancel it
+	planned bool // leaving by the configuration; a later plan may cancel this
+	listed  bool // leaving by the VM list; a later "live" from the lagging list does not cancel this
 	since   time.Time
 	entries []intent.EntryVM
 }
@@ -36,7 +36,8 @@
 	d.update("intent")
 }
 
-// setListed records the entry VMs of a reading of the VM list.
+// setListed records the entry VMs that the VM list showed when it was last read. Once the
+// list has shown this VM as leaving, the VM counts as leaving for good.
 func (d *drain) setListed(entries []intent.EntryVM) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/daemon/pointers.go
+++ b/daemon/pointers.go
@@ -13,7 +13,8 @@
 const (
 	callGetPointer = "pointer.get"
 	callSetPointer = "pointer.set"
-	// pointerCopies is the number of routers that store the pointer of a key.
+	// pointerCopies is the number of routers that store the pointer of a key, which names
+	// the router on which the request with that key runs.
 	pointerCopies = 2
 	// pointerTTL is how long a pointer is valid without renewal.
 	pointerTTL = 10 * time.Minute
@@ -21,12 +22,12 @@
 	// failure domains takes about a millisecond.
 	pointerTimeout = 25 * time.Millisecond
 	// maxPointerMisses is the number of consecutive lookups that a router may leave
-	// unanswered before it is skipped for pointerBackoff. One slow answer does not mean
-	// that the link is cut.
+	// unanswered before it is skipped for pointerBackoff. One slow answer does not mean that
+	// the link is down.
 	maxPointerMisses = 2
 	pointerBackoff   = time.Second
-	// maxPointers limits the pointers stored for other routers, of about 100 bytes
-	// each.
+	// maxPointers limits the number of pointers that are stored for other routers, of about
+	// 100 bytes each. At the limit, a new pointer is not stored.
 	maxPointers = 100_000
 )
 
@@ -47,15 +48,15 @@
 	until time.Time
 }
 
-// missedAnswers counts a router's consecutive unanswered lookups, and holds the time
-// until which it is skipped because of them.
+// missedAnswers counts the consecutive lookups that a router left unanswered, and stores
+// the time until which that router is skipped because of them.
 type missedAnswers struct {
 	misses int
 	until  time.Time
 }
 
-// pointers publishes which keys run on this router, by storing pointers at two routers
-// that are chosen by rendezvous hash. It saves duplicate work but guarantees nothing:
+// pointers publishes which keys run on this router, by storing pointers at two routers that
+// are chosen by rendezvous hash. The pointers save duplicate work but guarantee nothing:
 // requests that must run at most once are claimed in the log.
 type pointers struct {
 	mesh    *peer.Mesh
@@ -117,12 +118,12 @@
 }
 
 // Locate queries the routers that store the key's pointer, all at once. It returns a node
-// only if that node is still considered alive: a caller must not be turned away because
-// its key ran on a router that is dead.
+// only if that node is still considered alive: a caller must not be turned away because its
+// key ran on a router that is dead.
 //
-// Suspect routers, and for a while routers that did not answer recently, are not
-// queried. Otherwise, while links are cut and the failure is not yet detected, each new
-// request would wait for the whole timeout, once for each of these routers.
+// Suspect routers, and for a while routers that did not answer recently, are not queried.
+// Otherwise, while links are down and the failure is not yet detected, each new request
+// whose key is stored at such a router would wait for the whole timeout.
 func (p *pointers) Locate(ctx context.Context, account, key string) (string, [16]byte, bool) {
 	id := once.NewKeyID(account, key)
 	members := aliveMembers(p.mesh.Members())
@@ -145,7 +146,9 @@
 	return "", [16]byte{}, false
 }
 
-// responsive leaves out the routers that are not expected to answer in time.
+// responsive leaves out the routers that are not expected to answer in time: those that are
+// suspect, and those that are skipped because of missed answers. This router itself always
+// stays in the list.
 func (p *pointers) responsive(nodes []peer.Member, now time.Time) []peer.Member {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,14 +165,16 @@
 	if m.Self {
 		return p.find(id, time.Now())
 	}
-	// An unreachable router counts as one without a pointer, which only saves work.
+	// An unreachable router is treated like a router that has no pointer for the key. At
+	// worst this costs duplicate work, since pointers only save work.
 	v, err := peer.Call[pointer, pointer](ctx, p.mesh, m.ID, callGetPointer, pointer{Key: id})
 	p.recordAnswer(m.ID, err, context.Cause(ctx))
 	return v
 }
 
-// recordAnswer records whether a router answered. A lookup that ended early, because its
-// caller disconnected or the other router answered first, is not counted.
+// recordAnswer records whether a router answered. A lookup that ended early, because the
+// caller disconnected or another router answered first, is not counted, since the router
+// may still have answered in time.
 func (p *pointers) recordAnswer(node string, err, ended error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/daemon/services.go
+++ b/daemon/services.go
@@ -29,8 +29,9 @@
 	codeDuplicate     = "duplicate_key"
 	codeLost          = "connection_lost"
 	codeDeadline      = "deadline"
-	// unknownRetryAfter is the Retry-After when it is unknown whether a call ran. Repeating
-	// it under the same key is safe, but an earlier repeat would give the same answer.
+	// unknownRetryAfter is the Retry-After of a response which says that it is unknown
+	// whether a call ran. Repeating the call under the same key is safe, but a call that is
+	// repeated earlier would get the same response.
 	unknownRetryAfter = 5 * time.Second
 )
 
@@ -56,7 +57,7 @@
 		Priority: call.Priority, Cost: serviceCost, Deadline: call.Deadline,
 	})
 	if err != nil {
-		return nil, refusalFailure(0, toUnavailable(err)) // its code has a status
+		return nil, refusalFailure(0, toUnavailable(err)) // callerapi sets the status that belongs to the code
 	}
 	defer release(serviceCost)
 	if call.Idempotent {
@@ -80,7 +81,8 @@
 		return nil, &callerapi.Failure{Status: http.StatusConflict, Code: codeDuplicate,
 			Message: "this key is claimed by an earlier request", Outcome: fleet.Unknown, RetryAfter: unknownRetryAfter}
 	}
-	// The process may have been stopped while the claim was in progress.
+	// The deadlines are checked again, since the process may have been stopped while the
+	// claim was in progress. A call whose deadline has passed must not be sent.
 	if once.CheckDeadline(ctx) != nil || expired(call.Deadline) {
 		s.voidClaim(call, attempt)
 		return nil, &callerapi.Failure{Status: http.StatusGatewayTimeout, Code: codeDeadline,
@@ -94,18 +96,20 @@
 }
 
 func (s *services) voidClaim(call callerapi.ServiceCall, attempt string) {
-	// If voiding fails the key stays used: the call never runs twice, but can't be
-	// repeated under its key.
+	// If voiding fails, the key stays used. The call then still never runs twice, but the
+	// caller can't repeat it under the same key.
 	_ = s.claims.VoidAsync(call.Account, call.Key, attempt)
 }
 
 func expired(deadline time.Time) bool { return !deadline.IsZero() && !time.Now().Before(deadline) }
 
-// serviceOf returns the service of a pool.
+// serviceOf returns the name of the service that a pool belongs to. ok is false if the pool
+// is one of a model.
 func serviceOf(pool string) (name string, ok bool) { return strings.CutPrefix(pool, servicePoolPrefix) }
 
-// send tries up to tries backend servers. A call of which any byte may have been sent
-// is repeated only if it is idempotent and the retry budget allows it.
+// send sends the call to one backend server after another, up to tries in all, until one
+// answers. A call of which any byte may have been sent is repeated only if it is idempotent
+// and the retry budget allows it.
 func (s *services) send(ctx context.Context, call callerapi.ServiceCall, tries int) (*http.Response, error) {
 	tried := &triedSet{}
 	s.retry.First()
@@ -170,16 +174,18 @@
 	return resp, err
 }
 
-// quarantinedFailure is the final answer to a call under which backend servers crashed.
+// quarantinedFailure is the final response to a call that is quarantined because backend
+// servers crashed while they ran it.
 func quarantinedFailure() *callerapi.Failure {
 	return &callerapi.Failure{Status: http.StatusInternalServerError, Code: generation.CodeQuarantined,
 		Message: "backend servers crashed under this call: it is not sent on", Outcome: fleet.Failed}
 }
 
 // reportResult reports the result of a try to the failure detector. A try that ran into the
-// caller's deadline counts against its backend server. So does, with less weight, a
-// first try that lost to a second one sent long after it. A second try that lost had
-// less time and says nothing, nor does one that its caller cancelled.
+// caller's deadline counts against its backend server. So does, with less weight, a first
+// try that lost to a second try sent long after it. Nothing is reported for a second try
+// that lost, since it had less time, nor for a try that the caller cancelled: neither shows
+// that the backend server is slow or faulty.
 func (s *services) reportResult(ctx context.Context, id string, err error, second bool) {
 	cause := context.Cause(ctx)
 	switch {
@@ -192,7 +198,8 @@
 	}
 }
 
-// releasingBody ends the winning try's context when the answer is closed.
+// releasingBody is the response body of the winning try. Closing it calls release, which
+// ends the context of that try.
 type releasingBody struct {
 	io.ReadCloser
 	release func()
--- a/daemon/slots.go
+++ b/daemon/slots.go
@@ -10,11 +10,13 @@
 )
 
 const (
-	// urgentDivisor sets how many interactive requests, and how many resumes, may always run
-	// from this router: the engines' slots divided by it.
+	// urgentDivisor sets how many interactive requests, and how many resumes, this router
+	// may always run. Each of the two numbers is the number of slots of the engines divided
+	// by urgentDivisor.
 	urgentDivisor = 4
-	// slotsMaxAge is how long computed figures are reused. They are read several times in
-	// each decision and are based on load reports that are older than this.
+	// slotsMaxAge is how long computed figures are reused. The figures are read several
+	// times in each decision, and reusing them hardly makes a decision less accurate, since
+	// the load reports on which they are based are older than this.
 	slotsMaxAge = 10 * time.Millisecond
 	// poolSizeMaxAge is how long the numbers of routers and of a model's engines are reused.
 	poolSizeMaxAge = time.Second
@@ -36,13 +38,14 @@
 	sizes map[string]poolSize
 }
 
-// poolSize is the number of routers and engines of a pool at a point in time.
+// poolSize is the number of routers and of a pool's engines as counted at the time at.
 type poolSize struct {
 	at               time.Time
 	routers, engines int
 }
 
-// poolSlots are the capacities of one pool at a point in time.
+// poolSlots are the figures for one pool that admission.Config describes as Capacity (all),
+// BatchCapacity (batch) and MinUrgentSlots (urgent), as computed at the time at.
 type poolSlots struct {
 	at                 time.Time
 	all, batch, urgent int
@@ -100,9 +103,9 @@
 // routersPerEngine returns the number of routers that share each engine. Each router may use its
 // fair share of an engine's slots, no matter how many the others use.
 //
-// Without this, a router at full load refills each slot that it frees at once, while
-// the others only see the free slot in a later load report. A router with many slots
-// would keep them: callers of other routers would be refused while its own, which
+// Without this, a router at full load refills each slot that it frees at once, while the
+// other routers only see the free slot in a later load report. A router with many slots
+// would keep them: callers of other routers would be refused while its own callers, which
 // arrived later, are served.
 func (r *slotCounter) routersPerEngine(pool string, engines int, now time.Time) float64 {
 	all, ok := r.sizes[pool]
@@ -122,9 +125,10 @@
 	return max(float64(all.routers*engines)/float64(all.engines), 1)
 }
 
-// usable leaves out engines that are down, since requests for their slots would go to
-// the remaining engines. If all are down it returns all, so that requests proceed and
-// fail with the reason why there is no replica, instead of waiting for a slot.
+// usable returns the engines that are not down. Slots of an engine that is down must not be
+// counted, since requests for these slots would go to the remaining engines. Exception: if
+// all engines are down, usable returns all of them, so that requests proceed and fail with
+// the reason why there is no replica, instead of waiting for a slot.
 func (r *slotCounter) usable(engines []routing.Candidate) []routing.Candidate {
 	var up []routing.Candidate
 	for _, c := range engines {
--- a/daemon/summaries.go
+++ b/daemon/summaries.go
@@ -17,8 +17,8 @@
 	minDemand = 0.5
 )
 
-// summaries exchanges the data in heartbeats: the revision in force, readiness and the
-// demand of each client account.
+// summaries exchanges the data that heartbeats carry between routers: the revision in
+// force, readiness and the demand of each client account.
 type summaries struct {
 	mesh     *peer.Mesh
 	keeper   *intent.Keeper
@@ -27,7 +27,8 @@
 	received demands
 }
 
-// run updates the summary and applies those of the peers until ctx ends.
+// run updates this router's summary every summaryInterval and applies the summaries of the
+// peers, until ctx ends.
 func (s *summaries) run(ctx context.Context) error {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
@@ -58,12 +59,12 @@
 	s.admit.SetPeerDemand(s.received.update(members))
 }
 
-// demands holds the last known demand of each peer.
+// demands maps each peer to its last known demand for each client account.
 //
-// A member's summary is empty as soon as the link to it is down. When links are cut,
-// and before any router is declared dead, each part of the fleet would otherwise take
-// the others' demand for zero, and each client account would get its whole limit from
-// each part.
+// The last known demand is kept because a member's summary is empty as soon as the link to
+// the member is down. Suppose that links fail and split the fleet into parts. Until routers
+// are declared dead, each part would otherwise assume that the other parts have no demand,
+// and each client account would get its whole limit from each part.
 type demands map[string]map[string]float64
 
 func (d demands) update(members []peer.Member) []admission.PeerDemand {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,12 +1,13 @@
 // Package directory records the backend servers that this router knows of. It merges
 // the VM list, load reports, cache events, reports from other routers and this router's
-// own requests in progress, each of which is late or incomplete in its own way.
+// own requests in progress, each of which may be late or incomplete.
 //
 // Reports lag, so an engine that looks idle may just have been sent a hundred requests;
-// the requests sent by this router since the report are added. An engine that is
-// leaving may look alive in a lagging list; once any source reports that an incarnation
-// is leaving, that holds until a new incarnation appears. Cache events have gaps; after
-// a gap the map of that engine isn't used until it has been relearned.
+// the requests that this router sent after the report was made are therefore added to
+// the reported load. An engine that is leaving may look alive in a lagging list; once
+// any source reports that an incarnation is leaving, the backend server counts as
+// leaving until a new incarnation appears. Cache events have gaps; after a gap the map
+// of that engine isn't used until it has been relearned.
 package directory
 
 import (
@@ -22,8 +23,8 @@
 )
 
 // PollInterval is the mean interval at which a router polls an engine's load and at
-// which a node that reads the VM list reads it; each poll is moved by up to PollJitter
-// of it.
+// which a node that reads the VM list reads it; each interval is lengthened or
+// shortened by up to PollJitter times its length.
 const (
 	PollInterval = time.Second
 	PollJitter   = 0.25
@@ -32,17 +33,22 @@
 // PeerReportDelay bounds how long a peer report takes to reach every router.
 const PeerReportDelay = time.Second
 
-// LeavingBound is the time after which a leaving backend server gets no new work,
-// counted from when the VM list, a load report or an engine's refusal would first show
-// it to any router that polls: one poll with its jitter, then the flood, either of a
-// peer report or, for the VM list, of a reader's update. The readers of the list poll
-// at different times, so the first of them usually has it sooner. The lag of the
-// platform's VM list comes on top; and when a flood is lost, digests deliver the update
-// later, within some rounds.
+// LeavingBound is the maximum time for which any router still sends new work to a leaving
+// backend server. The time starts when a poll of the VM list or of the engine would first
+// show that the backend server is leaving, or when the engine would first refuse work.
+//
+// The bound is the sum of two times. Within one polling interval with its jitter, some
+// router finds out that the backend server is leaving. Then one flood reaches all other
+// routers: a flood of a peer report or, for the VM list, of a reader's update. The readers
+// of the list poll at different times, so the first reader usually sees the change sooner.
+//
+// Exceptions: the lag of the platform's VM list comes on top of the bound. If a flood is
+// lost, the nodes' digests deliver the update later, within some digest rounds.
 const LeavingBound = PollInterval + PollInterval/4 + PeerReportDelay
 
 // missingGrace is how long a backend server may be missing from the VM list before it
-// is removed. The list lags and may be served by an old replica.
+// is removed. A reading may lack a server that exists, because the list lags and may be
+// served by an old replica.
 const missingGrace = 30 * time.Second
 
 // Source names the source of the information that a backend server is leaving.
@@ -57,7 +63,8 @@
 	FromPeerReport Source = "rumour"
 )
 
-// table is an immutable view of the fleet; changes replace it as a whole.
+// table is an immutable view of the fleet. A change replaces the whole table by a new
+// one, so that readers need no lock.
 type table struct {
 	byID     map[string]*record
 	byRef    map[fleet.ModelRef][]routing.Candidate
@@ -70,11 +77,12 @@
 	table     atomic.Pointer[table]
 	anyReport atomic.Bool
 	loads     loadTracker
-	// OnLeaving, set before use, is called once for each incarnation that turns out to
-	// be leaving, so that a peer report can be broadcast.
+	// OnLeaving, set before the Directory is used, is called once for each incarnation
+	// that turns out to be leaving, so that this router can broadcast a peer report. If it
+	// is nil, no report is broadcast.
 	OnLeaving func(id, incarnation string, source Source)
 
-	mu     sync.Mutex // serialises writers
+	mu     sync.Mutex // held by writers, one at a time; readers use table
 	subset map[string]bool
 	intent map[string]bool // VMs that should leave by the configuration
 }
@@ -86,8 +94,9 @@
 	return d
 }
 
-// Update applies a reading of the VM list. Backend servers missing from it are kept for
-// a while, and for as long as they have requests of this router in progress.
+// Update applies a reading of the VM list. Backend servers missing from the list are kept
+// for missingGrace after they were last listed, and for as long as they have requests of
+// this router in progress.
 func (d *Directory) Update(list []fleet.Backend, now time.Time) {
 	d.mu.Lock()
 	old := d.table.Load()
@@ -101,8 +110,10 @@
 		if r.applyListEntry(b, now) {
 			nowLeaving = append(nowLeaving, r)
 		}
-		// The configuration may be older than this entry of the list: without this, a
-		// router that was started after that revision would send work there.
+		// The configuration in force may be older than this entry of the list, so its list
+		// of VMs that should leave (SetIntent) is applied to new entries as well.
+		// Otherwise a router that was started after that revision of the configuration
+		// would send work to a VM that should leave.
 		if r.setIntent(d.intent[b.VM]) {
 			nowIntended = append(nowIntended, r)
 		}
@@ -123,7 +134,9 @@
 	}
 }
 
-// Report applies an engine's load report.
+// Report applies an engine's load report: it updates which models the engine serves, its
+// load, the estimate of how many requests it runs at once, and whether it is leaving. A
+// report of an unknown engine is ignored.
 func (d *Directory) Report(id string, rep fleet.LoadReport, now time.Time) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -141,8 +154,9 @@
 	}
 }
 
-// Select restricts snapshots to a subset of the engines; nil means all. Engines outside
-// the subset are not polled often enough to know their state.
+// Select restricts the candidates that Snapshot returns to a subset of the engines; nil
+// means all engines. Engines outside the subset are left out because this router does not
+// poll them often enough to know their state.
 func (d *Directory) Select(subset map[string]bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,13 +191,14 @@
 	d.table.Store(t)
 }
 
-// Snapshot returns the engines that serve ref. The slice is shared and must only be
-// read. It costs one atomic load and one map look-up.
+// Snapshot returns the engines of the subset (Select) that serve ref. The slice is shared
+// and must only be read. A call costs one atomic load and one map look-up.
 func (d *Directory) Snapshot(ref fleet.ModelRef) []routing.Candidate {
 	return d.table.Load().byRef[ref]
 }
 
-// Serving counts all engines known to serve ref, in the subset or not.
+// Serving counts all engines known to serve ref, including the engines outside the
+// subset.
 func (d *Directory) Serving(ref fleet.ModelRef) int {
 	n := 0
 	for _, r := range d.table.Load().byID {
@@ -194,16 +209,17 @@
 	return n
 }
 
-// Service returns the backend servers of a service that is not a model engine. The
-// slice must only be read.
+// Service returns the backend servers of a service that is not a model engine. The slice
+// is shared and must only be read.
 func (d *Directory) Service(name string) []routing.Candidate {
 	return d.table.Load().services[name]
 }
 
-// FleetKnown reports whether any engine has sent a report yet.
+// FleetKnown reports whether this router has received a load report of any engine yet.
 func (d *Directory) FleetKnown() bool { return d.anyReport.Load() }
 
-// Backend returns a backend server by its id.
+// Backend returns the backend server with the given id, as last listed in the VM list. The
+// bool is false if no such backend server is known.
 func (d *Directory) Backend(id string) (fleet.Backend, bool) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -212,7 +228,8 @@
 	return r.candidate().Backend, true
 }
 
-// Incarnation returns the last reported incarnation, or "" when none is known.
+// Incarnation returns the last reported incarnation of a backend server, or "" if none
+// is known.
 func (d *Directory) Incarnation(id string) string {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -221,13 +238,15 @@
 	return r.currentIncarnation()
 }
 
-// IDs lists the known backend servers in order.
+// IDs returns the ids of the known backend servers in ascending order.
 func (d *Directory) IDs() []string {
 	return slices.Sorted(maps.Keys(d.table.Load().byID))
 }
 
-// MarkLeaving records that one incarnation is leaving. That holds until the backend
-// server reports a new incarnation. An empty incarnation means the current one.
+// MarkLeaving marks one incarnation of a backend server as leaving. If the backend server
+// was not leaving before, MarkLeaving also logs the change and calls OnLeaving. The mark
+// counts until the backend server reports a new incarnation. An empty incarnation means
+// the current incarnation.
 func (d *Directory) MarkLeaving(id, incarnation string, source Source) {
 	r := d.table.Load().byID[id]
 	if r == nil {
@@ -238,9 +257,9 @@
 	}
 }
 
-// SetIntent sets the VMs that should leave by the configuration in force. It sets a
-// state and records no event: a VM that is no longer in the set gets work again, unless
-// another source reports it as leaving.
+// SetIntent sets which VMs should leave according to the configuration in force. Unlike
+// MarkLeaving, SetIntent does not mark incarnations. A VM that is missing from the set at
+// a later call gets work again, unless another source reports that VM as leaving.
 func (d *Directory) SetIntent(leavingVMs map[string]bool) {
 	d.mu.Lock()
 	d.intent = maps.Clone(leavingVMs)
@@ -256,8 +275,9 @@
 	}
 }
 
-// Leaving reports whether a backend server is leaving. It is called again at dispatch,
-// and for queued work. An unknown backend server counts as leaving.
+// Leaving reports whether a backend server is leaving. Callers call it again at
+// dispatch, and for queued work, because the backend server may have started to leave
+// since it was chosen. An unknown backend server counts as leaving.
 func (d *Directory) Leaving(id string) bool {
 	r := d.table.Load().byID[id]
 	return r == nil || r.Leaving()
--- a/dump/dump.go
+++ b/dump/dump.go
@@ -1,8 +1,8 @@
-// Package dump collects the state of the parts of a process and shows it on request. A
-// part that hangs must not hide the others, least of all when it is the one that the
-// operator is looking for: each section is collected separately, with a time limit and
-// its own recover, and a part that fails or does not answer is shown with an error
-// instead of its state.
+// Package dump collects the state of the parts of a process and shows it on request. A part
+// that hangs must not hide the state of the other parts, and must itself appear in the
+// dump, since it may be the part that the operator is looking for. Each section is
+// therefore collected separately, with a time limit and its own recover. A part that fails
+// or does not answer is shown with an error instead of its state.
 package dump
 
 import (
@@ -23,7 +23,8 @@
 // DefaultTimeout is the default time limit of a dump.
 const DefaultTimeout = 2 * time.Second
 
-// Registry holds the parts of one process. The zero value is ready for use.
+// Registry holds the parts of one process whose state a dump shows. The zero value is ready
+// for use.
 type Registry struct {
 	// Timeout is how long a dump waits for its sections; 0 means DefaultTimeout.
 	Timeout time.Duration
@@ -72,7 +73,8 @@
 	return out
 }
 
-// awaitAnswer returns the answer if it is available, even if the time limit has passed.
+// awaitAnswer waits until a part has returned its state or ctx ends. A state that is
+// already available is returned even if the time limit has passed.
 func awaitAnswer(ctx context.Context, answer <-chan singleflight.Result) json.RawMessage {
 	select {
 	case res := <-answer:
--- a/event/output.go
+++ b/event/output.go
@@ -18,9 +18,9 @@
 // Output the next request that logs a line blocks: all requests of the node stop at the
 // same moment. Lines beyond the queue or the rate are dropped and counted.
 type Output struct {
-	// OnDropped, if set before use, is called at most once a second with the number of
-	// lines dropped since its last call, if any. The number does not include the
-	// line that it logs itself.
+	// OnDropped, if set before use, is called at most once a second with the number of lines
+	// dropped since its last call, if any. The number does not include the line that
+	// OnDropped logs itself.
 	OnDropped func(n int)
 
 	lines chan []byte
@@ -58,8 +58,9 @@
 	return len(line), nil
 }
 
-// queue queues or drops the line. At the first line of a second it returns the number
-// of lines dropped before.
+// queue queues the line, or drops it if the queue is full, the rate is reached or the
+// Output is closed. At the first line of a second it returns the number of lines that were
+// dropped before, and starts to count again from 0. At other lines it returns 0.
 func (o *Output) queue(line []byte, now int64) (dropped int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/fakes/engine/cache.go
+++ b/fakes/engine/cache.go
@@ -18,8 +18,8 @@
 	at    time.Time
 }
 
-// cache is a least-recently-used set of prefix blocks. It drops a share of its events on
-// purpose. A dropped event uses up a sequence number, so readers see a gap.
+// cache is a least-recently-used set of prefix blocks. The cache drops a share of its
+// events on purpose. A dropped event uses up a sequence number, so readers see a gap.
 type cache struct {
 	limit       int
 	dropPercent int
@@ -40,7 +40,8 @@
 	}
 }
 
-// lookUpAndStore stores the blocks and returns how many leading ones were cached before.
+// lookUpAndStore stores the blocks and returns how many of the leading blocks were cached
+// before.
 func (c *cache) lookUpAndStore(blocks []uint64, now time.Time) int {
 	hits := 0
 	for i, b := range blocks {
@@ -79,7 +80,8 @@
 	}
 }
 
-// eventsAfter returns the events with a sequence number above seq that happened at until or before.
+// eventsAfter returns the events with a sequence number above seq that happened no later
+// than until.
 func (c *cache) eventsAfter(seq uint64, until time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
--- a/fakes/engine/order.go
+++ b/fakes/engine/order.go
@@ -20,7 +20,8 @@
 	Leaving bool             `json:"leaving"`
 }
 
-// OrderState is the response to an order: the latest order and how far the engine has followed it.
+// OrderState is the response to an order: the latest order and which versions the engine
+// has loaded and is loading now.
 type OrderState struct {
 	Fence   uint64           `json:"fence"`
 	Plan    string           `json:"plan"`
@@ -63,7 +64,7 @@
 }
 
 // applyOrder follows an order, or reports false if its fencing number is stale. An engine
-// without ChecksFence follows any order, like some engines in deployments.
+// without ChecksFence follows any order, as some engines in deployments do.
 func (e *Engine) applyOrder(req OrderRequest) (OrderState, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/fakes/fault/args.go
+++ b/fakes/fault/args.go
@@ -14,8 +14,8 @@
 // ErrArgs is returned for invalid arguments.
 var ErrArgs = Error.New("bad arguments")
 
-// Args holds the arguments of a fault switch. The documentation of each switch lists those that it
-// reads.
+// Args holds the arguments of a fault switch. The documentation of each switch lists the
+// arguments that the switch reads.
 type Args struct {
 	MS      float64 `json:"ms"`      // milliseconds
 	N       int     `json:"n"`       // how often the fault applies; 0 means once
@@ -31,7 +31,7 @@
 // Enabled reports whether to turn the switch on.
 func (a Args) Enabled() bool { return a.On == nil || *a.On }
 
-// Times returns N, but at least 1.
+// Times returns how many times a fault applies: N, but at least 1.
 func (a Args) Times() int { return max(a.N, 1) }
 
 // Millis converts a number of milliseconds to a duration.
--- a/fakes/fault/listener.go
+++ b/fakes/fault/listener.go
@@ -58,10 +58,11 @@
 	return &Listener{addr: addr, conns: make(map[*conn]struct{}), in: openGate(), out: openGate()}
 }
 
-// Start opens the socket and heals any cut. It returns a listener for the connections of
-// this start, or nil if the socket is open already. Its Close closes the socket of this
-// start only: an HTTP server closes its listener when it notices a kill, which may be after
-// the next Start.
+// Start opens the socket and ends any cut, as Heal does. It returns a listener for the
+// connections of this start, or nil if the socket is open already. The Close method of the
+// returned listener closes the socket of this start only. The reason: an HTTP server closes
+// its listener when it notices a kill, and by then the next Start may have opened a new
+// socket.
 func (l *Listener) Start() (net.Listener, error) {
 	l.Heal()
 	l.mu.Lock()
@@ -188,7 +189,8 @@
 	delete(l.conns, c)
 }
 
-// addConn records a connection that ln accepted, unless ln has been killed meanwhile.
+// addConn records a connection that ln accepted, unless the Listener has been killed since.
+// It reports whether it recorded the connection.
 func (l *Listener) addConn(ln net.Listener, c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -199,7 +201,7 @@
 	return true
 }
 
-// startedListener accepts connections on the socket of one start.
+// startedListener accepts connections on the socket that one call of Start opened.
 type startedListener struct {
 	net.Listener
 	owner *Listener
@@ -242,7 +244,8 @@
 	}
 }
 
-// Read waits after the bytes have arrived, since a cut may start while it blocks.
+// Read waits for the delay and the gate after the bytes have arrived, not before. A cut may
+// start while Read blocks, and bytes that arrive during the cut must be stopped.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if waitErr := c.wait(c.owner.inGate); waitErr != nil {
--- a/fakes/hosted/replica.go
+++ b/fakes/hosted/replica.go
@@ -35,7 +35,8 @@
 	Header http.Header
 	Body   string
 	Ran    bool
-	// Completed is set when the run has completed. It stays false for a run that was cut off.
+	// Completed is set when the run has completed. It stays false for a run that was
+	// aborted.
 	Completed bool
 }
 
@@ -83,7 +84,8 @@
 	RepeatChunks bool // sends each chunk of a stream twice
 }
 
-// Start starts the replica. replicaAt returns the replica at an address, for copies of runs.
+// Start starts the replica. replicaAt returns the replica at an address; it is used to
+// store copies of runs at other replicas.
 func (r *Replica) Start(replicaAt func(addr string) *Replica) error {
 	if r.Listen == "" {
 		r.Listen = "127.0.0.1:0"
@@ -139,8 +141,9 @@
 	r.faults, r.faultsSetAt = f, time.Now()
 }
 
-// failsRequest reports whether the replica responds to a request with FailStatus. A share of the
-// requests is selected by a hash of the id.
+// failsRequest reports whether the replica responds to a request with FailStatus. If
+// FailShare is set, only that share of the requests fails, selected by a hash of the
+// request's id.
 func (r *Replica) failsRequest(f Faults, id string) bool {
 	r.mu.Lock()
 	since := time.Since(r.faultsSetAt)
@@ -151,7 +154,8 @@
 	return f.FailShare == 0 || float64(xxhash.Sum64String(id)%1000) < 1000*f.FailShare
 }
 
-// Entry returns the value of the replica's entry in the store.
+// Entry returns the value of the replica's entry in the store, with the given state (ready
+// or draining).
 func (r *Replica) Entry(state string) map[string]any {
 	entry := map[string]any{
 		"service": r.Service, "address": r.Addr(), "zone": r.Domain, "version": cmp.Or(r.Version, "v1"),
@@ -160,7 +164,8 @@
 	return r.withStartTime(entry)
 }
 
-// withStartTime adds the replica's start time to an entry or a report, unless it is not published.
+// withStartTime adds the replica's start time to an entry or a report, unless StartedAt is
+// 0, which means that the replica publishes no start time.
 func (r *Replica) withStartTime(values map[string]any) map[string]any {
 	if r.StartedAt != 0 {
 		values["born"] = r.StartedAt
@@ -250,8 +255,8 @@
 	r.serveComplete(w, a, f)
 }
 
-// crashDuring crashes the replica while it runs a request: an engine after it has sent the response
-// header.
+// crashDuring crashes the replica while it runs a request. An engine first sends the
+// response header; other replicas send nothing.
 func (r *Replica) crashDuring(w http.ResponseWriter) {
 	if r.Engine {
 		w.WriteHeader(http.StatusOK)
@@ -277,9 +282,10 @@
 	}
 }
 
-// receive records a request and returns the faults in force and the status of a refusal, or 0.
-// If the request asks for a backup, it is copied to the other replica without a lock held here:
-// two replicas that keep each other's copies would deadlock.
+// receive records a request and returns the faults in force and the status of a refusal, or
+// 0. If the request names a replica for a copy of the run, receive stores the copy at that
+// replica after it has released the lock of this replica. Otherwise two replicas that store
+// copies for each other would deadlock.
 func (r *Replica) receive(a *Arrival) (f Faults, refuse int) {
 	f, refuse = r.recordArrival(a)
 	if standby := a.Header.Get("X-Kv-Backup"); refuse == 0 && standby != "" {
--- a/fakes/relay/relay.go
+++ b/fakes/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay is a TCP relay. Tests cut either or both of its directions to separate two
-// processes that both keep running.
+// Package relay is a TCP relay between two processes. With the switches cut, cut-in and
+// cut-out, tests stop the bytes in both directions or in one, to separate two processes
+// that both keep running.
 package relay
 
 import (
@@ -18,7 +19,7 @@
 
 const dialTimeout = 5 * time.Second
 
-// Relay forwards the bytes of each connection to its target and back.
+// Relay forwards the bytes of each connection to the relay's target and back.
 type Relay struct {
 	id       string
 	target   string
--- a/fakes/vms/vms.go
+++ b/fakes/vms/vms.go
@@ -59,13 +59,13 @@
 	}
 }
 
-// version holds the entries of the list from a point in time on.
+// version holds the entries that the list has from a point in time until the next version.
 type version struct {
 	since   time.Time
 	entries []Entry
 }
 
-// List is the fake service.
+// List is the fake of the VM list.
 type List struct {
 	server *fault.Server
 
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// change applies f to every entry of the VM, from the last to the first.
+// change applies f to every entry of the VM, from the last to the first, so that f can
+// delete an entry without shifting the entries to which it is applied next.
 func (l *List) change(vm string, f func([]Entry, int) []Entry) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fakes/weights/weights.go
+++ b/fakes/weights/weights.go
@@ -27,7 +27,7 @@
 	retryAfterSeconds = "1"
 )
 
-// Store is the fake service.
+// Store is the fake of the weight store.
 type Store struct {
 	server  *fault.Server
 	sizes   map[string]int64
@@ -68,7 +68,7 @@
 // Close stops the service.
 func (s *Store) Close() { s.server.Kill() }
 
-// Fault turns a switch of fault.Server.Apply.
+// Fault turns one of the switches that fault.Server.Apply describes.
 func (s *Store) Fault(name string, raw json.RawMessage) error {
 	var args fault.Args
 	if err := fault.Decode(raw, &args); err != nil {
@@ -101,7 +101,8 @@
 	return s.maxLoading
 }
 
-// readAtRate calls chunk for size bytes in chunks, at the store's rate.
+// readAtRate calls chunk with the length of one chunk after another, size bytes in all, at
+// the store's rate.
 func (s *Store) readAtRate(ctx context.Context, size int64, chunk func(n int) error) error {
 	for size > 0 {
 		n := int(min(size, chunkBytes))
--- a/health/engine.go
+++ b/health/engine.go
@@ -12,32 +12,34 @@
 	id        string
 	lastToken atomic.Int64 // time of the last token on any stream
 	gaps      Gaps
-	domain    atomic.Pointer[domain] // nil until its failure domain is set
-	// lastConfirmedAt is when it last answered a query about its domain, 0 if never.
+	domain    atomic.Pointer[domain] // nil until the failure domain of the backend server is set
+	// lastConfirmedAt is when the backend server last answered a query about its failure
+	// domain, or 0 if it never did.
 	lastConfirmedAt atomic.Int64
 
 	mu                     sync.Mutex
 	streams                []*Stream
 	pauseCredit            time.Duration // pauses of this process since creditFrom, not counted as silence
-	creditFrom             int64         // value of lastToken that the credit belongs to
+	creditFrom             int64         // value of lastToken to which pauseCredit belongs; with any other value the credit is void
 	state                  State
 	stateSince             int64 // when the state was entered
 	refusedInRow           int   // refused connections in a row
 	lateInRow              int   // late answers in a row
-	lateSince              int64 // time of the first of those
+	lateSince              int64 // time of the first late answer in the row
 	backoff                time.Duration
 	retryAt                int64
 	probeInFlight          bool
 	probeUntil             int64
 	incarnation            string
 	peerReportUntil        int64
-	reinstatedUntil        int64 // set when Usable gives it back because of the ejection bound
+	reinstatedUntil        int64 // until when the engine may get work although it is ejected; set when Usable reinstates it
 	cachedThreshold        thresholdCache
-	lastTokenBeforeSuspect int64 // time of its last token before a suspicion, else 0
+	lastTokenBeforeSuspect int64 // time of the last token of the engine before a suspicion, else 0
 	query                  runQuery
 }
 
-// silence returns the time since the last token on any stream, without pauses of this process.
+// silence returns the time since the last token on any stream of the engine, less the time for
+// which this process was paused.
 func (e *engine) silence(now int64) time.Duration {
 	last := e.lastToken.Load()
 	d := time.Duration(now - last)
@@ -62,7 +64,8 @@
 	}
 }
 
-// eject moves the engine to Suspect or Down and sets when it may be probed.
+// eject moves the engine to Suspect or Down, and sets the backoff after which the engine may be
+// probed: MinBackoff at first, doubled up to MaxBackoff by each ejection before a recovery.
 func (e *engine) eject(state State, now int64, p *Policy) {
 	if e.state == Healthy {
 		e.stateSince = now
@@ -76,9 +79,9 @@
 	e.retryAt = now + int64(e.backoff)
 }
 
-// recordLate records a late answer and reports whether the engine is to be ejected. While it is
-// ejected only the result of its probe counts: otherwise each call that was sent before the
-// ejection would double the backoff.
+// recordLate records a late answer and reports whether the engine is to be ejected. While the
+// engine is ejected, a late answer counts only if a probe is under way: otherwise each call
+// that was sent before the ejection would double the backoff.
 func (e *engine) recordLate(t int64, p *Policy) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,7 +95,7 @@
 	return e.lateInRow >= p.LateAfter && t-e.lateSince >= int64(p.LateSpan)
 }
 
-// recover returns the engine to Healthy.
+// recover sets the engine's state to Healthy and drops the evidence against the engine.
 func (e *engine) recover() {
 	e.state = Healthy
 	e.refusedInRow = 0
@@ -101,7 +104,8 @@
 	e.peerReportUntil = 0
 }
 
-// currentState returns the state at now: an ejected engine whose backoff has ended may be probed.
+// currentState returns the state of the engine at now. It is Probing for an ejected engine
+// whose backoff has ended.
 func (e *engine) currentState(now int64) State {
 	if e.state == Healthy {
 		return Healthy
@@ -112,7 +116,8 @@
 	return Probing
 }
 
-// probeFree reports whether no probe is under way.
+// probeFree reports whether a probe may be sent: no probe is under way, or the result of the
+// last probe has not come in time.
 func (e *engine) probeFree(now int64) bool {
 	return !e.probeInFlight || now >= e.probeUntil
 }
@@ -145,8 +150,8 @@
 	return false
 }
 
-// markCancelled keeps streams from being evaluated again before their owners close them; each
-// further suspicion would double the backoff.
+// markCancelled marks streams as cancelled, so that they aren't evaluated again before their
+// owners close them: each further suspicion would double the backoff.
 func (e *engine) markCancelled(streams []*Stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,14 +160,16 @@
 	}
 }
 
-// suspectSince reports whether the engine was suspected less than d ago.
+// suspectSince reports whether the engine is suspected and was ejected less than d ago. Further
+// ejections before the engine recovers don't count anew.
 func (e *engine) suspectSince(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.state == Suspect && t-e.stateSince < int64(d)
 }
 
-// needsCheck reports whether streams are open, or e was suspected less than d ago.
+// needsCheck reports whether ticks have to check e: e has open streams, or e is suspected and
+// was ejected less than d ago.
 func (e *engine) needsCheck(t int64, d time.Duration) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/health/health.go
+++ b/health/health.go
@@ -3,7 +3,7 @@
 //
 // An engine that dies with its VM, freezes, or is cut off by the network sends no
 // reset; its callers see an answer that simply stops. A fixed timeout is wrong in
-// two ways: too long for a caller who waits, too short for an engine that merely
+// two ways: too long for a caller that waits, too short for an engine that merely
 // prefills a long prompt. A continuous batch advances all of its streams together,
 // so any token on any stream serves as the engine's heartbeat. How much silence is
 // accepted before a resume follows from expected cost: what further waiting costs
@@ -37,11 +37,13 @@
 var (
 	// ErrSuspect means that the whole engine fell silent.
 	ErrSuspect error = &Cause{"engine is silent on all its streams"}
-	// ErrStalled means that one stream fell silent while others of its engine did not.
+	// ErrStalled means that one stream fell silent while other streams of its engine did not.
 	ErrStalled error = &Cause{"stream is silent while its engine is alive"}
-	// ErrRestarted means that the engine has restarted and has lost the runs from before.
+	// ErrRestarted means that the engine has restarted and has lost the runs that it had
+	// before.
 	ErrRestarted error = &Cause{"engine has started again"}
-	// ErrNoFirstToken means that the wait for the first token exceeded its bound.
+	// ErrNoFirstToken means that the stream has waited for its first token for longer than the
+	// bound that Policy.PrefillBound sets for the prompt.
 	ErrNoFirstToken error = &Cause{"no first token within the bound for the prompt"}
 )
 
@@ -55,7 +57,8 @@
 	Suspect
 	// Down backend servers refused connections; they get no work until their backoff ends.
 	Down
-	// Probing backend servers may get a single request, whose answer decides.
+	// Probing backend servers were ejected, and their backoff has ended. They may get a single
+	// request, whose answer decides whether they become healthy or are ejected again.
 	Probing
 )
 
@@ -80,6 +83,7 @@
 	PeerReportSuspect PeerReportKind = iota
 	// PeerReportDown means that the backend server refuses another router's connections.
 	PeerReportDown
-	// PeerReportAlive withdraws earlier reports.
+	// PeerReportAlive means that the backend server has recovered as seen by another router.
+	// All earlier peer reports about the backend server end.
 	PeerReportAlive
 )
--- a/health/policy.go
+++ b/health/policy.go
@@ -10,7 +10,8 @@
 	// ExtraWorkWeight is the cost of one second that one stream of an engine
 	// loses to prefill that would not be needed without failures.
 	ExtraWorkWeight float64 `json:"extra_work_weight"`
-	// FailuresPerHour is the prior rate of real failures of one engine.
+	// FailuresPerHour is the assumed number of real failures of one engine per hour. From it
+	// follows the prior probability that a gap between tokens is a failure.
 	FailuresPerHour float64 `json:"failures_per_hour"`
 	// PrefillBytesPerSecond is the engine's prefill rate in bytes of text.
 	PrefillBytesPerSecond float64 `json:"prefill_bytes_per_second"`
@@ -18,26 +19,26 @@
 	TokenBytes float64 `json:"token_bytes"`
 	// TypicalGap is the gap between tokens assumed before any was observed.
 	TypicalGap time.Duration `json:"typical_gap"`
-	// TailExponent is how fast healthy gaps longer than all seen are assumed to
-	// become rarer: twice as long is 2^TailExponent times as rare. A low value
-	// accepts long silences.
+	// TailExponent is how fast healthy gaps longer than all gaps seen are assumed to become
+	// rarer: a gap twice as long is 2^TailExponent times as rare. With a low value long
+	// silences are accepted.
 	TailExponent float64 `json:"tail_exponent"`
-	// FixedTimeout, above 0, replaces the evaluation of silence: each stream is
-	// cancelled after it, whatever the engine's other streams do.
+	// FixedTimeout, if above 0, replaces the evaluation of silence: a stream that is silent
+	// for this long is cancelled, whatever the engine's other streams do.
 	FixedTimeout time.Duration `json:"fixed_timeout"`
-	// MinSilence and MaxSilence bound the silence of an engine before it is
+	// MinSilence and MaxSilence bound the threshold: the silence from which an engine is
 	// suspected.
 	MinSilence time.Duration `json:"min_silence"`
 	MaxSilence time.Duration `json:"max_silence"`
-	// StallFactor times the engine's threshold, at least MinStall and at most
-	// MaxStall, is the bound on one silent stream while others of its engine are alive.
+	// StallFactor times the engine's threshold, at least MinStall and at most MaxStall, is how
+	// long one stream may be silent while other streams of its engine are alive.
 	StallFactor float64       `json:"stall_factor"`
 	MinStall    time.Duration `json:"min_stall"`
 	MaxStall    time.Duration `json:"max_stall"`
-	// MinPrefill plus PrefillFactor times the expected prefill, at most
-	// MaxPrefill, bounds the wait for a first token. QueueFactor multiplies the
-	// bound while the engine's other streams are alive, since the request is then
-	// queued behind them.
+	// MinPrefill plus PrefillFactor times the expected prefill bounds the wait for a first
+	// token. While the engine's other streams are alive, this bound is multiplied by
+	// QueueFactor, since the request is then queued behind them. The bound is never above
+	// MaxPrefill.
 	MinPrefill    time.Duration `json:"min_prefill"`
 	MaxPrefill    time.Duration `json:"max_prefill"`
 	PrefillFactor float64       `json:"prefill_factor"`
@@ -46,31 +47,34 @@
 	PeerReportFactor float64 `json:"rumour_factor"`
 	// PeerReportTTL is how long a peer report stays current.
 	PeerReportTTL time.Duration `json:"rumour_life"`
-	// DownAfter is the number of refused connections in a row before Down.
+	// DownAfter is the number of refused connections in a row after which a backend server is
+	// Down.
 	DownAfter int `json:"down_after"`
 	// LateAfter is the number of late answers in a row, over at least LateSpan,
 	// after which a backend server is suspected: see Monitor.Late.
 	LateAfter int           `json:"late_after"`
 	LateSpan  time.Duration `json:"late_span"`
-	// MinBackoff doubles with each failed probe up to MaxBackoff. ProbeTimeout
-	// frees the slot of a probe whose result never came.
+	// MinBackoff is how long an ejected backend server gets no work at first. This time
+	// doubles with each failed probe up to MaxBackoff. When a probe has had no result for
+	// ProbeTimeout, another probe may be sent.
 	MinBackoff   time.Duration `json:"min_backoff"`
 	MaxBackoff   time.Duration `json:"max_backoff"`
 	ProbeTimeout time.Duration `json:"probe_timeout"`
 	// MaxEjectedShare is the largest share of a replica set ejected at once.
 	MaxEjectedShare float64 `json:"max_ejected_share"`
-	// MassSilence is the silence required when more than MaxEjectedShare of the
-	// engines in use are silent together.
+	// MassSilence is the silence from which an engine is suspected while more than
+	// MaxEjectedShare of the engines in use are silent together.
 	MassSilence time.Duration `json:"mass_silence"`
-	// Tick is the interval of evaluation. A gap between ticks longer than
-	// PauseGap is a pause of this process. PauseGrace is added to the pause before it
-	// is excluded from silences, so that tokens waiting in sockets are read first.
+	// Tick is the interval of evaluation. A gap between ticks longer than PauseGap is a pause
+	// of this process. Pauses are excluded from silences. PauseGrace is excluded in addition
+	// to the pause, so that tokens waiting in sockets are read first.
 	Tick       time.Duration `json:"tick"`
 	PauseGap   time.Duration `json:"pause_gap"`
 	PauseGrace time.Duration `json:"pause_grace"`
 }
 
-// DefaultPolicy gives the same weight to a caller's second and to an engine's second.
+// DefaultPolicy returns a policy that gives the same weight to one second for which a caller
+// waits and to one second that a stream of an engine loses to additional prefill.
 func DefaultPolicy() Policy {
 	return Policy{
 		ResumeLatencyWeight:   1,
@@ -142,7 +146,8 @@
 	return nil
 }
 
-// prefill returns the engine time to prefill text of the given size, in seconds.
+// prefill returns the engine time to prefill text of the given size, in seconds; 0 if no
+// prefill rate is set.
 func (p *Policy) prefill(bytes float64) float64 {
 	if p.PrefillBytesPerSecond <= 0 {
 		return 0
@@ -150,7 +155,8 @@
 	return bytes / p.PrefillBytesPerSecond
 }
 
-// PrefillBound returns how long a stream may wait for its first token.
+// PrefillBound returns how long a stream may wait for its first token. engineAlive reports
+// whether other streams of the engine receive tokens, which allows a longer wait.
 func (p *Policy) PrefillBound(promptBytes int, engineAlive bool) time.Duration {
 	expected := p.prefill(float64(promptBytes)) * p.PrefillFactor
 	bound := p.MinPrefill + time.Duration(expected*float64(time.Second))
@@ -160,7 +166,8 @@
 	return min(bound, p.MaxPrefill)
 }
 
-// stallBound returns how long one stream may be silent while others of its engine are alive.
+// stallBound returns how long one stream may be silent while other streams of its engine are
+// alive.
 func (p *Policy) stallBound(threshold time.Duration) time.Duration {
 	bound := time.Duration(float64(threshold) * p.StallFactor)
 	return min(max(bound, p.MinStall), p.MaxStall)
--- a/health/threshold.go
+++ b/health/threshold.go
@@ -8,16 +8,16 @@
 // History is the input for the evaluation of one engine.
 type History struct {
 	Gaps         Shares        // observed gaps, including the prior
-	Silence      time.Duration // since its last token on any stream, without pauses of this process
+	Silence      time.Duration // time since the engine's last token on any stream, without pauses of this process
 	Streams      int           // streams that have received their first token
 	Bytes        float64       // prompt and accepted text over those streams
-	PeerReported bool          // a current report of a peer says that it fails
+	PeerReported bool          // another router currently reports that the engine fails
 }
 
 // Decision is the result of evaluating a History.
 type Decision struct {
 	Suspect   bool
-	Threshold time.Duration // silence from which it is suspected
+	Threshold time.Duration // silence from which the engine is suspected
 }
 
 // Evaluate decides whether an engine has been silent for long enough to resume its streams
@@ -71,15 +71,16 @@
 }
 
 const (
-	// maxFailureShare keeps a peer report from making every silence count as a failure.
+	// maxFailureShare is the largest prior that a gap is a failure. It keeps a peer report,
+	// which multiplies the prior, from making every silence count as a failure.
 	maxFailureShare = 0.5
 	// substeps divides a bucket, whose bounds are up to 25% apart, so that
 	// small differences of the weights have an effect.
 	substeps = 4
 )
 
-// bucket is a range of silences in seconds, with the survival at its ends.
-// Gaps are assumed to be evenly distributed within it.
+// bucket is a range of silences in seconds, with the survival, the probability that a healthy
+// gap is longer, at both ends. Gaps are assumed to be evenly distributed within a bucket.
 type bucket struct{ from, to, survivalFrom, survivalTo float64 }
 
 // costs is the state of the search for the silence of least cost, in seconds and units of cost.
@@ -89,7 +90,8 @@
 	best, least        float64
 }
 
-// search evaluates the silences of one bucket that lie within the bounds.
+// search computes the cost of several silences of one bucket that lie between low and high, and
+// records the silence of least cost in c.
 func (c *costs) search(b bucket, low, high float64) {
 	width, mass := b.to-b.from, b.survivalFrom-b.survivalTo
 	if b.to >= low {
@@ -104,7 +106,8 @@
 	c.waited += c.waitedIn(mass, b.from, b.to)
 }
 
-// waitedIn returns the cost of waiting out a share of the gaps.
+// waitedIn returns the cost of waiting out the given share of the healthy gaps, whose lengths
+// are evenly distributed between from and to.
 func (c *costs) waitedIn(share, from, to float64) float64 {
 	return c.latency * (1 - c.f) * share * (from + to) / 2
 }
--- a/hosted/holds.go
+++ b/hosted/holds.go
@@ -17,15 +17,17 @@
 const holdPrefix = "wigeondale/quarantine/"
 
 const (
-	// holdTimeout bounds one write; holdRetry is the pause after a failed one.
+	// holdTimeout bounds one write; holdRetry is the pause after a failed write.
 	holdTimeout = time.Second
 	holdRetry   = 2 * time.Second
-	// peerHoldWait and peerHoldSpread determine when a node writes a hold that another node found
-	// and that isn't in the store yet.
+	// If another node has quarantined a request and the record of the hold isn't in the store
+	// yet, this node writes the record after peerHoldWait and a random part of peerHoldSpread.
+	// By then the other node has usually written the record.
 	peerHoldWait   = 3 * time.Second
 	peerHoldSpread = 5 * time.Second
-	// expirySpread spreads the removal of a record whose hold has ended over the nodes: one removal
-	// is enough.
+	// expirySpread is the time over which the nodes spread their removals of a record after
+	// its hold has ended. One removal is enough: a node that sees the record removed cancels
+	// its own removal.
 	expirySpread = time.Minute
 )
 
@@ -35,13 +37,14 @@
 	Remove(ctx context.Context, key string) error
 }
 
-// holdRecord is the record of one hold. Its key names the request.
+// holdRecord is the record of one hold. The key of the record names the request.
 type holdRecord struct {
 	Account     string `json:"account"`
 	UntilUnixMS int64  `json:"until_unix_ms"`
 }
 
-// holds stores the quarantined requests, so that they outlive all routers.
+// holds keeps records of the quarantined requests in the store, so that the holds outlive all
+// routers.
 type holds struct {
 	store holdStore
 	guard *quarantine.Guard
@@ -57,7 +60,7 @@
 type holdTask struct {
 	due    time.Time
 	remove bool
-	local  bool // this node found the request
+	local  bool // this node saw the last of the crashes that led to the hold
 }
 
 func newHolds(store holdStore, log *event.Log) *holds {
@@ -67,7 +70,9 @@
 	}
 }
 
-// quarantined records that a request is quarantined, which may not be in the store yet.
+// quarantined schedules the write of the record of a hold, unless the store has an unexpired
+// record of the same request. local is true if this node itself quarantined the request, and
+// false if another node reported the hold.
 func (h *holds) quarantined(hold quarantine.HoldUpdate, local bool) {
 	due := time.Now()
 	if !local {
@@ -80,12 +85,14 @@
 	case !known:
 		h.add(hold.Digest, &holdTask{due: due, local: local})
 	case !time.Now().Before(until):
-		// The expired record blocks a new one; its removal triggers the new one.
+		// The expired record prevents the creation of a new record under the same key, so the
+		// expired record is removed first. Its removal triggers the creation.
 		h.add(hold.Digest, &holdTask{due: due, local: local, remove: true})
 	}
 }
 
-// lifted records that a request may be sent again.
+// lifted handles the update that a hold was lifted. It cancels a pending write of the hold's
+// record. If the store has the record, lifted schedules its removal.
 func (h *holds) lifted(d quarantine.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,7 +110,9 @@
 	}
 }
 
-// put applies an item of the store and reports whether the item is the record of a hold.
+// put reports whether an item of the store is the record of a hold. If it is, put quarantines
+// the request, and schedules the removal of the record for some time after the hold ends. An
+// unreadable record is only logged.
 func (h *holds) put(item infra.Value) bool {
 	name, ok := strings.CutPrefix(item.Key, holdPrefix)
 	if !ok || h == nil {
@@ -166,7 +175,7 @@
 	}
 }
 
-// step executes the tasks that are due and returns the time to the next one.
+// step executes the tasks that are due and returns the time until the next task is due.
 func (h *holds) step(ctx context.Context) time.Duration {
 	for {
 		d, t, wait := h.nextTask()
@@ -177,7 +186,8 @@
 	}
 }
 
-// nextTask returns the task that is due first, and the time until then.
+// nextTask returns the task that is due first, and the time until the task is due. If there is
+// no task, first is nil.
 func (h *holds) nextTask() (d quarantine.Digest, first *holdTask, wait time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -197,7 +207,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.tasks[d] != t {
-		return // replaced meanwhile by an item of the store or a lift
+		return // during the write, an item of the store or a lift has replaced the task
 	}
 	if err == nil {
 		delete(h.tasks, d)
@@ -219,7 +229,7 @@
 	}
 	hold, ok := h.guard.HoldOf(d)
 	if !ok {
-		return nil // lifted meanwhile
+		return nil // the hold was lifted before this write
 	}
 	left := time.Duration(hold.RemainingMS) * time.Millisecond
 	data, err := json.Marshal(holdRecord{Account: hold.Account, UntilUnixMS: time.Now().Add(left).UnixMilli()})
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -1,10 +1,10 @@
-// Package hosted wires one wigeond on the users' platform: routes, accounts and replicas come from
-// the platform's store, requests are passed on without parsing their content, and nothing is kept
-// on the machine's disk. Decisions are made in the other packages; package platform translates
-// between the platform's formats and theirs.
+// Package hosted wires one wigeond on the users' platform: routes, accounts and replicas come
+// from the platform's store, requests are passed on without parsing their content, and nothing
+// is stored on the machine's disk. Decisions are made in the other packages; package platform
+// translates between the platform's formats and the formats of the other packages.
 //
-// The parts of the product's own interface (claims, plans, orders, cursors) are not created here,
-// so they cost nothing.
+// The parts of the product's own interface (claims, plans, orders, cursors) are not created
+// here, so they cost nothing.
 package hosted
 
 import (
@@ -66,7 +66,8 @@
 	front, ready, stats *listen.Server
 }
 
-// Run serves until one of the signals has ended the process gracefully.
+// Run runs one node: it serves requests until a signal from sigs tells it to stop, and then
+// lets the open requests finish.
 func Run(set *settings.Settings, sigs <-chan os.Signal, log *event.Log) error {
 	n, err := newNode(set, log)
 	if err != nil {
@@ -196,7 +197,7 @@
 	return struct{ Version int64 }{t.Version}
 }
 
-// readiness returns why this node accepts no new connections, nil if it does.
+// readiness returns why this node accepts no new connections, or nil if it accepts them.
 func (n *node) readiness() error {
 	switch {
 	case n.leaving.Load():
@@ -224,7 +225,9 @@
 	return g.Run()
 }
 
-// untilSignal waits for the signal to end and then until all open requests have ended.
+// untilSignal waits for a signal that ends the process, and then lets the open requests
+// finish. It returns when all open requests have ended, but at the latest after the time that
+// grace returns.
 func (n *node) untilSignal(sigs <-chan os.Signal, stop <-chan struct{}) error {
 	if signals.Wait(sigs, stop, n.set, n.log) {
 		n.shutdown()
@@ -232,8 +235,8 @@
 	return nil
 }
 
-// shutdown accepts no new connections and lets the open requests finish, for as long as the
-// platform lets the process run.
+// shutdown makes the node accept no new connections, and lets the open requests finish for as
+// long as the platform lets the process run.
 func (n *node) shutdown() {
 	n.log.Emit(event.ShutdownBegun)
 	n.leaving.Store(true)
@@ -244,8 +247,8 @@
 	}
 }
 
-// grace returns how long open requests may take to finish after a signal; the platform kills the
-// process killMargin later.
+// grace returns how long open requests may take to finish after a signal. The platform ends
+// the process by force killMargin later.
 func (n *node) grace() time.Duration {
 	return millis(n.set.Hosted.GraceMS) - killMargin
 }
--- a/hosted/load_query.go
+++ b/hosted/load_query.go
@@ -20,22 +20,28 @@
 // depend on the number of routers and engines.
 
 const (
-	// queriedEngines is how many engines are queried for a prompt. With more of them, more routers
-	// find the same free capacity at the same moment; with fewer, free capacity is not found.
+	// queriedEngines is how many engines are queried for a prompt. If more are queried, more
+	// routers find the same free capacity at the same moment; if fewer are queried, free
+	// capacity is not found.
 	queriedEngines = 3
-	// preferredEngines is the number of preferred engines of a request, from which those are drawn
-	// that are queried first. The client may come back through another router, which finds the
-	// cached prompt by querying twice that many engines instead of all of them. With fewer, the
-	// crash of a failure domain leaves too few to choose from.
+	// preferredEngines is the number of preferred engines of a request. The engines that are
+	// queried first are drawn from the preferred engines. The client may come back through
+	// another router, which finds the cached prompt by querying 2*preferredEngines engines
+	// instead of all engines. With fewer preferred engines, the crash of a failure domain
+	// leaves too few to choose from.
 	preferredEngines = 8
-	// queryMaxWait bounds the wait for the responses, which take a few ms; waiting for a lost
-	// packet would cost more time than a badly placed prompt.
+	// queryMaxWait bounds the wait for the responses, which usually take a few ms. A response
+	// that takes longer is delayed by a lost packet, for example. Waiting for it would cost
+	// more time than placing the prompt badly.
 	queryMaxWait = 80 * time.Millisecond
-	// queryTimeout ends a query. A response that comes later is outdated.
+	// queryTimeout ends the query of one engine. A response that arrives after queryMaxWait but
+	// before queryTimeout is still recorded, for later choices; a response that arrives even
+	// later would be outdated.
 	queryTimeout = 250 * time.Millisecond
-	// queryInterval is how often the waiting requests of this router have engines queried, all of
-	// them together. Between two reports of an engine, each router that queries it sees the same
-	// free capacity and sends a prompt there.
+	// queryInterval is how often engines are queried for the requests that wait at this
+	// router, for all of these requests together. More frequent queries would do harm: between
+	// two reports of an engine, each router that queries the engine sees the same free
+	// capacity and sends a prompt there.
 	queryInterval = 400 * time.Millisecond
 )
 
@@ -53,7 +59,8 @@
 	queried, responded *metrics.Counter
 }
 
-// querySteps select the engines to query: those that could be chosen and did not respond just now.
+// querySteps select the engines to query: the usable engines whose last load report is missing
+// or no longer recent.
 var querySteps = withCommonSteps(
 	routing.StepConfig{Name: routing.FilterUsable},
 	routing.StepConfig{Name: routing.FilterStale},
@@ -71,12 +78,13 @@
 	}, nil
 }
 
-// needed reports whether engines are to be queried, since the other routers don't broadcast their
-// loads.
+// needed reports whether engines are to be queried. They are if the other routers don't
+// broadcast their loads.
 func (s *loadQuerier) needed() bool { return s.states != nil && !s.dir.PeersSendLoads() }
 
-// sample returns the engines to query for a request with the given key: some of its preferred
-// engines, or of a larger set if those are too few or were queried before.
+// sample returns the engines to query for a request with the given key. They are drawn from
+// the preferred engines of the request, or from a larger set if the preferred engines are too
+// few or were queried before.
 func (s *loadQuerier) sample(candidates []routing.Candidate, req routing.PickRequest, key uint64, earlier int) []routing.Candidate {
 	req.Now = time.Now()
 	for n := preferredEngines * (1 + earlier); ; n *= 2 {
@@ -87,8 +95,8 @@
 	}
 }
 
-// query queries engines and waits for their responses, at most queryMaxWait. It returns how many
-// responded.
+// query queries the drawn engines for their loads and waits for the responses, at most
+// queryMaxWait. It returns how many engines responded in that time.
 func (s *loadQuerier) query(ctx context.Context, drawn []routing.Candidate, typical directory.RequestSize) (answered int) {
 	answers := make(chan bool, len(drawn))
 	for _, c := range drawn {
@@ -111,8 +119,9 @@
 	return answered
 }
 
-// queryOne records the load that one engine reports. An engine without a response is not chosen
-// now; whether it works is decided by its runs.
+// queryOne queries one engine, records the load that the engine reports, and reports whether
+// the engine responded. An engine without a response is not chosen now, but it isn't
+// suspected: whether it works is decided by its runs.
 func (s *loadQuerier) queryOne(ctx context.Context, b fleet.Backend, typical directory.RequestSize) bool {
 	s.queried.Inc()
 	ctx, stop := context.WithTimeout(ctx, queryTimeout)
@@ -126,13 +135,15 @@
 	return true
 }
 
-// queryGate limits how often the requests that wait for a service have engines queried.
+// queryGate limits how often engines are queried for their loads on behalf of the requests
+// that wait for one service.
 type queryGate struct {
 	mu   sync.Mutex
 	next time.Time
 }
 
-// due reports whether it is time for a query. A request that has just arrived always queries.
+// due reports whether it is time for a query. For a request that has just arrived, a query is
+// always due.
 func (g *queryGate) due(isNew bool, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -143,8 +154,9 @@
 	return true
 }
 
-// queryEngines queries engines for a request near the head of the queue, which has waited for the
-// given time.
+// queryEngines queries engines for their loads on behalf of a request that is near the head of
+// the queue and has waited for the given time. It does nothing if other routers broadcast
+// their loads, or if no query is due.
 func (p *picker) queryEngines(ctx context.Context, a generation.PickRequest, q *queue, waited time.Duration) {
 	if !p.loadQuerier.needed() || !q.queryGate.due(waited == 0, time.Now()) {
 		return
@@ -158,7 +170,9 @@
 		"asked", len(drawn), "answered", answered, "took_ms", time.Since(startedAt).Milliseconds())
 }
 
-// preferredKey returns the key that determines a request's preferred engines.
+// preferredKey returns the key that determines a request's preferred engines: the hash of the
+// part of the prompt that no other request shares, or of the request's id if that part isn't
+// known.
 func preferredKey(a generation.PickRequest) uint64 {
 	if a.UniquePart == "" {
 		return xxhash.Sum64String(a.RequestID)
--- a/hosted/observe.go
+++ b/hosted/observe.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// paceChunks is the number of chunks after which the pace of a stream is rated. A stream that
-	// ends sooner is rated at its end, if it has minPaceChunks.
+	// paceChunks is the number of chunks after which the pace of a stream is rated. A stream
+	// that ends sooner is rated at its end, if it has at least minPaceChunks chunks.
 	paceChunks    = 20
 	minPaceChunks = 5
-	// cutOffCheck is the delay between the cut-off of an answer and the check whether its replica
-	// still works. If it does, the answer counts as a failure; a replica that crashed is known by
-	// then.
+	// cutOffCheck is the delay between the moment at which an answer is truncated and the
+	// check whether the answer's replica still works. If the replica works, the answer counts
+	// as a failure. The delay is needed because a crash of the replica is not known earlier.
 	cutOffCheck = 1500 * time.Millisecond
 )
 
-// observedEngines wraps the replicas for roll-outs: it counts the result of each first attempt, and
-// lets runs be ended so that they continue at another version.
+// observedEngines wraps the access to the replicas for roll-outs: it counts the result of each
+// first attempt, and allows runs to be ended so that they continue at another version.
 type observedEngines struct {
 	generation.Engines
 	rollouts *rollouts
@@ -62,24 +62,27 @@
 	return &observedStream{Stream: s, run: run, rollouts: o.rollouts}, nil
 }
 
-// observedRun is one attempt.
+// observedRun is one attempt whose result is counted for a roll-out, or whose run may have to
+// move to another version.
 type observedRun struct {
 	b         fleet.Backend
 	route     string
-	resumable bool // it can continue at another replica
+	resumable bool // the run can continue at another replica
 	ctx       context.Context
 	cancel    context.CancelCauseFunc
 
-	// Set if the attempt counts for a roll-out.
+	// rollout is set if the attempt counts for a roll-out. The fields after it
+	// are used only then.
 	rollout     *serviceRollout
 	startedAt   time.Duration
-	aspect      rollout.Aspect // aspect of the answer that comes next
-	timeCounted atomic.Bool    // the time to it was counted
+	aspect      rollout.Aspect // aspect of the answer that is rated next
+	timeCounted atomic.Bool    // the time to the answer, or to its first chunk, was counted
 	firstAt     time.Duration  // time of the first chunk, from which the pace is measured; 0 before it and once the pace is rated
 	chunks      int
 }
 
-// newObservedRun rates only the first attempt of a request: a later attempt goes to the old
+// newObservedRun returns the record of an attempt. The attempt is rated only if it is the
+// first attempt of a request while a roll-out is open: a later attempt goes to the old
 // version, and often follows a crash.
 func newObservedRun(b fleet.Backend, r *backend.StartRequest, ro *serviceRollout) *observedRun {
 	run := &observedRun{b: b, route: r.Opaque.Route, resumable: r.Opaque.Streaming && r.Opaque.Resumable && !r.LastAttempt}
@@ -93,7 +96,8 @@
 	return run
 }
 
-// observe counts one rated answer of the attempt.
+// observe adds one rating of the attempt to the roll-out's counts: the grade of the given
+// aspect. It does nothing if the attempt doesn't count for a roll-out.
 func (r *observedRun) observe(s *rollouts, aspect rollout.Aspect, grade rollout.Grade) {
 	if r.rollout == nil {
 		return
@@ -104,14 +108,17 @@
 		r.b.Version == rule.Target, clock.SinceBoot())
 }
 
-// observeTime counts the time to the answer, or to its first chunk.
+// observeTime rates the time since the attempt started. It is called when the answer, or the
+// first chunk of the answer, has arrived, and does nothing if the time of the attempt was
+// already rated.
 func (r *observedRun) observeTime(s *rollouts, aspect rollout.Aspect) {
 	if r.rollout != nil && !r.timeCounted.Swap(true) {
 		r.observe(s, aspect, rollout.GradeOf(clock.SinceBoot()-r.startedAt))
 	}
 }
 
-// observeOverdue counts an answer that has not come yet as slow.
+// observeOverdue counts an answer that has not come yet as slow, if it is so late that it will
+// count as slow in any case.
 func (r *observedRun) observeOverdue(s *rollouts, now time.Duration) {
 	if r.rollout == nil || r.timeCounted.Load() {
 		return
@@ -121,7 +128,9 @@
 	}
 }
 
-// observeFailure counts the end of the attempt and returns the error to pass on.
+// observeFailure rates an attempt that ended with err, and returns the error to pass on. A
+// failure that the replica itself returned is counted at once. An answer that was truncated is
+// rated after cutOffCheck, since the replica may have crashed.
 func (r *observedRun) observeFailure(s *rollouts, err error) error {
 	if errors.Is(context.Cause(r.ctx), generation.ErrMoved) {
 		return Error.Wrap(generation.ErrMoved)
@@ -136,14 +145,15 @@
 		r.timeCounted.Store(true)
 		r.observe(s, r.aspect, rollout.Failed)
 	case refused || errors.Is(err, backend.ErrNotSent) || r.ctx.Err() != nil:
-		// It did not run, or this router ended it.
+		// The replica did not run the attempt, or this router ended it.
 	default:
 		time.AfterFunc(cutOffCheck, func() { r.observeCutOff(s) })
 	}
 	return err
 }
 
-// observeCutOff counts an answer that was cut off, if its replica goes on working.
+// observeCutOff counts a truncated answer as a failure if its replica still works. If the
+// replica is leaving or has crashed, the answer is not counted.
 func (r *observedRun) observeCutOff(s *rollouts) {
 	if s.dir.Leaving(r.b.ID) || s.mon.State(r.b.ID) != health.Healthy || s.crashed(r.b) {
 		return
@@ -151,8 +161,8 @@
 	r.observe(s, r.aspect, rollout.Failed)
 }
 
-// crashed probes whether a replica has crashed, which the failure detector finds out only with the
-// next attempts there.
+// crashed probes a replica and reports whether the replica has crashed. The failure detector
+// finds out about a crash only with the next attempts at the replica.
 func (s *rollouts) crashed(b fleet.Backend) bool {
 	ctx, stop := context.WithTimeout(context.Background(), quarantine.ProbeTimeout)
 	defer stop()
@@ -186,7 +196,8 @@
 	return t, s.run.observeFailure(s.rollouts, err)
 }
 
-// countChunk counts one chunk.
+// countChunk counts one chunk, and rates the time to the first chunk and the pace when they
+// are known.
 func (r *observedRun) countChunk(s *rollouts) {
 	if r.rollout == nil {
 		return
@@ -201,7 +212,8 @@
 	}
 }
 
-// observePace rates the pace once, from the given number of chunks on.
+// observePace rates the pace of the stream once, if the stream has at least the given number
+// of chunks.
 func (r *observedRun) observePace(s *rollouts, least int) {
 	if r.rollout == nil || r.chunks < least || r.firstAt == 0 {
 		return
@@ -253,7 +265,8 @@
 	return out
 }
 
-// move ends the runs of a service that have to continue elsewhere, and returns their number.
+// move ends the resumable runs of a service that the rule moves to another version, so that
+// they continue there. It returns the number of these runs.
 func (k *runSet) move(service string, rule *rollout.Rule) (n int) {
 	if rule.Stage != rollout.Moving && rule.Stage != rollout.RolledBack {
 		return 0
--- a/hosted/rollouts.go
+++ b/hosted/rollouts.go
@@ -26,37 +26,41 @@
 )
 
 const (
-	// rolloutPrefix starts the keys of the records of roll-outs; the service follows.
+	// rolloutPrefix starts the keys of the records of roll-outs; the name of the service
+	// follows.
 	rolloutPrefix = "wigeondale/rollouts/"
 	// rolloutTick is how often roll-outs are updated.
 	rolloutTick = 100 * time.Millisecond
-	// rolloutMaxAge is the age of a node's copy of the store up to which the node continues a
-	// trial.
+	// rolloutMaxAge is the largest age of a node's copy of the store with which the node
+	// continues a trial.
 	rolloutMaxAge = 3 * time.Second
-	// takeOverAfter is how long a change may be due before the next node in rank order writes it,
-	// and takeOverRanks how many nodes take part.
+	// If a change is due and not written, each node waits takeOverAfter longer than the node
+	// before it in rank order, and then writes the change. Only the first takeOverRanks nodes
+	// in this order write changes.
 	takeOverAfter = 600 * time.Millisecond
 	takeOverRanks = 12
-	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed one.
+	// rolloutWrite bounds one write; rolloutRetry is the pause after a failed write.
 	rolloutWrite = time.Second
 	rolloutRetry = 400 * time.Millisecond
-	// rolloutEcho is how long after a write the node waits until the change comes back from the
-	// store.
+	// rolloutEcho is how long a node waits after a write for the change to come back from the
+	// store. During this time the node doesn't write again.
 	rolloutEcho  = 1500 * time.Millisecond
 	floodRollout = "hosted.rollout"
 )
 
-// rolloutWriter writes a roll-out's record and reports the state to the operator.
+// rolloutWriter writes a roll-out's record and reports the state to the operator. WriteRollout
+// returns false if the record no longer has the given revision, since another node has changed
+// it.
 type rolloutWriter interface {
 	WriteRollout(ctx context.Context, service, key string, rec rollout.Record, revision int64) (bool, error)
 }
 
 // rollouts holds the roll-outs of all services at this node.
 //
-// Each node follows the record of a service in the store, counts the results of its own attempts,
-// and broadcasts them. The node that ranks first by rendezvous hash writes the change that is due;
-// if it does not, the next one does. If two nodes write at once, the conditional write lets only
-// one succeed.
+// Each node follows the record of a service in the store, counts the results of its own
+// attempts, and broadcasts the counts. The node that ranks first by rendezvous hash writes the
+// change that is due; if this node does not write it, the node that ranks next does. If two
+// nodes write at once, the conditional write lets only one of them succeed.
 type rollouts struct {
 	writer      rolloutWriter
 	dir         *directory.Directory
@@ -68,10 +72,10 @@
 	runs        *runSet
 	prober      quarantine.Prober
 
-	// Set before use.
+	// The following functions are set before the first use.
 	routers func() int
 	age     func(time.Time) time.Duration // age of this node's copy of the store
-	rank    func(service string) int      // rank of this node among those that may write
+	rank    func(service string) int      // rank of this node among the nodes that may write
 	flood   func(rollout.Report)
 
 	mu        sync.RWMutex
@@ -103,7 +107,7 @@
 	}, nil
 }
 
-// of returns the roll-out of a service, nil if there never was one.
+// of returns the roll-out of a service, or nil if the service never had a roll-out.
 func (s *rollouts) of(service string) *serviceRollout {
 	if s == nil {
 		return nil
@@ -133,7 +137,8 @@
 	return ro
 }
 
-// put applies an item of the store; it returns false if the item is not about roll-outs.
+// put applies an item of the store that is an operator's order or the record of a roll-out; it
+// returns false if the item is neither. An unreadable item is only logged.
 func (s *rollouts) put(item infra.Value) bool {
 	if s == nil {
 		return false
@@ -166,7 +171,8 @@
 	s.forService(service).SetOrder(order, clock.SinceBoot())
 }
 
-// removed handles the removal of an item from the store.
+// removed handles the removal of an item from the store: the removal of an operator's order
+// withdraws the order, any other removal has no effect.
 func (s *rollouts) removed(key string) {
 	if s == nil {
 		return
@@ -181,20 +187,22 @@
 	}
 }
 
-// handleReport applies a report from another node.
+// handleReport passes the report of another node to the roll-out of the service, or drops the
+// report if the service never had a roll-out at this node.
 func (s *rollouts) handleReport(from string, rep rollout.Report) {
 	if ro := s.of(rep.Service); ro != nil {
 		ro.HandleReport(from, rep, clock.SinceBoot())
 	}
 }
 
-// connect connects the roll-outs to the other nodes.
+// connect gives the roll-outs the functions by which they use the links to the other nodes.
 func (s *rollouts) connect(p *peers, n *storeSync) {
 	s.routers, s.age = p.registeredNodes, n.age
 	s.rank = func(service string) int { return rankIn(p.liveNodes(), p.set.Node.ID, service) }
 	s.flood = func(rep rollout.Report) {
 		if mesh := p.currentMesh(); mesh != nil {
-			// A lost report is followed by one that contains at least the same counts.
+			// A lost report does no harm, since the next report contains at least the same
+			// counts.
 			_ = mesh.Flood(floodRollout, rep)
 		}
 	}
--- a/hosted/typical_size.go
+++ b/hosted/typical_size.go
@@ -6,13 +6,15 @@
 	"wigeondale/directory"
 )
 
-// typicalSize estimates the typical size of a service's requests from those that start.
+// typicalSize estimates the typical size of a service's requests from the requests for which
+// this router chose an engine.
 type typicalSize struct {
 	mu   sync.Mutex
 	mean directory.RequestSize
 }
 
-// sizeWeight is the weight of the latest request: about twenty requests make up most of the mean.
+// sizeWeight is the weight of the latest request in the mean: about twenty requests make up
+// most of the mean.
 const sizeWeight = 0.05
 
 func (u *typicalSize) add(prompt, answer int) {
@@ -26,7 +28,8 @@
 	u.mean.Answer += sizeWeight * (float64(answer) - u.mean.Answer)
 }
 
-// get returns the estimate, or a default before the first request.
+// get returns the estimate; before the first request, it returns typicalPrompt and
+// typicalAnswer.
 func (u *typicalSize) get() directory.RequestSize {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/infra/etcd.go
+++ b/infra/etcd.go
@@ -9,7 +9,7 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// KVConfig holds the address and the limits of a client of the key-value service.
+// KVConfig contains the address and the limits of a client of the key-value service.
 type KVConfig struct {
 	URL         string        // base URL, such as http://127.0.0.1:2379
 	Timeout     time.Duration // of one call; 0 means DefaultCallTimeout
@@ -148,8 +148,8 @@
 	return c.CreateWithLease(ctx, key, data, 0)
 }
 
-// CreateWithLease is Create with the key attached to lease: the service deletes the key
-// when the lease ends.
+// CreateWithLease does the same as Create and attaches the key to lease: the service
+// deletes the key when the lease ends.
 func (c *EtcdKV) CreateWithLease(ctx context.Context, key string, data []byte, lease LeaseID) (bool, Value, error) {
 	zero := "0"
 	cmp := compare{Key: []byte(key), Target: "CREATE", Result: "EQUAL", CreateRev: &zero}
@@ -160,7 +160,8 @@
 	return ok, v, err
 }
 
-// CompareAndSwap writes key if its revision is still modRev.
+// CompareAndSwap writes key if its revision is still modRev; otherwise CompareAndSwap
+// returns the current value.
 func (c *EtcdKV) CompareAndSwap(ctx context.Context, key string, modRev int64, data []byte) (bool, Value, error) {
 	rev := fmt.Sprint(modRev)
 	cmp := compare{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRev: &rev}
@@ -186,7 +187,8 @@
 	return false, out.Responses[0].Range.KVs[0].value(), nil
 }
 
-// Put writes key, whether it exists or not.
+// Put writes key, whether the key exists or not, and attaches the key to lease; 0 means no
+// lease.
 func (c *EtcdKV) Put(ctx context.Context, key string, data []byte, lease LeaseID) error {
 	in := putRequest{Key: []byte(key), Value: data, Lease: int64(lease)}
 	return c.call(ctx, "put", "/v3/kv/put", writes, in, &emptyResponse{})
@@ -203,7 +205,7 @@
 	return c.call(ctx, "delete", "/v3/kv/deleterange", writes, in, &emptyResponse{})
 }
 
-// Grant creates a lease of ttl, rounded up to whole seconds.
+// Grant creates a lease whose duration is ttl, rounded up to whole seconds.
 func (c *EtcdKV) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var out leaseResponse
@@ -211,8 +213,8 @@
 	return LeaseID(out.ID), err
 }
 
-// KeepAlive renews lease and returns the time it has left; ErrLeaseNotFound means that
-// it has expired.
+// KeepAlive renews lease and returns the time until the lease expires; ErrLeaseNotFound
+// means that the lease has expired or never existed.
 func (c *EtcdKV) KeepAlive(ctx context.Context, lease LeaseID) (time.Duration, error) {
 	var out keepAliveResponse
 	err := c.call(ctx, "keepalive", "/v3/lease/keepalive", writes, leaseRequest{ID: int64(lease)}, &out)
--- a/intent/check.go
+++ b/intent/check.go
@@ -8,8 +8,8 @@
 	"wigeondale/fleet"
 )
 
-// Limits of one plan, which keep a revision far below the key-value service's limit of
-// 1 MB for a value.
+// These limits of one plan keep a revision far below the key-value service's limit of 1 MB
+// for a value.
 const (
 	MaxChanges = 2000
 	MaxName    = 128 // bytes in an id
@@ -45,7 +45,8 @@
 	return next.checkReferences()
 }
 
-// checkReferences finds access rules whose client account doesn't exist.
+// checkReferences returns an *InvalidError if the client account of an access rule doesn't
+// exist.
 func (s *State) checkReferences() error {
 	for key, a := range s.Access {
 		if _, ok := s.Accounts[a.Account]; !ok {
@@ -158,8 +159,8 @@
 	return "role must be both, prefill or decode"
 }
 
-// Conflicts compares a plan with a state that may be newer than the plan's base. If it
-// returns none, the plan's changes may be appended as the next revision.
+// Conflicts compares a plan with a state that may be newer than the plan's base. If
+// Conflicts returns none, the plan's changes may be appended as the next revision.
 func (s *State) Conflicts(p Plan) []Conflict {
 	if p.Base > s.Revision {
 		return []Conflict{{Object: "plan", Reason: "its base is newer than this state"}}
@@ -190,10 +191,12 @@
 	return Conflict{Object: "plan", Reason: err.Error()}
 }
 
-// lostReplicas finds models that would lose their last replica, and a fleet that would
-// lose its last router. Two plans that each remove a different one of two VMs change no
-// common object; if both were accepted, a model would have no replica. A plan therefore
-// lists the VMs that it relies on, and at least one of them must still be staying.
+// lostReplicas finds models that would lose their last replica, and a fleet that would lose
+// its last router. When a model has replicas on two VMs and each of two plans removes one of
+// the VMs, the plans change no common object, but together they would remove every replica.
+// A plan that changes the number of a model's replicas therefore lists the VMs of which at
+// least one must stay for the model; a plan that removes routers lists such VMs for the
+// routers. The plan is refused if all VMs of one of these lists are leaving by now.
 func (s *State) lostReplicas(p Plan) []Conflict {
 	if p.Force {
 		return nil
--- a/intent/errors.go
+++ b/intent/errors.go
@@ -24,20 +24,23 @@
 	// ErrStaleSnapshot means that the log already has a snapshot of the same or a later
 	// revision.
 	ErrStaleSnapshot = errors.New("a snapshot as new is in place")
-	// ErrGap means that a revision isn't the one directly after the state.
+	// ErrGap means that the number of a revision isn't the state's revision plus 1, so the
+	// revision can't be applied to the state.
 	ErrGap = errors.New("revision doesn't follow the state")
-	// ErrNotReady means that the node has no state that it may act on.
+	// ErrNotReady means that the node has no state that it may act on: it has loaded none,
+	// has not confirmed the state since a start or pause, or has had no recent contact with
+	// the service or a peer.
 	ErrNotReady = errors.New("no confirmed state")
 )
 
-// Conflict is the reason why one object of a plan can't be changed as planned.
+// Conflict states why one object of a plan can't be changed as planned.
 type Conflict struct {
 	Object   string `json:"object"`
 	Revision uint64 `json:"revision,omitempty"` // revision that changed the object after the plan's base
 	Reason   string `json:"reason"`
 }
 
-// ConflictError refuses a plan. Nothing was changed.
+// ConflictError reports that a plan was refused and that nothing was changed.
 type ConflictError struct {
 	Base, Head uint64
 	Conflicts  []Conflict
@@ -52,7 +55,7 @@
 	return fmt.Sprintf("plan made at revision %d conflicts at revision %d: %s", e.Base, e.Head, strings.Join(parts, "; "))
 }
 
-// InvalidError refuses a change that is not valid in the state it applies to.
+// InvalidError reports a change that is not valid in the state that the change applies to.
 type InvalidError struct {
 	Object string
 	Reason string
--- a/intent/keeper.go
+++ b/intent/keeper.go
@@ -13,14 +13,14 @@
 	"wigeondale/event"
 )
 
-// recentRevisions is the number of revisions that a Keeper stores for peers that are
-// behind.
+// recentRevisions is the number of newest revisions that a Keeper keeps in memory, for
+// peers that have an older state.
 const recentRevisions = 256
 
 // readPage is the maximum number of log entries per read of catchUp.
 const readPage = 128
 
-// Keeper holds the newest state that this node knows. Its revision never decreases.
+// Keeper stores the newest state that this node knows. The state's revision never decreases.
 type Keeper struct {
 	cfg   Config
 	clock *pauseClock
@@ -65,15 +65,17 @@
 	k.subscribers = append(k.subscribers, f)
 }
 
-// UpToDate reports whether this node may act on its state. It is false from a pause until
-// the revision has been confirmed with a peer or the service. Every request checks it,
+// UpToDate reports whether this node may act on its state. The result is false from a pause
+// until a peer or the service has confirmed the revision. Every request checks UpToDate,
 // because after a pause a request may run before any timer does.
 func (k *Keeper) UpToDate() bool {
 	ok, _ := k.Ready()
 	return ok
 }
 
-// Ready reports whether this node may act on its state, and the reason if not.
+// Ready reports whether this node may act on its state, and the reason if not: no state is
+// loaded, the state has not been confirmed since a start or pause, or neither the service
+// nor a peer was in contact recently.
 func (k *Keeper) Ready() (bool, string) {
 	if !k.loaded.Load() {
 		return false, "no state yet: neither the key-value service nor a peer has given one"
@@ -81,9 +83,9 @@
 	return k.clock.ready(time.Now())
 }
 
-// HandleRevision handles a revision that peer from has broadcast. This node doesn't broadcast it
-// again: a broadcast goes to every router, and repeating it at each would take a number
-// of messages that grows with the square of the number of routers.
+// HandleRevision handles a revision that peer from has broadcast. This node doesn't
+// broadcast the revision again: a broadcast goes to every router, and if each router
+// repeated it, the number of messages would grow with the square of the number of routers.
 func (k *Keeper) HandleRevision(from string, r Revision) {
 	k.RecordContact()
 	s := k.State()
@@ -101,8 +103,9 @@
 // service but can reach its peers stays ready.
 func (k *Keeper) RecordContact() { k.clock.recordContact(time.Now()) }
 
-// HandlePeerRevision handles the revision in a peer's summary. If it is newer than this node's, the
-// missing revisions are fetched from that peer in the background.
+// HandlePeerRevision handles the revision in a peer's summary. If the peer's revision is
+// newer than this node's, the missing revisions are fetched from that peer in the
+// background.
 func (k *Keeper) HandlePeerRevision(node string, revision uint64) {
 	k.RecordContact()
 	if revision <= k.State().Revision {
@@ -114,7 +117,9 @@
 	}
 }
 
-// BatchFrom returns the revisions from number from on for a peer that has all earlier ones.
+// BatchFrom returns the revisions from number from on, for a peer that has all earlier
+// revisions. If revision from is no longer in memory, the batch contains the complete state
+// instead.
 func (k *Keeper) BatchFrom(from uint64) (Batch, error) {
 	k.mu.Lock()
 	s := k.State()
@@ -135,8 +140,8 @@
 	return b, err
 }
 
-// install applies the next revision and reports whether it did. Only install and
-// installState replace the state.
+// install applies r if it is the next revision, and reports whether it did. Only install
+// and installState replace the state.
 func (k *Keeper) install(r Revision) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -152,7 +157,8 @@
 	return true
 }
 
-// installState replaces the state by a snapshot if the snapshot is newer.
+// installState replaces the state by a snapshot if the snapshot is newer, and reports
+// whether it did.
 func (k *Keeper) installState(s *State) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -194,7 +200,7 @@
 	return nil
 }
 
-// catchUp reads the log from the revision after this node's to its end.
+// catchUp reads the log from the revision after this node's revision to the end of the log.
 func (k *Keeper) catchUp(ctx context.Context) error {
 	for {
 		from := k.State().Revision + 1
@@ -225,8 +231,8 @@
 	return true
 }
 
-// Revisions returns at most max revisions from number from on: from the log or, if the
-// log is unavailable, those that this node still has in memory.
+// Revisions returns at most max revisions from number from on. They come from the log or,
+// if the log is unavailable, from the revisions that this node still has in memory.
 func (k *Keeper) Revisions(ctx context.Context, from uint64, max int) ([]Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
 	defer cancel()
--- a/intent/run.go
+++ b/intent/run.go
@@ -11,15 +11,15 @@
 	"wigeondale/event"
 )
 
-// peersPerSync bounds the peers queried one after the other in one Sync, because each
+// peersPerSync bounds the peers queried one after the other in one Sync, because each query
 // may take a whole timeout; the next Sync starts with a random peer again.
 const peersPerSync = 3
 
-// maxBroadcasts bounds the revisions that a watcher broadcasts after one read of the
-// log.
+// maxBroadcasts bounds the revisions that a watcher (a node that follows the log)
+// broadcasts to its peers after one read of the log.
 const maxBroadcasts = 16
 
-// Run keeps the state up to date until ctx ends.
+// Run keeps the state up to date from the log and the peers, until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.tickLoop(ctx) })
@@ -48,8 +48,9 @@
 	}
 }
 
-// syncLoop confirms the revision when that is needed, and also polls at a low rate in
-// case broadcasts and watches fail.
+// syncLoop confirms the revision with the service or a peer when no state is loaded, the
+// last contact is too old or a pause was detected. It also polls at a low rate, because
+// broadcasts and watches may fail without an error.
 func (k *Keeper) syncLoop(ctx context.Context) error {
 	poll := time.Now()
 	for ctx.Err() == nil {
@@ -69,8 +70,9 @@
 	return time.Duration(float64(d) * (0.5 + k.cfg.Random()))
 }
 
-// Sync updates the state from the service or, if that fails, from a peer that may act
-// on its own state. It reports whether one of them confirmed the state.
+// Sync updates the state from the service or, if the service fails, from a peer that may
+// act on the peer's own state. Sync reports whether the service or a peer confirmed the
+// state.
 func (k *Keeper) Sync(ctx context.Context) bool {
 	if k.syncLog(ctx) {
 		return true
@@ -118,9 +120,9 @@
 	return true
 }
 
-// broadcastSince broadcasts the revisions that a watcher read from the log itself.
-// Other nodes don't: many may read the same revisions at once, for example when the
-// service comes back.
+// broadcastSince broadcasts the revisions that a watcher itself read from the log. Other
+// nodes don't broadcast what they read, because many may read the same revisions at once,
+// for example when the service is available again after an outage.
 func (k *Keeper) broadcastSince(before uint64) {
 	if !k.cfg.IsWatcher() {
 		return
@@ -134,16 +136,16 @@
 	}
 	k.mu.Unlock()
 	if len(added) > maxBroadcasts {
-		return // this node has just started; the others have these already or will fetch them
+		return // this node has just started; other nodes have these revisions or will fetch them
 	}
 	for _, r := range added {
 		k.cfg.PeerClient.Flood(r)
 	}
 }
 
-// fetch installs the revisions that a peer has beyond this node's. Only a peer that may
-// act on its own state confirms this node's state: two nodes that were paused at the
-// same time must not confirm each other.
+// fetch installs the revisions that a peer has and this node doesn't. Only a peer that may
+// act on its own state confirms this node's state: two nodes that were paused at the same
+// time must not confirm each other.
 func (k *Keeper) fetch(ctx context.Context, node string) bool {
 	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.CallTimeout)
@@ -164,7 +166,7 @@
 	return true
 }
 
-// fetchLoop fetches the revisions that peers' summaries show to be missing.
+// fetchLoop fetches the revisions that this node lacks according to its peers' summaries.
 func (k *Keeper) fetchLoop(ctx context.Context) error {
 	for {
 		select {
@@ -176,7 +178,8 @@
 	}
 }
 
-// followLoop follows the log while this node is one of the watchers.
+// followLoop follows the log while this node is one of the watchers, the nodes that read
+// new revisions from the log and broadcast them to the others.
 func (k *Keeper) followLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if k.loaded.Load() && k.cfg.IsWatcher() {
@@ -217,9 +220,9 @@
 	k.cfg.PeerClient.Flood(r)
 }
 
-// snapshotLoop stores snapshots, so that a starting node need not read all revisions.
-// Only watchers store them, each after a random delay, and the log refuses an older
-// one.
+// snapshotLoop stores snapshots, so that a starting node need not read all revisions. Only
+// watchers store snapshots, each after a random delay, and the log refuses a snapshot that
+// isn't newer than the stored one.
 func (k *Keeper) snapshotLoop(ctx context.Context) error {
 	for {
 		select {
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -1,16 +1,19 @@
 // Package inventory keeps a copy of the VM list on every node while few nodes read it.
 //
-// Two nodes of each failure domain read the list. What changed between two readings is
-// flooded; digests between neighbours repair what a flood missed.
+// Two nodes of each failure domain read the list. They flood to all nodes what changed
+// between two of their readings; digests that neighbours compare deliver the changes to
+// nodes that a flood missed.
 //
-// If each of hundreds of nodes read a list of thousands of entries every second, the
-// list would be the first service to fail, and each node would spend its budget on
-// parsing it. With few readers, these failures must be handled. Readers lag by
-// different times, and messages arrive out of order: records merge by the time of their
-// reading, in any order (Merge, Observer). A flood is lost, a partition heals, a node
-// starts: digests repair the difference (State.Differing). The readers crash, or can't
-// read: other nodes notice the silence and read the list (Choose). The list is down,
-// empty or half empty: it removes nothing (Observer.evaluate).
+// If each of hundreds of nodes read a list of thousands of entries every second, the list
+// would be the first service to fail, and each node would spend its budget on parsing the
+// list. When only a few nodes read the list, the following failures must be handled.
+// Readers lag by different times, and messages arrive out of order; therefore records are
+// merged by the time of their reading, whatever the order of arrival (Merge, Observer). When
+// a flood was lost, a partition has ended or a node starts, the inventories of nodes differ;
+// digests then repair the difference (State.Differing). When the readers crash or can't
+// read the list, other nodes notice that no updates arrive and read the list themselves
+// (Choose). When the list is down, empty or half empty, the reading removes no records
+// (Observer.evaluate).
 package inventory
 
 import (
@@ -35,20 +38,21 @@
 	// digestInterval is the mean time between digests with a random neighbour.
 	digestInterval = 5 * time.Second
 	// fallbackInterval is the mean time between readings of a node that isn't one of
-	// the chosen readers: while the list is down for all, every node is a fallback
-	// reader.
+	// the chosen readers. The interval is long because every node is a fallback reader
+	// while no node can read the list.
 	fallbackInterval = 30 * time.Second
 	// callTimeout bounds one call to a neighbour.
 	callTimeout = 2 * time.Second
-	// jitterShare is the share by which each interval is moved either way.
+	// jitterShare is the maximum share by which an interval is lengthened or shortened at
+	// random, so that nodes don't act in step.
 	jitterShare = 0.25
 )
 
-// Peers connects to the other nodes.
+// Peers gives an Inventory access to the other nodes.
 type Peers interface {
 	// Members lists the visible nodes, this one included.
 	Members() []peer.Member
-	// Neighbour returns a linked node at random, false if there is none.
+	// Neighbour returns a random linked node, or false if there is none.
 	Neighbour() (string, bool)
 	Flood(Delta)
 	Compare(ctx context.Context, node string, d Digest) (Digest, error)
@@ -60,7 +64,7 @@
 	Node          string
 	FailureDomain string
 	ReadInterval  time.Duration // mean time between a reader's readings
-	// Read reads the platform's list.
+	// Read reads the platform's VM list.
 	Read    func(ctx context.Context) ([]Item, error)
 	Peers   Peers
 	Events  *event.Log
@@ -82,8 +86,8 @@
 	members        []peer.Member
 	withholding    bool
 	readings       int
-	nextFallback   time.Time // next reading as a fallback reader
-	fallbackActive bool      // has read as a fallback, and no chosen reader has reported since
+	nextFallback   time.Time // time of the next reading as a fallback reader
+	fallbackActive bool      // this node has read as a fallback, and no chosen reader has reported a reading since
 }
 
 // New returns an Inventory; Run starts reading and comparing.
@@ -101,7 +105,8 @@
 	return v
 }
 
-// Run reads the list when it is this node's task, and compares digests, until ctx ends.
+// Run reads the VM list while this node's duty is to read it, and compares digests with
+// random neighbours, until ctx ends.
 func (v *Inventory) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error { every(ctx, v.cfg.ReadInterval, v.readIfDue); return nil })
@@ -109,7 +114,8 @@
 	return group.Wait()
 }
 
-// every calls f at jittered intervals, counted from start to start.
+// every calls f until ctx ends. The jittered intervals are counted from the start of one
+// call to the start of the next.
 func every(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	for ctx.Err() == nil {
 		next := time.Now().Add(jitter(interval))
@@ -125,13 +131,15 @@
 	return time.Duration(float64(d) * (1 + jitterShare*(2*rand.Float64()-1)))
 }
 
-// Changed receives a value after the known records have changed.
+// Changed returns a channel that gets a value after the known records have changed.
+// Several changes may result in one value.
 func (v *Inventory) Changed() <-chan struct{} { return v.changed }
 
-// MembersChanged makes the next check of the duty read the members again.
+// MembersChanged makes the next check of this node's duty read the members from Peers
+// again.
 func (v *Inventory) MembersChanged() { v.membersStale.Store(true) }
 
-// Live returns the records on the list, in no order.
+// Live returns the records of entries that are on the list, in no particular order.
 func (v *Inventory) Live() []Record {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -145,7 +153,8 @@
 	return v.duty
 }
 
-// readIfDue reads the list if it is this node's task now.
+// readIfDue reads the VM list if this node is due to read it now (see due), applies the
+// reading and floods the changes.
 func (v *Inventory) readIfDue(ctx context.Context) {
 	if !v.due(time.Now()) {
 		return
@@ -168,7 +177,8 @@
 	v.fallbackActive = false
 }
 
-// due chooses the duty again and reports whether to read now.
+// due chooses this node's duty again and reports whether the node should read the list
+// now.
 func (v *Inventory) due(now time.Time) bool {
 	var members []peer.Member
 	stale := v.membersStale.Swap(false)
@@ -184,7 +194,8 @@
 	v.duty = Choose(View{v.members, v.cfg.FailureDomain, now.Sub(v.lastReadingAt), v.fallbackActive})
 	if v.duty == FallbackReader && before != FallbackReader {
 		v.cfg.Events.Emit(event.InventoryAlone, "silence", now.Sub(v.lastReadingAt).String())
-		// Spreads the readings: all nodes notice the silence at the same time.
+		// All nodes notice at the same time that no updates about readings arrive, so the
+		// first fallback reading of each node is at a random time.
 		v.nextFallback = now.Add(time.Duration(rand.Float64() * float64(fallbackInterval)))
 	}
 	if v.duty == NotReader && before != NotReader {
@@ -215,15 +226,15 @@
 	v.merge(changes, v.met.byReading)
 	out := deltas(v.state.newest, changes)
 	if first && len(out) == 0 {
-		// Other nodes that would read as a fallback find out at once that they need
-		// not.
+		// Send a delta without records, so that the other nodes find out at once that
+		// the list was read and need not read it as a fallback.
 		out = append(out, Delta{Newest: v.state.newest})
 	}
 	return out
 }
 
-// recordReading records this reading as the newest one; it returns true if it is the
-// first one of a fallback reader.
+// recordReading records this reading as the newest reading. It returns true if the reading
+// is the first since this node became a fallback reader.
 func (v *Inventory) recordReading(started time.Time) (first bool) {
 	h := NewestReadings{Reading: v.state.nextStamp(started)}
 	if v.duty == Reader {
@@ -235,7 +246,8 @@
 	return first
 }
 
-// logDecision logs when this node starts to withhold readings, and how that ends.
+// logDecision counts the decision and logs it if this node starts to withhold readings
+// or a much smaller reading is confirmed.
 func (v *Inventory) logDecision(decision Decision, shown int) {
 	switch decision {
 	case Withheld:
@@ -252,7 +264,8 @@
 	v.withholding = decision == Withheld
 }
 
-// merge merges records and counts those that changed something. Callers hold v.mu.
+// merge merges records into the state. It counts the records that changed the state and
+// returns their number. Callers hold v.mu.
 func (v *Inventory) merge(records []Record, from *metrics.Counter) int {
 	changed := v.state.Merge(records, time.Now())
 	if len(changed) == 0 {
@@ -266,8 +279,9 @@
 	return len(changed)
 }
 
-// deltas splits changes into floods. Records that no node saw change are left to
-// digests: every node that starts makes the same ones.
+// deltas splits changes into floods. Records with At 0 are not flooded: no node has seen
+// their entries change, so every node that starts makes the same records from the list.
+// Nodes that can't read the list get these records by digests.
 func deltas(h NewestReadings, changes []Record) []Delta {
 	var out []Delta
 	d := Delta{Newest: h}
--- a/inventory/sync.go
+++ b/inventory/sync.go
@@ -7,7 +7,8 @@
 	"wigeondale/event"
 )
 
-// HandleFlood handles a flood.
+// HandleFlood merges the records of a reader's flood and records the times of the newest
+// readings that it contains.
 func (v *Inventory) HandleFlood(d Delta) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -15,7 +16,9 @@
 	v.merge(d.Records, v.met.byFlood)
 }
 
-// recordReadings records updates about readings. Callers hold v.mu.
+// recordReadings records the times of the newest readings known to this or another node.
+// If one of the times is newer than the time known here, that counts as an update about a
+// reading; a newer reading by a chosen reader also ends fallbackActive. Callers hold v.mu.
 func (v *Inventory) recordReadings(h NewestReadings) {
 	reading, chosen := v.state.RecordReadings(h, time.Now())
 	if reading {
@@ -26,7 +29,7 @@
 	}
 }
 
-// Answer serves Peers.Compare.
+// Answer answers the Peers.Compare of another node.
 func (v *Inventory) Answer(d Digest) Digest {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -34,7 +37,7 @@
 	return v.state.Answer(d)
 }
 
-// Exchange serves Peers.Exchange.
+// Exchange answers the Peers.Exchange of another node.
 func (v *Inventory) Exchange(b Batch) Batch {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -43,8 +46,9 @@
 	return answer
 }
 
-// digestRound compares with a random neighbour. It also makes the members be read
-// again, in case a change went unnoticed, and removes old tombstones.
+// digestRound compares digests with a random neighbour. It also makes the next check of
+// the duty read the members again, in case no notification of a change arrived, and drops
+// the records of entries that were removed long ago (State.Expire).
 func (v *Inventory) digestRound(ctx context.Context) {
 	v.MembersChanged()
 	v.mu.Lock()
@@ -55,8 +59,8 @@
 	}
 }
 
-// Sync compares digests with a node and exchanges the records that differ. A failure is
-// left to the next round.
+// Sync compares digests with a node and exchanges the records that differ. After a
+// failure, the next round tries again.
 func (v *Inventory) Sync(ctx context.Context, node string) {
 	wasEmpty := v.size() == 0
 	differed, err := v.sync(ctx, node)
@@ -100,7 +104,8 @@
 	return v.state.Differing(answer), nil
 }
 
-// exchangeBuckets exchanges as many of the buckets as fit into messages both ways.
+// exchangeBuckets exchanges the records of as many of the buckets as fit into one
+// message each way, and returns the number of these buckets.
 func (v *Inventory) exchangeBuckets(ctx context.Context, node string, buckets []uint16) (done int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/kvlog/property_test.go
+++ b/kvlog/property_test.go
@@ -141,8 +141,8 @@
 	}()
 }
 
-// burst appends more entries than the small window and truncates, while all other
-// processes are paused.
+// burst appends more entries than the test's small window holds, stores a snapshot and
+// truncates the log, while all other processes are paused.
 func (h *harness) burst() {
 	log := h.directLog()
 	var n uint64
@@ -197,7 +197,9 @@
 	synctest.Wait()
 }
 
-// finish lets all calls complete, then compares the log with the reported results.
+// finish completes all blocked calls and applies all delayed writes, then compares the log
+// with the results that the appenders got. If applyDelayedFirst is true, the writes that are
+// already delayed are applied before the blocked calls complete.
 func (h *harness) finish(applyDelayedFirst bool) {
 	for applyDelayedFirst && h.controller.DelayedWrites() > 0 {
 		h.controller.ApplyDelayed(0)
@@ -254,12 +256,13 @@
 	return rapid.SliceOfN(gen, 10, 150).Draw(rt, "moves")
 }
 
-// Guards against an entry that is in the log twice, is missing after it was
-// acknowledged, or is present after its appender got "not appended". Appenders race for
-// positions while responses are lost, writes take effect late, processes pause before
-// or after their call takes effect or exit, and snapshots truncate the log. The faults
-// would be: moving past a position where the appender's own create may still take
-// effect, returning a final result while it may, or trusting a truncated position.
+// TestEveryEntryOnceInOneOrder guards against an entry that is in the log twice, is missing
+// after it was acknowledged, or is present after its appender got "not appended". Appenders
+// race for positions. Meanwhile responses are lost, writes take effect late, and snapshots
+// truncate the log. Processes exit, or pause before or after their call takes effect. There
+// are two faults to detect. An appender moves past a position, or returns a final result,
+// while its own create at that position may still take effect. Or an appender trusts a
+// position that has been truncated.
 func TestEveryEntryOnceInOneOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		actions := drawActions(rt)
--- a/load/curves.go
+++ b/load/curves.go
@@ -8,11 +8,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ticksPerHalfDistance sets how finely a curve nears 100%.
+// ticksPerHalfDistance is the number of points of a percentile curve between one percentile
+// and the next one that is half as far from 100%: from 0% to 50%, from 50% to 75%, and so
+// on.
 const ticksPerHalfDistance = 5
 
-// WriteCurves writes the percentile curve of each class and measure as CSV:
-// class, measure, percentile, value in milliseconds, count up to it.
+// WriteCurves writes the percentile curve of each class and measure as CSV. The columns are
+// the class, the measure, the percentile, its value in milliseconds, and the number of
+// samples up to that value.
 func (r *Result) WriteCurves(w io.Writer) error {
 	out := csv.NewWriter(w)
 	rows := [][]string{{"class", "measure", "percentile", "ms", "count"}}
@@ -20,7 +23,7 @@
 		rows = append(rows, curve(c.Name, "first_token", c.firstToken)...)
 		rows = append(rows, curve(c.Name, "token_gap", c.gap)...)
 		rows = append(rows, curve(c.Name, "resume_latency", c.resume)...)
-		rows = append(rows, curve(c.Name, "whole_answer", c.whole)...)
+		rows = append(rows, curve(c.Name, "whole_answer", c.completeAnswer)...)
 	}
 	return Error.Wrap(out.WriteAll(rows))
 }
--- a/load/result.go
+++ b/load/result.go
@@ -18,7 +18,7 @@
 	histDigits = 3
 )
 
-// Quantiles summarises one histogram, in milliseconds.
+// Quantiles summarises one histogram of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -28,33 +28,33 @@
 	Mean  float64 `json:"mean_ms"`
 }
 
-// ClassResult is what one class of requests came to.
+// ClassResult holds the results of one class of requests.
 type ClassResult struct {
-	Name       string                `json:"name"`
-	Sent       int                   `json:"sent"`
-	Outcomes   map[fleet.Outcome]int `json:"outcomes"`
-	EndedBy    map[string]int        `json:"ended_by"`
-	Reconnects int                   `json:"reconnects"`
-	Resumes    int                   `json:"resumes"`     // by another engine, from the record
-	NoAdvice   int                   `json:"no_advice"`   // refusals without Retry-After
-	Tokens     int                   `json:"tokens"`      // delivered
-	Missing    int                   `json:"missing"`     // tokens, over all answers
-	Repeated   int                   `json:"repeated"`    // tokens
-	Spliced    int                   `json:"spliced"`     // tokens
-	BadAnswers int                   `json:"bad_answers"` // answers whose check failed
-	FirstToken Quantiles             `json:"first_token"`
-	Gap        Quantiles             `json:"token_gap"`
-	Resume     Quantiles             `json:"resume_latency"`
-	Whole      Quantiles             `json:"whole_answer"`
-
-	firstToken, gap, resume, whole *hdrhistogram.Histogram
+	Name           string                `json:"name"`
+	Sent           int                   `json:"sent"`
+	Outcomes       map[fleet.Outcome]int `json:"outcomes"`
+	EndedBy        map[string]int        `json:"ended_by"`
+	Reconnects     int                   `json:"reconnects"`
+	Resumes        int                   `json:"resumes"`     // by another engine, from the record
+	NoRetryAfter   int                   `json:"no_advice"`   // incomplete answers without Retry-After
+	Tokens         int                   `json:"tokens"`      // delivered
+	Missing        int                   `json:"missing"`     // tokens, over all answers
+	Repeated       int                   `json:"repeated"`    // tokens
+	Spliced        int                   `json:"spliced"`     // tokens
+	BadAnswers     int                   `json:"bad_answers"` // answers whose check failed
+	FirstToken     Quantiles             `json:"first_token"`
+	Gap            Quantiles             `json:"token_gap"`
+	Resume         Quantiles             `json:"resume_latency"`
+	CompleteAnswer Quantiles             `json:"whole_answer"`
+
+	firstToken, gap, resume, completeAnswer *hdrhistogram.Histogram
 }
 
-// Result is what one run came to.
+// Result holds the results of one run.
 type Result struct {
 	Seed    uint64         `json:"seed"`
 	Seconds float64        `json:"seconds"`
-	OK      bool           `json:"ok"` // every answer's check held
+	OK      bool           `json:"ok"` // all answers passed their checks
 	Classes []*ClassResult `json:"classes"`
 }
 
@@ -65,7 +65,7 @@
 			Name:       cl.Name,
 			Outcomes:   make(map[fleet.Outcome]int),
 			EndedBy:    make(map[string]int),
-			firstToken: newHist(), gap: newHist(), resume: newHist(), whole: newHist(),
+			firstToken: newHist(), gap: newHist(), resume: newHist(), completeAnswer: newHist(),
 		})
 	}
 	return res
@@ -75,11 +75,11 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(d.Microseconds(), 1), histMax)
-	_ = h.RecordValue(us) // can't fail: the value is within the range
+	_ = h.RecordValue(us) // cannot fail: the value is within the range
 }
 
-// add counts one answer; resumedAt lists the token indices at which another
-// engine took the answer over.
+// add counts one answer. resumedAt lists the token indices at which another engine resumed
+// the answer.
 func (r *Result) add(a *answer, resumedAt []int) {
 	c := r.Classes[a.class]
 	c.Sent++
@@ -89,10 +89,10 @@
 		c.EndedBy[a.endedBy]++
 	}
 	if a.outcome != fleet.Complete && !a.retryAfter {
-		c.NoAdvice++
+		c.NoRetryAfter++
 	}
 	if a.outcome == fleet.Complete {
-		record(c.whole, a.took)
+		record(c.completeAnswer, a.duration)
 	}
 	if a.firstToken > 0 {
 		record(c.firstToken, a.firstToken)
@@ -131,7 +131,7 @@
 		c.FirstToken = quantiles(c.firstToken)
 		c.Gap = quantiles(c.gap)
 		c.Resume = quantiles(c.resume)
-		c.Whole = quantiles(c.whole)
+		c.CompleteAnswer = quantiles(c.completeAnswer)
 		r.OK = r.OK && c.BadAnswers == 0
 	}
 }
@@ -162,10 +162,10 @@
 		c.printQuantiles(t, "first token", c.FirstToken)
 		c.printQuantiles(t, "token gap", c.Gap)
 		c.printQuantiles(t, "resume latency", c.Resume)
-		c.printQuantiles(t, "whole answer", c.Whole)
+		c.printQuantiles(t, "whole answer", c.CompleteAnswer)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\nseed %d, %.1f s, check %s\n", r.Seed, r.Seconds, verdict(r.OK))
+	fmt.Fprintf(w, "\nseed %d, %.1f s, check %s\n", r.Seed, r.Seconds, checkResult(r.OK))
 }
 
 func (c *ClassResult) printQuantiles(w io.Writer, name string, q Quantiles) {
@@ -175,7 +175,7 @@
 	fmt.Fprintf(w, "%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", c.Name, name, q.Count, q.P50, q.P90, q.P99, q.Max)
 }
 
-func verdict(ok bool) string {
+func checkResult(ok bool) string {
 	if ok {
 		return "holds"
 	}
--- a/measure/limit.go
+++ b/measure/limit.go
@@ -10,21 +10,23 @@
 	"wigeondale/intent"
 )
 
-// limit cuts all links between three routers and measures what client accounts
-// are then admitted, against their limits in the whole fleet.
+// limit disconnects three routers from each other. It measures how much of the load of
+// client accounts is admitted while no link between the routers works, relative to the
+// accounts' limits for the complete fleet.
 type limit struct{}
 
 // Name implements Experiment.
 func (limit) Name() string { return "limit" }
 
-// Accounts of the limit experiment ask for five times their limit: one at all
-// routers alike, one mostly at the first.
+// These constants describe the two client accounts of the limit experiment. Each account
+// sends five times its limit: evenAccount equally to all routers, skewedAccount mostly to
+// the first router.
 const (
 	evenAccount      = "even"
 	skewedAccount    = "skewed"
-	accountRate      = 2000.0 // tokens a second
-	overDemand       = 5.0    // times the limit
-	skewShare        = 0.8    // share of the skewed demand at the first router
+	accountRate      = 2000.0 // tokens per second
+	overDemand       = 5.0    // demand as a multiple of the limit
+	skewShare        = 0.8    // share of the skewed account's demand at the first router
 	limitPromptBytes = 400
 	limitMaxTokens   = 20
 	limitCost        = limitPromptBytes/bytesPerToken + limitMaxTokens
@@ -50,8 +52,8 @@
 	if env.Mode == Full {
 		each, n = 6*time.Second, 3
 	}
-	got, err := seeds(n, func(seed uint64) ([][]row, error) {
-		return eachFleet(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
+	got, err := runSeeds(n, func(seed uint64) ([][]row, error) {
+		return runOnFleets(ctx, env, func(ctx context.Context, r *Running, start time.Time) ([][]row, error) {
 			return x.run(ctx, r, start, each, seed)
 		})
 	})
@@ -64,7 +66,7 @@
 func (limit) run(ctx context.Context, r *Running, start time.Time, each time.Duration, seed uint64) ([][]row, error) {
 	played := make(chan error, 1)
 	go func() { played <- limitScript(r, each).Play(ctx, start, r) }()
-	answers, err := driveParts(ctx, start, limitParts(r, each, seed))
+	answers, err := driveLoads(ctx, start, limitLoads(r, each, seed))
 	if err != nil {
 		return nil, err
 	}
@@ -76,15 +78,15 @@
 		for i, state := range []string{"whole", "cut", "healed"} {
 			from := time.Duration(i) * each
 			if i == 0 {
-				from = time.Second // the routers learn of each other's demand
+				from = time.Second // leaves out the time until routers know each other's demand
 			}
-			rows = append(rows, limitRow(account, stretch{state, from, time.Duration(i+1) * each}, answers))
+			rows = append(rows, limitRow(account, phase{state, from, time.Duration(i+1) * each}, answers))
 		}
 	}
 	return [][]row{rows}, nil
 }
 
-// limitScript cuts all links and heals them.
+// limitScript interrupts all links between routers and later restores them.
 func limitScript(r *Running, each time.Duration) Script {
 	var script Script
 	for i, fault := range []string{"cut", "heal"} {
@@ -95,10 +97,10 @@
 	return script
 }
 
-// limitParts is the load of both accounts at each router.
-func limitParts(r *Running, each time.Duration, seed uint64) []part {
-	total := overDemand * accountRate / limitCost // requests a second
-	var parts []part
+// limitLoads returns the load of both accounts at each router.
+func limitLoads(r *Running, each time.Duration, seed uint64) []timedLoad {
+	total := overDemand * accountRate / limitCost // requests per second
+	var out []timedLoad
 	for k, endpoint := range r.Endpoints {
 		one := *r
 		one.Endpoints = []string{endpoint}
@@ -109,30 +111,30 @@
 		loads := map[string]float64{evenAccount: total / float64(r.Routers), skewedAccount: total * share}
 		for account, rate := range loads {
 			class := limitClass.rate(rate).named(fmt.Sprintf("%s-%d", account, k))
-			parts = append(parts, part{0, Load{[]Class{class}, seed, 3 * each}, once(&one, account, account)})
+			out = append(out, timedLoad{0, Load{[]Class{class}, seed, 3 * each}, singleTrySender(&one, account, account)})
 		}
 	}
-	return parts
+	return out
 }
 
-// limitRow sums up what one account was admitted in a stretch.
-func limitRow(account string, s stretch, answers []Answer) row {
+// limitRow returns the figures of one account for the requests that arrived in a phase.
+func limitRow(account string, s phase, answers []Answer) row {
 	var refusal durations
 	sent, admitted := 0, 0.0
 	seconds := make([]float64, int((s.to-s.from)/time.Second))
 	for i := range answers {
 		a := &answers[i]
-		if !strings.HasPrefix(a.Class, account) || a.Began < s.from || a.Began >= s.to {
+		if !strings.HasPrefix(a.Class, account) || a.StartedAt < s.from || a.StartedAt >= s.to {
 			continue
 		}
 		sent++
 		if a.Outcome != fleet.Complete {
-			refusal = append(refusal, a.Ended-a.Began)
+			refusal = append(refusal, a.EndedAt-a.StartedAt)
 			continue
 		}
-		cost := float64(len(a.Prompt)/bytesPerToken + a.Want)
+		cost := float64(len(a.Prompt)/bytesPerToken + a.MaxTokens)
 		admitted += cost
-		if k := int((a.Began - s.from) / time.Second); k < len(seconds) {
+		if k := int((a.StartedAt - s.from) / time.Second); k < len(seconds) {
 			seconds[k] += cost
 		}
 	}
--- a/mirror/state.go
+++ b/mirror/state.go
@@ -13,18 +13,21 @@
 // neighbour that lags by more removals has to read all items.
 const defaultMaxRemovals = 256
 
-// Removal records that an item was missing at a revision.
+// Removal reports to a neighbour that the item with the given Key was missing at the
+// revision Rev.
 type Removal struct {
 	Key string `cbor:"1,keyasint"`
 	Rev int64  `cbor:"2,keyasint"`
-	// Unconfirmed marks an item that went missing by an outage and may come back.
+	// Unconfirmed is set if the item has been missing since an outage of the store and its
+	// owner may write it again, so that it doesn't count as removed yet.
 	Unconfirmed bool `cbor:"3,keyasint,omitempty"`
-	// UnconfirmedMS is for how much longer it may come back; 0 while that isn't known.
+	// UnconfirmedMS is the number of milliseconds for which the removal stays unconfirmed;
+	// 0 means that this number isn't known yet, because the outage of the store continues.
 	UnconfirmedMS int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// unconfirmedUntil is until when the removal is unconfirmed; unknown is used when it
-// doesn't say.
+// unconfirmedUntil returns the time until which the removal is unconfirmed. If the removal
+// doesn't contain that time, unconfirmedUntil returns its argument unknown.
 func (r Removal) unconfirmedUntil(unknown time.Time) time.Time {
 	if r.UnconfirmedMS == 0 {
 		return unknown
@@ -35,44 +38,52 @@
 // DeltaRequest requests the changes after a revision.
 type DeltaRequest struct {
 	After int64 `cbor:"1,keyasint"`
-	// All requests all items if the changes since aren't available, page by page: the
-	// items whose keys come after Last.
+	// If All is set and the changes since After aren't available, the response is one
+	// page of all items: the page of the items whose keys come after Last.
 	All  bool   `cbor:"2,keyasint,omitempty"`
 	Last string `cbor:"3,keyasint,omitempty"`
 }
 
-// Delta holds the changes between two revisions. A long one is cut at a revision: the
-// rest is requested once it has been applied.
+// Delta holds the changes between two revisions. If the changes don't fit into one Delta,
+// the Delta holds only the changes up to an earlier revision. The node that applies that
+// Delta then requests the changes after that revision.
 type Delta struct {
 	Newest  int64         `cbor:"1,keyasint"`
-	Full    bool          `cbor:"2,keyasint,omitempty"` // a page of all items
+	Full    bool          `cbor:"2,keyasint,omitempty"` // set if the Delta is a page of all items
 	Items   []infra.Value `cbor:"3,keyasint,omitempty"`
 	Removed []Removal     `cbor:"4,keyasint,omitempty"`
-	// RemovalsUnknown reports that removals since the requested revision aren't known, so
-	// that only a read of all items would help.
+	// RemovalsUnknown reports that the responding node doesn't know all removals since
+	// the requested revision, so that it could only send all items.
 	RemovalsUnknown bool `cbor:"5,keyasint,omitempty"`
-	More            bool `cbor:"6,keyasint,omitempty"` // more pages follow
+	More            bool `cbor:"6,keyasint,omitempty"` // set if more pages follow
 }
 
-// pageBytes is the size from which a Delta is cut. A page of this size occupies a slow
-// network link only for a moment, and is far smaller than the maximum message between
-// nodes.
+// pageBytes is the maximum size, in bytes of keys and data, of the items in one Delta. If
+// there are more items, the Delta is truncated, and the neighbour requests the rest with
+// its next request. A page of this size occupies a slow network link only for a moment,
+// and is far smaller than the maximum message between nodes.
+//
+// Exception: a single item is sent even if it is larger than pageBytes, and a Delta of
+// changes contains at least all items of its first revision.
 const pageBytes = 256 << 10
 
 // removalPolicy defines how missing items are treated: as removed, or as unconfirmed
-// removals until the given time. A zero time means that it isn't known yet.
+// removals until the given time. A zero time means that the end isn't known yet, because
+// the outage of the store continues.
 type removalPolicy struct {
 	unconfirmed bool
 	until       time.Time
 }
 
-// unconfirmedRemoval is an item that went missing and may come back.
+// unconfirmedRemoval records that an item is missing because of an outage of the store and
+// may be written again by its owner.
 type unconfirmedRemoval struct {
-	rev   int64 // at which it was missing
+	rev   int64 // revision at which the item was missing
 	until time.Time
 }
 
-// remainingMS is for how much longer the item may come back, 0 when that isn't known.
+// remainingMS returns the number of milliseconds for which the removal stays unconfirmed,
+// or 0 if that number isn't known yet.
 func (d unconfirmedRemoval) remainingMS() int64 {
 	if d.until.IsZero() {
 		return 0
@@ -80,29 +91,31 @@
 	return max(time.Until(d.until).Milliseconds(), 1)
 }
 
-// state is the known content of the prefix. An item never goes back to an earlier
-// revision, in whatever order changes arrive.
+// state is a node's copy of the items under the prefix. An item never goes back to an
+// earlier revision, in whatever order changes arrive.
 type state struct {
 	receiver      Receiver
 	items         map[string]infra.Value
-	unconfirmed   map[string]unconfirmedRemoval // missing since an outage; not yet reported as removed
-	removed       []Removal                     // the latest, in the order of their arrival
-	tombstones    map[string]int64              // the same by key, so that an older item doesn't come back
+	unconfirmed   map[string]unconfirmedRemoval // items missing since an outage and not yet passed on as removed, by key
+	removed       []Removal                     // the latest removals, in the order of their arrival
+	tombstones    map[string]int64              // revisions of the removals in removed, by key, so that an older item doesn't come back
 	newest        int64                         // all changes up to this revision are known
-	removalsFloor int64                         // removals up to it are not in removed
-	maxRemovals   int                           // removals that are remembered
-	// pageBytes is the size from which a Delta is cut.
+	removalsFloor int64                         // removals up to this revision may be missing from removed
+	maxRemovals   int                           // maximum length of removed
+	// pageBytes is the maximum size of the items in one Delta: the constant pageBytes, or
+	// a smaller value in tests.
 	pageBytes int
-	dirty     bool // receiver was notified since the last flush
+	dirty     bool // set if the receiver was notified since the last flush
 }
 
 func newState(out Receiver) state {
 	return state{receiver: out, maxRemovals: defaultMaxRemovals, pageBytes: pageBytes, items: map[string]infra.Value{}, unconfirmed: map[string]unconfirmedRemoval{}, tombstones: map[string]int64{}}
 }
 
-// advance records that all changes up to a revision are known. Neighbours request what
-// is newer, so the revision of a single change must not count: a node that doesn't read
-// the store would never get the changes before it.
+// advance records that all changes up to a revision are known. The revision of a single
+// change must not be recorded here before all earlier changes are known: a node
+// requests from its neighbours only changes after the recorded revision, so a node that
+// doesn't read the store would never get the earlier changes.
 func (s *state) advance(rev int64) { s.newest = max(s.newest, rev) }
 
 func (s *state) put(v infra.Value) {
@@ -116,8 +129,8 @@
 	s.receiver.Put(v)
 }
 
-// remove removes an item that was missing at rev. An item that may come back becomes an
-// unconfirmed removal instead.
+// remove removes an item that was missing at rev. If d is unconfirmed, the item stays and
+// an unconfirmed removal is recorded instead.
 func (s *state) remove(key string, rev int64, d removalPolicy) {
 	current, ok := s.items[key]
 	if current.ModRev > rev {
@@ -156,7 +169,8 @@
 	}
 }
 
-// replace applies the complete list of items at a revision.
+// replace applies the complete list of items at a revision. Items that are not in the list
+// are removed, or become unconfirmed removals, as d defines.
 func (s *state) replace(items []infra.Value, at int64, d removalPolicy) {
 	if s.newest == 0 {
 		s.removalsFloor = at
@@ -174,7 +188,8 @@
 	s.advance(at)
 }
 
-// setUnconfirmedEnd sets the end of the unconfirmed removals for which it wasn't known.
+// setUnconfirmedEnd sets the end of each unconfirmed removal whose end wasn't known
+// because the outage of the store continued.
 func (s *state) setUnconfirmedEnd(end time.Time) {
 	for key, d := range s.unconfirmed {
 		if d.until.IsZero() {
@@ -184,7 +199,8 @@
 	}
 }
 
-// confirmExpired removes the items that did not come back in time.
+// confirmExpired removes the items that were not written again before the end of their
+// unconfirmed removal.
 func (s *state) confirmExpired(now time.Time) {
 	for key, d := range s.unconfirmed {
 		if !d.until.IsZero() && !now.Before(d.until) {
@@ -193,7 +209,9 @@
 	}
 }
 
-// delta responds to a neighbour that has all changes up to the requested revision.
+// delta responds to a neighbour that has all changes up to the revision req.After. If this
+// node knows all later removals, delta returns the later changes. Otherwise it returns a
+// page of all items if req.All is set, and a Delta with RemovalsUnknown if not.
 func (s *state) delta(req DeltaRequest) Delta {
 	if req.After >= s.removalsFloor {
 		return s.changesAfter(req.After)
@@ -204,8 +222,8 @@
 	return s.page(req.Last)
 }
 
-// changesAfter returns the changes in the order of their revisions. When they are cut,
-// Newest is the revision before the first change left out.
+// changesAfter returns the changes in the order of their revisions. If the changes
+// don't fit into one Delta, Newest is the revision before the first change left out.
 func (s *state) changesAfter(after int64) Delta {
 	d := Delta{Newest: s.newest}
 	for _, v := range s.items {
@@ -227,8 +245,9 @@
 	return d
 }
 
-// unconfirmedRemovals returns the unconfirmed removals after a revision. They must be
-// sent with the others: a node that has a newer revision never requests them again.
+// unconfirmedRemovals returns the unconfirmed removals after a revision. They must be sent
+// with the other changes, because a neighbour that has a newer revision never requests
+// changes of earlier revisions again.
 func (s *state) unconfirmedRemovals(after, upTo int64) []Removal {
 	var out []Removal
 	for key, d := range s.unconfirmed {
@@ -239,8 +258,10 @@
 	return out
 }
 
-// cutAtRevision moves a cut at n so that it doesn't split a revision and at least one
-// revision comes before it.
+// cutAtRevision returns how many leading items to send if n of them fit into one Delta. The
+// items of one revision are always sent together. So if n would separate items of one
+// revision, the result is the number of items before that revision. Exception: if that
+// revision is the first one, the result includes all its items, so that the result is not 0.
 func cutAtRevision(items []infra.Value, n int) int {
 	if n == len(items) {
 		return n
@@ -258,7 +279,8 @@
 	return n
 }
 
-// page returns items in the order of their keys.
+// page returns the items whose keys come after last, in the order of their keys, as far
+// as they fit into one page.
 func (s *state) page(last string) Delta {
 	d := Delta{Newest: s.newest, Full: true}
 	for _, key := range slices.Sorted(maps.Keys(s.items)) {
@@ -273,7 +295,9 @@
 	return d
 }
 
-// countFitting is the number of leading items that make a page: at least one.
+// countFitting returns the number of leading items that fit into a page of bound bytes.
+// If there are items, it is at least 1, so that an item larger than a page is sent,
+// too.
 func countFitting(items []infra.Value, bound int) int {
 	size := 0
 	for i, v := range items {
@@ -285,13 +309,14 @@
 	return len(items)
 }
 
-// merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the
-// time that the neighbour gives, or until end if it gives none.
+// merge applies a neighbour's delta. An unconfirmed removal stays unconfirmed for the time
+// that the neighbour gives, or until end if it gives none.
 //
-// Otherwise each node would hold a removal as unconfirmed for the whole time again.
-// When the store has been back for a while and a replica leaves, the one reader that
-// still holds that removal as unconfirmed for a moment may notify the others first:
-// they would then go on sending work to the replica for two seconds.
+// If merge used end in any case, each node would hold a removal as unconfirmed for the
+// whole time again. When the store has been working again for a while and a replica
+// leaves, one reader may still hold that removal as unconfirmed for a moment and be the
+// first to send it to the other nodes. The other nodes would then go on sending work to
+// the replica for two seconds.
 func (s *state) merge(d Delta, end time.Time) {
 	if d.Newest <= s.newest || d.RemovalsUnknown {
 		return
--- a/once/shard.go
+++ b/once/shard.go
@@ -27,9 +27,10 @@
 	incomplete bool   // an entry is missing from table because its position was skipped
 }
 
-// observe applies the log's entries in order. The log starts some entries before
-// the snapshot's position, because it needs their ids to detect repeated
-// appends; observe skips them.
+// observe applies entry e to the table; the log calls it for each entry in order. The log
+// starts reading some entries before the snapshot's position, because it needs the ids of
+// these entries to detect repeated appends; observe skips these entries, which the snapshot
+// already contains.
 func (v *view) observe(e kvlog.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -104,7 +105,9 @@
 	return results
 }
 
-// append returns CodeDone if the entry is in the log and applied to v.
+// append writes the entry to the log. It returns CodeDone if the entry is in the log
+// and applied to v, CodeUnknown if the entry may be in the log, and CodeUnavailable if
+// the entry is not in the log.
 func (s *shard) append(ctx context.Context, v *view, e entry) Code {
 	data, err := cbor.Marshal(e)
 	if err != nil {
@@ -117,7 +120,8 @@
 	case err == nil && !v.isIncomplete():
 		return CodeDone
 	case err == nil:
-		// The entry is written, but this view lacks entries that precede it.
+		// The entry is in the log, but this view lacks entries that precede it, so the view
+		// cannot show which attempt holds each key.
 		s.discardView(v)
 		return CodeUnknown
 	case errors.Is(err, kvlog.ErrUnsettled), errors.Is(err, kvlog.ErrExpired):
@@ -132,9 +136,10 @@
 }
 
 // refresh reads the log to its end if v has a claim for any of the keys, because
-// another router that acts as the owner may have voided that claim since. If the
-// read fails, v is used as it is. At worst it shows a claim that has been voided
-// since, which causes an unnecessary refusal but never a second run.
+// another router that acts as the owner may have voided that claim since. If the log
+// was truncated, refresh returns a new view. If the read fails for another reason, it
+// returns v as it is: at worst v shows a claim that has been voided since, which causes
+// an unnecessary refusal but never a second run.
 func (s *shard) refresh(ctx context.Context, v *view, ops []Op) (*view, error) {
 	if !v.hasAnyClaim(ops) {
 		return v, nil
@@ -193,8 +198,8 @@
 	return r
 }
 
-// openView returns the shard's view. It builds one from the snapshot and the log
-// if there is none or the current one lacks entries.
+// openView returns the shard's view. If there is no view, or the current view lacks
+// entries, openView builds a new view from the snapshot and the log.
 func (s *shard) openView(ctx context.Context) (*view, error) {
 	if v := s.currentView(); v != nil && !v.isIncomplete() {
 		return v, nil
@@ -250,16 +255,17 @@
 	}
 }
 
-// inCooldown reports whether the last failure was less than Config.Cooldown ago.
-// Without the cooldown, each claim during an outage would wait for a timeout
-// before it is refused.
+// inCooldown reports whether the last failed batch of this shard was less than
+// Config.Cooldown ago; batches are then refused without a try. Without the cooldown, each
+// claim during an outage would wait for a timeout before it is refused.
 func (s *shard) inCooldown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Before(s.cooldownUntil)
 }
 
-// recordFailure starts the cooldown if an operation of a batch failed.
+// recordFailure starts the cooldown if any operation of a batch was not written to the log
+// or may not have been written.
 func (s *shard) recordFailure(results []Result) {
 	for _, r := range results {
 		if r.Code == CodeDone {
--- a/once/table.go
+++ b/once/table.go
@@ -8,7 +8,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// entry is the data of one log entry.
+// entry is the data of one log entry: either a batch of operations or the removal of
+// expired claims.
 type entry struct {
 	Ops []Op `cbor:"1,keyasint,omitempty"`
 	// AtUnix is the wall clock of the writer, in seconds since the epoch.
@@ -42,7 +43,8 @@
 	return &table{claims: make(map[KeyID]claim), nodeIndexes: make(map[string]uint16)}
 }
 
-// apply applies one entry. Entries must be applied in log order.
+// apply applies one entry of the log. Entries must be applied in log order, because the
+// first claim of a key holds the key.
 func (t *table) apply(e entry) {
 	t.latest = max(t.latest, clampSeconds(e.AtUnix))
 	for _, op := range e.Ops {
@@ -81,8 +83,9 @@
 	}
 }
 
-// nodeIndex returns the index of a node name, which it adds if needed. Names
-// beyond the range of the index are not stored and read as "".
+// nodeIndex returns the index of a node name and adds the name if it is not in the
+// table yet. Once all indexes are used, a new name is not stored: it gets index 0,
+// which stands for the name "".
 func (t *table) nodeIndex(name string) uint16 {
 	if i, ok := t.nodeIndexes[name]; ok {
 		return i
--- a/order/next.go
+++ b/order/next.go
@@ -9,10 +9,10 @@
 	"wigeondale/intent"
 )
 
-// View is the state of the fleet that one round works with.
+// View is the information about the fleet from which one round determines its orders.
 type View struct {
 	Backends []fleet.Backend
-	Status   map[string]Status // by backend server id; those that didn't answer are absent
+	Status   map[string]Status // by backend server id; backend servers that didn't answer are absent
 	Weights  map[string]int64  // size in bytes, by ModelRef.String()
 }
 
@@ -22,15 +22,17 @@
 	Order   Order
 }
 
-// Progress records since when all new versions of each model are served.
+// Progress records, for each model, the time since which every placed version of the model
+// is served by every backend server that is to have the version. A model without an entry
+// has no placed version, or has one that is not served everywhere yet.
 type Progress struct {
 	since map[string]time.Time
 }
 
-// Next returns the orders of one round. An order contains the complete set of versions
-// that the backend server is to have now: those it has and may keep, and the loads of
-// the current wave. A backend server whose desired state is already the same gets no
-// order.
+// Next returns the orders of one round. An order contains the complete set of versions that
+// the backend server is to have now: the versions that it has and may keep, and the loads
+// of the current wave. A backend server that already reports the state that the order would
+// request gets no order.
 func Next(s *intent.State, v View, p Policy, progress *Progress, now time.Time) []Step {
 	progress.update(s, v, now)
 	wave := currentWave(s, v, p)
@@ -41,8 +43,8 @@
 			continue
 		}
 		o := Order{Plan: fmt.Sprintf("r-%d", s.Revision), Role: role(s, b, status)}
-		// Leaving is never revoked: an engine that is shutting down by its own decision
-		// would get new requests that it is about to abort.
+		// An order never revokes Leaving: an engine may be shutting down by its own
+		// decision, and would then get new requests that it is about to abort.
 		o.Leaving = status.Leaving || s.Leaving(b.VM)
 		o.Desired = desiredNow(s, b, status, wave[b.ID], progress.unloadAllowed(p, now))
 		if orderInEffect(s, b, o, status) {
@@ -53,7 +55,7 @@
 	return steps
 }
 
-// orderInEffect reports whether b already is in the state that the order would ask for.
+// orderInEffect reports whether b is already in the state that the order would request.
 func orderInEffect(s *intent.State, b fleet.Backend, o Order, st Status) bool {
 	if o.Leaving != st.Leaving || (st.Role != "" && o.Role != st.Role) {
 		return false
@@ -95,8 +97,8 @@
 	return out
 }
 
-// currentWave returns the loads that should be running: those that already are, and as
-// many more as the weight store's budget for one wave allows.
+// currentWave returns the loads that should be running: the loads that are running already,
+// and as many more as the weight store's budget for one wave allows.
 func currentWave(s *intent.State, v View, p Policy) map[string][]fleet.ModelRef {
 	running, waiting, hosts := missingLoads(s, v)
 	out := map[string][]fleet.ModelRef{}
@@ -114,8 +116,10 @@
 	return out
 }
 
-// missingLoads returns the running loads, those not started, and the number of engines
-// that answered.
+// missingLoads returns the loads of the placed versions that their engines don't serve yet,
+// and the number of engines whose status is in v. A load is running if the engine reports
+// that it is loading the version, or if the engine's last order contains the version. The
+// other loads are waiting. A leaving VM has no loads, but its engines are counted.
 func missingLoads(s *intent.State, v View) (running, waiting []intent.Load, hosts int) {
 	for _, b := range v.Backends {
 		st, ok := v.Status[b.ID]
@@ -138,8 +142,9 @@
 	return running, waiting, hosts
 }
 
-// update records since when all placed versions of each model are served. A backend
-// server that doesn't answer counts as not serving, unless it is leaving.
+// update records, for each model, the time since which all its placed versions are served.
+// A backend server that doesn't answer counts as not serving; a backend server that is
+// leaving doesn't count at all.
 func (p *Progress) update(s *intent.State, v View, now time.Time) {
 	if p.since == nil {
 		p.since = map[string]time.Time{}
@@ -170,7 +175,7 @@
 }
 
 // unloadAllowed returns a function that reports whether a model's old versions may be
-// unloaded.
+// unloaded: all its placed versions have been served for UnloadGrace.
 func (p *Progress) unloadAllowed(policy Policy, now time.Time) func(model string) bool {
 	return func(model string) bool {
 		since, ok := p.since[model]
--- a/order/schedule.go
+++ b/order/schedule.go
@@ -12,8 +12,8 @@
 
 const (
 	// SweepInterval is the longest time between two queries of an engine that answers. An
-	// engine that changes without a sign of it is corrected within that time and one
-	// round.
+	// engine whose state changes without any other indication is corrected within that
+	// time and one round.
 	SweepInterval = time.Minute
 	// promptRetries is the number of consecutive failures after each of which the engine
 	// is queried again in the next round; after that the delay doubles, up to one minute.
@@ -29,15 +29,14 @@
 // an old version would be unloaded just after the new one was lost on another engine.
 // Therefore all engines with something to do, and all hosts of a model with an old
 // version to unload, are queried in the same round that decides. Only engines that have
-// reached their goal are queried less often, at
-// least once a minute.
+// reached their goal are queried less often, at least once a minute.
 type Schedule struct {
 	start  time.Time
 	known  map[string]*queryRecord
 	status map[string]Status // last answers, except those of engines whose query failed since
 }
 
-// queryRecord is what was known about an engine when it was last queried.
+// queryRecord is what this router knew about an engine when it last queried the engine.
 type queryRecord struct {
 	at          time.Time
 	backend     fleet.Backend
@@ -53,8 +52,8 @@
 }
 
 // Due returns the engines to query in the round that started at now. The caller records
-// their answers and calls it again with the same now until it returns none: an answer
-// may show an old version, which makes the hosts of that model due as well.
+// their answers and calls Due again with the same now until Due returns none: an answer may
+// show an old version, which makes the hosts of that model due as well.
 func (c *Schedule) Due(s *intent.State, list []fleet.Backend, incarnation func(id string) string, now time.Time) []fleet.Backend {
 	c.removeUnlisted(list)
 	if nothingToDo(s) {
@@ -72,7 +71,8 @@
 	return due
 }
 
-// RecordAnswer records the answer of an engine that was due.
+// RecordAnswer records the answer of an engine that was due. It ends the engine's sequence
+// of failures.
 func (c *Schedule) RecordAnswer(id string, st Status) {
 	if k, ok := c.known[id]; ok {
 		k.failures = 0
@@ -80,7 +80,9 @@
 	}
 }
 
-// RecordFailure records that an engine that was due didn't answer.
+// RecordFailure records that an engine that was due didn't answer. The engine's last answer
+// is dropped, so that Next sends the engine no order, and the delay before the next query
+// may grow (see backoff).
 func (c *Schedule) RecordFailure(id string) {
 	if k, ok := c.known[id]; ok {
 		k.failures++
@@ -122,8 +124,9 @@
 	return p.Role != k.placement.Role || !slices.Equal(p.Desired, k.placement.Desired)
 }
 
-// recordQuery records what is known before the query is sent: what changes while the
-// query is running must count as changed in the next round.
+// recordQuery records what is known about b before b is queried: the desired placement,
+// whether the backend server is leaving, and its incarnation. A change of these values while
+// the query is running must count as a change in the next round.
 func (c *Schedule) recordQuery(s *intent.State, b fleet.Backend, incarnation string, now time.Time) {
 	k, ok := c.known[b.ID]
 	if !ok {
@@ -137,16 +140,16 @@
 	}
 }
 
-// sweepDue reports whether the engine's time in the periodic sweep has come since it
-// was last queried. These times are distributed by a hash of the engine's id and never
-// move, so no change of the list can delay an engine.
+// sweepDue reports whether the engine's time in the periodic sweep has come since last, the
+// time of the engine's last query. A hash of the engine's id determines the engine's time,
+// which is the same in every sweep, so no change of the list can delay an engine.
 func (c *Schedule) sweepDue(id string, last, now time.Time) bool {
 	phase := time.Duration(xxhash.Sum64String(id) % uint64(SweepInterval))
 	sweepNumber := func(t time.Time) int64 { return int64((t.Sub(c.start) + SweepInterval - phase) / SweepInterval) }
 	return sweepNumber(now) > sweepNumber(last)
 }
 
-// unloading returns the models of which some engine has a version to unload.
+// unloading returns the models of which at least one engine has a version to unload.
 func (c *Schedule) unloading(s *intent.State, list []fleet.Backend) map[string]bool {
 	out := map[string]bool{}
 	for _, b := range list {
@@ -163,7 +166,8 @@
 	return out
 }
 
-// removeUnlisted removes the engines that are no longer in the list.
+// removeUnlisted removes the records and last answers of the engines that are no longer in
+// the list.
 func (c *Schedule) removeUnlisted(list []fleet.Backend) {
 	if len(c.known) == 0 {
 		return
@@ -180,7 +184,8 @@
 	}
 }
 
-// hasWork reports whether b hasn't reached its goal yet, or is still loading.
+// hasWork reports whether b is still loading, differs from its placement, or doesn't report
+// yet that its VM is leaving.
 func hasWork(s *intent.State, b fleet.Backend, st Status) bool {
 	if len(st.Loading) > 0 || (s.Leaving(b.VM) && !st.Leaving) {
 		return true
@@ -199,7 +204,8 @@
 	return slices.ContainsFunc(p.Desired, func(r fleet.ModelRef) bool { return models[r.Model] })
 }
 
-// nothingToDo reports whether no engine can need an order.
+// nothingToDo reports whether no engine can need an order, because the state has no
+// placement and no leaving VM.
 func nothingToDo(s *intent.State) bool {
 	if len(s.Placement) > 0 {
 		return false
@@ -212,7 +218,8 @@
 	return true
 }
 
-// backoff returns the delay before the next query after consecutive failures.
+// backoff returns the delay before the next query of an engine after the given number of
+// consecutive failed queries.
 func backoff(failures int) time.Duration {
 	if failures <= promptRetries {
 		return 0
--- a/order/tenure_test.go
+++ b/order/tenure_test.go
@@ -13,8 +13,8 @@
 
 var policy = Policy{TTL: 12 * time.Second, OrderDeadline: 2 * time.Second}
 
-// simulation simulates one engine that checks fencing numbers and one that doesn't, a
-// service that holds the lease, and two routers that send orders.
+// simulation simulates one engine that checks fencing numbers and one engine that doesn't,
+// a service that grants the lease, and two routers that send orders.
 type simulation struct {
 	t           *rapid.T
 	now         time.Time
@@ -41,7 +41,8 @@
 	plan    int
 }
 
-// sentOrder is an order on its way; it arrives by its deadline or not at all.
+// sentOrder is an order on its way to an engine; the order arrives by its deadline or not
+// at all.
 type sentOrder struct {
 	to       *engine
 	fence    uint64
@@ -61,7 +62,9 @@
 	}
 }
 
-// keepLease does what the executor does before each round.
+// keepLease acquires or renews the lease for holder i, or ends the holder's tenure, as an
+// executor does before each round. Holder i then has the newest plan, unless the answer of
+// its renewal was lost.
 func (sim *simulation) keepLease(i int) {
 	h := sim.holders[i]
 	if h.tenure != nil && h.tenure.Expired(sim.now) {
@@ -84,7 +87,8 @@
 	h.plan = sim.newest
 }
 
-// order sends an order without renewing the lease first, like a holder that was paused.
+// order sends an order without renewing the lease first. A holder that was paused after its
+// last renewal does the same.
 func (sim *simulation) order(i int, e *engine) {
 	h := sim.holders[i]
 	if h.tenure == nil {
@@ -142,12 +146,12 @@
 	}
 }
 
-// Guards against an engine that returns to an older plan and unloads a version that
-// traffic was moved to. A holder is paused or disconnected, its lease expires or is
-// lost by the service, and another one takes over; then the first one resumes and sends
-// an order, or one of its orders is delayed on the way. The holder must check its lease
-// directly before each order, and a new holder must wait until the former one can't
-// send any more.
+// TestNoOlderOrderAfterNewer guards against an engine that returns to an older plan and
+// unloads a version that traffic was moved to. A holder is paused or disconnected, its
+// lease expires or is lost by the service, and another router takes over; then the first
+// holder resumes and sends an order, or one of its orders is delayed on the way. A holder
+// must check its lease directly before each order, and a new holder must wait until the
+// former one can't send any more.
 func TestNoOlderOrderAfterNewer(t *testing.T) {
 	// The sequences are rare; with fewer checks the test may not detect a broken guard.
 	if err := flag.Set("rapid.checks", "2000"); err != nil {
@@ -166,8 +170,9 @@
 	})
 }
 
-// endFaults ends the faults: one holder continues, and both engines must reach its
-// plan.
+// endFaults ends the faults and the tenure of holder 1. Then only holder 0 keeps the lease
+// and sends orders, for 60 seconds of simulated time. endFaults fails the test if an engine
+// is not at the newest plan after that time.
 func (sim *simulation) endFaults() {
 	sim.faultsEnded = true
 	sim.holders[1].tenure = nil
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -89,8 +89,9 @@
 	}
 }
 
-// BenchmarkNeighbours measures the choice of neighbours after a change, and
-// reports the number of links per node that result from the choices of all nodes.
+// BenchmarkNeighbours measures the choice of neighbours after a change, and reports the
+// average and the maximum number of links per node that the choices of all nodes lead
+// to.
 func BenchmarkNeighbours(b *testing.B) {
 	rs := testRecords(targetNodes)
 	t := Config{}.withDefaults().Topology
@@ -121,7 +122,7 @@
 	degree[a][b] = true
 }
 
-// BenchmarkMember measures the memory per member.
+// BenchmarkMember measures the memory that a mesh needs per member.
 func BenchmarkMember(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/peer/link.go
+++ b/peer/link.go
@@ -12,8 +12,8 @@
 	"wigeondale/event"
 )
 
-// outgoing is an encoded message in a link's queue. A nil payload makes the
-// writer close the link after it has written the messages queued before.
+// outgoing is an encoded message in a link's queue. A nil payload makes the writer close
+// the link after it has written the messages that were queued before it.
 type outgoing struct {
 	kind    frameType
 	payload []byte
@@ -65,9 +65,9 @@
 func (l *link) markUsed() { l.lastUsed.Store(time.Now().UnixNano()) }
 
 // close closes the link. It does not wait for a closing handshake, which a dead
-// peer would never answer. The first reason is kept, except that any other reason
-// replaces lostClosed: the writer may fail before the reader, which knows the
-// actual reason, reports it.
+// peer would never answer. If close is called several times, the first reason is kept.
+// Exception: any other reason replaces lostClosed. The writer may fail with lostClosed
+// first, and only the reader, which reports later, knows the actual reason.
 func (l *link) close(reason string) {
 	l.mu.Lock()
 	if l.reason == "" || l.reason == lostClosed {
@@ -77,7 +77,7 @@
 	l.once.Do(func() { close(l.done) })
 }
 
-// closeReason returns why the link closed. It does not change after run has
+// closeReason returns why the link closed. The reason does not change after run has
 // returned.
 func (l *link) closeReason() string {
 	l.mu.Lock()
@@ -85,9 +85,10 @@
 	return l.reason
 }
 
-// send queues a message and never blocks. A link whose queue is full is closed,
-// because its peer reads too slowly and the queue must not grow without bound.
-// Lost messages are repaired by anti-entropy once there is a new link.
+// send queues a message and never blocks. A link whose queue is full is closed, because
+// its peer reads too slowly and the queue must not grow without bound. Anti-entropy
+// repairs the loss of the queued messages once there is a new link. send returns false
+// if the link is closed.
 func (l *link) send(kind frameType, payload []byte) bool {
 	select {
 	case <-l.done:
