--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
-// Package placement places attempts: it combines the choice among backend servers (routing), their
-// known state (directory) and their health (health).
+// Package placement chooses the backend server for an attempt: it combines the choice among
+// backend servers (routing), their known state (directory) and their health (health).
 //
-// Between the choice and the sending, a backend server may start leaving, or another attempt may be
-// sent to it as its only probe; the request would then reach a server that must get nothing. Both
-// are therefore checked once more at the moment of sending, and the choice is repeated without that
-// server.
+// Between the choice and the sending, a backend server may start leaving, or another attempt
+// may be sent to it as its only probe; the request would then reach a backend server that must
+// not get any request. Both conditions are therefore checked once more at the moment of
+// sending, and if one of them holds, the choice is repeated without that backend server.
 package placement
 
 import (
@@ -20,19 +20,23 @@
 	"wigeondale/routing"
 )
 
-// maxTries bounds how often a choice is repeated because the chosen server became unavailable
-// meanwhile.
+// maxTries is the largest number of choices for one attempt. Each chosen backend server is
+// checked before the sending. The choice is repeated if the backend server has started leaving
+// by then, or may get no attempt because of its health.
 const maxTries = 4
 
-// Chooser chooses a backend server among candidates.
+// Chooser chooses a backend server for an attempt among candidates, and checks again before
+// the sending that the backend server may get the attempt.
 type Chooser struct {
 	Dir *directory.Directory
 	Mon *health.Monitor
-	// RetryAfter is the retry time that is returned when a backend server is expected back soon.
+	// RetryAfter is the time to come back that is returned when a backend server is expected
+	// to be available soon.
 	RetryAfter time.Duration
 }
 
-// Pick chooses with the router and counts the attempt, with its load, until the share ends. If no
+// Pick chooses a backend server with the router, and adds the attempt's load to the load of
+// that backend server. The load is removed when the caller ends the returned share. If no
 // backend server can be chosen, the error is a *generation.Unavailable.
 func (c Chooser) Pick(router *routing.Router, candidates []routing.Candidate, req routing.PickRequest, load directory.Load) (b fleet.Backend, s generation.LoadShare, err error) {
 	for range maxTries {
@@ -58,7 +62,7 @@
 	return &generation.Unavailable{Retryable: none.Retryable, RetryAfter: c.RetryAfter, Err: err}
 }
 
-// WithID returns a copy of set with one more id.
+// WithID returns a copy of set with one more id; set itself is not changed.
 func WithID(set map[string]bool, id string) map[string]bool {
 	out := make(map[string]bool, len(set)+1)
 	for k, v := range set {
@@ -68,22 +72,24 @@
 	return out
 }
 
-// Watcher makes the failure detector watch attempts.
+// Watcher registers attempts and their results with the failure detector, and marks a backend
+// server as leaving in the directory if a refusal shows that it is.
 type Watcher struct {
 	*health.Monitor
 	Dir *directory.Directory
-	// LeavingCode is the code of the refusal with which a backend server reports that it accepts no more
-	// work.
+	// LeavingCode is the code of the refusal with which a backend server reports that it
+	// accepts no more work.
 	LeavingCode string
 }
 
-// Watch starts to watch one attempt.
+// Watch registers one attempt with the failure detector.
 func (w Watcher) Watch(id string, work health.Work, cancel context.CancelCauseFunc) generation.Watch {
 	return w.Monitor.Watch(id, work, cancel)
 }
 
-// Result reports how an attempt started. Only a connection error counts against a backend server: a
-// refusal shows that it is alive. One that refuses because it is leaving gets no more requests.
+// Result reports how an attempt started. Only a connection error counts against a backend
+// server: a refusal shows that the backend server is alive. A backend server that refuses
+// because it is leaving gets no more requests.
 func (w Watcher) Result(id string, err error) {
 	refused, ok := errors.AsType[*backend.Refused](err)
 	if !ok {
--- a/quarantine/evaluate.go
+++ b/quarantine/evaluate.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// isCulprit reports whether the crashes under s are caused by s.
+// isCulprit reports whether the recorded crashes are enough evidence that the request of s
+// makes backend servers crash.
 func (t *Tracker) isCulprit(s *suspect, now time.Duration) bool {
 	counted := t.countedCrashes(s, now)
 	if s.cleared {
@@ -17,9 +18,10 @@
 	return len(counted) >= conclusiveCrashes || t.unsharedCrashes(s, counted, now) >= minUnsharedCrashes && s.crashedRepeatedly(counted)
 }
 
-// crashedRepeatedly reports whether the same submission was running at two of the crashes, one
-// after the other. A request that many clients send at once is present at each crash, whatever
-// its cause, but each time with another submission.
+// crashedRepeatedly reports whether the same submission of s was running at two of the counted
+// crashes, one after the other. Crashes at which different submissions were running are weaker
+// evidence: a request that many clients send at once is running at each crash, whatever the
+// cause of the crash, but each time with another submission.
 func (s *suspect) crashedRepeatedly(counted []string) bool {
 	seen := map[uint64]bool{}
 	for _, c := range s.crashes {
@@ -34,9 +36,10 @@
 	return false
 }
 
-// extraCrashes returns how many more crashes are required while backend servers often exit for
-// other reasons: then some requests are present at three crashes by chance. None is present at
-// manyCrashes by chance.
+// extraCrashes returns how many more crashes than minCrashes are required before s is
+// quarantined. While backend servers often exit for other reasons, some requests are running
+// at three crashes by chance, so one more crash is required. No request is running at
+// manyCrashes crashes by chance, so from that number on the result is 0.
 func (t *Tracker) extraCrashes(s *suspect, now time.Duration) int {
 	if len(s.crashes) >= manyCrashes {
 		return 0
@@ -50,9 +53,10 @@
 	return min(n/backgroundExits, 1)
 }
 
-// countedCrashes returns the incarnations whose crashes count against s. Of crashes at the same
-// moment only one counts, unless the request was sent to the later one after the earlier crash:
-// a request that runs at many backend servers loses several of them to one cause.
+// countedCrashes returns the incarnations whose crashes count against s. Of crashes at the
+// same moment only the first counts, since one cause can end several of the many backend
+// servers at which a request runs. Exception: a later one of these crashes counts too if the
+// request was sent to its backend server only after the first crash.
 func (t *Tracker) countedCrashes(s *suspect, now time.Duration) []string {
 	var out []string
 	var last Crash
@@ -68,17 +72,20 @@
 	return out
 }
 
-// explained reports whether another request, which is quarantined, was running at the crash too.
+// explained reports whether a quarantined request other than s was running at the backend
+// server when it crashed. The crash is then attributed to the quarantined request and not to
+// s.
 func (t *Tracker) explained(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && t.suspects[d].holdUntil > now
 	})
 }
 
-// simultaneousExits counts the backend servers that exited at the same moment as c and at which
-// neither s nor a quarantined request is known to have been running. For a request with
-// manyCrashes the result is 0, so that such exits can't clear it: not all backend servers where
-// it was running may be known.
+// simultaneousExits counts the backend servers that exited at the same moment as c and at
+// which neither s nor a quarantined request is known to have been running. Many such exits
+// clear s of the crash c. Exception: for a request with manyCrashes the result is 0. The exits
+// must not clear such a request, since this router may not know all backend servers where the
+// request was running.
 func (t *Tracker) simultaneousExits(s *suspect, c Crash, now time.Duration) (n int) {
 	if len(s.crashes) >= manyCrashes {
 		return 0
@@ -91,8 +98,9 @@
 	return n
 }
 
-// shared reports whether another suspected request was running at the crash, so that it is
-// unknown which of the two caused it.
+// shared reports whether another suspected request, with minCrashes-1 counted crashes or more,
+// was running at the backend server when the backend server crashed, so that it is unknown which
+// of the two requests caused the crash.
 func (t *Tracker) shared(s *suspect, incarnation string, now time.Duration) bool {
 	return slices.ContainsFunc(t.suspectsByCrash[incarnation], func(d Digest) bool {
 		return d != s.digest && len(t.countedCrashes(t.suspects[d], now)) >= minCrashes-1
@@ -110,8 +118,10 @@
 	return n
 }
 
-// clearBystanders ends the hold of requests that turn out to have only run alongside s: s was
-// running at all their crashes but fewer than minUnsharedCrashes.
+// clearBystanders ends the hold of each quarantined request that turns out to be a bystander,
+// which only ran alongside s: fewer than minUnsharedCrashes of the crashes under the bystander
+// happened at backend servers where s was not running. The result holds the digests of the
+// bystanders.
 func (t *Tracker) clearBystanders(s *suspect, now time.Duration) (cleared []Digest) {
 	for _, c := range s.crashes {
 		for _, d := range slices.Clone(t.suspectsByCrash[c.Incarnation]) {
--- a/quarantine/fleet_test.go
+++ b/quarantine/fleet_test.go
@@ -21,19 +21,20 @@
 	queue        events
 	routers      []*Tracker
 	isolated     int           // router that receives no updates for modelIsolation
-	isolatedFrom time.Duration // when that starts
+	isolatedFrom time.Duration // when the isolation starts
 	servers      []*server
-	// allCrashes holds all crashes under a request, whatever their cause, as a simple count would.
+	// allCrashes holds all crashes under each request, whatever their cause: the evidence that
+	// a plain count of crashes would use.
 	allCrashes map[Digest]map[string]bool
 
 	crashes    map[string]int           // crashes under each request that crashes its servers
-	thirdCrash map[string]time.Duration // when the third of them happened
-	lateRuns   map[string]int           // runs started at servers more than modelWindow after that
+	thirdCrash map[string]time.Duration // when the third crash under each such request happened
+	lateRuns   map[string]int           // runs of each such request started at servers more than modelWindow after its third crash
 	wrongHolds map[string]bool          // other requests that were refused by a quarantine
 }
 
-// background is the mean time between crashes that no request causes, in addition to crashes
-// of whole failure domains.
+// background holds the mean times between crashes that no request causes, by the kind of crash,
+// in addition to crashes of whole failure domains.
 type background struct {
 	partial time.Duration // between crashes of 15 in 100 servers at one moment
 	single  time.Duration // between crashes of single servers
@@ -58,7 +59,7 @@
 	submission uint64
 	server     *server
 	sent       time.Duration
-	firstToken time.Duration // when its first token came, 0 before
+	firstToken time.Duration // when the first token of the run arrived, 0 before
 }
 
 const (
@@ -107,7 +108,8 @@
 	heap.Push(&m.queue, modelEvent{m.now + d, do})
 }
 
-// repeat calls do at random times, with the given mean time between calls.
+// repeat calls do at random times on the simulated clock, with the given mean time between
+// calls.
 func (m *fleetModel) repeat(mean time.Duration, do func()) {
 	m.after(time.Duration(m.rng.ExpFloat64()*float64(mean)), func() {
 		do()
@@ -127,7 +129,7 @@
 	m.repeat(8*time.Second, func() { m.crashDomain(m.rng.IntN(modelDomains)) })
 	m.repeat(m.other.partial, func() { m.crashSome(0.15) })
 	m.repeat(m.other.single, func() { m.crash(m.servers[m.rng.IntN(len(m.servers))], false) })
-	// The same request arrives at many routers at once.
+	// The same request is submitted to random routers several times at once.
 	m.after(20*time.Second, func() {
 		for range 10 {
 			m.request("bad-burst")
@@ -208,7 +210,9 @@
 	})
 }
 
-// pastEarlyWindow has the router record that a run did not crash its server.
+// pastEarlyWindow has the router record the request of a run as answered, if the run is still
+// running at the same incarnation of its server: the run has then lasted for earlyWindow or
+// longer without crashing the server.
 func (m *fleetModel) pastEarlyWindow(r *modelRun, s *server, incarnation int) {
 	if r.server != s || s.incarnation != incarnation {
 		return
@@ -265,7 +269,9 @@
 	m.after(5*time.Millisecond, func() { m.send(r) })
 }
 
-// examined has a router record the cause of a loss and broadcast it.
+// examined has a router record the crash that it found after a loss, and broadcast the crash.
+// Exception: if the loss did not come early in the run, the router records and broadcasts only
+// the exit of the server, which doesn't count against the request d.
 func (m *fleetModel) examined(router int, d Digest, c Crash, early bool) {
 	if !early {
 		if m.routers[router].Exited(c.Incarnation, c.At) {
@@ -291,8 +297,8 @@
 	return added
 }
 
-// confirm has a router decide, and pass the decision to the others by a message and through
-// the store.
+// confirm has a router decide about a request, and pass the decision to the other routers by a
+// message and through the store.
 func (m *fleetModel) confirm(tr *Tracker, d Digest) {
 	router := slices.Index(m.routers, tr)
 	quarantined, cleared := tr.Confirm(d, m.now, m.isIsolated(router))
@@ -306,7 +312,8 @@
 	}
 }
 
-// writeStore has all routers apply a change of the store, once they can reach it.
+// writeStore has each router apply a change of the store as soon as the router can reach the
+// store.
 func (m *fleetModel) writeStore(apply func(tr *Tracker)) {
 	for i, tr := range m.routers {
 		wait := 100*time.Millisecond + time.Duration(m.rng.Int64N(int64(time.Second)))
@@ -323,7 +330,8 @@
 	return router == m.isolated && m.now > m.isolatedFrom && m.now < m.isolatedFrom+modelIsolation
 }
 
-// wasConnected reports whether a router was not isolated during the window before.
+// wasConnected reports whether a router is not isolated now and was not isolated during the
+// last modelWindow either.
 func (m *fleetModel) wasConnected(router int) bool {
 	return router != m.isolated || m.now < m.isolatedFrom || m.now > m.isolatedFrom+modelIsolation+modelWindow
 }
@@ -344,7 +352,7 @@
 // tally sums up the results of several fleets.
 type tally struct {
 	fleets, lost  int // simulated fleets, requests that lost an attempt
-	wrong, plain  int // other requests that were refused, and those that a plain count of three would refuse
+	wrong, plain  int // harmless requests that were refused, and harmless requests that a plain count of three crashes would refuse
 	late, crashes int // the most arrivals that came too late, and the crashes under that request
 	findings      []string
 }
@@ -356,7 +364,7 @@
 	return sum
 }
 
-// simulate adds one fleet.
+// simulate simulates one fleet and adds its results to sum.
 func (sum *tally) simulate(seed uint64, routers int, other background) {
 	m := newFleetModel(seed, routers, other)
 	m.simulate()
@@ -381,8 +389,8 @@
 	}
 }
 
-// maxLateRuns is how often a request may still reach servers later than modelWindow after the
-// third crash under it, over all routers.
+// maxLateRuns is how often, over all routers, a request that crashes its servers may still be
+// sent to servers when more than modelWindow has passed since the third crash under the request.
 const maxLateRuns = 3
 
 func fleetCount(routers int) int {
@@ -392,8 +400,9 @@
 	return *fleets
 }
 
-// Guards against: a request that crashes its backend servers keeps being sent, over all
-// routers, or another request is quarantined for crashes with other causes.
+// A request that crashes its backend servers must not be sent again and again through one
+// router after the other, and no other request must be quarantined for crashes with other
+// causes. The test counts both faults in simulated fleets of several sizes.
 func TestCrashersAreHeldAndOthersAreNot(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
 		sum := simulateFleets(fleetCount(routers), routers, normalCrashRates)
@@ -407,8 +416,9 @@
 	}
 }
 
-// Guards against: where servers crash all the time for other reasons, a request that crashes
-// them keeps being sent because the evidence never suffices.
+// Where servers crash all the time for other reasons, a request that crashes its servers must
+// still be quarantined. The fault is that the evidence against the request never suffices, so
+// that the request keeps being sent.
 func TestCrashersAreHeldInAStormOfCrashes(t *testing.T) {
 	for _, routers := range []int{8, 76, 300} {
 		sum := simulateFleets(fleetCount(routers), routers, highCrashRates)
@@ -419,8 +429,9 @@
 	}
 }
 
-// Guards against: two requests that crash their servers share some of the crashes, and the one
-// that is taken for a bystander keeps being sent.
+// Two requests that crash their servers sometimes run at the same server when it crashes. Both
+// must be quarantined: the fault is that one of the two is taken for a bystander and keeps
+// being sent.
 func TestCrashersThatShareCrashesAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -435,7 +446,8 @@
 	}
 }
 
-// Guards against: a request that loses several servers in a row by chance is quarantined.
+// A request must not be quarantined because several of the servers that run it crash in a row
+// by chance.
 func TestUnluckyRequestsAreNotHeldBack(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
@@ -449,8 +461,9 @@
 	}
 }
 
-// Guards against: a request for which the decision takes one more crash, since many servers
-// exit for other reasons, keeps being sent meanwhile through several routers at once.
+// While many servers exit for other reasons, one more crash is required before a request is
+// quarantined. A request that crashes its servers must not keep being sent through several
+// routers at once until that crash happens.
 func TestCrashersThatAreRuledLateAreHeld(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -81,15 +81,18 @@
 
 func subject(name string) Subject { return Subject{Account: "acc", Body: []byte(name)} }
 
-// exitDuring has a backend server exit under a submission of a request.
+// exitDuring makes a backend server exit while it runs a submission of a request. It waits
+// until the loss has been examined, and then for one more second.
 func (w *fakeRouters) exitDuring(c *Submission, id string) {
 	w.set(id, Exited)
 	<-c.Lost(Loss{Backend: fleet.Backend{ID: id, FailureDomain: "d"}, Ran: time.Second})
 	time.Sleep(time.Second)
 }
 
-// Guards against: a request that arrives before the third crash is confirmed is sent, and a
-// router that saw no crash itself quarantines nothing.
+// A request that arrives after the third crash, but before the decision about it, must not be
+// sent, and a router that saw no crash itself must refuse the request too. The fault is that
+// the router that saw the crashes sends the request before it has decided, or that only this
+// router refuses.
 func TestAllRoutersHoldARequestBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(3, 20*time.Millisecond)
@@ -120,7 +123,9 @@
 	})
 }
 
-// Guards against: connections that break for other reasons count against a request.
+// An attempt that was lost for a reason other than a crash under its request must not count
+// against the request: otherwise a harmless request is quarantined. Each case is one such
+// reason.
 func TestOtherLossesAreNoCrashes(t *testing.T) {
 	for name, loss := range map[string]func(w *fakeRouters, id string) Loss{
 		"its server goes on working": func(*fakeRouters, string) Loss { return Loss{} },
@@ -165,8 +170,9 @@
 	}
 }
 
-// Guards against: an operator's lift reaches only one router, or the request can never be
-// sent again after it.
+// When an operator ends the hold of a request at one router, all routers must send the request
+// again. The fault is that only this router ends the hold, or that the request can never be
+// sent again. One more crash under the request must quarantine it anew.
 func TestLiftReachesAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(2, 20*time.Millisecond)
@@ -194,7 +200,8 @@
 	})
 }
 
-// Guards against: a burst of crashes saturates the connections between routers.
+// A burst of crashes must not saturate the connections between routers: updates are batched,
+// and the rate of messages and the number of waiting updates are bounded.
 func TestNewsAreFewAndBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var messages, items atomic.Int64
@@ -219,8 +226,10 @@
 	})
 }
 
-// Guards against: a request that crashes its servers keeps being sent because most of a small
-// failure domain is down, through crashes under the same request.
+// When a request has crashed most servers of a small failure domain, the next crash under the
+// request must still count against the request. The fault is that the router takes the servers
+// that crashed earlier as a sign that the whole domain crashed, so that the request keeps
+// being sent.
 func TestSmallDomainIsNotTakenForLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newFakeRouters(1, 0)
@@ -238,8 +247,9 @@
 	})
 }
 
-// Guards against: a router that starts reads a hold before it reads the shared key, and drops
-// it together with what it found with its first key.
+// A router that starts may read a hold from the store before it reads the shared key. The
+// router must keep the hold when it sets the shared key, and not drop it together with the
+// suspects that it found with its first, random key.
 func TestHoldsOutliveTheFirstKey(t *testing.T) {
 	g := NewGuard(Config{Leaving: func(string) bool { return false }})
 	d := digestOf("bad")
--- a/quarantine/recent.go
+++ b/quarantine/recent.go
@@ -2,11 +2,14 @@
 
 import "time"
 
-// maxAnswers is the least number of requests whose latest answers are remembered.
+// maxAnswers is the least number of requests whose latest answers are remembered: the time of
+// the latest answer is kept for at least the maxAnswers requests that were answered last.
 const maxAnswers = 1024
 
-// answerTimes remembers when requests were answered last, in two generations of at most limit
-// entries each, so that its memory is bounded at any rate of answers.
+// answerTimes remembers when requests were last answered. It has two generations, current and
+// previous, of at most limit entries each, so that its memory is bounded at any rate of
+// answers. When current is full, the entries of previous are forgotten, current becomes
+// previous, and a new current starts empty.
 type answerTimes struct {
 	limit             int
 	current, previous map[Digest]time.Duration
@@ -42,7 +45,7 @@
 	next  int // index in order of the entry to be replaced next
 }
 
-// add records an exit and reports whether it was not known.
+// add records the exit of an incarnation and reports whether the exit was new.
 func (e *exitTimes) add(incarnation string, at time.Duration) bool {
 	if _, known := e.at[incarnation]; known {
 		return false
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -7,28 +7,31 @@
 )
 
 const (
-	// minCrashes is how many backend servers must have crashed under a request before it is
-	// quarantined.
+	// minCrashes is how many backend servers must have crashed while they ran a request before
+	// the request is quarantined.
 	minCrashes = 3
-	// minUnsharedCrashes is how many of these crashes must be ones at which no other suspected
-	// request was running. With conclusiveCrashes or more that isn't required.
+	// minUnsharedCrashes is the least number of these crashes at which no other suspected
+	// request was running. With conclusiveCrashes crashes or more this isn't required.
 	minUnsharedCrashes = 2
 	conclusiveCrashes  = 5
-	// earlyWindow is how long after its first token or chunk a run may still be what made its
-	// backend server crash. Runs that last longer are taken to be bystanders.
+	// earlyWindow bounds how long a run counts as a possible cause of a crash of its backend
+	// server: from the start of the run until earlyWindow after its first token or chunk. Runs
+	// that have lasted longer are assumed not to have caused the crash (bystanders).
 	earlyWindow = time.Second
-	// backgroundExits other backend servers that exited within backgroundWindow raise the
-	// required number of crashes by one.
+	// If backgroundExits other backend servers exited within backgroundWindow, the required
+	// number of crashes is one higher, since some requests are then running at three crashes
+	// by chance.
 	backgroundExits  = 5
 	backgroundWindow = 10 * time.Second
-	// crashTTL is how long a crash counts.
+	// crashTTL is how long a crash counts against the request that was running.
 	crashTTL = 10 * time.Minute
-	// answerGrace is how long after an answer crashes don't count: a request that many clients
-	// send is answered again and again while backend servers crash for other reasons.
+	// Crashes under a request don't count if they happen less than answerGrace after an answer
+	// to the request. A request that many clients send is answered again and again while
+	// backend servers crash for other reasons.
 	answerGrace = 10 * time.Second
-	// decisionDelay is how long after a crash reports that explain it may still arrive: exits of
-	// other backend servers at the same moment, or answers at other routers. A request that is
-	// about to be quarantined waits that long.
+	// decisionDelay is how long a request that is about to be quarantined waits for the
+	// decision. Reports that explain the latest crash may arrive in that time: exits of other
+	// backend servers at the same moment, or answers at other routers.
 	decisionDelay = 250 * time.Millisecond
 	// simultaneousWindow is the largest difference between the times at which crashes with a
 	// common cause are noticed. massExits other exits within it make a common cause likely.
@@ -41,7 +44,7 @@
 	maxSuspects           = 2048
 	maxSuspectsPerAccount = 256
 	maxCrashesPerSuspect  = 32
-	// manyCrashes is more crashes than any request is present at by chance.
+	// manyCrashes is a number of crashes at which no request is running by chance.
 	manyCrashes = 16
 	// maxExits bounds the number of incarnations whose exits are remembered.
 	maxExits = 1024
@@ -59,7 +62,7 @@
 type Tracker struct {
 	suspects        map[Digest]*suspect
 	countByAccount  map[string]int
-	suspectsByCrash map[string][]Digest // by incarnation, the requests that its crash counts against
+	suspectsByCrash map[string][]Digest // requests that a crash counts against, by the incarnation that crashed
 	exits           exitTimes
 	answers         *answerTimes
 }
@@ -70,11 +73,11 @@
 		exits: exitTimes{at: map[string]time.Duration{}}}
 }
 
-// Empty reports whether no request is suspected.
+// Empty reports whether the tracker has no entry: no request is suspected or quarantined.
 func (t *Tracker) Empty() bool { return len(t.suspects) == 0 }
 
-// Exited records that a backend server exited on its own, not with its failure domain, whatever
-// was running there. added is false if that was known.
+// Exited records that a backend server exited on its own, not with its failure domain,
+// whatever was running there. added is false if the exit was known already.
 func (t *Tracker) Exited(incarnation string, at time.Duration) (added bool) {
 	return t.exits.add(incarnation, at)
 }
@@ -101,9 +104,9 @@
 }
 
 // Confirm quarantines a pending request if the reports received since still attribute the
-// crashes to it. An isolated router knows few of the other exits, so it requires
-// conclusiveCrashes. cleared lists requests that were quarantined until now, and that the
-// crashes of this one show to have only run alongside it.
+// crashes to the request. An isolated router knows few of the other exits, so it requires
+// conclusiveCrashes. cleared lists the requests whose hold Confirm ended, because they turned
+// out to have only run alongside the request d at the crashes.
 func (t *Tracker) Confirm(d Digest, now time.Duration, isolated bool) (quarantined bool, cleared []Digest) {
 	s := t.suspects[d]
 	if s == nil || !s.pending {
@@ -135,8 +138,9 @@
 }
 
 // Answered records that the request was answered. Crashes from before the answer, or up to
-// answerGrace after it, are dropped; later ones stay. suspected reports whether anything was
-// dropped, and lifted whether the request was quarantined until now.
+// answerGrace after the answer, are dropped; later crashes stay. If no crash stays and the
+// answer isn't older than the start of the hold, the hold ends too. suspected reports whether
+// anything was dropped, and lifted reports whether a hold ended.
 func (t *Tracker) Answered(d Digest, at, now time.Duration) (suspected, lifted bool) {
 	t.answers.add(d, at)
 	s := t.suspects[d]
@@ -158,14 +162,16 @@
 	return true, lifted
 }
 
-// ClearedByAnswer reports whether an answer of the request rules out that it caused a crash at the
-// given time, and when the answer was given.
+// ClearedByAnswer reports whether the latest known answer to the request rules out that the
+// request caused a crash at the given time. It does if the crash happened before the answer or
+// less than answerGrace after the answer. answered is the time of the answer.
 func (t *Tracker) ClearedByAnswer(d Digest, crash time.Duration) (answered time.Duration, clears bool) {
 	answered, ok := t.answers.at(d)
 	return answered, ok && crash < answered+answerGrace
 }
 
-// Hold quarantines a request that another router has quarantined, until the time to.
+// Hold quarantines a request that another router has quarantined, until the time to, but for
+// HoldTime at most. added is false if the request was quarantined already or to has passed.
 func (t *Tracker) Hold(d Digest, account string, to, now time.Duration) (added bool) {
 	if to <= now {
 		return false
@@ -179,8 +185,8 @@
 	return added
 }
 
-// Lift ends the hold of a request. Its crashes are kept, so that fewer more are needed to
-// quarantine it again.
+// Lift ends the hold of a request. The crashes recorded for the request are kept, so that fewer
+// further crashes are needed to quarantine the request again.
 func (t *Tracker) Lift(d Digest, now time.Duration) (wasQuarantined bool) {
 	s := t.suspects[d]
 	if s == nil {
@@ -193,7 +199,8 @@
 	return wasQuarantined
 }
 
-// ForgetCrashes drops all requests that are suspected because of crashes.
+// ForgetCrashes drops the entries of all requests for which crashes are recorded, including
+// their holds. Entries without crashes stay: they are holds that this router received.
 func (t *Tracker) ForgetCrashes() {
 	for _, s := range t.suspects {
 		if len(s.crashes) > 0 {
@@ -208,7 +215,7 @@
 	return s != nil && s.holdUntil > now
 }
 
-// Suspected reports whether one more crash may be enough to quarantine the request.
+// Suspected reports whether one more crash under the request may be enough to quarantine it.
 func (t *Tracker) Suspected(d Digest, now time.Duration) bool {
 	s := t.suspects[d]
 	return s != nil && len(t.countedCrashes(s, now)) >= minCrashes-1
@@ -256,7 +263,8 @@
 	return Report{Digest: d.String()}
 }
 
-// List returns what is recorded of all suspected requests, for operators.
+// List returns what is recorded of all suspected requests, for operators: first the requests
+// that stay quarantined longest.
 func (t *Tracker) List(now time.Duration) []Report {
 	out := make([]Report, 0, len(t.suspects))
 	for _, s := range t.suspects {
@@ -277,7 +285,8 @@
 	}
 }
 
-// suspect returns the entry of a request, a new one if there is none.
+// suspect returns the entry of a request, and adds an entry if the request has none. If the
+// table or the share of the client account is full, the new entry replaces the weakest.
 func (t *Tracker) suspect(d Digest, account string, now time.Duration) *suspect {
 	if s := t.suspects[d]; s != nil {
 		return s
@@ -303,7 +312,8 @@
 	}
 }
 
-// unindex removes s from the requests that a crash counts against.
+// unindex removes s from the list of requests that are suspected of the crash of an
+// incarnation.
 func (t *Tracker) unindex(s *suspect, incarnation string) {
 	remaining := slices.DeleteFunc(t.suspectsByCrash[incarnation], func(d Digest) bool { return d == s.digest })
 	if len(remaining) == 0 {
--- a/quarantine/update.go
+++ b/quarantine/update.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FloodUpdate is the kind of the messages in which routers broadcast updates.
+// FloodUpdate is the kind of the flooded messages in which routers broadcast an Update.
 const FloodUpdate = "quarantine.news"
 
 // Update is what routers broadcast about suspected requests. Each part can be applied more than
@@ -15,7 +15,8 @@
 	Exits   []ExitUpdate   `cbor:"5,keyasint,omitempty"`
 }
 
-// CrashUpdate reports that a backend server exited on its own under a request.
+// CrashUpdate reports that a backend server exited on its own while it ran a request, AgeMS
+// milliseconds before the update was made.
 type CrashUpdate struct {
 	Digest      Digest `cbor:"1,keyasint"`
 	Account     string `cbor:"2,keyasint"`
@@ -25,20 +26,22 @@
 	RanMS       int64  `cbor:"6,keyasint"` // since the request was sent there
 }
 
-// ExitUpdate reports that a backend server exited on its own.
+// ExitUpdate reports that a backend server exited on its own, AgeMS milliseconds before the
+// update was made. The exit counts against no request.
 type ExitUpdate struct {
 	Incarnation string `cbor:"1,keyasint"`
 	AgeMS       int64  `cbor:"2,keyasint"`
 }
 
-// HoldUpdate reports that a request is quarantined.
+// HoldUpdate reports that a request is quarantined, for RemainingMS more milliseconds.
 type HoldUpdate struct {
 	Digest      Digest `cbor:"1,keyasint"`
 	Account     string `cbor:"2,keyasint"`
 	RemainingMS int64  `cbor:"3,keyasint"`
 }
 
-// AnswerUpdate reports that a suspected request was answered.
+// AnswerUpdate reports that a suspected request was answered, AgeMS milliseconds before the
+// update was made, so that earlier crashes no longer count against the request.
 type AnswerUpdate struct {
 	Digest Digest `cbor:"1,keyasint"`
 	AgeMS  int64  `cbor:"2,keyasint"`
@@ -57,30 +60,33 @@
 }
 
 const (
-	// sendDelay lets updates that arise together go out in one message.
+	// sendDelay is how long an update waits, so that updates that arise together go out in one
+	// message.
 	sendDelay = 2 * time.Millisecond
-	// sendBurst messages of one router go out at once, and after that one each sendInterval: a
-	// replica set that crashes under many requests must not saturate the connections of all
-	// routers.
+	// A router sends sendBurst messages without delay, and after that one message per
+	// sendInterval: a replica set that crashes under many requests must not saturate the
+	// connections of all routers.
 	sendBurst    = 8
 	sendInterval = 100 * time.Millisecond
-	// maxPending bounds the updates that wait for their message. Updates beyond it are
-	// dropped: a router that misses one receives the report of the next crash.
+	// maxPending is the largest number of updates that may wait for the next message. Further
+	// updates are dropped. This does little harm: a router that misses the report of one crash
+	// under a request still receives the reports of later crashes under the same request.
 	maxPending = 256
 )
 
-// outbox batches updates, so that many that arise at once cost few messages. The caller holds
-// a lock around put and take.
+// outbox collects updates until the next message goes out, so that many updates that arise at
+// once cost few messages. The caller holds a lock around put and take.
 type outbox struct {
 	pending Update
 	armed   bool
 	// nextFree is when the next message may go out if the burst is used up: each message moves
-	// it later by sendInterval.
+	// this time later by sendInterval.
 	nextFree time.Duration
 }
 
-// put adds an update. If arm is true the caller must call take after wait. kept is false if the
-// update was dropped.
+// put adds an update. If arm is true, the caller must call take after the duration wait, and
+// send what take returns. kept is false if the update was dropped because too many updates
+// wait.
 func (o *outbox) put(n Update, now time.Duration) (wait time.Duration, arm, kept bool) {
 	if o.pending.size()+n.size() > maxPending {
 		return 0, false, false
--- a/replacement/replacement_test.go
+++ b/replacement/replacement_test.go
@@ -11,7 +11,8 @@
 	"wigeondale/fleet"
 )
 
-// fakeProber is a fake prober that holds which replica answers at each address.
+// fakeProber is a Prober with a table of the replicas that answer at each address. An address
+// without an entry doesn't answer; an address whose entry has no name refuses connections.
 type fakeProber struct {
 	mu       sync.Mutex
 	replicas map[string]Replica
@@ -35,10 +36,10 @@
 	return f, nil
 }
 
-// Guards against: after a crash of a failure domain while the registry is unavailable a third of
-// the engines gets no work, since none of the restarted replicas is known. They are back at their
-// addresses with new ids; some are still down, one kept running, one is leaving, and one address
-// belongs to another service now.
+// A failure domain crashes while the registry is unavailable. Its replicas are back at their
+// addresses with new ids; some are still down, one kept running, one is leaving, and one
+// address belongs to another service now. If the restarted replicas were not found, a third of
+// the engines would get no work.
 func TestSuccessorsAreFoundAtTheirAddresses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{
@@ -61,8 +62,8 @@
 	})
 }
 
-// Guards against: nodes probe dead machines all the time while the registry is unavailable,
-// because each search probes an address again that didn't answer.
+// While the registry is unavailable, routers must not probe dead machines all the time. They do
+// if each call of Find probes an address again that has just been probed.
 func TestAddressIsLeftAloneForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{replicas: map[string]Replica{"h:1": {}}}
--- a/rollout/evaluator.go
+++ b/rollout/evaluator.go
@@ -6,45 +6,50 @@
 )
 
 const (
-	// slowBuckets is how many latency buckets above the median of the old version an answer counts
-	// as slow.
+	// slowBuckets is how many latency buckets an answer must lie above the median latency of the
+	// old version to count as slow.
 	slowBuckets = 4
-	// minBaseline is the number of timed answers of the old version from which its median is used.
+	// minBaseline is how many answers of the old version with a known latency are needed before
+	// their median is used. With fewer answers no answer counts as slow.
 	minBaseline = 8
-	// priorBad bad answers out of priorAnswers are added to the counts of the old version, as the
-	// assumed share before there are enough answers.
+	// The old version is assumed to have given priorAnswers more answers than were counted,
+	// priorBad of them bad. This prior stands for the old version's share of bad answers until
+	// enough answers are counted.
 	priorBad     = 1.0
 	priorAnswers = 25.0
-	// A version is bad if its share of bad answers exceeds that of the old version by badShare.
-	// toleranceFactor and toleranceAdd allow for the difference between two healthy versions.
+	// A version is bad if its share of bad answers exceeds the old version's share of bad
+	// answers by badShare. toleranceFactor and toleranceAdd allow for the difference between
+	// two healthy versions.
 	badShare        = 0.22
 	toleranceFactor = 1.25
 	toleranceAdd    = 0.03
 	maxBadShare     = 0.97
-	// badEvidence is the evidence from which a version is bad: the log likelihood ratio of a bad
-	// version against a healthy one, as a cumulative sum that never falls below zero (CUSUM), so
-	// that a version that turns bad after a while is found just as fast.
+	// badEvidence is the amount of evidence from which a version counts as bad. Evidence is the
+	// log likelihood ratio of a bad version against a healthy version, as a cumulative sum that
+	// never falls below zero (CUSUM), so that a version that turns bad after a while is found
+	// as fast as a version that is bad from the start.
 	badEvidence = 11.0
 	// maxDomainShare is the part of badEvidence that one failure domain can contribute.
 	maxDomainShare = 0.5
-	// maxOtherEvidence is the evidence, without that of the failure domain that contributes most,
-	// from which a trial does not pass.
+	// A trial does not pass if its evidence against the new version is maxOtherEvidence or more.
+	// Where there are several failure domains, the evidence of the one that contributes most is
+	// left out, so that one failing domain can't block the trial.
 	maxOtherEvidence = 1.0
-	// minAnswers of the new version are needed to pass a trial, unless fewer than fewRequests
-	// arrived during the trial.
+	// minAnswers is how many answers of the new version are needed to pass a trial, unless
+	// fewer than fewRequests requests arrived during the trial.
 	minAnswers  = 10
 	fewRequests = 20
 )
 
-// evidenceKey identifies one cumulative sum of evidence: one route and aspect, or all of them
-// together.
+// evidenceKey identifies one cumulative sum of evidence: the sum for one route and aspect, or
+// the sum for all routes and aspects together.
 type evidenceKey struct {
 	route  string
 	aspect Aspect
 	all    bool
 }
 
-// Verdict is an evaluation of the evidence about the new version.
+// Verdict is the result of evaluating the evidence that the new version is bad.
 type Verdict struct {
 	Bad           bool
 	Route         string // route with the strongest evidence; empty for all routes together
@@ -52,7 +57,7 @@
 	Evidence      float64
 	OtherEvidence float64 `json:"Doubt"` // evidence without that of the failure domain that contributes most
 	Answers       int     // answers of the new version
-	BadAnswers    int     `json:"BadOnes"` // bad ones among those
+	BadAnswers    int     `json:"BadOnes"` // bad answers of the new version
 }
 
 func (v Verdict) String() string {
@@ -63,14 +68,15 @@
 	return fmt.Sprintf("evidence %.1f on %s, %d of %d answers bad", v.Evidence, on, v.BadAnswers, v.Answers)
 }
 
-// baseline describes the answers of the old version, by one route and aspect.
+// baseline describes the answers of the old version on one route, measured by one aspect.
 type baseline struct {
 	known    bool  // whether there are enough answers to know the median time
 	slowFrom Grade // bucket from which an answer counts as slow
 	badRate  float64
 }
 
-// bad reports whether an answer counts against its version.
+// bad reports whether an answer counts against its version: it failed, or it is slow compared
+// with the baseline.
 func (b baseline) bad(g Grade) bool { return g == Failed || (b.known && g >= b.slowFrom) }
 
 // baselineOf computes the baseline of one route and aspect from the answers of the old version.
@@ -118,7 +124,7 @@
 	badAnswers int
 }
 
-// evidenceGains holds the evidence of a batch of answers, by key and failure domain.
+// evidenceGains holds the evidence that a batch of answers adds, by key and failure domain.
 type evidenceGains map[evidenceKey]map[string]float64
 
 func (g evidenceGains) add(key evidenceKey, domain string, added float64) {
@@ -128,8 +134,8 @@
 	g[key][domain] += added
 }
 
-// add evaluates answers of the new version that became known together, against the given answers of
-// the old version.
+// add compares answers of the new version that became known together with the given answers of
+// the old version, and adds the resulting evidence to the sums.
 func (e *evaluator) add(answers map[CountKey]uint32, old map[CountKey]uint32) {
 	baselines := map[evidenceKey]baseline{}
 	g := evidenceGains{}
@@ -168,9 +174,10 @@
 	}
 }
 
-// verdict evaluates the accumulated evidence. domains is the number of failure domains in which the
-// new version has replicas. Where there are several, the evidence of one domain is not sufficient:
-// a domain that crashes, or one replica that fails, is not a fault of the version.
+// verdict evaluates the accumulated evidence. domains is the number of failure domains in
+// which the new version has replicas, or 0 if the number is not known yet. Unless the number
+// is 1, the evidence of one domain is not sufficient: a domain that crashes, or one replica that
+// fails, is not a fault of the version.
 func (e *evaluator) verdict(domains int) Verdict {
 	v := Verdict{Answers: e.answers, BadAnswers: e.badAnswers}
 	domainMax := badEvidence
@@ -196,9 +203,9 @@
 	return v
 }
 
-// weight returns the evidence of one answer: the logarithm of how much more likely it comes from a
-// bad version than from a healthy one, given that the share badRate of the old version's answers is
-// bad.
+// weight returns the evidence of one answer: the logarithm of a ratio. The ratio states how
+// much more likely such an answer is from a bad version than from a healthy version. badRate
+// is the share of bad answers among the old version's answers.
 func weight(badRate float64, bad bool) float64 {
 	healthy := min(badRate*toleranceFactor+toleranceAdd, maxBadShare-toleranceAdd)
 	worse := min(healthy+badShare, maxBadShare)
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Aspect is the property of an answer that the versions are compared by.
+// Aspect is the kind of time that was measured of an answer, and by which the old and the new
+// version are compared.
 type Aspect uint8
 
-// The aspects. Each has its own baseline.
+// The aspects. Each aspect has its own baseline on each route.
 const (
 	// TotalTime is the time to an answer that is not streamed.
 	TotalTime Aspect = iota
@@ -22,9 +23,9 @@
 type Grade uint8
 
 const (
-	// Failed marks an answer that reports a failure, that does not belong to the request, or that
-	// was cut off by a replica which goes on working. An answer that was cut off by a crash is not
-	// rated.
+	// Failed marks three kinds of answers: an answer that reports a failure, an answer that
+	// does not belong to the request, and an answer that breaks off although its replica goes
+	// on working. An answer that breaks off because its replica crashed is not rated.
 	Failed Grade = 255
 
 	// gradeRatio is the ratio between the bounds of adjacent latency buckets; gradeUnit is the
@@ -42,7 +43,8 @@
 	return Grade(min(math.Log(float64(d)/float64(gradeUnit))/math.Log(gradeRatio), lastGrade))
 }
 
-// CountKey identifies a kind of answers that are counted together.
+// CountKey identifies the answers that are counted together: all answers on one route,
+// measured by one aspect, from one failure domain, and with the same grade.
 type CountKey struct {
 	Route  string `cbor:"1,keyasint"`
 	Aspect Aspect `cbor:"2,keyasint,omitempty"`
@@ -50,33 +52,36 @@
 	Grade  Grade  `cbor:"4,keyasint,omitempty"`
 }
 
-// Count is the number of answers of one kind.
+// Count is the number N of answers with the same CountKey.
 type Count struct {
 	CountKey
 	N uint32 `cbor:"5,keyasint"`
 }
 
-// Report holds the answers that one router has seen. Routers broadcast it; each report contains the
-// totals so far and replaces the one before, so a lost report does no harm.
+// Report holds the answers that one router has seen. Routers broadcast their reports. Each
+// report contains the totals so far and replaces the router's previous report, so a lost
+// report does no harm.
 type Report struct {
 	Service     string  `cbor:"1,keyasint"`
 	Order       int64   `cbor:"2,keyasint"` // revision of the order
-	Incarnation uint64  `cbor:"8,keyasint"` // identifies the run of the router process; its counts start at zero with each run
+	Incarnation uint64  `cbor:"8,keyasint"` // identifies the run of the router process; the router's counts start at zero with each run
 	Sequence    uint64  `cbor:"3,keyasint"` // increases with each report of one run
 	ElapsedMS   int64   `cbor:"4,keyasint"` // time since the order, as the router estimates it
 	New         []Count `cbor:"5,keyasint,omitempty"`
-	// Old counts the answers of the old version within the last oldSpan, which are the baseline for
-	// the new version.
+	// Old counts the answers of the old version within the last baselineWindow. They are the
+	// baseline for the new version.
 	Old []Count `cbor:"6,keyasint,omitempty"`
-	// Bad reports that the router considers the new version bad.
+	// Bad reports that the router considers the new version bad. A router that receives such a
+	// report stops sending requests to the new version, too.
 	Bad bool `cbor:"7,keyasint,omitempty"`
 }
 
-// baselineWindow is how long answers of the old version count. Load and failures change within
-// seconds, and both versions must be compared under the same conditions.
+// baselineWindow is how long an answer of the old version counts in the baseline. Load and
+// failures change within seconds, and both versions must be compared under the same conditions.
 const baselineWindow = 4 * time.Second
 
-// window counts answers within the last baselineWindow, in a ring of time slots.
+// window counts the answers of the last baselineWindow by their CountKey, in a ring of time
+// slots.
 type window struct {
 	slots  [windowSlots]map[CountKey]uint32
 	latest int64 // number of the latest slot that was started
--- a/rollout/pool.go
+++ b/rollout/pool.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// badReportDelay is how soon a bad answer is reported to the other routers, goodReportDelay how
-	// soon any other answer is.
+	// After each report a router waits before it reports further answers of the new version to
+	// the other routers. badReportDelay is the least wait if one of these answers is bad, and
+	// goodReportDelay is the least wait if none is.
 	badReportDelay  = 200 * time.Millisecond
 	goodReportDelay = time.Second
-	// oldReportInterval is how often some routers report the answers of the old version, and
-	// oldReporters the expected number of those routers. The baseline must be known before the
-	// first answers of the new version.
+	// Some routers report the answers of the old version every oldReportInterval, even if they
+	// have seen no answer of the new version: the baseline must be known before the first
+	// answers of the new version. oldReporters is the expected number of these routers.
 	oldReportInterval = time.Second
 	oldReporters      = 8
-	// verdictInterval is how often the report that the new version is bad is repeated, since a
-	// message may be lost.
+	// verdictInterval is how often a router repeats its report that the new version is bad, since
+	// a message may be lost.
 	verdictInterval = 500 * time.Millisecond
 )
 
-// evidence holds the known answers of both versions: those seen by this router, and those reported
-// by other routers.
+// evidence holds the known answers of both versions: the answers that this router has seen,
+// and the answers that other routers reported.
 type evidence struct {
 	evaluator   evaluator
 	local       map[CountKey]uint32 // answers of the new version seen by this router
@@ -29,9 +30,10 @@
 	peerReports map[string]peerReport
 	// peerOld counts the recent answers of the old version that other routers reported.
 	peerOld map[CountKey]uint32
-	// frozenOld is the baseline while all work moves to the new version, when the old version gives
-	// no answers any more. Without it the baseline expires within seconds, and a route on which
-	// either version fails now and then makes a healthy version appear bad while work moves.
+	// frozenOld is the baseline while all work moves to the new version, and nil before. The
+	// old version gives no answers any more then. Without frozenOld the baseline would expire
+	// within seconds, and a route on which either version fails now and then would make a
+	// healthy version appear bad while work moves.
 	frozenOld map[CountKey]uint32
 	sendsOld  bool // this router reports answers of the old version even without new answers of the new one
 
@@ -50,8 +52,9 @@
 	old         []Count
 }
 
-// Observe counts an answer that this router saw. Only the first attempt of a request counts: an
-// attempt that follows a failure is sent where the first one was not.
+// Observe counts an answer that this router saw. The caller passes only answers of the first
+// attempt of a request: an attempt that follows a failure is sent to another replica than the
+// first attempt.
 func (r *Rollout) Observe(c CountKey, ofNew bool, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,7 +78,8 @@
 	r.evaluate()
 }
 
-// Overdue reports whether an answer that has not come after the given time counts as bad already.
+// Overdue reports whether a request that has waited this long for its answer is already so slow,
+// compared with the old version, that the answer will count as bad.
 func (r *Rollout) Overdue(route string, aspect Aspect, waited, now time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +87,9 @@
 	return b.known && GradeOf(waited) >= b.slowFrom
 }
 
-// HandleReport applies a report from another router.
+// HandleReport adds the answers that another router reports to the evidence. If that router
+// considers the new version bad, this router does so too. Reports about another order are
+// ignored.
 func (r *Rollout) HandleReport(from string, rep Report, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,8 +160,8 @@
 	}
 }
 
-// recentOld returns the recent answers of the old version, seen by this router or reported by
-// others.
+// recentOld returns the recent answers of the old version that this router has seen or other
+// routers have reported, or frozenOld unless it is nil.
 func (e *evidence) recentOld(now time.Duration) map[CountKey]uint32 {
 	if e.frozenOld != nil {
 		return e.frozenOld
@@ -168,7 +174,7 @@
 	return sum
 }
 
-// nextReport returns the report that is due now, or nil.
+// nextReport returns the report that is due now, or nil if none is due.
 func (e *evidence) nextReport(r *Rollout, now time.Duration) *Report {
 	since := now - e.lastSent
 	e.expire(now)
--- a/rollout/progress.go
+++ b/rollout/progress.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// NextRecord returns the change of the record that is due now, if any. Which event of the state chart has
-// occurred is decided by this router's knowledge; whether the change is made depends on the
-// condition that the record is still at the given revision.
+// NextRecord returns the next state of the record if a change of the record is due now. Which
+// event of the state chart has occurred is decided by what this router knows. The caller must
+// write the change on condition that the record is still at the returned revision, since
+// another router may have changed the record first.
 func (r *Rollout) NextRecord(now time.Duration, ready ReplicaCounts) (next Record, revision int64, due bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +33,9 @@
 
 func (r *Rollout) event(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	if r.order == nil {
-		// The order may become known later than the record that it caused.
+		// Without an order, an open roll-out fails: at once if the order was withdrawn, and
+		// otherwise only after settleTime, since this router may receive the record before the
+		// order that caused the record.
 		if r.record.Stage.Open() && (r.withdrawn || now-r.stagedAt >= settleTime) {
 			return eventFailed, "the order was withdrawn"
 		}
@@ -55,7 +58,8 @@
 	return r.endTrial(now, ready)
 }
 
-// endTrial decides the result of a trial whose time has passed.
+// endTrial decides the result of a trial whose time is over: eventPassed or eventFailed. It
+// returns an empty event before that time, and while the trial can still succeed later.
 func (r *Rollout) endTrial(now time.Duration, ready ReplicaCounts) (event, reason string) {
 	elapsed := now - r.orderedAt
 	if elapsed < r.order.trialEnd() {
@@ -71,10 +75,12 @@
 	return "", ""
 }
 
-// enoughReady is the ratio of new to old replicas from which all work can move to the new ones.
+// enoughReady is the least ratio of new to old replicas with which all work can move to the new
+// replicas.
 const enoughReady = 0.7
 
-// trialBlocker returns why a trial can't pass, "" if it can.
+// trialBlocker returns the reason why the trial can't succeed now, or "" if the trial can
+// succeed now.
 func (r *Rollout) trialBlocker(ready ReplicaCounts, now time.Duration) string {
 	answers := r.verdict.Answers
 	switch {
@@ -94,12 +100,15 @@
 
 // lowTraffic reports whether the service has so few requests that a trial may get no answers.
 //
-// It counts requests at this router, not the answers reported by others: a router that has just
-// started, or whose links are slow, knows of few answers and would pass a trial that other routers
-// know to fail. The bad version would then get all requests for a second.
+// The estimate is the number of requests at this router during the trial times the number of
+// routers, and doesn't use the answers reported by other routers: a router that has just
+// started, or whose links are slow, knows of few answers and would pass a trial that other
+// routers know to fail. The bad version would then get all requests for a second.
 func (r *Rollout) lowTraffic() bool { return r.requests*r.cfg.Routers() < fewRequests }
 
-// TrialBlocker returns why a trial whose time has passed does not pass, "" if it passes or is not over.
+// TrialBlocker returns the reason why the trial can't succeed now, although the time of the
+// trial is over. It returns "" if the trial can succeed now, if the time of the trial is not
+// over, or if no trial is in progress.
 func (r *Rollout) TrialBlocker(now time.Duration, ready ReplicaCounts) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -30,14 +30,14 @@
 	mu    sync.Mutex
 	epoch uint64
 	order *Order
-	// withdrawn is set when the order in force was removed and not replaced.
+	// withdrawn is true after the order in force was removed, until another order is set.
 	withdrawn bool
 	orderedAt time.Duration // estimated time at which the order was given
 	record    Record
 	revision  int64 // store revision of record, 0 if there is no record yet
 	stagedAt  time.Duration
 	stale     bool
-	bad       bool // the new version was found bad, by this router or in a report from another one
+	bad       bool // the new version was found bad, by this router or by another router that reported it
 	verdict   Verdict
 	domains   int
 	quota     *quota                // nil before the first request of the trial
@@ -57,7 +57,8 @@
 	return &Rollout{cfg: cfg, assigned: map[string]assignment{}}
 }
 
-// SetOrder sets the order in force. A new revision discards all evidence about the previous order.
+// SetOrder sets the order in force. If the order has another revision than the previous order,
+// all evidence collected under the previous order is discarded.
 func (r *Rollout) SetOrder(o Order, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,7 +74,7 @@
 	r.epoch++
 }
 
-// WithdrawOrder removes the order in force.
+// WithdrawOrder removes the order in force. A roll-out that is open is then rolled back.
 func (r *Rollout) WithdrawOrder() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,8 +84,8 @@
 	}
 }
 
-// SetRecord applies a record read from the store, unless its revision is older than the one already
-// known.
+// SetRecord applies a record read from the store, unless this router already knows the record
+// at this revision or a later one.
 func (r *Rollout) SetRecord(rec Record, revision int64, now time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,23 +100,25 @@
 	r.epoch++
 }
 
-// adjustStart moves the estimated time of the order back if the record reports more elapsed time.
+// adjustStart moves the estimated time of the order back if the record reports that more time
+// has elapsed since the order.
 func (r *Rollout) adjustStart(now time.Duration) {
 	if r.order != nil && r.record.Order == r.order.Revision {
 		r.orderedAt = min(r.orderedAt, now-time.Duration(r.record.ElapsedMS)*time.Millisecond)
 	}
 }
 
-// Stage returns the stage by which this router acts.
+// Stage returns the stage by which this router acts; it can differ from the recorded stage.
 func (r *Rollout) Stage() Stage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stage()
 }
 
-// stage returns the recorded stage, except that a roll-back takes effect at once: a router that
-// found the new version bad, or whose order was withdrawn, does not wait until that is written to
-// the store.
+// stage returns the recorded stage, with two exceptions. First, a roll-back takes effect at
+// once: a router that found the new version bad, or whose order was withdrawn, does not wait
+// until the roll-back is written to the store. Second, until the record for a new order is
+// written, the stage is Waiting.
 func (r *Rollout) stage() Stage {
 	switch {
 	case r.order == nil && r.record.Stage.Open():
@@ -184,7 +187,8 @@
 	return trial
 }
 
-// MarkSent drops the assignment of a request that was sent.
+// MarkSent drops the assignment of a request that was sent, since the assignment is needed only
+// while the request waits.
 func (r *Rollout) MarkSent(request string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +212,7 @@
 
 // Tick updates the roll-out at the given time. current reports whether this router's copy of the
 // store is up to date; domains is the number of failure domains with replicas of the new version.
-// It returns the report to broadcast to the other routers, or nil.
+// It returns the report to broadcast to the other routers, or nil if no report is due.
 func (r *Rollout) Tick(now time.Duration, current bool, domains int) *Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rollout/rule.go
+++ b/rollout/rule.go
@@ -14,11 +14,12 @@
 	Target string
 	// Barred versions get no requests.
 	Barred []string
-	// CompletedRevision is the store revision at which the roll-out was recorded as completed. Replicas created
-	// after it may be used whatever their version; those created before it have stopped.
+	// CompletedRevision is the store revision at which the roll-out was recorded as completed.
+	// Replicas created after this revision may be used whatever their version. Replicas of
+	// other versions created before it have stopped.
 	CompletedRevision int64
 	// Stale reports that this router's copy of the store is out of date: the roll-out may have
-	// advanced or ended meanwhile.
+	// advanced or ended without this router knowing.
 	Stale bool
 }
 
@@ -32,8 +33,8 @@
 	case Waiting, Trial, RolledBack:
 		return !isNew
 	case Moving:
-		// It may have completed or been rolled back meanwhile: replicas of both versions may be
-		// used.
+		// If this router's copy of the store is out of date, the roll-out may have completed or
+		// been rolled back since the copy was current: replicas of both versions may be used.
 		return isNew || r.Stale
 	case Completed:
 		return isNew || b.Started > r.CompletedRevision
@@ -46,7 +47,9 @@
 	return r.Stage == Trial && !r.Stale && b.Version == r.Target && !slices.Contains(r.Barred, b.Version)
 }
 
-// MovesRuns reports whether runs at a replica have to continue elsewhere.
+// MovesRuns reports whether runs at a replica have to continue elsewhere. While all work moves
+// to the new version, this applies to the runs at old replicas. After a roll-back, this
+// applies to the runs at new replicas.
 func (r *Rule) MovesRuns(b *fleet.Backend) bool {
 	if r.Stale || (r.Stage != Moving && r.Stage != RolledBack) {
 		return false
--- a/routing/delay.go
+++ b/routing/delay.go
@@ -20,13 +20,16 @@
 	Reading() float64
 	// Running is the number of runs that are generating tokens.
 	Running() float64
-	// Memory is the number of tokens in memory, of runs and of copies of runs.
+	// Memory is the number of tokens that runs and copies of runs occupy in the engine's
+	// memory.
 	Memory() float64
-	// ReportedAt is when the engine last reported its load; zero if it never did.
+	// ReportedAt is when the engine last reported its load. It is the zero time if the
+	// engine never reported its load.
 	ReportedAt() time.Time
 }
 
-// idleEngine is the load of candidates about which nothing is known.
+// idleEngine is the load that is assumed for candidates about which nothing is known: no
+// prompt to read, no run and no tokens in memory.
 type idleEngine struct{}
 
 func (idleEngine) Reading() float64      { return 0 }
@@ -41,20 +44,21 @@
 	return idleEngine{}
 }
 
-// delayPerRun is the share of a prompt's reading time by which each concurrent run is
-// delayed: an engine step that reads a chunk of a prompt takes several times as long as
-// one that only generates a token.
+// delayPerRun is the share of a prompt's reading time by which the prompt delays each run
+// that generates tokens at the same engine. It is high because an engine step that reads a
+// chunk of a prompt takes several times as long as a step that only generates a token.
 const delayPerRun = 0.8
 
-// delayScorer rates by the delay that the prompt causes, expressed in tokens read in
-// that time: its own wait behind prompts that the engine has yet to read, plus the
-// slowdown of the runs that generate tokens there.
+// delayScorer rates candidates by the delay that the prompt causes. The delay is the prompt's
+// own wait behind prompts that the engine has yet to read, plus the slowdown of the runs that
+// generate tokens there. It is expressed as the number of tokens that an engine reads in that
+// time.
 //
-// A count of requests is not enough: it gives a stored copy, a run that generates
-// tokens and a prompt that is being read the same weight, although only a prompt takes
-// time from the others. Prompts are then sent to engines that are reading one while
-// other engines read none, and under usual load the first chunks arrive after twice the
-// time that a prompt takes.
+// A count of requests is not enough: it gives a stored copy, a run that generates tokens and a
+// prompt that is being read the same weight, although only reading a prompt slows the other
+// requests at the engine. Prompts would then be sent to engines that are reading a prompt
+// while other engines read none, and under normal load the first chunks would arrive after
+// twice the time that reading a prompt takes.
 type delayScorer struct{}
 
 func (delayScorer) Score(v View, out []float64) {
@@ -72,18 +76,20 @@
 	}
 }
 
-// backlogWithinBound reports whether the engine would finish reading the prompt within
-// the allowed backlog. An engine that reads no prompt accepts one of any length.
+// backlogWithinBound reports whether the engine's prompt tokens to be read, including this
+// prompt, are within the allowed backlog. An engine that is not reading any prompt passes,
+// however long the new prompt is.
 //
-// Without this filter, an engine that has just restarted has all its memory free, so
-// every waiting prompt is sent there and read one after the other, while other engines
-// become idle. Answers then miss their deadlines after a crash.
+// Without this filter, an engine that has just restarted has all its memory free, so every
+// waiting prompt is sent there and read one after the other, while other engines become idle.
+// Answers then miss their deadlines after a crash.
 func backlogWithinBound(c *Candidate, req *PickRequest) bool {
 	reading := c.engineLoad().Reading()
 	return req.Backlog <= 0 || reading == 0 || reading+float64(req.PromptTokens) <= req.Backlog
 }
 
-// memoryScorer rates by free memory.
+// memoryScorer rates candidates by the free share of their memory: 1 if all of it is free.
+// If the capacity isn't known, all candidates get 0.
 type memoryScorer struct{}
 
 func (memoryScorer) Score(v View, out []float64) {
@@ -95,12 +101,12 @@
 	}
 }
 
-// fitsMemory reports whether an engine has enough free memory to finish the request.
+// fitsMemory reports whether an engine has enough free memory to finish the request. If
+// the capacity isn't known, it returns true.
 //
 // Without this filter, an engine runs out of memory in the middle of its runs. Runs are
-// then preempted and read their prompts again later, for which other runs are
-// preempted. Tokens are read in vain, and answers are late long after a burst has
-// ended.
+// then preempted and read their prompts again later, for which other runs are preempted in
+// turn. Prefill work is wasted, and answers are late long after a burst has ended.
 func fitsMemory(c *Candidate, req *PickRequest) bool {
 	return req.Capacity <= 0 || c.engineLoad().Memory()+float64(req.MemoryTokens) <= float64(req.Capacity)
 }
--- a/routing/scorers.go
+++ b/routing/scorers.go
@@ -22,7 +22,8 @@
 	return sum / float64(len(v.loads))
 }
 
-// Scorer rates each candidate from 0 (worst) to 1 (best) into out.
+// Scorer rates each candidate from 0 (worst) to 1 (best) and stores the rating in out,
+// whose values are 0 before the call.
 type Scorer interface {
 	Score(v View, out []float64)
 }
@@ -38,12 +39,13 @@
 	ScoreSlots      = "free-places"
 )
 
-// loadSlack is added to loads before they are compared. A continuous batch accepts that
-// many more requests at little cost, so on an idle fleet a difference of one request
-// must not outweigh a cached prefix.
+// loadSlack is added to loads before they are compared. A continuous batch accepts loadSlack
+// more requests at little cost, so on an idle fleet a difference of one request must not
+// outweigh a cached prefix.
 const loadSlack = 4
 
-// loadScorer prefers the least loaded candidate, by ratio.
+// loadScorer prefers the least loaded candidate, which gets 1. The other candidates get
+// the ratio of the least load to their own load, each with loadSlack added.
 type loadScorer struct{}
 
 func (loadScorer) Score(v View, out []float64) {
@@ -56,14 +58,16 @@
 	}
 }
 
-// Reporter is implemented by a Live that also knows the load in the last report alone.
+// Reporter is implemented by a Live that also knows the load that the last report stated,
+// without the requests that were sent since that report.
 type Reporter interface {
-	// Reported is the number of requests running and waiting by the last report.
+	// Reported is the number of requests that were running and waiting according to the last
+	// report.
 	Reported() float64
 }
 
-// reportedScorer uses the last report alone and ignores what was sent since. It serves
-// as a baseline.
+// reportedScorer rates candidates by the last report alone and ignores the requests that
+// were sent since that report. It serves as a baseline for comparison with other scorers.
 type reportedScorer struct{}
 
 func (reportedScorer) Score(v View, out []float64) {
@@ -76,8 +80,8 @@
 	}
 }
 
-// boundedLoad is how far above the mean, as a factor, a candidate's load may be while
-// prefix affinity still draws work to it. Without a bound, one popular prefix would
+// boundedLoad is the factor by which a candidate's load may exceed the mean while prefix
+// affinity still draws work to that candidate. Without a bound, one popular prefix would
 // overload one engine while others are idle.
 const boundedLoad = 1.25
 
@@ -86,7 +90,8 @@
 // SlotCounter is implemented by a Live that knows how many requests its backend server runs
 // at once.
 type SlotCounter interface {
-	// Slots is that number as shown by the reports, 0 when unknown.
+	// Slots is the number of requests that the backend server runs at once, as shown by its
+	// reports; 0 when unknown.
 	Slots() float64
 }
 
@@ -98,23 +103,25 @@
 	return p.Slots()
 }
 
-// fullShare is the share of its slots from which a backend server counts as full:
-// requests that other routers sent there show only in the next report.
+// fullShare is the least share of a backend server's slots that must be in use for the backend
+// server to count as full. The share is below 1 because requests that other routers sent to
+// the backend server show only in the next report.
 const fullShare = 0.9
 
-// isFull reports whether a candidate is known to have no free slot. Prefix affinity
-// then draws no work to it.
+// isFull reports whether a candidate counts as full: at least fullShare of its slots are in
+// use. If the number of slots isn't known, isFull returns false. Prefix affinity draws no work
+// to a full candidate.
 //
-// Without this check, near full load the loads of two engines differ by little, so the
-// prefix outweighs the difference. Requests then wait at one engine for a long
-// generation to end, to save some milliseconds of prefill, while other engines have
-// free slots.
+// Without this check, near full load the loads of two engines differ by little, so a cached
+// prefix outweighs the difference. Requests then wait at one engine for a long generation to
+// end, to save some milliseconds of prefill, while other engines have free slots.
 func (v *View) isFull(k int) bool {
 	slots := v.slots(k)
 	return slots > 0 && v.loads[k] >= fullShare*slots
 }
 
-// prefixScorer prefers the cache that is known to contain most of the prompt.
+// prefixScorer rates candidates by the share of the prompt's blocks that their cache is
+// known to contain. Overloaded and full candidates get 0.
 type prefixScorer struct{}
 
 func (prefixScorer) Score(v View, out []float64) {
@@ -135,13 +142,14 @@
 // that have these blocks in common go to the same engine.
 const leadingBlocks = 2
 
-// rendezvousScorer sends equal prefixes to equal engines without needing any report:
-// the candidate with the highest hash gets 1, the next one 0.5. Overloaded and
-// full ones are skipped.
+// rendezvousScorer sends requests with the same prompt prefix to the same engine without
+// needing any report: the candidate with the highest rendezvous weight for the prefix gets
+// 1, the next candidate 0.5. Overloaded and full candidates are skipped.
 type rendezvousScorer struct{}
 
 func (rendezvousScorer) Score(v View, out []float64) {
-	// Otherwise resumed streams with one popular prefix would all go to one engine.
+	// Resumed streams get no score here: otherwise all resumed streams with one popular prefix
+	// would go to one engine.
 	if len(v.req.Blocks) == 0 || v.req.Resume {
 		return
 	}
@@ -170,9 +178,11 @@
 	}
 }
 
-// Rendezvous is the weight of a member for a key, for highest-random-weight hashing.
+// Rendezvous returns the weight of the member id for a key in rendezvous hashing: the
+// member with the highest weight is chosen for the key.
 func Rendezvous(key uint64, id string) uint64 {
-	// The finalizer of SplitMix64 mixes the two without another pass over id.
+	// The finalizer of SplitMix64 mixes the key and the id's hash without another pass over
+	// id.
 	x := xxhash.Sum64String(id) ^ key
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -181,7 +191,8 @@
 	return x ^ x>>31
 }
 
-// domainScorer prefers candidates in the router's own failure domain.
+// domainScorer gives 1 to candidates in the router's own failure domain and 0 to all
+// others.
 type domainScorer struct{}
 
 func (domainScorer) Score(v View, out []float64) {
@@ -192,8 +203,9 @@
 	}
 }
 
-// spreadScorer gives each resumed request its own order of the candidates, so that
-// routers that resume requests at the same time don't all choose the same idle engine.
+// spreadScorer rates the candidates for a resumed request in an order that is different for
+// each request, so that routers that resume requests at the same time don't all choose the
+// same idle engine.
 type spreadScorer struct{}
 
 func (spreadScorer) Score(v View, out []float64) {
@@ -206,8 +218,9 @@
 	}
 }
 
-// slotsScorer gives 1 to a backend server that has a free slot, and less for each
-// request that would wait there ahead of this one.
+// slotsScorer gives 1 to a backend server that has a free slot or whose number of slots is
+// unknown, and less for each request that would wait there for a slot, including this
+// request.
 type slotsScorer struct{}
 
 func (slotsScorer) Score(v View, out []float64) {
--- a/soak/inject.go
+++ b/soak/inject.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// fault is one kind of fault. inject starts it and returns the function that ends it, or nil. end
-// is called after a random time, during which other faults are injected.
+// fault is one kind of fault. inject starts the fault. It returns the function that ends
+// the fault, or nil if there is nothing to end. A run calls the returned function after a
+// random time, during which other faults are injected.
 type fault struct {
 	name   string
 	inject func() (end func())
@@ -27,7 +28,8 @@
 	minReplicas = 2
 )
 
-// processFaults returns the faults of a router's process. random draws the process.
+// processFaults returns the faults of a router's process. random picks the router that a
+// fault affects.
 func processFaults(random func() *process) []fault {
 	return []fault{
 		{"kill and restart", func() func() {
--- a/soak/platform.go
+++ b/soak/platform.go
@@ -27,7 +27,7 @@
 
 	orderedVersions int // number of versions ordered so far
 	rollouts        map[string]*rolloutOrder
-	// badVersions holds the faults that replicas of each bad version have.
+	// badVersions maps each bad version to the faults that its replicas have.
 	badVersions map[string]fakes.Faults
 	rolloutMu   sync.Mutex
 	watchers    sync.WaitGroup
@@ -102,7 +102,8 @@
 	chunkGap   = 12 * time.Millisecond
 	firstKeys  = 40
 	account    = "acc"
-	// routeTimeout is the time limit of each route.
+	// routeTimeout is the time limit for a request that each route of the operator's
+	// configuration sets.
 	routeTimeout = 8 * time.Second
 )
 
@@ -111,7 +112,8 @@
 	return err
 }
 
-// startReplica starts and registers a replica of a version, which is empty for the first one.
+// startReplica starts and registers a replica of a version of a service. An empty version
+// stands for the service's first version.
 func (r *platformRun) startReplica(service string, domain int, engine bool, version string) (*fakes.Replica, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/process.go
+++ b/soak/process.go
@@ -50,7 +50,7 @@
 func (p *process) settingsPath() string { return filepath.Join(p.cfg.Dir, p.id+".json") }
 func (p *process) logPath() string      { return filepath.Join(p.cfg.Dir, p.id+".log") }
 
-// logTailBytes is how much of a log is shown with a failure.
+// logTailBytes is how many bytes of the end of a router's log are shown with a failure.
 const logTailBytes = 4 << 10
 
 // logTail returns the end of the log. Failures include it since the log file may be deleted with the
@@ -63,7 +63,7 @@
 	return string(data[max(0, len(data)-logTailBytes):])
 }
 
-// start starts a process unless one is running.
+// start starts the router's next process, unless one is running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +98,8 @@
 	}
 }
 
-// awaitRecovery waits until the process is ready, after all faults have ended.
+// awaitRecovery waits until the process is ready, after all faults have ended. It records a
+// violation if that takes longer than settleTime.
 func (p *process) awaitRecovery() {
 	for deadline := time.Now().Add(settleTime); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
 		if p.isReady(context.Background()) {
@@ -122,7 +123,9 @@
 	case endSignal == 0:
 		p.checks.violated("a process ends only when it is told to", "", fmt.Sprintf("%s: %v; its log ends with:\n%s", p.id, err, p.logTail()))
 	case endSignal == syscall.SIGTERM && beforeStart && terminatedBy(err, syscall.SIGTERM):
-		// The program had no requests yet, and may not have run a single instruction.
+		// The process was killed by SIGTERM before it logged its start. This is no
+		// violation, since the program had no requests yet and may not have run a single
+		// instruction.
 	case endSignal == syscall.SIGTERM && err != nil:
 		p.checks.violated("a process that is told to end ends well", "", fmt.Sprintf("%s: %v", p.id, err))
 	}
